--- a/crates/members/tests/foca.rs
+++ b/crates/membership/tests/foca.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use foca::{AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, PostcardCodec, Timer};
-use pumicehead_members::sim::{Plan, Sim};
-use pumicehead_members::{MS, SECOND, State};
+use pumicehead_membership::sim::{Plan, Sim};
+use pumicehead_membership::{MS, SECOND, State};
 use rand::SeedableRng;
 use rand::rngs::Xoshiro256PlusPlus;
 use serde::{Deserialize, Serialize};
--- a/crates/members/tests/hostile.rs
+++ b/crates/membership/tests/hostile.rs
@@ -2,12 +2,12 @@
 
 use proptest::prelude::*;
 use prost::Message;
-use pumicehead_members::card::BadCard;
-use pumicehead_members::member::{Event, Exchange, Member, Output, Setup};
-use pumicehead_members::sim::{Plan, Sim, address, name};
-use pumicehead_members::table::{Hearsay, Merged, Said, Table, read};
-use pumicehead_members::wire::{BadBytes, Datagram, Entry, Frame, Kind, MAJOR, Step, fleet};
-use pumicehead_members::{Card, Epoch, Incarnation, Key, Nanos, SECOND, Settings, Stamp, State, Version};
+use pumicehead_membership::card::BadCard;
+use pumicehead_membership::member::{Event, Exchange, Member, Output, Setup};
+use pumicehead_membership::sim::{Plan, Sim, address, name};
+use pumicehead_membership::table::{Hearsay, Merged, Said, Table, read};
+use pumicehead_membership::wire::{BadBytes, Datagram, Entry, Frame, Kind, MAJOR, Step, fleet};
+use pumicehead_membership::{Card, Epoch, Incarnation, Key, Nanos, SECOND, Settings, Stamp, State, Version};
 
 const NOW: Nanos = 1_000 * SECOND;
 
--- a/crates/members/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -7,9 +7,9 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-use pumicehead_members::member::{Checked, Exchange, Member, Output, Setup};
-use pumicehead_members::sim::{address, name};
-use pumicehead_members::{Card, Key, MS, SECOND, Settings, State};
+use pumicehead_membership::member::{Checked, Exchange, Member, Output, Setup};
+use pumicehead_membership::sim::{address, name};
+use pumicehead_membership::{Card, Key, MS, SECOND, Settings, State};
 use stateright::{Checker, Model, Property};
 
 const NODES: usize = 3;
--- a/crates/members/tests/settles.rs
+++ b/crates/membership/tests/settles.rs
@@ -1,7 +1,7 @@
 //! Fleets in virtual time: what is found out, how soon, and that nobody is wronged. A failing seed replays.
 
-use pumicehead_members::sim::{Plan, Sim};
-use pumicehead_members::{MS, SECOND, State};
+use pumicehead_membership::sim::{Plan, Sim};
+use pumicehead_membership::{MS, SECOND, State};
 
 const STEP: u64 = 50 * MS;
 
@@ -169,7 +169,7 @@
         for of in 0..8 {
             assert!(all_hold(&sim, 8, of, State::Alive), "seed {seed}: {of}");
         }
-        let key = pumicehead_members::Key::of("n7");
+        let key = pumicehead_membership::Key::of("n7");
         let here = |sim: &Sim| sim.member(0).and_then(|member| member.table().get(key).map(|held| held.here));
         assert_eq!(here(&sim), Some(false), "seed {seed}");
         sim.cut(|_, _| false);
@@ -204,7 +204,7 @@
         let mut moved = 0;
         for node in (0..20).filter(|node| *node != 9) {
             let events = sim.events(node);
-            let others = |event: &&pumicehead_members::Event| matches!(event, pumicehead_members::Event::Moved { name, .. } if name != "n9");
+            let others = |event: &&pumicehead_membership::Event| matches!(event, pumicehead_membership::Event::Moved { name, .. } if name != "n9");
             moved += events.iter().filter(others).count();
         }
         // Its first findings, before it knows better, are told, and answered by those that they are about.
@@ -251,7 +251,7 @@
         }
         for node in (0..20).filter(|node| *node != 5) {
             for event in sim.events(node) {
-                if let pumicehead_members::Event::Moved { name, .. } = event {
+                if let pumicehead_membership::Event::Moved { name, .. } = event {
                     assert_eq!(name, "n5", "seed {seed}");
                 }
             }
--- a/crates/members/tests/share.rs
+++ b/crates/membership/tests/share.rs
@@ -1,10 +1,10 @@
 //! How many nodes share a server: more at once, fewer by degrees, and a side that has lost sight of others leaves them their part.
 
 use prost::Message;
-use pumicehead_members::share::{Sharing, counted, free_number};
-use pumicehead_members::sim::{Plan, Sim, name};
-use pumicehead_members::table::{Hearsay, Said, Table};
-use pumicehead_members::{Card, Key, MS, Member, Nanos, SECOND, Settings, State};
+use pumicehead_membership::share::{Sharing, counted, free_number};
+use pumicehead_membership::sim::{Plan, Sim, name};
+use pumicehead_membership::table::{Hearsay, Said, Table};
+use pumicehead_membership::{Card, Key, MS, Member, Nanos, SECOND, Settings, State};
 
 const NOW: Nanos = 10_000 * SECOND;
 
--- a/crates/members/tests/table.rs
+++ b/crates/membership/tests/table.rs
@@ -1,8 +1,8 @@
 //! The table of a view: what it counts of its own memory.
 
 use prost::Message;
-use pumicehead_members::table::{Hearsay, Said, Table};
-use pumicehead_members::{Card, Key, State};
+use pumicehead_membership::table::{Hearsay, Said, Table};
+use pumicehead_membership::{Card, Key, State};
 
 fn heard(name: String, zone: &str) -> Hearsay {
     let card = Card { name, epoch: 1, address: "10.0.0.1:7400".into(), zone: zone.into(), ..Card::default() };
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! This node as a member of its fleet: sockets and time for the machine of `pumicehead-members`, and what the rest of the node
+//! This node as a member of its fleet: sockets and time for the machine of `pumicehead-membership`, and what the rest of the node
 //! gets from it.
 
 mod stream;
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 
 use pumicehead_lang::model::{Fleet as Block, Node};
-use pumicehead_members::member::{BadSetup, Event, Member, Output, Setup};
-use pumicehead_members::settings::LARGEST_DATAGRAM;
-use pumicehead_members::{Card, SECOND, Settings};
+use pumicehead_membership::member::{BadSetup, Event, Member, Output, Setup};
+use pumicehead_membership::settings::LARGEST_DATAGRAM;
+use pumicehead_membership::{Card, SECOND, Settings};
 use pumicehead_ops::call::{Call, no};
 use pumicehead_policy::interface::{Nanos, Sharing};
 use pumicehead_trace::event::Event as Told;
@@ -236,10 +236,10 @@
         match event {
             Event::Joined { members } => info!(target: "fleet", "joined {}: {members} members", self.name),
             Event::Moved { name, from, to, witness } => {
-                let number = |state: pumicehead_members::State| state.number() as u8;
+                let number = |state: pumicehead_membership::State| state.number() as u8;
                 let (from_number, to_number) = (from.map(number), number(to));
                 self.tap.record(&Told::Member { name: Name::new(&name), from: from_number, to: to_number });
-                let from = from.map_or("new", pumicehead_members::State::word);
+                let from = from.map_or("new", pumicehead_membership::State::word);
                 info!(target: "fleet", "{name}: {from} -> {}, says {witness}", to.word());
             }
             Event::Reach { name, here: true } => info!(target: "fleet", "{name} is reached from here again"),
--- a/crates/node/src/fleet/told.rs
+++ b/crates/node/src/fleet/told.rs
@@ -1,8 +1,8 @@
 //! What a member tells people of its view, as JSON: one object, on one line.
 
-use pumicehead_members::member::Member;
-use pumicehead_members::table::Held;
-use pumicehead_members::{Key, SECOND, State};
+use pumicehead_membership::member::Member;
+use pumicehead_membership::table::Held;
+use pumicehead_membership::{Key, SECOND, State};
 use pumicehead_policy::interface::Nanos;
 use serde_json::{Value, json};
 
--- a/crates/rig/src/hollow/counts.rs
+++ b/crates/rig/src/hollow/counts.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use prost::Message;
-use pumicehead_members::Key;
-use pumicehead_members::wire::{Kind, Step};
+use pumicehead_membership::Key;
+use pumicehead_membership::wire::{Kind, Step};
 
 /// Kinds of datagrams that are told apart.
 pub const KINDS: [(Kind, &str); 5] = [
--- a/crates/rig/src/hollow/mixed.rs
+++ b/crates/rig/src/hollow/mixed.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pumicehead_members::State;
+use pumicehead_membership::State;
 use thiserror::Error;
 
 use super::counts::{PeerCounts, Received, Sent};
--- a/crates/rig/src/hollow/node.rs
+++ b/crates/rig/src/hollow/node.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use pumicehead_members::member::{Event, Member, Output, Setup};
-use pumicehead_members::settings::LARGEST_DATAGRAM;
-use pumicehead_members::{Card, Key, Nanos, SECOND, Settings, State};
+use pumicehead_membership::member::{Event, Member, Output, Setup};
+use pumicehead_membership::settings::LARGEST_DATAGRAM;
+use pumicehead_membership::{Card, Key, Nanos, SECOND, Settings, State};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
--- a/crates/rig/src/hollow/process.rs
+++ b/crates/rig/src/hollow/process.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pumicehead_members::State;
+use pumicehead_membership::State;
 use serde::Deserialize;
 
 use super::event_loops::thread_cpu_seconds;
--- a/crates/rig/src/hollow/stream.rs
+++ b/crates/rig/src/hollow/stream.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use pumicehead_members::member::{Checked, Exchange};
-use pumicehead_members::settings::LARGEST_FRAME;
+use pumicehead_membership::member::{Checked, Exchange};
+use pumicehead_membership::settings::LARGEST_FRAME;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
--- a/crates/rig/src/measure/capacity/fleet/parity.rs
+++ b/crates/rig/src/measure/capacity/fleet/parity.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::time::Duration;
 
-use pumicehead_members::wire::Step;
+use pumicehead_membership::wire::Step;
 
 use crate::hollow::counts::{DATAGRAM_HEADS, KINDS, Received};
 use crate::hollow::mixed::MixedFleet;
--- a/crates/rig/src/measure/capacity/fleet/virtual_time.rs
+++ b/crates/rig/src/measure/capacity/fleet/virtual_time.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use pumicehead_members::sim::{Plan, Sim};
-use pumicehead_members::{MS, Nanos, SECOND, State};
+use pumicehead_membership::sim::{Plan, Sim};
+use pumicehead_membership::{MS, Nanos, SECOND, State};
 
 use crate::hollow::counts::DATAGRAM_HEADS;
 
--- a/crates/rig/src/measure/view.rs
+++ b/crates/rig/src/measure/view.rs
@@ -5,9 +5,9 @@
 use std::process::Command;
 
 use prost::Message;
-use pumicehead_members::sim::{Plan as Fleet, Sim};
-use pumicehead_members::table::{Hearsay, Said, Table};
-use pumicehead_members::{Card, MS, Nanos, SECOND, State};
+use pumicehead_membership::sim::{Plan as Fleet, Sim};
+use pumicehead_membership::table::{Hearsay, Said, Table};
+use pumicehead_membership::{Card, MS, Nanos, SECOND, State};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Deserialize;
