--- a/crates/lang/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::{Component, Path, PathBuf};
 
-use pumicehead_lang::{Checked, Config, Files, ReadFault, check};
+use pumicehead_config::{Checked, Config, Files, ReadFault, check};
 
 /// What a path leads to.
 #[allow(dead_code)]
--- a/crates/lang/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -4,8 +4,8 @@
 use std::fs;
 use std::path::Path;
 
-use pumicehead_lang::disk::Disk;
-use pumicehead_lang::{Severity, check};
+use pumicehead_config::disk::Disk;
+use pumicehead_config::{Severity, check};
 
 fn corpus() -> std::path::PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/corpus")
@@ -32,7 +32,7 @@
             notes.collect::<String>()
         ));
         // However it is drawn, it names what is wrong and where.
-        let drawn = pumicehead_lang::diag::render(&checked.sources, one, false);
+        let drawn = pumicehead_config::diag::render(&checked.sources, one, false);
         assert!(drawn.starts_with(severity) && drawn.contains(one.message.as_str()), "{name}: {drawn}");
         if let Some(span) = one.span {
             assert!(drawn.contains(&checked.sources.line(span)), "{name}: {drawn}");
--- a/crates/lang/tests/hard.rs
+++ b/crates/config/tests/hard.rs
@@ -7,10 +7,10 @@
 use std::process::Command;
 
 use common::*;
-use pumicehead_lang::disk::Disk;
-use pumicehead_lang::lexer::LONGEST_LINE;
-use pumicehead_lang::load::{LARGEST_FILE, LARGEST_TOTAL, LONGEST_CHAIN, MOST_FILES};
-use pumicehead_lang::{Checked, ReadFault, check, diag};
+use pumicehead_config::disk::Disk;
+use pumicehead_config::lexer::LONGEST_LINE;
+use pumicehead_config::load::{LARGEST_FILE, LARGEST_TOTAL, LONGEST_CHAIN, MOST_FILES};
+use pumicehead_config::{Checked, ReadFault, check, diag};
 
 /// The one message, by its kind.
 fn only(checked: &Checked) -> (&'static str, String) {
@@ -155,6 +155,6 @@
 #[test]
 fn a_mark_of_the_byte_order_and_carriage_returns_change_nothing() {
     let odd = format!("\u{feff}{}", SOUND.replace('\n', "\r\n"));
-    let facts = |text: &str| pumicehead_lang::diff::facts(&config(text)).without_places();
+    let facts = |text: &str| pumicehead_config::diff::facts(&config(text)).without_places();
     assert_eq!(facts(&odd), facts(SOUND));
 }
--- a/crates/lang/tests/kept.rs
+++ b/crates/config/tests/kept.rs
@@ -8,11 +8,11 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use pumicehead_lang::Config;
-use pumicehead_lang::diff::{What, diff, facts};
-use pumicehead_lang::kept::KeptConfig;
-use pumicehead_lang::model::{Members, Places};
-use pumicehead_lang::route_table::RouteTable;
+use pumicehead_config::Config;
+use pumicehead_config::diff::{What, diff, facts};
+use pumicehead_config::kept::KeptConfig;
+use pumicehead_config::model::{Members, Places};
+use pumicehead_config::route_table::RouteTable;
 
 /// All that the table of routes may take for a route.
 const MOST_BYTES_A_ROUTE: usize = 300;
@@ -105,7 +105,7 @@
         assert_eq!(table.name(place), route.name);
         assert_eq!((table.class(place), table.pool(place)), (route.class, route.pool));
         assert_eq!((table.tenant(place), table.key(place)), (&route.tenant, &route.key));
-        let bare = pumicehead_lang::model::Route { at: Places::default(), ..route.clone() };
+        let bare = pumicehead_config::model::Route { at: Places::default(), ..route.clone() };
         assert_eq!(table.route(place), bare);
     }
     assert!(RouteTable::new(&[]).is_empty());
--- a/crates/lang/tests/meaning.rs
+++ b/crates/config/tests/meaning.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::*;
-use pumicehead_lang::diff::{Shown, diff};
-use pumicehead_lang::explain::{Request, explain};
-use pumicehead_lang::units;
+use pumicehead_config::diff::{Shown, diff};
+use pumicehead_config::explain::{Request, explain};
+use pumicehead_config::units;
 use pumicehead_policy::interface::{Effect, Group, SECOND, TenantId};
 
 /// What the diff says of a change to the sound text.
--- a/crates/lang/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -5,10 +5,10 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use pumicehead_lang::diff::{diff, facts};
-use pumicehead_lang::format::format;
-use pumicehead_lang::span::FileId;
-use pumicehead_lang::syntax::parse;
+use pumicehead_config::diff::{diff, facts};
+use pumicehead_config::format::format;
+use pumicehead_config::span::FileId;
+use pumicehead_config::syntax::parse;
 
 fn cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
@@ -74,11 +74,11 @@
 
     #[test]
     fn bytes_of_any_kind_give_messages_and_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let checked = pumicehead_lang::check(&Memory::default().with("main.conf", &bytes), std::path::Path::new("main.conf"));
+        let checked = pumicehead_config::check(&Memory::default().with("main.conf", &bytes), std::path::Path::new("main.conf"));
         prop_assert!(checked.config.is_none());
         for one in &checked.diagnostics {
-            prop_assert!(!pumicehead_lang::diag::render(&checked.sources, one, false).is_empty());
-            prop_assert!(serde_json::to_string(&pumicehead_lang::diag::json(&checked.sources, one)).is_ok());
+            prop_assert!(!pumicehead_config::diag::render(&checked.sources, one, false).is_empty());
+            prop_assert!(serde_json::to_string(&pumicehead_config::diag::json(&checked.sources, one)).is_ok());
         }
     }
 
@@ -96,7 +96,7 @@
     ) {
         let text = tokens.join(joint);
         let checked = check_text(&text);
-        prop_assert_eq!(checked.config.is_none(), checked.diagnostics.iter().any(|one| one.severity == pumicehead_lang::Severity::Error));
+        prop_assert_eq!(checked.config.is_none(), checked.diagnostics.iter().any(|one| one.severity == pumicehead_config::Severity::Error));
         if let Ok(once) = format(&text) {
             prop_assert_eq!(&format(&once).unwrap(), &once);
             prop_assert!(parse(FileId(0), &once).is_ok());
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -8,11 +8,11 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use pumicehead_lang::diff::{Shown, diff};
-use pumicehead_lang::disk::Disk;
-use pumicehead_lang::explain::{Request, explain};
-use pumicehead_lang::format::format;
-use pumicehead_lang::{Checked, Config, Files, Severity, Sources, check};
+use pumicehead_config::diff::{Shown, diff};
+use pumicehead_config::disk::Disk;
+use pumicehead_config::explain::{Request, explain};
+use pumicehead_config::format::format;
+use pumicehead_config::{Checked, Config, Files, Severity, Sources, check};
 
 use crate::report::{Format, print, report};
 use crate::standalone::Reading;
@@ -228,7 +228,7 @@
     };
     let changes = diff(&old, &new);
     for change in &changes {
-        let removed = change.what == pumicehead_lang::diff::What::Removed;
+        let removed = change.what == pumicehead_config::diff::What::Removed;
         let sources = if removed { &before.sources } else { &after.sources };
         print(&format!("{}\n", Shown { change, sources }));
     }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pumicehead_lang::model::{Fleet as Block, Node};
+use pumicehead_config::model::{Fleet as Block, Node};
 use pumicehead_membership::member::{BadSetup, Event, Member, Output, Setup};
 use pumicehead_membership::settings::LARGEST_DATAGRAM;
 use pumicehead_membership::{Card, SECOND, Settings};
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -8,7 +8,7 @@
 use hyper::client::conn::http1;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use pumicehead_lang::model::Address;
+use pumicehead_config::model::Address;
 use pumicehead_policy::interface::LIST_CALL;
 use serde::{Deserialize, Deserializer};
 use thiserror::Error;
--- a/crates/node/src/net/fastcgi/upstream.rs
+++ b/crates/node/src/net/fastcgi/upstream.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use pumicehead_config::model::Address;
 use pumicehead_fastcgi::cgi::{Around, variables};
 use pumicehead_fastcgi::client::Values;
-use pumicehead_lang::model::Address;
 use pumicehead_policy::interface::Outcome;
 use tokio::net::{TcpStream, UnixStream};
 use tokio::sync::{Semaphore, oneshot};
--- a/crates/node/src/net/front/mod.rs
+++ b/crates/node/src/net/front/mod.rs
@@ -22,7 +22,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use pumicehead_lang::model::Protocol;
+use pumicehead_config::model::Protocol;
 use pumicehead_ops::figures::{Figures, Outcome};
 use pumicehead_policy::interface::Nanos;
 use pumicehead_trace::event::{Event, Short, Turned};
--- a/crates/node/src/net/transport.rs
+++ b/crates/node/src/net/transport.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicehead_lang::model::Address;
+use pumicehead_config::model::Address;
 use pumicehead_policy::interface::Outcome;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -3,8 +3,8 @@
 use std::io::{IsTerminal, Write};
 
 use clap::ValueEnum;
-use pumicehead_lang::diag::{self, MOST_SHOWN};
-use pumicehead_lang::{Diagnostic, Sources};
+use pumicehead_config::diag::{self, MOST_SHOWN};
+use pumicehead_config::{Diagnostic, Sources};
 
 /// How mistakes are written.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
--- a/crates/node/src/standalone/admission.rs
+++ b/crates/node/src/standalone/admission.rs
@@ -8,9 +8,9 @@
 
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, StatusCode, Uri, Version};
-use pumicehead_lang::explain::key_of;
-use pumicehead_lang::model::{Config, Protocol, Repeats, TenantOf};
-use pumicehead_lang::route_table::RouteTable;
+use pumicehead_config::explain::key_of;
+use pumicehead_config::model::{Config, Protocol, Repeats, TenantOf};
+use pumicehead_config::route_table::RouteTable;
 use pumicehead_policy::interface::TenantId;
 use pumicehead_policy::tenant_ids::{IdsByName, TenantIds};
 use pumicehead_resources::Revision;
--- a/crates/node/src/standalone/difference.rs
+++ b/crates/node/src/standalone/difference.rs
@@ -1,8 +1,8 @@
 //! How a configuration that was read differs from the one in force.
 
-use pumicehead_lang::Span;
-use pumicehead_lang::diff::{Change, What, diff_by};
-use pumicehead_lang::model::Config;
+use pumicehead_config::Span;
+use pumicehead_config::diff::{Change, What, diff_by};
+use pumicehead_config::model::Config;
 use pumicehead_resources::{Digest, Fault, Snapshot};
 
 use super::revision::NodeConfig;
--- a/crates/node/src/standalone/listeners.rs
+++ b/crates/node/src/standalone/listeners.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicehead_lang::model::{Config, Limits, Protocol};
+use pumicehead_config::model::{Config, Limits, Protocol};
 use pumicehead_policy::interface::SECOND;
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicehead_lang::model::Observe;
+use pumicehead_config::model::Observe;
 use pumicehead_ops::call::{Call, no, yes};
 use pumicehead_policy::interface::Sharing;
 use pumicehead_trace::recorder::Level;
--- a/crates/node/src/standalone/pools.rs
+++ b/crates/node/src/standalone/pools.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pumicehead_lang::model::{Config, Members, Protocol};
+use pumicehead_config::model::{Config, Members, Protocol};
 use pumicehead_policy::interface::{Nanos, Settings};
 use pumicehead_policy::tenant_shares::TenantShares;
 use tokio::task;
--- a/crates/node/src/standalone/reading.rs
+++ b/crates/node/src/standalone/reading.rs
@@ -8,8 +8,8 @@
 use std::sync::{Arc, mpsc};
 use std::thread;
 
-use pumicehead_lang::disk::Disk;
-use pumicehead_lang::{Checked, Config, check};
+use pumicehead_config::disk::Disk;
+use pumicehead_config::{Checked, Config, check};
 use pumicehead_resources::Fault;
 use thiserror::Error;
 
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pumicehead_lang::diff::Shown;
+use pumicehead_config::diff::Shown;
 use pumicehead_policy::interface::Nanos;
 use thiserror::Error;
 use tokio::task;
--- a/crates/node/src/standalone/revision.rs
+++ b/crates/node/src/standalone/revision.rs
@@ -4,8 +4,8 @@
 use std::fmt;
 use std::sync::Arc;
 
-use pumicehead_lang::kept::KeptConfig;
-use pumicehead_lang::model::Config;
+use pumicehead_config::kept::KeptConfig;
+use pumicehead_config::model::Config;
 use pumicehead_policy::interface::{Nanos, Settings};
 use pumicehead_policy::tenant_ids::TenantIds;
 use pumicehead_resources::{Digest, Revision};
--- a/crates/node/src/standalone/site.rs
+++ b/crates/node/src/standalone/site.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pumicehead_lang::model::Config;
+use pumicehead_config::model::Config;
 use pumicehead_policy::interface::{Settings, Sharing};
 use pumicehead_resources::Digest;
 use thiserror::Error;
--- a/crates/node/tests/unit/core.rs
+++ b/crates/node/tests/unit/core.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
-use pumicehead_lang::model::Address;
+use pumicehead_config::model::Address;
 use pumicehead_policy::boot::Boot;
 use pumicehead_policy::interface::{AttemptNo, Outcome};
 use tokio::sync::oneshot;
--- a/crates/node/tests/unit/touched.rs
+++ b/crates/node/tests/unit/touched.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use pumicehead_lang::Files;
-use pumicehead_lang::model::Config;
+use pumicehead_config::Files;
+use pumicehead_config::model::Config;
 use pumicehead_resources::Delta;
 
 use super::*;
@@ -12,11 +12,11 @@
 struct OneFile(String);
 
 impl Files for OneFile {
-    fn read(&self, _: &std::path::Path) -> Result<Vec<u8>, pumicehead_lang::ReadFault> {
+    fn read(&self, _: &std::path::Path) -> Result<Vec<u8>, pumicehead_config::ReadFault> {
         Ok(self.0.clone().into_bytes())
     }
 
-    fn list(&self, _: &std::path::Path) -> Result<Vec<String>, pumicehead_lang::ReadFault> {
+    fn list(&self, _: &std::path::Path) -> Result<Vec<String>, pumicehead_config::ReadFault> {
         Ok(Vec::new())
     }
 
@@ -40,7 +40,7 @@
 ";
 
 fn config(text: &str) -> Config {
-    let checked = pumicehead_lang::check(&OneFile(text.into()), std::path::Path::new("main.conf"));
+    let checked = pumicehead_config::check(&OneFile(text.into()), std::path::Path::new("main.conf"));
     checked.config.expect("a sound configuration")
 }
 
--- a/crates/rig/tests/capacity.rs
+++ b/crates/rig/tests/capacity.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pumicehead_lang::model::{Config, Members};
-use pumicehead_lang::{check, diff, disk::Disk};
+use pumicehead_config::model::{Config, Members};
+use pumicehead_config::{check, diff, disk::Disk};
 use pumicehead_rig::measure::capacity::claims::{self, Measured};
 use pumicehead_rig::measure::capacity::file::{Change, Variant, mix, text};
 use pumicehead_rig::measure::capacity::fit::{Line, Point, median};
