--- a/crates/trace/tests/causes.rs
+++ b/crates/flight-recorder/tests/causes.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::*;
+use pumicehead_flight_recorder::cause::{Finding, Matter, Subject, find};
+use pumicehead_flight_recorder::dump::Dump;
+use pumicehead_flight_recorder::event::{Event, How, Short, Turned};
 use pumicehead_policy::interface::*;
 use pumicehead_policy::note::Rule;
-use pumicehead_trace::cause::{Finding, Matter, Subject, find};
-use pumicehead_trace::dump::Dump;
-use pumicehead_trace::event::{Event, How, Short, Turned};
 
 fn first(day: &Day) -> Finding {
     let dump = Dump::read(&day.recorder.dump(day.now, "test")).unwrap();
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/flight-recorder/tests/common/mod.rs
@@ -2,11 +2,11 @@
 
 #![allow(dead_code)]
 
+use pumicehead_flight_recorder::event::{Event, How, PoolId};
+use pumicehead_flight_recorder::recorder::{Class, Recorder};
+use pumicehead_flight_recorder::text::Name;
 use pumicehead_policy::interface::*;
 use pumicehead_policy::note::{Note, Rule, Stop};
-use pumicehead_trace::event::{Event, How, PoolId};
-use pumicehead_trace::recorder::{Class, Recorder};
-use pumicehead_trace::text::Name;
 
 pub const MS: Nanos = 1_000_000;
 pub const START: Nanos = 1_700_000_000 * SECOND;
--- a/crates/node/src/eyes.rs
+++ b/crates/node/src/eyes.rs
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use pumicehead_flight_recorder::event::PoolId;
+use pumicehead_flight_recorder::recorder::{Class, Level, Recorder};
 use pumicehead_ops::call::{Amount, Call, no, yes};
 use pumicehead_policy::interface::{Settings, TenantId};
-use pumicehead_trace::event::PoolId;
-use pumicehead_trace::recorder::{Class, Level, Recorder};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task;
 use tokio::time::sleep;
@@ -230,7 +230,7 @@
 
     fn at_panic(&self, what: &str) {
         let Some(folder) = self.folder() else { return };
-        if let Some(bytes) = self.dump(&format!("panic: {}", pumicehead_trace::text::plain(what))) {
+        if let Some(bytes) = self.dump(&format!("panic: {}", pumicehead_flight_recorder::text::plain(what))) {
             // There is nothing left to do where this fails.
             let _ = RecordingFile::new(folder, self.node, self.next()).write(&bytes);
         }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -10,13 +10,13 @@
 use std::rc::Rc;
 
 use pumicehead_config::model::{Fleet as Block, Node};
+use pumicehead_flight_recorder::event::Event as Told;
+use pumicehead_flight_recorder::text::Name;
 use pumicehead_membership::member::{BadSetup, Event, Member, Output, Setup};
 use pumicehead_membership::settings::LARGEST_DATAGRAM;
 use pumicehead_membership::{Card, SECOND, Settings};
 use pumicehead_ops::call::{Call, no};
 use pumicehead_policy::interface::{Nanos, Sharing};
-use pumicehead_trace::event::Event as Told;
-use pumicehead_trace::text::Name;
 use thiserror::Error;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{Notify, watch};
--- a/crates/node/src/log/format.rs
+++ b/crates/node/src/log/format.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::{self, Write};
 
-use pumicehead_trace::text::plain;
+use pumicehead_flight_recorder::text::plain;
 use rustix::pipe::PIPE_BUF;
 use tracing::Level;
 use tracing::field::{Field, Visit};
--- a/crates/node/src/net/core/actions.rs
+++ b/crates/node/src/net/core/actions.rs
@@ -1,7 +1,7 @@
 //! What the module wants done.
 
+use pumicehead_flight_recorder::event::Event as Told;
 use pumicehead_policy::interface::{Action, AttemptNo, Ended, Event, Nanos, Outcome, RequestId, ServerId};
-use pumicehead_trace::event::Event as Told;
 use tokio::sync::oneshot;
 use tokio::task;
 
--- a/crates/node/src/net/core/mod.rs
+++ b/crates/node/src/net/core/mod.rs
@@ -11,13 +11,13 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
+use pumicehead_flight_recorder::event::Event as Told;
+use pumicehead_flight_recorder::text::plain;
 use pumicehead_policy::interface::{
     Discovery, Event, ListChange, Nanos, RequestId, SECOND, ServerId, Settings, TimerToken,
 };
 use pumicehead_policy::note::Note;
 use pumicehead_policy::policy::{Balancer, Knowledge};
-use pumicehead_trace::event::Event as Told;
-use pumicehead_trace::text::plain;
 use rustc_hash::FxHashMap;
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
--- a/crates/node/src/net/core/requests.rs
+++ b/crates/node/src/net/core/requests.rs
@@ -2,11 +2,11 @@
 
 use std::rc::Rc;
 
+use pumicehead_flight_recorder::event::{Event as Told, How, Short};
+use pumicehead_flight_recorder::text;
 use pumicehead_policy::interface::{
     AttemptNo, ClassId, Ended, Event, Nanos, NewRequest, Outcome, RequestId, SECOND, ServerId, TimerToken,
 };
-use pumicehead_trace::event::{Event as Told, How, Short};
-use pumicehead_trace::text;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
--- a/crates/node/src/net/handle.rs
+++ b/crates/node/src/net/handle.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 
+use pumicehead_flight_recorder::event::{Event, Turned};
 use pumicehead_policy::interface::{RequestId, Settings, Sharing};
 use pumicehead_policy::policy::Knowledge;
-use pumicehead_trace::event::{Event, Turned};
 use rustc_hash::FxHashSet;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
--- a/crates/node/src/net/tap.rs
+++ b/crates/node/src/net/tap.rs
@@ -3,9 +3,9 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+use pumicehead_flight_recorder::event::{Event, Listed, PoolId};
+use pumicehead_flight_recorder::recorder::{Level, Recorder};
 use pumicehead_policy::interface::{Condition, ListChange, ServerId};
-use pumicehead_trace::event::{Event, Listed, PoolId};
-use pumicehead_trace::recorder::{Level, Recorder};
 use rustc_hash::FxHashMap;
 
 use super::clock::Clock;
--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -18,9 +18,9 @@
 use std::time::Duration;
 
 use pumicehead_config::model::Observe;
+use pumicehead_flight_recorder::recorder::Level;
 use pumicehead_ops::call::{Call, no, yes};
 use pumicehead_policy::interface::Sharing;
-use pumicehead_trace::recorder::Level;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 use tokio::task;
--- a/crates/node/src/why.rs
+++ b/crates/node/src/why.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use clap::{Args, ValueEnum};
+use pumicehead_flight_recorder::breakdown::Breakdown;
+use pumicehead_flight_recorder::cause::{Finding, find};
+use pumicehead_flight_recorder::dump::{Dump, LONGEST};
+use pumicehead_flight_recorder::{export as forms, moment, page, story};
 use pumicehead_policy::interface::Nanos;
-use pumicehead_trace::breakdown::Breakdown;
-use pumicehead_trace::cause::{Finding, find};
-use pumicehead_trace::dump::{Dump, LONGEST};
-use pumicehead_trace::{export as forms, moment, page, story};
 use serde_json::json;
 
 use crate::report::{error, print};
@@ -85,7 +85,8 @@
     let end = end.ok_or_else(|| format!("{address}: no answer of a node"))?;
     let line = String::from_utf8_lossy(&answer[..end]).into_owned();
     let length = line.strip_prefix("OK ").and_then(|length| length.parse::<usize>().ok());
-    let length = length.ok_or_else(|| format!("{address}: {}", pumicehead_trace::text::plain(&line)))?;
+    let length =
+        length.ok_or_else(|| format!("{address}: {}", pumicehead_flight_recorder::text::plain(&line)))?;
     let file = &answer[end + 1..];
     if file.len() != length {
         return Err(format!("{address}: {} of {length} bytes came", file.len()).into());
@@ -164,7 +165,7 @@
     let found = dump.find(request);
     if found.is_empty() {
         let kept = dump.stories.len();
-        let name = pumicehead_trace::text::plain(&request.chars().take(60).collect::<String>());
+        let name = pumicehead_flight_recorder::text::plain(&request.chars().take(60).collect::<String>());
         return Err(format!("no story of `{name}` among the {kept} that were kept").into());
     }
     for story in found.into_iter().take(STORIES) {
--- a/crates/node/tests/eyes.rs
+++ b/crates/node/tests/eyes.rs
@@ -7,13 +7,13 @@
 use std::thread;
 use std::time::Duration;
 
+use pumicehead_flight_recorder::breakdown::Breakdown;
+use pumicehead_flight_recorder::dump::Dump;
+use pumicehead_flight_recorder::event::Event;
+use pumicehead_flight_recorder::ring::records;
 use pumicehead_policy::note::{Note, Rule, Stop};
 use pumicehead_rig::program::{LIMIT, Standalone, built, temporary, wait_for};
 use pumicehead_rig::scripted::*;
-use pumicehead_trace::breakdown::Breakdown;
-use pumicehead_trace::dump::Dump;
-use pumicehead_trace::event::Event;
-use pumicehead_trace::ring::records;
 
 fn folder() -> PathBuf {
     let path = temporary(".eyes");
--- a/crates/node/tests/reloads.rs
+++ b/crates/node/tests/reloads.rs
@@ -9,11 +9,11 @@
 use std::thread;
 use std::time::Duration;
 
+use pumicehead_flight_recorder::dump::Dump;
+use pumicehead_flight_recorder::event::Event;
+use pumicehead_flight_recorder::ring::records;
 use pumicehead_rig::program::{LIMIT, Standalone, wait_for};
 use pumicehead_rig::scripted::{Act, Backend, Client, Crowd, Message, ok, refusing};
-use pumicehead_trace::dump::Dump;
-use pumicehead_trace::event::Event;
-use pumicehead_trace::ring::records;
 
 /// A pool with these servers.
 fn pool(name: &str, servers: &[(&str, SocketAddr)]) -> String {
--- a/crates/node/tests/tenants.rs
+++ b/crates/node/tests/tenants.rs
@@ -7,12 +7,12 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Instant;
 
+use pumicehead_flight_recorder::dump::Dump;
+use pumicehead_flight_recorder::event::Event;
+use pumicehead_flight_recorder::story;
 use pumicehead_policy::note::Note;
 use pumicehead_rig::program::{LIMIT, Standalone, wait_for};
 use pumicehead_rig::scripted::{Backend, Client, Crowd, ok};
-use pumicehead_trace::dump::Dump;
-use pumicehead_trace::event::Event;
-use pumicehead_trace::story;
 
 /// A pool of several servers, so that there is room beside what hangs, and routes with and without tenants.
 /// Each request has one attempt: one that is called back would close its connection.
