--- a/crates/ops/tests/ops.rs
+++ b/crates/admin/tests/ops.rs
@@ -1,9 +1,9 @@
 //! Calls, figures and the book, without a socket or a clock.
 
 use proptest::prelude::*;
-use pumicehead_ops::book::{Book, BookError, Listed, MOST_LISTED, MOST_OUT, REMEMBERED_MS, Stand};
-use pumicehead_ops::call::{Call, CallError, LONGEST_LINE, LONGEST_NAME};
-use pumicehead_ops::figures::{Figures, Now, Outcome, count};
+use pumicehead_admin::book::{Book, BookError, Listed, MOST_LISTED, MOST_OUT, REMEMBERED_MS, Stand};
+use pumicehead_admin::call::{Call, CallError, LONGEST_LINE, LONGEST_NAME};
+use pumicehead_admin::figures::{Figures, Now, Outcome, count};
 
 #[test]
 fn calls_are_read_with_any_line_end() {
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicehead_ops::call::{Call, LONGEST_LINE, no};
+use pumicehead_admin::call::{Call, LONGEST_LINE, no};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{self, AbortHandle};
--- a/crates/node/src/eyes.rs
+++ b/crates/node/src/eyes.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use pumicehead_admin::call::{Amount, Call, no, yes};
 use pumicehead_flight_recorder::event::PoolId;
 use pumicehead_flight_recorder::recorder::{Class, Level, Recorder};
-use pumicehead_ops::call::{Amount, Call, no, yes};
 use pumicehead_policy::interface::{Settings, TenantId};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task;
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -9,13 +9,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+use pumicehead_admin::call::{Call, no};
 use pumicehead_config::model::{Fleet as Block, Node};
 use pumicehead_flight_recorder::event::Event as Told;
 use pumicehead_flight_recorder::text::Name;
 use pumicehead_membership::member::{BadSetup, Event, Member, Output, Setup};
 use pumicehead_membership::settings::LARGEST_DATAGRAM;
 use pumicehead_membership::{Card, SECOND, Settings};
-use pumicehead_ops::call::{Call, no};
 use pumicehead_policy::interface::{Nanos, Sharing};
 use thiserror::Error;
 use tokio::net::{TcpListener, UdpSocket};
--- a/crates/node/src/net/ask.rs
+++ b/crates/node/src/net/ask.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode, Uri};
-use pumicehead_ops::figures::Outcome;
+use pumicehead_admin::figures::Outcome;
 use pumicehead_policy::interface::{Nanos, TenantId};
 
 use super::body::Body;
--- a/crates/node/src/net/hands.rs
+++ b/crates/node/src/net/hands.rs
@@ -2,7 +2,7 @@
 
 use std::cell::RefCell;
 
-use pumicehead_ops::book::{Book, Listed};
+use pumicehead_admin::book::{Book, Listed};
 
 /// Shared by whoever is called and the loops.
 #[derive(Default)]
--- a/crates/node/src/net/roster.rs
+++ b/crates/node/src/net/roster.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pumicehead_ops::book::Stand;
+use pumicehead_admin::book::Stand;
 use pumicehead_policy::interface::{CellId, Condition, ListChange, Nanos, ServerId, ServerInfo, ZoneId};
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use thiserror::Error;
--- a/crates/node/src/platform/admin.rs
+++ b/crates/node/src/platform/admin.rs
@@ -1,12 +1,12 @@
-//! What staff's calls do to the platform's node. What a line means is `pumicehead-ops`'s to say.
+//! What staff's calls do to the platform's node. What a line means is `pumicehead-admin`'s to say.
 
 use std::io;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use pumicehead_ops::book::{Book, UnixMs};
-use pumicehead_ops::call::{Call, no, yes};
-use pumicehead_ops::figures::{Figures, Now};
+use pumicehead_admin::book::{Book, UnixMs};
+use pumicehead_admin::call::{Call, no, yes};
+use pumicehead_admin::figures::{Figures, Now};
 use tokio::sync::Mutex;
 use tokio::time::{sleep, timeout};
 use tracing::warn;
--- a/crates/node/src/platform/keep.rs
+++ b/crates/node/src/platform/keep.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
 
-use pumicehead_ops::book::{Book, BookError, LONGEST_TEXT};
+use pumicehead_admin::book::{Book, BookError, LONGEST_TEXT};
 use thiserror::Error;
 use tokio::time::{Instant, sleep};
 use tracing::warn;
@@ -136,7 +136,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use pumicehead_ops::book::Stand;
+    use pumicehead_admin::book::Stand;
     use tokio::runtime::Builder;
 
     fn block_on<T>(work: impl Future<Output = T>) -> T {
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicehead_ops::figures::{Figures, count};
+use pumicehead_admin::figures::{Figures, count};
 use pumicehead_policy::interface::TenantId;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::Mutex;
--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -17,9 +17,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use pumicehead_admin::call::{Call, no, yes};
 use pumicehead_config::model::Observe;
 use pumicehead_flight_recorder::recorder::Level;
-use pumicehead_ops::call::{Call, no, yes};
 use pumicehead_policy::interface::Sharing;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
