--- a/crates/node/src/net/body.rs
+++ b/crates/node/src/net/body.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use hyper::body::{Body as HttpBody, Frame, Incoming, SizeHint};
-use pumicehead_flow::{GiveUp, Pace, Rules};
+use pumicehead_slow_peer::{GiveUp, Pace, Rules};
 use tokio::sync::Notify;
 use tokio::task;
 use tokio::time::sleep;
--- a/crates/node/src/net/front/read.rs
+++ b/crates/node/src/net/front/read.rs
@@ -8,7 +8,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 
-use pumicehead_flow::Pace;
+use pumicehead_slow_peer::Pace;
 use tokio::time::timeout;
 
 use crate::net::admission::Bad;
--- a/crates/node/src/net/upload.rs
+++ b/crates/node/src/net/upload.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use pumicehead_flow::{GiveUp, Pace, Rules, Side};
+use pumicehead_slow_peer::{GiveUp, Pace, Rules, Side};
 
 /// A client that has begun to send is waited for so long without a byte: bad ones are owed an end within seconds.
 const SILENCE: Duration = Duration::from_millis(2_000);
--- a/crates/flow/tests/pace.rs
+++ b/crates/slow-peer/tests/pace.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use proptest::prelude::*;
-use pumicehead_flow::{GiveUp, Pace, Rules, Side};
+use pumicehead_slow_peer::{GiveUp, Pace, Rules, Side};
 
 const RULES: Rules = Rules {
     silence: Duration::from_secs(10),
