--- a/crates/fleet/tests/rights.rs
+++ b/crates/capacity-leases/tests/rights.rs
@@ -3,15 +3,15 @@
 //! and come back with nothing; what forwarders own rises and falls. After every step the rights of all forwarders must add
 //! up to at most what all of them own, or have owned within the span of a loan.
 //!
-//! A failing seed is printed; `SEED=n cargo test -p pumicehead-fleet --test rights` plays it alone.
+//! A failing seed is printed; `SEED=n cargo test -p pumicehead-capacity-leases --test rights` plays it alone.
 
 use std::collections::BTreeMap;
 
-use pumicehead_fleet::holder::{Granting, Holder, Lending, Passed};
-use pumicehead_fleet::ledger::Ledger;
-use pumicehead_fleet::room::Rate;
-use pumicehead_fleet::terms::Terms;
-use pumicehead_fleet::{ForwarderId, PlannerId};
+use pumicehead_capacity_leases::holder::{Granting, Holder, Lending, Passed};
+use pumicehead_capacity_leases::ledger::Ledger;
+use pumicehead_capacity_leases::room::Rate;
+use pumicehead_capacity_leases::terms::Terms;
+use pumicehead_capacity_leases::{ForwarderId, PlannerId};
 use pumicehead_policy::interface::{Nanos, SECOND, ServerId};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/fleet/tests/view.rs
+++ b/crates/capacity-leases/tests/view.rs
@@ -1,8 +1,8 @@
 //! What a planner makes of forwarders that disagree, lag, come and go.
 
-use pumicehead_fleet::ForwarderId;
-use pumicehead_fleet::view::View;
-use pumicehead_fleet::wire::Sighting;
+use pumicehead_capacity_leases::ForwarderId;
+use pumicehead_capacity_leases::view::View;
+use pumicehead_capacity_leases::wire::Sighting;
 use pumicehead_policy::interface::{Nanos, SECOND, ServerId};
 
 const A: ForwarderId = ForwarderId(1);
--- a/crates/fleet/tests/wire.rs
+++ b/crates/capacity-leases/tests/wire.rs
@@ -4,8 +4,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use prost::Message as _;
-use pumicehead_fleet::sync::{Delta, LONGEST_ENTRY, MOST_ENTRIES, Mirror, Source, SyncError, Table};
-use pumicehead_fleet::wire::{
+use pumicehead_capacity_leases::sync::{
+    Delta, LONGEST_ENTRY, MOST_ENTRIES, Mirror, Source, SyncError, Table,
+};
+use pumicehead_capacity_leases::wire::{
     Body, Changes, Frames, Grant, Hello, LEAST_VERSION, LONGEST_FRAME, Plan, Report, VERSION, WireError,
     frame,
 };
--- a/crates/rig/src/world/levels.rs
+++ b/crates/rig/src/world/levels.rs
@@ -5,14 +5,14 @@
 
 use bytes::Bytes;
 use prost::Message as _;
-use pumicehead_fleet::holder::{Granting, Holder, Lending};
-use pumicehead_fleet::ledger::Ledger;
-use pumicehead_fleet::room::Rate;
-use pumicehead_fleet::sync::{Delta, Mirror, Source, Table};
-use pumicehead_fleet::terms::Terms;
-use pumicehead_fleet::view::View;
-use pumicehead_fleet::wire::{Body, Frames, Plan, Report, Sighting, frame};
-use pumicehead_fleet::{ForwarderId, PlannerId};
+use pumicehead_capacity_leases::holder::{Granting, Holder, Lending};
+use pumicehead_capacity_leases::ledger::Ledger;
+use pumicehead_capacity_leases::room::Rate;
+use pumicehead_capacity_leases::sync::{Delta, Mirror, Source, Table};
+use pumicehead_capacity_leases::terms::Terms;
+use pumicehead_capacity_leases::view::View;
+use pumicehead_capacity_leases::wire::{Body, Frames, Plan, Report, Sighting, frame};
+use pumicehead_capacity_leases::{ForwarderId, PlannerId};
 use pumicehead_policy::interface::{Advice, Nanos, SECOND, ServerId};
 
 /// How often a node reports to each planner.
@@ -164,7 +164,7 @@
             self.ledger.expire(now);
             let merged =
                 self.view.merged(now).into_iter().filter(|(_, server)| server.avoid || server.draining);
-            let entry = |(id, server): (ServerId, pumicehead_fleet::view::Merged)| {
+            let entry = |(id, server): (ServerId, pumicehead_capacity_leases::view::Merged)| {
                 let said = Sighting {
                     born: server.born,
                     draining: server.draining,
--- a/crates/rig/src/world/mod.rs
+++ b/crates/rig/src/world/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use pumicehead_fleet::{ForwarderId, PlannerId};
+use pumicehead_capacity_leases::{ForwarderId, PlannerId};
 use pumicehead_policy::interface::{
     Action, AttemptNo, CellId, Class, ClassId, Condition, Discovery, Effect, Ended, Event, ListChange, Nanos,
     NewRequest, Outcome, RequestId, SECOND, ServerId, ServerInfo, Settings, TimerToken, ZoneId,
