--- a/crates/sim/src/bin/pumicehead-adapter.rs
+++ b/crates/simulator-adapter/src/bin/pumicehead-adapter.rs
@@ -5,7 +5,7 @@
 
 use pumicehead_policy::note::News;
 use pumicehead_policy::policy::Balancer;
-use pumicehead_sim::{Decoder, Input, Instance, Reply, WireError, read_frame};
+use pumicehead_simulator_adapter::{Decoder, Input, Instance, Reply, WireError, read_frame};
 use rustc_hash::FxHashMap;
 
 fn main() -> ExitCode {
