--- a/crates/load/src/main.rs
+++ b/crates/load-generator/src/main.rs
@@ -11,15 +11,15 @@
 use std::{fs, thread};
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use pumicehead_load::compare::{compare, table};
-use pumicehead_load::engine::{Progress, Protocol, Setup, run};
-use pumicehead_load::mix::{Mix, Plan};
-use pumicehead_load::model::{Model, Service, Stalls};
-use pumicehead_load::report::Summary;
-use pumicehead_load::schedule::{Arrivals, Schedule};
-use pumicehead_load::shape::{Shape, parse_span};
-use pumicehead_load::trace::{Replay, parse, write_csv};
-use pumicehead_load::{Nanos, SECOND, html, relay, standin};
+use pumicehead_load_generator::compare::{compare, table};
+use pumicehead_load_generator::engine::{Progress, Protocol, Setup, run};
+use pumicehead_load_generator::mix::{Mix, Plan};
+use pumicehead_load_generator::model::{Model, Service, Stalls};
+use pumicehead_load_generator::report::Summary;
+use pumicehead_load_generator::schedule::{Arrivals, Schedule};
+use pumicehead_load_generator::shape::{Shape, parse_span};
+use pumicehead_load_generator::trace::{Replay, parse, write_csv};
+use pumicehead_load_generator::{Nanos, SECOND, html, relay, standin};
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
--- a/crates/load/tests/exact.rs
+++ b/crates/load-generator/tests/exact.rs
@@ -2,13 +2,13 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use pumicehead_load::mix::{Mix, Plan, Planned};
-use pumicehead_load::model::{Model, Service, Stalls};
-use pumicehead_load::outcome::{End, Story, Tally};
-use pumicehead_load::schedule::{Arrivals, Schedule};
-use pumicehead_load::shape::{Shape, parse_rate, parse_span};
-use pumicehead_load::virtual_time::{Mode, play};
-use pumicehead_load::{Nanos, SECOND};
+use pumicehead_load_generator::mix::{Mix, Plan, Planned};
+use pumicehead_load_generator::model::{Model, Service, Stalls};
+use pumicehead_load_generator::outcome::{End, Story, Tally};
+use pumicehead_load_generator::schedule::{Arrivals, Schedule};
+use pumicehead_load_generator::shape::{Shape, parse_rate, parse_span};
+use pumicehead_load_generator::virtual_time::{Mode, play};
+use pumicehead_load_generator::{Nanos, SECOND};
 
 const MS: Nanos = 1_000_000;
 
@@ -180,7 +180,7 @@
         let mut one = Tally::new(classes());
         let mut parts: Vec<_> = (0..lanes).map(|_| Tally::new(classes())).collect();
         for (place, &(class, intended, took, end, retried)) in stories.iter().enumerate() {
-            let end = pumicehead_load::outcome::ENDS[end];
+            let end = pumicehead_load_generator::outcome::ENDS[end];
             let story = Story { class, intended, sent: None, ended: intended + took, end, retried };
             one.count(&story);
             one.came(took);
--- a/crates/load/tests/loopback.rs
+++ b/crates/load-generator/tests/loopback.rs
@@ -8,13 +8,13 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_load::engine::{Progress, Protocol, Setup, run};
-use pumicehead_load::mix::{Mix, Plan};
-use pumicehead_load::model::{Model, Service, Stalls};
-use pumicehead_load::outcome::{End, Tally};
-use pumicehead_load::report::Summary;
-use pumicehead_load::schedule::{Arrivals, Schedule};
-use pumicehead_load::{Nanos, SECOND, html, standin};
+use pumicehead_load_generator::engine::{Progress, Protocol, Setup, run};
+use pumicehead_load_generator::mix::{Mix, Plan};
+use pumicehead_load_generator::model::{Model, Service, Stalls};
+use pumicehead_load_generator::outcome::{End, Tally};
+use pumicehead_load_generator::report::Summary;
+use pumicehead_load_generator::schedule::{Arrivals, Schedule};
+use pumicehead_load_generator::{Nanos, SECOND, html, standin};
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
--- a/crates/load/tests/traces.rs
+++ b/crates/load-generator/tests/traces.rs
@@ -1,8 +1,8 @@
 //! Traces, good and broken, each with what comes of it.
 
-use pumicehead_load::SECOND;
-use pumicehead_load::mix::{Mix, Plan};
-use pumicehead_load::trace::{Entry, Format, Replay, TraceError, format_of, parse, write_csv};
+use pumicehead_load_generator::SECOND;
+use pumicehead_load_generator::mix::{Mix, Plan};
+use pumicehead_load_generator::trace::{Entry, Format, Replay, TraceError, format_of, parse, write_csv};
 
 const PLAIN: Replay = Replay { speed: 1.0, copies: 1, gaps: false };
 
--- a/crates/node/tests/record.rs
+++ b/crates/node/tests/record.rs
@@ -2,7 +2,7 @@
 
 use std::fs;
 
-use pumicehead_load::trace::{Replay, parse};
+use pumicehead_load_generator::trace::{Replay, parse};
 use pumicehead_rig::program::{Standalone, temporary};
 use pumicehead_rig::scripted::{Backend, Client, ok};
 
--- a/crates/rig/src/measure/capacity/file.rs
+++ b/crates/rig/src/measure/capacity/file.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-use pumicehead_load::mix::{Class, Mix};
+use pumicehead_load_generator::mix::{Class, Mix};
 
 use super::size::Size;
 
--- a/crates/rig/src/measure/capacity/load.rs
+++ b/crates/rig/src/measure/capacity/load.rs
@@ -7,12 +7,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pumicehead_load::engine::{Progress, Protocol, Setup, run};
-use pumicehead_load::mix::Plan as Requests;
-use pumicehead_load::outcome::{End, Tally};
-use pumicehead_load::report::Summary;
-use pumicehead_load::schedule::{Arrivals, Schedule};
-use pumicehead_load::shape::Shape;
+use pumicehead_load_generator::engine::{Progress, Protocol, Setup, run};
+use pumicehead_load_generator::mix::Plan as Requests;
+use pumicehead_load_generator::outcome::{End, Tally};
+use pumicehead_load_generator::report::Summary;
+use pumicehead_load_generator::schedule::{Arrivals, Schedule};
+use pumicehead_load_generator::shape::Shape;
 
 use super::file::{Change, Variant, mix, text};
 use super::probe::TurnWatch;
--- a/crates/rig/src/measure/capacity/mod.rs
+++ b/crates/rig/src/measure/capacity/mod.rs
@@ -54,7 +54,7 @@
 /// Programs that do not build, start or answer.
 pub fn measure(options: &Options) -> io::Result<Report> {
     build_node()?;
-    build("pumicehead-load")?;
+    build("pumicehead-load-generator")?;
     let start = Instant::now();
     let mut report = Report::new("capacity", &table::head());
     let (node, fleet) = measure_side_by_side(options)?;
--- a/crates/rig/src/measure/cost.rs
+++ b/crates/rig/src/measure/cost.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 use std::{fs, thread};
 
-use pumicehead_load::engine::{Progress, Protocol, Setup, run};
-use pumicehead_load::mix::{Mix, Plan};
-use pumicehead_load::outcome::End;
-use pumicehead_load::report::Summary;
-use pumicehead_load::schedule::{Arrivals, Schedule};
-use pumicehead_load::shape::Shape;
-use pumicehead_load::{Nanos, SECOND};
+use pumicehead_load_generator::engine::{Progress, Protocol, Setup, run};
+use pumicehead_load_generator::mix::{Mix, Plan};
+use pumicehead_load_generator::outcome::End;
+use pumicehead_load_generator::report::Summary;
+use pumicehead_load_generator::schedule::{Arrivals, Schedule};
+use pumicehead_load_generator::shape::Shape;
+use pumicehead_load_generator::{Nanos, SECOND};
 
 use super::Plan as Run;
 use crate::program::{Standalone, Tool, build, build_node, cpu_seconds, memory, temporary};
@@ -49,7 +49,7 @@
 /// Programs that do not build or start.
 pub fn measure(plan: Run) -> io::Result<Report> {
     build_node()?;
-    build("pumicehead-load")?;
+    build("pumicehead-load-generator")?;
     let mut report =
         Report::new("cost", &["what", "us cpu a request", "p50 us", "p99 us", "p99.9 us", "served %"]);
     let servers = servers(10)?;
--- a/crates/rig/src/measure/eyes.rs
+++ b/crates/rig/src/measure/eyes.rs
@@ -10,11 +10,11 @@
 
 use pumicehead_flight_recorder::cause::{Finding, Matter, Subject, find};
 use pumicehead_flight_recorder::dump::Dump;
-use pumicehead_load::engine::{Progress, Protocol, Setup, run};
-use pumicehead_load::mix::{Mix, Plan as Drawn};
-use pumicehead_load::schedule::{Arrivals, Schedule};
-use pumicehead_load::shape::Shape;
-use pumicehead_load::{Nanos, SECOND};
+use pumicehead_load_generator::engine::{Progress, Protocol, Setup, run};
+use pumicehead_load_generator::mix::{Mix, Plan as Drawn};
+use pumicehead_load_generator::schedule::{Arrivals, Schedule};
+use pumicehead_load_generator::shape::Shape;
+use pumicehead_load_generator::{Nanos, SECOND};
 
 use super::Plan;
 use crate::program::{Standalone, build_node, memory, wait_for};
