--- a/crates/node/tests/capacity.rs
+++ b/crates/node/tests/capacity.rs
@@ -5,13 +5,13 @@
 use std::process::Command;
 use std::time::Duration;
 
-use pumicehead_rig::measure::capacity::file::{Change, Variant, text};
-use pumicehead_rig::measure::capacity::load::{LoadPlan, LoadedNode, take_turns};
-use pumicehead_rig::measure::capacity::process::NodeProcess;
-use pumicehead_rig::measure::capacity::sample::sample_all;
-use pumicehead_rig::measure::capacity::size::Size;
-use pumicehead_rig::program::{built, temporary};
-use pumicehead_rig::standin::{StandIn, Work};
+use pumicehead_testbed::measure::capacity::file::{Change, Variant, text};
+use pumicehead_testbed::measure::capacity::load::{LoadPlan, LoadedNode, take_turns};
+use pumicehead_testbed::measure::capacity::process::NodeProcess;
+use pumicehead_testbed::measure::capacity::sample::sample_all;
+use pumicehead_testbed::measure::capacity::size::Size;
+use pumicehead_testbed::program::{built, temporary};
+use pumicehead_testbed::standin::{StandIn, Work};
 
 const SIZE: Size = Size { backends: 4, pools: 2, routes: 20, tenants: 10 };
 
--- a/crates/node/tests/cli.rs
+++ b/crates/node/tests/cli.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-use pumicehead_rig::program::{built, temporary};
+use pumicehead_testbed::program::{built, temporary};
 
 const SOUND: &str = "listener public {\n    address 127.0.0.1:8080\n}\npool boards {\n    server a {\n        address 127.0.0.1:9001\n    }\n}\n\
     class read {\n    aim 600ms\n    deadline 2s\n    repeats safe\n}\nroute read {\n    path /boards/**\n    class read\n    pool boards\n}\n";
--- a/crates/node/tests/client_leaves.rs
+++ b/crates/node/tests/client_leaves.rs
@@ -11,10 +11,10 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_rig::departure::*;
-use pumicehead_rig::gate::Gate;
-use pumicehead_rig::late::Late;
-use pumicehead_rig::scripted::*;
+use pumicehead_testbed::departure::*;
+use pumicehead_testbed::gate::Gate;
+use pumicehead_testbed::late::Late;
+use pumicehead_testbed::scripted::*;
 
 type Changes = &'static [(&'static str, &'static str)];
 
--- a/crates/node/tests/cold_fleet.rs
+++ b/crates/node/tests/cold_fleet.rs
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use pumicehead_rig::scripted::*;
+use pumicehead_testbed::scripted::*;
 
 const NODES: u32 = 30;
 const SERVERS: usize = 8;
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -8,9 +8,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pumicehead_rig::departure::{Departure, id_of as id, ids_at as ids};
-use pumicehead_rig::late::Late;
-use pumicehead_rig::scripted::*;
+use pumicehead_testbed::departure::{Departure, id_of as id, ids_at as ids};
+use pumicehead_testbed::late::Late;
+use pumicehead_testbed::scripted::*;
 
 const NO_CANCEL: (&str, &str) = ("\"cancel\":true", "\"cancel\":false");
 
--- a/crates/node/tests/crossings_list.rs
+++ b/crates/node/tests/crossings_list.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pumicehead_rig::scripted::*;
+use pumicehead_testbed::scripted::*;
 
 /// The next connection to a listener.
 fn accept(listener: &TcpListener) -> TcpStream {
--- a/crates/node/tests/descriptor_reserve.rs
+++ b/crates/node/tests/descriptor_reserve.rs
@@ -10,8 +10,8 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_rig::gate::Gate;
-use pumicehead_rig::scripted::*;
+use pumicehead_testbed::gate::Gate;
+use pumicehead_testbed::scripted::*;
 
 /// Descriptors that the system lets the node have, as its configuration says.
 const DESCRIPTORS: usize = 256;
--- a/crates/node/tests/eyes.rs
+++ b/crates/node/tests/eyes.rs
@@ -12,8 +12,8 @@
 use pumicehead_flight_recorder::event::Event;
 use pumicehead_flight_recorder::ring::records;
 use pumicehead_policy::note::{Note, Rule, Stop};
-use pumicehead_rig::program::{LIMIT, Standalone, built, temporary, wait_for};
-use pumicehead_rig::scripted::*;
+use pumicehead_testbed::program::{LIMIT, Standalone, built, temporary, wait_for};
+use pumicehead_testbed::scripted::*;
 
 fn folder() -> PathBuf {
     let path = temporary(".eyes");
--- a/crates/node/tests/fastcgi.rs
+++ b/crates/node/tests/fastcgi.rs
@@ -10,8 +10,8 @@
 
 use bytes::BytesMut;
 use pumicehead_fastcgi::record::{Begin, End, Kind, ProtocolStatus, Role, put, put_stream};
-use pumicehead_rig::board::{Act, Asked, Asker, Boards, Speaks, served};
-use pumicehead_rig::program::{Standalone, temporary, wait_for};
+use pumicehead_testbed::board::{Act, Asked, Asker, Boards, Speaks, served};
+use pumicehead_testbed::program::{Standalone, temporary, wait_for};
 
 fn text(front: Speaks, servers: &[String], more: &str) -> String {
     let one = |(n, address): (usize, &String)| format!("server s{n} {{ address {address} }}\n");
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -6,8 +6,8 @@
 use std::process::Command;
 use std::time::Duration;
 
-use pumicehead_rig::program::{Standalone, built, wait_for};
-use pumicehead_rig::scripted::{Backend, Client, ok};
+use pumicehead_testbed::program::{Standalone, built, wait_for};
+use pumicehead_testbed::scripted::{Backend, Client, ok};
 use serde_json::Value;
 
 fn text(name: &str, server: &Backend, fleet: &str, seeds: &[SocketAddr]) -> String {
@@ -160,7 +160,7 @@
 fn what_cannot_be_is_told() {
     let server = Backend::start(|_| ok("x"));
     let (_one, speaks, _) = start("n1", &server, "tablero", &[]);
-    let file = pumicehead_rig::program::temporary(".conf");
+    let file = pumicehead_testbed::program::temporary(".conf");
     let good = text("n2", &server, "tablero", &[]);
     for (from, to, says) in [
         ("name tablero; ", "", "has no `name`"),
--- a/crates/node/tests/list_pauses.rs
+++ b/crates/node/tests/list_pauses.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pumicehead_rig::scripted::*;
+use pumicehead_testbed::scripted::*;
 
 /// The settings of a usual deployment in place of those that make tests short.
 const USUAL: (&str, &str) = ("\"ask_every_ns\":200000000", "\"ask_every_ns\":10000000000");
--- a/crates/node/tests/log.rs
+++ b/crates/node/tests/log.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command};
 
-use pumicehead_rig::program::{LIMIT, built, temporary, wait_for};
-use pumicehead_rig::scripted::*;
+use pumicehead_testbed::program::{LIMIT, built, temporary, wait_for};
+use pumicehead_testbed::scripted::*;
 use rustix::pipe::{PIPE_BUF, fcntl_setpipe_size};
 
 /// Large enough for all that a test has a node log.
--- a/crates/node/tests/memory.rs
+++ b/crates/node/tests/memory.rs
@@ -2,8 +2,8 @@
 
 use std::fmt::Write;
 
-use pumicehead_rig::program::{Standalone, memory, wait_for};
-use pumicehead_rig::scripted::{Backend, Client, ok};
+use pumicehead_testbed::program::{Standalone, memory, wait_for};
+use pumicehead_testbed::scripted::{Backend, Client, ok};
 
 /// Routes of the large configuration.
 const MANY: usize = 15_000;
--- a/crates/node/tests/node.rs
+++ b/crates/node/tests/node.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_rig::scripted::*;
+use pumicehead_testbed::scripted::*;
 
 fn is_refusal(status: u16) -> bool {
     matches!(status, 429 | 503)
--- a/crates/node/tests/operations.rs
+++ b/crates/node/tests/operations.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use pumicehead_rig::scripted::*;
+use pumicehead_testbed::scripted::*;
 
 /// A new empty folder.
 fn folder() -> PathBuf {
--- a/crates/node/tests/parity.rs
+++ b/crates/node/tests/parity.rs
@@ -5,10 +5,10 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_rig::board::{Act, Asker, Boards, served};
-use pumicehead_rig::parity::{compare_all, pairings, script, text};
-use pumicehead_rig::program::{Standalone, wait_for};
-use pumicehead_rig::scripted::refusing;
+use pumicehead_testbed::board::{Act, Asker, Boards, served};
+use pumicehead_testbed::parity::{compare_all, pairings, script, text};
+use pumicehead_testbed::program::{Standalone, wait_for};
+use pumicehead_testbed::scripted::refusing;
 
 #[test]
 fn all_pairings_end_alike() {
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -10,8 +10,8 @@
 use std::time::Duration;
 
 use object::{Object, ObjectSymbol};
-use pumicehead_rig::program::{LIMIT, built, temporary, wait_for};
-use pumicehead_rig::scripted::*;
+use pumicehead_testbed::program::{LIMIT, built, temporary, wait_for};
+use pumicehead_testbed::scripted::*;
 
 /// One of the answers that say that asking again is harmless.
 fn is_refusal(status: u16) -> bool {
--- a/crates/node/tests/record.rs
+++ b/crates/node/tests/record.rs
@@ -3,8 +3,8 @@
 use std::fs;
 
 use pumicehead_load_generator::trace::{Replay, parse};
-use pumicehead_rig::program::{Standalone, temporary};
-use pumicehead_rig::scripted::{Backend, Client, ok};
+use pumicehead_testbed::program::{Standalone, temporary};
+use pumicehead_testbed::scripted::{Backend, Client, ok};
 
 #[test]
 fn a_recorded_day_can_be_played() {
@@ -40,7 +40,7 @@
     assert_eq!(seen, [("GET", "/boards/any?page=2", 0), ("POST", "/runs/7", 3), ("GET", "/nowhere", 0)]);
     assert!(played.is_sorted_by_key(|entry| entry.at));
     // A second recording must not write over the first.
-    let again = std::process::Command::new(pumicehead_rig::program::built("pumicehead").unwrap())
+    let again = std::process::Command::new(pumicehead_testbed::program::built("pumicehead").unwrap())
         .args(["run", config.to_str().unwrap(), "--record", path])
         .output()
         .unwrap();
--- a/crates/node/tests/reloads.rs
+++ b/crates/node/tests/reloads.rs
@@ -12,8 +12,8 @@
 use pumicehead_flight_recorder::dump::Dump;
 use pumicehead_flight_recorder::event::Event;
 use pumicehead_flight_recorder::ring::records;
-use pumicehead_rig::program::{LIMIT, Standalone, wait_for};
-use pumicehead_rig::scripted::{Act, Backend, Client, Crowd, Message, ok, refusing};
+use pumicehead_testbed::program::{LIMIT, Standalone, wait_for};
+use pumicehead_testbed::scripted::{Act, Backend, Client, Crowd, Message, ok, refusing};
 
 /// A pool with these servers.
 fn pool(name: &str, servers: &[(&str, SocketAddr)]) -> String {
--- a/crates/node/tests/restart_ready.rs
+++ b/crates/node/tests/restart_ready.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pumicehead_rig::scripted::*;
+use pumicehead_testbed::scripted::*;
 
 /// The page: from its start to the first `GET /healthz` that is answered 200.
 const READY: Duration = Duration::from_secs(10);
--- a/crates/node/tests/standalone.rs
+++ b/crates/node/tests/standalone.rs
@@ -5,8 +5,8 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_rig::program::{Standalone, wait_for};
-use pumicehead_rig::scripted::{Act, Backend, Client, Crowd, Gauge, Message, answer, ok, refusing};
+use pumicehead_testbed::program::{Standalone, wait_for};
+use pumicehead_testbed::scripted::{Act, Backend, Client, Crowd, Gauge, Message, answer, ok, refusing};
 
 /// Two pools, one class of each kind; `more` goes to the end.
 fn text(boards: &[&Backend], archive: &[&Backend], more: &str) -> String {
--- a/crates/node/tests/streaming.rs
+++ b/crates/node/tests/streaming.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_rig::scripted::*;
+use pumicehead_testbed::scripted::*;
 
 const MIB: usize = 1 << 20;
 /// Generous: for what must come at all.
--- a/crates/node/tests/tenants.rs
+++ b/crates/node/tests/tenants.rs
@@ -11,8 +11,8 @@
 use pumicehead_flight_recorder::event::Event;
 use pumicehead_flight_recorder::story;
 use pumicehead_policy::note::Note;
-use pumicehead_rig::program::{LIMIT, Standalone, wait_for};
-use pumicehead_rig::scripted::{Backend, Client, Crowd, ok};
+use pumicehead_testbed::program::{LIMIT, Standalone, wait_for};
+use pumicehead_testbed::scripted::{Backend, Client, Crowd, ok};
 
 /// A pool of several servers, so that there is room beside what hangs, and routes with and without tenants.
 /// Each request has one attempt: one that is called back would close its connection.
--- a/crates/storm/src/run.rs
+++ b/crates/storm/src/run.rs
@@ -485,7 +485,7 @@
 /// # Errors
 /// Where it is not there.
 pub fn built(name: &str) -> io::Result<PathBuf> {
-    pumicehead_rig::program::built(name)
+    pumicehead_testbed::program::built(name)
 }
 
 /// A new empty folder in the system's place for such.
--- a/crates/storm/src/run/process.rs
+++ b/crates/storm/src/run/process.rs
@@ -199,7 +199,7 @@
     pub fn holds(&self) -> Option<(u64, u64)> {
         let pid = self.child.id();
         let descriptors = fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count() as u64;
-        let memory = pumicehead_rig::program::memory(pid) >> 10;
+        let memory = pumicehead_testbed::program::memory(pid) >> 10;
         (!self.over && memory > 0).then_some((descriptors, memory))
     }
 }
--- a/crates/storm/tests/storms.rs
+++ b/crates/storm/tests/storms.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-use pumicehead_rig::program::{temporary, wait_for};
+use pumicehead_testbed::program::{temporary, wait_for};
 
 /// A run that was void since this machine was too busy for the storm itself says nothing, and is played again.
 const PLAYS: usize = 5;
--- a/crates/rig/src/main.rs
+++ b/crates/testbed/src/cli.rs
@@ -1,4 +1,4 @@
-//! Measurements and stand-ins from the command line.
+//! The command line of `pumicehead-testbed`, by which the program of the former name goes too.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,14 +6,14 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
+use crate::measure::{ALL, Plan, capacity, storm};
+use crate::report::Report;
+use crate::standin::{StandIn, Work};
 use clap::{Parser, Subcommand, ValueEnum};
-use pumicehead_rig::measure::{ALL, Plan, capacity, storm};
-use pumicehead_rig::report::Report;
-use pumicehead_rig::standin::{StandIn, Work};
 
 /// Measurements and stand-ins, all on loopback.
 #[derive(Parser)]
-#[command(name = "pumicehead-rig", version)]
+#[command(name = "pumicehead-testbed", bin_name = "pumicehead-testbed", version)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -100,7 +100,8 @@
     json: bool,
 }
 
-fn main() -> ExitCode {
+/// Parses the arguments and carries the command out; 2 is returned where it fails.
+pub fn main() -> ExitCode {
     let done = match Arguments::parse().command {
         Command::StandIn { addresses, takes_ms } => stand_in(&addresses, takes_ms),
         Command::Capacity { options, full, beside, part } => {
@@ -119,7 +120,7 @@
         }
     };
     done.unwrap_or_else(|error| {
-        eprintln!("pumicehead-rig: {error}");
+        eprintln!("pumicehead-testbed: {error}");
         ExitCode::from(2)
     })
 }
--- a/crates/rig/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -2,6 +2,7 @@
 //! depends on it.
 
 pub mod board;
+pub mod cli;
 pub mod client;
 pub mod departure;
 pub mod gate;
--- a/crates/rig/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -6,15 +6,15 @@
 
 use pumicehead_config::model::{Config, Members};
 use pumicehead_config::{check, diff, disk::Disk};
-use pumicehead_rig::measure::capacity::claims::{self, Measured};
-use pumicehead_rig::measure::capacity::file::{Change, Variant, mix, text};
-use pumicehead_rig::measure::capacity::fit::{Line, Point, median};
-use pumicehead_rig::measure::capacity::load::{Latencies, LoadResult};
-use pumicehead_rig::measure::capacity::probe::{LoopTimes, TurnReading, TurnTracker};
-use pumicehead_rig::measure::capacity::sample::Sample;
-use pumicehead_rig::measure::capacity::size::{FACTORS, Factor, SMALLEST, Size, TARGET};
-use pumicehead_rig::program::temporary;
-use pumicehead_rig::report::Report;
+use pumicehead_testbed::measure::capacity::claims::{self, Measured};
+use pumicehead_testbed::measure::capacity::file::{Change, Variant, mix, text};
+use pumicehead_testbed::measure::capacity::fit::{Line, Point, median};
+use pumicehead_testbed::measure::capacity::load::{Latencies, LoadResult};
+use pumicehead_testbed::measure::capacity::probe::{LoopTimes, TurnReading, TurnTracker};
+use pumicehead_testbed::measure::capacity::sample::Sample;
+use pumicehead_testbed::measure::capacity::size::{FACTORS, Factor, SMALLEST, Size, TARGET};
+use pumicehead_testbed::program::temporary;
+use pumicehead_testbed::report::Report;
 
 const MILLISECOND: Duration = Duration::from_millis(1);
 
--- a/crates/rig/tests/hollow_fleet.rs
+++ b/crates/testbed/tests/hollow_fleet.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pumicehead_rig::hollow::counts::{KINDS, Received};
-use pumicehead_rig::hollow::mixed::MixedFleet;
-use pumicehead_rig::program::{LIMIT, wait_for};
+use pumicehead_testbed::hollow::counts::{KINDS, Received};
+use pumicehead_testbed::hollow::mixed::MixedFleet;
+use pumicehead_testbed::program::{LIMIT, wait_for};
 
 const HOLLOW: usize = 20;
 /// Probes of the real node after which counts are compared.
--- a/crates/rig/tests/world.rs
+++ b/crates/testbed/tests/world.rs
@@ -1,9 +1,9 @@
 //! Two levels in virtual time, with real decision modules: the four rules through faults on both levels.
 //!
-//! A failing seed is printed; `SEED=n cargo test -p pumicehead-rig --test world` plays it alone.
+//! A failing seed is printed; `SEED=n cargo test -p pumicehead-testbed --test world` plays it alone.
 
 use pumicehead_policy::interface::{Nanos, SECOND};
-use pumicehead_rig::world::{Day, Health, Job, Server, Tally, World};
+use pumicehead_testbed::world::{Day, Health, Job, Server, Tally, World};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
