--- a/crates/storm/src/main.rs
+++ b/crates/chaos/src/cli.rs
@@ -1,4 +1,4 @@
-//! Storms from the command line.
+//! The command line of `pumicehead-chaos`, by which the program of the former name goes too.
 
 use std::fs;
 use std::io::{self, Write};
@@ -6,14 +6,14 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
+use crate::check::{self, Find, Service, Summary};
+use crate::history::History;
+use crate::run::{Tools, built, folder, play};
+use crate::scenario::Scenario;
+use crate::shrink::Shrink;
+use crate::{SECOND, cost, keeper, report, stand, standing};
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use pumicehead_storm::check::{self, Find, Service, Summary};
-use pumicehead_storm::history::History;
-use pumicehead_storm::run::{Tools, built, folder, play};
-use pumicehead_storm::scenario::Scenario;
-use pumicehead_storm::shrink::Shrink;
-use pumicehead_storm::{SECOND, cost, keeper, report, stand, standing};
 use serde::Serialize;
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
@@ -22,7 +22,8 @@
 /// Crashes, stalls and bad links over a fleet of real processes on loopback, and what clients saw of them.
 #[derive(Parser)]
 #[command(
-    name = "pumicehead-storm",
+    name = "pumicehead-chaos",
+    bin_name = "pumicehead-chaos",
     version,
     after_help = "Exit codes: 0 all rules kept, 1 not, or the run is void, 2 it can't be played."
 )]
@@ -129,12 +130,13 @@
     Keeper,
 }
 
-fn main() -> ExitCode {
+/// Parses the arguments and carries the command out; 1 is returned where a rule is broken, 2 where it fails.
+pub fn main() -> ExitCode {
     let arguments = Arguments::parse();
     // Only this storm's own lines: a second one in the process there is not.
     let _ = tracing_subscriber::fmt().with_max_level(arguments.log).with_writer(io::stderr).try_init();
     carry_out(arguments.command).unwrap_or_else(|error| {
-        eprintln!("pumicehead-storm: {error}");
+        eprintln!("pumicehead-chaos: {error}");
         ExitCode::from(2)
     })
 }
--- a/crates/storm/src/lib.rs
+++ b/crates/chaos/src/lib.rs
@@ -5,6 +5,7 @@
 //! is handed its random numbers and times; `relay`, `keeper`, `stand` and `run` do the rest.
 
 pub mod check;
+pub mod cli;
 pub mod clock;
 pub mod cost;
 mod draw;
--- a/crates/storm/src/run.rs
+++ b/crates/chaos/src/run.rs
@@ -493,7 +493,7 @@
 /// # Errors
 /// One that can't be made.
 pub fn folder(name: &str) -> io::Result<PathBuf> {
-    let path = std::env::temp_dir().join(format!("pumicehead-storm-{}-{name}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("pumicehead-chaos-{}-{name}", std::process::id()));
     if Path::new(&path).exists() {
         std::fs::remove_dir_all(&path)?;
     }
--- a/crates/storm/tests/checkers.rs
+++ b/crates/chaos/tests/checkers.rs
@@ -1,9 +1,9 @@
 //! Each checker finds what is planted, and nothing in the same history without it.
 
-use pumicehead_storm::check;
-use pumicehead_storm::history::{Class, End, Event, History, Holds, Listed, State, Unread, What};
-use pumicehead_storm::scenario::Scenario;
-use pumicehead_storm::{MS, Nanos, SECOND};
+use pumicehead_chaos::check;
+use pumicehead_chaos::history::{Class, End, Event, History, Holds, Listed, State, Unread, What};
+use pumicehead_chaos::scenario::Scenario;
+use pumicehead_chaos::{MS, Nanos, SECOND};
 
 fn scenario() -> Scenario {
     Scenario::parse(
--- a/crates/storm/tests/storms.rs
+++ b/crates/chaos/tests/storms.rs
@@ -10,7 +10,7 @@
 const PLAYS: usize = 5;
 
 fn storm() -> Command {
-    Command::new(env!("CARGO_BIN_EXE_pumicehead-storm"))
+    Command::new(env!("CARGO_BIN_EXE_pumicehead-chaos"))
 }
 
 /// Plays a standing scenario until the storm itself is in time: all rules are kept, and service comes back.
@@ -160,7 +160,7 @@
 #[test]
 fn a_failing_storm_shrinks_to_its_cause() {
     let (file, program) = (temporary(".toml"), temporary(".sh"));
-    let node = pumicehead_storm::run::built("pumicehead").unwrap();
+    let node = pumicehead_chaos::run::built("pumicehead").unwrap();
     let script = format!(
         "#!/bin/sh\nfor f in \"$(dirname \"$2\")\"/n*/*.rec; do [ -e \"$f\" ] && exit 3; done\nexec {} \"$@\"\n",
         node.display()
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,5 +1,5 @@
 //! Nodes that know of each other, as processes on loopback: how they are started, asked and ended. What links do to them is the
-//! storm's (`crates/storm`).
+//! storm's (`crates/chaos`).
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
--- a/crates/testbed/src/measure/storm.rs
+++ b/crates/testbed/src/measure/storm.rs
@@ -1,4 +1,4 @@
-//! What a fleet of processes loses in each standing scenario, as `pumicehead-storm` plays them; beside another build of the
+//! What a fleet of processes loses in each standing scenario, as `pumicehead-chaos` plays them; beside another build of the
 //! node where one is named.
 
 use std::io;
@@ -19,7 +19,7 @@
 /// Plays of one scenario until the storm was itself in time.
 const PLAYS: usize = 3;
 
-/// What `pumicehead-storm run --json` says, as far as it is shown.
+/// What `pumicehead-chaos run --json` says, as far as it is shown.
 #[derive(Deserialize)]
 struct Outcome {
     asked: u64,
@@ -41,7 +41,7 @@
 fn play(name: &str, seed: u64, node: Option<&Path>) -> io::Result<Outcome> {
     let mut last = None;
     for _ in 0..PLAYS {
-        let mut command = Command::new(built("pumicehead-storm")?);
+        let mut command = Command::new(built("pumicehead-chaos")?);
         command.args(["run", name, "--json", "--seed", &seed.to_string()]);
         if let Some(node) = node {
             command.arg("--node").arg(node);
@@ -66,14 +66,14 @@
         direct_us: f64,
         through_us: f64,
     }
-    let done = Command::new(built("pumicehead-storm")?).args(["cost", "--json"]).output()?;
+    let done = Command::new(built("pumicehead-chaos")?).args(["cost", "--json"]).output()?;
     let cost: Cost = serde_json::from_slice(&done.stdout)?;
     Ok(cost.through_us - cost.direct_us)
 }
 
 /// Names of all standing scenarios.
 fn all() -> io::Result<Vec<String>> {
-    let done = Command::new(built("pumicehead-storm")?).arg("list").output()?;
+    let done = Command::new(built("pumicehead-chaos")?).arg("list").output()?;
     let text = String::from_utf8_lossy(&done.stdout).into_owned();
     Ok(text.lines().filter_map(|line| line.split_whitespace().next().map(str::to_owned)).collect())
 }
@@ -84,7 +84,7 @@
 /// Programs that can't be built or started.
 pub fn measure(plan: Plan, beside: Option<&Path>) -> io::Result<Report> {
     build("pumicehead")?;
-    build("pumicehead-storm")?;
+    build("pumicehead-chaos")?;
     let columns = [
         "scenario",
         "node",
--- a/crates/testbed/src/measure/view.rs
+++ b/crates/testbed/src/measure/view.rs
@@ -156,7 +156,7 @@
 }
 
 /// The scenario whose nodes know nothing of each other in the control run.
-const CONTROL: &str = include_str!("../../../storm/scenarios/members-crash.toml");
+const CONTROL: &str = include_str!("../../../chaos/scenarios/members-crash.toml");
 /// Worth that a play may serve less than another one by chance alone: few requests on a busy machine.
 const CHANCE: f64 = 0.03;
 
@@ -176,7 +176,7 @@
 fn play(name: &str, seed: u64) -> io::Result<Outcome> {
     let mut last = None;
     for _ in 0..PLAYS {
-        let done = Command::new(built("pumicehead-storm")?)
+        let done = Command::new(built("pumicehead-chaos")?)
             .args(["run", name, "--json", "--seed", &seed.to_string()])
             .output()?;
         let outcome: Outcome = serde_json::from_slice(&done.stdout).map_err(|_| {
@@ -229,7 +229,7 @@
     build_node()?;
     // Before anything else has taken memory and given it back.
     let entry = entry_bytes();
-    build("pumicehead-storm")?;
+    build("pumicehead-chaos")?;
     let mut report = Report::new(
         "view",
         &[
