--- a/crates/membership/src/card.rs
+++ b/crates/membership/src/card.rs
@@ -8,19 +8,19 @@
 use siphasher::sip::SipHasher13;
 
 /// Longest name, zone and version of a program, in bytes.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_TEXT_BYTES: usize = 64;
 /// Most things that a card offers.
-pub const MOST_OFFERS: usize = 16;
+pub const MAX_CAPABILITIES: usize = 16;
 /// Longest card, with fields that this version does not know.
-pub const LONGEST_CARD: usize = 1_024;
+pub const MAX_RECORD_BYTES: usize = 1_024;
 /// A stamp's numbers are below this: one that a liar raised to the most could never be answered by a higher one.
-pub const MOST_NUMBER: u64 = 1 << 62;
+pub const VERSION_LIMIT: u64 = 1 << 62;
 
 /// A member's name as a number; the same in all processes and versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key(pub u64);
+pub struct MemberId(pub u64);
 
-impl Key {
+impl MemberId {
     /// Of a name.
     #[must_use]
     pub fn of(name: &str) -> Self {
@@ -49,7 +49,7 @@
 
 /// Which saying of a member is meant. Only the member itself raises it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Stamp {
+pub struct RecordVersion {
     /// Of its process.
     pub epoch: Epoch,
     /// Of its saying.
@@ -81,7 +81,7 @@
 
 /// What a member says of itself, as it travels.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Card {
+pub struct MemberRecord {
     /// Its name.
     #[prost(string, tag = "1")]
     pub name: String,
@@ -106,7 +106,7 @@
     /// How much it has to do, in eighths.
     #[prost(uint32, tag = "8")]
     pub load: u32,
-    /// How far it is; see [`Card::phase`].
+    /// How far it is; see [`MemberRecord::phase`].
     #[prost(uint32, tag = "9")]
     pub phase: u32,
     /// Its number among the members, from 1; 0: none yet.
@@ -119,13 +119,13 @@
 
 /// Why a card is not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadCard {
+pub enum RecordError {
     /// No message of this kind, or longer than any.
     #[error("no card: {0}")]
     Bytes(String),
     /// A text that can't be one of a card.
     #[error(
-        "the card's {0} is longer than {LONGEST_NAME} bytes, is empty or holds other than printable characters"
+        "the card's {0} is longer than {MAX_TEXT_BYTES} bytes, is empty or holds other than printable characters"
     )]
     Text(&'static str),
     /// An address that is none.
@@ -136,16 +136,16 @@
     Number(&'static str),
 }
 
-impl Card {
+impl MemberRecord {
     /// Reads one, and looks whether it can be.
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn read(bytes: &[u8]) -> Result<Self, BadCard> {
-        if bytes.len() > LONGEST_CARD {
-            return Err(BadCard::Bytes(format!("{} bytes", bytes.len())));
+    pub fn read(bytes: &[u8]) -> Result<Self, RecordError> {
+        if bytes.len() > MAX_RECORD_BYTES {
+            return Err(RecordError::Bytes(format!("{} bytes", bytes.len())));
         }
-        let card = Self::decode(bytes).map_err(|error| BadCard::Bytes(error.to_string()))?;
+        let card = Self::decode(bytes).map_err(|error| RecordError::Bytes(error.to_string()))?;
         card.check()?;
         Ok(card)
     }
@@ -154,26 +154,26 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn check(&self) -> Result<(), BadCard> {
+    pub fn check(&self) -> Result<(), RecordError> {
         let fits =
-            |text: &str| text.len() <= LONGEST_NAME && !text.chars().any(|c| c.is_control() || c == ' ');
+            |text: &str| text.len() <= MAX_TEXT_BYTES && !text.chars().any(|c| c.is_control() || c == ' ');
         if self.name.is_empty() || !fits(&self.name) {
-            return Err(BadCard::Text("name"));
+            return Err(RecordError::Text("name"));
         }
         for (name, text) in [("zone", &self.zone), ("program", &self.program)] {
             if !fits(text) {
-                return Err(BadCard::Text(name));
+                return Err(RecordError::Text(name));
             }
         }
-        if self.offers.len() > MOST_OFFERS || !self.offers.iter().all(|offer| fits(offer)) {
-            return Err(BadCard::Text("offers"));
+        if self.offers.len() > MAX_CAPABILITIES || !self.offers.iter().all(|offer| fits(offer)) {
+            return Err(RecordError::Text("offers"));
         }
         if self.socket().is_none() {
-            return Err(BadCard::Address);
+            return Err(RecordError::Address);
         }
         for (name, number) in [("epoch", self.epoch), ("incarnation", self.incarnation)] {
-            if number >= MOST_NUMBER {
-                return Err(BadCard::Number(name));
+            if number >= VERSION_LIMIT {
+                return Err(RecordError::Number(name));
             }
         }
         Ok(())
@@ -181,14 +181,14 @@
 
     /// Its name as a number.
     #[must_use]
-    pub fn key(&self) -> Key {
-        Key::of(&self.name)
+    pub fn key(&self) -> MemberId {
+        MemberId::of(&self.name)
     }
 
     /// Which saying this is.
     #[must_use]
-    pub fn stamp(&self) -> Stamp {
-        Stamp { epoch: Epoch(self.epoch), incarnation: Incarnation(self.incarnation) }
+    pub fn stamp(&self) -> RecordVersion {
+        RecordVersion { epoch: Epoch(self.epoch), incarnation: Incarnation(self.incarnation) }
     }
 
     /// Where it is reached; `None` for what can't be: no address, port 0, or an address of many.
@@ -223,7 +223,7 @@
     }
 }
 
-impl fmt::Display for Stamp {
+impl fmt::Display for RecordVersion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:x}.{}", self.epoch.0, self.incarnation.0)
     }
--- a/crates/membership/src/doubt.rs
+++ b/crates/membership/src/doubt.rs
@@ -1,11 +1,11 @@
 //! Suspicion that ends, and the observer's own health.
 
 use crate::Nanos;
-use crate::card::Key;
+use crate::card::MemberId;
 use crate::settings::Settings;
 
 /// Witnesses beside the first that make a suspicion as short as it gets.
-pub const WITNESSES: usize = 3;
+pub const MAX_CONFIRMATIONS: usize = 3;
 /// The least suspicion, in periods for each power of ten of members.
 const LEAST_PERIODS: f64 = 2.0;
 /// The longest one is so many times the least.
@@ -15,29 +15,29 @@
 
 /// A member that is held for suspect or stalled, and until when.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Doubt {
+pub struct Suspicion {
     /// Since when.
     pub since: Nanos,
     /// Who says so, each of its own seeing.
-    pub witnesses: Vec<Key>,
+    pub witnesses: Vec<MemberId>,
     /// Its kernel refuses connections.
     pub refused: bool,
     /// It stands still, and is not suspected of more.
     pub stalled: bool,
 }
 
-impl Doubt {
+impl Suspicion {
     /// One that begins.
     #[must_use]
-    pub fn new(since: Nanos, witness: Key, refused: bool, stalled: bool) -> Self {
+    pub fn new(since: Nanos, witness: MemberId, refused: bool, stalled: bool) -> Self {
         Self { since, witnesses: vec![witness], refused, stalled }
     }
 
     /// Another one says so as well; whether that is new and worth telling.
-    pub fn confirm(&mut self, witness: Key, refused: bool) -> bool {
+    pub fn confirm(&mut self, witness: MemberId, refused: bool) -> bool {
         let fresh = refused && !self.refused;
         self.refused |= refused;
-        if self.witnesses.contains(&witness) || self.witnesses.len() > WITNESSES {
+        if self.witnesses.contains(&witness) || self.witnesses.len() > MAX_CONFIRMATIONS {
             return fresh;
         }
         self.witnesses.push(witness);
@@ -47,7 +47,7 @@
     /// When it ends in death, for an observer `me` with this health among so many members. One who is alone in its seeing has
     /// to wait for long: the fault may be its own.
     #[must_use]
-    pub fn ends(&self, settings: &Settings, me: Key, members: usize, health: Health) -> Nanos {
+    pub fn ends(&self, settings: &Settings, me: MemberId, members: usize, health: Awareness) -> Nanos {
         if self.stalled {
             return self.since + settings.stalled;
         }
@@ -62,8 +62,8 @@
         if alone {
             return self.since + settings.alone;
         }
-        let more = (self.witnesses.len() - 1).min(WITNESSES) as f64;
-        let span = most - (most - least) * (more + 1.0).ln() / (WITNESSES as f64 + 1.0).ln();
+        let more = (self.witnesses.len() - 1).min(MAX_CONFIRMATIONS) as f64;
+        let span = most - (most - least) * (more + 1.0).ln() / (MAX_CONFIRMATIONS as f64 + 1.0).ln();
         self.since + (span * f64::from(health.factor())) as Nanos
     }
 }
@@ -71,12 +71,12 @@
 /// The observer's own health: 0 is good. Whoever gets answers late, misses those of its helpers or stands still trusts its
 /// own seeing less.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Health(u8);
+pub struct Awareness(u8);
 
 /// Worst health.
 const WORST: u8 = 7;
 
-impl Health {
+impl Awareness {
     /// Something speaks against it.
     pub fn worse(&mut self, by: u8) {
         self.0 = (self.0 + by).min(WORST);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,7 @@
 //! A fleet's view of itself, kept by its members: who is there, who has left, is dead, stands still, or can't be reached
 //! from here though others reach it. `docs/design/members.md` has the reasons, `docs/operate/members.md` the use.
 //!
-//! Nothing here does I/O, reads a clock or draws from the system: a [`Member`] is handed datagrams, frames, times and a seed,
+//! Nothing here does I/O, reads a clock or draws from the system: a [`Membership`] is handed datagrams, frames, times and a seed,
 //! and says what to send. Order of the files, none of which knows a later one:
 //!
 //! - `card`: what a member says of itself, and who is meant by a name;
@@ -27,10 +27,10 @@
 pub mod table;
 pub mod wire;
 
-pub use card::{Card, Epoch, Incarnation, Key, Phase, Stamp};
-pub use member::{Checked, Event, Member, Output};
+pub use card::{MemberRecord, Epoch, Incarnation, MemberId, Phase, RecordVersion};
+pub use member::{StreamProbeOutcome, Event, Membership, Output};
 pub use settings::Settings;
-pub use state::{State, Version};
+pub use state::{MemberState, Precedence};
 
 /// Nanoseconds on the process's own monotonic clock.
 pub type Nanos = u64;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,5 +1,5 @@
 //! The machine: handed datagrams, ends of exchanges and times, it keeps the view and says what to send. Whoever drives it
-//! calls [`Member::on_timer`] when [`Member::next`] is due, and carries out what [`Member::outputs`] gives, in order.
+//! calls [`Membership::on_timer`] when [`Membership::next`] is due, and carries out what [`Membership::outputs`] gives, in order.
 
 mod ask;
 mod hear;
@@ -16,20 +16,20 @@
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
 
-use crate::card::{Card, Key, MOST_NUMBER, Phase};
-use crate::doubt::{Doubt, Health};
-use crate::news::News;
-use crate::probe::{Luck, Order, Probe};
+use crate::card::{MemberRecord, MemberId, VERSION_LIMIT, Phase};
+use crate::doubt::{Suspicion, Awareness};
+use crate::news::BroadcastQueue;
+use crate::probe::{ProbeHistory, ProbeSchedule, Probe};
 use crate::settings::{LOAD_EACH, LOAD_LEAST, Settings};
-use crate::share::Sharing;
-use crate::state::State;
-use crate::table::{Hearsay, Held, Said, Table};
-use crate::wire::{Datagram, Kind, MAJOR, MINOR, fleet};
+use crate::share::NodeCount;
+use crate::state::MemberState;
+use crate::table::{MemberClaim, MemberEntry, EncodedRecord, MemberTable};
+use crate::wire::{Datagram, DatagramKind, MAJOR, MINOR, fleet};
 use crate::{Nanos, SECOND};
 
-pub use crate::probe::Checked;
-pub use sync::Exchange;
-pub use types::{BadSetup, Event, Output, Setup};
+pub use crate::probe::StreamProbeOutcome;
+pub use sync::StreamAction;
+pub use types::{MembershipError, Event, Output, MembershipConfig};
 
 /// Room in a datagram beside its entries: head, kind and numbers.
 const HEAD: usize = 64;
@@ -47,36 +47,36 @@
 
 /// A question put for another member.
 #[derive(Clone, Debug)]
-struct Help {
+struct RelayedProbe {
     seq: u32,
     from: SocketAddr,
     their_seq: u32,
-    about: Key,
+    about: MemberId,
     ends: Nanos,
 }
 
 /// A member of a fleet.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct Membership {
     settings: Settings,
     fleet: u64,
-    me: Key,
-    card: Card,
+    me: MemberId,
+    card: MemberRecord,
     rng: Pcg64Mcg,
     seeds: Vec<SocketAddr>,
-    reach: FxHashMap<Key, SocketAddr>,
-    table: Table,
-    news: News,
-    doubts: FxHashMap<Key, Doubt>,
+    reach: FxHashMap<MemberId, SocketAddr>,
+    table: MemberTable,
+    news: BroadcastQueue,
+    doubts: FxHashMap<MemberId, Suspicion>,
     /// Who was found to stand still, once, and since when: held so only where it lasts.
-    silent: FxHashMap<Key, Nanos>,
-    health: Health,
-    luck: Luck,
-    order: Order,
+    silent: FxHashMap<MemberId, Nanos>,
+    health: Awareness,
+    luck: ProbeHistory,
+    order: ProbeSchedule,
     probe: Option<Probe>,
-    helps: VecDeque<Help>,
+    helps: VecDeque<RelayedProbe>,
     seq: u32,
-    sharing: Sharing,
+    sharing: NodeCount,
     /// Whether any exchange with the fleet has been whole.
     joined: bool,
     over: bool,
@@ -97,15 +97,15 @@
     sent: u64,
 }
 
-impl Member {
+impl Membership {
     /// One that has just started.
     ///
     /// # Errors
     /// What can't be.
-    pub fn new(setup: Setup, now: Nanos) -> Result<Self, BadSetup> {
+    pub fn new(setup: MembershipConfig, now: Nanos) -> Result<Self, MembershipError> {
         setup.settings.check()?;
         if setup.seeds.len() > MOST_SEEDS {
-            return Err(BadSetup::Seeds);
+            return Err(MembershipError::Seeds);
         }
         let mut card = setup.card;
         let own = card.socket();
@@ -122,18 +122,18 @@
         let mut member = Self {
             fleet: fleet(&setup.fleet),
             me: card.key(),
-            reach: setup.reach.iter().map(|(name, address)| (Key::of(name), *address)).collect(),
-            table: Table::default(),
-            news: News::default(),
+            reach: setup.reach.iter().map(|(name, address)| (MemberId::of(name), *address)).collect(),
+            table: MemberTable::default(),
+            news: BroadcastQueue::default(),
             doubts: FxHashMap::default(),
             silent: FxHashMap::default(),
-            health: Health::default(),
-            luck: Luck::default(),
-            order: Order::default(),
+            health: Awareness::default(),
+            luck: ProbeHistory::default(),
+            order: ProbeSchedule::default(),
             probe: None,
             helps: VecDeque::new(),
             seq: rng.next_u32(),
-            sharing: Sharing::new(setup.nodes, now),
+            sharing: NodeCount::new(setup.nodes, now),
             joined: seeds.is_empty(),
             over: false,
             join_pause: JOIN.0,
@@ -164,19 +164,19 @@
 
     /// Its own key.
     #[must_use]
-    pub fn key(&self) -> Key {
+    pub fn key(&self) -> MemberId {
         self.me
     }
 
     /// What it says of itself.
     #[must_use]
-    pub fn card(&self) -> &Card {
+    pub fn card(&self) -> &MemberRecord {
         &self.card
     }
 
     /// All that it holds.
     #[must_use]
-    pub fn table(&self) -> &Table {
+    pub fn table(&self) -> &MemberTable {
         &self.table
     }
 
@@ -224,13 +224,13 @@
 
     /// The name of a key, where it is known.
     #[must_use]
-    pub fn name(&self, key: Key) -> &str {
+    pub fn name(&self, key: MemberId) -> &str {
         self.table.get(key).map_or("", |held| &held.said.card.name)
     }
 
     /// What is suspected of a member, and by whom.
     #[must_use]
-    pub fn doubt(&self, key: Key) -> Option<&Doubt> {
+    pub fn doubt(&self, key: MemberId) -> Option<&Suspicion> {
         self.doubts.get(&key)
     }
 
@@ -242,9 +242,9 @@
     /// Members to ask for what they know: of the own zone first, none that is in doubt, joining, leaving or out of reach; which
     /// ones is drawn.
     pub fn peers(&mut self, most: usize) -> Vec<(String, SocketAddr)> {
-        let fit = |held: &&Held| {
+        let fit = |held: &&MemberEntry| {
             held.said.key() != self.me
-                && held.state == State::Alive
+                && held.state == MemberState::Alive
                 && held.here
                 && held.said.card.phase() == Phase::Serving
         };
@@ -274,33 +274,33 @@
     }
 
     /// Takes over a view that another member of the fleet has, as if the two had compared theirs.
-    pub fn assume(&mut self, view: &Table) {
+    pub fn assume(&mut self, view: &MemberTable) {
         let own = self.table.get(self.me).cloned();
         self.table = view.clone();
         if let Some(own) = own {
-            let Held { said, state, refused, since, witness, .. } = own;
-            self.table.merge(&Hearsay { said, state, refused, since, witness });
+            let MemberEntry { said, state, refused, since, witness, .. } = own;
+            self.table.merge(&MemberClaim { said, state, refused, since, witness });
         }
-        self.news = News::default();
+        self.news = BroadcastQueue::default();
         self.joined = true;
     }
 
     // ---- What it says of itself -----------------------------------------------------------------
 
     /// Says something new of itself.
-    fn change(&mut self, now: Nanos, what: impl FnOnce(&mut Card)) {
+    fn change(&mut self, now: Nanos, what: impl FnOnce(&mut MemberRecord)) {
         if self.over {
             return;
         }
         what(&mut self.card);
-        self.card.incarnation = (self.card.incarnation + 1).min(MOST_NUMBER - 1);
+        self.card.incarnation = (self.card.incarnation + 1).min(VERSION_LIMIT - 1);
         self.say(now);
     }
 
     /// Puts its own saying into its view, and passes it on.
     fn say(&mut self, now: Nanos) {
-        let said = Said::new(self.card.clone(), self.card.encode_to_vec());
-        let own = Hearsay { said, state: State::Alive, refused: false, since: now as i64, witness: self.me };
+        let said = EncodedRecord::new(self.card.clone(), self.card.encode_to_vec());
+        let own = MemberClaim { said, state: MemberState::Alive, refused: false, since: now as i64, witness: self.me };
         self.table.merge(&own);
         self.news.add(self.me);
     }
@@ -334,9 +334,9 @@
         }
         self.change(now, |_| {});
         if let Some(own) = self.table.get(self.me) {
-            let left = Hearsay {
+            let left = MemberClaim {
                 said: own.said.clone(),
-                state: State::Left,
+                state: MemberState::Left,
                 refused: false,
                 since: now as i64,
                 witness: self.me,
@@ -353,12 +353,12 @@
     // ---- Sending --------------------------------------------------------------------------------
 
     /// Where a member is reached from here.
-    fn address(&self, held: &Held) -> Option<SocketAddr> {
+    fn address(&self, held: &MemberEntry) -> Option<SocketAddr> {
         self.reach.get(&held.said.key()).copied().or_else(|| held.said.card.socket())
     }
 
     /// Some members, drawn.
-    fn some(&mut self, most: usize, may: impl Fn(&Held) -> bool) -> Vec<Key> {
+    fn some(&mut self, most: usize, may: impl Fn(&MemberEntry) -> bool) -> Vec<MemberId> {
         let count = self.table.len();
         let mut drawn = Vec::new();
         // Of a large table some places are tried; a small one is looked through.
@@ -389,7 +389,7 @@
         drawn
     }
 
-    fn datagram(&self, kind: Kind, seq: u32, about: Key) -> Datagram {
+    fn datagram(&self, kind: DatagramKind, seq: u32, about: MemberId) -> Datagram {
         Datagram {
             major: MAJOR,
             minor: MINOR,
@@ -410,13 +410,13 @@
         now: Nanos,
         mut datagram: Datagram,
         to: SocketAddr,
-        receiver: Option<Key>,
+        receiver: Option<MemberId>,
         most: usize,
     ) {
         let mut room = most.saturating_sub(HEAD);
         let mut first = Vec::new();
         if let Some(held) = receiver.and_then(|key| self.table.get(key))
-            && held.state != State::Alive
+            && held.state != MemberState::Alive
         {
             let entry = held.entry(now);
             let size = size(&entry);
@@ -425,7 +425,7 @@
                 first.push(entry);
             }
         }
-        let (table, most_told) = (&self.table, crate::news::times(self.table.there()));
+        let (table, most_told) = (&self.table, crate::news::retransmit_limit(self.table.there()));
         let taken = self.news.take(room, most_told, |key| table.get(key).map(|held| size(&held.entry(now))));
         datagram.news = first;
         datagram.news.extend(taken.into_iter().filter_map(|key| Some(table.get(key)?.entry(now))));
@@ -439,22 +439,22 @@
     }
 
     /// Passes news on to a member.
-    fn push(&mut self, now: Nanos, to: Key) {
+    fn push(&mut self, now: Nanos, to: MemberId) {
         let Some(address) = self.table.get(to).and_then(|held| self.address(held)) else { return };
-        let datagram = self.datagram(Kind::News, 0, Key::default());
-        self.send(now, datagram, address, Some(to), crate::settings::LARGEST_DATAGRAM);
+        let datagram = self.datagram(DatagramKind::Gossip, 0, MemberId::default());
+        self.send(now, datagram, address, Some(to), crate::settings::MAX_DATAGRAM_BYTES);
     }
 
     /// Says so of a member by its own seeing.
-    fn claim(&mut self, now: Nanos, key: Key, state: State, refused: bool) {
+    fn claim(&mut self, now: Nanos, key: MemberId, state: MemberState, refused: bool) {
         let Some(held) = self.table.get(key) else { return };
-        let said: Arc<Said> = held.said.clone();
-        let heard = Hearsay { said, state, refused, since: now as i64, witness: self.me };
+        let said: Arc<EncodedRecord> = held.said.clone();
+        let heard = MemberClaim { said, state, refused, since: now as i64, witness: self.me };
         self.take(now, &heard);
     }
 }
 
 /// Bytes of an entry within a message.
-fn size(entry: &crate::wire::Entry) -> usize {
+fn size(entry: &crate::wire::WireEntry) -> usize {
     entry.encoded_len() + 4
 }
--- a/crates/membership/src/member/ask.rs
+++ b/crates/membership/src/member/ask.rs
@@ -4,13 +4,13 @@
 
 use prost::Message;
 
-use super::{Event, Help, Member, Output};
-use crate::card::{Key, hash};
-use crate::doubt::{Doubt, WITNESSES};
-use crate::probe::{Checked, Probe, Verdict};
-use crate::settings::LARGEST_DATAGRAM;
-use crate::state::State;
-use crate::wire::{Kind, Step};
+use super::{Event, RelayedProbe, Membership, Output};
+use crate::card::{MemberId, hash};
+use crate::doubt::{Suspicion, MAX_CONFIRMATIONS};
+use crate::probe::{StreamProbeOutcome, Probe, ProbeOutcome};
+use crate::settings::MAX_DATAGRAM_BYTES;
+use crate::state::MemberState;
+use crate::wire::{DatagramKind, FrameKind};
 use crate::{MS, Nanos};
 
 /// Questions put for others at once; more are not taken.
@@ -20,14 +20,14 @@
 /// Questions in a row that only others get an answer to, until a member counts as out of reach from here.
 const MISSED: u8 = 2;
 
-impl Member {
+impl Membership {
     /// The next question, to the next one in the round.
     pub(super) fn ask_next(&mut self, now: Nanos) {
         let period = self.settings.period;
         self.probe_at = now + period + period / 2 * Nanos::from(self.health.factor() - 1);
         let me = self.me;
         let table = &self.table;
-        let may = |key: Key| key != me && table.get(key).is_some_and(|held| held.state.is_there());
+        let may = |key: MemberId| key != me && table.get(key).is_some_and(|held| held.state.is_there());
         let all = || table.iter().map(|held| held.said.key()).filter(|key| may(*key)).collect();
         let Some(key) = self.order.next(may, all, &mut self.rng) else { return };
         let Some(held) = self.table.get(key) else { return };
@@ -46,20 +46,20 @@
             through: false,
             checked: None,
         });
-        let datagram = self.datagram(Kind::Ping, self.seq, key);
-        self.send(now, datagram, to, Some(key), LARGEST_DATAGRAM);
+        let datagram = self.datagram(DatagramKind::Ping, self.seq, key);
+        self.send(now, datagram, to, Some(key), MAX_DATAGRAM_BYTES);
     }
 
     /// No answer yet: others are asked to ask, and it is asked over a stream, where datagrams alone are lost.
     pub(super) fn ask_others(&mut self, now: Nanos) {
         let Some((key, seq)) = self.probe.as_ref().map(|probe| (probe.key, probe.seq)) else { return };
         let helpers = self.some(self.settings.helpers, |held| {
-            held.state == State::Alive && held.here && held.said.key() != key
+            held.state == MemberState::Alive && held.here && held.said.key() != key
         });
         for helper in &helpers {
             let Some(to) = self.table.get(*helper).and_then(|held| self.address(held)) else { continue };
-            let datagram = self.datagram(Kind::PingFor, seq, key);
-            self.send(now, datagram, to, Some(*helper), LARGEST_DATAGRAM);
+            let datagram = self.datagram(DatagramKind::IndirectPing, seq, key);
+            self.send(now, datagram, to, Some(*helper), MAX_DATAGRAM_BYTES);
         }
         if let Some(probe) = &mut self.probe {
             // One at the least, so that this is not done again.
@@ -69,17 +69,17 @@
             }
         }
         if let Some(to) = self.table.get(key).and_then(|held| self.address(held)) {
-            let frame = self.frame(Step::Check).encode_to_vec();
-            self.outputs.push_back(Output::Check { seq, to, frame });
+            let frame = self.frame(FrameKind::Ping).encode_to_vec();
+            self.outputs.push_back(Output::StreamProbe { seq, to, frame });
         }
     }
 
     /// What asking over a stream came to.
-    pub fn on_checked(&mut self, now: Nanos, seq: u32, checked: Checked) {
+    pub fn on_checked(&mut self, now: Nanos, seq: u32, checked: StreamProbeOutcome) {
         self.wake(now);
         let Some(probe) = self.probe.as_mut().filter(|probe| probe.seq == seq) else { return };
         probe.checked = Some(checked);
-        if checked == Checked::Refused && !probe.direct {
+        if checked == StreamProbeOutcome::Refused && !probe.direct {
             // Those that were asked to ask have their say, and no more is waited for.
             self.probe_at = self.probe_at.min(now + self.settings.patience / 2);
         }
@@ -95,17 +95,17 @@
         }
         let state = held.state;
         match probe.verdict() {
-            Verdict::Here => {
+            ProbeOutcome::Reachable => {
                 self.luck.note(true);
                 self.silent.remove(&probe.key);
                 if probe.direct {
                     self.health.better();
                 }
-                if state == State::Alive {
+                if state == MemberState::Alive {
                     self.set_here(probe.key, true);
                 }
             }
-            Verdict::Elsewhere => {
+            ProbeOutcome::ReachableIndirectly => {
                 self.luck.note(false);
                 self.silent.remove(&probe.key);
                 if let Some(held) = self.table.get_mut(probe.key) {
@@ -115,33 +115,33 @@
                     }
                 }
             }
-            Verdict::Refused => {
+            ProbeOutcome::Refused => {
                 self.luck.note(true);
-                self.claim(now, probe.key, State::Suspect, true);
+                self.claim(now, probe.key, MemberState::Suspect, true);
             }
-            Verdict::Silent => {
+            ProbeOutcome::Silent => {
                 self.luck.note(false);
                 let since = *self.silent.entry(probe.key).or_insert(probe.asked);
                 if now < since + STILL {
                     self.order.urge(probe.key);
                 } else if !self.is_own_fault(now, probe.key) {
-                    self.claim(now, probe.key, State::Stalled, false);
+                    self.claim(now, probe.key, MemberState::Stalled, false);
                 }
             }
-            Verdict::Nothing { helped } => {
+            ProbeOutcome::Nothing { helped } => {
                 self.luck.note(false);
                 if !helped {
                     self.health.worse(1);
                 }
                 if !self.is_own_fault(now, probe.key) {
-                    self.claim(now, probe.key, State::Suspect, false);
+                    self.claim(now, probe.key, MemberState::Suspect, false);
                 }
             }
         }
     }
 
     /// Where most of those that it asks do not answer, the fault is its own until others say otherwise, or for long.
-    fn is_own_fault(&mut self, now: Nanos, key: Key) -> bool {
+    fn is_own_fault(&mut self, now: Nanos, key: MemberId) -> bool {
         let Some(held) = self.table.get(key) else { return true };
         let unheard = (now as i64).saturating_sub(held.heard) as Nanos;
         let own = self.luck.is_cut() && unheard < self.settings.alone && !self.doubts.contains_key(&key);
@@ -151,7 +151,7 @@
         own
     }
 
-    pub(super) fn set_here(&mut self, key: Key, here: bool) {
+    pub(super) fn set_here(&mut self, key: MemberId, here: bool) {
         let Some(held) = self.table.get_mut(key) else { return };
         if here {
             held.missed = 0;
@@ -159,7 +159,7 @@
         if held.here != here {
             held.here = here;
             let name = held.said.card.name.clone();
-            self.outputs.push_back(Output::Event(Event::Reach { name, here }));
+            self.outputs.push_back(Output::Event(Event::ReachabilityChanged { name, here }));
         }
     }
 
@@ -175,20 +175,20 @@
         for key in over {
             let Some(doubt) = self.doubts.remove(&key) else { continue };
             if self.table.get(key).is_some_and(|held| held.state.is_there()) {
-                self.claim(now, key, State::Dead, doubt.refused);
+                self.claim(now, key, MemberState::Dead, doubt.refused);
             }
         }
     }
 
     /// A member is newly in doubt: whether this one is among the few that look for themselves at once.
-    pub(super) fn begin_doubt(&mut self, now: Nanos, key: Key, doubt: Doubt) {
+    pub(super) fn begin_doubt(&mut self, now: Nanos, key: MemberId, doubt: Suspicion) {
         if self.doubts.is_empty() {
             self.doubts_at = now;
         }
         self.doubts.insert(key, doubt);
         // Some, drawn by all alike, so that one more than was needed is the exception.
         let share = u64::MAX / self.table.there().max(1) as u64;
-        if weight(self.me, key) <= share.saturating_mul(WITNESSES as u64) {
+        if weight(self.me, key) <= share.saturating_mul(MAX_CONFIRMATIONS as u64) {
             self.order.urge(key);
             if self.probe.is_none() {
                 self.probe_at = self.probe_at.min(now);
@@ -197,28 +197,28 @@
     }
 
     /// Another member asks to ask.
-    pub(super) fn help(&mut self, now: Nanos, from: SocketAddr, their_seq: u32, about: Key) {
+    pub(super) fn help(&mut self, now: Nanos, from: SocketAddr, their_seq: u32, about: MemberId) {
         let Some(to) = self.table.get(about).and_then(|held| self.address(held)) else { return };
         if self.helps.len() >= MOST_HELPS {
             return;
         }
         self.seq = self.seq.wrapping_add(1);
         let ends = now + self.settings.patience;
-        self.helps.push_back(Help { seq: self.seq, from, their_seq, about, ends });
-        let datagram = self.datagram(Kind::Ping, self.seq, about);
+        self.helps.push_back(RelayedProbe { seq: self.seq, from, their_seq, about, ends });
+        let datagram = self.datagram(DatagramKind::Ping, self.seq, about);
         self.put(&datagram, to);
     }
 
     /// Who asked to ask is told where no answer came.
     pub(super) fn end_helps(&mut self, now: Nanos) {
         while let Some(help) = self.helps.pop_front_if(|help| help.ends <= now) {
-            let datagram = self.datagram(Kind::Nack, help.their_seq, help.about);
+            let datagram = self.datagram(DatagramKind::Nack, help.their_seq, help.about);
             self.put(&datagram, help.from);
         }
     }
 }
 
 /// Which members look at another one first: an order that all compute alike.
-fn weight(of: Key, about: Key) -> u64 {
+fn weight(of: MemberId, about: MemberId) -> u64 {
     hash(&[&of.0.to_le_bytes(), &about.0.to_le_bytes()])
 }
--- a/crates/membership/src/member/hear.rs
+++ b/crates/membership/src/member/hear.rs
@@ -2,13 +2,13 @@
 
 use std::net::SocketAddr;
 
-use super::{Event, Member, Output};
-use crate::card::{Epoch, Key, MOST_NUMBER, Phase, Stamp};
-use crate::doubt::Doubt;
-use crate::settings::{FLAPS, LARGEST_DATAGRAM};
-use crate::state::State;
-use crate::table::{Hearsay, Merged, read};
-use crate::wire::{BadBytes, Datagram, Entry, Kind};
+use super::{Event, Membership, Output};
+use crate::card::{Epoch, MemberId, VERSION_LIMIT, Phase, RecordVersion};
+use crate::doubt::Suspicion;
+use crate::settings::{FLAP_THRESHOLD, MAX_DATAGRAM_BYTES};
+use crate::state::MemberState;
+use crate::table::{MemberClaim, MergeOutcome, read};
+use crate::wire::{ProtocolError, Datagram, WireEntry, DatagramKind};
 use crate::{Nanos, SECOND};
 
 /// A member raises its own numbers by one; whoever claims far more of one that is known is lying, or mistaken.
@@ -20,7 +20,7 @@
 /// ... and no later than so many times that.
 const MOST_HOLD: u32 = 4;
 
-impl Member {
+impl Membership {
     /// A datagram has come.
     pub fn on_datagram(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) {
         self.wake(now);
@@ -31,7 +31,7 @@
             Ok(datagram) => datagram,
             Err(error) => return self.refuse(from, &error),
         };
-        let sender = Key(datagram.from);
+        let sender = MemberId(datagram.from);
         if sender == self.me {
             // Its own, come back by some way; or another process of its name, which a comparison of views settles.
             return;
@@ -51,27 +51,27 @@
                 self.hear(now, entry);
             }
         }
-        let kind = Kind::try_from(datagram.kind).unwrap_or(Kind::News);
-        let about = Key(datagram.about);
+        let kind = DatagramKind::try_from(datagram.kind).unwrap_or(DatagramKind::Gossip);
+        let about = MemberId(datagram.about);
         match kind {
-            Kind::News => {}
-            Kind::Ping => {
+            DatagramKind::Gossip => {}
+            DatagramKind::Ping => {
                 // For another one that had this address before: whoever asks is not to take this one for it.
-                let mut ack = self.datagram(Kind::Ack, datagram.seq, self.me);
+                let mut ack = self.datagram(DatagramKind::Ack, datagram.seq, self.me);
                 ack.unknown = unknown;
                 // Whoever asks may have put another's address on it: it gets no more than it sent.
-                self.send(now, ack, from, current.then_some(sender), bytes.len().min(LARGEST_DATAGRAM));
+                self.send(now, ack, from, current.then_some(sender), bytes.len().min(MAX_DATAGRAM_BYTES));
             }
-            Kind::PingFor if about != self.me => self.help(now, from, datagram.seq, about),
-            Kind::PingFor => {}
-            Kind::Ack => self.on_ack(now, sender, datagram.seq, about),
-            Kind::Nack => {
+            DatagramKind::IndirectPing if about != self.me => self.help(now, from, datagram.seq, about),
+            DatagramKind::IndirectPing => {}
+            DatagramKind::Ack => self.on_ack(now, sender, datagram.seq, about),
+            DatagramKind::Nack => {
                 if let Some(probe) = self.probe.as_mut().filter(|p| p.seq == datagram.seq && p.key == about) {
                     probe.nacks = probe.nacks.saturating_add(1);
                 }
             }
         }
-        if datagram.unknown && kind == Kind::Ack {
+        if datagram.unknown && kind == DatagramKind::Ack {
             // It does not know this member yet, which does know it.
             self.news.add(self.me);
             self.push(now, sender);
@@ -79,20 +79,20 @@
     }
 
     /// A sign of life of a member's present process, seen here.
-    fn hear_from(&mut self, now: Nanos, key: Key) {
+    fn hear_from(&mut self, now: Nanos, key: MemberId) {
         if let Some(held) = self.table.get_mut(key) {
             held.heard = now as i64;
-            if held.state == State::Alive && !held.here {
+            if held.state == MemberState::Alive && !held.here {
                 self.set_here(key, true);
             }
         }
     }
 
-    fn on_ack(&mut self, now: Nanos, sender: Key, seq: u32, about: Key) {
+    fn on_ack(&mut self, now: Nanos, sender: MemberId, seq: u32, about: MemberId) {
         if let Some(place) = self.helps.iter().position(|help| help.seq == seq && help.about == sender)
             && let Some(help) = self.helps.remove(place)
         {
-            let ack = self.datagram(Kind::Ack, help.their_seq, sender);
+            let ack = self.datagram(DatagramKind::Ack, help.their_seq, sender);
             self.put(&ack, help.from);
             return;
         }
@@ -110,8 +110,8 @@
         }
     }
 
-    pub(super) fn refuse(&mut self, from: SocketAddr, error: &BadBytes) {
-        if !matches!(error, BadBytes::Fleet | BadBytes::Version(_)) || self.strangers.contains(&from) {
+    pub(super) fn refuse(&mut self, from: SocketAddr, error: &ProtocolError) {
+        if !matches!(error, ProtocolError::Fleet | ProtocolError::Version(_)) || self.strangers.contains(&from) {
             return;
         }
         self.strangers.push_back(from);
@@ -119,17 +119,17 @@
             self.strangers.pop_front();
         }
         let why = error.to_string();
-        self.outputs.push_back(Output::Event(Event::Refused { from, why }));
+        self.outputs.push_back(Output::Event(Event::PeerRejected { from, why }));
     }
 
     /// Something is said of a member.
-    pub(super) fn hear(&mut self, now: Nanos, entry: &Entry) {
+    pub(super) fn hear(&mut self, now: Nanos, entry: &WireEntry) {
         if let Some(heard) = read(entry, now) {
             self.take(now, &heard);
         }
     }
 
-    pub(super) fn take(&mut self, now: Nanos, heard: &Hearsay) {
+    pub(super) fn take(&mut self, now: Nanos, heard: &MemberClaim) {
         let key = heard.said.key();
         if key == self.me {
             return self.on_own(now, heard);
@@ -148,22 +148,22 @@
             }
             before = Some((own.epoch, held.state));
             // This member has heard from it since: it lives, and has to be told what is said of it.
-            let in_doubt = matches!(heard.state, State::Stalled | State::Suspect | State::Dead);
+            let in_doubt = matches!(heard.state, MemberState::Stalled | MemberState::Suspect | MemberState::Dead);
             if stamp == own && in_doubt && heard.state > held.state && held.heard > heard.since {
                 return self.contest(now, heard);
             }
         }
         match self.table.merge(heard) {
-            Merged::Older => {}
-            Merged::Same => {
+            MergeOutcome::Ignored => {}
+            MergeOutcome::Unchanged => {
                 if let Some(doubt) = self.doubts.get_mut(&key)
                     && doubt.confirm(heard.witness, heard.refused)
                 {
                     self.pass_on(now, key, false);
                 }
             }
-            Merged::New => self.moved(now, key, None, heard),
-            Merged::Newer(was) => {
+            MergeOutcome::Inserted => self.moved(now, key, None, heard),
+            MergeOutcome::Updated(was) => {
                 let restarted = before.is_some_and(|(epoch, _)| epoch != stamp.epoch);
                 self.moved(now, key, Some(was), heard);
                 if restarted && let Some(held) = self.table.get_mut(key) {
@@ -174,32 +174,32 @@
     }
 
     /// What is held of a member has changed.
-    fn moved(&mut self, now: Nanos, key: Key, was: Option<State>, heard: &Hearsay) {
+    fn moved(&mut self, now: Nanos, key: MemberId, was: Option<MemberState>, heard: &MemberClaim) {
         let to = heard.state;
         let changed = was != Some(to);
         self.pass_on(now, key, changed && was.is_some());
-        if to.is_there() && !was.is_some_and(State::is_there) {
+        if to.is_there() && !was.is_some_and(MemberState::is_there) {
             self.order.insert(key, &mut self.rng);
         }
-        if !matches!(to, State::Suspect | State::Stalled) {
+        if !matches!(to, MemberState::Suspect | MemberState::Stalled) {
             self.doubts.remove(&key);
         }
-        if to == State::Alive {
+        if to == MemberState::Alive {
             self.silent.remove(&key);
             self.check_number(now, key);
-        } else if matches!(to, State::Suspect | State::Stalled) {
-            let doubt = Doubt::new(now, heard.witness, heard.refused, to == State::Stalled);
+        } else if matches!(to, MemberState::Suspect | MemberState::Stalled) {
+            let doubt = Suspicion::new(now, heard.witness, heard.refused, to == MemberState::Stalled);
             self.begin_doubt(now, key, doubt);
         }
         if changed {
             let name = heard.said.card.name.clone();
             let witness = self.name(heard.witness).to_owned();
-            self.outputs.push_back(Output::Event(Event::Moved { name, from: was, to, witness }));
+            self.outputs.push_back(Output::Event(Event::StateChanged { name, from: was, to, witness }));
         }
     }
 
     /// Passes on what has changed; of one that comes and goes later, and once.
-    fn pass_on(&mut self, now: Nanos, key: Key, changed: bool) {
+    fn pass_on(&mut self, now: Nanos, key: MemberId, changed: bool) {
         let span = self.settings.flap_span as i64;
         let Some(held) = self.table.get_mut(key) else { return };
         if changed {
@@ -207,7 +207,7 @@
             let quiet = (now as i64).saturating_sub(held.heard.max(0)) > span;
             held.flaps = if quiet { 1 } else { held.flaps.saturating_add(1) };
         }
-        let over = u32::from(held.flaps).saturating_sub(FLAPS * 2);
+        let over = u32::from(held.flaps).saturating_sub(FLAP_THRESHOLD * 2);
         if over > 0 {
             self.news.add_at(key, now + HOLD * Nanos::from(over.min(MOST_HOLD)));
         } else {
@@ -216,11 +216,11 @@
     }
 
     /// Somebody says of a member that it is gone or in doubt, and it was heard from since: it is told, and answers for itself.
-    fn contest(&mut self, now: Nanos, heard: &Hearsay) {
+    fn contest(&mut self, now: Nanos, heard: &MemberClaim) {
         let key = heard.said.key();
         let Some(to) = self.table.get(key).and_then(|held| self.address(held)) else { return };
         let age = ((now as i64).saturating_sub(heard.since).max(0) / 100_000_000) as u32;
-        let mut datagram = self.datagram(Kind::News, 0, Key::default());
+        let mut datagram = self.datagram(DatagramKind::Gossip, 0, MemberId::default());
         if let Some(held) = self.table.get(key) {
             let mut entry = held.entry(now);
             (entry.state, entry.age, entry.witness) = (heard.state.number(), age, heard.witness.0);
@@ -231,10 +231,10 @@
     }
 
     /// Something is said of this member itself.
-    fn on_own(&mut self, now: Nanos, heard: &Hearsay) {
+    fn on_own(&mut self, now: Nanos, heard: &MemberClaim) {
         let (stamp, own) = (heard.said.card.stamp(), self.card.stamp());
         if stamp.epoch > own.epoch {
-            if self.joined || heard.said.card.epoch + 1 >= MOST_NUMBER {
+            if self.joined || heard.said.card.epoch + 1 >= VERSION_LIMIT {
                 self.over = true;
                 let by = heard.said.card.address.clone();
                 self.outputs.push_back(Output::Event(Event::Superseded { by }));
@@ -266,15 +266,15 @@
             self.outputs.push_back(Output::Event(Event::Superseded { by }));
             return;
         }
-        if stamp.incarnation > own.incarnation || heard.state > State::Alive && stamp == own || other {
-            let next = Stamp { incarnation: stamp.incarnation.max(own.incarnation), ..own };
-            self.health.worse(u8::from(matches!(heard.state, State::Suspect | State::Dead)));
-            self.change(now, |card| card.incarnation = next.incarnation.0.min(MOST_NUMBER - 2));
+        if stamp.incarnation > own.incarnation || heard.state > MemberState::Alive && stamp == own || other {
+            let next = RecordVersion { incarnation: stamp.incarnation.max(own.incarnation), ..own };
+            self.health.worse(u8::from(matches!(heard.state, MemberState::Suspect | MemberState::Dead)));
+            self.change(now, |card| card.incarnation = next.incarnation.0.min(VERSION_LIMIT - 2));
         }
     }
 
     /// Two members have one number: the one with the greater key takes another.
-    fn check_number(&mut self, now: Nanos, key: Key) {
+    fn check_number(&mut self, now: Nanos, key: MemberId) {
         let Some(held) = self.table.get(key) else { return };
         let number = held.said.card.number;
         let same = number != 0 && number == self.card.number && held.said.card.phase() != Phase::Joining;
--- a/crates/membership/src/member/sync.rs
+++ b/crates/membership/src/member/sync.rs
@@ -8,28 +8,28 @@
 
 use prost::Message;
 
-use super::{Event, JOIN, Member, Output};
+use super::{Event, JOIN, Membership, Output};
 use crate::Nanos;
-use crate::card::{Key, Phase};
-use crate::settings::LARGEST_FRAME;
-use crate::state::State;
-use crate::table::PARTS;
-use crate::wire::{BadBytes, Entry, Frame, Kind, MAJOR, MINOR, Step};
+use crate::card::{MemberId, Phase};
+use crate::settings::MAX_FRAME_BYTES;
+use crate::state::MemberState;
+use crate::table::PARTITIONS;
+use crate::wire::{ProtocolError, WireEntry, Frame, DatagramKind, MAJOR, MINOR, FrameKind};
 
 /// What a frame came to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Exchange {
+pub enum StreamAction {
     /// This goes back.
-    Answer(Vec<u8>),
+    Reply(Vec<u8>),
     /// It is over.
-    Over,
+    Close,
 }
 
 /// Bytes of entries in one frame; what does not fit comes with the next comparison.
-const MOST_ENTRIES: usize = LARGEST_FRAME - 4_096;
+const MOST_ENTRIES: usize = MAX_FRAME_BYTES - 4_096;
 
-impl Member {
-    pub(super) fn frame(&self, step: Step) -> Frame {
+impl Membership {
+    pub(super) fn frame(&self, step: FrameKind) -> Frame {
         Frame {
             major: MAJOR,
             minor: MINOR,
@@ -43,16 +43,16 @@
 
     /// The first frame of a comparison.
     fn digest(&self, now: Nanos) -> Vec<u8> {
-        let mut frame = self.frame(Step::Digest);
+        let mut frame = self.frame(FrameKind::Digest);
         frame.fingerprint = self.table.fingerprint();
         frame.entries = self.table.get(self.me).map(|held| held.entry(now)).into_iter().collect();
         frame.encode_to_vec()
     }
 
-    pub(super) fn sync_with(&mut self, now: Nanos, key: Key) {
+    pub(super) fn sync_with(&mut self, now: Nanos, key: MemberId) {
         let Some(to) = self.table.get(key).and_then(|held| self.address(held)) else { return };
         let frame = self.digest(now);
-        self.outputs.push_back(Output::Sync { to, frame });
+        self.outputs.push_back(Output::PushPull { to, frame });
     }
 
     /// Asks the next seed.
@@ -65,7 +65,7 @@
         let to = self.seeds[self.next_seed % self.seeds.len()];
         self.next_seed += 1;
         let frame = self.digest(now);
-        self.outputs.push_back(Output::Sync { to, frame });
+        self.outputs.push_back(Output::PushPull { to, frame });
     }
 
     /// Asks some seed that is no address of anybody there.
@@ -83,27 +83,27 @@
         let to = lost[self.next_seed % lost.len()];
         self.next_seed += 1;
         let frame = self.digest(now);
-        self.outputs.push_back(Output::Sync { to, frame });
+        self.outputs.push_back(Output::PushPull { to, frame });
     }
 
     /// Asks one of those that are held dead, whether it is back: one at a time, however many there are.
     pub(super) fn recall(&mut self, now: Nanos) {
-        if self.table.count(State::Dead) == 0 {
+        if self.table.count(MemberState::Dead) == 0 {
             return;
         }
         let mut dead: Vec<_> =
-            self.table.iter().filter(|held| held.state == State::Dead).map(|held| held.said.key()).collect();
+            self.table.iter().filter(|held| held.state == MemberState::Dead).map(|held| held.said.key()).collect();
         dead.sort_unstable();
         let place = rand_core::RngCore::next_u64(&mut self.rng) as usize % dead.len();
         let key = dead[place];
         let Some(to) = self.table.get(key).and_then(|held| self.address(held)) else { return };
         self.seq = self.seq.wrapping_add(1);
-        let datagram = self.datagram(Kind::Ping, self.seq, key);
+        let datagram = self.datagram(DatagramKind::Ping, self.seq, key);
         // With what is held of it: if it lives, it says something new.
-        self.send(now, datagram, to, Some(key), crate::settings::LARGEST_DATAGRAM);
+        self.send(now, datagram, to, Some(key), crate::settings::MAX_DATAGRAM_BYTES);
     }
 
-    fn entries(&self, now: Nanos, parts: &[u64]) -> Vec<Entry> {
+    fn entries(&self, now: Nanos, parts: &[u64]) -> Vec<WireEntry> {
         let mut room = MOST_ENTRIES;
         let memory = self.settings.memory as i64;
         let told = self
@@ -129,13 +129,13 @@
         now: Nanos,
         from: SocketAddr,
         bytes: &[u8],
-    ) -> Result<Exchange, (BadBytes, Vec<u8>)> {
+    ) -> Result<StreamAction, (ProtocolError, Vec<u8>)> {
         self.wake(now);
         let frame = match Frame::read(bytes, self.fleet) {
             Ok(frame) => frame,
             Err(error) => {
                 self.refuse(from, &error);
-                let mut refusal = self.frame(Step::Refuse);
+                let mut refusal = self.frame(FrameKind::Reject);
                 refusal.why = error.to_string();
                 // Its own fleet's number would be no use to others.
                 refusal.fleet = 0;
@@ -143,7 +143,7 @@
             }
         };
         if self.over {
-            return Ok(Exchange::Over);
+            return Ok(StreamAction::Close);
         }
         self.heard_at = now;
         // As with datagrams: only answers to its own questions are new for sure.
@@ -152,64 +152,64 @@
                 self.hear(now, entry);
             }
         }
-        let mut answer = match Step::try_from(frame.step).unwrap_or(Step::Other) {
-            Step::Check => self.frame(Step::Here),
-            Step::Digest if frame.fingerprint == self.table.fingerprint() => self.frame(Step::Same),
-            Step::Digest => {
-                let mut answer = self.frame(Step::Parts);
+        let mut answer = match FrameKind::try_from(frame.step).unwrap_or(FrameKind::Unknown) {
+            FrameKind::Ping => self.frame(FrameKind::Ack),
+            FrameKind::Digest if frame.fingerprint == self.table.fingerprint() => self.frame(FrameKind::InSync),
+            FrameKind::Digest => {
+                let mut answer = self.frame(FrameKind::PartitionDigests);
                 answer.parts = self.table.parts().to_vec();
                 answer
             }
-            Step::Entries => {
-                let mut answer = self.frame(Step::Entries);
+            FrameKind::Entries => {
+                let mut answer = self.frame(FrameKind::Entries);
                 answer.entries = self.entries(now, &frame.parts);
                 answer
             }
-            _ => return Ok(Exchange::Over),
+            _ => return Ok(StreamAction::Close),
         };
         // What is held against whoever asks: it answers for itself.
-        if let Some(held) = self.table.get(Key(frame.from))
-            && held.state != State::Alive
+        if let Some(held) = self.table.get(MemberId(frame.from))
+            && held.state != MemberState::Alive
             && answer.entries.is_empty()
         {
             answer.entries.push(held.entry(now));
         }
         answer.fingerprint = self.table.fingerprint();
-        Ok(Exchange::Answer(answer.encode_to_vec()))
+        Ok(StreamAction::Reply(answer.encode_to_vec()))
     }
 
     /// An answer has come to a frame of this member's; what goes next.
-    pub fn on_reply(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) -> Exchange {
+    pub fn on_reply(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) -> StreamAction {
         self.wake(now);
         if self.over {
-            return Exchange::Over;
+            return StreamAction::Close;
         }
         let frame = match Frame::read(bytes, self.fleet) {
             Ok(frame) => frame,
             Err(error) => {
                 self.refuse(from, &error);
-                return Exchange::Over;
+                return StreamAction::Close;
             }
         };
         self.heard_at = now;
         for entry in &frame.entries {
             self.hear(now, entry);
         }
-        match Step::try_from(frame.step).unwrap_or(Step::Other) {
-            Step::Parts => {
+        match FrameKind::try_from(frame.step).unwrap_or(FrameKind::Unknown) {
+            FrameKind::PartitionDigests => {
                 let own = self.table.parts();
-                let differ = (0..PARTS).filter(|&part| frame.parts.get(part) != Some(&own[part]));
+                let differ = (0..PARTITIONS).filter(|&part| frame.parts.get(part) != Some(&own[part]));
                 let parts: Vec<u64> = differ.map(|part| part as u64).collect();
-                let mut next = self.frame(Step::Entries);
+                let mut next = self.frame(FrameKind::Entries);
                 next.entries = self.entries(now, &parts);
                 next.parts = parts;
-                Exchange::Answer(next.encode_to_vec())
+                StreamAction::Reply(next.encode_to_vec())
             }
-            Step::Same | Step::Entries => {
+            FrameKind::InSync | FrameKind::Entries => {
                 self.has_joined(now);
-                Exchange::Over
+                StreamAction::Close
             }
-            _ => Exchange::Over,
+            _ => StreamAction::Close,
         }
     }
 
--- a/crates/membership/src/member/time.rs
+++ b/crates/membership/src/member/time.rs
@@ -2,18 +2,18 @@
 
 use rand_core::RngCore;
 
-use super::{DOUBTS, Event, JOIN, MOST_SEEDS, Member, Output, RESEED, TIDY};
+use super::{DOUBTS, Event, JOIN, MOST_SEEDS, Membership, Output, RESEED, TIDY};
 use crate::Nanos;
 use crate::card::Phase;
-use crate::doubt::Doubt;
-use crate::news::News;
-use crate::probe::Luck;
-use crate::settings::STALL;
-use crate::share::free_number;
-use crate::state::State;
+use crate::doubt::Suspicion;
+use crate::news::BroadcastQueue;
+use crate::probe::ProbeHistory;
+use crate::settings::STALL_THRESHOLD;
+use crate::share::free_node_number;
+use crate::state::MemberState;
 
-impl Member {
-    /// When [`Member::on_timer`] is due.
+impl Membership {
+    /// When [`Membership::on_timer`] is due.
     #[must_use]
     pub fn next(&self) -> Nanos {
         if self.over {
@@ -38,7 +38,7 @@
         if self.doubts.is_empty() { next } else { next.min(self.doubts_at) }
     }
 
-    pub(super) fn doubt_ends(&self, doubt: &Doubt) -> Nanos {
+    pub(super) fn doubt_ends(&self, doubt: &Suspicion) -> Nanos {
         doubt.ends(&self.settings, self.me, self.table.there(), self.health)
     }
 
@@ -71,14 +71,14 @@
         if now >= self.gossip_at {
             self.gossip_at = now + self.settings.gossip;
             if !self.news.is_empty() {
-                for to in self.some(self.settings.fanout, |held| held.state == State::Alive) {
+                for to in self.some(self.settings.fanout, |held| held.state == MemberState::Alive) {
                     self.push(now, to);
                 }
             }
         }
         if now >= self.sync_at {
             self.sync_at = now + self.spread(self.settings.sync);
-            let with = self.some(1, |held| held.state == State::Alive);
+            let with = self.some(1, |held| held.state == MemberState::Alive);
             with.into_iter().for_each(|key| self.sync_with(now, key));
         }
         if now >= self.recall_at {
@@ -103,11 +103,11 @@
     /// Notices that this process stood still. What ran out meanwhile did not: nobody could have answered it.
     pub(super) fn wake(&mut self, now: Nanos) {
         let due = self.next();
-        if self.over || now < due.saturating_add(STALL) {
+        if self.over || now < due.saturating_add(STALL_THRESHOLD) {
             return;
         }
         let span = now - due;
-        self.outputs.push_back(Output::Event(Event::Stood(span)));
+        self.outputs.push_back(Output::Event(Event::ProcessStalled(span)));
         if span > self.settings.memory / 2 {
             return self.begin_anew(now);
         }
@@ -117,7 +117,7 @@
         self.silent.clear();
         self.probe = None;
         self.helps.clear();
-        self.luck = Luck::default();
+        self.luck = ProbeHistory::default();
         self.health.worse(2);
         self.heard_at += span;
         for at in [
@@ -142,19 +142,19 @@
         let mut known: Vec<_> = self
             .table
             .iter()
-            .filter(|held| held.said.key() != self.me && held.state != State::Left)
+            .filter(|held| held.said.key() != self.me && held.state != MemberState::Left)
             .filter_map(|held| self.address(held))
             .filter(|address| !self.seeds.contains(address))
             .collect();
         known.truncate(MOST_SEEDS - self.seeds.len().min(MOST_SEEDS));
         self.seeds.extend(known);
         self.table.keep_only(self.me);
-        self.news = News::default();
+        self.news = BroadcastQueue::default();
         self.doubts.clear();
         self.silent.clear();
         self.probe = None;
         self.helps.clear();
-        self.luck = Luck::default();
+        self.luck = ProbeHistory::default();
         self.joined = self.seeds.is_empty();
         (self.join_at, self.join_pause, self.heard_at) = (now, JOIN.0, now);
         for at in [&mut self.probe_at, &mut self.gossip_at, &mut self.sync_at, &mut self.recall_at] {
@@ -183,7 +183,7 @@
 
     /// Takes the lowest number that is free.
     pub(super) fn number(&mut self, now: Nanos) {
-        let number = free_number(&self.table, self.me);
+        let number = free_node_number(&self.table, self.me);
         if self.card.number != number {
             self.change(now, |card| card.number = number);
         }
--- a/crates/membership/src/member/types.rs
+++ b/crates/membership/src/member/types.rs
@@ -4,19 +4,19 @@
 
 use super::MOST_SEEDS;
 use crate::Nanos;
-use crate::card::{BadCard, Card};
-use crate::settings::{BadSettings, Settings};
-use crate::state::State;
+use crate::card::{RecordError, MemberRecord};
+use crate::settings::{SettingsError, Settings};
+use crate::state::MemberState;
 
 /// What a member is made of.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct MembershipConfig {
     /// How it behaves.
     pub settings: Settings,
     /// The fleet's name: members of another are refused.
     pub fleet: String,
     /// What it says of itself; incarnation and phase are the machine's.
-    pub card: Card,
+    pub card: MemberRecord,
     /// Whom it asks first, at any of these; none: it is the first itself.
     pub seeds: Vec<SocketAddr>,
     /// Where this member reaches others, by name, in place of what they say.
@@ -29,13 +29,13 @@
 
 /// Why there is no member.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadSetup {
+pub enum MembershipError {
     /// Its own card.
     #[error(transparent)]
-    Card(#[from] BadCard),
+    Card(#[from] RecordError),
     /// Its settings.
     #[error(transparent)]
-    Settings(#[from] BadSettings),
+    Settings(#[from] SettingsError),
     /// Too many.
     #[error("more than {MOST_SEEDS} seeds")]
     Seeds,
@@ -50,32 +50,32 @@
         members: usize,
     },
     /// A member is held for something else.
-    Moved {
+    StateChanged {
         /// Its name.
         name: String,
         /// Before; `None`: it was not known.
-        from: Option<State>,
+        from: Option<MemberState>,
         /// Now.
-        to: State,
+        to: MemberState,
         /// Who says so: a name, or nothing where it is not known.
         witness: String,
     },
     /// A member is reached from here no more, or again, while others reach it all along.
-    Reach {
+    ReachabilityChanged {
         /// Its name.
         name: String,
         /// Now.
         here: bool,
     },
     /// This process stood still for so long.
-    Stood(Nanos),
+    ProcessStalled(Nanos),
     /// A later process has this member's name: this one is no member any more.
     Superseded {
         /// The later one's address.
         by: String,
     },
     /// Somebody of another fleet, or with a link of another version, was refused; told once for each address.
-    Refused {
+    PeerRejected {
         /// Who.
         from: SocketAddr,
         /// Why.
@@ -93,8 +93,8 @@
         /// What.
         bytes: Vec<u8>,
     },
-    /// Connect, write the frame, and tell [`Member::on_checked`] what came of it within the patience.
-    Check {
+    /// Connect, write the frame, and tell [`Membership::on_checked`] what came of it within the patience.
+    StreamProbe {
         /// Of the question.
         seq: u32,
         /// Where.
@@ -102,8 +102,8 @@
         /// What.
         frame: Vec<u8>,
     },
-    /// Connect, write the frame, hand each answer to [`Member::on_reply`] and write what it gives, until it gives nothing.
-    Sync {
+    /// Connect, write the frame, hand each answer to [`Membership::on_reply`] and write what it gives, until it gives nothing.
+    PushPull {
         /// Where.
         to: SocketAddr,
         /// What.
--- a/crates/membership/src/news.rs
+++ b/crates/membership/src/news.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::Nanos;
-use crate::card::Key;
+use crate::card::MemberId;
 
 /// News wait here no longer than the largest fleet needs: beyond so many the most often told go first, and whole views are
 /// compared anyway.
@@ -13,17 +13,17 @@
 
 /// The queue.
 #[derive(Clone, Debug, Default)]
-pub struct News {
-    told: FxHashMap<Key, (u32, u64)>,
-    order: BTreeSet<(u32, u64, Key)>,
+pub struct BroadcastQueue {
+    told: FxHashMap<MemberId, (u32, u64)>,
+    order: BTreeSet<(u32, u64, MemberId)>,
     /// Who comes and goes is told of later, once.
-    later: BTreeSet<(Nanos, Key)>,
+    later: BTreeSet<(Nanos, MemberId)>,
     count: u64,
 }
 
-impl News {
+impl BroadcastQueue {
     /// Something about a member is new.
-    pub fn add(&mut self, key: Key) {
+    pub fn add(&mut self, key: MemberId) {
         self.remove(key);
         self.count += 1;
         // Of what was told as often, the oldest first.
@@ -37,7 +37,7 @@
     }
 
     /// The same, told no sooner than this.
-    pub fn add_at(&mut self, key: Key, at: Nanos) {
+    pub fn add_at(&mut self, key: MemberId, at: Nanos) {
         self.remove(key);
         self.later.retain(|(_, other)| *other != key);
         self.later.insert((at, key));
@@ -65,7 +65,7 @@
         self.order.is_empty()
     }
 
-    fn remove(&mut self, key: Key) {
+    fn remove(&mut self, key: MemberId) {
         if let Some((times, count)) = self.told.remove(&key) {
             self.order.remove(&(times, count, key));
         }
@@ -77,8 +77,8 @@
         &mut self,
         mut room: usize,
         most: u32,
-        mut size: impl FnMut(Key) -> Option<usize>,
-    ) -> Vec<Key> {
+        mut size: impl FnMut(MemberId) -> Option<usize>,
+    ) -> Vec<MemberId> {
         let mut taken = Vec::new();
         let first: Vec<_> = self.order.iter().map(|(.., key)| *key).take(MOST_LOOKED_AT).collect();
         for key in first {
@@ -108,6 +108,6 @@
 
 /// How often each member tells a piece of news: a few more than the rounds in which it doubles through the fleet.
 #[must_use]
-pub fn times(members: usize) -> u32 {
+pub fn retransmit_limit(members: usize) -> u32 {
     3 + usize::BITS - members.leading_zeros()
 }
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -5,21 +5,21 @@
 use rand_core::RngCore;
 
 use crate::Nanos;
-use crate::card::{Key, Stamp};
+use crate::card::{MemberId, RecordVersion};
 
 /// Members to be asked out of turn; more than this are asked in theirs.
 const MOST_URGENT: usize = 32;
 
 /// A round through all members, in a new order each time: each is asked once in a round, and nobody's turn can be foreseen.
 #[derive(Clone, Debug, Default)]
-pub struct Order {
-    round: Vec<Key>,
-    urgent: VecDeque<Key>,
+pub struct ProbeSchedule {
+    round: Vec<MemberId>,
+    urgent: VecDeque<MemberId>,
 }
 
-impl Order {
+impl ProbeSchedule {
     /// Asks this one next.
-    pub fn urge(&mut self, key: Key) {
+    pub fn urge(&mut self, key: MemberId) {
         if !self.urgent.contains(&key) && self.urgent.len() < MOST_URGENT {
             self.urgent.push_back(key);
         }
@@ -28,7 +28,7 @@
     /// Puts a member that has just come into the round that is under way, at a place that is drawn: a round of a large fleet
     /// takes minutes, and one that crashes soon after its start would not be asked before the next. Where a round is over, the
     /// next one has all members in any case.
-    pub fn insert(&mut self, key: Key, rng: &mut impl RngCore) {
+    pub fn insert(&mut self, key: MemberId, rng: &mut impl RngCore) {
         if !self.round.is_empty() && !self.round.contains(&key) {
             let place = rng.next_u64() as usize % (self.round.len() + 1);
             self.round.insert(place, key);
@@ -44,10 +44,10 @@
     /// The next one that `may` be asked; `all` is who there is, once a round is over.
     pub fn next(
         &mut self,
-        may: impl Fn(Key) -> bool,
-        all: impl FnOnce() -> Vec<Key>,
+        may: impl Fn(MemberId) -> bool,
+        all: impl FnOnce() -> Vec<MemberId>,
         rng: &mut impl RngCore,
-    ) -> Option<Key> {
+    ) -> Option<MemberId> {
         while let Some(key) = self.urgent.pop_front() {
             if may(key) {
                 return Some(key);
@@ -71,13 +71,13 @@
 
 /// What asking over a stream came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Checked {
+pub enum StreamProbeOutcome {
     /// It answered, under its name.
     Answered,
     /// The connection was refused or reset: nobody listens there.
     Refused,
     /// It came up, and nobody answered on it.
-    Silent,
+    NoResponse,
     /// It did not come up.
     Unreachable,
 }
@@ -86,9 +86,9 @@
 #[derive(Clone, Debug)]
 pub struct Probe {
     /// Whom it is about.
-    pub key: Key,
+    pub key: MemberId,
     /// Of which saying.
-    pub stamp: Stamp,
+    pub stamp: RecordVersion,
     /// Its number.
     pub seq: u32,
     /// When it was asked.
@@ -104,16 +104,16 @@
     /// It answered others.
     pub through: bool,
     /// What asking over a stream came to, once it has.
-    pub checked: Option<Checked>,
+    pub checked: Option<StreamProbeOutcome>,
 }
 
 /// What a question came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ProbeOutcome {
     /// It is there, and reached from here.
-    Here,
+    Reachable,
     /// It is there, and only others reach it.
-    Elsewhere,
+    ReachableIndirectly,
     /// Nobody listens at its address.
     Refused,
     /// Its kernel takes connections and it does not answer.
@@ -128,29 +128,29 @@
 impl Probe {
     /// What it came to, at the end of its time.
     #[must_use]
-    pub fn verdict(&self) -> Verdict {
-        if self.direct || self.checked == Some(Checked::Answered) {
-            return Verdict::Here;
+    pub fn verdict(&self) -> ProbeOutcome {
+        if self.direct || self.checked == Some(StreamProbeOutcome::Answered) {
+            return ProbeOutcome::Reachable;
         }
         if self.through {
-            return Verdict::Elsewhere;
+            return ProbeOutcome::ReachableIndirectly;
         }
         match self.checked {
-            Some(Checked::Refused) => Verdict::Refused,
-            Some(Checked::Silent) => Verdict::Silent,
-            _ => Verdict::Nothing { helped: self.helpers == 0 || self.nacks > 0 },
+            Some(StreamProbeOutcome::Refused) => ProbeOutcome::Refused,
+            Some(StreamProbeOutcome::NoResponse) => ProbeOutcome::Silent,
+            _ => ProbeOutcome::Nothing { helped: self.helpers == 0 || self.nacks > 0 },
         }
     }
 }
 
 /// What the last questions came to: whoever gets no answer from most of those that it asks is itself cut off.
 #[derive(Clone, Debug, Default)]
-pub struct Luck(VecDeque<bool>);
+pub struct ProbeHistory(VecDeque<bool>);
 
 /// Questions looked back on, and of those without an answer from which on the fault is taken for this member's own.
 const BACK: (usize, usize) = (4, 3);
 
-impl Luck {
+impl ProbeHistory {
     /// What one came to.
     pub fn note(&mut self, answered: bool) {
         self.0.push_back(answered);
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -3,13 +3,13 @@
 use crate::{MS, Nanos, SECOND};
 
 /// Most members: what a view's memory (some 650 bytes an entry) and a whole table over a stream (1 MiB) are sized for.
-pub const MOST_MEMBERS: usize = 16_384;
+pub const MAX_MEMBERS: usize = 16_384;
 /// Most dead and departed members that are remembered; the oldest go first.
-pub const MOST_GONE: usize = 4_096;
+pub const MAX_TOMBSTONES: usize = 4_096;
 /// Largest datagram: what passes every usual network in one piece.
-pub const LARGEST_DATAGRAM: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// Largest frame of a stream: all entries of the largest fleet.
-pub const LARGEST_FRAME: usize = 4 << 20;
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
 /// How a member behaves. All members of a fleet should have the same.
 #[derive(Clone, Debug, PartialEq)]
@@ -43,9 +43,9 @@
 }
 
 /// Changes from which on a member counts as one that comes and goes: a restart and a stall in a minute are none.
-pub const FLAPS: u32 = 4;
+pub const FLAP_THRESHOLD: u32 = 4;
 /// A timer that comes so late tells that this process stood still.
-pub const STALL: Nanos = 300 * MS;
+pub const STALL_THRESHOLD: Nanos = 300 * MS;
 /// A member's own load is said anew no more often than this for each member there is: what all say together stays the same.
 pub const LOAD_EACH: Nanos = 4 * SECOND;
 /// ... and no more often than this.
@@ -74,16 +74,16 @@
 /// Why settings can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is out of its bounds")]
-pub struct BadSettings(pub &'static str);
+pub struct SettingsError(pub &'static str);
 
 impl Settings {
     /// Whether they can be used: each span can hold what happens within it.
     ///
     /// # Errors
     /// The first that is out of bounds.
-    pub fn check(&self) -> Result<(), BadSettings> {
+    pub fn check(&self) -> Result<(), SettingsError> {
         let within = |name, value: Nanos, least: Nanos, most: Nanos| {
-            if (least..=most).contains(&value) { Ok(()) } else { Err(BadSettings(name)) }
+            if (least..=most).contains(&value) { Ok(()) } else { Err(SettingsError(name)) }
         };
         within("period", self.period, 50 * MS, 60 * SECOND)?;
         within("patience", self.patience, 5 * MS, self.period / 2)?;
@@ -95,7 +95,7 @@
         within("memory", self.memory, self.stalled.max(self.alone), 7 * 86_400 * SECOND)?;
         within("lost_lease", self.lost_lease, self.lease, 86_400 * SECOND)?;
         if !(1..=10).contains(&self.helpers) || !(1..=10).contains(&self.fanout) {
-            return Err(BadSettings("helpers"));
+            return Err(SettingsError("helpers"));
         }
         Ok(())
     }
--- a/crates/membership/src/share.rs
+++ b/crates/membership/src/share.rs
@@ -4,10 +4,10 @@
 //! rights have ended: soon where it said so itself or its own kernel did, after long where it is merely out of sight: the other
 //! side of a cut uses the same servers. More are believed at once, fewer by degrees.
 
-use crate::card::Key;
+use crate::card::MemberId;
 use crate::settings::Settings;
-use crate::state::State;
-use crate::table::Table;
+use crate::state::MemberState;
+use crate::table::MemberTable;
 use crate::{Nanos, SECOND};
 
 /// The number of nodes falls by this part of itself a second at the most: limits are learned within some seconds.
@@ -15,12 +15,12 @@
 
 /// The number of nodes that share.
 #[derive(Clone, Debug)]
-pub struct Sharing {
+pub struct NodeCount {
     nodes: f64,
     at: Nanos,
 }
 
-impl Sharing {
+impl NodeCount {
     /// Begins with what the operator's file says: a node that has not heard from others yet is not alone.
     #[must_use]
     pub fn new(nodes: u32, now: Nanos) -> Self {
@@ -28,8 +28,8 @@
     }
 
     /// How many there are now, this one among them.
-    pub fn count(&mut self, table: &Table, settings: &Settings, now: Nanos) -> u32 {
-        let counted = counted(table, settings, now) as f64;
+    pub fn count(&mut self, table: &MemberTable, settings: &Settings, now: Nanos) -> u32 {
+        let counted = counted_nodes(table, settings, now) as f64;
         let span = now.saturating_sub(self.at) as f64 / SECOND as f64;
         self.at = now;
         let least = self.nodes * (-FALL * span).exp();
@@ -40,13 +40,13 @@
 
 /// Members with rights: those there are, and those gone whose rights have not ended.
 #[must_use]
-pub fn counted(table: &Table, settings: &Settings, now: Nanos) -> usize {
-    let has = |state: State, refused: bool, since: i64| {
+pub fn counted_nodes(table: &MemberTable, settings: &Settings, now: Nanos) -> usize {
+    let has = |state: MemberState, refused: bool, since: i64| {
         let age = (now as i64).saturating_sub(since).max(0) as Nanos;
         match state {
-            State::Alive | State::Stalled | State::Suspect => true,
-            State::Left => false,
-            State::Dead => age < if refused { settings.lease } else { settings.lost_lease },
+            MemberState::Alive | MemberState::Stalled | MemberState::Suspect => true,
+            MemberState::Left => false,
+            MemberState::Dead => age < if refused { settings.lease } else { settings.lost_lease },
         }
     };
     table.iter().filter(|held| has(held.state, held.refused, held.since)).count()
@@ -56,7 +56,7 @@
 /// at its own rank among all members in that place, by key; the lowest where it is alone. Members that hold the same view choose different numbers, so many that
 /// join at once are done in some rounds; if each took the lowest, one of them at a time would be.
 #[must_use]
-pub fn free_number(table: &Table, me: Key) -> u32 {
+pub fn free_node_number(table: &MemberTable, me: MemberId) -> u32 {
     let mut there: Vec<_> = table
         .iter()
         .filter(|held| held.state.is_there())
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -9,11 +9,11 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::card::{Card, Key};
-use crate::member::{Checked, Event, Exchange, Member, Output, Setup};
+use crate::card::{MemberRecord, MemberId};
+use crate::member::{StreamProbeOutcome, Event, StreamAction, Membership, Output, MembershipConfig};
 use crate::settings::Settings;
-use crate::state::State;
-use crate::table::Table;
+use crate::state::MemberState;
+use crate::table::MemberTable;
 use crate::{MS, Nanos, SECOND};
 
 /// Clocks of processes begin here, so that times before a start can be told.
@@ -25,7 +25,7 @@
 
 /// A fleet.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct SimulationConfig {
     /// How its members behave.
     pub settings: Settings,
     /// Processes, of which none has started yet.
@@ -44,7 +44,7 @@
     pub twice: f64,
 }
 
-impl Plan {
+impl SimulationConfig {
     /// A calm fleet.
     #[must_use]
     pub fn calm(nodes: usize, seed: u64) -> Self {
@@ -78,7 +78,7 @@
     },
 }
 
-const CHECKED: [Checked; 4] = [Checked::Answered, Checked::Refused, Checked::Silent, Checked::Unreachable];
+const CHECKED: [StreamProbeOutcome; 4] = [StreamProbeOutcome::Answered, StreamProbeOutcome::Refused, StreamProbeOutcome::NoResponse, StreamProbeOutcome::Unreachable];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Runs {
@@ -88,7 +88,7 @@
 }
 
 struct Process {
-    member: Option<Member>,
+    member: Option<Membership>,
     runs: Runs,
     waiting: Vec<What>,
     timer: Nanos,
@@ -102,8 +102,8 @@
 type Cut = Rc<dyn Fn(usize, usize) -> bool>;
 
 /// The fleet.
-pub struct Sim {
-    plan: Plan,
+pub struct Simulation {
+    plan: SimulationConfig,
     now: Nanos,
     rng: Pcg64Mcg,
     all: Vec<Process>,
@@ -135,10 +135,10 @@
     format!("n{node}")
 }
 
-impl Sim {
+impl Simulation {
     /// Processes that have not started.
     #[must_use]
-    pub fn new(plan: Plan) -> Self {
+    pub fn new(plan: SimulationConfig) -> Self {
         let all = (0..plan.nodes).map(|_| Process {
             member: None,
             runs: Runs::Down,
@@ -167,17 +167,17 @@
     }
 
     /// What a process says of itself at its next start.
-    fn setup(&self, of: usize, seeds: &[usize]) -> Setup {
-        let card = Card {
+    fn setup(&self, of: usize, seeds: &[usize]) -> MembershipConfig {
+        let card = MemberRecord {
             name: name(of),
             // Clocks of machines differ by days: an epoch tells starts of one machine apart and nothing else.
             epoch: (of as u64 % 7) * 86_400_000 + self.now / MS + self.all[of].starts,
             address: address(of).to_string(),
             zone: format!("z{}", of % self.plan.zones.max(1)),
             program: "0".into(),
-            ..Card::default()
+            ..MemberRecord::default()
         };
-        Setup {
+        MembershipConfig {
             settings: self.plan.settings.clone(),
             fleet: "sim".into(),
             card,
@@ -195,7 +195,7 @@
     pub fn start(&mut self, of: usize, seeds: &[usize]) {
         self.all[of].starts += 1;
         let setup = self.setup(of, seeds);
-        let member = Member::new(setup, self.now).expect("settings that can be");
+        let member = Membership::new(setup, self.now).expect("settings that can be");
         let process = &mut self.all[of];
         process.member = Some(member);
         process.runs = Runs::Up;
@@ -208,14 +208,14 @@
     /// # Panics
     /// Where the plan's settings can't be.
     pub fn start_all_known(&mut self) {
-        let mut table = Table::default();
+        let mut table = MemberTable::default();
         for of in 0..self.all.len() {
             self.all[of].starts += 1;
             let mut setup = self.setup(of, &[]);
             setup.card.number = of as u32 + 1;
-            let member = Member::new(setup, self.now).expect("settings that can be");
+            let member = Membership::new(setup, self.now).expect("settings that can be");
             for held in member.table().iter() {
-                table.merge(&crate::table::Hearsay {
+                table.merge(&crate::table::MemberClaim {
                     said: held.said.clone(),
                     state: held.state,
                     refused: false,
@@ -280,12 +280,12 @@
 
     /// A member, where its process runs or stands still.
     #[must_use]
-    pub fn member(&self, of: usize) -> Option<&Member> {
+    pub fn member(&self, of: usize) -> Option<&Membership> {
         self.all[of].member.as_ref()
     }
 
     /// Does something to a member, as its process would.
-    pub fn with(&mut self, of: usize, what: impl FnOnce(&mut Member, Nanos)) {
+    pub fn with(&mut self, of: usize, what: impl FnOnce(&mut Membership, Nanos)) {
         let now = self.now;
         if let Some(member) = &mut self.all[of].member {
             what(member, now);
@@ -301,8 +301,8 @@
 
     /// What one holds another for.
     #[must_use]
-    pub fn held(&self, by: usize, of: usize) -> Option<State> {
-        self.member(by)?.table().get(Key::of(&name(of))).map(|held| held.state)
+    pub fn held(&self, by: usize, of: usize) -> Option<MemberState> {
+        self.member(by)?.table().get(MemberId::of(&name(of))).map(|held| held.state)
     }
 
     /// Whether all that run and belong to a fleet hold the same.
@@ -406,17 +406,17 @@
             What::Checked { seq, checked, .. } => member.on_checked(now, seq, CHECKED[usize::from(checked)]),
             What::Frame { from, back: true, check: Some(seq), bytes, .. } => {
                 member.on_reply(now, address(from), &bytes);
-                member.on_checked(now, seq, Checked::Answered);
+                member.on_checked(now, seq, StreamProbeOutcome::Answered);
             }
             What::Frame { from, back: true, check: None, bytes, .. } => {
-                if let Exchange::Answer(bytes) = member.on_reply(now, address(from), &bytes) {
+                if let StreamAction::Reply(bytes) = member.on_reply(now, address(from), &bytes) {
                     self.stream(of, from, false, None, bytes);
                 }
             }
             What::Frame { from, back: false, check, bytes, .. } => {
                 let answer = match member.on_frame(now, address(from), &bytes) {
-                    Ok(Exchange::Answer(bytes)) => Some(bytes),
-                    Ok(Exchange::Over) => None,
+                    Ok(StreamAction::Reply(bytes)) => Some(bytes),
+                    Ok(StreamAction::Close) => None,
                     Err((_, refusal)) => Some(refusal),
                 };
                 if let Some(bytes) = answer {
@@ -458,8 +458,8 @@
                         self.push(at, What::Datagram { to, from: of, bytes: bytes.clone() });
                     }
                 }
-                Output::Sync { to, frame } => self.stream(of, node(to), false, None, frame),
-                Output::Check { seq, to, frame } => {
+                Output::PushPull { to, frame } => self.stream(of, node(to), false, None, frame),
+                Output::StreamProbe { seq, to, frame } => {
                     let to = node(to);
                     let patience = self.plan.settings.patience;
                     if to >= self.all.len() || (self.cut)(of, to) || (self.cut)(to, of) {
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -1,11 +1,11 @@
 //! What is said of a member, and which of two sayings counts.
 
-use crate::card::Stamp;
+use crate::card::RecordVersion;
 
 /// What a member is held for. Of two states under one stamp the later one in this order counts: worse is believed until the
 /// member itself says something new.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum State {
+pub enum MemberState {
     /// It answers.
     #[default]
     Alive,
@@ -19,7 +19,7 @@
     Left,
 }
 
-impl State {
+impl MemberState {
     /// All of them, in their order.
     pub const ALL: [Self; 5] = [Self::Alive, Self::Stalled, Self::Suspect, Self::Dead, Self::Left];
 
@@ -57,9 +57,9 @@
 /// A saying of a member and what is said of it. The greater one counts, in every process alike: whoever has heard the same
 /// things holds the same, in whatever order and how often they came.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Version {
+pub struct Precedence {
     /// Of the member's own saying.
-    pub stamp: Stamp,
+    pub stamp: RecordVersion,
     /// What it is held for.
-    pub state: State,
+    pub state: MemberState,
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -5,43 +5,43 @@
 use rustc_hash::FxHashMap;
 
 use crate::Nanos;
-use crate::card::{Card, Key, hash};
-use crate::settings::{MOST_GONE, MOST_MEMBERS};
-use crate::state::{State, Version};
-use crate::wire::Entry;
+use crate::card::{MemberRecord, MemberId, hash};
+use crate::settings::{MAX_TOMBSTONES, MAX_MEMBERS};
+use crate::state::{MemberState, Precedence};
+use crate::wire::WireEntry;
 
 /// Parts of a view that are compared one by one, by the first bits of keys.
-pub const PARTS: usize = 64;
+pub const PARTITIONS: usize = 64;
 /// Ages travel in these.
 const AGE_UNIT: i64 = 100_000_000;
 
 /// A member's saying of itself, read, and as the bytes that came: those are passed on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Said {
+pub struct EncodedRecord {
     /// What it says.
-    pub card: Card,
+    pub card: MemberRecord,
     raw: Vec<u8>,
-    key: Key,
+    key: MemberId,
     digest: u64,
 }
 
-impl Said {
+impl EncodedRecord {
     /// A card with its bytes.
     #[must_use]
-    pub fn new(card: Card, raw: Vec<u8>) -> Arc<Self> {
+    pub fn new(card: MemberRecord, raw: Vec<u8>) -> Arc<Self> {
         let (key, digest) = (card.key(), hash(&[&raw]));
         Arc::new(Self { card, raw, key, digest })
     }
 
     /// Who says it.
     #[must_use]
-    pub fn key(&self) -> Key {
+    pub fn key(&self) -> MemberId {
         self.key
     }
 
     /// Memory that it takes with its texts, in bytes, both counts of references included.
     fn bytes(&self) -> usize {
-        let Card { name, address, zone, program, offers, .. } = &self.card;
+        let MemberRecord { name, address, zone, program, offers, .. } = &self.card;
         let texts = [name, address, zone, program].into_iter().chain(offers).map(String::capacity);
         let list = offers.capacity() * size_of::<String>();
         size_of::<Self>() + 2 * size_of::<usize>() + self.raw.capacity() + list + texts.sum::<usize>()
@@ -50,11 +50,11 @@
 
 /// What is held of a member.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct MemberEntry {
     /// Its own saying.
-    pub said: Arc<Said>,
+    pub said: Arc<EncodedRecord>,
     /// What it is held for.
-    pub state: State,
+    pub state: MemberState,
     /// Whether its own kernel said so, by refusing connections.
     pub refused: bool,
     /// Whether this member reaches it itself.
@@ -68,14 +68,14 @@
     /// When this member last heard from it itself; never: the least there is.
     pub heard: i64,
     /// Who said so first, of its own seeing.
-    pub witness: Key,
+    pub witness: MemberId,
 }
 
-impl Held {
+impl MemberEntry {
     /// Which saying, and what of it.
     #[must_use]
-    pub fn version(&self) -> Version {
-        Version { stamp: self.said.card.stamp(), state: self.state }
+    pub fn version(&self) -> Precedence {
+        Precedence { stamp: self.said.card.stamp(), state: self.state }
     }
 
     fn mark(&self) -> u64 {
@@ -85,9 +85,9 @@
 
     /// As it travels.
     #[must_use]
-    pub fn entry(&self, now: Nanos) -> Entry {
+    pub fn entry(&self, now: Nanos) -> WireEntry {
         let age = (now as i64).saturating_sub(self.since).max(0) / AGE_UNIT;
-        Entry {
+        WireEntry {
             card: self.said.raw.clone(),
             state: self.state.number(),
             age: u32::try_from(age).unwrap_or(u32::MAX),
@@ -99,106 +99,106 @@
 
 /// Something heard of a member.
 #[derive(Clone, Debug)]
-pub struct Hearsay {
+pub struct MemberClaim {
     /// Its own saying.
-    pub said: Arc<Said>,
+    pub said: Arc<EncodedRecord>,
     /// What it is said to be.
-    pub state: State,
+    pub state: MemberState,
     /// Whether its own kernel said so.
     pub refused: bool,
     /// Since when, by this process's clock.
     pub since: i64,
     /// Who says so of its own seeing.
-    pub witness: Key,
+    pub witness: MemberId,
 }
 
-impl Hearsay {
+impl MemberClaim {
     /// Which saying, and what of it.
     #[must_use]
-    pub fn version(&self) -> Version {
-        Version { stamp: self.said.card.stamp(), state: self.state }
+    pub fn version(&self) -> Precedence {
+        Precedence { stamp: self.said.card.stamp(), state: self.state }
     }
 }
 
 /// Reads an entry; `None` where it is none, or of a later version's states.
 #[must_use]
-pub fn read(entry: &Entry, now: Nanos) -> Option<Hearsay> {
-    let card = Card::read(&entry.card).ok()?;
-    let state = State::of(entry.state)?;
+pub fn read(entry: &WireEntry, now: Nanos) -> Option<MemberClaim> {
+    let card = MemberRecord::read(&entry.card).ok()?;
+    let state = MemberState::of(entry.state)?;
     let since = (now as i64).saturating_sub(i64::from(entry.age) * AGE_UNIT);
-    let said = Said::new(card, entry.card.clone());
-    Some(Hearsay { said, state, refused: entry.refused, since, witness: Key(entry.witness) })
+    let said = EncodedRecord::new(card, entry.card.clone());
+    Some(MemberClaim { said, state, refused: entry.refused, since, witness: MemberId(entry.witness) })
 }
 
 /// What became of something heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merged {
+pub enum MergeOutcome {
     /// The member was not known.
-    New,
+    Inserted,
     /// It counts from now on; what the member was held for before.
-    Newer(State),
+    Updated(MemberState),
     /// As it was.
-    Same,
+    Unchanged,
     /// What is held counts more, or there is no room.
-    Older,
+    Ignored,
 }
 
 /// The table.
 #[derive(Clone, Debug)]
-pub struct Table {
-    slots: FxHashMap<Key, u32>,
-    all: Vec<Held>,
-    parts: [u64; PARTS],
-    counts: [u32; State::ALL.len()],
+pub struct MemberTable {
+    slots: FxHashMap<MemberId, u32>,
+    all: Vec<MemberEntry>,
+    parts: [u64; PARTITIONS],
+    counts: [u32; MemberState::ALL.len()],
 }
 
-impl Default for Table {
+impl Default for MemberTable {
     fn default() -> Self {
         Self {
             slots: FxHashMap::default(),
             all: Vec::new(),
-            parts: [0; PARTS],
-            counts: [0; State::ALL.len()],
+            parts: [0; PARTITIONS],
+            counts: [0; MemberState::ALL.len()],
         }
     }
 }
 
-fn part(key: Key) -> usize {
-    (key.0 >> (u64::BITS - PARTS.trailing_zeros())) as usize
+fn part(key: MemberId) -> usize {
+    (key.0 >> (u64::BITS - PARTITIONS.trailing_zeros())) as usize
 }
 
-impl Table {
+impl MemberTable {
     /// What is held of a member.
     #[must_use]
-    pub fn get(&self, key: Key) -> Option<&Held> {
+    pub fn get(&self, key: MemberId) -> Option<&MemberEntry> {
         self.slots.get(&key).map(|&slot| &self.all[slot as usize])
     }
 
     /// The same, for what is not part of the fingerprint.
-    pub(crate) fn get_mut(&mut self, key: Key) -> Option<&mut Held> {
+    pub(crate) fn get_mut(&mut self, key: MemberId) -> Option<&mut MemberEntry> {
         self.slots.get(&key).map(|&slot| &mut self.all[slot as usize])
     }
 
     /// All, in no order that matters.
-    pub fn iter(&self) -> impl ExactSizeIterator<Item = &Held> {
+    pub fn iter(&self) -> impl ExactSizeIterator<Item = &MemberEntry> {
         self.all.iter()
     }
 
     /// How many are held for this.
     #[must_use]
-    pub fn count(&self, state: State) -> usize {
+    pub fn count(&self, state: MemberState) -> usize {
         self.counts[state.number() as usize] as usize
     }
 
     /// How many take part.
     #[must_use]
     pub fn there(&self) -> usize {
-        State::ALL.into_iter().filter(|state| state.is_there()).map(|state| self.count(state)).sum()
+        MemberState::ALL.into_iter().filter(|state| state.is_there()).map(|state| self.count(state)).sum()
     }
 
     /// The entry at a place, for draws.
     #[must_use]
-    pub fn at(&self, place: usize) -> &Held {
+    pub fn at(&self, place: usize) -> &MemberEntry {
         &self.all[place]
     }
 
@@ -211,8 +211,8 @@
     /// Memory that it takes, counted by what it has reserved; what the allocator adds is not known here.
     #[must_use]
     pub fn bytes(&self) -> usize {
-        let slots = self.slots.capacity() * (size_of::<(Key, u32)>() + 1);
-        let entries = self.all.capacity() * size_of::<Held>();
+        let slots = self.slots.capacity() * (size_of::<(MemberId, u32)>() + 1);
+        let entries = self.all.capacity() * size_of::<MemberEntry>();
         let said: usize = self.all.iter().map(|held| held.said.bytes()).sum();
         size_of::<Self>() + slots + entries + said
     }
@@ -231,24 +231,24 @@
 
     /// Of its parts.
     #[must_use]
-    pub fn parts(&self) -> &[u64; PARTS] {
+    pub fn parts(&self) -> &[u64; PARTITIONS] {
         &self.parts
     }
 
     /// Entries of some parts.
-    pub fn of_parts<'a>(&'a self, parts: &'a [u64]) -> impl Iterator<Item = &'a Held> {
+    pub fn of_parts<'a>(&'a self, parts: &'a [u64]) -> impl Iterator<Item = &'a MemberEntry> {
         self.all.iter().filter(|held| parts.contains(&(part(held.said.key) as u64)))
     }
 
     /// Takes what was heard, where it counts more than what is held. What only differs by who says so changes nothing.
-    pub fn merge(&mut self, heard: &Hearsay) -> Merged {
+    pub fn merge(&mut self, heard: &MemberClaim) -> MergeOutcome {
         let key = heard.said.key;
         let Some(&slot) = self.slots.get(&key) else {
-            if self.all.len() >= MOST_MEMBERS {
-                return Merged::Older;
+            if self.all.len() >= MAX_MEMBERS {
+                return MergeOutcome::Ignored;
             }
             self.slots.insert(key, self.all.len() as u32);
-            self.all.push(Held {
+            self.all.push(MemberEntry {
                 said: heard.said.clone(),
                 state: heard.state,
                 refused: heard.refused,
@@ -260,19 +260,19 @@
                 witness: heard.witness,
             });
             self.count_in(self.all.len() - 1, true);
-            return Merged::New;
+            return MergeOutcome::Inserted;
         };
         let slot = slot as usize;
         let held = &self.all[slot];
         // Two names of one key, or two sayings under one stamp: whoever sees both keeps the same one.
         let order = (heard.version(), heard.said.digest).cmp(&(held.version(), held.said.digest));
         match order {
-            std::cmp::Ordering::Less => return Merged::Older,
-            std::cmp::Ordering::Equal => return Merged::Same,
+            std::cmp::Ordering::Less => return MergeOutcome::Ignored,
+            std::cmp::Ordering::Equal => return MergeOutcome::Unchanged,
             std::cmp::Ordering::Greater => {}
         }
         if heard.said.card.name != held.said.card.name {
-            return Merged::Older;
+            return MergeOutcome::Ignored;
         }
         let before = held.state;
         self.count_in(slot, false);
@@ -283,7 +283,7 @@
         held.since = heard.since;
         held.witness = heard.witness;
         self.count_in(slot, true);
-        Merged::Newer(before)
+        MergeOutcome::Updated(before)
     }
 
     fn count_in(&mut self, slot: usize, is_in: bool) {
@@ -304,7 +304,7 @@
 
     /// Forgets whoever has been gone for too long, and the oldest of those where they are too many.
     pub fn forget(&mut self, now: Nanos, memory: Nanos) {
-        let gone = |held: &Held| !held.state.is_there();
+        let gone = |held: &MemberEntry| !held.state.is_there();
         let mut slot = 0;
         while slot < self.all.len() {
             let held = &self.all[slot];
@@ -314,12 +314,12 @@
                 slot += 1;
             }
         }
-        let count = self.count(State::Dead) + self.count(State::Left);
-        if count > MOST_GONE {
+        let count = self.count(MemberState::Dead) + self.count(MemberState::Left);
+        if count > MAX_TOMBSTONES {
             let mut since: Vec<_> =
                 self.all.iter().filter(|held| gone(held)).map(|held| (held.since, held.said.key)).collect();
             since.sort_unstable();
-            for (_, key) in since.into_iter().take(count - MOST_GONE) {
+            for (_, key) in since.into_iter().take(count - MAX_TOMBSTONES) {
                 if let Some(&slot) = self.slots.get(&key) {
                     self.remove(slot as usize);
                 }
@@ -328,7 +328,7 @@
     }
 
     /// Forgets everybody but one.
-    pub fn keep_only(&mut self, key: Key) {
+    pub fn keep_only(&mut self, key: MemberId) {
         let own = self.get(key).cloned();
         *self = Self::default();
         if let Some(own) = own {
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -4,7 +4,7 @@
 use prost::Message;
 
 use crate::card::hash;
-use crate::settings::{LARGEST_DATAGRAM, LARGEST_FRAME};
+use crate::settings::{MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES};
 
 /// Links of another major version are refused.
 pub const MAJOR: u32 = 1;
@@ -13,7 +13,7 @@
 
 /// What is held of a member, as it travels.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Entry {
+pub struct WireEntry {
     /// The member's own saying, as the bytes that it wrote.
     #[prost(bytes = "vec", tag = "1")]
     pub card: Vec<u8>,
@@ -34,13 +34,13 @@
 /// What a datagram is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Kind {
+pub enum DatagramKind {
     /// News alone; what a later version sends counts as this.
-    News = 0,
+    Gossip = 0,
     /// Are you there?
     Ping = 1,
     /// Is that one there, as you see it?
-    PingFor = 2,
+    IndirectPing = 2,
     /// I am; or that one is, as I see it.
     Ack = 3,
     /// It does not answer me either.
@@ -66,7 +66,7 @@
     #[prost(uint64, tag = "5")]
     pub epoch: u64,
     /// What it is.
-    #[prost(enumeration = "Kind", tag = "6")]
+    #[prost(enumeration = "DatagramKind", tag = "6")]
     pub kind: i32,
     /// Of the question, as who asks counts them.
     #[prost(uint32, tag = "7")]
@@ -79,29 +79,29 @@
     pub unknown: bool,
     /// News.
     #[prost(message, repeated, tag = "10")]
-    pub news: Vec<Entry>,
+    pub news: Vec<WireEntry>,
 }
 
 /// What a frame of a stream is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Step {
+pub enum FrameKind {
     /// None that this version knows.
-    Other = 0,
+    Unknown = 0,
     /// Are you there?
-    Check = 1,
+    Ping = 1,
     /// I am.
-    Here = 2,
+    Ack = 2,
     /// This is my view's fingerprint, and my own entry.
     Digest = 3,
     /// Mine is the same.
-    Same = 4,
+    InSync = 4,
     /// Mine is another; by part it has these.
-    Parts = 5,
+    PartitionDigests = 5,
     /// My entries of the parts that differ, which are these.
     Entries = 6,
     /// I speak with none like you.
-    Refuse = 7,
+    Reject = 7,
 }
 
 /// A frame of a stream.
@@ -123,7 +123,7 @@
     #[prost(uint64, tag = "5")]
     pub epoch: u64,
     /// What it is.
-    #[prost(enumeration = "Step", tag = "6")]
+    #[prost(enumeration = "FrameKind", tag = "6")]
     pub step: i32,
     /// Of the whole view.
     #[prost(fixed64, tag = "7")]
@@ -133,7 +133,7 @@
     pub parts: Vec<u64>,
     /// Entries.
     #[prost(message, repeated, tag = "9")]
-    pub entries: Vec<Entry>,
+    pub entries: Vec<WireEntry>,
     /// Why it is refused.
     #[prost(string, tag = "10")]
     pub why: String,
@@ -141,7 +141,7 @@
 
 /// Why bytes are not taken.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadBytes {
+pub enum ProtocolError {
     /// Longer than any.
     #[error("{0} bytes, more than any message has")]
     TooLong(usize),
@@ -162,12 +162,12 @@
     hash(&[b"fleet", name.as_bytes()])
 }
 
-fn known(major: u32, fleet: u64, own: u64) -> Result<(), BadBytes> {
+fn known(major: u32, fleet: u64, own: u64) -> Result<(), ProtocolError> {
     if major != MAJOR {
-        return Err(BadBytes::Version(major));
+        return Err(ProtocolError::Version(major));
     }
     if fleet != own {
-        return Err(BadBytes::Fleet);
+        return Err(ProtocolError::Fleet);
     }
     Ok(())
 }
@@ -177,11 +177,11 @@
     ///
     /// # Errors
     /// Why it is none.
-    pub fn read(bytes: &[u8], own: u64) -> Result<Self, BadBytes> {
-        if bytes.len() > LARGEST_DATAGRAM {
-            return Err(BadBytes::TooLong(bytes.len()));
+    pub fn read(bytes: &[u8], own: u64) -> Result<Self, ProtocolError> {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(ProtocolError::TooLong(bytes.len()));
         }
-        let one = Self::decode(bytes).map_err(|error| BadBytes::NoMessage(error.to_string()))?;
+        let one = Self::decode(bytes).map_err(|error| ProtocolError::NoMessage(error.to_string()))?;
         known(one.major, one.fleet, own)?;
         Ok(one)
     }
@@ -192,11 +192,11 @@
     ///
     /// # Errors
     /// Why it is none.
-    pub fn read(bytes: &[u8], own: u64) -> Result<Self, BadBytes> {
-        if bytes.len() > LARGEST_FRAME {
-            return Err(BadBytes::TooLong(bytes.len()));
+    pub fn read(bytes: &[u8], own: u64) -> Result<Self, ProtocolError> {
+        if bytes.len() > MAX_FRAME_BYTES {
+            return Err(ProtocolError::TooLong(bytes.len()));
         }
-        let one = Self::decode(bytes).map_err(|error| BadBytes::NoMessage(error.to_string()))?;
+        let one = Self::decode(bytes).map_err(|error| ProtocolError::NoMessage(error.to_string()))?;
         known(one.major, one.fleet, own)?;
         Ok(one)
     }
--- a/crates/membership/tests/foca.rs
+++ b/crates/membership/tests/foca.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use foca::{AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, PostcardCodec, Timer};
-use pumicehead_membership::sim::{Plan, Sim};
-use pumicehead_membership::{MS, SECOND, State};
+use pumicehead_membership::sim::{SimulationConfig, Simulation};
+use pumicehead_membership::{MS, SECOND, MemberState};
 use rand::SeedableRng;
 use rand::rngs::Xoshiro256PlusPlus;
 use serde::{Deserialize, Serialize};
@@ -158,15 +158,15 @@
     NODES - 1 - fleet.all[by].iter_members().count()
 }
 
-fn own(seed: u64, loss: f64) -> Sim {
-    let mut sim = Sim::new(Plan { loss, ..Plan::calm(NODES, seed) });
+fn own(seed: u64, loss: f64) -> Simulation {
+    let mut sim = Simulation::new(SimulationConfig { loss, ..SimulationConfig::calm(NODES, seed) });
     sim.start_all_known();
     sim.run(20 * SECOND);
     sim
 }
 
-fn own_lost_by(sim: &Sim, by: usize) -> usize {
-    (0..NODES).filter(|&of| of != by && sim.held(by, of).is_none_or(|state| state >= State::Dead)).count()
+fn own_lost_by(sim: &Simulation, by: usize) -> usize {
+    (0..NODES).filter(|&of| of != by && sim.held(by, of).is_none_or(|state| state >= MemberState::Dead)).count()
 }
 
 fn library(seed: u64, loss: f64) -> Fleet {
@@ -248,9 +248,9 @@
     fleet.run(20 * SECOND);
     let gone = |by: usize| !fleet.all[by].iter_members().any(|member| member.id().0 == 4);
     assert!((0..NODES).filter(|by| *by != 4).all(gone));
-    let mut sim = Sim::new(Plan::calm(NODES, 3));
+    let mut sim = Simulation::new(SimulationConfig::calm(NODES, 3));
     sim.start_all_known();
     sim.stop(4);
     sim.run(20 * SECOND);
-    assert!((0..NODES).filter(|by| *by != 4).all(|by| sim.held(by, 4) == Some(State::Stalled)));
+    assert!((0..NODES).filter(|by| *by != 4).all(|by| sim.held(by, 4) == Some(MemberState::Stalled)));
 }
--- a/crates/membership/tests/hostile.rs
+++ b/crates/membership/tests/hostile.rs
@@ -2,26 +2,26 @@
 
 use proptest::prelude::*;
 use prost::Message;
-use pumicehead_membership::card::BadCard;
-use pumicehead_membership::member::{Event, Exchange, Member, Output, Setup};
-use pumicehead_membership::sim::{Plan, Sim, address, name};
-use pumicehead_membership::table::{Hearsay, Merged, Said, Table, read};
-use pumicehead_membership::wire::{BadBytes, Datagram, Entry, Frame, Kind, MAJOR, Step, fleet};
-use pumicehead_membership::{Card, Epoch, Incarnation, Key, Nanos, SECOND, Settings, Stamp, State, Version};
+use pumicehead_membership::card::RecordError;
+use pumicehead_membership::member::{Event, StreamAction, Membership, Output, MembershipConfig};
+use pumicehead_membership::sim::{SimulationConfig, Simulation, address, name};
+use pumicehead_membership::table::{MemberClaim, MergeOutcome, EncodedRecord, MemberTable, read};
+use pumicehead_membership::wire::{ProtocolError, Datagram, WireEntry, Frame, DatagramKind, MAJOR, FrameKind, fleet};
+use pumicehead_membership::{MemberRecord, Epoch, Incarnation, MemberId, Nanos, SECOND, Settings, RecordVersion, MemberState, Precedence};
 
 const NOW: Nanos = 1_000 * SECOND;
 
-fn card(of: usize, epoch: u64, incarnation: u64) -> Card {
+fn card(of: usize, epoch: u64, incarnation: u64) -> MemberRecord {
     let address = address(of).to_string();
-    Card { name: name(of), epoch, incarnation, address, ..Card::default() }
+    MemberRecord { name: name(of), epoch, incarnation, address, ..MemberRecord::default() }
 }
 
-fn entry(card: &Card, state: State, age: u32) -> Entry {
-    Entry { card: card.encode_to_vec(), state: state.number(), age, witness: 0, refused: false }
+fn entry(card: &MemberRecord, state: MemberState, age: u32) -> WireEntry {
+    WireEntry { card: card.encode_to_vec(), state: state.number(), age, witness: 0, refused: false }
 }
 
-fn member(of: usize, fleet: &str, seeds: &[usize]) -> Member {
-    let setup = Setup {
+fn member(of: usize, fleet: &str, seeds: &[usize]) -> Membership {
+    let setup = MembershipConfig {
         settings: Settings::default(),
         fleet: fleet.into(),
         card: card(of, 5, 0),
@@ -30,25 +30,25 @@
         nodes: 1,
         seed: 1,
     };
-    Member::new(setup, NOW).unwrap()
+    Membership::new(setup, NOW).unwrap()
 }
 
-fn datagram(own: u64, kind: Kind, news: Vec<Entry>) -> Datagram {
+fn datagram(own: u64, kind: DatagramKind, news: Vec<WireEntry>) -> Datagram {
     Datagram {
         major: MAJOR,
         minor: 0,
         fleet: own,
-        from: Key::of("n9").0,
+        from: MemberId::of("n9").0,
         epoch: 5,
         kind: kind as i32,
         seq: 3,
-        about: Key::of("n0").0,
+        about: MemberId::of("n0").0,
         unknown: false,
         news,
     }
 }
 
-fn sent(member: &mut Member) -> Vec<(std::net::SocketAddr, Vec<u8>)> {
+fn sent(member: &mut Membership) -> Vec<(std::net::SocketAddr, Vec<u8>)> {
     let outputs: Vec<_> = member.outputs().collect();
     outputs
         .into_iter()
@@ -67,18 +67,18 @@
         seed in any::<u64>(),
     ) {
         let heard: Vec<_> = all.iter().map(|&(of, epoch, incarnation, state, zone)| {
-            let card = Card { zone: format!("z{zone}"), ..card(of, epoch, incarnation) };
-            read(&entry(&card, State::of(state).unwrap(), 0), NOW).unwrap()
+            let card = MemberRecord { zone: format!("z{zone}"), ..card(of, epoch, incarnation) };
+            read(&entry(&card, MemberState::of(state).unwrap(), 0), NOW).unwrap()
         }).collect();
         let play = |order: &[usize]| {
-            let mut table = Table::default();
+            let mut table = MemberTable::default();
             for &place in order {
                 table.merge(&heard[place]);
             }
             let mut held: Vec<_> =
                 table.iter().map(|held| (held.said.key(), held.version(), held.said.card.zone.clone())).collect();
             held.sort();
-            let counted: usize = State::ALL.iter().map(|state| table.count(*state)).sum();
+            let counted: usize = MemberState::ALL.iter().map(|state| table.count(*state)).sum();
             (held, table.fingerprint(), counted == table.len())
         };
         let straight: Vec<_> = (0..heard.len()).collect();
@@ -101,7 +101,7 @@
         let stranger = address(77);
         one.on_datagram(NOW, stranger, &bytes);
         let _ = one.on_frame(NOW, stranger, &bytes);
-        let mut good = datagram(fleet("a"), Kind::Ping, vec![entry(&card(1, 5, 0), State::Alive, 0)]).encode_to_vec();
+        let mut good = datagram(fleet("a"), DatagramKind::Ping, vec![entry(&card(1, 5, 0), MemberState::Alive, 0)]).encode_to_vec();
         let place = at % good.len();
         good[place] ^= bytes.first().copied().unwrap_or(1);
         good.truncate(good.len().saturating_sub(cut % 100));
@@ -117,18 +117,18 @@
 fn nobody_is_an_amplifier() {
     let mut one = member(0, "a", &[]);
     for of in 1..200 {
-        let news = vec![entry(&card(of, 5, 0), State::Alive, 0)];
-        one.on_datagram(NOW, address(9), &datagram(fleet("a"), Kind::News, news).encode_to_vec());
+        let news = vec![entry(&card(of, 5, 0), MemberState::Alive, 0)];
+        one.on_datagram(NOW, address(9), &datagram(fleet("a"), DatagramKind::Gossip, news).encode_to_vec());
     }
     drop(sent(&mut one));
-    for news in [vec![], vec![entry(&card(9, 5, 0), State::Suspect, 0)]] {
-        let ping = datagram(fleet("a"), Kind::Ping, news).encode_to_vec();
+    for news in [vec![], vec![entry(&card(9, 5, 0), MemberState::Suspect, 0)]] {
+        let ping = datagram(fleet("a"), DatagramKind::Ping, news).encode_to_vec();
         one.on_datagram(NOW, address(78), &ping);
         let back: Vec<_> = sent(&mut one).into_iter().filter(|(to, _)| *to == address(78)).collect();
         assert!(back.len() == 1 && back[0].1.len() <= ping.len(), "{} for {}", back[0].1.len(), ping.len());
     }
     // Put through it, a question goes to a member's own address, once, and is small.
-    let asked = Datagram { about: Key::of("n3").0, ..datagram(fleet("a"), Kind::PingFor, vec![]) };
+    let asked = Datagram { about: MemberId::of("n3").0, ..datagram(fleet("a"), DatagramKind::IndirectPing, vec![]) };
     for _ in 0..500 {
         one.on_datagram(NOW, address(78), &asked.encode_to_vec());
     }
@@ -145,21 +145,21 @@
     let frame = two
         .outputs()
         .find_map(|output| match output {
-            Output::Sync { frame, .. } => Some(frame),
+            Output::PushPull { frame, .. } => Some(frame),
             _ => None,
         })
         .unwrap();
     let (error, refusal) = one.on_frame(NOW, address(1), &frame).unwrap_err();
-    assert_eq!(error, BadBytes::Fleet);
-    assert!(matches!(two.on_reply(NOW + SECOND, address(0), &refusal), Exchange::Over));
+    assert_eq!(error, ProtocolError::Fleet);
+    assert!(matches!(two.on_reply(NOW + SECOND, address(0), &refusal), StreamAction::Close));
     for _ in 0..5 {
         let _ = one.on_frame(NOW, address(1), &frame);
-        one.on_datagram(NOW, address(1), &datagram(fleet("b"), Kind::Ping, vec![]).encode_to_vec());
+        one.on_datagram(NOW, address(1), &datagram(fleet("b"), DatagramKind::Ping, vec![]).encode_to_vec());
     }
-    let later = Datagram { major: MAJOR + 1, ..datagram(fleet("a"), Kind::Ping, vec![]) };
+    let later = Datagram { major: MAJOR + 1, ..datagram(fleet("a"), DatagramKind::Ping, vec![]) };
     one.on_datagram(NOW, address(2), &later.encode_to_vec());
     let refused: Vec<_> =
-        one.outputs().filter(|output| matches!(output, Output::Event(Event::Refused { .. }))).collect();
+        one.outputs().filter(|output| matches!(output, Output::Event(Event::PeerRejected { .. }))).collect();
     assert_eq!(refused.len(), 2, "{refused:?}");
     assert_eq!((one.table().len(), two.table().len()), (1, 1));
 }
@@ -180,80 +180,80 @@
     }
     let later = Later { name: name(4), epoch: 7, address: address(4).to_string(), later: "kept".into() };
     let mut one = member(0, "a", &[]);
-    let news = Entry { card: later.encode_to_vec(), ..entry(&card(4, 7, 0), State::Alive, 0) };
-    one.on_datagram(NOW, address(9), &datagram(fleet("a"), Kind::News, vec![news]).encode_to_vec());
-    let held = one.table().get(Key::of("n4")).unwrap();
+    let news = WireEntry { card: later.encode_to_vec(), ..entry(&card(4, 7, 0), MemberState::Alive, 0) };
+    one.on_datagram(NOW, address(9), &datagram(fleet("a"), DatagramKind::Gossip, vec![news]).encode_to_vec());
+    let held = one.table().get(MemberId::of("n4")).unwrap();
     assert_eq!(Later::decode(&*held.entry(NOW).card).unwrap(), later);
     // A state of a later version is nothing that this one could go by.
-    let news = Entry { state: 9, ..entry(&card(5, 7, 0), State::Alive, 0) };
-    one.on_datagram(NOW, address(9), &datagram(fleet("a"), Kind::News, vec![news]).encode_to_vec());
-    assert!(one.table().get(Key::of("n5")).is_none());
+    let news = WireEntry { state: 9, ..entry(&card(5, 7, 0), MemberState::Alive, 0) };
+    one.on_datagram(NOW, address(9), &datagram(fleet("a"), DatagramKind::Gossip, vec![news]).encode_to_vec());
+    assert!(one.table().get(MemberId::of("n5")).is_none());
 }
 
 /// Guards cards: what can't be one is not taken.
 #[test]
 fn cards_that_cannot_be_are_not_taken() {
     let good = card(1, 5, 0);
-    assert_eq!(Card::read(&good.encode_to_vec()).as_ref(), Ok(&good));
+    assert_eq!(MemberRecord::read(&good.encode_to_vec()).as_ref(), Ok(&good));
     for bad in [
-        Card { name: String::new(), ..good.clone() },
-        Card { name: "x".repeat(65), ..good.clone() },
-        Card { name: "a\u{1b}[2J".into(), ..good.clone() },
-        Card { address: "example.org:80".into(), ..good.clone() },
-        Card { address: "0.0.0.0:80".into(), ..good.clone() },
-        Card { address: "255.255.255.255:80".into(), ..good.clone() },
-        Card { address: "10.0.0.1:0".into(), ..good.clone() },
-        Card { epoch: u64::MAX, ..good.clone() },
-        Card { incarnation: u64::MAX, ..good.clone() },
-        Card { offers: vec!["x".into(); 17], ..good.clone() },
+        MemberRecord { name: String::new(), ..good.clone() },
+        MemberRecord { name: "x".repeat(65), ..good.clone() },
+        MemberRecord { name: "a\u{1b}[2J".into(), ..good.clone() },
+        MemberRecord { address: "example.org:80".into(), ..good.clone() },
+        MemberRecord { address: "0.0.0.0:80".into(), ..good.clone() },
+        MemberRecord { address: "255.255.255.255:80".into(), ..good.clone() },
+        MemberRecord { address: "10.0.0.1:0".into(), ..good.clone() },
+        MemberRecord { epoch: u64::MAX, ..good.clone() },
+        MemberRecord { incarnation: u64::MAX, ..good.clone() },
+        MemberRecord { offers: vec!["x".into(); 17], ..good.clone() },
     ] {
-        assert!(Card::read(&bad.encode_to_vec()).is_err(), "{bad:?}");
+        assert!(MemberRecord::read(&bad.encode_to_vec()).is_err(), "{bad:?}");
     }
-    assert!(matches!(Card::read(&[0; 5_000]), Err(BadCard::Bytes(_))));
+    assert!(matches!(MemberRecord::read(&[0; 5_000]), Err(RecordError::Bytes(_))));
 }
 
 /// Guards a whole large fleet in one frame: 1,250 names are taken, in a bounded time.
 #[test]
 fn a_frame_of_1250_names_is_taken() {
     let mut one = member(0, "a", &[1]);
-    let entries = (1..1_251).map(|of| entry(&card(of, 5, 0), State::Alive, 0)).collect();
+    let entries = (1..1_251).map(|of| entry(&card(of, 5, 0), MemberState::Alive, 0)).collect();
     let frame = Frame {
         major: MAJOR,
         fleet: fleet("a"),
-        from: Key::of("n1").0,
+        from: MemberId::of("n1").0,
         epoch: 5,
-        step: Step::Entries as i32,
+        step: FrameKind::Entries as i32,
         entries,
         ..Frame::default()
     };
-    assert_eq!(one.on_reply(NOW, address(1), &frame.encode_to_vec()), Exchange::Over);
+    assert_eq!(one.on_reply(NOW, address(1), &frame.encode_to_vec()), StreamAction::Close);
     assert_eq!((one.table().there(), one.is_joined()), (1_251, true));
 }
 
 /// Guards one name in two processes: the later one counts, the earlier one ends its part, with one message.
 #[test]
 fn the_later_process_of_a_name_counts() {
-    let mut sim = Sim::new(Plan::calm(6, 1));
+    let mut sim = Simulation::new(SimulationConfig::calm(6, 1));
     sim.start_all_known();
     sim.run(3 * SECOND);
     let mut double = member(2, "sim", &[0]);
     // Its clock is days behind; the fleet tells it how far its name has counted.
     double.on_timer(NOW);
-    let seed = sim.member(0).unwrap().table().get(Key::of("n2")).unwrap().entry(0);
+    let seed = sim.member(0).unwrap().table().get(MemberId::of("n2")).unwrap().entry(0);
     let old = sim.member(2).unwrap().card().epoch;
     let told = Frame {
         major: MAJOR,
         fleet: fleet("sim"),
-        from: Key::of("n0").0,
+        from: MemberId::of("n0").0,
         epoch: 5,
-        step: Step::Entries as i32,
+        step: FrameKind::Entries as i32,
         entries: vec![seed],
         ..Frame::default()
     };
     double.on_reply(NOW, address(0), &told.encode_to_vec());
     assert_eq!(double.card().epoch, old + 1);
-    let own = double.table().get(Key::of("n2")).unwrap().entry(NOW);
-    let news = datagram(fleet("sim"), Kind::News, vec![own]).encode_to_vec();
+    let own = double.table().get(MemberId::of("n2")).unwrap().entry(NOW);
+    let news = datagram(fleet("sim"), DatagramKind::Gossip, vec![own]).encode_to_vec();
     sim.with(0, |member, now| member.on_datagram(now, address(9), &news));
     sim.run(5 * SECOND);
     let events = sim.events(2);
@@ -265,7 +265,7 @@
 #[test]
 fn a_liar_does_bounded_harm() {
     for seed in 0..5 {
-        let mut sim = Sim::new(Plan::calm(12, seed));
+        let mut sim = Simulation::new(SimulationConfig::calm(12, seed));
         sim.start_all_known();
         sim.run(5 * SECOND);
         for round in 0..20 {
@@ -274,18 +274,18 @@
                 // Also with numbers far beyond what the victim ever said.
                 card.incarnation = [card.incarnation, card.incarnation + (1 << 40), (1 << 62) - 1][round % 3];
                 let lies = vec![
-                    entry(&card, State::Dead, 0),
-                    entry(&self::card(500 + round, 1, 0), State::Alive, 0),
+                    entry(&card, MemberState::Dead, 0),
+                    entry(&self::card(500 + round, 1, 0), MemberState::Alive, 0),
                 ];
-                let news = datagram(fleet("sim"), Kind::News, lies).encode_to_vec();
+                let news = datagram(fleet("sim"), DatagramKind::Gossip, lies).encode_to_vec();
                 sim.with(3, |member, now| member.on_datagram(now, address(0), &news));
             }
             sim.run(SECOND);
         }
-        let dead_for = |sim: &Sim| {
+        let dead_for = |sim: &Simulation| {
             (0..12)
                 .flat_map(|by| (0..12).map(move |of| (by, of)))
-                .filter(|&(by, of)| sim.held(by, of) != Some(State::Alive))
+                .filter(|&(by, of)| sim.held(by, of) != Some(MemberState::Alive))
                 .count()
         };
         let well = sim.run_until(SECOND / 10, 30 * SECOND, |sim| dead_for(sim) == 0);
@@ -299,47 +299,47 @@
 #[test]
 fn what_comes_late_changes_nothing() {
     let mut one = member(0, "a", &[]);
-    let say = |one: &mut Member, now: Nanos, card: &Card, state: State| {
+    let say = |one: &mut Membership, now: Nanos, card: &MemberRecord, state: MemberState| {
         let news = vec![entry(card, state, 0)];
-        one.on_datagram(now, address(9), &datagram(fleet("a"), Kind::News, news).encode_to_vec());
+        one.on_datagram(now, address(9), &datagram(fleet("a"), DatagramKind::Gossip, news).encode_to_vec());
     };
-    say(&mut one, NOW, &card(1, 5, 3), State::Alive);
-    say(&mut one, NOW, &card(1, 6, 0), State::Alive);
+    say(&mut one, NOW, &card(1, 5, 3), MemberState::Alive);
+    say(&mut one, NOW, &card(1, 6, 0), MemberState::Alive);
     let print = one.table().fingerprint();
     for (epoch, incarnation, state) in
-        [(5, 3, State::Alive), (5, 9, State::Alive), (5, 9, State::Dead), (6, 0, State::Alive)]
+        [(5, 3, MemberState::Alive), (5, 9, MemberState::Alive), (5, 9, MemberState::Dead), (6, 0, MemberState::Alive)]
     {
         say(&mut one, NOW, &card(1, epoch, incarnation), state);
         say(&mut one, NOW, &card(1, epoch, incarnation), state);
     }
     assert_eq!(one.table().fingerprint(), print);
-    let stamp = Stamp { epoch: Epoch(6), incarnation: Incarnation(0) };
-    assert_eq!(one.table().get(Key::of("n1")).unwrap().version(), Version { stamp, state: State::Alive });
+    let stamp = RecordVersion { epoch: Epoch(6), incarnation: Incarnation(0) };
+    assert_eq!(one.table().get(MemberId::of("n1")).unwrap().version(), Precedence { stamp, state: MemberState::Alive });
     // Of one that nobody remembers, what is older than memory.
-    say(&mut one, NOW, &card(2, 5, 0), State::Alive);
-    let news = vec![entry(&card(3, 5, 0), State::Dead, 10 * 3_601)];
-    one.on_datagram(NOW, address(9), &datagram(fleet("a"), Kind::News, news).encode_to_vec());
-    assert!(one.table().get(Key::of("n3")).is_none() && one.table().get(Key::of("n2")).is_some());
+    say(&mut one, NOW, &card(2, 5, 0), MemberState::Alive);
+    let news = vec![entry(&card(3, 5, 0), MemberState::Dead, 10 * 3_601)];
+    one.on_datagram(NOW, address(9), &datagram(fleet("a"), DatagramKind::Gossip, news).encode_to_vec());
+    assert!(one.table().get(MemberId::of("n3")).is_none() && one.table().get(MemberId::of("n2")).is_some());
 }
 
 /// Guards bounds: a table takes no more than the largest fleet, and remembers no more than some of the gone.
 #[test]
 fn tables_are_bounded() {
-    let mut table = Table::default();
-    let heard = |of: usize, state: State| {
+    let mut table = MemberTable::default();
+    let heard = |of: usize, state: MemberState| {
         let card = card(of, 1, 0);
         let raw = card.encode_to_vec();
-        Hearsay { said: Said::new(card, raw), state, refused: false, since: of as i64, witness: Key(0) }
+        MemberClaim { said: EncodedRecord::new(card, raw), state, refused: false, since: of as i64, witness: MemberId(0) }
     };
     for of in 0..20_000 {
-        table.merge(&heard(of, if of < 8_000 { State::Dead } else { State::Alive }));
+        table.merge(&heard(of, if of < 8_000 { MemberState::Dead } else { MemberState::Alive }));
     }
     assert_eq!(table.len(), 16_384);
     table.forget(SECOND, 3_600 * SECOND);
-    assert_eq!((table.count(State::Dead), table.there()), (4_096, 16_384 - 8_000));
-    assert!(table.get(Key::of("n100")).is_none() && table.get(Key::of("n7999")).is_some(), "the oldest go");
-    assert_eq!(table.merge(&heard(30_000, State::Alive)), Merged::New);
+    assert_eq!((table.count(MemberState::Dead), table.there()), (4_096, 16_384 - 8_000));
+    assert!(table.get(MemberId::of("n100")).is_none() && table.get(MemberId::of("n7999")).is_some(), "the oldest go");
+    assert_eq!(table.merge(&heard(30_000, MemberState::Alive)), MergeOutcome::Inserted);
     let before = table.fingerprint();
     table.forget(4_000 * SECOND, 3_600 * SECOND);
-    assert!(table.count(State::Dead) == 0 && table.fingerprint() != before);
+    assert!(table.count(MemberState::Dead) == 0 && table.fingerprint() != before);
 }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -7,9 +7,9 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-use pumicehead_membership::member::{Checked, Exchange, Member, Output, Setup};
+use pumicehead_membership::member::{StreamProbeOutcome, StreamAction, Membership, Output, MembershipConfig};
 use pumicehead_membership::sim::{address, name};
-use pumicehead_membership::{Card, Key, MS, SECOND, Settings, State};
+use pumicehead_membership::{MemberRecord, MemberId, MS, SECOND, Settings, MemberState};
 use stateright::{Checker, Model, Property};
 
 const NODES: usize = 3;
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Debug)]
 struct Node {
-    member: Option<Member>,
+    member: Option<Membership>,
     now: u64,
     starts: u64,
 }
@@ -63,7 +63,7 @@
                     let doubts: Vec<_> = (0..NODES)
                         .map(|of| {
                             member
-                                .doubt(Key::of(&name(of)))
+                                .doubt(MemberId::of(&name(of)))
                                 .map(|doubt| (doubt.witnesses.len(), doubt.refused))
                         })
                         .collect();
@@ -86,7 +86,7 @@
                         self.net.insert(Message::Datagram { to, from: of, bytes });
                     }
                 }
-                Output::Sync { to, frame } => {
+                Output::PushPull { to, frame } => {
                     if let Some(to) = at(to) {
                         self.net.insert(Message::Frame {
                             to,
@@ -97,7 +97,7 @@
                         });
                     }
                 }
-                Output::Check { seq, to, frame } => {
+                Output::StreamProbe { seq, to, frame } => {
                     let Some(to) = at(to) else { continue };
                     if self.nodes[to].member.is_some() {
                         let check = Some(seq);
@@ -105,7 +105,7 @@
                     } else {
                         let now = self.nodes[of].now;
                         if let Some(member) = &mut self.nodes[of].member {
-                            member.on_checked(now, seq, Checked::Refused);
+                            member.on_checked(now, seq, StreamProbeOutcome::Refused);
                         }
                     }
                 }
@@ -114,7 +114,7 @@
         for by in 0..NODES {
             let Some(member) = &self.nodes[by].member else { continue };
             for held in member.table().iter() {
-                let Some(of) = (0..NODES).find(|of| Key::of(&name(*of)) == held.said.key()) else { continue };
+                let Some(of) = (0..NODES).find(|of| MemberId::of(&name(*of)) == held.said.key()) else { continue };
                 let epoch = held.said.card.epoch;
                 let before = self.epochs.insert((by, of), epoch);
                 self.went_back |= before.is_some_and(|before| before > epoch);
@@ -133,15 +133,15 @@
         match message {
             Message::Datagram { from, bytes, .. } => member.on_datagram(now, address(*from), bytes),
             Message::Frame { from, back: false, check, bytes, .. } => {
-                if let Ok(Exchange::Answer(bytes)) = member.on_frame(now, address(*from), bytes) {
+                if let Ok(StreamAction::Reply(bytes)) = member.on_frame(now, address(*from), bytes) {
                     answer = Some(Message::Frame { to: *from, from: to, back: true, check: *check, bytes });
                 }
             }
             Message::Frame { from, back: true, check, bytes, .. } => {
                 let came = member.on_reply(now, address(*from), bytes);
                 if let Some(seq) = check {
-                    member.on_checked(now, *seq, Checked::Answered);
-                } else if let Exchange::Answer(bytes) = came {
+                    member.on_checked(now, *seq, StreamProbeOutcome::Answered);
+                } else if let StreamAction::Reply(bytes) = came {
                     answer = Some(Message::Frame { to: *from, from: to, back: false, check: None, bytes });
                 }
             }
@@ -162,14 +162,14 @@
     fn start(&mut self, of: usize) {
         let node = &mut self.nodes[of];
         node.starts += 1;
-        let card = Card {
+        let card = MemberRecord {
             name: name(of),
             epoch: node.starts,
             address: address(of).to_string(),
             number: of as u32 + 1,
-            ..Card::default()
+            ..MemberRecord::default()
         };
-        let setup = Setup {
+        let setup = MembershipConfig {
             settings: Settings::default(),
             fleet: "model".into(),
             card,
@@ -178,7 +178,7 @@
             nodes: 1,
             seed: of as u64,
         };
-        node.member = Some(Member::new(setup, node.now).unwrap());
+        node.member = Some(Membership::new(setup, node.now).unwrap());
         // What the process before had held is gone with it.
         self.epochs.retain(|(by, _), _| *by != of);
         self.carry_out(of);
@@ -188,7 +188,7 @@
     fn settles(&self) -> bool {
         let mut fleet = self.clone();
         for of in 0..NODES {
-            if fleet.nodes[of].member.as_ref().is_none_or(Member::is_over) {
+            if fleet.nodes[of].member.as_ref().is_none_or(Membership::is_over) {
                 fleet.start(of);
             }
         }
@@ -222,7 +222,7 @@
         let members: Vec<_> = self.nodes.iter().filter_map(|node| node.member.as_ref()).collect();
         members.len() == NODES
             && members.windows(2).all(|two| two[0].table().fingerprint() == two[1].table().fingerprint())
-            && members[0].table().count(State::Alive) == NODES
+            && members[0].table().count(MemberState::Alive) == NODES
     }
 }
 
@@ -276,7 +276,7 @@
                     fleet.deliver(&message);
                 }
                 let running = (0..NODES).filter(|of| fleet.nodes[*of].member.is_some());
-                let first = running.min_by_key(|of| fleet.nodes[*of].member.as_ref().map(Member::next));
+                let first = running.min_by_key(|of| fleet.nodes[*of].member.as_ref().map(Membership::next));
                 first.into_iter().for_each(|of| fleet.tick(of));
             }
             fleet
@@ -287,12 +287,12 @@
         let mut killed = settled.clone();
         killed.nodes[2].member = None;
         let held = |fleet: &Fleet| {
-            fleet.nodes[0].member.as_ref()?.table().get(Key::of(&name(2))).map(|held| held.state)
+            fleet.nodes[0].member.as_ref()?.table().get(MemberId::of(&name(2))).map(|held| held.state)
         };
-        let when = |state: State| {
+        let when = |state: MemberState| {
             (0..200).map(|ticks| play_on(&killed, ticks)).find(|fleet| held(fleet) == Some(state))
         };
-        let (suspected, dead) = (when(State::Suspect).unwrap(), when(State::Dead).unwrap());
+        let (suspected, dead) = (when(MemberState::Suspect).unwrap(), when(MemberState::Dead).unwrap());
         vec![fleet, settled, suspected, dead]
     }
 
--- a/crates/membership/tests/settles.rs
+++ b/crates/membership/tests/settles.rs
@@ -1,19 +1,19 @@
 //! Fleets in virtual time: what is found out, how soon, and that nobody is wronged. A failing seed replays.
 
-use pumicehead_membership::sim::{Plan, Sim};
-use pumicehead_membership::{MS, SECOND, State};
+use pumicehead_membership::sim::{SimulationConfig, Simulation};
+use pumicehead_membership::{MS, SECOND, MemberState};
 
 const STEP: u64 = 50 * MS;
 
-fn running(nodes: usize, seed: u64) -> Sim {
-    let mut sim = Sim::new(Plan::calm(nodes, seed));
+fn running(nodes: usize, seed: u64) -> Simulation {
+    let mut sim = Simulation::new(SimulationConfig::calm(nodes, seed));
     sim.start_all_known();
     sim.run(5 * SECOND);
     sim
 }
 
 /// Whether all that run hold one for this.
-fn all_hold(sim: &Sim, nodes: usize, of: usize, state: State) -> bool {
+fn all_hold(sim: &Simulation, nodes: usize, of: usize, state: MemberState) -> bool {
     (0..nodes).filter(|&by| by != of && sim.is_up(by)).all(|by| sim.held(by, of) == Some(state))
 }
 
@@ -26,7 +26,7 @@
         sim.run(60 * SECOND);
         assert!(sim.is_settled(), "seed {seed}");
         for of in 0..30 {
-            assert!(all_hold(&sim, 30, of, State::Alive), "seed {seed}");
+            assert!(all_hold(&sim, 30, of, MemberState::Alive), "seed {seed}");
         }
         let each = (sim.sent().0 - before) / 30 / 60;
         assert!(each < 1_024, "seed {seed}: {each} bytes a second");
@@ -37,17 +37,17 @@
 #[test]
 fn fifty_join_through_a_seed_that_dies() {
     for seed in 0..20 {
-        let mut sim = Sim::new(Plan::calm(51, seed));
+        let mut sim = Simulation::new(SimulationConfig::calm(51, seed));
         sim.start(0, &[]);
         for node in 1..51 {
             sim.start(node, &[0, 1]);
             sim.run(2 * MS);
         }
         sim.kill(0);
-        let settled = |sim: &Sim| {
+        let settled = |sim: &Simulation| {
             sim.is_settled()
-                && all_hold(sim, 51, 0, State::Dead)
-                && (1..51).all(|n| all_hold(sim, 51, n, State::Alive))
+                && all_hold(sim, 51, 0, MemberState::Dead)
+                && (1..51).all(|n| all_hold(sim, 51, n, MemberState::Alive))
         };
         let took = sim.run_until(STEP, 60 * SECOND, settled);
         assert!(took.is_some(), "seed {seed}");
@@ -64,13 +64,13 @@
     for seed in 0..60 {
         let mut sim = running(50, seed);
         sim.kill(7);
-        let knows = |sim: &Sim, count: usize| {
-            (0..50).filter(|&by| by != 7 && sim.held(by, 7) == Some(State::Dead)).count() >= count
+        let knows = |sim: &Simulation, count: usize| {
+            (0..50).filter(|&by| by != 7 && sim.held(by, 7) == Some(MemberState::Dead)).count() >= count
         };
         let first = sim.run_until(STEP, 20 * SECOND, |sim| knows(sim, 1)).expect("found");
         let rest = sim.run_until(STEP, 20 * SECOND, |sim| knows(sim, 49)).expect("known to all");
         assert!(first <= 3 * SECOND && first + rest <= 5 * SECOND, "seed {seed}: {first} {rest}");
-        assert!((0..50).filter(|of| *of != 7).all(|of| all_hold(&sim, 50, of, State::Alive)), "seed {seed}");
+        assert!((0..50).filter(|of| *of != 7).all(|of| all_hold(&sim, 50, of, MemberState::Alive)), "seed {seed}");
     }
 }
 
@@ -83,7 +83,7 @@
         sim.kill(3);
         sim.run(100 * MS);
         sim.start(3, &[0, 1]);
-        let settled = |sim: &Sim| sim.is_settled() && all_hold(sim, 20, 3, State::Alive);
+        let settled = |sim: &Simulation| sim.is_settled() && all_hold(sim, 20, 3, MemberState::Alive);
         assert!(sim.run_until(STEP, 30 * SECOND, settled).is_some(), "seed {seed}");
         let new = sim.member(3).map(|member| (member.card().epoch, member.card().number));
         assert!(
@@ -104,14 +104,14 @@
             }
             sim.run(span);
             if span == 5 * SECOND {
-                assert!(all_hold(&sim, 20, 4, State::Stalled), "seed {seed}: told from dead");
+                assert!(all_hold(&sim, 20, 4, MemberState::Stalled), "seed {seed}: told from dead");
             }
             for node in [4, 5, 6] {
                 sim.resume(node);
             }
-            let well = |sim: &Sim| sim.is_settled() && (0..20).all(|of| all_hold(sim, 20, of, State::Alive));
-            let wronged = |sim: &mut Sim| {
-                (0..20).filter(|of| ![4, 5, 6].contains(of)).any(|of| !all_hold(sim, 20, of, State::Alive))
+            let well = |sim: &Simulation| sim.is_settled() && (0..20).all(|of| all_hold(sim, 20, of, MemberState::Alive));
+            let wronged = |sim: &mut Simulation| {
+                (0..20).filter(|of| ![4, 5, 6].contains(of)).any(|of| !all_hold(sim, 20, of, MemberState::Alive))
             };
             for _ in 0..100 {
                 sim.run(STEP);
@@ -126,7 +126,7 @@
 #[test]
 fn loss_and_stalls_kill_nobody() {
     for seed in 0..2 {
-        let mut sim = Sim::new(Plan { loss: 0.05, twice: 0.02, ..Plan::calm(30, seed) });
+        let mut sim = Simulation::new(SimulationConfig { loss: 0.05, twice: 0.02, ..SimulationConfig::calm(30, seed) });
         sim.start_all_known();
         for round in 0..300 {
             let still = [round * 3 % 30, (round * 7 + 11) % 30, (round * 13 + 5) % 30];
@@ -135,7 +135,7 @@
             still.into_iter().for_each(|node| sim.resume(node));
             sim.run(500 * MS);
             for by in 0..30 {
-                let dead = (0..30).find(|&of| sim.held(by, of) == Some(State::Dead));
+                let dead = (0..30).find(|&of| sim.held(by, of) == Some(MemberState::Dead));
                 assert_eq!(dead, None, "seed {seed}, round {round}: held dead by {by}");
             }
         }
@@ -146,13 +146,13 @@
 #[test]
 fn heavy_loss_hides_no_crash() {
     for seed in 0..5 {
-        let mut sim = Sim::new(Plan { loss: 0.3, ..Plan::calm(20, seed) });
+        let mut sim = Simulation::new(SimulationConfig { loss: 0.3, ..SimulationConfig::calm(20, seed) });
         sim.start_all_known();
         sim.run(60 * SECOND);
-        assert!((0..20).all(|of| (0..20).all(|by| sim.held(by, of) != Some(State::Dead))), "seed {seed}");
+        assert!((0..20).all(|of| (0..20).all(|by| sim.held(by, of) != Some(MemberState::Dead))), "seed {seed}");
         sim.kill(2);
         assert!(
-            sim.run_until(STEP, 30 * SECOND, |sim| all_hold(sim, 20, 2, State::Dead)).is_some(),
+            sim.run_until(STEP, 30 * SECOND, |sim| all_hold(sim, 20, 2, MemberState::Dead)).is_some(),
             "seed {seed}"
         );
     }
@@ -167,10 +167,10 @@
         sim.cut(|from, to| (from, to) == (0, 7) || (from, to) == (7, 0) || (from, to) == (2, 3));
         sim.run(60 * SECOND);
         for of in 0..8 {
-            assert!(all_hold(&sim, 8, of, State::Alive), "seed {seed}: {of}");
+            assert!(all_hold(&sim, 8, of, MemberState::Alive), "seed {seed}: {of}");
         }
-        let key = pumicehead_membership::Key::of("n7");
-        let here = |sim: &Sim| sim.member(0).and_then(|member| member.table().get(key).map(|held| held.here));
+        let key = pumicehead_membership::MemberId::of("n7");
+        let here = |sim: &Simulation| sim.member(0).and_then(|member| member.table().get(key).map(|held| held.here));
         assert_eq!(here(&sim), Some(false), "seed {seed}");
         sim.cut(|_, _| false);
         assert!(sim.run_until(STEP, 30 * SECOND, |sim| here(sim) == Some(true)).is_some(), "seed {seed}");
@@ -184,11 +184,11 @@
         let mut sim = running(20, seed);
         sim.cut(|from, to| from == 9 || to == 9);
         sim.run(40 * SECOND);
-        let dead = (0..20).filter(|&of| sim.held(9, of) == Some(State::Dead)).count();
+        let dead = (0..20).filter(|&of| sim.held(9, of) == Some(MemberState::Dead)).count();
         assert_eq!(dead, 0, "seed {seed}");
         assert!(sim.member(9).is_some_and(|member| member.is_cut()), "seed {seed}");
         sim.cut(|_, _| false);
-        let well = |sim: &Sim| sim.is_settled() && (0..20).all(|of| all_hold(sim, 20, of, State::Alive));
+        let well = |sim: &Simulation| sim.is_settled() && (0..20).all(|of| all_hold(sim, 20, of, MemberState::Alive));
         assert!(sim.run_until(STEP, 20 * SECOND, well).is_some(), "seed {seed}");
     }
 }
@@ -204,12 +204,12 @@
         let mut moved = 0;
         for node in (0..20).filter(|node| *node != 9) {
             let events = sim.events(node);
-            let others = |event: &&pumicehead_membership::Event| matches!(event, pumicehead_membership::Event::Moved { name, .. } if name != "n9");
+            let others = |event: &&pumicehead_membership::Event| matches!(event, pumicehead_membership::Event::StateChanged { name, .. } if name != "n9");
             moved += events.iter().filter(others).count();
         }
         // Its first findings, before it knows better, are told, and answered by those that they are about.
         assert!(moved <= 19 * 16, "seed {seed}: {moved}");
-        assert!((0..20).filter(|of| *of != 9).all(|of| sim.held(0, of) == Some(State::Alive)), "seed {seed}");
+        assert!((0..20).filter(|of| *of != 9).all(|of| sim.held(0, of) == Some(MemberState::Alive)), "seed {seed}");
     }
 }
 
@@ -221,16 +221,16 @@
         let side = |node: usize| node % 3;
         sim.cut(move |from, to| side(from) != side(to));
         sim.run(60 * SECOND);
-        assert_eq!(sim.held(0, 1), Some(State::Dead), "seed {seed}");
+        assert_eq!(sim.held(0, 1), Some(MemberState::Dead), "seed {seed}");
         sim.cut(move |from, to| (side(from) == 2) != (side(to) == 2));
-        let two = |sim: &Sim| {
+        let two = |sim: &Simulation| {
             (0..30).filter(|n| side(*n) != 2).all(|by| {
-                (0..30).filter(|n| side(*n) != 2).all(|of| by == of || sim.held(by, of) == Some(State::Alive))
+                (0..30).filter(|n| side(*n) != 2).all(|of| by == of || sim.held(by, of) == Some(MemberState::Alive))
             })
         };
         assert!(sim.run_until(STEP, 10 * SECOND, two).is_some(), "seed {seed}: two sides");
         sim.cut(|_, _| false);
-        let well = |sim: &Sim| sim.is_settled() && (0..30).all(|of| all_hold(sim, 30, of, State::Alive));
+        let well = |sim: &Simulation| sim.is_settled() && (0..30).all(|of| all_hold(sim, 30, of, MemberState::Alive));
         let took = sim.run_until(STEP, 20 * SECOND, well);
         assert!(took.is_some(), "seed {seed}: all");
     }
@@ -251,14 +251,14 @@
         }
         for node in (0..20).filter(|node| *node != 5) {
             for event in sim.events(node) {
-                if let pumicehead_membership::Event::Moved { name, .. } = event {
+                if let pumicehead_membership::Event::StateChanged { name, .. } = event {
                     assert_eq!(name, "n5", "seed {seed}");
                 }
             }
         }
         let each = (sim.sent().0 - before) / 20 / 60;
         assert!(each < 4_096, "seed {seed}: {each} bytes a second");
-        let well = |sim: &Sim| sim.is_settled() && all_hold(sim, 20, 5, State::Alive);
+        let well = |sim: &Simulation| sim.is_settled() && all_hold(sim, 20, 5, MemberState::Alive);
         assert!(sim.run_until(STEP, 60 * SECOND, well).is_some(), "seed {seed}");
     }
 }
@@ -269,19 +269,19 @@
     for seed in 0..30 {
         let mut sim = running(20, seed);
         sim.leave(11);
-        let took = sim.run_until(STEP, 10 * SECOND, |sim| all_hold(sim, 20, 11, State::Left));
+        let took = sim.run_until(STEP, 10 * SECOND, |sim| all_hold(sim, 20, 11, MemberState::Left));
         assert!(took.is_some_and(|took| took < 3 * SECOND), "seed {seed}: {took:?}");
         sim.run(20 * SECOND);
-        assert!(all_hold(&sim, 20, 11, State::Left), "seed {seed}");
+        assert!(all_hold(&sim, 20, 11, MemberState::Left), "seed {seed}");
     }
 }
 
 /// Guards memory: the dead are forgotten, and one that was away for longer brings nobody back.
 #[test]
 fn the_forgotten_stay_forgotten() {
-    let mut plan = Plan::calm(8, 3);
+    let mut plan = SimulationConfig::calm(8, 3);
     plan.settings.memory = 120 * SECOND;
-    let mut sim = Sim::new(plan);
+    let mut sim = Simulation::new(plan);
     sim.start_all_known();
     sim.run(5 * SECOND);
     // 7 stands still; 6 dies for good meanwhile and is forgotten.
@@ -291,7 +291,7 @@
     sim.run(400 * SECOND);
     assert_eq!((sim.held(0, 6), sim.held(0, 7)), (None, None));
     sim.resume(7);
-    let back = sim.run_until(STEP, 30 * SECOND, |sim| all_hold(sim, 7, 7, State::Alive));
+    let back = sim.run_until(STEP, 30 * SECOND, |sim| all_hold(sim, 7, 7, MemberState::Alive));
     assert!(back.is_some());
     for _ in 0..200 {
         sim.run(STEP);
@@ -308,7 +308,7 @@
         sim.run(20 * SECOND);
         let each = (sim.sent().0 - before) as f64 / nodes as f64 / 20.0;
         sim.kill(1);
-        let known = sim.run_until(100 * MS, 30 * SECOND, |sim| all_hold(sim, nodes, 1, State::Dead));
+        let known = sim.run_until(100 * MS, 30 * SECOND, |sim| all_hold(sim, nodes, 1, MemberState::Dead));
         (each, known.expect("known to all"))
     };
     let ((small, _), (large, last)) = (cost(50), cost(1_000));
@@ -323,11 +323,11 @@
     const SEEDS: u64 = 4;
     let mut spans = Vec::new();
     for seed in 0..SEEDS {
-        let mut sim = Sim::new(Plan::calm(NODES, seed));
+        let mut sim = Simulation::new(SimulationConfig::calm(NODES, seed));
         sim.start(0, &[]);
         (1..NODES - 1).for_each(|node| sim.start(node, &[0, 1, 2]));
         let newcomer = NODES - 1;
-        let joined = |sim: &Sim, nodes: usize| {
+        let joined = |sim: &Simulation, nodes: usize| {
             sim.is_settled() && sim.member(0).is_some_and(|member| member.table().there() == nodes)
         };
         assert!(sim.run_until(STEP, 60 * SECOND, |sim| joined(sim, newcomer)).is_some(), "seed {seed}");
@@ -337,7 +337,7 @@
         assert!(sim.run_until(STEP, 60 * SECOND, |sim| joined(sim, NODES)).is_some(), "seed {seed}");
         sim.run(SECOND);
         sim.kill(newcomer);
-        let found = sim.run_until(STEP, 60 * SECOND, |sim| all_hold(sim, NODES, newcomer, State::Dead));
+        let found = sim.run_until(STEP, 60 * SECOND, |sim| all_hold(sim, NODES, newcomer, MemberState::Dead));
         spans.push(found.expect("found out"));
     }
     let latest = spans.iter().max().copied().unwrap_or_default();
--- a/crates/membership/tests/share.rs
+++ b/crates/membership/tests/share.rs
@@ -1,52 +1,52 @@
 //! How many nodes share a server: more at once, fewer by degrees, and a side that has lost sight of others leaves them their part.
 
 use prost::Message;
-use pumicehead_membership::share::{Sharing, counted, free_number};
-use pumicehead_membership::sim::{Plan, Sim, name};
-use pumicehead_membership::table::{Hearsay, Said, Table};
-use pumicehead_membership::{Card, Key, MS, Member, Nanos, SECOND, Settings, State};
+use pumicehead_membership::share::{NodeCount, counted_nodes, free_node_number};
+use pumicehead_membership::sim::{SimulationConfig, Simulation, name};
+use pumicehead_membership::table::{MemberClaim, EncodedRecord, MemberTable};
+use pumicehead_membership::{MemberRecord, MemberId, MS, Membership, Nanos, SECOND, Settings, MemberState};
 
 const NOW: Nanos = 10_000 * SECOND;
 
-fn heard(of: usize, number: u32, state: State, refused: bool, since: Nanos) -> Hearsay {
-    let card = Card {
+fn heard(of: usize, number: u32, state: MemberState, refused: bool, since: Nanos) -> MemberClaim {
+    let card = MemberRecord {
         name: name(of),
         epoch: 1,
         // Later states of one saying count more; here each is of its own.
         incarnation: u64::from(state.number()),
         address: "10.0.0.1:1".into(),
         number,
-        ..Card::default()
+        ..MemberRecord::default()
     };
     let raw = card.encode_to_vec();
-    Hearsay { said: Said::new(card, raw), state, refused, since: since as i64, witness: Key(0) }
+    MemberClaim { said: EncodedRecord::new(card, raw), state, refused, since: since as i64, witness: MemberId(0) }
 }
 
 /// Guards leases: who left does not count, who is known to be dead counts for a while, who is out of sight for long.
 #[test]
 fn who_counts_and_for_how_long() {
     let settings = Settings::default();
-    let mut table = Table::default();
-    for (of, state) in [State::Alive, State::Stalled, State::Suspect, State::Left].into_iter().enumerate() {
+    let mut table = MemberTable::default();
+    for (of, state) in [MemberState::Alive, MemberState::Stalled, MemberState::Suspect, MemberState::Left].into_iter().enumerate() {
         table.merge(&heard(of, 0, state, false, NOW));
     }
-    assert_eq!(counted(&table, &settings, NOW), 3);
-    table.merge(&heard(7, 0, State::Dead, true, NOW));
-    table.merge(&heard(8, 0, State::Dead, false, NOW));
-    assert_eq!(counted(&table, &settings, NOW + settings.lease - MS), 5);
-    assert_eq!(counted(&table, &settings, NOW + settings.lease), 4);
-    assert_eq!(counted(&table, &settings, NOW + settings.lost_lease - MS), 4);
-    assert_eq!(counted(&table, &settings, NOW + settings.lost_lease), 3);
+    assert_eq!(counted_nodes(&table, &settings, NOW), 3);
+    table.merge(&heard(7, 0, MemberState::Dead, true, NOW));
+    table.merge(&heard(8, 0, MemberState::Dead, false, NOW));
+    assert_eq!(counted_nodes(&table, &settings, NOW + settings.lease - MS), 5);
+    assert_eq!(counted_nodes(&table, &settings, NOW + settings.lease), 4);
+    assert_eq!(counted_nodes(&table, &settings, NOW + settings.lost_lease - MS), 4);
+    assert_eq!(counted_nodes(&table, &settings, NOW + settings.lost_lease), 3);
 }
 
 /// Guards degrees: a number that rises is believed at once, one that falls by a tenth a second at the most, and never under one.
 #[test]
 fn it_falls_by_degrees() {
     let settings = Settings::default();
-    let mut sharing = Sharing::new(100, NOW);
-    let mut table = Table::default();
+    let mut sharing = NodeCount::new(100, NOW);
+    let mut table = MemberTable::default();
     for of in 0..10 {
-        table.merge(&heard(of, 0, State::Alive, false, NOW));
+        table.merge(&heard(of, 0, MemberState::Alive, false, NOW));
     }
     let mut last = 100;
     for second in 1..60 {
@@ -56,17 +56,17 @@
     }
     assert_eq!(last, 10);
     for of in 10..500 {
-        table.merge(&heard(of, 0, State::Alive, false, NOW));
+        table.merge(&heard(of, 0, MemberState::Alive, false, NOW));
     }
     assert_eq!(sharing.count(&table, &settings, NOW + 61 * SECOND), 500);
-    assert_eq!(Sharing::new(0, NOW).count(&Table::default(), &settings, NOW), 1);
+    assert_eq!(NodeCount::new(0, NOW).count(&MemberTable::default(), &settings, NOW), 1);
 }
 
 /// Guards both sides of a cut: while rights last, each side counts all there are, so that their sum takes no more of a server than
 /// before; a restart keeps its number.
 #[test]
 fn two_sides_take_no_more_than_one() {
-    let mut sim = Sim::new(Plan::calm(20, 4));
+    let mut sim = Simulation::new(SimulationConfig::calm(20, 4));
     sim.start_all_known();
     sim.run(5 * SECOND);
     sim.cut(|from, to| from % 2 != to % 2);
@@ -83,30 +83,30 @@
 /// Guards numbers: the lowest that is free, whoever was there before.
 #[test]
 fn numbers_fill_gaps() {
-    let mut table = Table::default();
-    let me = Key::of("me");
-    assert_eq!(free_number(&table, me), 1);
+    let mut table = MemberTable::default();
+    let me = MemberId::of("me");
+    assert_eq!(free_node_number(&table, me), 1);
     for (of, number) in [(0, 1), (1, 2), (2, 5), (3, 2)] {
-        table.merge(&heard(of, number, State::Alive, false, NOW));
+        table.merge(&heard(of, number, MemberState::Alive, false, NOW));
     }
-    assert_eq!(free_number(&table, me), 3);
-    table.merge(&heard(4, 3, State::Alive, false, NOW));
-    table.merge(&heard(5, 4, State::Dead, true, NOW));
-    assert_eq!(free_number(&table, me), 4, "the dead need none");
+    assert_eq!(free_node_number(&table, me), 3);
+    table.merge(&heard(4, 3, MemberState::Alive, false, NOW));
+    table.merge(&heard(5, 4, MemberState::Dead, true, NOW));
+    assert_eq!(free_node_number(&table, me), 4, "the dead need none");
 }
 
 /// Guards numbers of many that join at once: members with one view take different ones, of which none is kept by another, and
 /// leave no gap.
 #[test]
 fn members_without_a_number_take_different_ones() {
-    let mut table = Table::default();
+    let mut table = MemberTable::default();
     // Two have a number of their own, two share one, and four have none.
     for (of, number) in [(0, 1), (1, 4), (2, 2), (3, 2), (4, 0), (5, 0), (6, 0), (7, 0)] {
-        table.merge(&heard(of, number, State::Alive, false, NOW));
+        table.merge(&heard(of, number, MemberState::Alive, false, NOW));
     }
-    let later = Key::of(&name(2)).max(Key::of(&name(3)));
-    let takes = [later].into_iter().chain((4..8).map(|of| Key::of(&name(of))));
-    let mut taken: Vec<_> = takes.map(|key| free_number(&table, key)).collect();
+    let later = MemberId::of(&name(2)).max(MemberId::of(&name(3)));
+    let takes = [later].into_iter().chain((4..8).map(|of| MemberId::of(&name(of))));
+    let mut taken: Vec<_> = takes.map(|key| free_node_number(&table, key)).collect();
     taken.sort_unstable();
     assert_eq!(taken, [3, 5, 6, 7, 8]);
 }
@@ -115,11 +115,11 @@
 #[test]
 fn numbers_of_many_that_start_at_once_are_soon_found() {
     const NODES: usize = 100;
-    let mut sim = Sim::new(Plan::calm(NODES, 6));
+    let mut sim = Simulation::new(SimulationConfig::calm(NODES, 6));
     sim.start(0, &[]);
     (1..NODES).for_each(|node| sim.start(node, &[0, 1, 2]));
-    let numbers = |sim: &Sim| {
-        let number = |node| sim.member(node).map_or(0, |member: &Member| member.card().number);
+    let numbers = |sim: &Simulation| {
+        let number = |node| sim.member(node).map_or(0, |member: &Membership| member.card().number);
         let mut all: Vec<_> = (0..NODES).map(number).collect();
         all.sort_unstable();
         all
--- a/crates/membership/tests/table.rs
+++ b/crates/membership/tests/table.rs
@@ -1,17 +1,17 @@
 //! The table of a view: what it counts of its own memory.
 
 use prost::Message;
-use pumicehead_membership::table::{Hearsay, Said, Table};
-use pumicehead_membership::{Card, Key, State};
+use pumicehead_membership::table::{MemberClaim, EncodedRecord, MemberTable};
+use pumicehead_membership::{MemberRecord, MemberId, MemberState};
 
-fn heard(name: String, zone: &str) -> Hearsay {
-    let card = Card { name, epoch: 1, address: "10.0.0.1:7400".into(), zone: zone.into(), ..Card::default() };
+fn heard(name: String, zone: &str) -> MemberClaim {
+    let card = MemberRecord { name, epoch: 1, address: "10.0.0.1:7400".into(), zone: zone.into(), ..MemberRecord::default() };
     let raw = card.encode_to_vec();
-    Hearsay { said: Said::new(card, raw), state: State::Alive, refused: false, since: 0, witness: Key(0) }
+    MemberClaim { said: EncodedRecord::new(card, raw), state: MemberState::Alive, refused: false, since: 0, witness: MemberId(0) }
 }
 
-fn table(members: usize, zone: &str) -> Table {
-    let mut table = Table::default();
+fn table(members: usize, zone: &str) -> MemberTable {
+    let mut table = MemberTable::default();
     for member in 0..members {
         table.merge(&heard(format!("n{member:04}"), zone));
     }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -13,9 +13,9 @@
 use pumicehead_config::model::{Fleet as Block, Node};
 use pumicehead_flight_recorder::event::Event as Told;
 use pumicehead_flight_recorder::text::Name;
-use pumicehead_membership::member::{BadSetup, Event, Member, Output, Setup};
-use pumicehead_membership::settings::LARGEST_DATAGRAM;
-use pumicehead_membership::{Card, SECOND, Settings};
+use pumicehead_membership::member::{MembershipError, Event, Membership, Output, MembershipConfig};
+use pumicehead_membership::settings::MAX_DATAGRAM_BYTES;
+use pumicehead_membership::{MemberRecord, SECOND, Settings};
 use pumicehead_policy::interface::{Nanos, Sharing};
 use thiserror::Error;
 use tokio::net::{TcpListener, UdpSocket};
@@ -50,13 +50,13 @@
     },
     /// What it would say of itself.
     #[error("fleet: {0}")]
-    Setup(#[from] BadSetup),
+    Setup(#[from] MembershipError),
 }
 
 /// A member of a fleet.
 pub struct Fleet {
     name: String,
-    member: RefCell<Member>,
+    member: RefCell<Membership>,
     clock: Clock,
     tap: Tap,
     datagrams: UdpSocket,
@@ -78,7 +78,7 @@
         let failed = |source| FleetError::Listen { address: block.address, source };
         let (streams, datagrams) = bind(block.address).await.map_err(failed)?;
         let address = streams.local_addr().map_err(failed)?;
-        let card = Card {
+        let card = MemberRecord {
             name: node.name.clone(),
             // Later starts have later epochs, on one machine; where its clock went back, the fleet says so at the join.
             epoch: clock.began() / 1_000_000,
@@ -86,9 +86,9 @@
             zone: node.zones[node.zone].clone(),
             program: env!("CARGO_PKG_VERSION").into(),
             offers: vec!["view".into()],
-            ..Card::default()
+            ..MemberRecord::default()
         };
-        let setup = Setup {
+        let setup = MembershipConfig {
             settings: Settings::default(),
             fleet: block.name.clone(),
             card,
@@ -97,7 +97,7 @@
             nodes: node.nodes,
             seed,
         };
-        let member = Member::new(setup, clock.now())?;
+        let member = Membership::new(setup, clock.now())?;
         info!(target: "fleet", "{} of {} speaks on {address}", node.name, block.name);
         let fleet = Rc::new(Self {
             name: block.name.clone(),
@@ -173,7 +173,7 @@
     }
 
     async fn run(self: Rc<Self>) {
-        let mut bytes = vec![0; LARGEST_DATAGRAM + 1];
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
         let mut look = self.clock.now();
         loop {
             self.carry_out();
@@ -221,10 +221,10 @@
                         debug!(target: "fleet", "datagram to {to}: {error}");
                     }
                 }
-                Output::Check { seq, to, frame } => {
+                Output::StreamProbe { seq, to, frame } => {
                     drop(task::spawn_local(stream::check(self.clone(), seq, to, frame)))
                 }
-                Output::Sync { to, frame } => {
+                Output::PushPull { to, frame } => {
                     drop(task::spawn_local(stream::compare(self.clone(), to, frame)))
                 }
                 Output::Event(event) => self.tell(event),
@@ -235,24 +235,24 @@
     fn tell(&self, event: Event) {
         match event {
             Event::Joined { members } => info!(target: "fleet", "joined {}: {members} members", self.name),
-            Event::Moved { name, from, to, witness } => {
-                let number = |state: pumicehead_membership::State| state.number() as u8;
+            Event::StateChanged { name, from, to, witness } => {
+                let number = |state: pumicehead_membership::MemberState| state.number() as u8;
                 let (from_number, to_number) = (from.map(number), number(to));
                 self.tap.record(&Told::Member { name: Name::new(&name), from: from_number, to: to_number });
-                let from = from.map_or("new", pumicehead_membership::State::word);
+                let from = from.map_or("new", pumicehead_membership::MemberState::word);
                 info!(target: "fleet", "{name}: {from} -> {}, says {witness}", to.word());
             }
-            Event::Reach { name, here: true } => info!(target: "fleet", "{name} is reached from here again"),
-            Event::Reach { name, here: false } => {
+            Event::ReachabilityChanged { name, here: true } => info!(target: "fleet", "{name} is reached from here again"),
+            Event::ReachabilityChanged { name, here: false } => {
                 warn!(target: "fleet", "{name} is not reached from here, though others reach it or this node is cut off");
             }
-            Event::Stood(span) => {
+            Event::ProcessStalled(span) => {
                 warn!(target: "fleet", "stood still for {:.1} s", span as f64 / SECOND as f64);
             }
             Event::Superseded { by } => {
                 warn!(target: "fleet", "a later process has this node's name, at {by}: this one is no member any more");
             }
-            Event::Refused { from, why } => {
+            Event::PeerRejected { from, why } => {
                 self.refused.set(self.refused.get() + 1);
                 warn!(target: "fleet", "{from} is refused: {why}");
             }
--- a/crates/node/src/fleet/stream.rs
+++ b/crates/node/src/fleet/stream.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pumicehead_membership::member::{Checked, Exchange};
-use pumicehead_membership::settings::LARGEST_FRAME;
+use pumicehead_membership::member::{StreamProbeOutcome, StreamAction};
+use pumicehead_membership::settings::MAX_FRAME_BYTES;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
@@ -17,7 +17,7 @@
 
 use super::Fleet;
 
-/// Streams from others at once; more wait. A frame takes [`LARGEST_FRAME`] at the most.
+/// Streams from others at once; more wait. A frame takes [`MAX_FRAME_BYTES`] at the most.
 pub const MOST_TAKEN: usize = 8;
 /// Streams to others at once; more are not opened.
 pub const MOST_OPENED: usize = 16;
@@ -38,7 +38,7 @@
         Err(error) => return Err(error),
     }
     let length = u32::from_be_bytes(length) as usize;
-    if length > LARGEST_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(io::Error::new(io::ErrorKind::InvalidData, format!("a frame of {length} bytes")));
     }
     let mut bytes = Vec::new();
@@ -87,8 +87,8 @@
         let came = fleet.member.borrow_mut().on_frame(fleet.clock.now(), from, &bytes);
         fleet.touched.notify_one();
         match came {
-            Ok(Exchange::Answer(answer)) => write(&mut stream, &answer).await?,
-            Ok(Exchange::Over) => return Ok(()),
+            Ok(StreamAction::Reply(answer)) => write(&mut stream, &answer).await?,
+            Ok(StreamAction::Close) => return Ok(()),
             Err((_, refusal)) => return write(&mut stream, &refusal).await,
         }
     }
@@ -120,8 +120,8 @@
     let asked = async {
         let mut stream = match TcpStream::connect(to).await {
             Ok(stream) => stream,
-            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return Checked::Refused,
-            Err(_) => return Checked::Unreachable,
+            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return StreamProbeOutcome::Refused,
+            Err(_) => return StreamProbeOutcome::Unreachable,
         };
         let _ = stream.set_nodelay(true);
         let answered = async {
@@ -131,14 +131,14 @@
         match timeout(CHECK, answered).await {
             Ok(Ok(Some(bytes))) => {
                 fleet.member.borrow_mut().on_reply(fleet.clock.now(), to, &bytes);
-                Checked::Answered
+                StreamProbeOutcome::Answered
             }
             // Closed or reset without a word: what is behind this address takes no connections.
-            Ok(Ok(None) | Err(_)) => Checked::Refused,
-            Err(_) => Checked::Silent,
+            Ok(Ok(None) | Err(_)) => StreamProbeOutcome::Refused,
+            Err(_) => StreamProbeOutcome::NoResponse,
         }
     };
-    let checked = timeout(2 * CHECK, asked).await.unwrap_or(Checked::Unreachable);
+    let checked = timeout(2 * CHECK, asked).await.unwrap_or(StreamProbeOutcome::Unreachable);
     fleet.member.borrow_mut().on_checked(fleet.clock.now(), seq, checked);
     fleet.touched.notify_one();
 }
@@ -156,8 +156,8 @@
             let came = fleet.member.borrow_mut().on_reply(fleet.clock.now(), to, &bytes);
             fleet.touched.notify_one();
             match came {
-                Exchange::Answer(answer) => next = answer,
-                Exchange::Over => return Ok(()),
+                StreamAction::Reply(answer) => next = answer,
+                StreamAction::Close => return Ok(()),
             }
         }
     };
--- a/crates/node/src/fleet/told.rs
+++ b/crates/node/src/fleet/told.rs
@@ -1,8 +1,8 @@
 //! What a member tells people of its view, as JSON: one object, on one line.
 
-use pumicehead_membership::member::Member;
-use pumicehead_membership::table::Held;
-use pumicehead_membership::{Key, SECOND, State};
+use pumicehead_membership::member::Membership;
+use pumicehead_membership::table::MemberEntry;
+use pumicehead_membership::{MemberId, SECOND, MemberState};
 use pumicehead_policy::interface::Nanos;
 use serde_json::{Value, json};
 
@@ -11,7 +11,7 @@
     (since > i64::MIN).then(|| ((now as i64).saturating_sub(since).max(0) / 100_000_000) as f64 / 10.0)
 }
 
-fn entry(member: &Member, held: &Held, now: Nanos) -> Value {
+fn entry(member: &Membership, held: &MemberEntry, now: Nanos) -> Value {
     let card = &held.said.card;
     let doubt = member.doubt(held.said.key()).map(|doubt| {
         let witnesses: Vec<_> = doubt.witnesses.iter().map(|witness| named(member, *witness)).collect();
@@ -39,7 +39,7 @@
     })
 }
 
-fn named(member: &Member, key: Key) -> String {
+fn named(member: &Membership, key: MemberId) -> String {
     match member.name(key) {
         "" => format!("{:016x}", key.0),
         name => name.to_owned(),
@@ -47,7 +47,7 @@
 }
 
 /// The whole view.
-pub fn members(fleet: &str, member: &mut Member, now: Nanos) -> String {
+pub fn members(fleet: &str, member: &mut Membership, now: Nanos) -> String {
     let nodes = member.nodes(now);
     let mut all: Vec<_> = member.table().iter().collect();
     all.sort_by(|a, b| a.said.card.name.cmp(&b.said.card.name));
@@ -68,21 +68,21 @@
 }
 
 /// Why a node is held for what it is; `None` where it is not known.
-pub fn why(member: &Member, now: Nanos, node: &str) -> Option<String> {
-    let held = member.table().get(Key::of(node))?;
+pub fn why(member: &Membership, now: Nanos, node: &str) -> Option<String> {
+    let held = member.table().get(MemberId::of(node))?;
     let said = named(member, held.witness);
     let says = if held.witness == member.key() { "this node".to_owned() } else { said };
     let mut reasons = Vec::new();
     reasons.push(match held.state {
-        State::Alive => format!("it says so itself, by {says}"),
-        State::Left => "it said that it goes".to_owned(),
-        State::Stalled => format!("{says} finds that its kernel takes connections and it does not answer"),
-        State::Suspect if held.refused => format!("{says} finds that its address refuses connections"),
-        State::Suspect => format!("{says} and those that it asked to ask get no answer"),
-        State::Dead if held.refused => {
+        MemberState::Alive => format!("it says so itself, by {says}"),
+        MemberState::Left => "it said that it goes".to_owned(),
+        MemberState::Stalled => format!("{says} finds that its kernel takes connections and it does not answer"),
+        MemberState::Suspect if held.refused => format!("{says} finds that its address refuses connections"),
+        MemberState::Suspect => format!("{says} and those that it asked to ask get no answer"),
+        MemberState::Dead if held.refused => {
             format!("its address refused connections, and it did not say that it lives: {says}")
         }
-        State::Dead => format!("it answered nobody for long enough: {says}"),
+        MemberState::Dead => format!("it answered nobody for long enough: {says}"),
     });
     if !held.here {
         reasons.push("this node does not reach it itself".into());
--- a/crates/testbed/src/hollow/counts.rs
+++ b/crates/testbed/src/hollow/counts.rs
@@ -6,23 +6,23 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use prost::Message;
-use pumicehead_membership::Key;
-use pumicehead_membership::wire::{Kind, Step};
+use pumicehead_membership::MemberId;
+use pumicehead_membership::wire::{DatagramKind, FrameKind};
 
 /// Kinds of datagrams that are told apart.
-pub const KINDS: [(Kind, &str); 5] = [
-    (Kind::News, "gossip"),
-    (Kind::Ping, "ping"),
-    (Kind::PingFor, "indirect ping"),
-    (Kind::Ack, "ack"),
-    (Kind::Nack, "nack"),
+pub const KINDS: [(DatagramKind, &str); 5] = [
+    (DatagramKind::Gossip, "gossip"),
+    (DatagramKind::Ping, "ping"),
+    (DatagramKind::IndirectPing, "indirect ping"),
+    (DatagramKind::Ack, "ack"),
+    (DatagramKind::Nack, "nack"),
 ];
 /// Heads of a datagram over UDP and IPv4, in bytes.
 pub const DATAGRAM_HEADS: u64 = 28;
 /// The length that stands before a frame, in bytes.
 pub const FRAME_HEAD: u64 = 4;
 /// Steps of an exchange over a stream.
-const STEPS: usize = Step::Refuse as usize + 1;
+const STEPS: usize = FrameKind::Reject as usize + 1;
 
 /// The fields that datagrams and frames have in common.
 #[derive(Clone, PartialEq, Message)]
@@ -40,7 +40,7 @@
     pub datagrams: [u64; KINDS.len()],
     /// Their bytes, without heads.
     pub datagram_bytes: u64,
-    /// Frames of streams, by [`Step`].
+    /// Frames of streams, by [`FrameKind`].
     pub frames: [u64; STEPS],
     /// Their bytes, without lengths.
     pub frame_bytes: u64,
@@ -123,7 +123,7 @@
 
 /// The key of a name as messages carry it.
 pub(super) fn sender(name: &str) -> u64 {
-    Key::of(name).0
+    MemberId::of(name).0
 }
 
 /// What one node has sent since its start.
--- a/crates/testbed/src/hollow/mixed.rs
+++ b/crates/testbed/src/hollow/mixed.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pumicehead_membership::State;
+use pumicehead_membership::MemberState;
 use thiserror::Error;
 
 use super::counts::{PeerCounts, Received, Sent};
@@ -293,7 +293,7 @@
         let (mut first, mut last_real) = (None, Duration::ZERO);
         let mut unaware: Vec<_> = self.real.iter().collect();
         loop {
-            let holds_dead = |node: &&Arc<HollowNode>| node.holds(&name) == Some(State::Dead);
+            let holds_dead = |node: &&Arc<HollowNode>| node.holds(&name) == Some(MemberState::Dead);
             let hollow = self.hollow.iter().filter(holds_dead).count();
             let before = unaware.len();
             unaware.retain(|node| !node.holds_dead(&name).unwrap_or(false));
--- a/crates/testbed/src/hollow/node.rs
+++ b/crates/testbed/src/hollow/node.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use pumicehead_membership::member::{Event, Member, Output, Setup};
-use pumicehead_membership::settings::LARGEST_DATAGRAM;
-use pumicehead_membership::{Card, Key, Nanos, SECOND, Settings, State};
+use pumicehead_membership::member::{Event, Membership, Output, MembershipConfig};
+use pumicehead_membership::settings::MAX_DATAGRAM_BYTES;
+use pumicehead_membership::{MemberRecord, MemberId, Nanos, SECOND, Settings, MemberState};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
@@ -74,7 +74,7 @@
     name: String,
     address: SocketAddr,
     clock: Clock,
-    member: Mutex<Member>,
+    member: Mutex<Membership>,
     datagrams: UdpSocket,
     /// The machine was handed something outside of the node's own loop.
     pub(super) touched: Notify,
@@ -99,16 +99,16 @@
         let (listener, datagrams) = bind().await?;
         let address = listener.local_addr()?;
         let now = setup.clock.now();
-        let card = Card {
+        let card = MemberRecord {
             name: setup.name.clone(),
             epoch: now / 1_000_000,
             address: address.to_string(),
             zone: setup.zone,
             program: env!("CARGO_PKG_VERSION").into(),
             offers: vec!["view".into()],
-            ..Card::default()
+            ..MemberRecord::default()
         };
-        let machine = Setup {
+        let machine = MembershipConfig {
             settings: Settings::default(),
             fleet: setup.fleet,
             card,
@@ -121,7 +121,7 @@
             name: setup.name,
             address,
             clock: setup.clock,
-            member: Mutex::new(Member::new(machine, now).map_err(io::Error::other)?),
+            member: Mutex::new(Membership::new(machine, now).map_err(io::Error::other)?),
             datagrams,
             touched: Notify::new(),
             open_streams: AtomicUsize::new(0),
@@ -180,8 +180,8 @@
 
     /// What it holds another member for.
     #[must_use]
-    pub fn holds(&self, name: &str) -> Option<State> {
-        self.member().table().get(Key::of(name)).map(|held| held.state)
+    pub fn holds(&self, name: &str) -> Option<MemberState> {
+        self.member().table().get(MemberId::of(name)).map(|held| held.state)
     }
 
     /// Ends it as a crash does: without a word.
@@ -201,7 +201,7 @@
         self.kill();
     }
 
-    pub(super) fn member(&self) -> MutexGuard<'_, Member> {
+    pub(super) fn member(&self) -> MutexGuard<'_, Membership> {
         lock(&self.member)
     }
 
@@ -218,7 +218,7 @@
     }
 
     async fn run(self: Arc<Self>) {
-        let mut bytes = vec![0; LARGEST_DATAGRAM + 1];
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
         let mut sharing_at = self.now();
         loop {
             self.carry_out();
@@ -253,9 +253,9 @@
         for output in outputs {
             match output {
                 Output::Datagram { to, bytes } => self.send(to, &bytes),
-                Output::Check { seq, to, frame } => self.spawn(stream::check(self.clone(), seq, to, frame)),
-                Output::Sync { to, frame } => self.spawn(stream::compare(self.clone(), to, frame)),
-                Output::Event(Event::Stood(_)) => {
+                Output::StreamProbe { seq, to, frame } => self.spawn(stream::check(self.clone(), seq, to, frame)),
+                Output::PushPull { to, frame } => self.spawn(stream::compare(self.clone(), to, frame)),
+                Output::Event(Event::ProcessStalled(_)) => {
                     self.stalls.fetch_add(1, Ordering::Relaxed);
                 }
                 Output::Event(_) => {}
--- a/crates/testbed/src/hollow/process.rs
+++ b/crates/testbed/src/hollow/process.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pumicehead_membership::State;
+use pumicehead_membership::MemberState;
 use serde::Deserialize;
 
 use super::event_loops::thread_cpu_seconds;
@@ -132,7 +132,7 @@
     /// No answer, or one that is about no member.
     pub fn holds_dead(&self, name: &str) -> io::Result<bool> {
         let entry: Entry = serde_json::from_str(&self.ask(&format!("FLEET why {name}"))?)?;
-        Ok(entry.state == State::Dead.word())
+        Ok(entry.state == MemberState::Dead.word())
     }
 
     fn ask(&self, call: &str) -> io::Result<String> {
--- a/crates/testbed/src/hollow/stream.rs
+++ b/crates/testbed/src/hollow/stream.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use pumicehead_membership::member::{Checked, Exchange};
-use pumicehead_membership::settings::LARGEST_FRAME;
+use pumicehead_membership::member::{StreamProbeOutcome, StreamAction};
+use pumicehead_membership::settings::MAX_FRAME_BYTES;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
@@ -34,7 +34,7 @@
         Err(error) => return Err(error),
     }
     let length = u32::from_be_bytes(length) as usize;
-    if length > LARGEST_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
     let mut bytes = vec![0; length];
@@ -74,8 +74,8 @@
         let came = node.member().on_frame(node.now(), from, &bytes);
         node.touched.notify_one();
         match came {
-            Ok(Exchange::Answer(answer)) => write(node, &mut stream, &answer).await?,
-            Ok(Exchange::Over) => return Ok(()),
+            Ok(StreamAction::Reply(answer)) => write(node, &mut stream, &answer).await?,
+            Ok(StreamAction::Close) => return Ok(()),
             Err((_, refusal)) => return write(node, &mut stream, &refusal).await,
         }
     }
@@ -103,16 +103,16 @@
 pub(super) async fn check(node: Arc<HollowNode>, seq: u32, to: SocketAddr, frame: Vec<u8>) {
     let Some(_permit) = Opened::new(&node) else { return };
     let asked = timeout(2 * CHECK_TIMEOUT, ask(&node, to, &frame));
-    let checked = asked.await.unwrap_or(Checked::Unreachable);
+    let checked = asked.await.unwrap_or(StreamProbeOutcome::Unreachable);
     node.member().on_checked(node.now(), seq, checked);
     node.touched.notify_one();
 }
 
-async fn ask(node: &HollowNode, to: SocketAddr, frame: &[u8]) -> Checked {
+async fn ask(node: &HollowNode, to: SocketAddr, frame: &[u8]) -> StreamProbeOutcome {
     let mut stream = match TcpStream::connect(to).await {
         Ok(stream) => stream,
-        Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return Checked::Refused,
-        Err(_) => return Checked::Unreachable,
+        Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return StreamProbeOutcome::Refused,
+        Err(_) => return StreamProbeOutcome::Unreachable,
     };
     let _ = stream.set_nodelay(true);
     let answered = async {
@@ -122,11 +122,11 @@
     match timeout(CHECK_TIMEOUT, answered).await {
         Ok(Ok(Some(bytes))) => {
             node.member().on_reply(node.now(), to, &bytes);
-            Checked::Answered
+            StreamProbeOutcome::Answered
         }
         // Closed without an answer: nothing behind this address takes connections.
-        Ok(Ok(None) | Err(_)) => Checked::Refused,
-        Err(_) => Checked::Silent,
+        Ok(Ok(None) | Err(_)) => StreamProbeOutcome::Refused,
+        Err(_) => StreamProbeOutcome::NoResponse,
     }
 }
 
@@ -147,8 +147,8 @@
         let came = node.member().on_reply(node.now(), to, &bytes);
         node.touched.notify_one();
         match came {
-            Exchange::Answer(answer) => next = answer,
-            Exchange::Over => return Ok(()),
+            StreamAction::Reply(answer) => next = answer,
+            StreamAction::Close => return Ok(()),
         }
     }
 }
--- a/crates/testbed/src/measure/capacity/fleet/parity.rs
+++ b/crates/testbed/src/measure/capacity/fleet/parity.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::time::Duration;
 
-use pumicehead_membership::wire::Step;
+use pumicehead_membership::wire::FrameKind;
 
 use crate::hollow::counts::{DATAGRAM_HEADS, KINDS, Received};
 use crate::hollow::mixed::MixedFleet;
@@ -80,7 +80,7 @@
     for (place, (_, name)) in KINDS.iter().enumerate() {
         figures.push((*name, false, Box::new(move |from| from.datagrams[place])));
     }
-    for (step, name) in [(Step::Digest, "digests"), (Step::Same, "answers to digests: same")] {
+    for (step, name) in [(FrameKind::Digest, "digests"), (FrameKind::InSync, "answers to digests: same")] {
         figures.push((name, false, Box::new(move |from| from.frames[step as usize])));
     }
     figures.push(("bytes of frames", false, Box::new(|from| from.frame_bytes)));
--- a/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
+++ b/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use pumicehead_membership::sim::{Plan, Sim};
-use pumicehead_membership::{MS, Nanos, SECOND, State};
+use pumicehead_membership::sim::{SimulationConfig, Simulation};
+use pumicehead_membership::{MS, Nanos, SECOND, MemberState};
 
 use crate::hollow::counts::DATAGRAM_HEADS;
 
@@ -84,22 +84,22 @@
     nanos.map(Duration::from_nanos)
 }
 
-fn known(nodes: usize, seed: u64) -> Sim {
-    let mut sim = Sim::new(Plan { zones: ZONES, ..Plan::calm(nodes, seed) });
+fn known(nodes: usize, seed: u64) -> Simulation {
+    let mut sim = Simulation::new(SimulationConfig { zones: ZONES, ..SimulationConfig::calm(nodes, seed) });
     sim.start_all_known();
     sim.run(SETTLE);
     sim
 }
 
 /// Bytes sent by all, with heads of datagrams.
-fn bytes(sim: &Sim) -> f64 {
+fn bytes(sim: &Simulation) -> f64 {
     let (bytes, datagrams) = sim.sent();
     (bytes + DATAGRAM_HEADS * datagrams) as f64
 }
 
 /// Whether one that runs holds another dead.
-fn holds_dead(sim: &Sim, by: usize, of: usize) -> bool {
-    sim.is_up(by) && sim.held(by, of) == Some(State::Dead)
+fn holds_dead(sim: &Simulation, by: usize, of: usize) -> bool {
+    sim.is_up(by) && sim.held(by, of) == Some(MemberState::Dead)
 }
 
 /// A fleet of one size.
@@ -116,9 +116,9 @@
 }
 
 /// Until the first holds one of some dead, and until all hold all of them dead.
-fn until_dead(sim: &mut Sim, nodes: usize, gone: &[usize]) -> (Option<Duration>, Option<Duration>) {
-    let any = |sim: &Sim| (0..nodes).any(|by| gone.iter().any(|of| holds_dead(sim, by, *of)));
-    let all = |sim: &Sim| {
+fn until_dead(sim: &mut Simulation, nodes: usize, gone: &[usize]) -> (Option<Duration>, Option<Duration>) {
+    let any = |sim: &Simulation| (0..nodes).any(|by| gone.iter().any(|of| holds_dead(sim, by, *of)));
+    let all = |sim: &Simulation| {
         (0..nodes).filter(|by| sim.is_up(*by)).all(|by| gone.iter().all(|of| holds_dead(sim, by, *of)))
     };
     let first = sim.run_until(STEP, LIMIT, any);
@@ -129,11 +129,11 @@
 
 /// All start at once, with three seeds.
 pub(super) fn join(nodes: usize, seed: u64) -> VirtualJoin {
-    let mut sim = Sim::new(Plan { zones: ZONES, ..Plan::calm(nodes, seed) });
+    let mut sim = Simulation::new(SimulationConfig { zones: ZONES, ..SimulationConfig::calm(nodes, seed) });
     sim.start(0, &[]);
     (1..nodes).for_each(|node| sim.start(node, &[0, 1, 2]));
-    let all_see_all = |sim: &Sim| {
-        sim.is_settled() && sim.member(0).is_some_and(|member| member.table().count(State::Alive) == nodes)
+    let all_see_all = |sim: &Simulation| {
+        sim.is_settled() && sim.member(0).is_some_and(|member| member.table().count(MemberState::Alive) == nodes)
     };
     let settled = sim.run_until(STEP, LIMIT, all_see_all);
     let a_second = nodes as f64 * settled.unwrap_or(LIMIT).max(STEP) as f64 / SECOND as f64;
@@ -158,7 +158,7 @@
 }
 
 /// Bytes of all in the worst of the next seconds.
-fn peak(sim: &mut Sim, seconds: u64) -> f64 {
+fn peak(sim: &mut Simulation, seconds: u64) -> f64 {
     let mut most = 0.0f64;
     for _ in 0..seconds {
         let before = bytes(sim);
@@ -191,9 +191,9 @@
 }
 
 /// Until all hold the same again with all alive, and the bytes of all in the worst second until then.
-fn heal(sim: &mut Sim, nodes: usize) -> (Option<Nanos>, f64) {
-    let is_healed = |sim: &Sim| {
-        sim.is_settled() && sim.member(0).is_some_and(|member| member.table().count(State::Alive) == nodes)
+fn heal(sim: &mut Simulation, nodes: usize) -> (Option<Nanos>, f64) {
+    let is_healed = |sim: &Simulation| {
+        sim.is_settled() && sim.member(0).is_some_and(|member| member.table().count(MemberState::Alive) == nodes)
     };
     let mut most = 0.0f64;
     for second in 0..LIMIT / SECOND {
--- a/crates/testbed/src/measure/view.rs
+++ b/crates/testbed/src/measure/view.rs
@@ -5,9 +5,9 @@
 use std::process::Command;
 
 use prost::Message;
-use pumicehead_membership::sim::{Plan as Fleet, Sim};
-use pumicehead_membership::table::{Hearsay, Said, Table};
-use pumicehead_membership::{Card, MS, Nanos, SECOND, State};
+use pumicehead_membership::sim::{SimulationConfig as Fleet, Simulation};
+use pumicehead_membership::table::{MemberClaim, EncodedRecord, MemberTable};
+use pumicehead_membership::{MemberRecord, MS, Nanos, SECOND, MemberState};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Deserialize;
@@ -30,13 +30,13 @@
     bytes: f64,
 }
 
-fn dead(sim: &Sim, nodes: usize, of: usize) -> usize {
-    (0..nodes).filter(|&by| by != of && sim.held(by, of) == Some(State::Dead)).count()
+fn dead(sim: &Simulation, nodes: usize, of: usize) -> usize {
+    (0..nodes).filter(|&by| by != of && sim.held(by, of) == Some(MemberState::Dead)).count()
 }
 
 /// Virtual time at one size.
 fn size(nodes: usize, seed: u64) -> Row {
-    let mut sim = Sim::new(Fleet::calm(nodes, seed));
+    let mut sim = Simulation::new(Fleet::calm(nodes, seed));
     sim.start_all_known();
     sim.run(3 * SECOND);
     let before = sim.sent();
@@ -50,7 +50,7 @@
     let last = first
         .and_then(|first| Some(first + sim.run_until(STEP, LIMIT, |sim| dead(sim, nodes, 1) == nodes - 1)?));
     sim.start(1, &[0, 2]);
-    let joined = sim.run_until(STEP, LIMIT, Sim::is_settled);
+    let joined = sim.run_until(STEP, LIMIT, Simulation::is_settled);
     Row { first, last, healed: None, joined, bytes }
 }
 
@@ -59,7 +59,7 @@
 
 /// A crash at a chance moment: until the first and the last of the others holds it dead.
 fn crash(nodes: usize, seed: u64) -> (Nanos, Nanos) {
-    let mut sim = Sim::new(Fleet::calm(nodes, seed));
+    let mut sim = Simulation::new(Fleet::calm(nodes, seed));
     sim.start_all_known();
     sim.run(2 * SECOND + seed * 37 % 500 * MS);
     sim.kill(1);
@@ -71,19 +71,19 @@
 
 /// A partition of a minute, and until views are one again.
 fn heal(nodes: usize, seed: u64) -> Option<Nanos> {
-    let mut sim = Sim::new(Fleet::calm(nodes, seed));
+    let mut sim = Simulation::new(Fleet::calm(nodes, seed));
     sim.start_all_known();
     sim.cut(|from, to| from % 2 != to % 2);
     sim.run(60 * SECOND);
     sim.cut(|_, _| false);
     sim.run_until(STEP, LIMIT, |sim| {
-        sim.is_settled() && sim.member(0).is_some_and(|member| member.table().count(State::Alive) == nodes)
+        sim.is_settled() && sim.member(0).is_some_and(|member| member.table().count(MemberState::Alive) == nodes)
     })
 }
 
 /// Members newly held dead that lived, over some time at 5% loss with a tenth standing still for 2 s at a time.
 fn wronged(nodes: usize, seed: u64, span: Nanos) -> usize {
-    let mut sim = Sim::new(Fleet { loss: 0.05, ..Fleet::calm(nodes, seed) });
+    let mut sim = Simulation::new(Fleet { loss: 0.05, ..Fleet::calm(nodes, seed) });
     sim.start_all_known();
     let (mut rng, mut wronged) = (Pcg64Mcg::seed_from_u64(seed), 0);
     for _ in 0..span / (2 * SECOND) {
@@ -200,21 +200,21 @@
     const ENTRIES: u64 = 10_000;
     let own = || crate::program::memory(std::process::id());
     let before = own();
-    let mut table = Table::default();
+    let mut table = MemberTable::default();
     for number in 0..ENTRIES {
-        let card = Card {
+        let card = MemberRecord {
             name: format!("node-{number}.mexico.example"),
             epoch: 1_700_000_000_000 + number,
             address: format!("10.0.{}.{}:7400", number / 250, number % 250),
             zone: "mx-central".into(),
             program: "0.2.0".into(),
             offers: vec!["view".into()],
-            ..Card::default()
+            ..MemberRecord::default()
         };
         let raw = card.encode_to_vec();
-        let said = Said::new(card, raw);
+        let said = EncodedRecord::new(card, raw);
         let witness = said.key();
-        table.merge(&Hearsay { said, state: State::Alive, refused: false, since: 0, witness });
+        table.merge(&MemberClaim { said, state: MemberState::Alive, refused: false, since: 0, witness });
     }
     let taken = own().saturating_sub(before) as f64 / table.len().max(1) as f64;
     drop(table);
