--- a/crates/membership/src/card.rs
+++ b/crates/membership/src/card.rs
@@ -23,14 +23,14 @@
 impl MemberId {
     /// Of a name.
     #[must_use]
-    pub fn of(name: &str) -> Self {
-        Self(hash(&[name.as_bytes()]))
+    pub fn from_name(name: &str) -> Self {
+        Self(stable_hash(&[name.as_bytes()]))
     }
 }
 
 /// The same for the same parts, everywhere and for good.
 #[must_use]
-pub fn hash(parts: &[&[u8]]) -> u64 {
+pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(0x7075_6d69_6365, 0x6d65_6d62_6572);
     for part in parts {
         hasher.write(&(part.len() as u64).to_le_bytes());
@@ -70,7 +70,7 @@
 impl Phase {
     /// In a word.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Joining => "joining",
             Self::Serving => "serving",
@@ -99,22 +99,22 @@
     pub zone: String,
     /// The version of its program.
     #[prost(string, tag = "6")]
-    pub program: String,
+    pub program_version: String,
     /// The minor version of its link.
     #[prost(uint32, tag = "7")]
-    pub minor: u32,
+    pub protocol_minor: u32,
     /// How much it has to do, in eighths.
     #[prost(uint32, tag = "8")]
-    pub load: u32,
+    pub load_eighths: u32,
     /// How far it is; see [`MemberRecord::phase`].
     #[prost(uint32, tag = "9")]
     pub phase: u32,
     /// Its number among the members, from 1; 0: none yet.
     #[prost(uint32, tag = "10")]
-    pub number: u32,
+    pub node_number: u32,
     /// What others may ask of it.
     #[prost(string, repeated, tag = "11")]
-    pub offers: Vec<String>,
+    pub capabilities: Vec<String>,
 }
 
 /// Why a card is not taken.
@@ -141,12 +141,12 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn read(bytes: &[u8]) -> Result<Self, RecordError> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<Self, RecordError> {
         if bytes.len() > MAX_RECORD_BYTES {
             return Err(RecordError::Bytes(format!("{} bytes", bytes.len())));
         }
         let card = Self::decode(bytes).map_err(|error| RecordError::Bytes(error.to_string()))?;
-        card.check()?;
+        card.validate()?;
         Ok(card)
     }
 
@@ -154,21 +154,21 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn check(&self) -> Result<(), RecordError> {
+    pub fn validate(&self) -> Result<(), RecordError> {
         let fits =
             |text: &str| text.len() <= MAX_TEXT_BYTES && !text.chars().any(|c| c.is_control() || c == ' ');
         if self.name.is_empty() || !fits(&self.name) {
             return Err(RecordError::Text("name"));
         }
-        for (name, text) in [("zone", &self.zone), ("program", &self.program)] {
+        for (name, text) in [("zone", &self.zone), ("program", &self.program_version)] {
             if !fits(text) {
                 return Err(RecordError::Text(name));
             }
         }
-        if self.offers.len() > MAX_CAPABILITIES || !self.offers.iter().all(|offer| fits(offer)) {
+        if self.capabilities.len() > MAX_CAPABILITIES || !self.capabilities.iter().all(|offer| fits(offer)) {
             return Err(RecordError::Text("offers"));
         }
-        if self.socket().is_none() {
+        if self.socket_address().is_none() {
             return Err(RecordError::Address);
         }
         for (name, number) in [("epoch", self.epoch), ("incarnation", self.incarnation)] {
@@ -181,19 +181,19 @@
 
     /// Its name as a number.
     #[must_use]
-    pub fn key(&self) -> MemberId {
-        MemberId::of(&self.name)
+    pub fn id(&self) -> MemberId {
+        MemberId::from_name(&self.name)
     }
 
     /// Which saying this is.
     #[must_use]
-    pub fn stamp(&self) -> RecordVersion {
+    pub fn version(&self) -> RecordVersion {
         RecordVersion { epoch: Epoch(self.epoch), incarnation: Incarnation(self.incarnation) }
     }
 
     /// Where it is reached; `None` for what can't be: no address, port 0, or an address of many.
     #[must_use]
-    pub fn socket(&self) -> Option<SocketAddr> {
+    pub fn socket_address(&self) -> Option<SocketAddr> {
         let address: SocketAddr = self.address.parse().ok()?;
         let ip = address.ip();
         let of_many = match ip {
--- a/crates/membership/src/doubt.rs
+++ b/crates/membership/src/doubt.rs
@@ -17,11 +17,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspicion {
     /// Since when.
-    pub since: Nanos,
+    pub started_at: Nanos,
     /// Who says so, each of its own seeing.
-    pub witnesses: Vec<MemberId>,
+    pub accusers: Vec<MemberId>,
     /// Its kernel refuses connections.
-    pub refused: bool,
+    pub connection_refused: bool,
     /// It stands still, and is not suspected of more.
     pub stalled: bool,
 }
@@ -30,41 +30,41 @@
     /// One that begins.
     #[must_use]
     pub fn new(since: Nanos, witness: MemberId, refused: bool, stalled: bool) -> Self {
-        Self { since, witnesses: vec![witness], refused, stalled }
+        Self { started_at: since, accusers: vec![witness], connection_refused: refused, stalled }
     }
 
     /// Another one says so as well; whether that is new and worth telling.
     pub fn confirm(&mut self, witness: MemberId, refused: bool) -> bool {
-        let fresh = refused && !self.refused;
-        self.refused |= refused;
-        if self.witnesses.contains(&witness) || self.witnesses.len() > MAX_CONFIRMATIONS {
+        let fresh = refused && !self.connection_refused;
+        self.connection_refused |= refused;
+        if self.accusers.contains(&witness) || self.accusers.len() > MAX_CONFIRMATIONS {
             return fresh;
         }
-        self.witnesses.push(witness);
+        self.accusers.push(witness);
         true
     }
 
     /// When it ends in death, for an observer `me` with this health among so many members. One who is alone in its seeing has
     /// to wait for long: the fault may be its own.
     #[must_use]
-    pub fn ends(&self, settings: &Settings, me: MemberId, members: usize, health: Awareness) -> Nanos {
+    pub fn expires_at(&self, settings: &Settings, me: MemberId, members: usize, health: Awareness) -> Nanos {
         if self.stalled {
-            return self.since + settings.stalled;
+            return self.started_at + settings.stall_timeout;
         }
-        if self.refused {
-            return self.since + REFUSED_PERIODS * settings.period;
+        if self.connection_refused {
+            return self.started_at + REFUSED_PERIODS * settings.probe_interval;
         }
-        let least = LEAST_PERIODS * (members.max(1) as f64 + 1.0).log10().max(1.0) * settings.period as f64;
+        let least = LEAST_PERIODS * (members.max(1) as f64 + 1.0).log10().max(1.0) * settings.probe_interval as f64;
         let most = MOST_TIMES * least;
-        let others = self.witnesses.iter().filter(|witness| **witness != me).count();
+        let others = self.accusers.iter().filter(|witness| **witness != me).count();
         // Nobody else is there to see it.
         let alone = others == 0 && members > 2;
         if alone {
-            return self.since + settings.alone;
+            return self.started_at + settings.unconfirmed_timeout;
         }
-        let more = (self.witnesses.len() - 1).min(MAX_CONFIRMATIONS) as f64;
+        let more = (self.accusers.len() - 1).min(MAX_CONFIRMATIONS) as f64;
         let span = most - (most - least) * (more + 1.0).ln() / (MAX_CONFIRMATIONS as f64 + 1.0).ln();
-        self.since + (span * f64::from(health.factor())) as Nanos
+        self.started_at + (span * f64::from(health.multiplier())) as Nanos
     }
 }
 
@@ -78,18 +78,18 @@
 
 impl Awareness {
     /// Something speaks against it.
-    pub fn worse(&mut self, by: u8) {
+    pub fn degrade(&mut self, by: u8) {
         self.0 = (self.0 + by).min(WORST);
     }
 
     /// Something speaks for it.
-    pub fn better(&mut self) {
+    pub fn improve(&mut self) {
         self.0 = self.0.saturating_sub(1);
     }
 
     /// How many times as long it waits.
     #[must_use]
-    pub fn factor(self) -> u32 {
+    pub fn multiplier(self) -> u32 {
         1 + u32::from(self.0)
     }
 }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -103,26 +103,26 @@
     /// # Errors
     /// What can't be.
     pub fn new(setup: MembershipConfig, now: Nanos) -> Result<Self, MembershipError> {
-        setup.settings.check()?;
+        setup.settings.validate()?;
         if setup.seeds.len() > MOST_SEEDS {
             return Err(MembershipError::Seeds);
         }
-        let mut card = setup.card;
-        let own = card.socket();
+        let mut card = setup.record;
+        let own = card.socket_address();
         let seeds: Vec<_> = setup.seeds.into_iter().filter(|seed| Some(*seed) != own).collect();
         card.incarnation = 0;
-        card.minor = MINOR;
+        card.protocol_minor = MINOR;
         card.set_phase(if seeds.is_empty() { Phase::Serving } else { Phase::Joining });
-        card.check()?;
-        let mut rng = Pcg64Mcg::seed_from_u64(setup.seed);
+        card.validate()?;
+        let mut rng = Pcg64Mcg::seed_from_u64(setup.rng_seed);
         let mut within = |span: Nanos| now + rng.next_u64() % span.max(1);
         let s = &setup.settings;
-        let (probe_at, gossip_at, sync_at) = (within(s.period), within(s.gossip), within(s.sync));
-        let (recall_at, reseed_at, tidy_at) = (within(s.recall), within(RESEED), within(TIDY));
+        let (probe_at, gossip_at, sync_at) = (within(s.probe_interval), within(s.gossip_interval), within(s.push_pull_interval));
+        let (recall_at, reseed_at, tidy_at) = (within(s.reconnect_interval), within(RESEED), within(TIDY));
         let mut member = Self {
-            fleet: fleet(&setup.fleet),
-            me: card.key(),
-            reach: setup.reach.iter().map(|(name, address)| (MemberId::of(name), *address)).collect(),
+            fleet: fleet(&setup.fleet_name),
+            me: card.id(),
+            reach: setup.address_overrides.iter().map(|(name, address)| (MemberId::from_name(name), *address)).collect(),
             table: MemberTable::default(),
             news: BroadcastQueue::default(),
             doubts: FxHashMap::default(),
@@ -133,7 +133,7 @@
             probe: None,
             helps: VecDeque::new(),
             seq: rng.next_u32(),
-            sharing: NodeCount::new(setup.nodes, now),
+            sharing: NodeCount::new(setup.initial_node_count, now),
             joined: seeds.is_empty(),
             over: false,
             join_pause: JOIN.0,
@@ -164,13 +164,13 @@
 
     /// Its own key.
     #[must_use]
-    pub fn key(&self) -> MemberId {
+    pub fn id(&self) -> MemberId {
         self.me
     }
 
     /// What it says of itself.
     #[must_use]
-    pub fn card(&self) -> &MemberRecord {
+    pub fn record(&self) -> &MemberRecord {
         &self.card
     }
 
@@ -188,13 +188,13 @@
 
     /// Its own health; 1 is good.
     #[must_use]
-    pub fn health(&self) -> u32 {
-        self.health.factor()
+    pub fn health_multiplier(&self) -> u32 {
+        self.health.multiplier()
     }
 
     /// Whether it takes itself for cut off: most of those that it asks do not answer.
     #[must_use]
-    pub fn is_cut(&self) -> bool {
+    pub fn is_isolated(&self) -> bool {
         self.luck.is_cut()
     }
 
@@ -206,55 +206,55 @@
 
     /// Whether a later process has its name.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_stopped(&self) -> bool {
         self.over
     }
 
     /// Whether it has anything to pass on to others.
     #[must_use]
-    pub fn is_passing_on(&self) -> bool {
+    pub fn has_pending_broadcasts(&self) -> bool {
         !self.news.is_empty()
     }
 
     /// Bytes of datagrams sent.
     #[must_use]
-    pub fn sent(&self) -> u64 {
+    pub fn bytes_sent(&self) -> u64 {
         self.sent
     }
 
     /// The name of a key, where it is known.
     #[must_use]
-    pub fn name(&self, key: MemberId) -> &str {
-        self.table.get(key).map_or("", |held| &held.said.card.name)
+    pub fn name_of(&self, key: MemberId) -> &str {
+        self.table.get(key).map_or("", |held| &held.encoded.record.name)
     }
 
     /// What is suspected of a member, and by whom.
     #[must_use]
-    pub fn doubt(&self, key: MemberId) -> Option<&Suspicion> {
+    pub fn suspicion(&self, key: MemberId) -> Option<&Suspicion> {
         self.doubts.get(&key)
     }
 
     /// How many nodes share a server, this one among them; falls by degrees.
-    pub fn nodes(&mut self, now: Nanos) -> u32 {
-        self.sharing.count(&self.table, &self.settings, now)
+    pub fn node_count(&mut self, now: Nanos) -> u32 {
+        self.sharing.update(&self.table, &self.settings, now)
     }
 
     /// Members to ask for what they know: of the own zone first, none that is in doubt, joining, leaving or out of reach; which
     /// ones is drawn.
-    pub fn peers(&mut self, most: usize) -> Vec<(String, SocketAddr)> {
+    pub fn select_peers(&mut self, most: usize) -> Vec<(String, SocketAddr)> {
         let fit = |held: &&MemberEntry| {
-            held.said.key() != self.me
+            held.encoded.id() != self.me
                 && held.state == MemberState::Alive
-                && held.here
-                && held.said.card.phase() == Phase::Serving
+                && held.reachable_from_here
+                && held.encoded.record.phase() == Phase::Serving
         };
         let mut all: Vec<_> = self
             .table
             .iter()
             .filter(fit)
             .filter_map(|held| {
-                let far = held.said.card.zone != self.card.zone;
-                Some((far, held.said.key(), held.said.card.name.clone(), self.address(held)?))
+                let far = held.encoded.record.zone != self.card.zone;
+                Some((far, held.encoded.id(), held.encoded.record.name.clone(), self.address(held)?))
             })
             .collect();
         all.sort_by_key(|peer| (peer.0, peer.1));
@@ -269,17 +269,17 @@
     }
 
     /// What is to be done, in order.
-    pub fn outputs(&mut self) -> impl Iterator<Item = Output> + '_ {
+    pub fn take_outputs(&mut self) -> impl Iterator<Item = Output> + '_ {
         self.outputs.drain(..)
     }
 
     /// Takes over a view that another member of the fleet has, as if the two had compared theirs.
-    pub fn assume(&mut self, view: &MemberTable) {
+    pub fn adopt_table(&mut self, view: &MemberTable) {
         let own = self.table.get(self.me).cloned();
         self.table = view.clone();
         if let Some(own) = own {
-            let MemberEntry { said, state, refused, since, witness, .. } = own;
-            self.table.merge(&MemberClaim { said, state, refused, since, witness });
+            let MemberEntry { encoded, state, connection_refused, state_since, reporter, .. } = own;
+            self.table.merge(&MemberClaim { encoded: encoded, state, connection_refused: connection_refused, state_since, reporter });
         }
         self.news = BroadcastQueue::default();
         self.joined = true;
@@ -300,7 +300,7 @@
     /// Puts its own saying into its view, and passes it on.
     fn say(&mut self, now: Nanos) {
         let said = EncodedRecord::new(self.card.clone(), self.card.encode_to_vec());
-        let own = MemberClaim { said, state: MemberState::Alive, refused: false, since: now as i64, witness: self.me };
+        let own = MemberClaim { encoded: said, state: MemberState::Alive, connection_refused: false, state_since: now as i64, reporter: self.me };
         self.table.merge(&own);
         self.news.add(self.me);
     }
@@ -308,15 +308,15 @@
     /// Tells how much it has to do, in eighths; not each time, but so often that all members together say no more than some
     /// pieces of news a second.
     pub fn set_load(&mut self, now: Nanos, eighths: u32) {
-        let pause = LOAD_LEAST.max(LOAD_EACH * self.table.there() as u64);
-        if self.card.load != eighths && now >= self.load_at + pause {
+        let pause = LOAD_LEAST.max(LOAD_EACH * self.table.active_count() as u64);
+        if self.card.load_eighths != eighths && now >= self.load_at + pause {
             self.load_at = now;
-            self.change(now, |card| card.load = eighths);
+            self.change(now, |card| card.load_eighths = eighths);
         }
     }
 
     /// Staff empty this node, or have it back at work.
-    pub fn set_lame(&mut self, now: Nanos, lame: bool) {
+    pub fn set_lame_duck(&mut self, now: Nanos, lame: bool) {
         let phase = match (lame, self.joined) {
             (true, _) => Phase::LameDuck,
             (false, true) => Phase::Serving,
@@ -335,16 +335,16 @@
         self.change(now, |_| {});
         if let Some(own) = self.table.get(self.me) {
             let left = MemberClaim {
-                said: own.said.clone(),
+                encoded: own.encoded.clone(),
                 state: MemberState::Left,
-                refused: false,
-                since: now as i64,
-                witness: self.me,
+                connection_refused: false,
+                state_since: now as i64,
+                reporter: self.me,
             };
             self.table.merge(&left);
         }
         self.news.add(self.me);
-        for to in self.some(2 * self.settings.fanout, |_| true) {
+        for to in self.some(2 * self.settings.gossip_fanout, |_| true) {
             self.push(now, to);
         }
         self.over = true;
@@ -354,7 +354,7 @@
 
     /// Where a member is reached from here.
     fn address(&self, held: &MemberEntry) -> Option<SocketAddr> {
-        self.reach.get(&held.said.key()).copied().or_else(|| held.said.card.socket())
+        self.reach.get(&held.encoded.id()).copied().or_else(|| held.encoded.record.socket_address())
     }
 
     /// Some members, drawn.
@@ -364,9 +364,9 @@
         // Of a large table some places are tried; a small one is looked through.
         if count > 64 {
             for _ in 0..(8 * most) {
-                let held = self.table.at(self.rng.next_u64() as usize % count);
-                let key = held.said.key();
-                if key != self.me && held.state.is_there() && may(held) && !drawn.contains(&key) {
+                let held = self.table.entry_at(self.rng.next_u64() as usize % count);
+                let key = held.encoded.id();
+                if key != self.me && held.state.is_active() && may(held) && !drawn.contains(&key) {
                     drawn.push(key);
                 }
                 if drawn.len() == most {
@@ -378,8 +378,8 @@
         drawn.extend(
             self.table
                 .iter()
-                .filter(|held| held.said.key() != self.me && held.state.is_there() && may(held))
-                .map(|held| held.said.key()),
+                .filter(|held| held.encoded.id() != self.me && held.state.is_active() && may(held))
+                .map(|held| held.encoded.id()),
         );
         drawn.sort_unstable();
         for place in (1..drawn.len()).rev() {
@@ -391,16 +391,16 @@
 
     fn datagram(&self, kind: DatagramKind, seq: u32, about: MemberId) -> Datagram {
         Datagram {
-            major: MAJOR,
-            minor: MINOR,
-            fleet: self.fleet,
-            from: self.me.0,
-            epoch: self.card.epoch,
+            protocol_major: MAJOR,
+            protocol_minor: MINOR,
+            fleet_id: self.fleet,
+            sender_id: self.me.0,
+            sender_epoch: self.card.epoch,
             kind: kind as i32,
             seq,
-            about: about.0,
-            unknown: false,
-            news: Vec::new(),
+            target_id: about.0,
+            record_unknown: false,
+            updates: Vec::new(),
         }
     }
 
@@ -418,17 +418,17 @@
         if let Some(held) = receiver.and_then(|key| self.table.get(key))
             && held.state != MemberState::Alive
         {
-            let entry = held.entry(now);
+            let entry = held.to_wire(now);
             let size = size(&entry);
             if size <= room {
                 room -= size;
                 first.push(entry);
             }
         }
-        let (table, most_told) = (&self.table, crate::news::retransmit_limit(self.table.there()));
-        let taken = self.news.take(room, most_told, |key| table.get(key).map(|held| size(&held.entry(now))));
-        datagram.news = first;
-        datagram.news.extend(taken.into_iter().filter_map(|key| Some(table.get(key)?.entry(now))));
+        let (table, most_told) = (&self.table, crate::news::retransmit_limit(self.table.active_count()));
+        let taken = self.news.take(room, most_told, |key| table.get(key).map(|held| size(&held.to_wire(now))));
+        datagram.updates = first;
+        datagram.updates.extend(taken.into_iter().filter_map(|key| Some(table.get(key)?.to_wire(now))));
         self.put(&datagram, to);
     }
 
@@ -448,8 +448,8 @@
     /// Says so of a member by its own seeing.
     fn claim(&mut self, now: Nanos, key: MemberId, state: MemberState, refused: bool) {
         let Some(held) = self.table.get(key) else { return };
-        let said: Arc<EncodedRecord> = held.said.clone();
-        let heard = MemberClaim { said, state, refused, since: now as i64, witness: self.me };
+        let said: Arc<EncodedRecord> = held.encoded.clone();
+        let heard = MemberClaim { encoded: said, state, connection_refused: refused, state_since: now as i64, reporter: self.me };
         self.take(now, &heard);
     }
 }
--- a/crates/membership/src/member/ask.rs
+++ b/crates/membership/src/member/ask.rs
@@ -5,7 +5,7 @@
 use prost::Message;
 
 use super::{Event, RelayedProbe, Membership, Output};
-use crate::card::{MemberId, hash};
+use crate::card::{MemberId, stable_hash};
 use crate::doubt::{Suspicion, MAX_CONFIRMATIONS};
 use crate::probe::{StreamProbeOutcome, Probe, ProbeOutcome};
 use crate::settings::MAX_DATAGRAM_BYTES;
@@ -23,23 +23,23 @@
 impl Membership {
     /// The next question, to the next one in the round.
     pub(super) fn ask_next(&mut self, now: Nanos) {
-        let period = self.settings.period;
-        self.probe_at = now + period + period / 2 * Nanos::from(self.health.factor() - 1);
+        let period = self.settings.probe_interval;
+        self.probe_at = now + period + period / 2 * Nanos::from(self.health.multiplier() - 1);
         let me = self.me;
         let table = &self.table;
-        let may = |key: MemberId| key != me && table.get(key).is_some_and(|held| held.state.is_there());
-        let all = || table.iter().map(|held| held.said.key()).filter(|key| may(*key)).collect();
+        let may = |key: MemberId| key != me && table.get(key).is_some_and(|held| held.state.is_active());
+        let all = || table.iter().map(|held| held.encoded.id()).filter(|key| may(*key)).collect();
         let Some(key) = self.order.next(may, all, &mut self.rng) else { return };
         let Some(held) = self.table.get(key) else { return };
-        let (stamp, Some(to)) = (held.said.card.stamp(), self.address(held)) else { return };
+        let (stamp, Some(to)) = (held.encoded.record.version(), self.address(held)) else { return };
         self.seq = self.seq.wrapping_add(1);
-        let patience = self.settings.patience * Nanos::from(self.health.factor());
+        let patience = self.settings.probe_timeout * Nanos::from(self.health.multiplier());
         self.probe = Some(Probe {
             key,
             stamp,
             seq: self.seq,
             asked: now,
-            help_at: now + patience.min(self.probe_at - now - self.settings.patience),
+            help_at: now + patience.min(self.probe_at - now - self.settings.probe_timeout),
             helpers: 0,
             nacks: 0,
             direct: false,
@@ -53,8 +53,8 @@
     /// No answer yet: others are asked to ask, and it is asked over a stream, where datagrams alone are lost.
     pub(super) fn ask_others(&mut self, now: Nanos) {
         let Some((key, seq)) = self.probe.as_ref().map(|probe| (probe.key, probe.seq)) else { return };
-        let helpers = self.some(self.settings.helpers, |held| {
-            held.state == MemberState::Alive && held.here && held.said.key() != key
+        let helpers = self.some(self.settings.indirect_probes, |held| {
+            held.state == MemberState::Alive && held.reachable_from_here && held.encoded.id() != key
         });
         for helper in &helpers {
             let Some(to) = self.table.get(*helper).and_then(|held| self.address(held)) else { continue };
@@ -75,13 +75,13 @@
     }
 
     /// What asking over a stream came to.
-    pub fn on_checked(&mut self, now: Nanos, seq: u32, checked: StreamProbeOutcome) {
+    pub fn on_stream_probe(&mut self, now: Nanos, seq: u32, checked: StreamProbeOutcome) {
         self.wake(now);
         let Some(probe) = self.probe.as_mut().filter(|probe| probe.seq == seq) else { return };
         probe.checked = Some(checked);
         if checked == StreamProbeOutcome::Refused && !probe.direct {
             // Those that were asked to ask have their say, and no more is waited for.
-            self.probe_at = self.probe_at.min(now + self.settings.patience / 2);
+            self.probe_at = self.probe_at.min(now + self.settings.probe_timeout / 2);
         }
     }
 
@@ -89,7 +89,7 @@
     pub(super) fn conclude(&mut self, now: Nanos) {
         let Some(probe) = self.probe.take() else { return };
         let Some(held) = self.table.get(probe.key) else { return };
-        if held.said.card.stamp() != probe.stamp || !held.state.is_there() {
+        if held.encoded.record.version() != probe.stamp || !held.state.is_active() {
             // It has said something new meanwhile, or others have.
             return;
         }
@@ -99,7 +99,7 @@
                 self.luck.note(true);
                 self.silent.remove(&probe.key);
                 if probe.direct {
-                    self.health.better();
+                    self.health.improve();
                 }
                 if state == MemberState::Alive {
                     self.set_here(probe.key, true);
@@ -109,8 +109,8 @@
                 self.luck.note(false);
                 self.silent.remove(&probe.key);
                 if let Some(held) = self.table.get_mut(probe.key) {
-                    held.missed = held.missed.saturating_add(1);
-                    if held.missed >= MISSED {
+                    held.consecutive_indirect_acks = held.consecutive_indirect_acks.saturating_add(1);
+                    if held.consecutive_indirect_acks >= MISSED {
                         self.set_here(probe.key, false);
                     }
                 }
@@ -131,7 +131,7 @@
             ProbeOutcome::Nothing { helped } => {
                 self.luck.note(false);
                 if !helped {
-                    self.health.worse(1);
+                    self.health.degrade(1);
                 }
                 if !self.is_own_fault(now, probe.key) {
                     self.claim(now, probe.key, MemberState::Suspect, false);
@@ -143,8 +143,8 @@
     /// Where most of those that it asks do not answer, the fault is its own until others say otherwise, or for long.
     fn is_own_fault(&mut self, now: Nanos, key: MemberId) -> bool {
         let Some(held) = self.table.get(key) else { return true };
-        let unheard = (now as i64).saturating_sub(held.heard) as Nanos;
-        let own = self.luck.is_cut() && unheard < self.settings.alone && !self.doubts.contains_key(&key);
+        let unheard = (now as i64).saturating_sub(held.last_heard) as Nanos;
+        let own = self.luck.is_cut() && unheard < self.settings.unconfirmed_timeout && !self.doubts.contains_key(&key);
         if own {
             self.set_here(key, false);
         }
@@ -154,12 +154,12 @@
     pub(super) fn set_here(&mut self, key: MemberId, here: bool) {
         let Some(held) = self.table.get_mut(key) else { return };
         if here {
-            held.missed = 0;
+            held.consecutive_indirect_acks = 0;
         }
-        if held.here != here {
-            held.here = here;
-            let name = held.said.card.name.clone();
-            self.outputs.push_back(Output::Event(Event::ReachabilityChanged { name, here }));
+        if held.reachable_from_here != here {
+            held.reachable_from_here = here;
+            let name = held.encoded.record.name.clone();
+            self.outputs.push_back(Output::Event(Event::ReachabilityChanged { name, reachable: here }));
         }
     }
 
@@ -174,8 +174,8 @@
         over.sort_unstable();
         for key in over {
             let Some(doubt) = self.doubts.remove(&key) else { continue };
-            if self.table.get(key).is_some_and(|held| held.state.is_there()) {
-                self.claim(now, key, MemberState::Dead, doubt.refused);
+            if self.table.get(key).is_some_and(|held| held.state.is_active()) {
+                self.claim(now, key, MemberState::Dead, doubt.connection_refused);
             }
         }
     }
@@ -187,7 +187,7 @@
         }
         self.doubts.insert(key, doubt);
         // Some, drawn by all alike, so that one more than was needed is the exception.
-        let share = u64::MAX / self.table.there().max(1) as u64;
+        let share = u64::MAX / self.table.active_count().max(1) as u64;
         if weight(self.me, key) <= share.saturating_mul(MAX_CONFIRMATIONS as u64) {
             self.order.urge(key);
             if self.probe.is_none() {
@@ -203,7 +203,7 @@
             return;
         }
         self.seq = self.seq.wrapping_add(1);
-        let ends = now + self.settings.patience;
+        let ends = now + self.settings.probe_timeout;
         self.helps.push_back(RelayedProbe { seq: self.seq, from, their_seq, about, ends });
         let datagram = self.datagram(DatagramKind::Ping, self.seq, about);
         self.put(&datagram, to);
@@ -220,5 +220,5 @@
 
 /// Which members look at another one first: an order that all compute alike.
 fn weight(of: MemberId, about: MemberId) -> u64 {
-    hash(&[&of.0.to_le_bytes(), &about.0.to_le_bytes()])
+    stable_hash(&[&of.0.to_le_bytes(), &about.0.to_le_bytes()])
 }
--- a/crates/membership/src/member/hear.rs
+++ b/crates/membership/src/member/hear.rs
@@ -27,38 +27,38 @@
         if self.over {
             return;
         }
-        let datagram = match Datagram::read(bytes, self.fleet) {
+        let datagram = match Datagram::from_bytes(bytes, self.fleet) {
             Ok(datagram) => datagram,
             Err(error) => return self.refuse(from, &error),
         };
-        let sender = MemberId(datagram.from);
+        let sender = MemberId(datagram.sender_id);
         if sender == self.me {
             // Its own, come back by some way; or another process of its name, which a comparison of views settles.
             return;
         }
         self.heard_at = now;
-        let epoch = Epoch(datagram.epoch);
-        let known = self.table.get(sender).filter(|held| held.said.card.stamp().epoch >= epoch);
+        let epoch = Epoch(datagram.sender_epoch);
+        let known = self.table.get(sender).filter(|held| held.encoded.record.version().epoch >= epoch);
         let (unknown, current) =
-            (known.is_none(), known.is_some_and(|held| held.said.card.stamp().epoch == epoch));
+            (known.is_none(), known.is_some_and(|held| held.encoded.record.version().epoch == epoch));
         if current {
             self.hear_from(now, sender);
         }
         // Who joins asks for a whole view; until that has come, what waited for a process that stood still for long may be as old
         // as what it has just forgotten.
         if self.joined {
-            for entry in &datagram.news {
+            for entry in &datagram.updates {
                 self.hear(now, entry);
             }
         }
         let kind = DatagramKind::try_from(datagram.kind).unwrap_or(DatagramKind::Gossip);
-        let about = MemberId(datagram.about);
+        let about = MemberId(datagram.target_id);
         match kind {
             DatagramKind::Gossip => {}
             DatagramKind::Ping => {
                 // For another one that had this address before: whoever asks is not to take this one for it.
                 let mut ack = self.datagram(DatagramKind::Ack, datagram.seq, self.me);
-                ack.unknown = unknown;
+                ack.record_unknown = unknown;
                 // Whoever asks may have put another's address on it: it gets no more than it sent.
                 self.send(now, ack, from, current.then_some(sender), bytes.len().min(MAX_DATAGRAM_BYTES));
             }
@@ -71,7 +71,7 @@
                 }
             }
         }
-        if datagram.unknown && kind == DatagramKind::Ack {
+        if datagram.record_unknown && kind == DatagramKind::Ack {
             // It does not know this member yet, which does know it.
             self.news.add(self.me);
             self.push(now, sender);
@@ -81,8 +81,8 @@
     /// A sign of life of a member's present process, seen here.
     fn hear_from(&mut self, now: Nanos, key: MemberId) {
         if let Some(held) = self.table.get_mut(key) {
-            held.heard = now as i64;
-            if held.state == MemberState::Alive && !held.here {
+            held.last_heard = now as i64;
+            if held.state == MemberState::Alive && !held.reachable_from_here {
                 self.set_here(key, true);
             }
         }
@@ -105,7 +105,7 @@
             return;
         }
         // The answer of one that was held dead.
-        if self.table.get(sender).is_some_and(|held| !held.state.is_there()) {
+        if self.table.get(sender).is_some_and(|held| !held.state.is_active()) {
             self.sync_with(now, sender);
         }
     }
@@ -130,26 +130,26 @@
     }
 
     pub(super) fn take(&mut self, now: Nanos, heard: &MemberClaim) {
-        let key = heard.said.key();
+        let key = heard.encoded.id();
         if key == self.me {
             return self.on_own(now, heard);
         }
-        let gone = !heard.state.is_there();
-        let age = (now as i64).saturating_sub(heard.since).max(0) as Nanos;
-        if gone && age > self.settings.memory {
+        let gone = !heard.state.is_active();
+        let age = (now as i64).saturating_sub(heard.state_since).max(0) as Nanos;
+        if gone && age > self.settings.tombstone_retention {
             return;
         }
-        let stamp = heard.said.card.stamp();
+        let stamp = heard.encoded.record.version();
         let mut before = None;
         if let Some(held) = self.table.get(key) {
-            let own = held.said.card.stamp();
+            let own = held.encoded.record.version();
             if stamp.epoch == own.epoch && stamp.incarnation.0 > own.incarnation.0.saturating_add(MOST_JUMP) {
                 return;
             }
             before = Some((own.epoch, held.state));
             // This member has heard from it since: it lives, and has to be told what is said of it.
             let in_doubt = matches!(heard.state, MemberState::Stalled | MemberState::Suspect | MemberState::Dead);
-            if stamp == own && in_doubt && heard.state > held.state && held.heard > heard.since {
+            if stamp == own && in_doubt && heard.state > held.state && held.last_heard > heard.state_since {
                 return self.contest(now, heard);
             }
         }
@@ -157,7 +157,7 @@
             MergeOutcome::Ignored => {}
             MergeOutcome::Unchanged => {
                 if let Some(doubt) = self.doubts.get_mut(&key)
-                    && doubt.confirm(heard.witness, heard.refused)
+                    && doubt.confirm(heard.reporter, heard.connection_refused)
                 {
                     self.pass_on(now, key, false);
                 }
@@ -167,7 +167,7 @@
                 let restarted = before.is_some_and(|(epoch, _)| epoch != stamp.epoch);
                 self.moved(now, key, Some(was), heard);
                 if restarted && let Some(held) = self.table.get_mut(key) {
-                    (held.heard, held.here, held.missed) = (i64::MIN, true, 0);
+                    (held.last_heard, held.reachable_from_here, held.consecutive_indirect_acks) = (i64::MIN, true, 0);
                 }
             }
         }
@@ -178,7 +178,7 @@
         let to = heard.state;
         let changed = was != Some(to);
         self.pass_on(now, key, changed && was.is_some());
-        if to.is_there() && !was.is_some_and(MemberState::is_there) {
+        if to.is_active() && !was.is_some_and(MemberState::is_active) {
             self.order.insert(key, &mut self.rng);
         }
         if !matches!(to, MemberState::Suspect | MemberState::Stalled) {
@@ -188,26 +188,26 @@
             self.silent.remove(&key);
             self.check_number(now, key);
         } else if matches!(to, MemberState::Suspect | MemberState::Stalled) {
-            let doubt = Suspicion::new(now, heard.witness, heard.refused, to == MemberState::Stalled);
+            let doubt = Suspicion::new(now, heard.reporter, heard.connection_refused, to == MemberState::Stalled);
             self.begin_doubt(now, key, doubt);
         }
         if changed {
-            let name = heard.said.card.name.clone();
-            let witness = self.name(heard.witness).to_owned();
-            self.outputs.push_back(Output::Event(Event::StateChanged { name, from: was, to, witness }));
+            let name = heard.encoded.record.name.clone();
+            let witness = self.name_of(heard.reporter).to_owned();
+            self.outputs.push_back(Output::Event(Event::StateChanged { name, from: was, to, reporter: witness }));
         }
     }
 
     /// Passes on what has changed; of one that comes and goes later, and once.
     fn pass_on(&mut self, now: Nanos, key: MemberId, changed: bool) {
-        let span = self.settings.flap_span as i64;
+        let span = self.settings.flap_window as i64;
         let Some(held) = self.table.get_mut(key) else { return };
         if changed {
             // The age of the change before this one is gone with it; flaps fade by halves as time goes on.
-            let quiet = (now as i64).saturating_sub(held.heard.max(0)) > span;
-            held.flaps = if quiet { 1 } else { held.flaps.saturating_add(1) };
+            let quiet = (now as i64).saturating_sub(held.last_heard.max(0)) > span;
+            held.flap_count = if quiet { 1 } else { held.flap_count.saturating_add(1) };
         }
-        let over = u32::from(held.flaps).saturating_sub(FLAP_THRESHOLD * 2);
+        let over = u32::from(held.flap_count).saturating_sub(FLAP_THRESHOLD * 2);
         if over > 0 {
             self.news.add_at(key, now + HOLD * Nanos::from(over.min(MOST_HOLD)));
         } else {
@@ -217,58 +217,58 @@
 
     /// Somebody says of a member that it is gone or in doubt, and it was heard from since: it is told, and answers for itself.
     fn contest(&mut self, now: Nanos, heard: &MemberClaim) {
-        let key = heard.said.key();
+        let key = heard.encoded.id();
         let Some(to) = self.table.get(key).and_then(|held| self.address(held)) else { return };
-        let age = ((now as i64).saturating_sub(heard.since).max(0) / 100_000_000) as u32;
+        let age = ((now as i64).saturating_sub(heard.state_since).max(0) / 100_000_000) as u32;
         let mut datagram = self.datagram(DatagramKind::Gossip, 0, MemberId::default());
         if let Some(held) = self.table.get(key) {
-            let mut entry = held.entry(now);
-            (entry.state, entry.age, entry.witness) = (heard.state.number(), age, heard.witness.0);
-            entry.refused = heard.refused;
-            datagram.news.push(entry);
+            let mut entry = held.to_wire(now);
+            (entry.state, entry.age_deciseconds, entry.reporter) = (heard.state.code(), age, heard.reporter.0);
+            entry.connection_refused = heard.connection_refused;
+            datagram.updates.push(entry);
             self.put(&datagram, to);
         }
     }
 
     /// Something is said of this member itself.
     fn on_own(&mut self, now: Nanos, heard: &MemberClaim) {
-        let (stamp, own) = (heard.said.card.stamp(), self.card.stamp());
+        let (stamp, own) = (heard.encoded.record.version(), self.card.version());
         if stamp.epoch > own.epoch {
-            if self.joined || heard.said.card.epoch + 1 >= VERSION_LIMIT {
+            if self.joined || heard.encoded.record.epoch + 1 >= VERSION_LIMIT {
                 self.over = true;
-                let by = heard.said.card.address.clone();
+                let by = heard.encoded.record.address.clone();
                 self.outputs.push_back(Output::Event(Event::Superseded { by }));
                 return;
             }
             // An earlier process of this name counted further; its clock may have been ahead. This one is later all the same.
-            let (epoch, number) = (heard.said.card.epoch + 1, heard.said.card.number);
+            let (epoch, number) = (heard.encoded.record.epoch + 1, heard.encoded.record.node_number);
             return self.change(now, |card| {
                 card.epoch = epoch;
                 card.incarnation = 0;
-                card.number = if card.number == 0 { number } else { card.number };
+                card.node_number = if card.node_number == 0 { number } else { card.node_number };
             });
         }
         if stamp.epoch < own.epoch {
-            if self.card.number == 0 && heard.said.card.number != 0 {
+            if self.card.node_number == 0 && heard.encoded.record.node_number != 0 {
                 // The number that it had before is still its own.
-                let number = heard.said.card.number;
-                self.change(now, |card| card.number = number);
+                let number = heard.encoded.record.node_number;
+                self.change(now, |card| card.node_number = number);
             } else {
                 self.news.add(self.me);
             }
             return;
         }
-        let other = heard.said.card.address != self.card.address && stamp == own;
-        if other && heard.said.card.address > self.card.address {
+        let other = heard.encoded.record.address != self.card.address && stamp == own;
+        if other && heard.encoded.record.address > self.card.address {
             // Two processes drew one epoch: one of them, the same for both, goes on.
             self.over = true;
-            let by = heard.said.card.address.clone();
+            let by = heard.encoded.record.address.clone();
             self.outputs.push_back(Output::Event(Event::Superseded { by }));
             return;
         }
         if stamp.incarnation > own.incarnation || heard.state > MemberState::Alive && stamp == own || other {
             let next = RecordVersion { incarnation: stamp.incarnation.max(own.incarnation), ..own };
-            self.health.worse(u8::from(matches!(heard.state, MemberState::Suspect | MemberState::Dead)));
+            self.health.degrade(u8::from(matches!(heard.state, MemberState::Suspect | MemberState::Dead)));
             self.change(now, |card| card.incarnation = next.incarnation.0.min(VERSION_LIMIT - 2));
         }
     }
@@ -276,8 +276,8 @@
     /// Two members have one number: the one with the greater key takes another.
     fn check_number(&mut self, now: Nanos, key: MemberId) {
         let Some(held) = self.table.get(key) else { return };
-        let number = held.said.card.number;
-        let same = number != 0 && number == self.card.number && held.said.card.phase() != Phase::Joining;
+        let number = held.encoded.record.node_number;
+        let same = number != 0 && number == self.card.node_number && held.encoded.record.phase() != Phase::Joining;
         if same && key < self.me {
             self.number(now);
         }
--- a/crates/membership/src/member/sync.rs
+++ b/crates/membership/src/member/sync.rs
@@ -31,12 +31,12 @@
 impl Membership {
     pub(super) fn frame(&self, step: FrameKind) -> Frame {
         Frame {
-            major: MAJOR,
-            minor: MINOR,
-            fleet: self.fleet,
-            from: self.me.0,
-            epoch: self.card.epoch,
-            step: step as i32,
+            protocol_major: MAJOR,
+            protocol_minor: MINOR,
+            fleet_id: self.fleet,
+            sender_id: self.me.0,
+            sender_epoch: self.card.epoch,
+            kind: step as i32,
             ..Frame::default()
         }
     }
@@ -45,7 +45,7 @@
     fn digest(&self, now: Nanos) -> Vec<u8> {
         let mut frame = self.frame(FrameKind::Digest);
         frame.fingerprint = self.table.fingerprint();
-        frame.entries = self.table.get(self.me).map(|held| held.entry(now)).into_iter().collect();
+        frame.entries = self.table.get(self.me).map(|held| held.to_wire(now)).into_iter().collect();
         frame.encode_to_vec()
     }
 
@@ -73,7 +73,7 @@
         let there: Vec<SocketAddr> = self
             .table
             .iter()
-            .filter(|held| held.state.is_there())
+            .filter(|held| held.state.is_active())
             .filter_map(|held| self.address(held))
             .collect();
         let lost: Vec<_> = self.seeds.iter().filter(|seed| !there.contains(seed)).copied().collect();
@@ -88,11 +88,11 @@
 
     /// Asks one of those that are held dead, whether it is back: one at a time, however many there are.
     pub(super) fn recall(&mut self, now: Nanos) {
-        if self.table.count(MemberState::Dead) == 0 {
+        if self.table.count_in_state(MemberState::Dead) == 0 {
             return;
         }
         let mut dead: Vec<_> =
-            self.table.iter().filter(|held| held.state == MemberState::Dead).map(|held| held.said.key()).collect();
+            self.table.iter().filter(|held| held.state == MemberState::Dead).map(|held| held.encoded.id()).collect();
         dead.sort_unstable();
         let place = rand_core::RngCore::next_u64(&mut self.rng) as usize % dead.len();
         let key = dead[place];
@@ -105,12 +105,12 @@
 
     fn entries(&self, now: Nanos, parts: &[u64]) -> Vec<WireEntry> {
         let mut room = MOST_ENTRIES;
-        let memory = self.settings.memory as i64;
+        let memory = self.settings.tombstone_retention as i64;
         let told = self
             .table
-            .of_parts(parts)
-            .filter(|held| held.state.is_there() || (now as i64).saturating_sub(held.since) <= memory);
-        told.map(|held| held.entry(now))
+            .entries_in_partitions(parts)
+            .filter(|held| held.state.is_active() || (now as i64).saturating_sub(held.state_since) <= memory);
+        told.map(|held| held.to_wire(now))
             .take_while(|entry| {
                 let size = super::size(entry);
                 let fits = size <= room;
@@ -124,21 +124,21 @@
     ///
     /// # Errors
     /// Bytes that are of no frame of this fleet; a refusal goes back where that helps whoever sent them.
-    pub fn on_frame(
+    pub fn on_stream_request(
         &mut self,
         now: Nanos,
         from: SocketAddr,
         bytes: &[u8],
     ) -> Result<StreamAction, (ProtocolError, Vec<u8>)> {
         self.wake(now);
-        let frame = match Frame::read(bytes, self.fleet) {
+        let frame = match Frame::from_bytes(bytes, self.fleet) {
             Ok(frame) => frame,
             Err(error) => {
                 self.refuse(from, &error);
                 let mut refusal = self.frame(FrameKind::Reject);
-                refusal.why = error.to_string();
+                refusal.reject_reason = error.to_string();
                 // Its own fleet's number would be no use to others.
-                refusal.fleet = 0;
+                refusal.fleet_id = 0;
                 return Err((error, refusal.encode_to_vec()));
             }
         };
@@ -152,39 +152,39 @@
                 self.hear(now, entry);
             }
         }
-        let mut answer = match FrameKind::try_from(frame.step).unwrap_or(FrameKind::Unknown) {
+        let mut answer = match FrameKind::try_from(frame.kind).unwrap_or(FrameKind::Unknown) {
             FrameKind::Ping => self.frame(FrameKind::Ack),
             FrameKind::Digest if frame.fingerprint == self.table.fingerprint() => self.frame(FrameKind::InSync),
             FrameKind::Digest => {
                 let mut answer = self.frame(FrameKind::PartitionDigests);
-                answer.parts = self.table.parts().to_vec();
+                answer.partitions = self.table.partition_digests().to_vec();
                 answer
             }
             FrameKind::Entries => {
                 let mut answer = self.frame(FrameKind::Entries);
-                answer.entries = self.entries(now, &frame.parts);
+                answer.entries = self.entries(now, &frame.partitions);
                 answer
             }
             _ => return Ok(StreamAction::Close),
         };
         // What is held against whoever asks: it answers for itself.
-        if let Some(held) = self.table.get(MemberId(frame.from))
+        if let Some(held) = self.table.get(MemberId(frame.sender_id))
             && held.state != MemberState::Alive
             && answer.entries.is_empty()
         {
-            answer.entries.push(held.entry(now));
+            answer.entries.push(held.to_wire(now));
         }
         answer.fingerprint = self.table.fingerprint();
         Ok(StreamAction::Reply(answer.encode_to_vec()))
     }
 
     /// An answer has come to a frame of this member's; what goes next.
-    pub fn on_reply(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) -> StreamAction {
+    pub fn on_stream_reply(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) -> StreamAction {
         self.wake(now);
         if self.over {
             return StreamAction::Close;
         }
-        let frame = match Frame::read(bytes, self.fleet) {
+        let frame = match Frame::from_bytes(bytes, self.fleet) {
             Ok(frame) => frame,
             Err(error) => {
                 self.refuse(from, &error);
@@ -195,14 +195,14 @@
         for entry in &frame.entries {
             self.hear(now, entry);
         }
-        match FrameKind::try_from(frame.step).unwrap_or(FrameKind::Unknown) {
+        match FrameKind::try_from(frame.kind).unwrap_or(FrameKind::Unknown) {
             FrameKind::PartitionDigests => {
-                let own = self.table.parts();
-                let differ = (0..PARTITIONS).filter(|&part| frame.parts.get(part) != Some(&own[part]));
+                let own = self.table.partition_digests();
+                let differ = (0..PARTITIONS).filter(|&part| frame.partitions.get(part) != Some(&own[part]));
                 let parts: Vec<u64> = differ.map(|part| part as u64).collect();
                 let mut next = self.frame(FrameKind::Entries);
                 next.entries = self.entries(now, &parts);
-                next.parts = parts;
+                next.partitions = parts;
                 StreamAction::Reply(next.encode_to_vec())
             }
             FrameKind::InSync | FrameKind::Entries => {
@@ -221,10 +221,10 @@
         if self.card.phase() == Phase::Joining {
             self.change(now, |card| card.set_phase(Phase::Serving));
         }
-        if self.card.number == 0 {
+        if self.card.node_number == 0 {
             self.number(now);
         }
-        let members = self.table.there();
+        let members = self.table.active_count();
         self.outputs.push_back(Output::Event(Event::Joined { members }));
     }
 }
--- a/crates/membership/src/member/time.rs
+++ b/crates/membership/src/member/time.rs
@@ -15,7 +15,7 @@
 impl Membership {
     /// When [`Membership::on_timer`] is due.
     #[must_use]
-    pub fn next(&self) -> Nanos {
+    pub fn next_timer(&self) -> Nanos {
         if self.over {
             return Nanos::MAX;
         }
@@ -39,7 +39,7 @@
     }
 
     pub(super) fn doubt_ends(&self, doubt: &Suspicion) -> Nanos {
-        doubt.ends(&self.settings, self.me, self.table.there(), self.health)
+        doubt.expires_at(&self.settings, self.me, self.table.active_count(), self.health)
     }
 
     /// Does what is due.
@@ -69,20 +69,20 @@
             self.join(now);
         }
         if now >= self.gossip_at {
-            self.gossip_at = now + self.settings.gossip;
+            self.gossip_at = now + self.settings.gossip_interval;
             if !self.news.is_empty() {
-                for to in self.some(self.settings.fanout, |held| held.state == MemberState::Alive) {
+                for to in self.some(self.settings.gossip_fanout, |held| held.state == MemberState::Alive) {
                     self.push(now, to);
                 }
             }
         }
         if now >= self.sync_at {
-            self.sync_at = now + self.spread(self.settings.sync);
+            self.sync_at = now + self.spread(self.settings.push_pull_interval);
             let with = self.some(1, |held| held.state == MemberState::Alive);
             with.into_iter().for_each(|key| self.sync_with(now, key));
         }
         if now >= self.recall_at {
-            self.recall_at = now + self.spread(self.settings.recall);
+            self.recall_at = now + self.spread(self.settings.reconnect_interval);
             self.recall(now);
         }
         if now >= self.reseed_at {
@@ -102,23 +102,23 @@
 
     /// Notices that this process stood still. What ran out meanwhile did not: nobody could have answered it.
     pub(super) fn wake(&mut self, now: Nanos) {
-        let due = self.next();
+        let due = self.next_timer();
         if self.over || now < due.saturating_add(STALL_THRESHOLD) {
             return;
         }
         let span = now - due;
         self.outputs.push_back(Output::Event(Event::ProcessStalled(span)));
-        if span > self.settings.memory / 2 {
+        if span > self.settings.tombstone_retention / 2 {
             return self.begin_anew(now);
         }
         for doubt in self.doubts.values_mut() {
-            doubt.since += span;
+            doubt.started_at += span;
         }
         self.silent.clear();
         self.probe = None;
         self.helps.clear();
         self.luck = ProbeHistory::default();
-        self.health.worse(2);
+        self.health.degrade(2);
         self.heard_at += span;
         for at in [
             &mut self.probe_at,
@@ -131,7 +131,7 @@
         ] {
             *at = (*at).max(now);
         }
-        if span > self.settings.period {
+        if span > self.settings.probe_interval {
             // Others may hold it for stalled by now, or worse: it says that it is there before anybody asks.
             self.change(now, |_| {});
         }
@@ -142,13 +142,13 @@
         let mut known: Vec<_> = self
             .table
             .iter()
-            .filter(|held| held.said.key() != self.me && held.state != MemberState::Left)
+            .filter(|held| held.encoded.id() != self.me && held.state != MemberState::Left)
             .filter_map(|held| self.address(held))
             .filter(|address| !self.seeds.contains(address))
             .collect();
         known.truncate(MOST_SEEDS - self.seeds.len().min(MOST_SEEDS));
         self.seeds.extend(known);
-        self.table.keep_only(self.me);
+        self.table.retain_only(self.me);
         self.news = BroadcastQueue::default();
         self.doubts.clear();
         self.silent.clear();
@@ -169,14 +169,14 @@
     }
 
     fn tidy(&mut self, now: Nanos) {
-        self.table.forget(now, self.settings.memory);
+        self.table.forget_expired(now, self.settings.tombstone_retention);
         let there = &self.table;
-        self.doubts.retain(|key, _| there.get(*key).is_some_and(|held| held.state.is_there()));
-        self.silent.retain(|key, _| there.get(*key).is_some_and(|held| held.state.is_there()));
-        if there.len() > 1 && now > self.heard_at + self.settings.memory / 2 {
+        self.doubts.retain(|key, _| there.get(*key).is_some_and(|held| held.state.is_active()));
+        self.silent.retain(|key, _| there.get(*key).is_some_and(|held| held.state.is_active()));
+        if there.len() > 1 && now > self.heard_at + self.settings.tombstone_retention / 2 {
             self.begin_anew(now);
         }
-        if self.joined && self.card.number == 0 {
+        if self.joined && self.card.node_number == 0 {
             self.number(now);
         }
     }
@@ -184,8 +184,8 @@
     /// Takes the lowest number that is free.
     pub(super) fn number(&mut self, now: Nanos) {
         let number = free_node_number(&self.table, self.me);
-        if self.card.number != number {
-            self.change(now, |card| card.number = number);
+        if self.card.node_number != number {
+            self.change(now, |card| card.node_number = number);
         }
     }
 }
--- a/crates/membership/src/member/types.rs
+++ b/crates/membership/src/member/types.rs
@@ -14,17 +14,17 @@
     /// How it behaves.
     pub settings: Settings,
     /// The fleet's name: members of another are refused.
-    pub fleet: String,
+    pub fleet_name: String,
     /// What it says of itself; incarnation and phase are the machine's.
-    pub card: MemberRecord,
+    pub record: MemberRecord,
     /// Whom it asks first, at any of these; none: it is the first itself.
     pub seeds: Vec<SocketAddr>,
     /// Where this member reaches others, by name, in place of what they say.
-    pub reach: Vec<(String, SocketAddr)>,
+    pub address_overrides: Vec<(String, SocketAddr)>,
     /// How many nodes there are, until it knows better.
-    pub nodes: u32,
+    pub initial_node_count: u32,
     /// For its random numbers.
-    pub seed: u64,
+    pub rng_seed: u64,
 }
 
 /// Why there is no member.
@@ -58,14 +58,14 @@
         /// Now.
         to: MemberState,
         /// Who says so: a name, or nothing where it is not known.
-        witness: String,
+        reporter: String,
     },
     /// A member is reached from here no more, or again, while others reach it all along.
     ReachabilityChanged {
         /// Its name.
         name: String,
         /// Now.
-        here: bool,
+        reachable: bool,
     },
     /// This process stood still for so long.
     ProcessStalled(Nanos),
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -15,31 +15,31 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Between two questions to others whether they are there.
-    pub period: Nanos,
+    pub probe_interval: Nanos,
     /// Until a question is put through others, and over a stream.
-    pub patience: Nanos,
+    pub probe_timeout: Nanos,
     /// Through so many others: enough that one of them has a way, at 30% loss too.
-    pub helpers: usize,
+    pub indirect_probes: usize,
     /// Between two rounds of passing news on, while there are any.
-    pub gossip: Nanos,
+    pub gossip_interval: Nanos,
     /// To so many others each time.
-    pub fanout: usize,
+    pub gossip_fanout: usize,
     /// Between two comparisons of whole views with some member.
-    pub sync: Nanos,
+    pub push_pull_interval: Nanos,
     /// Between two questions to some member that is held dead: whether it is back, or was cut off.
-    pub recall: Nanos,
+    pub reconnect_interval: Nanos,
     /// One that stands still for so long is taken for dead.
-    pub stalled: Nanos,
+    pub stall_timeout: Nanos,
     /// One that only this member misses, and nobody else says so, is taken for dead after this.
-    pub alone: Nanos,
+    pub unconfirmed_timeout: Nanos,
     /// The dead and departed are remembered for so long; who was away longer begins anew.
-    pub memory: Nanos,
+    pub tombstone_retention: Nanos,
     /// A member that is known to be gone has rights for so long.
-    pub lease: Nanos,
+    pub confirmed_death_grace: Nanos,
     /// One that is merely out of sight has them for so long: the other side of a cut uses them.
-    pub lost_lease: Nanos,
+    pub unconfirmed_death_grace: Nanos,
     /// Changes in this span from which on a member counts as one that comes and goes.
-    pub flap_span: Nanos,
+    pub flap_window: Nanos,
 }
 
 /// Changes from which on a member counts as one that comes and goes: a restart and a stall in a minute are none.
@@ -54,19 +54,19 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            period: 500 * MS,
-            patience: 200 * MS,
-            helpers: 3,
-            gossip: 200 * MS,
-            fanout: 3,
-            sync: 10 * SECOND,
-            recall: 2 * SECOND,
-            stalled: 60 * SECOND,
-            alone: 60 * SECOND,
-            memory: 3_600 * SECOND,
-            lease: 5 * SECOND,
-            lost_lease: 600 * SECOND,
-            flap_span: 60 * SECOND,
+            probe_interval: 500 * MS,
+            probe_timeout: 200 * MS,
+            indirect_probes: 3,
+            gossip_interval: 200 * MS,
+            gossip_fanout: 3,
+            push_pull_interval: 10 * SECOND,
+            reconnect_interval: 2 * SECOND,
+            stall_timeout: 60 * SECOND,
+            unconfirmed_timeout: 60 * SECOND,
+            tombstone_retention: 3_600 * SECOND,
+            confirmed_death_grace: 5 * SECOND,
+            unconfirmed_death_grace: 600 * SECOND,
+            flap_window: 60 * SECOND,
         }
     }
 }
@@ -81,20 +81,20 @@
     ///
     /// # Errors
     /// The first that is out of bounds.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         let within = |name, value: Nanos, least: Nanos, most: Nanos| {
             if (least..=most).contains(&value) { Ok(()) } else { Err(SettingsError(name)) }
         };
-        within("period", self.period, 50 * MS, 60 * SECOND)?;
-        within("patience", self.patience, 5 * MS, self.period / 2)?;
-        within("gossip", self.gossip, 20 * MS, 10 * SECOND)?;
-        within("sync", self.sync, self.period, 3_600 * SECOND)?;
-        within("recall", self.recall, self.period, 3_600 * SECOND)?;
-        within("stalled", self.stalled, self.period, 3_600 * SECOND)?;
-        within("alone", self.alone, self.period, 3_600 * SECOND)?;
-        within("memory", self.memory, self.stalled.max(self.alone), 7 * 86_400 * SECOND)?;
-        within("lost_lease", self.lost_lease, self.lease, 86_400 * SECOND)?;
-        if !(1..=10).contains(&self.helpers) || !(1..=10).contains(&self.fanout) {
+        within("period", self.probe_interval, 50 * MS, 60 * SECOND)?;
+        within("patience", self.probe_timeout, 5 * MS, self.probe_interval / 2)?;
+        within("gossip", self.gossip_interval, 20 * MS, 10 * SECOND)?;
+        within("sync", self.push_pull_interval, self.probe_interval, 3_600 * SECOND)?;
+        within("recall", self.reconnect_interval, self.probe_interval, 3_600 * SECOND)?;
+        within("stalled", self.stall_timeout, self.probe_interval, 3_600 * SECOND)?;
+        within("alone", self.unconfirmed_timeout, self.probe_interval, 3_600 * SECOND)?;
+        within("memory", self.tombstone_retention, self.stall_timeout.max(self.unconfirmed_timeout), 7 * 86_400 * SECOND)?;
+        within("lost_lease", self.unconfirmed_death_grace, self.confirmed_death_grace, 86_400 * SECOND)?;
+        if !(1..=10).contains(&self.indirect_probes) || !(1..=10).contains(&self.gossip_fanout) {
             return Err(SettingsError("helpers"));
         }
         Ok(())
--- a/crates/membership/src/share.rs
+++ b/crates/membership/src/share.rs
@@ -28,7 +28,7 @@
     }
 
     /// How many there are now, this one among them.
-    pub fn count(&mut self, table: &MemberTable, settings: &Settings, now: Nanos) -> u32 {
+    pub fn update(&mut self, table: &MemberTable, settings: &Settings, now: Nanos) -> u32 {
         let counted = counted_nodes(table, settings, now) as f64;
         let span = now.saturating_sub(self.at) as f64 / SECOND as f64;
         self.at = now;
@@ -46,10 +46,10 @@
         match state {
             MemberState::Alive | MemberState::Stalled | MemberState::Suspect => true,
             MemberState::Left => false,
-            MemberState::Dead => age < if refused { settings.lease } else { settings.lost_lease },
+            MemberState::Dead => age < if refused { settings.confirmed_death_grace } else { settings.unconfirmed_death_grace },
         }
     };
-    table.iter().filter(|held| has(held.state, held.refused, held.since)).count()
+    table.iter().filter(|held| has(held.state, held.connection_refused, held.state_since)).count()
 }
 
 /// The number, from 1, that a member takes where it has none, or one that another member keeps: of those that are free, the one
@@ -59,8 +59,8 @@
 pub fn free_node_number(table: &MemberTable, me: MemberId) -> u32 {
     let mut there: Vec<_> = table
         .iter()
-        .filter(|held| held.state.is_there())
-        .map(|held| (held.said.card.number, held.said.key()))
+        .filter(|held| held.state.is_active())
+        .map(|held| (held.encoded.record.node_number, held.encoded.id()))
         .collect();
     there.sort_unstable();
     // Of those with one number the lowest key keeps it; the others, and those without one, take another.
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -41,15 +41,15 @@
     /// Share of datagrams that are lost.
     pub loss: f64,
     /// Share of them that come twice.
-    pub twice: f64,
+    pub duplication: f64,
 }
 
 impl SimulationConfig {
     /// A calm fleet.
     #[must_use]
-    pub fn calm(nodes: usize, seed: u64) -> Self {
+    pub fn without_faults(nodes: usize, seed: u64) -> Self {
         let settings = Settings::default();
-        Self { settings, nodes, zones: 3, seed, delay: MS / 2, jitter: MS / 2, loss: 0.0, twice: 0.0 }
+        Self { settings, nodes, zones: 3, seed, delay: MS / 2, jitter: MS / 2, loss: 0.0, duplication: 0.0 }
     }
 }
 
@@ -174,17 +174,17 @@
             epoch: (of as u64 % 7) * 86_400_000 + self.now / MS + self.all[of].starts,
             address: address(of).to_string(),
             zone: format!("z{}", of % self.plan.zones.max(1)),
-            program: "0".into(),
+            program_version: "0".into(),
             ..MemberRecord::default()
         };
         MembershipConfig {
             settings: self.plan.settings.clone(),
-            fleet: "sim".into(),
-            card,
+            fleet_name: "sim".into(),
+            record: card,
             seeds: seeds.iter().map(|seed| address(*seed)).collect(),
-            reach: Vec::new(),
-            nodes: 1,
-            seed: self.plan.seed.wrapping_mul(1_000_003) ^ (of as u64) << 20 ^ self.all[of].starts,
+            address_overrides: Vec::new(),
+            initial_node_count: 1,
+            rng_seed: self.plan.seed.wrapping_mul(1_000_003) ^ (of as u64) << 20 ^ self.all[of].starts,
         }
     }
 
@@ -212,15 +212,15 @@
         for of in 0..self.all.len() {
             self.all[of].starts += 1;
             let mut setup = self.setup(of, &[]);
-            setup.card.number = of as u32 + 1;
+            setup.record.node_number = of as u32 + 1;
             let member = Membership::new(setup, self.now).expect("settings that can be");
             for held in member.table().iter() {
                 table.merge(&crate::table::MemberClaim {
-                    said: held.said.clone(),
+                    encoded: held.encoded.clone(),
                     state: held.state,
-                    refused: false,
-                    since: held.since,
-                    witness: held.witness,
+                    connection_refused: false,
+                    state_since: held.state_since,
+                    reporter: held.reporter,
                 });
             }
             self.all[of].member = Some(member);
@@ -228,7 +228,7 @@
         }
         for of in 0..self.all.len() {
             if let Some(member) = &mut self.all[of].member {
-                member.assume(&table);
+                member.adopt_table(&table);
             }
             self.settle(of);
         }
@@ -244,7 +244,7 @@
     }
 
     /// Stops a process: its kernel goes on.
-    pub fn stop(&mut self, of: usize) {
+    pub fn pause(&mut self, of: usize) {
         if self.all[of].runs == Runs::Up {
             self.all[of].runs = Runs::Still;
         }
@@ -274,7 +274,7 @@
     }
 
     /// From now on nothing gets from one to another where this says so.
-    pub fn cut(&mut self, cut: impl Fn(usize, usize) -> bool + 'static) {
+    pub fn block_links(&mut self, cut: impl Fn(usize, usize) -> bool + 'static) {
         self.cut = Rc::new(cut);
     }
 
@@ -285,7 +285,7 @@
     }
 
     /// Does something to a member, as its process would.
-    pub fn with(&mut self, of: usize, what: impl FnOnce(&mut Membership, Nanos)) {
+    pub fn with_member(&mut self, of: usize, what: impl FnOnce(&mut Membership, Nanos)) {
         let now = self.now;
         if let Some(member) = &mut self.all[of].member {
             what(member, now);
@@ -301,18 +301,18 @@
 
     /// What one holds another for.
     #[must_use]
-    pub fn held(&self, by: usize, of: usize) -> Option<MemberState> {
-        self.member(by)?.table().get(MemberId::of(&name(of))).map(|held| held.state)
+    pub fn state_of(&self, by: usize, of: usize) -> Option<MemberState> {
+        self.member(by)?.table().get(MemberId::from_name(&name(of))).map(|held| held.state)
     }
 
     /// Whether all that run and belong to a fleet hold the same.
     #[must_use]
-    pub fn is_settled(&self) -> bool {
+    pub fn has_converged(&self) -> bool {
         let mut prints = self
             .all
             .iter()
             .filter(|process| process.runs == Runs::Up)
-            .filter_map(|process| process.member.as_ref().filter(|member| !member.is_over()))
+            .filter_map(|process| process.member.as_ref().filter(|member| !member.is_stopped()))
             .map(|member| member.table().fingerprint());
         let first = prints.next();
         prints.all(|print| Some(print) == first)
@@ -325,12 +325,12 @@
     }
 
     /// What a process told until now.
-    pub fn events(&mut self, of: usize) -> Vec<Event> {
+    pub fn take_events(&mut self, of: usize) -> Vec<Event> {
         std::mem::take(&mut self.all[of].events)
     }
 
     /// Runs for a span.
-    pub fn run(&mut self, span: Nanos) {
+    pub fn run_for(&mut self, span: Nanos) {
         let end = self.now + span;
         while let Some(Reverse((at, ..))) = self.queue.peek()
             && *at <= end
@@ -354,7 +354,7 @@
             if self.now >= start + limit {
                 return None;
             }
-            self.run(step);
+            self.run_for(step);
         }
         Some(self.now - start)
     }
@@ -399,22 +399,22 @@
         match what {
             What::Datagram { from, bytes, .. } => member.on_datagram(now, address(from), &bytes),
             What::Timer { .. } => {
-                if member.next() <= now {
+                if member.next_timer() <= now {
                     member.on_timer(now);
                 }
             }
-            What::Checked { seq, checked, .. } => member.on_checked(now, seq, CHECKED[usize::from(checked)]),
+            What::Checked { seq, checked, .. } => member.on_stream_probe(now, seq, CHECKED[usize::from(checked)]),
             What::Frame { from, back: true, check: Some(seq), bytes, .. } => {
-                member.on_reply(now, address(from), &bytes);
-                member.on_checked(now, seq, StreamProbeOutcome::Answered);
+                member.on_stream_reply(now, address(from), &bytes);
+                member.on_stream_probe(now, seq, StreamProbeOutcome::Answered);
             }
             What::Frame { from, back: true, check: None, bytes, .. } => {
-                if let StreamAction::Reply(bytes) = member.on_reply(now, address(from), &bytes) {
+                if let StreamAction::Reply(bytes) = member.on_stream_reply(now, address(from), &bytes) {
                     self.stream(of, from, false, None, bytes);
                 }
             }
             What::Frame { from, back: false, check, bytes, .. } => {
-                let answer = match member.on_frame(now, address(from), &bytes) {
+                let answer = match member.on_stream_request(now, address(from), &bytes) {
                     Ok(StreamAction::Reply(bytes)) => Some(bytes),
                     Ok(StreamAction::Close) => None,
                     Err((_, refusal)) => Some(refusal),
@@ -432,7 +432,7 @@
         self.carry_out(of);
         let process = &mut self.all[of];
         let Some(member) = &process.member else { return };
-        let next = member.next().max(self.now);
+        let next = member.next_timer().max(self.now);
         if process.runs == Runs::Up && next < process.timer {
             process.timer = next;
             self.push(next, What::Timer { of });
@@ -441,7 +441,7 @@
 
     fn carry_out(&mut self, of: usize) {
         let Some(member) = &mut self.all[of].member else { return };
-        let outputs: Vec<_> = member.outputs().collect();
+        let outputs: Vec<_> = member.take_outputs().collect();
         for output in outputs {
             match output {
                 Output::Event(event) => self.all[of].events.push(event),
@@ -452,7 +452,7 @@
                     if to >= self.all.len() || (self.cut)(of, to) || self.draw() < self.plan.loss {
                         continue;
                     }
-                    let copies = if self.draw() < self.plan.twice { 2 } else { 1 };
+                    let copies = if self.draw() < self.plan.duplication { 2 } else { 1 };
                     for _ in 0..copies {
                         let at = self.now + self.way();
                         self.push(at, What::Datagram { to, from: of, bytes: bytes.clone() });
@@ -461,7 +461,7 @@
                 Output::PushPull { to, frame } => self.stream(of, node(to), false, None, frame),
                 Output::StreamProbe { seq, to, frame } => {
                     let to = node(to);
-                    let patience = self.plan.settings.patience;
+                    let patience = self.plan.settings.probe_timeout;
                     if to >= self.all.len() || (self.cut)(of, to) || (self.cut)(to, of) {
                         self.push(self.now + patience, What::Checked { to: of, seq, checked: 3 });
                         continue;
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -25,7 +25,7 @@
 
     /// In a word.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Alive => "alive",
             Self::Stalled => "stalled",
@@ -37,19 +37,19 @@
 
     /// As it travels.
     #[must_use]
-    pub fn number(self) -> u32 {
+    pub fn code(self) -> u32 {
         self as u32
     }
 
     /// From what has travelled; `None` for one of a later version.
     #[must_use]
-    pub fn of(number: u32) -> Option<Self> {
+    pub fn from_code(number: u32) -> Option<Self> {
         Self::ALL.get(number as usize).copied()
     }
 
     /// Whether it takes part: it is asked for what it knows, and asked whether it is there.
     #[must_use]
-    pub fn is_there(self) -> bool {
+    pub fn is_active(self) -> bool {
         self < Self::Dead
     }
 }
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Precedence {
     /// Of the member's own saying.
-    pub stamp: RecordVersion,
+    pub version: RecordVersion,
     /// What it is held for.
     pub state: MemberState,
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::Nanos;
-use crate::card::{MemberRecord, MemberId, hash};
+use crate::card::{MemberRecord, MemberId, stable_hash};
 use crate::settings::{MAX_TOMBSTONES, MAX_MEMBERS};
 use crate::state::{MemberState, Precedence};
 use crate::wire::WireEntry;
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedRecord {
     /// What it says.
-    pub card: MemberRecord,
+    pub record: MemberRecord,
     raw: Vec<u8>,
     key: MemberId,
     digest: u64,
@@ -29,21 +29,21 @@
     /// A card with its bytes.
     #[must_use]
     pub fn new(card: MemberRecord, raw: Vec<u8>) -> Arc<Self> {
-        let (key, digest) = (card.key(), hash(&[&raw]));
-        Arc::new(Self { card, raw, key, digest })
+        let (key, digest) = (card.id(), stable_hash(&[&raw]));
+        Arc::new(Self { record: card, raw, key, digest })
     }
 
     /// Who says it.
     #[must_use]
-    pub fn key(&self) -> MemberId {
+    pub fn id(&self) -> MemberId {
         self.key
     }
 
     /// Memory that it takes with its texts, in bytes, both counts of references included.
     fn bytes(&self) -> usize {
-        let MemberRecord { name, address, zone, program, offers, .. } = &self.card;
-        let texts = [name, address, zone, program].into_iter().chain(offers).map(String::capacity);
-        let list = offers.capacity() * size_of::<String>();
+        let MemberRecord { name, address, zone, program_version, capabilities, .. } = &self.record;
+        let texts = [name, address, zone, program_version].into_iter().chain(capabilities).map(String::capacity);
+        let list = capabilities.capacity() * size_of::<String>();
         size_of::<Self>() + 2 * size_of::<usize>() + self.raw.capacity() + list + texts.sum::<usize>()
     }
 }
@@ -52,47 +52,47 @@
 #[derive(Clone, Debug)]
 pub struct MemberEntry {
     /// Its own saying.
-    pub said: Arc<EncodedRecord>,
+    pub encoded: Arc<EncodedRecord>,
     /// What it is held for.
     pub state: MemberState,
     /// Whether its own kernel said so, by refusing connections.
-    pub refused: bool,
+    pub connection_refused: bool,
     /// Whether this member reaches it itself.
-    pub here: bool,
+    pub reachable_from_here: bool,
     /// Questions in a row that it answered through others alone.
-    pub missed: u8,
+    pub consecutive_indirect_acks: u8,
     /// Changes of late, and when the last one was.
-    pub flaps: u8,
+    pub flap_count: u8,
     /// Since when it is held so, by this process's clock; before its start where others told of it.
-    pub since: i64,
+    pub state_since: i64,
     /// When this member last heard from it itself; never: the least there is.
-    pub heard: i64,
+    pub last_heard: i64,
     /// Who said so first, of its own seeing.
-    pub witness: MemberId,
+    pub reporter: MemberId,
 }
 
 impl MemberEntry {
     /// Which saying, and what of it.
     #[must_use]
-    pub fn version(&self) -> Precedence {
-        Precedence { stamp: self.said.card.stamp(), state: self.state }
+    pub fn precedence(&self) -> Precedence {
+        Precedence { version: self.encoded.record.version(), state: self.state }
     }
 
     fn mark(&self) -> u64 {
         // States are few: each is another rotation of what the card's bytes come to.
-        self.said.digest.rotate_left(9 * self.state.number())
+        self.encoded.digest.rotate_left(9 * self.state.code())
     }
 
     /// As it travels.
     #[must_use]
-    pub fn entry(&self, now: Nanos) -> WireEntry {
-        let age = (now as i64).saturating_sub(self.since).max(0) / AGE_UNIT;
+    pub fn to_wire(&self, now: Nanos) -> WireEntry {
+        let age = (now as i64).saturating_sub(self.state_since).max(0) / AGE_UNIT;
         WireEntry {
-            card: self.said.raw.clone(),
-            state: self.state.number(),
-            age: u32::try_from(age).unwrap_or(u32::MAX),
-            witness: self.witness.0,
-            refused: self.refused,
+            record: self.encoded.raw.clone(),
+            state: self.state.code(),
+            age_deciseconds: u32::try_from(age).unwrap_or(u32::MAX),
+            reporter: self.reporter.0,
+            connection_refused: self.connection_refused,
         }
     }
 }
@@ -101,33 +101,33 @@
 #[derive(Clone, Debug)]
 pub struct MemberClaim {
     /// Its own saying.
-    pub said: Arc<EncodedRecord>,
+    pub encoded: Arc<EncodedRecord>,
     /// What it is said to be.
     pub state: MemberState,
     /// Whether its own kernel said so.
-    pub refused: bool,
+    pub connection_refused: bool,
     /// Since when, by this process's clock.
-    pub since: i64,
+    pub state_since: i64,
     /// Who says so of its own seeing.
-    pub witness: MemberId,
+    pub reporter: MemberId,
 }
 
 impl MemberClaim {
     /// Which saying, and what of it.
     #[must_use]
-    pub fn version(&self) -> Precedence {
-        Precedence { stamp: self.said.card.stamp(), state: self.state }
+    pub fn precedence(&self) -> Precedence {
+        Precedence { version: self.encoded.record.version(), state: self.state }
     }
 }
 
 /// Reads an entry; `None` where it is none, or of a later version's states.
 #[must_use]
 pub fn read(entry: &WireEntry, now: Nanos) -> Option<MemberClaim> {
-    let card = MemberRecord::read(&entry.card).ok()?;
-    let state = MemberState::of(entry.state)?;
-    let since = (now as i64).saturating_sub(i64::from(entry.age) * AGE_UNIT);
-    let said = EncodedRecord::new(card, entry.card.clone());
-    Some(MemberClaim { said, state, refused: entry.refused, since, witness: MemberId(entry.witness) })
+    let card = MemberRecord::from_bytes(&entry.record).ok()?;
+    let state = MemberState::from_code(entry.state)?;
+    let since = (now as i64).saturating_sub(i64::from(entry.age_deciseconds) * AGE_UNIT);
+    let said = EncodedRecord::new(card, entry.record.clone());
+    Some(MemberClaim { encoded: said, state, connection_refused: entry.connection_refused, state_since: since, reporter: MemberId(entry.reporter) })
 }
 
 /// What became of something heard.
@@ -186,19 +186,19 @@
 
     /// How many are held for this.
     #[must_use]
-    pub fn count(&self, state: MemberState) -> usize {
-        self.counts[state.number() as usize] as usize
+    pub fn count_in_state(&self, state: MemberState) -> usize {
+        self.counts[state.code() as usize] as usize
     }
 
     /// How many take part.
     #[must_use]
-    pub fn there(&self) -> usize {
-        MemberState::ALL.into_iter().filter(|state| state.is_there()).map(|state| self.count(state)).sum()
+    pub fn active_count(&self) -> usize {
+        MemberState::ALL.into_iter().filter(|state| state.is_active()).map(|state| self.count_in_state(state)).sum()
     }
 
     /// The entry at a place, for draws.
     #[must_use]
-    pub fn at(&self, place: usize) -> &MemberEntry {
+    pub fn entry_at(&self, place: usize) -> &MemberEntry {
         &self.all[place]
     }
 
@@ -210,10 +210,10 @@
 
     /// Memory that it takes, counted by what it has reserved; what the allocator adds is not known here.
     #[must_use]
-    pub fn bytes(&self) -> usize {
+    pub fn allocated_bytes(&self) -> usize {
         let slots = self.slots.capacity() * (size_of::<(MemberId, u32)>() + 1);
         let entries = self.all.capacity() * size_of::<MemberEntry>();
-        let said: usize = self.all.iter().map(|held| held.said.bytes()).sum();
+        let said: usize = self.all.iter().map(|held| held.encoded.bytes()).sum();
         size_of::<Self>() + slots + entries + said
     }
 
@@ -231,33 +231,33 @@
 
     /// Of its parts.
     #[must_use]
-    pub fn parts(&self) -> &[u64; PARTITIONS] {
+    pub fn partition_digests(&self) -> &[u64; PARTITIONS] {
         &self.parts
     }
 
     /// Entries of some parts.
-    pub fn of_parts<'a>(&'a self, parts: &'a [u64]) -> impl Iterator<Item = &'a MemberEntry> {
-        self.all.iter().filter(|held| parts.contains(&(part(held.said.key) as u64)))
+    pub fn entries_in_partitions<'a>(&'a self, parts: &'a [u64]) -> impl Iterator<Item = &'a MemberEntry> {
+        self.all.iter().filter(|held| parts.contains(&(part(held.encoded.key) as u64)))
     }
 
     /// Takes what was heard, where it counts more than what is held. What only differs by who says so changes nothing.
     pub fn merge(&mut self, heard: &MemberClaim) -> MergeOutcome {
-        let key = heard.said.key;
+        let key = heard.encoded.key;
         let Some(&slot) = self.slots.get(&key) else {
             if self.all.len() >= MAX_MEMBERS {
                 return MergeOutcome::Ignored;
             }
             self.slots.insert(key, self.all.len() as u32);
             self.all.push(MemberEntry {
-                said: heard.said.clone(),
+                encoded: heard.encoded.clone(),
                 state: heard.state,
-                refused: heard.refused,
-                here: true,
-                missed: 0,
-                flaps: 0,
-                since: heard.since,
-                heard: i64::MIN,
-                witness: heard.witness,
+                connection_refused: heard.connection_refused,
+                reachable_from_here: true,
+                consecutive_indirect_acks: 0,
+                flap_count: 0,
+                state_since: heard.state_since,
+                last_heard: i64::MIN,
+                reporter: heard.reporter,
             });
             self.count_in(self.all.len() - 1, true);
             return MergeOutcome::Inserted;
@@ -265,59 +265,59 @@
         let slot = slot as usize;
         let held = &self.all[slot];
         // Two names of one key, or two sayings under one stamp: whoever sees both keeps the same one.
-        let order = (heard.version(), heard.said.digest).cmp(&(held.version(), held.said.digest));
+        let order = (heard.precedence(), heard.encoded.digest).cmp(&(held.precedence(), held.encoded.digest));
         match order {
             std::cmp::Ordering::Less => return MergeOutcome::Ignored,
             std::cmp::Ordering::Equal => return MergeOutcome::Unchanged,
             std::cmp::Ordering::Greater => {}
         }
-        if heard.said.card.name != held.said.card.name {
+        if heard.encoded.record.name != held.encoded.record.name {
             return MergeOutcome::Ignored;
         }
         let before = held.state;
         self.count_in(slot, false);
         let held = &mut self.all[slot];
-        held.said = heard.said.clone();
+        held.encoded = heard.encoded.clone();
         held.state = heard.state;
-        held.refused = heard.refused;
-        held.since = heard.since;
-        held.witness = heard.witness;
+        held.connection_refused = heard.connection_refused;
+        held.state_since = heard.state_since;
+        held.reporter = heard.reporter;
         self.count_in(slot, true);
         MergeOutcome::Updated(before)
     }
 
     fn count_in(&mut self, slot: usize, is_in: bool) {
         let held = &self.all[slot];
-        self.parts[part(held.said.key)] ^= held.mark();
-        let count = &mut self.counts[held.state.number() as usize];
+        self.parts[part(held.encoded.key)] ^= held.mark();
+        let count = &mut self.counts[held.state.code() as usize];
         *count = if is_in { *count + 1 } else { *count - 1 };
     }
 
     fn remove(&mut self, slot: usize) {
         self.count_in(slot, false);
         let gone = self.all.swap_remove(slot);
-        self.slots.remove(&gone.said.key);
+        self.slots.remove(&gone.encoded.key);
         if let Some(moved) = self.all.get(slot) {
-            self.slots.insert(moved.said.key, slot as u32);
+            self.slots.insert(moved.encoded.key, slot as u32);
         }
     }
 
     /// Forgets whoever has been gone for too long, and the oldest of those where they are too many.
-    pub fn forget(&mut self, now: Nanos, memory: Nanos) {
-        let gone = |held: &MemberEntry| !held.state.is_there();
+    pub fn forget_expired(&mut self, now: Nanos, memory: Nanos) {
+        let gone = |held: &MemberEntry| !held.state.is_active();
         let mut slot = 0;
         while slot < self.all.len() {
             let held = &self.all[slot];
-            if gone(held) && (now as i64).saturating_sub(held.since) > memory as i64 {
+            if gone(held) && (now as i64).saturating_sub(held.state_since) > memory as i64 {
                 self.remove(slot);
             } else {
                 slot += 1;
             }
         }
-        let count = self.count(MemberState::Dead) + self.count(MemberState::Left);
+        let count = self.count_in_state(MemberState::Dead) + self.count_in_state(MemberState::Left);
         if count > MAX_TOMBSTONES {
             let mut since: Vec<_> =
-                self.all.iter().filter(|held| gone(held)).map(|held| (held.since, held.said.key)).collect();
+                self.all.iter().filter(|held| gone(held)).map(|held| (held.state_since, held.encoded.key)).collect();
             since.sort_unstable();
             for (_, key) in since.into_iter().take(count - MAX_TOMBSTONES) {
                 if let Some(&slot) = self.slots.get(&key) {
@@ -328,7 +328,7 @@
     }
 
     /// Forgets everybody but one.
-    pub fn keep_only(&mut self, key: MemberId) {
+    pub fn retain_only(&mut self, key: MemberId) {
         let own = self.get(key).cloned();
         *self = Self::default();
         if let Some(own) = own {
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -3,7 +3,7 @@
 
 use prost::Message;
 
-use crate::card::hash;
+use crate::card::stable_hash;
 use crate::settings::{MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES};
 
 /// Links of another major version are refused.
@@ -16,19 +16,19 @@
 pub struct WireEntry {
     /// The member's own saying, as the bytes that it wrote.
     #[prost(bytes = "vec", tag = "1")]
-    pub card: Vec<u8>,
+    pub record: Vec<u8>,
     /// What it is held for.
     #[prost(uint32, tag = "2")]
     pub state: u32,
     /// For how long, in tenths of a second, by the clock of who tells.
     #[prost(uint32, tag = "3")]
-    pub age: u32,
+    pub age_deciseconds: u32,
     /// Who says so of its own seeing.
     #[prost(fixed64, tag = "4")]
-    pub witness: u64,
+    pub reporter: u64,
     /// Its own kernel said so: it refuses connections.
     #[prost(bool, tag = "5")]
-    pub refused: bool,
+    pub connection_refused: bool,
 }
 
 /// What a datagram is.
@@ -52,19 +52,19 @@
 pub struct Datagram {
     /// The link's version.
     #[prost(uint32, tag = "1")]
-    pub major: u32,
+    pub protocol_major: u32,
     /// See [`MINOR`].
     #[prost(uint32, tag = "2")]
-    pub minor: u32,
+    pub protocol_minor: u32,
     /// The fleet's name, as a number.
     #[prost(fixed64, tag = "3")]
-    pub fleet: u64,
+    pub fleet_id: u64,
     /// Who sends it.
     #[prost(fixed64, tag = "4")]
-    pub from: u64,
+    pub sender_id: u64,
     /// Its process.
     #[prost(uint64, tag = "5")]
-    pub epoch: u64,
+    pub sender_epoch: u64,
     /// What it is.
     #[prost(enumeration = "DatagramKind", tag = "6")]
     pub kind: i32,
@@ -73,13 +73,13 @@
     pub seq: u32,
     /// Whom the question is about.
     #[prost(fixed64, tag = "8")]
-    pub about: u64,
+    pub target_id: u64,
     /// Its sender does not know whom it answers, or only an older saying of it.
     #[prost(bool, tag = "9")]
-    pub unknown: bool,
+    pub record_unknown: bool,
     /// News.
     #[prost(message, repeated, tag = "10")]
-    pub news: Vec<WireEntry>,
+    pub updates: Vec<WireEntry>,
 }
 
 /// What a frame of a stream is.
@@ -109,34 +109,34 @@
 pub struct Frame {
     /// The link's version.
     #[prost(uint32, tag = "1")]
-    pub major: u32,
+    pub protocol_major: u32,
     /// See [`MINOR`].
     #[prost(uint32, tag = "2")]
-    pub minor: u32,
+    pub protocol_minor: u32,
     /// The fleet's name, as a number.
     #[prost(fixed64, tag = "3")]
-    pub fleet: u64,
+    pub fleet_id: u64,
     /// Who sends it.
     #[prost(fixed64, tag = "4")]
-    pub from: u64,
+    pub sender_id: u64,
     /// Its process.
     #[prost(uint64, tag = "5")]
-    pub epoch: u64,
+    pub sender_epoch: u64,
     /// What it is.
     #[prost(enumeration = "FrameKind", tag = "6")]
-    pub step: i32,
+    pub kind: i32,
     /// Of the whole view.
     #[prost(fixed64, tag = "7")]
     pub fingerprint: u64,
     /// Of its parts, or the numbers of those that differ.
     #[prost(fixed64, repeated, tag = "8")]
-    pub parts: Vec<u64>,
+    pub partitions: Vec<u64>,
     /// Entries.
     #[prost(message, repeated, tag = "9")]
     pub entries: Vec<WireEntry>,
     /// Why it is refused.
     #[prost(string, tag = "10")]
-    pub why: String,
+    pub reject_reason: String,
 }
 
 /// Why bytes are not taken.
@@ -159,7 +159,7 @@
 /// A fleet's name as a number.
 #[must_use]
 pub fn fleet(name: &str) -> u64 {
-    hash(&[b"fleet", name.as_bytes()])
+    stable_hash(&[b"fleet", name.as_bytes()])
 }
 
 fn known(major: u32, fleet: u64, own: u64) -> Result<(), ProtocolError> {
@@ -177,12 +177,12 @@
     ///
     /// # Errors
     /// Why it is none.
-    pub fn read(bytes: &[u8], own: u64) -> Result<Self, ProtocolError> {
+    pub fn from_bytes(bytes: &[u8], own: u64) -> Result<Self, ProtocolError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(ProtocolError::TooLong(bytes.len()));
         }
         let one = Self::decode(bytes).map_err(|error| ProtocolError::NoMessage(error.to_string()))?;
-        known(one.major, one.fleet, own)?;
+        known(one.protocol_major, one.fleet_id, own)?;
         Ok(one)
     }
 }
@@ -192,12 +192,12 @@
     ///
     /// # Errors
     /// Why it is none.
-    pub fn read(bytes: &[u8], own: u64) -> Result<Self, ProtocolError> {
+    pub fn from_bytes(bytes: &[u8], own: u64) -> Result<Self, ProtocolError> {
         if bytes.len() > MAX_FRAME_BYTES {
             return Err(ProtocolError::TooLong(bytes.len()));
         }
         let one = Self::decode(bytes).map_err(|error| ProtocolError::NoMessage(error.to_string()))?;
-        known(one.major, one.fleet, own)?;
+        known(one.protocol_major, one.fleet_id, own)?;
         Ok(one)
     }
 }
--- a/crates/membership/tests/foca.rs
+++ b/crates/membership/tests/foca.rs
@@ -159,14 +159,14 @@
 }
 
 fn own(seed: u64, loss: f64) -> Simulation {
-    let mut sim = Simulation::new(SimulationConfig { loss, ..SimulationConfig::calm(NODES, seed) });
+    let mut sim = Simulation::new(SimulationConfig { loss, ..SimulationConfig::without_faults(NODES, seed) });
     sim.start_all_known();
-    sim.run(20 * SECOND);
+    sim.run_for(20 * SECOND);
     sim
 }
 
 fn own_lost_by(sim: &Simulation, by: usize) -> usize {
-    (0..NODES).filter(|&of| of != by && sim.held(by, of).is_none_or(|state| state >= MemberState::Dead)).count()
+    (0..NODES).filter(|&of| of != by && sim.state_of(by, of).is_none_or(|state| state >= MemberState::Dead)).count()
 }
 
 fn library(seed: u64, loss: f64) -> Fleet {
@@ -185,36 +185,36 @@
         // One that is cut off itself for 40 s: whom it gives up.
         let (mut fleet, mut sim) = (library(seed, 0.0), own(seed, 0.0));
         fleet.cut = |from, to| from == 9 || to == 9;
-        sim.cut(|from, to| from == 9 || to == 9);
+        sim.block_links(|from, to| from == 9 || to == 9);
         fleet.run(40 * SECOND);
-        sim.run(40 * SECOND);
+        sim.run_for(40 * SECOND);
         let cut = (lost_by(&fleet, 9), own_lost_by(&sim, 9));
         fleet.cut = |_, _| false;
-        sim.cut(|_, _| false);
+        sim.block_links(|_, _| false);
         fleet.run(20 * SECOND);
-        sim.run(20 * SECOND);
+        sim.run_for(20 * SECOND);
         let back = (fleet.missing().len(), (0..NODES).map(|by| own_lost_by(&sim, by)).sum::<usize>());
         // Loss of 30% for a minute.
         let (mut fleet, mut sim) = (library(seed, 0.3), own(seed, 0.3));
         let mut loss = (0, 0);
         for _ in 0..600 {
             fleet.run(100 * MS);
-            sim.run(100 * MS);
+            sim.run_for(100 * MS);
             loss.0 += fleet.missing().len();
             loss.1 += (0..NODES).map(|by| own_lost_by(&sim, by)).sum::<usize>();
         }
         // Two halves for a minute: until all are one again.
         let (mut fleet, mut sim) = (library(seed, 0.0), own(seed, 0.0));
         fleet.cut = |from, to| from % 2 != to % 2;
-        sim.cut(|from, to| from % 2 != to % 2);
+        sim.block_links(|from, to| from % 2 != to % 2);
         fleet.run(60 * SECOND);
-        sim.run(60 * SECOND);
+        sim.run_for(60 * SECOND);
         fleet.cut = |_, _| false;
-        sim.cut(|_, _| false);
+        sim.block_links(|_, _| false);
         let mut heal = (None, None);
         for tenth in 1..600 {
             fleet.run(100 * MS);
-            sim.run(100 * MS);
+            sim.run_for(100 * MS);
             if fleet.missing().is_empty() {
                 heal.0 = heal.0.or(Some(tenth));
             }
@@ -248,9 +248,9 @@
     fleet.run(20 * SECOND);
     let gone = |by: usize| !fleet.all[by].iter_members().any(|member| member.id().0 == 4);
     assert!((0..NODES).filter(|by| *by != 4).all(gone));
-    let mut sim = Simulation::new(SimulationConfig::calm(NODES, 3));
+    let mut sim = Simulation::new(SimulationConfig::without_faults(NODES, 3));
     sim.start_all_known();
-    sim.stop(4);
-    sim.run(20 * SECOND);
-    assert!((0..NODES).filter(|by| *by != 4).all(|by| sim.held(by, 4) == Some(MemberState::Stalled)));
+    sim.pause(4);
+    sim.run_for(20 * SECOND);
+    assert!((0..NODES).filter(|by| *by != 4).all(|by| sim.state_of(by, 4) == Some(MemberState::Stalled)));
 }
--- a/crates/membership/tests/hostile.rs
+++ b/crates/membership/tests/hostile.rs
@@ -17,39 +17,39 @@
 }
 
 fn entry(card: &MemberRecord, state: MemberState, age: u32) -> WireEntry {
-    WireEntry { card: card.encode_to_vec(), state: state.number(), age, witness: 0, refused: false }
+    WireEntry { record: card.encode_to_vec(), state: state.code(), age_deciseconds: age, reporter: 0, connection_refused: false }
 }
 
 fn member(of: usize, fleet: &str, seeds: &[usize]) -> Membership {
     let setup = MembershipConfig {
         settings: Settings::default(),
-        fleet: fleet.into(),
-        card: card(of, 5, 0),
+        fleet_name: fleet.into(),
+        record: card(of, 5, 0),
         seeds: seeds.iter().map(|seed| address(*seed)).collect(),
-        reach: Vec::new(),
-        nodes: 1,
-        seed: 1,
+        address_overrides: Vec::new(),
+        initial_node_count: 1,
+        rng_seed: 1,
     };
     Membership::new(setup, NOW).unwrap()
 }
 
 fn datagram(own: u64, kind: DatagramKind, news: Vec<WireEntry>) -> Datagram {
     Datagram {
-        major: MAJOR,
-        minor: 0,
-        fleet: own,
-        from: MemberId::of("n9").0,
-        epoch: 5,
+        protocol_major: MAJOR,
+        protocol_minor: 0,
+        fleet_id: own,
+        sender_id: MemberId::from_name("n9").0,
+        sender_epoch: 5,
         kind: kind as i32,
         seq: 3,
-        about: MemberId::of("n0").0,
-        unknown: false,
-        news,
+        target_id: MemberId::from_name("n0").0,
+        record_unknown: false,
+        updates: news,
     }
 }
 
 fn sent(member: &mut Membership) -> Vec<(std::net::SocketAddr, Vec<u8>)> {
-    let outputs: Vec<_> = member.outputs().collect();
+    let outputs: Vec<_> = member.take_outputs().collect();
     outputs
         .into_iter()
         .filter_map(|output| match output {
@@ -68,7 +68,7 @@
     ) {
         let heard: Vec<_> = all.iter().map(|&(of, epoch, incarnation, state, zone)| {
             let card = MemberRecord { zone: format!("z{zone}"), ..card(of, epoch, incarnation) };
-            read(&entry(&card, MemberState::of(state).unwrap(), 0), NOW).unwrap()
+            read(&entry(&card, MemberState::from_code(state).unwrap(), 0), NOW).unwrap()
         }).collect();
         let play = |order: &[usize]| {
             let mut table = MemberTable::default();
@@ -76,9 +76,9 @@
                 table.merge(&heard[place]);
             }
             let mut held: Vec<_> =
-                table.iter().map(|held| (held.said.key(), held.version(), held.said.card.zone.clone())).collect();
+                table.iter().map(|held| (held.encoded.id(), held.precedence(), held.encoded.record.zone.clone())).collect();
             held.sort();
-            let counted: usize = MemberState::ALL.iter().map(|state| table.count(*state)).sum();
+            let counted: usize = MemberState::ALL.iter().map(|state| table.count_in_state(*state)).sum();
             (held, table.fingerprint(), counted == table.len())
         };
         let straight: Vec<_> = (0..heard.len()).collect();
@@ -100,7 +100,7 @@
         drop(sent(&mut one));
         let stranger = address(77);
         one.on_datagram(NOW, stranger, &bytes);
-        let _ = one.on_frame(NOW, stranger, &bytes);
+        let _ = one.on_stream_request(NOW, stranger, &bytes);
         let mut good = datagram(fleet("a"), DatagramKind::Ping, vec![entry(&card(1, 5, 0), MemberState::Alive, 0)]).encode_to_vec();
         let place = at % good.len();
         good[place] ^= bytes.first().copied().unwrap_or(1);
@@ -128,7 +128,7 @@
         assert!(back.len() == 1 && back[0].1.len() <= ping.len(), "{} for {}", back[0].1.len(), ping.len());
     }
     // Put through it, a question goes to a member's own address, once, and is small.
-    let asked = Datagram { about: MemberId::of("n3").0, ..datagram(fleet("a"), DatagramKind::IndirectPing, vec![]) };
+    let asked = Datagram { target_id: MemberId::from_name("n3").0, ..datagram(fleet("a"), DatagramKind::IndirectPing, vec![]) };
     for _ in 0..500 {
         one.on_datagram(NOW, address(78), &asked.encode_to_vec());
     }
@@ -143,23 +143,23 @@
     let mut two = member(1, "b", &[0]);
     two.on_timer(NOW + SECOND);
     let frame = two
-        .outputs()
+        .take_outputs()
         .find_map(|output| match output {
             Output::PushPull { frame, .. } => Some(frame),
             _ => None,
         })
         .unwrap();
-    let (error, refusal) = one.on_frame(NOW, address(1), &frame).unwrap_err();
+    let (error, refusal) = one.on_stream_request(NOW, address(1), &frame).unwrap_err();
     assert_eq!(error, ProtocolError::Fleet);
-    assert!(matches!(two.on_reply(NOW + SECOND, address(0), &refusal), StreamAction::Close));
+    assert!(matches!(two.on_stream_reply(NOW + SECOND, address(0), &refusal), StreamAction::Close));
     for _ in 0..5 {
-        let _ = one.on_frame(NOW, address(1), &frame);
+        let _ = one.on_stream_request(NOW, address(1), &frame);
         one.on_datagram(NOW, address(1), &datagram(fleet("b"), DatagramKind::Ping, vec![]).encode_to_vec());
     }
-    let later = Datagram { major: MAJOR + 1, ..datagram(fleet("a"), DatagramKind::Ping, vec![]) };
+    let later = Datagram { protocol_major: MAJOR + 1, ..datagram(fleet("a"), DatagramKind::Ping, vec![]) };
     one.on_datagram(NOW, address(2), &later.encode_to_vec());
     let refused: Vec<_> =
-        one.outputs().filter(|output| matches!(output, Output::Event(Event::PeerRejected { .. }))).collect();
+        one.take_outputs().filter(|output| matches!(output, Output::Event(Event::PeerRejected { .. }))).collect();
     assert_eq!(refused.len(), 2, "{refused:?}");
     assert_eq!((one.table().len(), two.table().len()), (1, 1));
 }
@@ -180,21 +180,21 @@
     }
     let later = Later { name: name(4), epoch: 7, address: address(4).to_string(), later: "kept".into() };
     let mut one = member(0, "a", &[]);
-    let news = WireEntry { card: later.encode_to_vec(), ..entry(&card(4, 7, 0), MemberState::Alive, 0) };
+    let news = WireEntry { record: later.encode_to_vec(), ..entry(&card(4, 7, 0), MemberState::Alive, 0) };
     one.on_datagram(NOW, address(9), &datagram(fleet("a"), DatagramKind::Gossip, vec![news]).encode_to_vec());
-    let held = one.table().get(MemberId::of("n4")).unwrap();
-    assert_eq!(Later::decode(&*held.entry(NOW).card).unwrap(), later);
+    let held = one.table().get(MemberId::from_name("n4")).unwrap();
+    assert_eq!(Later::decode(&*held.to_wire(NOW).record).unwrap(), later);
     // A state of a later version is nothing that this one could go by.
     let news = WireEntry { state: 9, ..entry(&card(5, 7, 0), MemberState::Alive, 0) };
     one.on_datagram(NOW, address(9), &datagram(fleet("a"), DatagramKind::Gossip, vec![news]).encode_to_vec());
-    assert!(one.table().get(MemberId::of("n5")).is_none());
+    assert!(one.table().get(MemberId::from_name("n5")).is_none());
 }
 
 /// Guards cards: what can't be one is not taken.
 #[test]
 fn cards_that_cannot_be_are_not_taken() {
     let good = card(1, 5, 0);
-    assert_eq!(MemberRecord::read(&good.encode_to_vec()).as_ref(), Ok(&good));
+    assert_eq!(MemberRecord::from_bytes(&good.encode_to_vec()).as_ref(), Ok(&good));
     for bad in [
         MemberRecord { name: String::new(), ..good.clone() },
         MemberRecord { name: "x".repeat(65), ..good.clone() },
@@ -205,11 +205,11 @@
         MemberRecord { address: "10.0.0.1:0".into(), ..good.clone() },
         MemberRecord { epoch: u64::MAX, ..good.clone() },
         MemberRecord { incarnation: u64::MAX, ..good.clone() },
-        MemberRecord { offers: vec!["x".into(); 17], ..good.clone() },
+        MemberRecord { capabilities: vec!["x".into(); 17], ..good.clone() },
     ] {
-        assert!(MemberRecord::read(&bad.encode_to_vec()).is_err(), "{bad:?}");
+        assert!(MemberRecord::from_bytes(&bad.encode_to_vec()).is_err(), "{bad:?}");
     }
-    assert!(matches!(MemberRecord::read(&[0; 5_000]), Err(RecordError::Bytes(_))));
+    assert!(matches!(MemberRecord::from_bytes(&[0; 5_000]), Err(RecordError::Bytes(_))));
 }
 
 /// Guards a whole large fleet in one frame: 1,250 names are taken, in a bounded time.
@@ -218,59 +218,59 @@
     let mut one = member(0, "a", &[1]);
     let entries = (1..1_251).map(|of| entry(&card(of, 5, 0), MemberState::Alive, 0)).collect();
     let frame = Frame {
-        major: MAJOR,
-        fleet: fleet("a"),
-        from: MemberId::of("n1").0,
-        epoch: 5,
-        step: FrameKind::Entries as i32,
+        protocol_major: MAJOR,
+        fleet_id: fleet("a"),
+        sender_id: MemberId::from_name("n1").0,
+        sender_epoch: 5,
+        kind: FrameKind::Entries as i32,
         entries,
         ..Frame::default()
     };
-    assert_eq!(one.on_reply(NOW, address(1), &frame.encode_to_vec()), StreamAction::Close);
-    assert_eq!((one.table().there(), one.is_joined()), (1_251, true));
+    assert_eq!(one.on_stream_reply(NOW, address(1), &frame.encode_to_vec()), StreamAction::Close);
+    assert_eq!((one.table().active_count(), one.is_joined()), (1_251, true));
 }
 
 /// Guards one name in two processes: the later one counts, the earlier one ends its part, with one message.
 #[test]
 fn the_later_process_of_a_name_counts() {
-    let mut sim = Simulation::new(SimulationConfig::calm(6, 1));
+    let mut sim = Simulation::new(SimulationConfig::without_faults(6, 1));
     sim.start_all_known();
-    sim.run(3 * SECOND);
+    sim.run_for(3 * SECOND);
     let mut double = member(2, "sim", &[0]);
     // Its clock is days behind; the fleet tells it how far its name has counted.
     double.on_timer(NOW);
-    let seed = sim.member(0).unwrap().table().get(MemberId::of("n2")).unwrap().entry(0);
-    let old = sim.member(2).unwrap().card().epoch;
+    let seed = sim.member(0).unwrap().table().get(MemberId::from_name("n2")).unwrap().to_wire(0);
+    let old = sim.member(2).unwrap().record().epoch;
     let told = Frame {
-        major: MAJOR,
-        fleet: fleet("sim"),
-        from: MemberId::of("n0").0,
-        epoch: 5,
-        step: FrameKind::Entries as i32,
+        protocol_major: MAJOR,
+        fleet_id: fleet("sim"),
+        sender_id: MemberId::from_name("n0").0,
+        sender_epoch: 5,
+        kind: FrameKind::Entries as i32,
         entries: vec![seed],
         ..Frame::default()
     };
-    double.on_reply(NOW, address(0), &told.encode_to_vec());
-    assert_eq!(double.card().epoch, old + 1);
-    let own = double.table().get(MemberId::of("n2")).unwrap().entry(NOW);
+    double.on_stream_reply(NOW, address(0), &told.encode_to_vec());
+    assert_eq!(double.record().epoch, old + 1);
+    let own = double.table().get(MemberId::from_name("n2")).unwrap().to_wire(NOW);
     let news = datagram(fleet("sim"), DatagramKind::Gossip, vec![own]).encode_to_vec();
-    sim.with(0, |member, now| member.on_datagram(now, address(9), &news));
-    sim.run(5 * SECOND);
-    let events = sim.events(2);
+    sim.with_member(0, |member, now| member.on_datagram(now, address(9), &news));
+    sim.run_for(5 * SECOND);
+    let events = sim.take_events(2);
     let ended = events.iter().filter(|event| matches!(event, Event::Superseded { .. })).count();
-    assert!(ended == 1 && sim.member(2).unwrap().is_over(), "{events:?}");
+    assert!(ended == 1 && sim.member(2).unwrap().is_stopped(), "{events:?}");
 }
 
 /// Guards against a liar: whom it calls dead stays, and is alive for all again within seconds; whom it invents goes again.
 #[test]
 fn a_liar_does_bounded_harm() {
     for seed in 0..5 {
-        let mut sim = Simulation::new(SimulationConfig::calm(12, seed));
+        let mut sim = Simulation::new(SimulationConfig::without_faults(12, seed));
         sim.start_all_known();
-        sim.run(5 * SECOND);
+        sim.run_for(5 * SECOND);
         for round in 0..20 {
             for victim in 1..12 {
-                let mut card = sim.member(victim).unwrap().card().clone();
+                let mut card = sim.member(victim).unwrap().record().clone();
                 // Also with numbers far beyond what the victim ever said.
                 card.incarnation = [card.incarnation, card.incarnation + (1 << 40), (1 << 62) - 1][round % 3];
                 let lies = vec![
@@ -278,20 +278,20 @@
                     entry(&self::card(500 + round, 1, 0), MemberState::Alive, 0),
                 ];
                 let news = datagram(fleet("sim"), DatagramKind::Gossip, lies).encode_to_vec();
-                sim.with(3, |member, now| member.on_datagram(now, address(0), &news));
+                sim.with_member(3, |member, now| member.on_datagram(now, address(0), &news));
             }
-            sim.run(SECOND);
+            sim.run_for(SECOND);
         }
         let dead_for = |sim: &Simulation| {
             (0..12)
                 .flat_map(|by| (0..12).map(move |of| (by, of)))
-                .filter(|&(by, of)| sim.held(by, of) != Some(MemberState::Alive))
+                .filter(|&(by, of)| sim.state_of(by, of) != Some(MemberState::Alive))
                 .count()
         };
         let well = sim.run_until(SECOND / 10, 30 * SECOND, |sim| dead_for(sim) == 0);
         assert!(well.is_some(), "seed {seed}");
-        let gone = sim.run_until(SECOND, 300 * SECOND, |sim| sim.member(1).unwrap().table().there() == 12);
-        assert!(gone.is_some(), "seed {seed}: {}", sim.member(1).unwrap().table().there());
+        let gone = sim.run_until(SECOND, 300 * SECOND, |sim| sim.member(1).unwrap().table().active_count() == 12);
+        assert!(gone.is_some(), "seed {seed}: {}", sim.member(1).unwrap().table().active_count());
     }
 }
 
@@ -314,12 +314,12 @@
     }
     assert_eq!(one.table().fingerprint(), print);
     let stamp = RecordVersion { epoch: Epoch(6), incarnation: Incarnation(0) };
-    assert_eq!(one.table().get(MemberId::of("n1")).unwrap().version(), Precedence { stamp, state: MemberState::Alive });
+    assert_eq!(one.table().get(MemberId::from_name("n1")).unwrap().precedence(), Precedence { version: stamp, state: MemberState::Alive });
     // Of one that nobody remembers, what is older than memory.
     say(&mut one, NOW, &card(2, 5, 0), MemberState::Alive);
     let news = vec![entry(&card(3, 5, 0), MemberState::Dead, 10 * 3_601)];
     one.on_datagram(NOW, address(9), &datagram(fleet("a"), DatagramKind::Gossip, news).encode_to_vec());
-    assert!(one.table().get(MemberId::of("n3")).is_none() && one.table().get(MemberId::of("n2")).is_some());
+    assert!(one.table().get(MemberId::from_name("n3")).is_none() && one.table().get(MemberId::from_name("n2")).is_some());
 }
 
 /// Guards bounds: a table takes no more than the largest fleet, and remembers no more than some of the gone.
@@ -329,17 +329,17 @@
     let heard = |of: usize, state: MemberState| {
         let card = card(of, 1, 0);
         let raw = card.encode_to_vec();
-        MemberClaim { said: EncodedRecord::new(card, raw), state, refused: false, since: of as i64, witness: MemberId(0) }
+        MemberClaim { encoded: EncodedRecord::new(card, raw), state, connection_refused: false, state_since: of as i64, reporter: MemberId(0) }
     };
     for of in 0..20_000 {
         table.merge(&heard(of, if of < 8_000 { MemberState::Dead } else { MemberState::Alive }));
     }
     assert_eq!(table.len(), 16_384);
-    table.forget(SECOND, 3_600 * SECOND);
-    assert_eq!((table.count(MemberState::Dead), table.there()), (4_096, 16_384 - 8_000));
-    assert!(table.get(MemberId::of("n100")).is_none() && table.get(MemberId::of("n7999")).is_some(), "the oldest go");
+    table.forget_expired(SECOND, 3_600 * SECOND);
+    assert_eq!((table.count_in_state(MemberState::Dead), table.active_count()), (4_096, 16_384 - 8_000));
+    assert!(table.get(MemberId::from_name("n100")).is_none() && table.get(MemberId::from_name("n7999")).is_some(), "the oldest go");
     assert_eq!(table.merge(&heard(30_000, MemberState::Alive)), MergeOutcome::Inserted);
     let before = table.fingerprint();
-    table.forget(4_000 * SECOND, 3_600 * SECOND);
-    assert!(table.count(MemberState::Dead) == 0 && table.fingerprint() != before);
+    table.forget_expired(4_000 * SECOND, 3_600 * SECOND);
+    assert!(table.count_in_state(MemberState::Dead) == 0 && table.fingerprint() != before);
 }
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -56,18 +56,18 @@
                         .table()
                         .iter()
                         .map(|held| {
-                            (held.said.key(), held.version(), held.here, held.heard - node.now as i64)
+                            (held.encoded.id(), held.precedence(), held.reachable_from_here, held.last_heard - node.now as i64)
                         })
                         .collect();
                     held.sort_unstable();
                     let doubts: Vec<_> = (0..NODES)
                         .map(|of| {
                             member
-                                .doubt(MemberId::of(&name(of)))
-                                .map(|doubt| (doubt.witnesses.len(), doubt.refused))
+                                .suspicion(MemberId::from_name(&name(of)))
+                                .map(|doubt| (doubt.accusers.len(), doubt.connection_refused))
                         })
                         .collect();
-                    (held, doubts, member.next().saturating_sub(node.now), member.health(), member.is_over())
+                    (held, doubts, member.next_timer().saturating_sub(node.now), member.health_multiplier(), member.is_stopped())
                 })
             })
             .collect();
@@ -76,7 +76,7 @@
 
     fn carry_out(&mut self, of: usize) {
         let Some(member) = &mut self.nodes[of].member else { return };
-        let outputs: Vec<_> = member.outputs().collect();
+        let outputs: Vec<_> = member.take_outputs().collect();
         for output in outputs {
             let at = |to: SocketAddr| (0..NODES).find(|node| address(*node) == to);
             match output {
@@ -105,7 +105,7 @@
                     } else {
                         let now = self.nodes[of].now;
                         if let Some(member) = &mut self.nodes[of].member {
-                            member.on_checked(now, seq, StreamProbeOutcome::Refused);
+                            member.on_stream_probe(now, seq, StreamProbeOutcome::Refused);
                         }
                     }
                 }
@@ -114,8 +114,8 @@
         for by in 0..NODES {
             let Some(member) = &self.nodes[by].member else { continue };
             for held in member.table().iter() {
-                let Some(of) = (0..NODES).find(|of| MemberId::of(&name(*of)) == held.said.key()) else { continue };
-                let epoch = held.said.card.epoch;
+                let Some(of) = (0..NODES).find(|of| MemberId::from_name(&name(*of)) == held.encoded.id()) else { continue };
+                let epoch = held.encoded.record.epoch;
                 let before = self.epochs.insert((by, of), epoch);
                 self.went_back |= before.is_some_and(|before| before > epoch);
             }
@@ -133,14 +133,14 @@
         match message {
             Message::Datagram { from, bytes, .. } => member.on_datagram(now, address(*from), bytes),
             Message::Frame { from, back: false, check, bytes, .. } => {
-                if let Ok(StreamAction::Reply(bytes)) = member.on_frame(now, address(*from), bytes) {
+                if let Ok(StreamAction::Reply(bytes)) = member.on_stream_request(now, address(*from), bytes) {
                     answer = Some(Message::Frame { to: *from, from: to, back: true, check: *check, bytes });
                 }
             }
             Message::Frame { from, back: true, check, bytes, .. } => {
-                let came = member.on_reply(now, address(*from), bytes);
+                let came = member.on_stream_reply(now, address(*from), bytes);
                 if let Some(seq) = check {
-                    member.on_checked(now, *seq, StreamProbeOutcome::Answered);
+                    member.on_stream_probe(now, *seq, StreamProbeOutcome::Answered);
                 } else if let StreamAction::Reply(bytes) = came {
                     answer = Some(Message::Frame { to: *from, from: to, back: false, check: None, bytes });
                 }
@@ -154,7 +154,7 @@
     fn tick(&mut self, of: usize) {
         let node = &mut self.nodes[of];
         let Some(member) = &mut node.member else { return };
-        node.now = member.next().max(node.now + 1);
+        node.now = member.next_timer().max(node.now + 1);
         member.on_timer(node.now);
         self.carry_out(of);
     }
@@ -166,17 +166,17 @@
             name: name(of),
             epoch: node.starts,
             address: address(of).to_string(),
-            number: of as u32 + 1,
+            node_number: of as u32 + 1,
             ..MemberRecord::default()
         };
         let setup = MembershipConfig {
             settings: Settings::default(),
-            fleet: "model".into(),
-            card,
+            fleet_name: "model".into(),
+            record: card,
             seeds: (0..NODES).map(address).collect(),
-            reach: Vec::new(),
-            nodes: 1,
-            seed: of as u64,
+            address_overrides: Vec::new(),
+            initial_node_count: 1,
+            rng_seed: of as u64,
         };
         node.member = Some(Membership::new(setup, node.now).unwrap());
         // What the process before had held is gone with it.
@@ -188,7 +188,7 @@
     fn settles(&self) -> bool {
         let mut fleet = self.clone();
         for of in 0..NODES {
-            if fleet.nodes[of].member.as_ref().is_none_or(Membership::is_over) {
+            if fleet.nodes[of].member.as_ref().is_none_or(Membership::is_stopped) {
                 fleet.start(of);
             }
         }
@@ -208,7 +208,7 @@
                 fleet.nodes[of].now = at;
                 let node = &mut fleet.nodes[of];
                 if let Some(member) = &mut node.member
-                    && member.next() <= at
+                    && member.next_timer() <= at
                 {
                     member.on_timer(at);
                 }
@@ -222,7 +222,7 @@
         let members: Vec<_> = self.nodes.iter().filter_map(|node| node.member.as_ref()).collect();
         members.len() == NODES
             && members.windows(2).all(|two| two[0].table().fingerprint() == two[1].table().fingerprint())
-            && members[0].table().count(MemberState::Alive) == NODES
+            && members[0].table().count_in_state(MemberState::Alive) == NODES
     }
 }
 
@@ -276,7 +276,7 @@
                     fleet.deliver(&message);
                 }
                 let running = (0..NODES).filter(|of| fleet.nodes[*of].member.is_some());
-                let first = running.min_by_key(|of| fleet.nodes[*of].member.as_ref().map(Membership::next));
+                let first = running.min_by_key(|of| fleet.nodes[*of].member.as_ref().map(Membership::next_timer));
                 first.into_iter().for_each(|of| fleet.tick(of));
             }
             fleet
@@ -287,7 +287,7 @@
         let mut killed = settled.clone();
         killed.nodes[2].member = None;
         let held = |fleet: &Fleet| {
-            fleet.nodes[0].member.as_ref()?.table().get(MemberId::of(&name(2))).map(|held| held.state)
+            fleet.nodes[0].member.as_ref()?.table().get(MemberId::from_name(&name(2))).map(|held| held.state)
         };
         let when = |state: MemberState| {
             (0..200).map(|ticks| play_on(&killed, ticks)).find(|fleet| held(fleet) == Some(state))
--- a/crates/membership/tests/share.rs
+++ b/crates/membership/tests/share.rs
@@ -13,13 +13,13 @@
         name: name(of),
         epoch: 1,
         // Later states of one saying count more; here each is of its own.
-        incarnation: u64::from(state.number()),
+        incarnation: u64::from(state.code()),
         address: "10.0.0.1:1".into(),
-        number,
+        node_number: number,
         ..MemberRecord::default()
     };
     let raw = card.encode_to_vec();
-    MemberClaim { said: EncodedRecord::new(card, raw), state, refused, since: since as i64, witness: MemberId(0) }
+    MemberClaim { encoded: EncodedRecord::new(card, raw), state, connection_refused: refused, state_since: since as i64, reporter: MemberId(0) }
 }
 
 /// Guards leases: who left does not count, who is known to be dead counts for a while, who is out of sight for long.
@@ -33,10 +33,10 @@
     assert_eq!(counted_nodes(&table, &settings, NOW), 3);
     table.merge(&heard(7, 0, MemberState::Dead, true, NOW));
     table.merge(&heard(8, 0, MemberState::Dead, false, NOW));
-    assert_eq!(counted_nodes(&table, &settings, NOW + settings.lease - MS), 5);
-    assert_eq!(counted_nodes(&table, &settings, NOW + settings.lease), 4);
-    assert_eq!(counted_nodes(&table, &settings, NOW + settings.lost_lease - MS), 4);
-    assert_eq!(counted_nodes(&table, &settings, NOW + settings.lost_lease), 3);
+    assert_eq!(counted_nodes(&table, &settings, NOW + settings.confirmed_death_grace - MS), 5);
+    assert_eq!(counted_nodes(&table, &settings, NOW + settings.confirmed_death_grace), 4);
+    assert_eq!(counted_nodes(&table, &settings, NOW + settings.unconfirmed_death_grace - MS), 4);
+    assert_eq!(counted_nodes(&table, &settings, NOW + settings.unconfirmed_death_grace), 3);
 }
 
 /// Guards degrees: a number that rises is believed at once, one that falls by a tenth a second at the most, and never under one.
@@ -50,7 +50,7 @@
     }
     let mut last = 100;
     for second in 1..60 {
-        let now = sharing.count(&table, &settings, NOW + second * SECOND);
+        let now = sharing.update(&table, &settings, NOW + second * SECOND);
         assert!(now <= last && f64::from(now) >= 0.9 * f64::from(last) - 1.0, "{last} -> {now}");
         last = now;
     }
@@ -58,23 +58,23 @@
     for of in 10..500 {
         table.merge(&heard(of, 0, MemberState::Alive, false, NOW));
     }
-    assert_eq!(sharing.count(&table, &settings, NOW + 61 * SECOND), 500);
-    assert_eq!(NodeCount::new(0, NOW).count(&MemberTable::default(), &settings, NOW), 1);
+    assert_eq!(sharing.update(&table, &settings, NOW + 61 * SECOND), 500);
+    assert_eq!(NodeCount::new(0, NOW).update(&MemberTable::default(), &settings, NOW), 1);
 }
 
 /// Guards both sides of a cut: while rights last, each side counts all there are, so that their sum takes no more of a server than
 /// before; a restart keeps its number.
 #[test]
 fn two_sides_take_no_more_than_one() {
-    let mut sim = Simulation::new(SimulationConfig::calm(20, 4));
+    let mut sim = Simulation::new(SimulationConfig::without_faults(20, 4));
     sim.start_all_known();
-    sim.run(5 * SECOND);
-    sim.cut(|from, to| from % 2 != to % 2);
+    sim.run_for(5 * SECOND);
+    sim.block_links(|from, to| from % 2 != to % 2);
     for _ in 0..60 {
-        sim.run(2 * SECOND);
+        sim.run_for(2 * SECOND);
         for node in 0..20 {
             let mut counts = 0;
-            sim.with(node, |member, now| counts = member.nodes(now));
+            sim.with_member(node, |member, now| counts = member.node_count(now));
             assert_eq!(counts, 20);
         }
     }
@@ -84,7 +84,7 @@
 #[test]
 fn numbers_fill_gaps() {
     let mut table = MemberTable::default();
-    let me = MemberId::of("me");
+    let me = MemberId::from_name("me");
     assert_eq!(free_node_number(&table, me), 1);
     for (of, number) in [(0, 1), (1, 2), (2, 5), (3, 2)] {
         table.merge(&heard(of, number, MemberState::Alive, false, NOW));
@@ -104,8 +104,8 @@
     for (of, number) in [(0, 1), (1, 4), (2, 2), (3, 2), (4, 0), (5, 0), (6, 0), (7, 0)] {
         table.merge(&heard(of, number, MemberState::Alive, false, NOW));
     }
-    let later = MemberId::of(&name(2)).max(MemberId::of(&name(3)));
-    let takes = [later].into_iter().chain((4..8).map(|of| MemberId::of(&name(of))));
+    let later = MemberId::from_name(&name(2)).max(MemberId::from_name(&name(3)));
+    let takes = [later].into_iter().chain((4..8).map(|of| MemberId::from_name(&name(of))));
     let mut taken: Vec<_> = takes.map(|key| free_node_number(&table, key)).collect();
     taken.sort_unstable();
     assert_eq!(taken, [3, 5, 6, 7, 8]);
@@ -115,19 +115,19 @@
 #[test]
 fn numbers_of_many_that_start_at_once_are_soon_found() {
     const NODES: usize = 100;
-    let mut sim = Simulation::new(SimulationConfig::calm(NODES, 6));
+    let mut sim = Simulation::new(SimulationConfig::without_faults(NODES, 6));
     sim.start(0, &[]);
     (1..NODES).for_each(|node| sim.start(node, &[0, 1, 2]));
     let numbers = |sim: &Simulation| {
-        let number = |node| sim.member(node).map_or(0, |member: &Membership| member.card().number);
+        let number = |node| sim.member(node).map_or(0, |member: &Membership| member.record().node_number);
         let mut all: Vec<_> = (0..NODES).map(number).collect();
         all.sort_unstable();
         all
     };
     let wanted: Vec<_> = (1..=NODES as u32).collect();
-    let found = sim.run_until(100 * MS, 60 * SECOND, |sim| sim.is_settled() && numbers(sim) == wanted);
+    let found = sim.run_until(100 * MS, 60 * SECOND, |sim| sim.has_converged() && numbers(sim) == wanted);
     assert!(found.is_some(), "numbers after a minute: {:?}", numbers(&sim));
     let changes =
-        (0..NODES).filter_map(|node| sim.member(node)).map(|member| member.card().incarnation).sum::<u64>();
+        (0..NODES).filter_map(|node| sim.member(node)).map(|member| member.record().incarnation).sum::<u64>();
     assert!(changes <= 10 * NODES as u64, "{changes} changes by {NODES} members");
 }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -84,18 +84,18 @@
             epoch: clock.began() / 1_000_000,
             address: block.told_as.unwrap_or(address).to_string(),
             zone: node.zones[node.zone].clone(),
-            program: env!("CARGO_PKG_VERSION").into(),
-            offers: vec!["view".into()],
+            program_version: env!("CARGO_PKG_VERSION").into(),
+            capabilities: vec!["view".into()],
             ..MemberRecord::default()
         };
         let setup = MembershipConfig {
             settings: Settings::default(),
-            fleet: block.name.clone(),
-            card,
+            fleet_name: block.name.clone(),
+            record: card,
             seeds: block.seeds.clone(),
-            reach: block.reach.clone(),
-            nodes: node.nodes,
-            seed,
+            address_overrides: block.reach.clone(),
+            initial_node_count: node.nodes,
+            rng_seed: seed,
         };
         let member = Membership::new(setup, clock.now())?;
         info!(target: "fleet", "{} of {} speaks on {address}", node.name, block.name);
@@ -125,11 +125,11 @@
         let member = self.member.borrow();
         let table = member.table();
         vec![
-            ("pumicehead_fleet_members", table.there() as f64),
+            ("pumicehead_fleet_members", table.active_count() as f64),
             ("pumicehead_fleet_known", table.len() as f64),
-            ("pumicehead_fleet_health", f64::from(member.health())),
-            ("pumicehead_fleet_cut", f64::from(u8::from(member.is_cut()))),
-            ("pumicehead_fleet_bytes_sent", member.sent() as f64),
+            ("pumicehead_fleet_health", f64::from(member.health_multiplier())),
+            ("pumicehead_fleet_cut", f64::from(u8::from(member.is_isolated()))),
+            ("pumicehead_fleet_bytes_sent", member.bytes_sent() as f64),
             ("pumicehead_fleet_refused", self.refused.get() as f64),
         ]
     }
@@ -149,7 +149,7 @@
 
     /// Staff empty this node, or have it back at work; the fleet is told.
     pub fn set_lame(&self, lame: bool) {
-        self.member.borrow_mut().set_lame(self.clock.now(), lame);
+        self.member.borrow_mut().set_lame_duck(self.clock.now(), lame);
         self.touched.notify_one();
     }
 
@@ -163,7 +163,7 @@
     /// Says that it goes.
     pub async fn leave(&self) {
         self.member.borrow_mut().leave(self.clock.now());
-        let outputs: Vec<_> = self.member.borrow_mut().outputs().collect();
+        let outputs: Vec<_> = self.member.borrow_mut().take_outputs().collect();
         for output in outputs {
             if let Output::Datagram { to, bytes } = output {
                 let _ = self.datagrams.send_to(&bytes, to).await;
@@ -182,7 +182,7 @@
                 look = now + LOOK;
                 self.look(now);
             }
-            let next = self.member.borrow().next().min(look);
+            let next = self.member.borrow().next_timer().min(look);
             tokio::select! {
                 came = self.datagrams.recv_from(&mut bytes) => match came {
                     Ok((count, from)) => {
@@ -193,7 +193,7 @@
                 },
                 () = sleep_until(self.clock.instant(next)) => {
                     let now = self.clock.now();
-                    if self.member.borrow().next() <= now {
+                    if self.member.borrow().next_timer() <= now {
                         self.member.borrow_mut().on_timer(now);
                     }
                 }
@@ -204,15 +204,15 @@
 
     fn look(&self, now: Nanos) {
         let mut member = self.member.borrow_mut();
-        if !member.is_joined() || member.card().number == 0 || member.is_over() {
+        if !member.is_joined() || member.record().node_number == 0 || member.is_stopped() {
             return;
         }
-        let sharing = Some(Sharing { me: member.card().number - 1, nodes: member.nodes(now) });
+        let sharing = Some(Sharing { me: member.record().node_number - 1, nodes: member.node_count(now) });
         self.sharing.send_if_modified(|known| std::mem::replace(known, sharing) != sharing);
     }
 
     fn carry_out(self: &Rc<Self>) {
-        let outputs: Vec<_> = self.member.borrow_mut().outputs().collect();
+        let outputs: Vec<_> = self.member.borrow_mut().take_outputs().collect();
         for output in outputs {
             match output {
                 Output::Datagram { to, bytes } => {
@@ -235,15 +235,15 @@
     fn tell(&self, event: Event) {
         match event {
             Event::Joined { members } => info!(target: "fleet", "joined {}: {members} members", self.name),
-            Event::StateChanged { name, from, to, witness } => {
-                let number = |state: pumicehead_membership::MemberState| state.number() as u8;
+            Event::StateChanged { name, from, to, reporter } => {
+                let number = |state: pumicehead_membership::MemberState| state.code() as u8;
                 let (from_number, to_number) = (from.map(number), number(to));
                 self.tap.record(&Told::Member { name: Name::new(&name), from: from_number, to: to_number });
-                let from = from.map_or("new", pumicehead_membership::MemberState::word);
-                info!(target: "fleet", "{name}: {from} -> {}, says {witness}", to.word());
+                let from = from.map_or("new", pumicehead_membership::MemberState::as_str);
+                info!(target: "fleet", "{name}: {from} -> {}, says {reporter}", to.as_str());
             }
-            Event::ReachabilityChanged { name, here: true } => info!(target: "fleet", "{name} is reached from here again"),
-            Event::ReachabilityChanged { name, here: false } => {
+            Event::ReachabilityChanged { name, reachable: true } => info!(target: "fleet", "{name} is reached from here again"),
+            Event::ReachabilityChanged { name, reachable: false } => {
                 warn!(target: "fleet", "{name} is not reached from here, though others reach it or this node is cut off");
             }
             Event::ProcessStalled(span) => {
--- a/crates/node/src/fleet/stream.rs
+++ b/crates/node/src/fleet/stream.rs
@@ -84,7 +84,7 @@
 async fn take(fleet: &Rc<Fleet>, mut stream: TcpStream, from: SocketAddr) -> io::Result<()> {
     stream.set_nodelay(true)?;
     while let Some(bytes) = read(&mut stream).await? {
-        let came = fleet.member.borrow_mut().on_frame(fleet.clock.now(), from, &bytes);
+        let came = fleet.member.borrow_mut().on_stream_request(fleet.clock.now(), from, &bytes);
         fleet.touched.notify_one();
         match came {
             Ok(StreamAction::Reply(answer)) => write(&mut stream, &answer).await?,
@@ -130,7 +130,7 @@
         };
         match timeout(CHECK, answered).await {
             Ok(Ok(Some(bytes))) => {
-                fleet.member.borrow_mut().on_reply(fleet.clock.now(), to, &bytes);
+                fleet.member.borrow_mut().on_stream_reply(fleet.clock.now(), to, &bytes);
                 StreamProbeOutcome::Answered
             }
             // Closed or reset without a word: what is behind this address takes no connections.
@@ -139,7 +139,7 @@
         }
     };
     let checked = timeout(2 * CHECK, asked).await.unwrap_or(StreamProbeOutcome::Unreachable);
-    fleet.member.borrow_mut().on_checked(fleet.clock.now(), seq, checked);
+    fleet.member.borrow_mut().on_stream_probe(fleet.clock.now(), seq, checked);
     fleet.touched.notify_one();
 }
 
@@ -153,7 +153,7 @@
         loop {
             write(&mut stream, &next).await?;
             let Some(bytes) = read(&mut stream).await? else { return io::Result::Ok(()) };
-            let came = fleet.member.borrow_mut().on_reply(fleet.clock.now(), to, &bytes);
+            let came = fleet.member.borrow_mut().on_stream_reply(fleet.clock.now(), to, &bytes);
             fleet.touched.notify_one();
             match came {
                 StreamAction::Reply(answer) => next = answer,
--- a/crates/node/src/fleet/told.rs
+++ b/crates/node/src/fleet/told.rs
@@ -12,35 +12,35 @@
 }
 
 fn entry(member: &Membership, held: &MemberEntry, now: Nanos) -> Value {
-    let card = &held.said.card;
-    let doubt = member.doubt(held.said.key()).map(|doubt| {
-        let witnesses: Vec<_> = doubt.witnesses.iter().map(|witness| named(member, *witness)).collect();
-        let ends = doubt.ends(member.settings(), member.key(), member.table().there(), Default::default());
+    let card = &held.encoded.record;
+    let doubt = member.suspicion(held.encoded.id()).map(|doubt| {
+        let witnesses: Vec<_> = doubt.accusers.iter().map(|witness| named(member, *witness)).collect();
+        let ends = doubt.expires_at(member.settings(), member.id(), member.table().active_count(), Default::default());
         json!({ "witnesses": witnesses, "ends_in_s": ends.saturating_sub(now) as f64 / SECOND as f64 })
     });
     json!({
         "name": card.name,
-        "state": held.state.word(),
-        "phase": card.phase().word(),
-        "here": held.here,
+        "state": held.state.as_str(),
+        "phase": card.phase().as_str(),
+        "here": held.reachable_from_here,
         "zone": card.zone,
         "address": card.address,
         "epoch": format!("{:x}", card.epoch),
         "incarnation": card.incarnation,
-        "number": card.number,
-        "load": card.load,
-        "program": card.program,
-        "offers": card.offers,
-        "since_s": seconds(now, held.since),
-        "heard_s": seconds(now, held.heard),
-        "says": named(member, held.witness),
-        "refused": held.refused,
+        "number": card.node_number,
+        "load": card.load_eighths,
+        "program": card.program_version,
+        "offers": card.capabilities,
+        "since_s": seconds(now, held.state_since),
+        "heard_s": seconds(now, held.last_heard),
+        "says": named(member, held.reporter),
+        "refused": held.connection_refused,
         "doubt": doubt,
     })
 }
 
 fn named(member: &Membership, key: MemberId) -> String {
-    match member.name(key) {
+    match member.name_of(key) {
         "" => format!("{:016x}", key.0),
         name => name.to_owned(),
     }
@@ -48,19 +48,19 @@
 
 /// The whole view.
 pub fn members(fleet: &str, member: &mut Membership, now: Nanos) -> String {
-    let nodes = member.nodes(now);
+    let nodes = member.node_count(now);
     let mut all: Vec<_> = member.table().iter().collect();
-    all.sort_by(|a, b| a.said.card.name.cmp(&b.said.card.name));
+    all.sort_by(|a, b| a.encoded.record.name.cmp(&b.encoded.record.name));
     let entries: Vec<_> = all.into_iter().map(|held| entry(member, held, now)).collect();
     let view = json!({
         "fleet": fleet,
-        "me": member.card().name,
+        "me": member.record().name,
         "fingerprint": format!("{:016x}", member.table().fingerprint()),
         "joined": member.is_joined(),
-        "superseded": member.is_over(),
-        "cut": member.is_cut(),
-        "health": member.health(),
-        "there": member.table().there(),
+        "superseded": member.is_stopped(),
+        "cut": member.is_isolated(),
+        "health": member.health_multiplier(),
+        "there": member.table().active_count(),
         "nodes": nodes,
         "members": entries,
     });
@@ -69,25 +69,25 @@
 
 /// Why a node is held for what it is; `None` where it is not known.
 pub fn why(member: &Membership, now: Nanos, node: &str) -> Option<String> {
-    let held = member.table().get(MemberId::of(node))?;
-    let said = named(member, held.witness);
-    let says = if held.witness == member.key() { "this node".to_owned() } else { said };
+    let held = member.table().get(MemberId::from_name(node))?;
+    let said = named(member, held.reporter);
+    let says = if held.reporter == member.id() { "this node".to_owned() } else { said };
     let mut reasons = Vec::new();
     reasons.push(match held.state {
         MemberState::Alive => format!("it says so itself, by {says}"),
         MemberState::Left => "it said that it goes".to_owned(),
         MemberState::Stalled => format!("{says} finds that its kernel takes connections and it does not answer"),
-        MemberState::Suspect if held.refused => format!("{says} finds that its address refuses connections"),
+        MemberState::Suspect if held.connection_refused => format!("{says} finds that its address refuses connections"),
         MemberState::Suspect => format!("{says} and those that it asked to ask get no answer"),
-        MemberState::Dead if held.refused => {
+        MemberState::Dead if held.connection_refused => {
             format!("its address refused connections, and it did not say that it lives: {says}")
         }
         MemberState::Dead => format!("it answered nobody for long enough: {says}"),
     });
-    if !held.here {
+    if !held.reachable_from_here {
         reasons.push("this node does not reach it itself".into());
     }
-    if member.is_cut() {
+    if member.is_isolated() {
         reasons.push(
             "this node gets no answer from most of those that it asks: the fault may be its own".into(),
         );
--- a/crates/testbed/src/hollow/counts.rs
+++ b/crates/testbed/src/hollow/counts.rs
@@ -123,7 +123,7 @@
 
 /// The key of a name as messages carry it.
 pub(super) fn sender(name: &str) -> u64 {
-    MemberId::of(name).0
+    MemberId::from_name(name).0
 }
 
 /// What one node has sent since its start.
--- a/crates/testbed/src/hollow/node.rs
+++ b/crates/testbed/src/hollow/node.rs
@@ -104,18 +104,18 @@
             epoch: now / 1_000_000,
             address: address.to_string(),
             zone: setup.zone,
-            program: env!("CARGO_PKG_VERSION").into(),
-            offers: vec!["view".into()],
+            program_version: env!("CARGO_PKG_VERSION").into(),
+            capabilities: vec!["view".into()],
             ..MemberRecord::default()
         };
         let machine = MembershipConfig {
             settings: Settings::default(),
-            fleet: setup.fleet,
-            card,
+            fleet_name: setup.fleet,
+            record: card,
             seeds: setup.seeds,
-            reach: Vec::new(),
-            nodes: 1,
-            seed: setup.seed,
+            address_overrides: Vec::new(),
+            initial_node_count: 1,
+            rng_seed: setup.seed,
         };
         let node = Arc::new(Self {
             name: setup.name,
@@ -163,25 +163,25 @@
     #[must_use]
     pub fn view(&self) -> (u64, usize) {
         let member = self.member();
-        (member.table().fingerprint(), member.table().there())
+        (member.table().fingerprint(), member.table().active_count())
     }
 
     /// Whether it has changes to pass on to others.
     #[must_use]
     pub fn is_passing_on(&self) -> bool {
-        self.member().is_passing_on()
+        self.member().has_pending_broadcasts()
     }
 
     /// Memory that its view takes, counted, in bytes.
     #[must_use]
     pub fn view_bytes(&self) -> usize {
-        self.member().table().bytes()
+        self.member().table().allocated_bytes()
     }
 
     /// What it holds another member for.
     #[must_use]
     pub fn holds(&self, name: &str) -> Option<MemberState> {
-        self.member().table().get(MemberId::of(name)).map(|held| held.state)
+        self.member().table().get(MemberId::from_name(name)).map(|held| held.state)
     }
 
     /// Ends it as a crash does: without a word.
@@ -192,7 +192,7 @@
     /// Ends it in order: it tells some members that it goes.
     pub fn leave(&self) {
         self.member().leave(self.clock.now());
-        let outputs: Vec<_> = self.member().outputs().collect();
+        let outputs: Vec<_> = self.member().take_outputs().collect();
         for output in outputs {
             if let Output::Datagram { to, bytes } = output {
                 self.send(to, &bytes);
@@ -225,9 +225,9 @@
             let now = self.now();
             if now >= sharing_at {
                 sharing_at = now + SHARING_INTERVAL;
-                let _ = self.member().nodes(now);
+                let _ = self.member().node_count(now);
             }
-            let next = self.member().next().min(sharing_at);
+            let next = self.member().next_timer().min(sharing_at);
             tokio::select! {
                 came = self.datagrams.recv_from(&mut bytes) => {
                     // An error tells that an earlier datagram was refused: the missing answer says the same.
@@ -239,7 +239,7 @@
                 () = sleep_until(self.clock.instant(next)) => {
                     let now = self.now();
                     let mut member = self.member();
-                    if member.next() <= now {
+                    if member.next_timer() <= now {
                         member.on_timer(now);
                     }
                 }
@@ -249,7 +249,7 @@
     }
 
     fn carry_out(self: &Arc<Self>) {
-        let outputs: Vec<_> = self.member().outputs().collect();
+        let outputs: Vec<_> = self.member().take_outputs().collect();
         for output in outputs {
             match output {
                 Output::Datagram { to, bytes } => self.send(to, &bytes),
--- a/crates/testbed/src/hollow/process.rs
+++ b/crates/testbed/src/hollow/process.rs
@@ -132,7 +132,7 @@
     /// No answer, or one that is about no member.
     pub fn holds_dead(&self, name: &str) -> io::Result<bool> {
         let entry: Entry = serde_json::from_str(&self.ask(&format!("FLEET why {name}"))?)?;
-        Ok(entry.state == MemberState::Dead.word())
+        Ok(entry.state == MemberState::Dead.as_str())
     }
 
     fn ask(&self, call: &str) -> io::Result<String> {
--- a/crates/testbed/src/hollow/stream.rs
+++ b/crates/testbed/src/hollow/stream.rs
@@ -71,7 +71,7 @@
 async fn serve(node: &HollowNode, mut stream: TcpStream, from: SocketAddr) -> io::Result<()> {
     stream.set_nodelay(true)?;
     while let Some(bytes) = read(node, &mut stream).await? {
-        let came = node.member().on_frame(node.now(), from, &bytes);
+        let came = node.member().on_stream_request(node.now(), from, &bytes);
         node.touched.notify_one();
         match came {
             Ok(StreamAction::Reply(answer)) => write(node, &mut stream, &answer).await?,
@@ -104,7 +104,7 @@
     let Some(_permit) = Opened::new(&node) else { return };
     let asked = timeout(2 * CHECK_TIMEOUT, ask(&node, to, &frame));
     let checked = asked.await.unwrap_or(StreamProbeOutcome::Unreachable);
-    node.member().on_checked(node.now(), seq, checked);
+    node.member().on_stream_probe(node.now(), seq, checked);
     node.touched.notify_one();
 }
 
@@ -121,7 +121,7 @@
     };
     match timeout(CHECK_TIMEOUT, answered).await {
         Ok(Ok(Some(bytes))) => {
-            node.member().on_reply(node.now(), to, &bytes);
+            node.member().on_stream_reply(node.now(), to, &bytes);
             StreamProbeOutcome::Answered
         }
         // Closed without an answer: nothing behind this address takes connections.
@@ -144,7 +144,7 @@
     loop {
         write(node, &mut stream, &next).await?;
         let Some(bytes) = read(node, &mut stream).await? else { return Ok(()) };
-        let came = node.member().on_reply(node.now(), to, &bytes);
+        let came = node.member().on_stream_reply(node.now(), to, &bytes);
         node.touched.notify_one();
         match came {
             StreamAction::Reply(answer) => next = answer,
--- a/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
+++ b/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
@@ -85,9 +85,9 @@
 }
 
 fn known(nodes: usize, seed: u64) -> Simulation {
-    let mut sim = Simulation::new(SimulationConfig { zones: ZONES, ..SimulationConfig::calm(nodes, seed) });
+    let mut sim = Simulation::new(SimulationConfig { zones: ZONES, ..SimulationConfig::without_faults(nodes, seed) });
     sim.start_all_known();
-    sim.run(SETTLE);
+    sim.run_for(SETTLE);
     sim
 }
 
@@ -99,14 +99,14 @@
 
 /// Whether one that runs holds another dead.
 fn holds_dead(sim: &Simulation, by: usize, of: usize) -> bool {
-    sim.is_up(by) && sim.held(by, of) == Some(MemberState::Dead)
+    sim.is_up(by) && sim.state_of(by, of) == Some(MemberState::Dead)
 }
 
 /// A fleet of one size.
 pub(super) fn size(nodes: usize, seed: u64) -> VirtualSize {
     let mut sim = known(nodes, seed);
     let (bytes_before, datagrams_before) = (bytes(&sim), sim.sent().1);
-    sim.run(REST);
+    sim.run_for(REST);
     let a_second = nodes as f64 * REST as f64 / SECOND as f64;
     let (bytes, datagrams) =
         ((bytes(&sim) - bytes_before) / a_second, (sim.sent().1 - datagrams_before) as f64 / a_second);
@@ -129,15 +129,15 @@
 
 /// All start at once, with three seeds.
 pub(super) fn join(nodes: usize, seed: u64) -> VirtualJoin {
-    let mut sim = Simulation::new(SimulationConfig { zones: ZONES, ..SimulationConfig::calm(nodes, seed) });
+    let mut sim = Simulation::new(SimulationConfig { zones: ZONES, ..SimulationConfig::without_faults(nodes, seed) });
     sim.start(0, &[]);
     (1..nodes).for_each(|node| sim.start(node, &[0, 1, 2]));
     let all_see_all = |sim: &Simulation| {
-        sim.is_settled() && sim.member(0).is_some_and(|member| member.table().count(MemberState::Alive) == nodes)
+        sim.has_converged() && sim.member(0).is_some_and(|member| member.table().count_in_state(MemberState::Alive) == nodes)
     };
     let settled = sim.run_until(STEP, LIMIT, all_see_all);
     let a_second = nodes as f64 * settled.unwrap_or(LIMIT).max(STEP) as f64 / SECOND as f64;
-    let incarnation = |node| sim.member(node).map_or(0, |member| member.card().incarnation);
+    let incarnation = |node| sim.member(node).map_or(0, |member| member.record().incarnation);
     let changes = (0..nodes).map(incarnation).sum::<u64>() as f64 / nodes as f64;
     VirtualJoin { nodes, settled: span(settled), bytes: bytes(&sim) / a_second, changes }
 }
@@ -162,7 +162,7 @@
     let mut most = 0.0f64;
     for _ in 0..seconds {
         let before = bytes(sim);
-        sim.run(SECOND);
+        sim.run_for(SECOND);
         most = most.max(bytes(sim) - before);
     }
     most
@@ -175,7 +175,7 @@
 /// Two regions lose each other for a minute.
 pub(super) fn regions_cut(nodes: usize, seed: u64) -> Cut {
     let mut sim = known(nodes, seed);
-    sim.cut(|from, to| region(from) != region(to) && region(from) < 2 && region(to) < 2);
+    sim.block_links(|from, to| region(from) != region(to) && region(from) < 2 && region(to) < 2);
     let before = bytes(&sim);
     let (mut in_cut, mut wronged) = (0.0f64, 0);
     for _ in 0..CUT / SECOND {
@@ -184,7 +184,7 @@
         wronged = wronged.max((0..nodes).filter(is_wronged).count());
     }
     let bytes = (bytes(&sim) - before) / nodes as f64 / (CUT / SECOND) as f64;
-    sim.cut(|_, _| false);
+    sim.block_links(|_, _| false);
     let (healed, after) = heal(&mut sim, nodes);
     let peak_bytes = in_cut.max(after) / nodes as f64;
     Cut { nodes, wronged, bytes, peak_bytes, healed: span(healed) }
@@ -193,7 +193,7 @@
 /// Until all hold the same again with all alive, and the bytes of all in the worst second until then.
 fn heal(sim: &mut Simulation, nodes: usize) -> (Option<Nanos>, f64) {
     let is_healed = |sim: &Simulation| {
-        sim.is_settled() && sim.member(0).is_some_and(|member| member.table().count(MemberState::Alive) == nodes)
+        sim.has_converged() && sim.member(0).is_some_and(|member| member.table().count_in_state(MemberState::Alive) == nodes)
     };
     let mut most = 0.0f64;
     for second in 0..LIMIT / SECOND {
--- a/crates/testbed/src/measure/view.rs
+++ b/crates/testbed/src/measure/view.rs
@@ -31,16 +31,16 @@
 }
 
 fn dead(sim: &Simulation, nodes: usize, of: usize) -> usize {
-    (0..nodes).filter(|&by| by != of && sim.held(by, of) == Some(MemberState::Dead)).count()
+    (0..nodes).filter(|&by| by != of && sim.state_of(by, of) == Some(MemberState::Dead)).count()
 }
 
 /// Virtual time at one size.
 fn size(nodes: usize, seed: u64) -> Row {
-    let mut sim = Simulation::new(Fleet::calm(nodes, seed));
+    let mut sim = Simulation::new(Fleet::without_faults(nodes, seed));
     sim.start_all_known();
-    sim.run(3 * SECOND);
+    sim.run_for(3 * SECOND);
     let before = sim.sent();
-    sim.run(10 * SECOND);
+    sim.run_for(10 * SECOND);
     let after = sim.sent();
     // With the heads of UDP and IP, which are half of it.
     let bytes = (after.0 - before.0) as f64 + HEADS * (after.1 - before.1) as f64;
@@ -50,7 +50,7 @@
     let last = first
         .and_then(|first| Some(first + sim.run_until(STEP, LIMIT, |sim| dead(sim, nodes, 1) == nodes - 1)?));
     sim.start(1, &[0, 2]);
-    let joined = sim.run_until(STEP, LIMIT, Simulation::is_settled);
+    let joined = sim.run_until(STEP, LIMIT, Simulation::has_converged);
     Row { first, last, healed: None, joined, bytes }
 }
 
@@ -59,9 +59,9 @@
 
 /// A crash at a chance moment: until the first and the last of the others holds it dead.
 fn crash(nodes: usize, seed: u64) -> (Nanos, Nanos) {
-    let mut sim = Simulation::new(Fleet::calm(nodes, seed));
+    let mut sim = Simulation::new(Fleet::without_faults(nodes, seed));
     sim.start_all_known();
-    sim.run(2 * SECOND + seed * 37 % 500 * MS);
+    sim.run_for(2 * SECOND + seed * 37 % 500 * MS);
     sim.kill(1);
     let fine = STEP / 10;
     let first = sim.run_until(fine, LIMIT, |sim| dead(sim, nodes, 1) > 0).unwrap_or(LIMIT);
@@ -71,25 +71,25 @@
 
 /// A partition of a minute, and until views are one again.
 fn heal(nodes: usize, seed: u64) -> Option<Nanos> {
-    let mut sim = Simulation::new(Fleet::calm(nodes, seed));
+    let mut sim = Simulation::new(Fleet::without_faults(nodes, seed));
     sim.start_all_known();
-    sim.cut(|from, to| from % 2 != to % 2);
-    sim.run(60 * SECOND);
-    sim.cut(|_, _| false);
+    sim.block_links(|from, to| from % 2 != to % 2);
+    sim.run_for(60 * SECOND);
+    sim.block_links(|_, _| false);
     sim.run_until(STEP, LIMIT, |sim| {
-        sim.is_settled() && sim.member(0).is_some_and(|member| member.table().count(MemberState::Alive) == nodes)
+        sim.has_converged() && sim.member(0).is_some_and(|member| member.table().count_in_state(MemberState::Alive) == nodes)
     })
 }
 
 /// Members newly held dead that lived, over some time at 5% loss with a tenth standing still for 2 s at a time.
 fn wronged(nodes: usize, seed: u64, span: Nanos) -> usize {
-    let mut sim = Simulation::new(Fleet { loss: 0.05, ..Fleet::calm(nodes, seed) });
+    let mut sim = Simulation::new(Fleet { loss: 0.05, ..Fleet::without_faults(nodes, seed) });
     sim.start_all_known();
     let (mut rng, mut wronged) = (Pcg64Mcg::seed_from_u64(seed), 0);
     for _ in 0..span / (2 * SECOND) {
         let still: Vec<_> = (0..nodes.div_ceil(10)).map(|_| rng.next_u64() as usize % nodes).collect();
-        still.iter().for_each(|node| sim.stop(*node));
-        sim.run(2 * SECOND);
+        still.iter().for_each(|node| sim.pause(*node));
+        sim.run_for(2 * SECOND);
         still.iter().for_each(|node| sim.resume(*node));
         wronged += (0..nodes).filter(|&of| dead(&sim, nodes, of) > 0).count();
     }
@@ -207,14 +207,14 @@
             epoch: 1_700_000_000_000 + number,
             address: format!("10.0.{}.{}:7400", number / 250, number % 250),
             zone: "mx-central".into(),
-            program: "0.2.0".into(),
-            offers: vec!["view".into()],
+            program_version: "0.2.0".into(),
+            capabilities: vec!["view".into()],
             ..MemberRecord::default()
         };
         let raw = card.encode_to_vec();
         let said = EncodedRecord::new(card, raw);
-        let witness = said.key();
-        table.merge(&MemberClaim { said, state: MemberState::Alive, refused: false, since: 0, witness });
+        let witness = said.id();
+        table.merge(&MemberClaim { encoded: said, state: MemberState::Alive, connection_refused: false, state_since: 0, reporter: witness });
     }
     let taken = own().saturating_sub(before) as f64 / table.len().max(1) as f64;
     drop(table);
