--- /dev/null
+++ b/crates/membership/src/membership/datagrams.rs
@@ -0,0 +1,144 @@
+//! Received datagrams.
+
+use std::net::SocketAddr;
+
+use super::{Event, Membership, Output};
+use crate::Nanos;
+use crate::probe::SequenceNumber;
+use crate::record::{Epoch, MemberId};
+use crate::settings::MAX_DATAGRAM_BYTES;
+use crate::state::MemberState;
+use crate::wire::{Datagram, DatagramKind, ProtocolError};
+
+/// Rejected peers that are remembered, so that each is reported once.
+const MAX_REJECTED_PEERS: usize = 32;
+
+/// How the process that sent a datagram relates to the sender's entry.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum SenderProcess {
+    /// The sender is unknown, or only an earlier process of it is known.
+    Unknown,
+    /// The process of the entry.
+    Current,
+    /// An earlier process than that of the entry.
+    Outdated,
+}
+
+impl Membership {
+    /// Handles a received datagram.
+    pub fn on_datagram(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) {
+        self.detect_stall(now);
+        if self.stopped {
+            return;
+        }
+        let datagram = match Datagram::from_bytes(bytes, self.fleet_id) {
+            Ok(datagram) => datagram,
+            Err(error) => return self.report_rejected(from, &error),
+        };
+        let sender = MemberId(datagram.sender_id);
+        if sender == self.id {
+            // A looped datagram, or another process of this name, which push/pull settles.
+            return;
+        }
+        self.last_received_at = now;
+        let process = self.sender_process(&datagram);
+        if process == SenderProcess::Current {
+            self.note_sign_of_life(now, sender);
+        }
+        // While joining, updates may be as old as what this member forgot after a long stall. Its push/pull brings current ones.
+        if self.joined {
+            self.apply_entries(now, &datagram.updates);
+        }
+        self.dispatch_datagram(now, from, &datagram, process, bytes.len());
+    }
+
+    fn sender_process(&self, datagram: &Datagram) -> SenderProcess {
+        let epoch = Epoch(datagram.sender_epoch);
+        match self.table.get(MemberId(datagram.sender_id)).map(|entry| entry.record().version().epoch) {
+            Some(known) if known == epoch => SenderProcess::Current,
+            Some(known) if known > epoch => SenderProcess::Outdated,
+            _ => SenderProcess::Unknown,
+        }
+    }
+
+    /// A message of a member's current process has arrived.
+    fn note_sign_of_life(&mut self, now: Nanos, id: MemberId) {
+        if let Some(entry) = self.table.get_mut(id) {
+            entry.last_heard = now as i64;
+            if entry.state == MemberState::Alive && !entry.reachable_from_here {
+                self.set_reachable(id, true);
+            }
+        }
+    }
+
+    fn dispatch_datagram(
+        &mut self,
+        now: Nanos,
+        from: SocketAddr,
+        datagram: &Datagram,
+        process: SenderProcess,
+        received_bytes: usize,
+    ) {
+        let (sender, target) = (MemberId(datagram.sender_id), MemberId(datagram.target_id));
+        let seq = SequenceNumber(datagram.seq);
+        match DatagramKind::try_from(datagram.kind).unwrap_or(DatagramKind::Gossip) {
+            DatagramKind::Gossip => {}
+            DatagramKind::Ping => {
+                let mut ack = self.new_datagram(DatagramKind::Ack, seq, self.id);
+                ack.record_unknown = process == SenderProcess::Unknown;
+                let receiver = (process == SenderProcess::Current).then_some(sender);
+                // The source address may be forged: the ack is no larger than the ping, so it amplifies nothing.
+                self.send_with_updates(now, ack, from, receiver, received_bytes.min(MAX_DATAGRAM_BYTES));
+            }
+            DatagramKind::IndirectPing if target != self.id => self.relay_probe(now, from, seq, target),
+            DatagramKind::IndirectPing => {}
+            DatagramKind::Ack => {
+                self.on_ack(now, sender, seq, target);
+                if datagram.record_unknown {
+                    self.broadcasts.enqueue(self.id);
+                    self.send_gossip(now, sender);
+                }
+            }
+            DatagramKind::Nack => self.on_nack(seq, target),
+        }
+    }
+
+    fn on_ack(&mut self, now: Nanos, sender: MemberId, seq: SequenceNumber, target: MemberId) {
+        if self.answer_relayed_probe(sender, seq) {
+            return;
+        }
+        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.seq == seq && probe.target == target) {
+            if sender == target {
+                probe.direct_ack = true;
+            } else {
+                probe.indirect_ack = true;
+            }
+            return;
+        }
+        // A dead member answered a reconnect ping.
+        if self.table.get(sender).is_some_and(|entry| !entry.state.is_active()) {
+            self.push_pull_with(now, sender);
+        }
+    }
+
+    fn on_nack(&mut self, seq: SequenceNumber, target: MemberId) {
+        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.seq == seq && probe.target == target) {
+            probe.nacks = probe.nacks.saturating_add(1);
+        }
+    }
+
+    /// Reports a message of another fleet or version, once for each address.
+    pub(super) fn report_rejected(&mut self, address: SocketAddr, error: &ProtocolError) {
+        let is_foreign =
+            matches!(error, ProtocolError::OtherFleet | ProtocolError::UnsupportedVersion { .. });
+        if !is_foreign || self.rejected_peers.contains(&address) {
+            return;
+        }
+        self.rejected_peers.push_back(address);
+        if self.rejected_peers.len() > MAX_REJECTED_PEERS {
+            self.rejected_peers.pop_front();
+        }
+        let event = Event::PeerRejected { address, error: error.clone() };
+        self.outputs.push_back(Output::Event(event));
+    }
+}
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,167 +1,96 @@
-//! Whom to ask next whether it is there, and what an exchange came to.
-
-use std::collections::VecDeque;
-
-use rand_core::RngCore;
+//! A probe in flight, and how it ended.
 
 use crate::Nanos;
-use crate::card::{MemberId, RecordVersion};
-
-/// Members to be asked out of turn; more than this are asked in theirs.
-const MOST_URGENT: usize = 32;
-
-/// A round through all members, in a new order each time: each is asked once in a round, and nobody's turn can be foreseen.
-#[derive(Clone, Debug, Default)]
-pub struct ProbeSchedule {
-    round: Vec<MemberId>,
-    urgent: VecDeque<MemberId>,
-}
-
-impl ProbeSchedule {
-    /// Asks this one next.
-    pub fn urge(&mut self, key: MemberId) {
-        if !self.urgent.contains(&key) && self.urgent.len() < MOST_URGENT {
-            self.urgent.push_back(key);
-        }
-    }
+use crate::record::{MemberId, RecordVersion};
 
-    /// Puts a member that has just come into the round that is under way, at a place that is drawn: a round of a large fleet
-    /// takes minutes, and one that crashes soon after its start would not be asked before the next. Where a round is over, the
-    /// next one has all members in any case.
-    pub fn insert(&mut self, key: MemberId, rng: &mut impl RngCore) {
-        if !self.round.is_empty() && !self.round.contains(&key) {
-            let place = rng.next_u64() as usize % (self.round.len() + 1);
-            self.round.insert(place, key);
-        }
-    }
+/// Number of a probe, counted by the member that probes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct SequenceNumber(pub u32);
 
-    /// Whether somebody is to be asked out of turn.
-    #[must_use]
-    pub fn is_urgent(&self) -> bool {
-        !self.urgent.is_empty()
-    }
-
-    /// The next one that `may` be asked; `all` is who there is, once a round is over.
-    pub fn next(
-        &mut self,
-        may: impl Fn(MemberId) -> bool,
-        all: impl FnOnce() -> Vec<MemberId>,
-        rng: &mut impl RngCore,
-    ) -> Option<MemberId> {
-        while let Some(key) = self.urgent.pop_front() {
-            if may(key) {
-                return Some(key);
-            }
-        }
-        let mut whole = Some(all);
-        loop {
-            while let Some(key) = self.round.pop() {
-                if may(key) {
-                    return Some(key);
-                }
-            }
-            // One new round, not more: there may be nobody.
-            self.round = whole.take()?();
-            for place in (1..self.round.len()).rev() {
-                self.round.swap(place, rng.next_u64() as usize % (place + 1));
-            }
-        }
+impl SequenceNumber {
+    /// Advances to the next number and returns it.
+    pub(crate) fn advance(&mut self) -> Self {
+        self.0 = self.0.wrapping_add(1);
+        *self
     }
 }
 
-/// What asking over a stream came to.
+/// How a probe over a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StreamProbeOutcome {
-    /// It answered, under its name.
+    /// The member answered.
     Answered,
-    /// The connection was refused or reset: nobody listens there.
+    /// The connection was refused or reset: no process listens there.
     Refused,
-    /// It came up, and nobody answered on it.
+    /// The connection was accepted, but nothing came back.
     NoResponse,
-    /// It did not come up.
+    /// The connection could not be established.
     Unreachable,
 }
 
-/// A question that is out.
+/// A probe in flight.
 #[derive(Clone, Debug)]
 pub struct Probe {
-    /// Whom it is about.
-    pub key: MemberId,
-    /// Of which saying.
-    pub stamp: RecordVersion,
-    /// Its number.
-    pub seq: u32,
-    /// When it was asked.
-    pub asked: Nanos,
-    /// When others are asked to ask.
-    pub help_at: Nanos,
-    /// So many were.
-    pub helpers: u8,
-    /// So many of those said that they get no answer either.
+    /// The member that is probed.
+    pub target: MemberId,
+    /// Version of the target's record at the start; a newer one makes the probe moot.
+    pub target_version: RecordVersion,
+    /// The probe's number.
+    pub seq: SequenceNumber,
+    /// When the ping was sent.
+    pub started_at: Nanos,
+    /// When indirect probes and the stream probe are due.
+    pub indirect_at: Nanos,
+    /// Whether they were sent.
+    pub indirect_sent: bool,
+    /// Helpers that reported that the target does not answer them either.
     pub nacks: u8,
-    /// It answered itself.
-    pub direct: bool,
-    /// It answered others.
-    pub through: bool,
-    /// What asking over a stream came to, once it has.
-    pub checked: Option<StreamProbeOutcome>,
+    /// Whether the target answered directly.
+    pub direct_ack: bool,
+    /// Whether the target answered a helper.
+    pub indirect_ack: bool,
+    /// How the stream probe ended; `None` until it has.
+    pub stream_outcome: Option<StreamProbeOutcome>,
 }
 
-/// What a question came to.
+/// How a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// It is there, and reached from here.
+    /// The target answered this member.
     Reachable,
-    /// It is there, and only others reach it.
+    /// The target answered helpers alone.
     ReachableIndirectly,
-    /// Nobody listens at its address.
+    /// The target's address refuses connections.
     Refused,
-    /// Its kernel takes connections and it does not answer.
-    Silent,
-    /// Nothing came back; `helped`: others said the same, so that the fault is not this member's own.
-    Nothing {
-        /// Others did their part.
-        helped: bool,
+    /// The target's kernel accepts connections, but its process does not answer.
+    Stalled,
+    /// No answer at all.
+    NoAnswer {
+        /// Whether helpers sent nacks. Without any the fault may be this member's own.
+        helpers_responded: bool,
     },
 }
 
 impl Probe {
-    /// What it came to, at the end of its time.
+    /// Whether indirect probes are still to be sent unless an ack comes.
+    #[must_use]
+    pub fn awaits_direct_ack(&self) -> bool {
+        !self.indirect_sent && !self.direct_ack
+    }
+
+    /// How the probe ended, at the end of its interval.
     #[must_use]
-    pub fn verdict(&self) -> ProbeOutcome {
-        if self.direct || self.checked == Some(StreamProbeOutcome::Answered) {
+    pub fn outcome(&self) -> ProbeOutcome {
+        if self.direct_ack || self.stream_outcome == Some(StreamProbeOutcome::Answered) {
             return ProbeOutcome::Reachable;
         }
-        if self.through {
+        if self.indirect_ack {
             return ProbeOutcome::ReachableIndirectly;
         }
-        match self.checked {
+        match self.stream_outcome {
             Some(StreamProbeOutcome::Refused) => ProbeOutcome::Refused,
-            Some(StreamProbeOutcome::NoResponse) => ProbeOutcome::Silent,
-            _ => ProbeOutcome::Nothing { helped: self.helpers == 0 || self.nacks > 0 },
+            Some(StreamProbeOutcome::NoResponse) => ProbeOutcome::Stalled,
+            _ => ProbeOutcome::NoAnswer { helpers_responded: !self.indirect_sent || self.nacks > 0 },
         }
     }
 }
-
-/// What the last questions came to: whoever gets no answer from most of those that it asks is itself cut off.
-#[derive(Clone, Debug, Default)]
-pub struct ProbeHistory(VecDeque<bool>);
-
-/// Questions looked back on, and of those without an answer from which on the fault is taken for this member's own.
-const BACK: (usize, usize) = (4, 3);
-
-impl ProbeHistory {
-    /// What one came to.
-    pub fn note(&mut self, answered: bool) {
-        self.0.push_back(answered);
-        if self.0.len() > BACK.0 {
-            self.0.pop_front();
-        }
-    }
-
-    /// Whether it is this member that is cut off.
-    #[must_use]
-    pub fn is_cut(&self) -> bool {
-        self.0.iter().filter(|answered| !**answered).count() >= BACK.1
-    }
-}
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,56 +1,57 @@
-//! Spans and bounds, with their reasons.
+//! Intervals, timeouts and bounds.
 
 use crate::{MS, Nanos, SECOND};
 
-/// Most members: what a view's memory (some 650 bytes an entry) and a whole table over a stream (1 MiB) are sized for.
+/// Maximum number of members. A table's memory (some 650 bytes an entry) and a whole table in one stream frame are sized for it.
 pub const MAX_MEMBERS: usize = 16_384;
-/// Most dead and departed members that are remembered; the oldest go first.
+/// Maximum number of dead and left members that are remembered; the oldest are removed first.
 pub const MAX_TOMBSTONES: usize = 4_096;
-/// Largest datagram: what passes every usual network in one piece.
+/// Maximum datagram size in bytes: below the usual MTUs, so that datagrams are not fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Largest frame of a stream: all entries of the largest fleet.
+/// Maximum size of a stream frame in bytes: a whole table fits.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
+/// State changes within [`Settings::flap_window`] from which on a member counts as flapping. A restart and a stall in a
+/// minute are fewer.
+pub const FLAP_THRESHOLD: u32 = 4;
+/// A timer that fires this late means that the process was stalled.
+pub const STALL_THRESHOLD: Nanos = 300 * MS;
+/// Minimum time between two announcements of a member's own load, for each member there is: it bounds the updates of all
+/// members together.
+pub const LOAD_INTERVAL_PER_MEMBER: Nanos = 4 * SECOND;
+/// Minimum time between two announcements of a member's own load in a small fleet.
+pub const MIN_LOAD_INTERVAL: Nanos = 10 * SECOND;
 
-/// How a member behaves. All members of a fleet should have the same.
+/// Intervals and timeouts. All members of a fleet should have the same.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Between two questions to others whether they are there.
+    /// SWIM's protocol period: time between two probes.
     pub probe_interval: Nanos,
-    /// Until a question is put through others, and over a stream.
+    /// Time to wait for a direct ack before indirect probes and a stream probe are sent.
     pub probe_timeout: Nanos,
-    /// Through so many others: enough that one of them has a way, at 30% loss too.
+    /// Number of members that are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// Between two rounds of passing news on, while there are any.
+    /// Time between two rounds of gossip while updates are queued.
     pub gossip_interval: Nanos,
-    /// To so many others each time.
+    /// Number of members that a round of gossip goes to.
     pub gossip_fanout: usize,
-    /// Between two comparisons of whole views with some member.
+    /// Mean time between two push/pull exchanges with a random member.
     pub push_pull_interval: Nanos,
-    /// Between two questions to some member that is held dead: whether it is back, or was cut off.
+    /// Mean time between two pings of a dead member, to find out whether it is back.
     pub reconnect_interval: Nanos,
-    /// One that stands still for so long is taken for dead.
+    /// Time after which a stalled member counts as dead.
     pub stall_timeout: Nanos,
-    /// One that only this member misses, and nobody else says so, is taken for dead after this.
+    /// Time after which a suspicion that only this member has counts as death.
     pub unconfirmed_timeout: Nanos,
-    /// The dead and departed are remembered for so long; who was away longer begins anew.
+    /// Time for which dead and left members are remembered. A member that was away for longer joins anew.
     pub tombstone_retention: Nanos,
-    /// A member that is known to be gone has rights for so long.
+    /// Time for which a dead member still counts as a node where its address refused connections.
     pub confirmed_death_grace: Nanos,
-    /// One that is merely out of sight has them for so long: the other side of a cut uses them.
+    /// The same where it merely does not answer: it may use the servers on the other side of a network partition.
     pub unconfirmed_death_grace: Nanos,
-    /// Changes in this span from which on a member counts as one that comes and goes.
+    /// Window in which state changes count as flapping.
     pub flap_window: Nanos,
 }
 
-/// Changes from which on a member counts as one that comes and goes: a restart and a stall in a minute are none.
-pub const FLAP_THRESHOLD: u32 = 4;
-/// A timer that comes so late tells that this process stood still.
-pub const STALL_THRESHOLD: Nanos = 300 * MS;
-/// A member's own load is said anew no more often than this for each member there is: what all say together stays the same.
-pub const LOAD_EACH: Nanos = 4 * SECOND;
-/// ... and no more often than this.
-pub const LOAD_LEAST: Nanos = 10 * SECOND;
-
 impl Default for Settings {
     fn default() -> Self {
         Self {
@@ -71,31 +72,45 @@
     }
 }
 
-/// Why settings can't be used.
+/// A setting is out of its bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("`{0}` is out of its bounds")]
-pub struct SettingsError(pub &'static str);
+#[error("`{setting}` is out of its bounds")]
+pub struct SettingsError {
+    /// Name of the setting.
+    pub setting: &'static str,
+}
 
 impl Settings {
-    /// Whether they can be used: each span can hold what happens within it.
+    /// Checks that every setting is in bounds and that longer spans can hold what happens within them.
     ///
     /// # Errors
-    /// The first that is out of bounds.
+    /// The first setting that is out of bounds.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let within = |name, value: Nanos, least: Nanos, most: Nanos| {
-            if (least..=most).contains(&value) { Ok(()) } else { Err(SettingsError(name)) }
+        let within = |setting, value: Nanos, min: Nanos, max: Nanos| {
+            if (min..=max).contains(&value) { Ok(()) } else { Err(SettingsError { setting }) }
         };
-        within("period", self.probe_interval, 50 * MS, 60 * SECOND)?;
-        within("patience", self.probe_timeout, 5 * MS, self.probe_interval / 2)?;
-        within("gossip", self.gossip_interval, 20 * MS, 10 * SECOND)?;
-        within("sync", self.push_pull_interval, self.probe_interval, 3_600 * SECOND)?;
-        within("recall", self.reconnect_interval, self.probe_interval, 3_600 * SECOND)?;
-        within("stalled", self.stall_timeout, self.probe_interval, 3_600 * SECOND)?;
-        within("alone", self.unconfirmed_timeout, self.probe_interval, 3_600 * SECOND)?;
-        within("memory", self.tombstone_retention, self.stall_timeout.max(self.unconfirmed_timeout), 7 * 86_400 * SECOND)?;
-        within("lost_lease", self.unconfirmed_death_grace, self.confirmed_death_grace, 86_400 * SECOND)?;
-        if !(1..=10).contains(&self.indirect_probes) || !(1..=10).contains(&self.gossip_fanout) {
-            return Err(SettingsError("helpers"));
+        let (interval, hour) = (self.probe_interval, 3_600 * SECOND);
+        within("probe_interval", interval, 50 * MS, 60 * SECOND)?;
+        within("probe_timeout", self.probe_timeout, 5 * MS, interval / 2)?;
+        within("gossip_interval", self.gossip_interval, 20 * MS, 10 * SECOND)?;
+        within("push_pull_interval", self.push_pull_interval, interval, hour)?;
+        within("reconnect_interval", self.reconnect_interval, interval, hour)?;
+        within("stall_timeout", self.stall_timeout, interval, hour)?;
+        within("unconfirmed_timeout", self.unconfirmed_timeout, interval, hour)?;
+        let min_retention = self.stall_timeout.max(self.unconfirmed_timeout);
+        within("tombstone_retention", self.tombstone_retention, min_retention, 7 * 24 * hour)?;
+        within(
+            "unconfirmed_death_grace",
+            self.unconfirmed_death_grace,
+            self.confirmed_death_grace,
+            24 * hour,
+        )?;
+        for (setting, count) in
+            [("indirect_probes", self.indirect_probes), ("gossip_fanout", self.gossip_fanout)]
+        {
+            if !(1..=10).contains(&count) {
+                return Err(SettingsError { setting });
+            }
         }
         Ok(())
     }
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -1,29 +1,29 @@
-//! What is said of a member, and which of two sayings counts.
+//! The states of a member and the precedence between claims about it.
 
-use crate::card::RecordVersion;
+use crate::record::RecordVersion;
 
-/// What a member is held for. Of two states under one stamp the later one in this order counts: worse is believed until the
-/// member itself says something new.
+/// What a member is held to be. Of two claims about one record version the state that is later in this order wins: the worse
+/// claim holds until the member refutes it with a new incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It answers.
+    /// It answers probes.
     #[default]
     Alive,
-    /// Its kernel takes connections and nobody answers: its process stands still.
+    /// Its kernel accepts connections, but its process does not answer.
     Stalled,
-    /// It answers nobody who asked, and may be dead.
+    /// It answers no probe, direct or indirect, and may be dead.
     Suspect,
-    /// It is dead.
+    /// Its suspicion expired without a refutation.
     Dead,
-    /// It said that it goes.
+    /// It announced that it leaves.
     Left,
 }
 
 impl MemberState {
-    /// All of them, in their order.
+    /// All states, in their order.
     pub const ALL: [Self; 5] = [Self::Alive, Self::Stalled, Self::Suspect, Self::Dead, Self::Left];
 
-    /// In a word.
+    /// The name in reports.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -35,31 +35,31 @@
         }
     }
 
-    /// As it travels.
+    /// The code on the wire and in recordings.
     #[must_use]
     pub fn code(self) -> u32 {
         self as u32
     }
 
-    /// From what has travelled; `None` for one of a later version.
+    /// The state of a code; `None` for one of a later version.
     #[must_use]
-    pub fn from_code(number: u32) -> Option<Self> {
-        Self::ALL.get(number as usize).copied()
+    pub fn from_code(code: u32) -> Option<Self> {
+        Self::ALL.get(code as usize).copied()
     }
 
-    /// Whether it takes part: it is asked for what it knows, and asked whether it is there.
+    /// Whether the member takes part: it is probed and asked for its table.
     #[must_use]
     pub fn is_active(self) -> bool {
         self < Self::Dead
     }
 }
 
-/// A saying of a member and what is said of it. The greater one counts, in every process alike: whoever has heard the same
-/// things holds the same, in whatever order and how often they came.
+/// Decides between claims about a member: the greater one wins in every process, so members that received the same claims agree,
+/// whatever their order and number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Precedence {
-    /// Of the member's own saying.
+    /// Version of the member's record.
     pub version: RecordVersion,
-    /// What it is held for.
+    /// The claimed state.
     pub state: MemberState,
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,340 +1,240 @@
-//! All that is held of members: a join of everything heard, its fingerprint, and what is forgotten.
+//! The member table: the winning claim about every member, with digests to compare tables by.
 
-use std::sync::Arc;
+use std::cmp::Ordering;
 
 use rustc_hash::FxHashMap;
 
 use crate::Nanos;
-use crate::card::{MemberRecord, MemberId, stable_hash};
-use crate::settings::{MAX_TOMBSTONES, MAX_MEMBERS};
-use crate::state::{MemberState, Precedence};
-use crate::wire::WireEntry;
+use crate::entry::{MemberClaim, MemberEntry};
+use crate::record::MemberId;
+use crate::settings::{MAX_MEMBERS, MAX_TOMBSTONES};
+use crate::state::MemberState;
 
-/// Parts of a view that are compared one by one, by the first bits of keys.
+/// Partitions of the id space, by the highest bits of an id; anti-entropy compares a digest of each.
 pub const PARTITIONS: usize = 64;
-/// Ages travel in these.
-const AGE_UNIT: i64 = 100_000_000;
 
-/// A member's saying of itself, read, and as the bytes that came: those are passed on.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EncodedRecord {
-    /// What it says.
-    pub record: MemberRecord,
-    raw: Vec<u8>,
-    key: MemberId,
-    digest: u64,
-}
-
-impl EncodedRecord {
-    /// A card with its bytes.
-    #[must_use]
-    pub fn new(card: MemberRecord, raw: Vec<u8>) -> Arc<Self> {
-        let (key, digest) = (card.id(), stable_hash(&[&raw]));
-        Arc::new(Self { record: card, raw, key, digest })
-    }
-
-    /// Who says it.
-    #[must_use]
-    pub fn id(&self) -> MemberId {
-        self.key
-    }
-
-    /// Memory that it takes with its texts, in bytes, both counts of references included.
-    fn bytes(&self) -> usize {
-        let MemberRecord { name, address, zone, program_version, capabilities, .. } = &self.record;
-        let texts = [name, address, zone, program_version].into_iter().chain(capabilities).map(String::capacity);
-        let list = capabilities.capacity() * size_of::<String>();
-        size_of::<Self>() + 2 * size_of::<usize>() + self.raw.capacity() + list + texts.sum::<usize>()
-    }
-}
-
-/// What is held of a member.
-#[derive(Clone, Debug)]
-pub struct MemberEntry {
-    /// Its own saying.
-    pub encoded: Arc<EncodedRecord>,
-    /// What it is held for.
-    pub state: MemberState,
-    /// Whether its own kernel said so, by refusing connections.
-    pub connection_refused: bool,
-    /// Whether this member reaches it itself.
-    pub reachable_from_here: bool,
-    /// Questions in a row that it answered through others alone.
-    pub consecutive_indirect_acks: u8,
-    /// Changes of late, and when the last one was.
-    pub flap_count: u8,
-    /// Since when it is held so, by this process's clock; before its start where others told of it.
-    pub state_since: i64,
-    /// When this member last heard from it itself; never: the least there is.
-    pub last_heard: i64,
-    /// Who said so first, of its own seeing.
-    pub reporter: MemberId,
-}
-
-impl MemberEntry {
-    /// Which saying, and what of it.
-    #[must_use]
-    pub fn precedence(&self) -> Precedence {
-        Precedence { version: self.encoded.record.version(), state: self.state }
-    }
-
-    fn mark(&self) -> u64 {
-        // States are few: each is another rotation of what the card's bytes come to.
-        self.encoded.digest.rotate_left(9 * self.state.code())
-    }
-
-    /// As it travels.
-    #[must_use]
-    pub fn to_wire(&self, now: Nanos) -> WireEntry {
-        let age = (now as i64).saturating_sub(self.state_since).max(0) / AGE_UNIT;
-        WireEntry {
-            record: self.encoded.raw.clone(),
-            state: self.state.code(),
-            age_deciseconds: u32::try_from(age).unwrap_or(u32::MAX),
-            reporter: self.reporter.0,
-            connection_refused: self.connection_refused,
-        }
-    }
-}
-
-/// Something heard of a member.
-#[derive(Clone, Debug)]
-pub struct MemberClaim {
-    /// Its own saying.
-    pub encoded: Arc<EncodedRecord>,
-    /// What it is said to be.
-    pub state: MemberState,
-    /// Whether its own kernel said so.
-    pub connection_refused: bool,
-    /// Since when, by this process's clock.
-    pub state_since: i64,
-    /// Who says so of its own seeing.
-    pub reporter: MemberId,
-}
-
-impl MemberClaim {
-    /// Which saying, and what of it.
-    #[must_use]
-    pub fn precedence(&self) -> Precedence {
-        Precedence { version: self.encoded.record.version(), state: self.state }
-    }
-}
-
-/// Reads an entry; `None` where it is none, or of a later version's states.
-#[must_use]
-pub fn read(entry: &WireEntry, now: Nanos) -> Option<MemberClaim> {
-    let card = MemberRecord::from_bytes(&entry.record).ok()?;
-    let state = MemberState::from_code(entry.state)?;
-    let since = (now as i64).saturating_sub(i64::from(entry.age_deciseconds) * AGE_UNIT);
-    let said = EncodedRecord::new(card, entry.record.clone());
-    Some(MemberClaim { encoded: said, state, connection_refused: entry.connection_refused, state_since: since, reporter: MemberId(entry.reporter) })
-}
-
-/// What became of something heard.
+/// What a claim did to the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
     /// The member was not known.
     Inserted,
-    /// It counts from now on; what the member was held for before.
-    Updated(MemberState),
-    /// As it was.
+    /// The claim won.
+    Updated {
+        /// The member's state before.
+        previous: MemberState,
+    },
+    /// The table holds the same already. A different reporter alone changes nothing.
     Unchanged,
-    /// What is held counts more, or there is no room.
+    /// The table holds a claim of higher precedence, or is full.
     Ignored,
 }
 
-/// The table.
+/// The entries of all known members, this one included. Merging is commutative, associative and idempotent: tables that have
+/// received the same claims are equal.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     slots: FxHashMap<MemberId, u32>,
-    all: Vec<MemberEntry>,
-    parts: [u64; PARTITIONS],
-    counts: [u32; MemberState::ALL.len()],
+    entries: Vec<MemberEntry>,
+    partition_digests: [u64; PARTITIONS],
+    state_counts: [u32; MemberState::ALL.len()],
 }
 
 impl Default for MemberTable {
     fn default() -> Self {
         Self {
             slots: FxHashMap::default(),
-            all: Vec::new(),
-            parts: [0; PARTITIONS],
-            counts: [0; MemberState::ALL.len()],
+            entries: Vec::new(),
+            partition_digests: [0; PARTITIONS],
+            state_counts: [0; MemberState::ALL.len()],
         }
     }
 }
 
-fn part(key: MemberId) -> usize {
-    (key.0 >> (u64::BITS - PARTITIONS.trailing_zeros())) as usize
+fn partition(id: MemberId) -> usize {
+    (id.0 >> (u64::BITS - PARTITIONS.trailing_zeros())) as usize
 }
 
 impl MemberTable {
-    /// What is held of a member.
+    /// The entry of a member.
     #[must_use]
-    pub fn get(&self, key: MemberId) -> Option<&MemberEntry> {
-        self.slots.get(&key).map(|&slot| &self.all[slot as usize])
+    pub fn get(&self, id: MemberId) -> Option<&MemberEntry> {
+        self.slots.get(&id).map(|&slot| &self.entries[slot as usize])
     }
 
-    /// The same, for what is not part of the fingerprint.
-    pub(crate) fn get_mut(&mut self, key: MemberId) -> Option<&mut MemberEntry> {
-        self.slots.get(&key).map(|&slot| &mut self.all[slot as usize])
+    /// The entry of a member, to change fields that are not part of the digests.
+    pub(crate) fn get_mut(&mut self, id: MemberId) -> Option<&mut MemberEntry> {
+        self.slots.get(&id).map(|&slot| &mut self.entries[slot as usize])
     }
 
-    /// All, in no order that matters.
+    /// All entries, in no particular order.
     pub fn iter(&self) -> impl ExactSizeIterator<Item = &MemberEntry> {
-        self.all.iter()
+        self.entries.iter()
+    }
+
+    /// The entry in a slot below [`MemberTable::len`], for random draws.
+    #[must_use]
+    pub fn entry_at(&self, slot: usize) -> &MemberEntry {
+        &self.entries[slot]
     }
 
-    /// How many are held for this.
+    /// Number of members in a state.
     #[must_use]
     pub fn count_in_state(&self, state: MemberState) -> usize {
-        self.counts[state.code() as usize] as usize
+        self.state_counts[state.code() as usize] as usize
     }
 
-    /// How many take part.
+    /// Number of members that take part; see [`MemberState::is_active`].
     #[must_use]
     pub fn active_count(&self) -> usize {
-        MemberState::ALL.into_iter().filter(|state| state.is_active()).map(|state| self.count_in_state(state)).sum()
+        let active = MemberState::ALL.into_iter().filter(|state| state.is_active());
+        active.map(|state| self.count_in_state(state)).sum()
     }
 
-    /// The entry at a place, for draws.
+    /// Whether a member is known and takes part.
     #[must_use]
-    pub fn entry_at(&self, place: usize) -> &MemberEntry {
-        &self.all[place]
+    pub fn is_active(&self, id: MemberId) -> bool {
+        self.get(id).is_some_and(|entry| entry.state.is_active())
     }
 
-    /// Entries.
+    /// Number of entries.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.entries.len()
     }
 
-    /// Memory that it takes, counted by what it has reserved; what the allocator adds is not known here.
+    /// Whether no member is known.
     #[must_use]
-    pub fn allocated_bytes(&self) -> usize {
-        let slots = self.slots.capacity() * (size_of::<(MemberId, u32)>() + 1);
-        let entries = self.all.capacity() * size_of::<MemberEntry>();
-        let said: usize = self.all.iter().map(|held| held.encoded.bytes()).sum();
-        size_of::<Self>() + slots + entries + said
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
     }
 
-    /// Whether nobody is known.
+    /// Allocated memory in bytes, without the allocator's own overhead.
     #[must_use]
-    pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+    pub fn allocated_bytes(&self) -> usize {
+        let slots = self.slots.capacity() * (size_of::<(MemberId, u32)>() + 1);
+        let entries = self.entries.capacity() * size_of::<MemberEntry>();
+        let records: usize = self.entries.iter().map(|entry| entry.encoded.allocated_bytes()).sum();
+        size_of::<Self>() + slots + entries + records
     }
 
-    /// Of the whole view: the same in all processes that hold the same.
+    /// Digest of the whole table: equal where records and states are equal.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
-        self.parts.iter().zip(1u32..).fold(0, |sum, (part, place)| sum ^ part.rotate_left(place))
+        let rotated = self.partition_digests.iter().zip(1u32..);
+        rotated.fold(0, |sum, (digest, position)| sum ^ digest.rotate_left(position))
     }
 
-    /// Of its parts.
+    /// Digests of the partitions.
     #[must_use]
     pub fn partition_digests(&self) -> &[u64; PARTITIONS] {
-        &self.parts
+        &self.partition_digests
     }
 
-    /// Entries of some parts.
-    pub fn entries_in_partitions<'a>(&'a self, parts: &'a [u64]) -> impl Iterator<Item = &'a MemberEntry> {
-        self.all.iter().filter(|held| parts.contains(&(part(held.encoded.key) as u64)))
+    /// The entries of some partitions, given by number.
+    pub fn entries_in_partitions<'a>(
+        &'a self,
+        partitions: &'a [u64],
+    ) -> impl Iterator<Item = &'a MemberEntry> {
+        self.entries.iter().filter(|entry| partitions.contains(&(partition(entry.id()) as u64)))
     }
 
-    /// Takes what was heard, where it counts more than what is held. What only differs by who says so changes nothing.
-    pub fn merge(&mut self, heard: &MemberClaim) -> MergeOutcome {
-        let key = heard.encoded.key;
-        let Some(&slot) = self.slots.get(&key) else {
-            if self.all.len() >= MAX_MEMBERS {
-                return MergeOutcome::Ignored;
-            }
-            self.slots.insert(key, self.all.len() as u32);
-            self.all.push(MemberEntry {
-                encoded: heard.encoded.clone(),
-                state: heard.state,
-                connection_refused: heard.connection_refused,
-                reachable_from_here: true,
-                consecutive_indirect_acks: 0,
-                flap_count: 0,
-                state_since: heard.state_since,
-                last_heard: i64::MIN,
-                reporter: heard.reporter,
-            });
-            self.count_in(self.all.len() - 1, true);
-            return MergeOutcome::Inserted;
-        };
+    /// Merges a claim.
+    pub fn merge(&mut self, claim: &MemberClaim) -> MergeOutcome {
+        let Some(&slot) = self.slots.get(&claim.id()) else { return self.insert(claim) };
         let slot = slot as usize;
-        let held = &self.all[slot];
-        // Two names of one key, or two sayings under one stamp: whoever sees both keeps the same one.
-        let order = (heard.precedence(), heard.encoded.digest).cmp(&(held.precedence(), held.encoded.digest));
+        let entry = &self.entries[slot];
+        // The hash decides between two records of one version, and between two names of one id, in the same way everywhere.
+        let order =
+            (claim.precedence(), claim.encoded.hash()).cmp(&(entry.precedence(), entry.encoded.hash()));
         match order {
-            std::cmp::Ordering::Less => return MergeOutcome::Ignored,
-            std::cmp::Ordering::Equal => return MergeOutcome::Unchanged,
-            std::cmp::Ordering::Greater => {}
+            Ordering::Less => return MergeOutcome::Ignored,
+            Ordering::Equal => return MergeOutcome::Unchanged,
+            Ordering::Greater => {}
+        }
+        if claim.record().name != entry.record().name {
+            return MergeOutcome::Ignored;
         }
-        if heard.encoded.record.name != held.encoded.record.name {
+        let previous = entry.state;
+        self.subtract_from_digests(slot);
+        let entry = &mut self.entries[slot];
+        entry.encoded = claim.encoded.clone();
+        entry.state = claim.state;
+        entry.connection_refused = claim.connection_refused;
+        entry.state_since = claim.state_since;
+        entry.reporter = claim.reporter;
+        self.add_to_digests(slot);
+        MergeOutcome::Updated { previous }
+    }
+
+    fn insert(&mut self, claim: &MemberClaim) -> MergeOutcome {
+        if self.entries.len() >= MAX_MEMBERS {
             return MergeOutcome::Ignored;
         }
-        let before = held.state;
-        self.count_in(slot, false);
-        let held = &mut self.all[slot];
-        held.encoded = heard.encoded.clone();
-        held.state = heard.state;
-        held.connection_refused = heard.connection_refused;
-        held.state_since = heard.state_since;
-        held.reporter = heard.reporter;
-        self.count_in(slot, true);
-        MergeOutcome::Updated(before)
+        self.slots.insert(claim.id(), self.entries.len() as u32);
+        self.entries.push(MemberEntry::new(claim));
+        self.add_to_digests(self.entries.len() - 1);
+        MergeOutcome::Inserted
+    }
+
+    fn add_to_digests(&mut self, slot: usize) {
+        let entry = &self.entries[slot];
+        self.partition_digests[partition(entry.id())] ^= entry.digest();
+        self.state_counts[entry.state.code() as usize] += 1;
     }
 
-    fn count_in(&mut self, slot: usize, is_in: bool) {
-        let held = &self.all[slot];
-        self.parts[part(held.encoded.key)] ^= held.mark();
-        let count = &mut self.counts[held.state.code() as usize];
-        *count = if is_in { *count + 1 } else { *count - 1 };
+    fn subtract_from_digests(&mut self, slot: usize) {
+        let entry = &self.entries[slot];
+        self.partition_digests[partition(entry.id())] ^= entry.digest();
+        self.state_counts[entry.state.code() as usize] -= 1;
     }
 
     fn remove(&mut self, slot: usize) {
-        self.count_in(slot, false);
-        let gone = self.all.swap_remove(slot);
-        self.slots.remove(&gone.encoded.key);
-        if let Some(moved) = self.all.get(slot) {
-            self.slots.insert(moved.encoded.key, slot as u32);
+        self.subtract_from_digests(slot);
+        let removed = self.entries.swap_remove(slot);
+        self.slots.remove(&removed.id());
+        if let Some(moved) = self.entries.get(slot) {
+            self.slots.insert(moved.id(), slot as u32);
         }
     }
 
-    /// Forgets whoever has been gone for too long, and the oldest of those where they are too many.
-    pub fn forget_expired(&mut self, now: Nanos, memory: Nanos) {
-        let gone = |held: &MemberEntry| !held.state.is_active();
+    /// Removes dead and left members that have been so for longer than `retention`, and the oldest ones over
+    /// [`MAX_TOMBSTONES`].
+    pub fn forget_expired(&mut self, now: Nanos, retention: Nanos) {
         let mut slot = 0;
-        while slot < self.all.len() {
-            let held = &self.all[slot];
-            if gone(held) && (now as i64).saturating_sub(held.state_since) > memory as i64 {
+        while slot < self.entries.len() {
+            let entry = &self.entries[slot];
+            if !entry.state.is_active() && entry.age(now) > retention {
                 self.remove(slot);
             } else {
                 slot += 1;
             }
         }
-        let count = self.count_in_state(MemberState::Dead) + self.count_in_state(MemberState::Left);
-        if count > MAX_TOMBSTONES {
-            let mut since: Vec<_> =
-                self.all.iter().filter(|held| gone(held)).map(|held| (held.state_since, held.encoded.key)).collect();
-            since.sort_unstable();
-            for (_, key) in since.into_iter().take(count - MAX_TOMBSTONES) {
-                if let Some(&slot) = self.slots.get(&key) {
-                    self.remove(slot as usize);
-                }
+        let tombstones = self.count_in_state(MemberState::Dead) + self.count_in_state(MemberState::Left);
+        self.remove_oldest_tombstones(tombstones.saturating_sub(MAX_TOMBSTONES));
+    }
+
+    fn remove_oldest_tombstones(&mut self, excess: usize) {
+        if excess == 0 {
+            return;
+        }
+        let tombstones = self.entries.iter().filter(|entry| !entry.state.is_active());
+        let mut by_age: Vec<_> = tombstones.map(|entry| (entry.state_since, entry.id())).collect();
+        by_age.sort_unstable();
+        for (_, id) in by_age.into_iter().take(excess) {
+            if let Some(&slot) = self.slots.get(&id) {
+                self.remove(slot as usize);
             }
         }
     }
 
-    /// Forgets everybody but one.
-    pub fn retain_only(&mut self, key: MemberId) {
-        let own = self.get(key).cloned();
+    /// Removes all entries but one.
+    pub fn retain_only(&mut self, id: MemberId) {
+        let kept = self.get(id).cloned();
         *self = Self::default();
-        if let Some(own) = own {
-            self.slots.insert(key, 0);
-            self.all.push(own);
-            self.count_in(0, true);
+        if let Some(kept) = kept {
+            self.slots.insert(id, 0);
+            self.entries.push(kept);
+            self.add_to_digests(0);
         }
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,203 +1,226 @@
-//! Datagrams and frames as bytes. Fields that are not known are skipped here; those of cards stay, since cards are passed on
-//! as the bytes that came.
+//! Datagrams and stream frames as protobuf messages. Unknown fields are skipped, except those of records, which are forwarded
+//! as the bytes that arrived.
 
 use prost::Message;
 
-use crate::card::stable_hash;
+use crate::record::stable_hash;
 use crate::settings::{MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES};
 
-/// Links of another major version are refused.
+/// Major version of the protocol; messages of another one are rejected.
 pub const MAJOR: u32 = 1;
-/// This version; a later one may say more.
+/// Minor version of the protocol; a later one may add fields and kinds.
 pub const MINOR: u32 = 0;
 
-/// What is held of a member, as it travels.
+/// Identifies a fleet: a hash of its name. Members reject messages of other fleets.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct FleetId(pub u64);
+
+impl FleetId {
+    /// The id of the fleet with this name.
+    #[must_use]
+    pub fn from_name(name: &str) -> Self {
+        Self(stable_hash(&[b"fleet", name.as_bytes()]))
+    }
+}
+
+/// An entry of a member table.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct WireEntry {
-    /// The member's own saying, as the bytes that it wrote.
+    /// The member's record, as the bytes that it wrote.
     #[prost(bytes = "vec", tag = "1")]
     pub record: Vec<u8>,
-    /// What it is held for.
+    /// Code of the member's state.
     #[prost(uint32, tag = "2")]
     pub state: u32,
-    /// For how long, in tenths of a second, by the clock of who tells.
+    /// Time since the member entered its state, in tenths of a second on the sender's clock.
     #[prost(uint32, tag = "3")]
     pub age_deciseconds: u32,
-    /// Who says so of its own seeing.
+    /// Id of the member whose own observation the state is.
     #[prost(fixed64, tag = "4")]
     pub reporter: u64,
-    /// Its own kernel said so: it refuses connections.
+    /// Whether the member's address refused connections.
     #[prost(bool, tag = "5")]
     pub connection_refused: bool,
 }
 
-/// What a datagram is.
+impl WireEntry {
+    /// Bytes that the entry takes within a message, with tag and length.
+    pub(crate) fn embedded_len(&self) -> usize {
+        /// One byte of tag, three of length.
+        const TAG_AND_LENGTH: usize = 4;
+        self.encoded_len() + TAG_AND_LENGTH
+    }
+}
+
+/// What a datagram is for. All kinds piggyback updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum DatagramKind {
-    /// News alone; what a later version sends counts as this.
+    /// Updates alone. A kind of a later version counts as this one.
     Gossip = 0,
-    /// Are you there?
+    /// A direct probe.
     Ping = 1,
-    /// Is that one there, as you see it?
+    /// A request to ping the target on the sender's behalf.
     IndirectPing = 2,
-    /// I am; or that one is, as I see it.
+    /// The answer to a ping: the target is alive.
     Ack = 3,
-    /// It does not answer me either.
+    /// The answer to an indirect ping: the target did not answer in time.
     Nack = 4,
 }
 
 /// A datagram.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Datagram {
-    /// The link's version.
+    /// See [`MAJOR`].
     #[prost(uint32, tag = "1")]
     pub protocol_major: u32,
     /// See [`MINOR`].
     #[prost(uint32, tag = "2")]
     pub protocol_minor: u32,
-    /// The fleet's name, as a number.
+    /// See [`FleetId`].
     #[prost(fixed64, tag = "3")]
     pub fleet_id: u64,
-    /// Who sends it.
+    /// Member id of the sender.
     #[prost(fixed64, tag = "4")]
     pub sender_id: u64,
-    /// Its process.
+    /// Epoch of the sender.
     #[prost(uint64, tag = "5")]
     pub sender_epoch: u64,
-    /// What it is.
+    /// See [`DatagramKind`].
     #[prost(enumeration = "DatagramKind", tag = "6")]
     pub kind: i32,
-    /// Of the question, as who asks counts them.
+    /// Sequence number of the probe, counted by the member that probes.
     #[prost(uint32, tag = "7")]
     pub seq: u32,
-    /// Whom the question is about.
+    /// Member id of the probe's target.
     #[prost(fixed64, tag = "8")]
     pub target_id: u64,
-    /// Its sender does not know whom it answers, or only an older saying of it.
+    /// In an ack: the sender lacks the current record of the member that it answers.
     #[prost(bool, tag = "9")]
     pub record_unknown: bool,
-    /// News.
+    /// Piggybacked updates.
     #[prost(message, repeated, tag = "10")]
     pub updates: Vec<WireEntry>,
 }
 
-/// What a frame of a stream is.
+/// What a stream frame is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum FrameKind {
-    /// None that this version knows.
+    /// A kind that this version does not know.
     Unknown = 0,
-    /// Are you there?
+    /// A probe over a stream.
     Ping = 1,
-    /// I am.
+    /// The answer to it.
     Ack = 2,
-    /// This is my view's fingerprint, and my own entry.
+    /// Starts a push/pull exchange: the table's fingerprint and the sender's own entry.
     Digest = 3,
-    /// Mine is the same.
+    /// The answer to a digest where the fingerprints are equal.
     InSync = 4,
-    /// Mine is another; by part it has these.
+    /// The answer to a digest where they differ: the digests of all partitions.
     PartitionDigests = 5,
-    /// My entries of the parts that differ, which are these.
+    /// The sender's entries of the partitions that differ.
     Entries = 6,
-    /// I speak with none like you.
+    /// The message is rejected: another fleet, or another major version.
     Reject = 7,
 }
 
 /// A frame of a stream.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// The link's version.
+    /// See [`MAJOR`].
     #[prost(uint32, tag = "1")]
     pub protocol_major: u32,
     /// See [`MINOR`].
     #[prost(uint32, tag = "2")]
     pub protocol_minor: u32,
-    /// The fleet's name, as a number.
+    /// See [`FleetId`].
     #[prost(fixed64, tag = "3")]
     pub fleet_id: u64,
-    /// Who sends it.
+    /// Member id of the sender.
     #[prost(fixed64, tag = "4")]
     pub sender_id: u64,
-    /// Its process.
+    /// Epoch of the sender.
     #[prost(uint64, tag = "5")]
     pub sender_epoch: u64,
-    /// What it is.
+    /// See [`FrameKind`].
     #[prost(enumeration = "FrameKind", tag = "6")]
     pub kind: i32,
-    /// Of the whole view.
+    /// Fingerprint of the sender's table.
     #[prost(fixed64, tag = "7")]
     pub fingerprint: u64,
-    /// Of its parts, or the numbers of those that differ.
+    /// In [`FrameKind::PartitionDigests`] the digests of all partitions; in [`FrameKind::Entries`] the numbers of those that
+    /// differ.
     #[prost(fixed64, repeated, tag = "8")]
     pub partitions: Vec<u64>,
-    /// Entries.
+    /// Entries of the sender's table.
     #[prost(message, repeated, tag = "9")]
     pub entries: Vec<WireEntry>,
-    /// Why it is refused.
+    /// In [`FrameKind::Reject`]: why.
     #[prost(string, tag = "10")]
     pub reject_reason: String,
 }
 
-/// Why bytes are not taken.
+/// Why received bytes are rejected. The texts are sent to the peer in [`Frame::reject_reason`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// Longer than any.
-    #[error("{0} bytes, more than any message has")]
-    TooLong(usize),
-    /// No message of this kind.
+    /// Over the maximum size of a datagram or frame.
+    #[error("{length} bytes, more than any message has")]
+    TooLong {
+        /// Length in bytes.
+        length: usize,
+    },
+    /// Not a message.
     #[error("no message: {0}")]
-    NoMessage(String),
-    /// Of another fleet.
+    Malformed(#[from] prost::DecodeError),
+    /// A message of another fleet.
     #[error("of another fleet")]
-    Fleet,
-    /// Of another major version of the link.
-    #[error("of version {0} of the link; this is {MAJOR}")]
-    Version(u32),
-}
-
-/// A fleet's name as a number.
-#[must_use]
-pub fn fleet(name: &str) -> u64 {
-    stable_hash(&[b"fleet", name.as_bytes()])
+    OtherFleet,
+    /// A message of another major version.
+    #[error("of version {major} of the link; this is {MAJOR}")]
+    UnsupportedVersion {
+        /// The message's major version.
+        major: u32,
+    },
 }
 
-fn known(major: u32, fleet: u64, own: u64) -> Result<(), ProtocolError> {
+fn check_header(major: u32, fleet_id: u64, own_fleet: FleetId) -> Result<(), ProtocolError> {
     if major != MAJOR {
-        return Err(ProtocolError::Version(major));
+        return Err(ProtocolError::UnsupportedVersion { major });
     }
-    if fleet != own {
-        return Err(ProtocolError::Fleet);
+    if FleetId(fleet_id) != own_fleet {
+        return Err(ProtocolError::OtherFleet);
     }
     Ok(())
 }
 
+fn decode<M: Message + Default>(bytes: &[u8], max_length: usize) -> Result<M, ProtocolError> {
+    if bytes.len() > max_length {
+        return Err(ProtocolError::TooLong { length: bytes.len() });
+    }
+    Ok(M::decode(bytes)?)
+}
+
 impl Datagram {
-    /// Reads one of this fleet.
+    /// Decodes a datagram of this fleet.
     ///
     /// # Errors
-    /// Why it is none.
-    pub fn from_bytes(bytes: &[u8], own: u64) -> Result<Self, ProtocolError> {
-        if bytes.len() > MAX_DATAGRAM_BYTES {
-            return Err(ProtocolError::TooLong(bytes.len()));
-        }
-        let one = Self::decode(bytes).map_err(|error| ProtocolError::NoMessage(error.to_string()))?;
-        known(one.protocol_major, one.fleet_id, own)?;
-        Ok(one)
+    /// See [`ProtocolError`].
+    pub fn from_bytes(bytes: &[u8], own_fleet: FleetId) -> Result<Self, ProtocolError> {
+        let datagram: Self = decode(bytes, MAX_DATAGRAM_BYTES)?;
+        check_header(datagram.protocol_major, datagram.fleet_id, own_fleet)?;
+        Ok(datagram)
     }
 }
 
 impl Frame {
-    /// Reads one of this fleet.
+    /// Decodes a stream frame of this fleet.
     ///
     /// # Errors
-    /// Why it is none.
-    pub fn from_bytes(bytes: &[u8], own: u64) -> Result<Self, ProtocolError> {
-        if bytes.len() > MAX_FRAME_BYTES {
-            return Err(ProtocolError::TooLong(bytes.len()));
-        }
-        let one = Self::decode(bytes).map_err(|error| ProtocolError::NoMessage(error.to_string()))?;
-        known(one.protocol_major, one.fleet_id, own)?;
-        Ok(one)
+    /// See [`ProtocolError`].
+    pub fn from_bytes(bytes: &[u8], own_fleet: FleetId) -> Result<Self, ProtocolError> {
+        let frame: Self = decode(bytes, MAX_FRAME_BYTES)?;
+        check_header(frame.protocol_major, frame.fleet_id, own_fleet)?;
+        Ok(frame)
     }
 }
--- a/crates/membership/tests/foca.rs
+++ b/crates/membership/tests/foca.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use foca::{AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, PostcardCodec, Timer};
-use pumicehead_membership::sim::{SimulationConfig, Simulation};
-use pumicehead_membership::{MS, SECOND, MemberState};
+use pumicehead_membership::simulation::{Simulation, SimulationConfig};
+use pumicehead_membership::{MS, MemberState, SECOND};
 use rand::SeedableRng;
 use rand::rngs::Xoshiro256PlusPlus;
 use serde::{Deserialize, Serialize};
@@ -166,7 +166,9 @@
 }
 
 fn own_lost_by(sim: &Simulation, by: usize) -> usize {
-    (0..NODES).filter(|&of| of != by && sim.state_of(by, of).is_none_or(|state| state >= MemberState::Dead)).count()
+    (0..NODES)
+        .filter(|&of| of != by && sim.state_of(by, of).is_none_or(|state| state >= MemberState::Dead))
+        .count()
 }
 
 fn library(seed: u64, loss: f64) -> Fleet {
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -7,9 +7,11 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-use pumicehead_membership::member::{StreamProbeOutcome, StreamAction, Membership, Output, MembershipConfig};
-use pumicehead_membership::sim::{address, name};
-use pumicehead_membership::{MemberRecord, MemberId, MS, SECOND, Settings, MemberState};
+use pumicehead_membership::simulation::{node_address, node_name};
+use pumicehead_membership::{MS, MemberId, MemberRecord, MemberState, SECOND, Settings};
+use pumicehead_membership::{
+    Membership, MembershipConfig, Output, SequenceNumber, StreamAction, StreamProbeOutcome,
+};
 use stateright::{Checker, Model, Property};
 
 const NODES: usize = 3;
@@ -20,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Message {
     Datagram { to: usize, from: usize, bytes: Vec<u8> },
-    Frame { to: usize, from: usize, back: bool, check: Option<u32>, bytes: Vec<u8> },
+    Frame { to: usize, from: usize, back: bool, check: Option<SequenceNumber>, bytes: Vec<u8> },
 }
 
 #[derive(Clone, Debug)]
@@ -56,18 +58,29 @@
                         .table()
                         .iter()
                         .map(|held| {
-                            (held.encoded.id(), held.precedence(), held.reachable_from_here, held.last_heard - node.now as i64)
+                            (
+                                held.encoded.id(),
+                                held.precedence(),
+                                held.reachable_from_here,
+                                held.last_heard - node.now as i64,
+                            )
                         })
                         .collect();
                     held.sort_unstable();
                     let doubts: Vec<_> = (0..NODES)
                         .map(|of| {
                             member
-                                .suspicion(MemberId::from_name(&name(of)))
+                                .suspicion(MemberId::from_name(&node_name(of)))
                                 .map(|doubt| (doubt.accusers.len(), doubt.connection_refused))
                         })
                         .collect();
-                    (held, doubts, member.next_timer().saturating_sub(node.now), member.health_multiplier(), member.is_stopped())
+                    (
+                        held,
+                        doubts,
+                        member.next_timer().saturating_sub(node.now),
+                        member.health_multiplier(),
+                        member.is_stopped(),
+                    )
                 })
             })
             .collect();
@@ -78,7 +91,7 @@
         let Some(member) = &mut self.nodes[of].member else { return };
         let outputs: Vec<_> = member.take_outputs().collect();
         for output in outputs {
-            let at = |to: SocketAddr| (0..NODES).find(|node| address(*node) == to);
+            let at = |to: SocketAddr| (0..NODES).find(|node| node_address(*node) == to);
             match output {
                 Output::Event(_) => {}
                 Output::Datagram { to, bytes } => {
@@ -114,7 +127,11 @@
         for by in 0..NODES {
             let Some(member) = &self.nodes[by].member else { continue };
             for held in member.table().iter() {
-                let Some(of) = (0..NODES).find(|of| MemberId::from_name(&name(*of)) == held.encoded.id()) else { continue };
+                let Some(of) =
+                    (0..NODES).find(|of| MemberId::from_name(&node_name(*of)) == held.encoded.id())
+                else {
+                    continue;
+                };
                 let epoch = held.encoded.record.epoch;
                 let before = self.epochs.insert((by, of), epoch);
                 self.went_back |= before.is_some_and(|before| before > epoch);
@@ -131,14 +148,16 @@
         let Some(member) = &mut self.nodes[to].member else { return };
         let mut answer = None;
         match message {
-            Message::Datagram { from, bytes, .. } => member.on_datagram(now, address(*from), bytes),
+            Message::Datagram { from, bytes, .. } => member.on_datagram(now, node_address(*from), bytes),
             Message::Frame { from, back: false, check, bytes, .. } => {
-                if let Ok(StreamAction::Reply(bytes)) = member.on_stream_request(now, address(*from), bytes) {
+                if let Ok(StreamAction::Reply(bytes)) =
+                    member.on_stream_request(now, node_address(*from), bytes)
+                {
                     answer = Some(Message::Frame { to: *from, from: to, back: true, check: *check, bytes });
                 }
             }
             Message::Frame { from, back: true, check, bytes, .. } => {
-                let came = member.on_stream_reply(now, address(*from), bytes);
+                let came = member.on_stream_reply(now, node_address(*from), bytes);
                 if let Some(seq) = check {
                     member.on_stream_probe(now, *seq, StreamProbeOutcome::Answered);
                 } else if let StreamAction::Reply(bytes) = came {
@@ -163,9 +182,9 @@
         let node = &mut self.nodes[of];
         node.starts += 1;
         let card = MemberRecord {
-            name: name(of),
+            name: node_name(of),
             epoch: node.starts,
-            address: address(of).to_string(),
+            address: node_address(of).to_string(),
             node_number: of as u32 + 1,
             ..MemberRecord::default()
         };
@@ -173,7 +192,7 @@
             settings: Settings::default(),
             fleet_name: "model".into(),
             record: card,
-            seeds: (0..NODES).map(address).collect(),
+            seeds: (0..NODES).map(node_address).collect(),
             address_overrides: Vec::new(),
             initial_node_count: 1,
             rng_seed: of as u64,
@@ -276,7 +295,8 @@
                     fleet.deliver(&message);
                 }
                 let running = (0..NODES).filter(|of| fleet.nodes[*of].member.is_some());
-                let first = running.min_by_key(|of| fleet.nodes[*of].member.as_ref().map(Membership::next_timer));
+                let first =
+                    running.min_by_key(|of| fleet.nodes[*of].member.as_ref().map(Membership::next_timer));
                 first.into_iter().for_each(|of| fleet.tick(of));
             }
             fleet
@@ -287,7 +307,12 @@
         let mut killed = settled.clone();
         killed.nodes[2].member = None;
         let held = |fleet: &Fleet| {
-            fleet.nodes[0].member.as_ref()?.table().get(MemberId::from_name(&name(2))).map(|held| held.state)
+            fleet.nodes[0]
+                .member
+                .as_ref()?
+                .table()
+                .get(MemberId::from_name(&node_name(2)))
+                .map(|held| held.state)
         };
         let when = |state: MemberState| {
             (0..200).map(|ticks| play_on(&killed, ticks)).find(|fleet| held(fleet) == Some(state))
--- a/crates/membership/tests/settles.rs
+++ b/crates/membership/tests/settles.rs
@@ -1,7 +1,7 @@
 //! Fleets in virtual time: what is found out, how soon, and that nobody is wronged. A failing seed replays.
 
-use pumicehead_membership::sim::{SimulationConfig, Simulation};
-use pumicehead_membership::{MS, SECOND, MemberState};
+use pumicehead_membership::simulation::{Simulation, SimulationConfig};
+use pumicehead_membership::{MS, MemberState, SECOND};
 
 const STEP: u64 = 50 * MS;
 
@@ -22,13 +22,13 @@
 fn nothing_happens_in_the_calm() {
     for seed in 0..5 {
         let mut sim = running(30, seed);
-        let (before, _) = sim.sent();
+        let before = sim.sent().bytes;
         sim.run_for(60 * SECOND);
         assert!(sim.has_converged(), "seed {seed}");
         for of in 0..30 {
             assert!(all_hold(&sim, 30, of, MemberState::Alive), "seed {seed}");
         }
-        let each = (sim.sent().0 - before) / 30 / 60;
+        let each = (sim.sent().bytes - before) / 30 / 60;
         assert!(each < 1_024, "seed {seed}: {each} bytes a second");
     }
 }
@@ -70,7 +70,10 @@
         let first = sim.run_until(STEP, 20 * SECOND, |sim| knows(sim, 1)).expect("found");
         let rest = sim.run_until(STEP, 20 * SECOND, |sim| knows(sim, 49)).expect("known to all");
         assert!(first <= 3 * SECOND && first + rest <= 5 * SECOND, "seed {seed}: {first} {rest}");
-        assert!((0..50).filter(|of| *of != 7).all(|of| all_hold(&sim, 50, of, MemberState::Alive)), "seed {seed}");
+        assert!(
+            (0..50).filter(|of| *of != 7).all(|of| all_hold(&sim, 50, of, MemberState::Alive)),
+            "seed {seed}"
+        );
     }
 }
 
@@ -109,9 +112,13 @@
             for node in [4, 5, 6] {
                 sim.resume(node);
             }
-            let well = |sim: &Simulation| sim.has_converged() && (0..20).all(|of| all_hold(sim, 20, of, MemberState::Alive));
+            let well = |sim: &Simulation| {
+                sim.has_converged() && (0..20).all(|of| all_hold(sim, 20, of, MemberState::Alive))
+            };
             let wronged = |sim: &mut Simulation| {
-                (0..20).filter(|of| ![4, 5, 6].contains(of)).any(|of| !all_hold(sim, 20, of, MemberState::Alive))
+                (0..20)
+                    .filter(|of| ![4, 5, 6].contains(of))
+                    .any(|of| !all_hold(sim, 20, of, MemberState::Alive))
             };
             for _ in 0..100 {
                 sim.run_for(STEP);
@@ -126,7 +133,11 @@
 #[test]
 fn loss_and_stalls_kill_nobody() {
     for seed in 0..2 {
-        let mut sim = Simulation::new(SimulationConfig { loss: 0.05, duplication: 0.02, ..SimulationConfig::without_faults(30, seed) });
+        let mut sim = Simulation::new(SimulationConfig {
+            loss: 0.05,
+            duplication: 0.02,
+            ..SimulationConfig::without_faults(30, seed)
+        });
         sim.start_all_known();
         for round in 0..300 {
             let still = [round * 3 % 30, (round * 7 + 11) % 30, (round * 13 + 5) % 30];
@@ -146,10 +157,14 @@
 #[test]
 fn heavy_loss_hides_no_crash() {
     for seed in 0..5 {
-        let mut sim = Simulation::new(SimulationConfig { loss: 0.3, ..SimulationConfig::without_faults(20, seed) });
+        let mut sim =
+            Simulation::new(SimulationConfig { loss: 0.3, ..SimulationConfig::without_faults(20, seed) });
         sim.start_all_known();
         sim.run_for(60 * SECOND);
-        assert!((0..20).all(|of| (0..20).all(|by| sim.state_of(by, of) != Some(MemberState::Dead))), "seed {seed}");
+        assert!(
+            (0..20).all(|of| (0..20).all(|by| sim.state_of(by, of) != Some(MemberState::Dead))),
+            "seed {seed}"
+        );
         sim.kill(2);
         assert!(
             sim.run_until(STEP, 30 * SECOND, |sim| all_hold(sim, 20, 2, MemberState::Dead)).is_some(),
@@ -170,7 +185,9 @@
             assert!(all_hold(&sim, 8, of, MemberState::Alive), "seed {seed}: {of}");
         }
         let key = pumicehead_membership::MemberId::from_name("n7");
-        let here = |sim: &Simulation| sim.member(0).and_then(|member| member.table().get(key).map(|held| held.reachable_from_here));
+        let here = |sim: &Simulation| {
+            sim.member(0).and_then(|member| member.table().get(key).map(|held| held.reachable_from_here))
+        };
         assert_eq!(here(&sim), Some(false), "seed {seed}");
         sim.block_links(|_, _| false);
         assert!(sim.run_until(STEP, 30 * SECOND, |sim| here(sim) == Some(true)).is_some(), "seed {seed}");
@@ -188,7 +205,9 @@
         assert_eq!(dead, 0, "seed {seed}");
         assert!(sim.member(9).is_some_and(|member| member.is_isolated()), "seed {seed}");
         sim.block_links(|_, _| false);
-        let well = |sim: &Simulation| sim.has_converged() && (0..20).all(|of| all_hold(sim, 20, of, MemberState::Alive));
+        let well = |sim: &Simulation| {
+            sim.has_converged() && (0..20).all(|of| all_hold(sim, 20, of, MemberState::Alive))
+        };
         assert!(sim.run_until(STEP, 20 * SECOND, well).is_some(), "seed {seed}");
     }
 }
@@ -209,7 +228,10 @@
         }
         // Its first findings, before it knows better, are told, and answered by those that they are about.
         assert!(moved <= 19 * 16, "seed {seed}: {moved}");
-        assert!((0..20).filter(|of| *of != 9).all(|of| sim.state_of(0, of) == Some(MemberState::Alive)), "seed {seed}");
+        assert!(
+            (0..20).filter(|of| *of != 9).all(|of| sim.state_of(0, of) == Some(MemberState::Alive)),
+            "seed {seed}"
+        );
     }
 }
 
@@ -225,12 +247,16 @@
         sim.block_links(move |from, to| (side(from) == 2) != (side(to) == 2));
         let two = |sim: &Simulation| {
             (0..30).filter(|n| side(*n) != 2).all(|by| {
-                (0..30).filter(|n| side(*n) != 2).all(|of| by == of || sim.state_of(by, of) == Some(MemberState::Alive))
+                (0..30)
+                    .filter(|n| side(*n) != 2)
+                    .all(|of| by == of || sim.state_of(by, of) == Some(MemberState::Alive))
             })
         };
         assert!(sim.run_until(STEP, 10 * SECOND, two).is_some(), "seed {seed}: two sides");
         sim.block_links(|_, _| false);
-        let well = |sim: &Simulation| sim.has_converged() && (0..30).all(|of| all_hold(sim, 30, of, MemberState::Alive));
+        let well = |sim: &Simulation| {
+            sim.has_converged() && (0..30).all(|of| all_hold(sim, 30, of, MemberState::Alive))
+        };
         let took = sim.run_until(STEP, 20 * SECOND, well);
         assert!(took.is_some(), "seed {seed}: all");
     }
@@ -242,7 +268,7 @@
     for seed in 0..5 {
         let mut sim = running(20, seed);
         (0..20).for_each(|node| drop(sim.take_events(node)));
-        let (before, _) = sim.sent();
+        let before = sim.sent().bytes;
         for _ in 0..60 {
             sim.kill(5);
             sim.run_for(500 * MS);
@@ -256,7 +282,7 @@
                 }
             }
         }
-        let each = (sim.sent().0 - before) / 20 / 60;
+        let each = (sim.sent().bytes - before) / 20 / 60;
         assert!(each < 4_096, "seed {seed}: {each} bytes a second");
         let well = |sim: &Simulation| sim.has_converged() && all_hold(sim, 20, 5, MemberState::Alive);
         assert!(sim.run_until(STEP, 60 * SECOND, well).is_some(), "seed {seed}");
@@ -304,9 +330,9 @@
 fn a_thousand_cost_hardly_more_than_fifty() {
     let cost = |nodes: usize| {
         let mut sim = running(nodes, 1);
-        let (before, _) = sim.sent();
+        let before = sim.sent().bytes;
         sim.run_for(20 * SECOND);
-        let each = (sim.sent().0 - before) as f64 / nodes as f64 / 20.0;
+        let each = (sim.sent().bytes - before) as f64 / nodes as f64 / 20.0;
         sim.kill(1);
         let known = sim.run_until(100 * MS, 30 * SECOND, |sim| all_hold(sim, nodes, 1, MemberState::Dead));
         (each, known.expect("known to all"))
--- a/crates/membership/tests/share.rs
+++ b/crates/membership/tests/share.rs
@@ -1,16 +1,17 @@
 //! How many nodes share a server: more at once, fewer by degrees, and a side that has lost sight of others leaves them their part.
 
 use prost::Message;
-use pumicehead_membership::share::{NodeCount, counted_nodes, free_node_number};
-use pumicehead_membership::sim::{SimulationConfig, Simulation, name};
-use pumicehead_membership::table::{MemberClaim, EncodedRecord, MemberTable};
-use pumicehead_membership::{MemberRecord, MemberId, MS, Membership, Nanos, SECOND, Settings, MemberState};
+use pumicehead_membership::node_count::{NodeCount, counted_nodes};
+use pumicehead_membership::node_number::free_node_number;
+use pumicehead_membership::simulation::{Simulation, SimulationConfig, node_name};
+use pumicehead_membership::{EncodedRecord, MemberClaim, MemberTable};
+use pumicehead_membership::{MS, MemberId, MemberRecord, MemberState, Membership, Nanos, SECOND, Settings};
 
 const NOW: Nanos = 10_000 * SECOND;
 
 fn heard(of: usize, number: u32, state: MemberState, refused: bool, since: Nanos) -> MemberClaim {
     let card = MemberRecord {
-        name: name(of),
+        name: node_name(of),
         epoch: 1,
         // Later states of one saying count more; here each is of its own.
         incarnation: u64::from(state.code()),
@@ -19,7 +20,13 @@
         ..MemberRecord::default()
     };
     let raw = card.encode_to_vec();
-    MemberClaim { encoded: EncodedRecord::new(card, raw), state, connection_refused: refused, state_since: since as i64, reporter: MemberId(0) }
+    MemberClaim {
+        encoded: EncodedRecord::new(card, raw),
+        state,
+        connection_refused: refused,
+        state_since: since as i64,
+        reporter: MemberId(0),
+    }
 }
 
 /// Guards leases: who left does not count, who is known to be dead counts for a while, who is out of sight for long.
@@ -27,7 +34,10 @@
 fn who_counts_and_for_how_long() {
     let settings = Settings::default();
     let mut table = MemberTable::default();
-    for (of, state) in [MemberState::Alive, MemberState::Stalled, MemberState::Suspect, MemberState::Left].into_iter().enumerate() {
+    for (of, state) in [MemberState::Alive, MemberState::Stalled, MemberState::Suspect, MemberState::Left]
+        .into_iter()
+        .enumerate()
+    {
         table.merge(&heard(of, 0, state, false, NOW));
     }
     assert_eq!(counted_nodes(&table, &settings, NOW), 3);
@@ -104,8 +114,8 @@
     for (of, number) in [(0, 1), (1, 4), (2, 2), (3, 2), (4, 0), (5, 0), (6, 0), (7, 0)] {
         table.merge(&heard(of, number, MemberState::Alive, false, NOW));
     }
-    let later = MemberId::from_name(&name(2)).max(MemberId::from_name(&name(3)));
-    let takes = [later].into_iter().chain((4..8).map(|of| MemberId::from_name(&name(of))));
+    let later = MemberId::from_name(&node_name(2)).max(MemberId::from_name(&node_name(3)));
+    let takes = [later].into_iter().chain((4..8).map(|of| MemberId::from_name(&node_name(of))));
     let mut taken: Vec<_> = takes.map(|key| free_node_number(&table, key)).collect();
     taken.sort_unstable();
     assert_eq!(taken, [3, 5, 6, 7, 8]);
--- a/crates/membership/tests/table.rs
+++ b/crates/membership/tests/table.rs
@@ -1,13 +1,25 @@
 //! The table of a view: what it counts of its own memory.
 
 use prost::Message;
-use pumicehead_membership::table::{MemberClaim, EncodedRecord, MemberTable};
-use pumicehead_membership::{MemberRecord, MemberId, MemberState};
+use pumicehead_membership::{EncodedRecord, MemberClaim, MemberTable};
+use pumicehead_membership::{MemberId, MemberRecord, MemberState};
 
 fn heard(name: String, zone: &str) -> MemberClaim {
-    let card = MemberRecord { name, epoch: 1, address: "10.0.0.1:7400".into(), zone: zone.into(), ..MemberRecord::default() };
+    let card = MemberRecord {
+        name,
+        epoch: 1,
+        address: "10.0.0.1:7400".into(),
+        zone: zone.into(),
+        ..MemberRecord::default()
+    };
     let raw = card.encode_to_vec();
-    MemberClaim { encoded: EncodedRecord::new(card, raw), state: MemberState::Alive, connection_refused: false, state_since: 0, reporter: MemberId(0) }
+    MemberClaim {
+        encoded: EncodedRecord::new(card, raw),
+        state: MemberState::Alive,
+        connection_refused: false,
+        state_since: 0,
+        reporter: MemberId(0),
+    }
 }
 
 fn table(members: usize, zone: &str) -> MemberTable {
@@ -22,8 +34,11 @@
 #[test]
 fn bytes_grow_with_entries_and_texts() {
     const MEMBERS: usize = 512;
-    let (none, some, more) =
-        (table(0, "a").allocated_bytes(), table(MEMBERS, "a").allocated_bytes(), table(2 * MEMBERS, "a").allocated_bytes());
+    let (none, some, more) = (
+        table(0, "a").allocated_bytes(),
+        table(MEMBERS, "a").allocated_bytes(),
+        table(2 * MEMBERS, "a").allocated_bytes(),
+    );
     // An entry, its card and the bytes that came take a few hundred each.
     let each = (some - none) / MEMBERS;
     assert!((150..1_000).contains(&each), "{each} bytes an entry");
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -13,8 +13,8 @@
 use pumicehead_config::model::{Fleet as Block, Node};
 use pumicehead_flight_recorder::event::Event as Told;
 use pumicehead_flight_recorder::text::Name;
-use pumicehead_membership::member::{MembershipError, Event, Membership, Output, MembershipConfig};
 use pumicehead_membership::settings::MAX_DATAGRAM_BYTES;
+use pumicehead_membership::{Event, Membership, MembershipConfig, MembershipError, Output};
 use pumicehead_membership::{MemberRecord, SECOND, Settings};
 use pumicehead_policy::interface::{Nanos, Sharing};
 use thiserror::Error;
@@ -242,17 +242,19 @@
                 let from = from.map_or("new", pumicehead_membership::MemberState::as_str);
                 info!(target: "fleet", "{name}: {from} -> {}, says {reporter}", to.as_str());
             }
-            Event::ReachabilityChanged { name, reachable: true } => info!(target: "fleet", "{name} is reached from here again"),
+            Event::ReachabilityChanged { name, reachable: true } => {
+                info!(target: "fleet", "{name} is reached from here again")
+            }
             Event::ReachabilityChanged { name, reachable: false } => {
                 warn!(target: "fleet", "{name} is not reached from here, though others reach it or this node is cut off");
             }
-            Event::ProcessStalled(span) => {
+            Event::ProcessStalled { duration: span } => {
                 warn!(target: "fleet", "stood still for {:.1} s", span as f64 / SECOND as f64);
             }
-            Event::Superseded { by } => {
+            Event::Superseded { address: by } => {
                 warn!(target: "fleet", "a later process has this node's name, at {by}: this one is no member any more");
             }
-            Event::PeerRejected { from, why } => {
+            Event::PeerRejected { address: from, error: why } => {
                 self.refused.set(self.refused.get() + 1);
                 warn!(target: "fleet", "{from} is refused: {why}");
             }
--- a/crates/node/src/fleet/stream.rs
+++ b/crates/node/src/fleet/stream.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pumicehead_membership::member::{StreamProbeOutcome, StreamAction};
 use pumicehead_membership::settings::MAX_FRAME_BYTES;
+use pumicehead_membership::{SequenceNumber, StreamAction, StreamProbeOutcome};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
@@ -89,7 +89,7 @@
         match came {
             Ok(StreamAction::Reply(answer)) => write(&mut stream, &answer).await?,
             Ok(StreamAction::Close) => return Ok(()),
-            Err((_, refusal)) => return write(&mut stream, &refusal).await,
+            Err(rejected) => return write(&mut stream, &rejected.reply).await,
         }
     }
     Ok(())
@@ -115,12 +115,14 @@
 }
 
 /// Asks a member whether it is there.
-pub async fn check(fleet: Rc<Fleet>, seq: u32, to: SocketAddr, frame: Vec<u8>) {
+pub async fn check(fleet: Rc<Fleet>, seq: SequenceNumber, to: SocketAddr, frame: Vec<u8>) {
     let Some(_place) = Opened::new(&fleet) else { return };
     let asked = async {
         let mut stream = match TcpStream::connect(to).await {
             Ok(stream) => stream,
-            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return StreamProbeOutcome::Refused,
+            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
+                return StreamProbeOutcome::Refused;
+            }
             Err(_) => return StreamProbeOutcome::Unreachable,
         };
         let _ = stream.set_nodelay(true);
--- a/crates/node/src/fleet/told.rs
+++ b/crates/node/src/fleet/told.rs
@@ -1,8 +1,8 @@
 //! What a member tells people of its view, as JSON: one object, on one line.
 
-use pumicehead_membership::member::Membership;
-use pumicehead_membership::table::MemberEntry;
-use pumicehead_membership::{MemberId, SECOND, MemberState};
+use pumicehead_membership::MemberEntry;
+use pumicehead_membership::Membership;
+use pumicehead_membership::{MemberId, MemberState, SECOND};
 use pumicehead_policy::interface::Nanos;
 use serde_json::{Value, json};
 
@@ -15,7 +15,12 @@
     let card = &held.encoded.record;
     let doubt = member.suspicion(held.encoded.id()).map(|doubt| {
         let witnesses: Vec<_> = doubt.accusers.iter().map(|witness| named(member, *witness)).collect();
-        let ends = doubt.expires_at(member.settings(), member.id(), member.table().active_count(), Default::default());
+        let ends = doubt.expires_at(
+            member.settings(),
+            member.id(),
+            member.table().active_count(),
+            Default::default(),
+        );
         json!({ "witnesses": witnesses, "ends_in_s": ends.saturating_sub(now) as f64 / SECOND as f64 })
     });
     json!({
@@ -76,8 +81,12 @@
     reasons.push(match held.state {
         MemberState::Alive => format!("it says so itself, by {says}"),
         MemberState::Left => "it said that it goes".to_owned(),
-        MemberState::Stalled => format!("{says} finds that its kernel takes connections and it does not answer"),
-        MemberState::Suspect if held.connection_refused => format!("{says} finds that its address refuses connections"),
+        MemberState::Stalled => {
+            format!("{says} finds that its kernel takes connections and it does not answer")
+        }
+        MemberState::Suspect if held.connection_refused => {
+            format!("{says} finds that its address refuses connections")
+        }
         MemberState::Suspect => format!("{says} and those that it asked to ask get no answer"),
         MemberState::Dead if held.connection_refused => {
             format!("its address refused connections, and it did not say that it lives: {says}")
--- a/crates/testbed/src/hollow/node.rs
+++ b/crates/testbed/src/hollow/node.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use pumicehead_membership::member::{Event, Membership, Output, MembershipConfig};
 use pumicehead_membership::settings::MAX_DATAGRAM_BYTES;
-use pumicehead_membership::{MemberRecord, MemberId, Nanos, SECOND, Settings, MemberState};
+use pumicehead_membership::{Event, Membership, MembershipConfig, Output};
+use pumicehead_membership::{MemberId, MemberRecord, MemberState, Nanos, SECOND, Settings};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
@@ -253,9 +253,11 @@
         for output in outputs {
             match output {
                 Output::Datagram { to, bytes } => self.send(to, &bytes),
-                Output::StreamProbe { seq, to, frame } => self.spawn(stream::check(self.clone(), seq, to, frame)),
+                Output::StreamProbe { seq, to, frame } => {
+                    self.spawn(stream::check(self.clone(), seq, to, frame))
+                }
                 Output::PushPull { to, frame } => self.spawn(stream::compare(self.clone(), to, frame)),
-                Output::Event(Event::ProcessStalled(_)) => {
+                Output::Event(Event::ProcessStalled { .. }) => {
                     self.stalls.fetch_add(1, Ordering::Relaxed);
                 }
                 Output::Event(_) => {}
--- a/crates/testbed/src/hollow/stream.rs
+++ b/crates/testbed/src/hollow/stream.rs
@@ -6,8 +6,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use pumicehead_membership::member::{StreamProbeOutcome, StreamAction};
 use pumicehead_membership::settings::MAX_FRAME_BYTES;
+use pumicehead_membership::{SequenceNumber, StreamAction, StreamProbeOutcome};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
@@ -76,7 +76,7 @@
         match came {
             Ok(StreamAction::Reply(answer)) => write(node, &mut stream, &answer).await?,
             Ok(StreamAction::Close) => return Ok(()),
-            Err((_, refusal)) => return write(node, &mut stream, &refusal).await,
+            Err(rejected) => return write(node, &mut stream, &rejected.reply).await,
         }
     }
     Ok(())
@@ -100,7 +100,7 @@
 }
 
 /// Asks a member over a stream whether it is there.
-pub(super) async fn check(node: Arc<HollowNode>, seq: u32, to: SocketAddr, frame: Vec<u8>) {
+pub(super) async fn check(node: Arc<HollowNode>, seq: SequenceNumber, to: SocketAddr, frame: Vec<u8>) {
     let Some(_permit) = Opened::new(&node) else { return };
     let asked = timeout(2 * CHECK_TIMEOUT, ask(&node, to, &frame));
     let checked = asked.await.unwrap_or(StreamProbeOutcome::Unreachable);
--- a/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
+++ b/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use pumicehead_membership::sim::{SimulationConfig, Simulation};
-use pumicehead_membership::{MS, Nanos, SECOND, MemberState};
+use pumicehead_membership::simulation::{SentTotals, Simulation, SimulationConfig};
+use pumicehead_membership::{MS, MemberState, Nanos, SECOND};
 
 use crate::hollow::counts::DATAGRAM_HEADS;
 
@@ -85,7 +85,8 @@
 }
 
 fn known(nodes: usize, seed: u64) -> Simulation {
-    let mut sim = Simulation::new(SimulationConfig { zones: ZONES, ..SimulationConfig::without_faults(nodes, seed) });
+    let mut sim =
+        Simulation::new(SimulationConfig { zones: ZONES, ..SimulationConfig::without_faults(nodes, seed) });
     sim.start_all_known();
     sim.run_for(SETTLE);
     sim
@@ -93,7 +94,7 @@
 
 /// Bytes sent by all, with heads of datagrams.
 fn bytes(sim: &Simulation) -> f64 {
-    let (bytes, datagrams) = sim.sent();
+    let SentTotals { bytes, datagrams } = sim.sent();
     (bytes + DATAGRAM_HEADS * datagrams) as f64
 }
 
@@ -105,11 +106,13 @@
 /// A fleet of one size.
 pub(super) fn size(nodes: usize, seed: u64) -> VirtualSize {
     let mut sim = known(nodes, seed);
-    let (bytes_before, datagrams_before) = (bytes(&sim), sim.sent().1);
+    let (bytes_before, datagrams_before) = (bytes(&sim), sim.sent().datagrams);
     sim.run_for(REST);
     let a_second = nodes as f64 * REST as f64 / SECOND as f64;
-    let (bytes, datagrams) =
-        ((bytes(&sim) - bytes_before) / a_second, (sim.sent().1 - datagrams_before) as f64 / a_second);
+    let (bytes, datagrams) = (
+        (bytes(&sim) - bytes_before) / a_second,
+        (sim.sent().datagrams - datagrams_before) as f64 / a_second,
+    );
     sim.kill(1);
     let (first, last) = until_dead(&mut sim, nodes, &[1]);
     VirtualSize { nodes, datagrams, bytes, first, last }
@@ -129,11 +132,13 @@
 
 /// All start at once, with three seeds.
 pub(super) fn join(nodes: usize, seed: u64) -> VirtualJoin {
-    let mut sim = Simulation::new(SimulationConfig { zones: ZONES, ..SimulationConfig::without_faults(nodes, seed) });
+    let mut sim =
+        Simulation::new(SimulationConfig { zones: ZONES, ..SimulationConfig::without_faults(nodes, seed) });
     sim.start(0, &[]);
     (1..nodes).for_each(|node| sim.start(node, &[0, 1, 2]));
     let all_see_all = |sim: &Simulation| {
-        sim.has_converged() && sim.member(0).is_some_and(|member| member.table().count_in_state(MemberState::Alive) == nodes)
+        sim.has_converged()
+            && sim.member(0).is_some_and(|member| member.table().count_in_state(MemberState::Alive) == nodes)
     };
     let settled = sim.run_until(STEP, LIMIT, all_see_all);
     let a_second = nodes as f64 * settled.unwrap_or(LIMIT).max(STEP) as f64 / SECOND as f64;
@@ -193,7 +198,8 @@
 /// Until all hold the same again with all alive, and the bytes of all in the worst second until then.
 fn heal(sim: &mut Simulation, nodes: usize) -> (Option<Nanos>, f64) {
     let is_healed = |sim: &Simulation| {
-        sim.has_converged() && sim.member(0).is_some_and(|member| member.table().count_in_state(MemberState::Alive) == nodes)
+        sim.has_converged()
+            && sim.member(0).is_some_and(|member| member.table().count_in_state(MemberState::Alive) == nodes)
     };
     let mut most = 0.0f64;
     for second in 0..LIMIT / SECOND {
--- a/crates/testbed/src/measure/view.rs
+++ b/crates/testbed/src/measure/view.rs
@@ -5,9 +5,9 @@
 use std::process::Command;
 
 use prost::Message;
-use pumicehead_membership::sim::{SimulationConfig as Fleet, Simulation};
-use pumicehead_membership::table::{MemberClaim, EncodedRecord, MemberTable};
-use pumicehead_membership::{MemberRecord, MS, Nanos, SECOND, MemberState};
+use pumicehead_membership::simulation::{Simulation, SimulationConfig as Fleet};
+use pumicehead_membership::{EncodedRecord, MemberClaim, MemberTable};
+use pumicehead_membership::{MS, MemberRecord, MemberState, Nanos, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Deserialize;
@@ -43,7 +43,7 @@
     sim.run_for(10 * SECOND);
     let after = sim.sent();
     // With the heads of UDP and IP, which are half of it.
-    let bytes = (after.0 - before.0) as f64 + HEADS * (after.1 - before.1) as f64;
+    let bytes = (after.bytes - before.bytes) as f64 + HEADS * (after.datagrams - before.datagrams) as f64;
     let bytes = bytes / nodes as f64 / 10.0;
     sim.kill(1);
     let first = sim.run_until(STEP, LIMIT, |sim| dead(sim, nodes, 1) > 0);
@@ -77,7 +77,8 @@
     sim.run_for(60 * SECOND);
     sim.block_links(|_, _| false);
     sim.run_until(STEP, LIMIT, |sim| {
-        sim.has_converged() && sim.member(0).is_some_and(|member| member.table().count_in_state(MemberState::Alive) == nodes)
+        sim.has_converged()
+            && sim.member(0).is_some_and(|member| member.table().count_in_state(MemberState::Alive) == nodes)
     })
 }
 
@@ -214,7 +215,13 @@
         let raw = card.encode_to_vec();
         let said = EncodedRecord::new(card, raw);
         let witness = said.id();
-        table.merge(&MemberClaim { encoded: said, state: MemberState::Alive, connection_refused: false, state_since: 0, reporter: witness });
+        table.merge(&MemberClaim {
+            encoded: said,
+            state: MemberState::Alive,
+            connection_refused: false,
+            state_since: 0,
+            reporter: witness,
+        });
     }
     let taken = own().saturating_sub(before) as f64 / table.len().max(1) as f64;
     drop(table);
