--- /dev/null
+++ b/crates/membership/tests/foca_comparison/main.rs
@@ -0,0 +1,143 @@
+//! The `foca` library and this package under the same faults, which shows why `foca` is not used (`docs/design/members.md`). The
+//! same seed gives the same run.
+
+use pumicehead_membership::simulation::{Simulation, SimulationConfig};
+use pumicehead_membership::{MS, MemberState, SECOND};
+
+use crate::foca_fleet::FocaFleet;
+
+mod foca_fleet;
+
+const NODES: usize = 20;
+/// The node that is isolated.
+const ISOLATED: usize = 9;
+
+/// A figure for `foca` and for this package.
+#[derive(Debug, Default)]
+struct Compared<T> {
+    foca: T,
+    own: T,
+}
+
+/// What both do under one fault after another.
+#[derive(Debug)]
+struct Comparison {
+    /// Members that an isolated one holds dead.
+    lost_when_isolated: Compared<usize>,
+    /// Members still lost 20 s after it is reconnected.
+    lost_after_isolation: Compared<usize>,
+    /// Members lost under 30% loss, summed over a check each 0.1 s.
+    lost_under_loss: Compared<usize>,
+    /// Tenths of a second until two halves are one fleet again.
+    healed_after: Compared<Option<u64>>,
+}
+
+fn own_fleet(seed: u64, loss: f64) -> Simulation {
+    let mut sim = Simulation::new(SimulationConfig { loss, ..SimulationConfig::without_faults(NODES, seed) });
+    sim.start_all_known();
+    sim.run_for(20 * SECOND);
+    sim
+}
+
+fn own_lost_by(sim: &Simulation, observer: usize) -> usize {
+    let is_lost = |node| sim.state_of(observer, node).is_none_or(|state| state >= MemberState::Dead);
+    (0..NODES).filter(|&node| node != observer && is_lost(node)).count()
+}
+
+fn own_lost(sim: &Simulation) -> usize {
+    (0..NODES).map(|observer| own_lost_by(sim, observer)).sum()
+}
+
+/// One member is isolated for 40 s: whom it loses, and who is still lost 20 s later.
+fn isolate(seed: u64) -> (Compared<usize>, Compared<usize>) {
+    let (mut foca, mut own) = (FocaFleet::joined(seed, 0.0), own_fleet(seed, 0.0));
+    foca.is_blocked = |from, to| from == ISOLATED || to == ISOLATED;
+    own.block_links(|from, to| from == ISOLATED || to == ISOLATED);
+    foca.run_for(40 * SECOND);
+    own.run_for(40 * SECOND);
+    let isolated = Compared { foca: foca.lost_by(ISOLATED), own: own_lost_by(&own, ISOLATED) };
+    foca.is_blocked = |_, _| false;
+    own.block_links(|_, _| false);
+    foca.run_for(20 * SECOND);
+    own.run_for(20 * SECOND);
+    (isolated, Compared { foca: foca.missing().len(), own: own_lost(&own) })
+}
+
+/// 30% of the datagrams are lost for a minute.
+fn lose(seed: u64) -> Compared<usize> {
+    let (mut foca, mut own) = (FocaFleet::joined(seed, 0.3), own_fleet(seed, 0.3));
+    let mut lost = Compared::default();
+    for _ in 0..600 {
+        foca.run_for(100 * MS);
+        own.run_for(100 * MS);
+        lost.foca += foca.missing().len();
+        lost.own += own_lost(&own);
+    }
+    lost
+}
+
+/// The fleet is partitioned into two halves for a minute.
+fn partition(seed: u64) -> Compared<Option<u64>> {
+    let (mut foca, mut own) = (FocaFleet::joined(seed, 0.0), own_fleet(seed, 0.0));
+    foca.is_blocked = |from, to| from % 2 != to % 2;
+    own.block_links(|from, to| from % 2 != to % 2);
+    foca.run_for(60 * SECOND);
+    own.run_for(60 * SECOND);
+    foca.is_blocked = |_, _| false;
+    own.block_links(|_, _| false);
+    let mut healed: Compared<Option<u64>> = Compared::default();
+    for tenths in 1..600 {
+        foca.run_for(100 * MS);
+        own.run_for(100 * MS);
+        if foca.missing().is_empty() {
+            healed.foca = healed.foca.or(Some(tenths));
+        }
+        if own_lost(&own) == 0 {
+            healed.own = healed.own.or(Some(tenths));
+        }
+    }
+    healed
+}
+
+fn compare(seed: u64) -> Comparison {
+    let (lost_when_isolated, lost_after_isolation) = isolate(seed);
+    Comparison {
+        lost_when_isolated,
+        lost_after_isolation,
+        lost_under_loss: lose(seed),
+        healed_after: partition(seed),
+    }
+}
+
+/// `foca`'s isolated member holds all others dead and loss makes it lose members; this package does neither and heals sooner.
+#[test]
+fn foca_loses_members_that_this_package_keeps() {
+    let comparisons: Vec<_> = (1..6).map(compare).collect();
+    let keeps_more = |one: &Comparison| {
+        one.lost_when_isolated.own == 0
+            && one.lost_when_isolated.foca > NODES / 2
+            && one.lost_after_isolation.own == 0
+            && one.lost_under_loss.own == 0
+    };
+    assert!(comparisons.iter().all(keeps_more), "{comparisons:?}");
+    let heals = |one: &Comparison| one.healed_after.own.is_some_and(|tenths| tenths <= 50);
+    assert!(comparisons.iter().all(heals), "{comparisons:?}");
+    assert!(comparisons.iter().map(|one| one.lost_under_loss.foca).sum::<usize>() > 0, "{comparisons:?}");
+    comparisons.iter().for_each(|one| println!("{one:?}"));
+}
+
+/// A process that is paused for good is dead for `foca`, which has no other state for it.
+#[test]
+fn paused_member_is_stalled_here_and_dead_for_foca() {
+    const PAUSED: usize = 4;
+    let mut foca = FocaFleet::joined(3, 0.0);
+    foca.pause(PAUSED);
+    foca.run_for(20 * SECOND);
+    let mut others = (0..NODES).filter(|node| *node != PAUSED);
+    assert!(others.clone().all(|observer| !foca.holds(observer, PAUSED)));
+    let mut own = Simulation::new(SimulationConfig::without_faults(NODES, 3));
+    own.start_all_known();
+    own.pause(PAUSED);
+    own.run_for(20 * SECOND);
+    assert!(others.all(|observer| own.state_of(observer, PAUSED) == Some(MemberState::Stalled)));
+}
