--- a/crates/flight-recorder/src/cause.rs
+++ b/crates/flight-recorder/src/cause.rs
@@ -86,6 +86,48 @@
     Other,
 }
 
+impl Subject {
+    /// Its name in the JSON of `pumicehead why`, which stays whatever the variant is called.
+    #[must_use]
+    pub fn exported_name(self) -> String {
+        match self {
+            Self::Server(pool, server) => format!("Server({}, {server})", exported_pool(pool)),
+            Self::Class(pool, class) => format!("Class({}, {class})", exported_pool(pool)),
+            Self::Pool(pool) => format!("Pool({})", exported_pool(pool)),
+            Self::Node => "Node".to_owned(),
+            Self::Clients(pool) => format!("Clients({})", exported_pool(pool)),
+        }
+    }
+}
+
+fn exported_pool(pool: PoolId) -> String {
+    format!("PoolId({})", pool.0)
+}
+
+impl Matter {
+    /// Its name in the JSON of `pumicehead why`, which stays whatever the variant is called.
+    #[must_use]
+    pub fn exported_name(self) -> &'static str {
+        match self {
+            Self::Silent => "Silent",
+            Self::Resets => "Resets",
+            Self::Errors => "Errors",
+            Self::TurnsAway => "TurnsAway",
+            Self::Unreachable => "Unreachable",
+            Self::Slow => "Slow",
+            Self::SlowToConnect => "SlowToConnect",
+            Self::TooTight => "TooTight",
+            Self::Descriptors => "Descriptors",
+            Self::Held => "Held",
+            Self::Crowded => "Crowded",
+            Self::Turns => "Turns",
+            Self::Leave => "Leave",
+            Self::Bodies => "Bodies",
+            Self::Other => "Other",
+        }
+    }
+}
+
 /// A cause with what it cost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -6,6 +6,7 @@
 
 use crate::dump::Dump;
 use crate::event::{Event, How};
+use crate::export_names::Exported;
 use crate::kept::Story;
 use crate::loss::said;
 use crate::ring::{Record, records};
@@ -95,7 +96,7 @@
             .filter_map(|record| match &record.event {
                 Event::Note(note) => Some(json!({
                     "timeUnixNano": record.at.to_string(),
-                    "name": format!("{note:?}"),
+                    "name": format!("{:?}", Exported(note)),
                 })),
                 _ => None,
             })
--- a/crates/flight-recorder/src/lib.rs
+++ b/crates/flight-recorder/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod dump;
 pub mod event;
 pub mod export;
+mod export_names;
 pub mod kept;
 pub mod loss;
 pub mod metrics;
--- a/crates/node/src/why.rs
+++ b/crates/node/src/why.rs
@@ -182,7 +182,7 @@
     });
     let found = found.iter().map(|one| {
         json!({
-            "subject": format!("{:?}", one.subject), "matter": format!("{:?}", one.matter),
+            "subject": one.subject.exported_name(), "matter": one.matter.exported_name(),
             "lost": one.lost, "requests": one.count, "text": one.text,
         })
     });
