--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/figures.rs
@@ -19,7 +19,7 @@
 /// Counts since the start of the process. Shared by those that count, on one thread.
 #[derive(Debug, Default)]
 pub struct Figures {
-    /// By class: name, and its counts in the order of [`Outcome`].
+    /// By class: name, and its counts in the order of [`AttemptOutcome`].
     classes: Vec<(String, [Cell<u64>; 3])>,
     /// Attempts written whole to servers.
     pub upstream_requests: Rc<Cell<u64>>,
--- a/crates/capacity-leases/src/holder.rs
+++ b/crates/capacity-leases/src/holder.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use pumicehead_policy::interface::{Nanos, ServerId};
+use pumicehead_policy::interface::{EndpointId, Nanos};
 use rustc_hash::FxHashMap;
 
 use crate::room::{Rate, Standing};
@@ -30,7 +30,7 @@
     /// The planner that it knows there, and the last plan that it heard of it.
     pub heard: Option<(PlannerId, PlanNo)>,
     /// What it does without for the span of a loan from now, by server.
-    pub lent: Vec<(ServerId, Rate)>,
+    pub lent: Vec<(EndpointId, Rate)>,
 }
 
 /// What a plan says of rights.
@@ -43,7 +43,7 @@
     /// The last report that it has taken in.
     pub answers: ReportNo,
     /// What the forwarder may use of each cold server, until the end of the lease. All earlier grants are replaced.
-    pub grants: Vec<(ServerId, Rate)>,
+    pub grants: Vec<(EndpointId, Rate)>,
 }
 
 /// Why a plan is not taken.
@@ -65,12 +65,12 @@
     heard: Option<(PlannerId, PlanNo)>,
     /// The lease of the last plan ends then.
     leased_until: Nanos,
-    lent: FxHashMap<ServerId, Standing>,
-    grants: FxHashMap<ServerId, Rate>,
+    lent: FxHashMap<EndpointId, Standing>,
+    grants: FxHashMap<EndpointId, Rate>,
 }
 
 impl Side {
-    fn lent(&self, server: ServerId, now: Nanos) -> Rate {
+    fn lent(&self, server: EndpointId, now: Nanos) -> Rate {
         self.lent.get(&server).map_or(Rate::NONE, |standing| standing.at(now))
     }
 
@@ -82,7 +82,7 @@
 /// A forwarder's rights.
 #[derive(Debug)]
 pub struct Holder {
-    own: BTreeMap<ServerId, Rate>,
+    own: BTreeMap<EndpointId, Rate>,
     terms: Terms,
     /// From when on its own share is its own: an earlier process on this machine may have lent it.
     free_from: Nanos,
@@ -103,7 +103,7 @@
 
     /// What this forwarder owns now of the cold servers that it uses. Where that falls under what is lent, nothing of it is
     /// left to use, and the loans run on.
-    pub fn set_own(&mut self, own: impl IntoIterator<Item = (ServerId, Rate)>) {
+    pub fn set_own(&mut self, own: impl IntoIterator<Item = (EndpointId, Rate)>) {
         self.own = own.into_iter().take(MOST_COLD).collect();
     }
 
@@ -177,7 +177,7 @@
 
     /// At what rate this forwarder may ask a cold server now, before its ramp.
     #[must_use]
-    pub fn room(&self, server: ServerId, now: Nanos) -> Rate {
+    pub fn room(&self, server: EndpointId, now: Nanos) -> Rate {
         let live = self.sides.iter().filter(|side| side.is_live(now));
         let granted: Rate = live.filter_map(|side| side.grants.get(&server)).copied().sum();
         self.free(server, now) + granted
@@ -185,8 +185,8 @@
 
     /// What is granted now, by server, and how long all of it holds yet.
     #[must_use]
-    pub fn granted(&self, now: Nanos) -> (BTreeMap<ServerId, Rate>, Nanos) {
-        let mut granted: BTreeMap<ServerId, Rate> = BTreeMap::new();
+    pub fn granted(&self, now: Nanos) -> (BTreeMap<EndpointId, Rate>, Nanos) {
+        let mut granted: BTreeMap<EndpointId, Rate> = BTreeMap::new();
         let mut until = Nanos::MAX;
         for side in self.sides.iter().filter(|side| side.is_live(now) && !side.grants.is_empty()) {
             until = until.min(side.leased_until);
@@ -199,8 +199,8 @@
 
     /// What is lent now, by server.
     #[must_use]
-    pub fn all_lent(&self, now: Nanos) -> BTreeMap<ServerId, Rate> {
-        let mut lent: BTreeMap<ServerId, Rate> = BTreeMap::new();
+    pub fn all_lent(&self, now: Nanos) -> BTreeMap<EndpointId, Rate> {
+        let mut lent: BTreeMap<EndpointId, Rate> = BTreeMap::new();
         for (&server, standing) in self.sides.iter().flat_map(|side| &side.lent) {
             *lent.entry(server).or_default() += standing.at(now);
         }
@@ -215,12 +215,12 @@
 
     /// What of its own share of a server is lent now: its decision module must do without.
     #[must_use]
-    pub fn lent(&self, server: ServerId, now: Nanos) -> Rate {
+    pub fn lent(&self, server: EndpointId, now: Nanos) -> Rate {
         self.sides.iter().map(|side| side.lent(server, now)).sum()
     }
 
     /// What of its own is lent to nobody.
-    fn free(&self, server: ServerId, now: Nanos) -> Rate {
+    fn free(&self, server: EndpointId, now: Nanos) -> Rate {
         if now < self.free_from {
             return Rate::NONE;
         }
--- a/crates/capacity-leases/src/ledger.rs
+++ b/crates/capacity-leases/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use pumicehead_policy::interface::{Nanos, ServerId};
+use pumicehead_policy::interface::{EndpointId, Nanos};
 use rustc_hash::FxHashMap;
 
 use crate::holder::{Granting, Lending, MOST_COLD};
@@ -24,7 +24,7 @@
 struct Member {
     sent: VecDeque<(PlanNo, Nanos)>,
     answers: ReportNo,
-    lent: FxHashMap<ServerId, Standing>,
+    lent: FxHashMap<EndpointId, Standing>,
 }
 
 /// What is lent to a planner, and what it has granted.
@@ -37,7 +37,7 @@
     /// Number of the last plan for anyone: one that was forgotten and comes back must not hear a number twice.
     last: PlanNo,
     members: FxHashMap<ForwarderId, Member>,
-    granted: FxHashMap<ServerId, FxHashMap<ForwarderId, Standing>>,
+    granted: FxHashMap<EndpointId, FxHashMap<ForwarderId, Standing>>,
 }
 
 impl Ledger {
@@ -85,7 +85,7 @@
     pub fn plan(
         &mut self,
         forwarder: ForwarderId,
-        wishes: &[(ServerId, Rate)],
+        wishes: &[(EndpointId, Rate)],
         now: Nanos,
     ) -> Option<Granting> {
         let until = now + Terms::at_most(self.terms.lease);
@@ -118,12 +118,12 @@
     /// What a forwarder had best get: of each server that it lends, and so uses, an equal piece for some of those who lend it.
     /// Who they are depends on the server alone, so that all planners choose the same.
     #[must_use]
-    pub fn wishes(&self, forwarder: ForwarderId, now: Nanos) -> Vec<(ServerId, Rate)> {
+    pub fn wishes(&self, forwarder: ForwarderId, now: Nanos) -> Vec<(EndpointId, Rate)> {
         let Some(member) = self.members.get(&forwarder) else { return Vec::new() };
         let until = now + Terms::at_most(self.terms.lease);
-        let mut servers: Vec<ServerId> = member.lent.keys().copied().collect();
+        let mut servers: Vec<EndpointId> = member.lent.keys().copied().collect();
         servers.sort_unstable();
-        let wish = |server: ServerId| {
+        let wish = |server: EndpointId| {
             let lends = |member: &&Member| member.lent.contains_key(&server);
             let lenders = self.members.values().filter(lends).count() as u64;
             let room = self.lent(server, until);
@@ -151,14 +151,14 @@
 
     /// What of a server is lent now and will still be at a time.
     #[must_use]
-    pub fn lent(&self, server: ServerId, until: Nanos) -> Rate {
+    pub fn lent(&self, server: EndpointId, until: Nanos) -> Rate {
         let standing = self.members.values().filter_map(|member| member.lent.get(&server));
         standing.map(|standing| standing.at(until)).sum()
     }
 
     /// What of a server's room is granted now.
     #[must_use]
-    pub fn granted(&self, server: ServerId, now: Nanos) -> Rate {
+    pub fn granted(&self, server: EndpointId, now: Nanos) -> Rate {
         let holders = self.granted.get(&server);
         holders.map_or(Rate::NONE, |holders| holders.values().map(|standing| standing.at(now)).sum())
     }
@@ -171,6 +171,6 @@
 }
 
 /// Highest first: rendezvous hashing, by which the coming and going of one forwarder moves no other's place by more than one.
-fn weight(server: ServerId, forwarder: ForwarderId) -> (u64, ForwarderId) {
+fn weight(server: EndpointId, forwarder: ForwarderId) -> (u64, ForwarderId) {
     (mix(mix(u64::from(server.0)) ^ forwarder.0), forwarder)
 }
--- a/crates/capacity-leases/src/view.rs
+++ b/crates/capacity-leases/src/view.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use pumicehead_policy::interface::{Nanos, SECOND, ServerId};
+use pumicehead_policy::interface::{EndpointId, Nanos, SECOND};
 use rustc_hash::FxHashMap;
 
 use crate::ForwarderId;
@@ -99,13 +99,13 @@
 #[derive(Debug, Default)]
 pub struct View {
     /// In order: the same reports make the same plans.
-    servers: BTreeMap<ServerId, Server>,
+    servers: BTreeMap<EndpointId, Server>,
 }
 
 impl View {
     /// A forwarder says what it sees of a server. Counts are totals since its start: what is lost on the way comes with
     /// the next.
-    pub fn hear(&mut self, forwarder: ForwarderId, server: ServerId, sighting: &Sighting, now: Nanos) {
+    pub fn hear(&mut self, forwarder: ForwarderId, server: EndpointId, sighting: &Sighting, now: Nanos) {
         let known = self.servers.entry(server).or_default();
         let last =
             known.said.get(&forwarder).map(|said| &said.sighting).filter(|last| last.born == sighting.born);
@@ -128,7 +128,7 @@
     }
 
     /// A forwarder is gone, or no longer sees a server.
-    pub fn forget(&mut self, forwarder: ForwarderId, server: Option<ServerId>) {
+    pub fn forget(&mut self, forwarder: ForwarderId, server: Option<EndpointId>) {
         match server {
             Some(server) => {
                 if let Some(known) = self.servers.get_mut(&server) {
@@ -153,7 +153,7 @@
 
     /// What comes of it all.
     #[must_use]
-    pub fn merged(&self, now: Nanos) -> BTreeMap<ServerId, Merged> {
+    pub fn merged(&self, now: Nanos) -> BTreeMap<EndpointId, Merged> {
         let mut merged: BTreeMap<_, _> =
             self.servers.iter().map(|(&id, server)| (id, server.merged(now))).collect();
         for id in self.avoided(now) {
@@ -164,7 +164,7 @@
         merged
     }
 
-    fn avoided(&self, now: Nanos) -> Vec<ServerId> {
+    fn avoided(&self, now: Nanos) -> Vec<EndpointId> {
         let heard = self.servers.values().filter(|server| server.counts.now(now).0 > 0.5);
         let mut shares: Vec<f64> = heard.map(|server| server.counts.share(now)).collect();
         shares.sort_by(f64::total_cmp);
--- a/crates/capacity-leases/src/wire.rs
+++ b/crates/capacity-leases/src/wire.rs
@@ -12,7 +12,7 @@
 use crate::room::Rate;
 use crate::sync::Delta;
 use crate::{PlanNo, PlannerId, ReportNo};
-use pumicehead_policy::interface::ServerId;
+use pumicehead_policy::interface::EndpointId;
 
 /// This version.
 pub const VERSION: u32 = 1;
@@ -261,8 +261,8 @@
     }
 }
 
-impl From<&(ServerId, Rate)> for Grant {
-    fn from(&(server, rate): &(ServerId, Rate)) -> Self {
+impl From<&(EndpointId, Rate)> for Grant {
+    fn from(&(server, rate): &(EndpointId, Rate)) -> Self {
         Self { server: server.0, rate: rate.raw() }
     }
 }
@@ -270,8 +270,8 @@
 impl Grant {
     /// The server and the rate.
     #[must_use]
-    pub fn read(&self) -> (ServerId, Rate) {
-        (ServerId(self.server), Rate::from_raw(self.rate))
+    pub fn read(&self) -> (EndpointId, Rate) {
+        (EndpointId(self.server), Rate::from_raw(self.rate))
     }
 }
 
--- a/crates/capacity-leases/tests/rights.rs
+++ b/crates/capacity-leases/tests/rights.rs
@@ -12,7 +12,7 @@
 use pumicehead_capacity_leases::room::Rate;
 use pumicehead_capacity_leases::terms::Terms;
 use pumicehead_capacity_leases::{ForwarderId, PlannerId};
-use pumicehead_policy::interface::{Nanos, SECOND, ServerId};
+use pumicehead_policy::interface::{EndpointId, Nanos, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -24,7 +24,7 @@
 /// What a forwarder owns at first, and what all do.
 const OWN: Rate = Rate::of(4);
 const WHOLE: Rate = Rate::of(24);
-const SERVERS: [ServerId; 2] = [ServerId(7), ServerId(8)];
+const SERVERS: [EndpointId; 2] = [EndpointId(7), EndpointId(8)];
 
 /// A machine's own clock: it began anywhere, and runs up to a hundredth too fast or too slow.
 #[derive(Clone, Copy)]
@@ -199,7 +199,7 @@
         }
     }
 
-    fn rights(&self, server: ServerId) -> Rate {
+    fn rights(&self, server: EndpointId) -> Rate {
         self.forwarders.iter().map(|(_, clock, holder)| holder.room(server, clock.at(self.now))).sum()
     }
 
--- a/crates/capacity-leases/tests/view.rs
+++ b/crates/capacity-leases/tests/view.rs
@@ -3,11 +3,11 @@
 use pumicehead_capacity_leases::ForwarderId;
 use pumicehead_capacity_leases::view::View;
 use pumicehead_capacity_leases::wire::Sighting;
-use pumicehead_policy::interface::{Nanos, SECOND, ServerId};
+use pumicehead_policy::interface::{EndpointId, Nanos, SECOND};
 
 const A: ForwarderId = ForwarderId(1);
 const B: ForwarderId = ForwarderId(2);
-const ONE: ServerId = ServerId(1);
+const ONE: EndpointId = EndpointId(1);
 
 fn seen(born: u64) -> Sighting {
     Sighting { born, known_for: 100 * SECOND, places: 4, ..Sighting::default() }
@@ -20,7 +20,7 @@
             for forwarder in [A, B] {
                 let failed = fails(server) * step;
                 let sighting = Sighting { answered: 2 * step, failed, ..seen(1) };
-                view.hear(forwarder, ServerId(server), &sighting, step * SECOND / 2);
+                view.hear(forwarder, EndpointId(server), &sighting, step * SECOND / 2);
             }
         }
     }
@@ -70,7 +70,7 @@
     assert_eq!(avoided(&view, 2 * SECOND), [3]);
     assert!(avoided(&view, 30 * SECOND).is_empty(), "what was seen counts for some seconds");
     // A restart of the process clears it at once.
-    view.hear(A, ServerId(3), &seen(2), 2 * SECOND);
+    view.hear(A, EndpointId(3), &seen(2), 2 * SECOND);
     assert!(avoided(&view, 2 * SECOND).is_empty());
 }
 
@@ -94,12 +94,12 @@
     for server in 0..5 {
         view.hear(
             A,
-            ServerId(server),
+            EndpointId(server),
             &Sighting { answered: 1_000, failed: 900 * u64::from(server == 0), ..seen(1) },
             0,
         );
     }
-    view.hear(A, ServerId(0), &Sighting { answered: 0, failed: 0, ..seen(1) }, SECOND);
+    view.hear(A, EndpointId(0), &Sighting { answered: 0, failed: 0, ..seen(1) }, SECOND);
     assert!(view.merged(SECOND).values().all(|server| !server.avoid));
 }
 
@@ -110,7 +110,7 @@
     assert!(view.is_crowded(0));
     view.hear(B, ONE, &seen(1), 0);
     assert!(!view.is_crowded(0));
-    view.hear(B, ServerId(2), &Sighting { draining: true, places: 100, ..seen(1) }, 0);
+    view.hear(B, EndpointId(2), &Sighting { draining: true, places: 100, ..seen(1) }, 0);
     view.hear(B, ONE, &Sighting { out: 4, ..seen(1) }, 0);
     assert!(view.is_crowded(0), "a draining server's places are none");
     view.expire(SECOND);
--- a/crates/config/src/check/blocks.rs
+++ b/crates/config/src/check/blocks.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use http::Method;
-use pumicehead_policy::interface::{Discovery, Group, Nanos};
+use pumicehead_policy::interface::{DedupScope, Discovery, Nanos};
 use pumicehead_route::{HeaderRule, HostPattern, Methods, Route as Pattern};
 
 use super::reader::{Reader, address, header, server_address, small, within};
@@ -255,7 +255,7 @@
                 return None;
             }
             let words = self.phrase(block, "discovery", "MODE ADDRESS").ok()??;
-            let modes = [("watch", Discovery::Ask), ("agent", Discovery::Push)];
+            let modes = [("watch", Discovery::Poll), ("agent", Discovery::Push)];
             let mode = self.choice(&words[0], "is no way to discover servers", &modes);
             let address = self.read(&words[1], address);
             return Some(Members::Discovery { address: address?, mode: mode? });
@@ -367,7 +367,7 @@
         if kind == 2 {
             let words = self.phrase(block, "repeats", "keyed by HEADER within GROUP for SPAN").ok()??;
             let key = self.read(&words[0], header);
-            let groups = [("pool", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
+            let groups = [("pool", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
             let group = self.choice(&words[1], "is no group of servers", &groups);
             let window = self.read(&words[2], within(units::time, "1s", "30d"));
             return Some(Repeats::Keyed { header: key?, group: group?, window: window? });
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::fmt;
 
-use pumicehead_policy::interface::{Discovery, Group};
+use pumicehead_policy::interface::{DedupScope, Discovery};
 use pumicehead_resources::{self as resources, Delta, ResourceId};
 use pumicehead_route::Methods;
 
@@ -131,7 +131,7 @@
             }
             Members::Discovery { address, mode } => {
                 let mode = match mode {
-                    Discovery::Ask => "watch",
+                    Discovery::Poll => "watch",
                     Discovery::Push => "agent",
                 };
                 values.push(("discovery", format!("{mode} {address}")));
@@ -248,9 +248,9 @@
         Repeats::Unsafe => "unsafe".into(),
         Repeats::Keyed { header, group, window } => {
             let group = match group {
-                Group::All => "pool",
-                Group::Zone => "zone",
-                Group::Cell => "cell",
+                DedupScope::All => "pool",
+                DedupScope::Zone => "zone",
+                DedupScope::Cell => "cell",
             };
             format!("keyed by {header} within {group} for {}", show_time(*window))
         }
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use pumicehead_policy::interface::{
-    Class as PolicyClass, Discovery, Effect, Group, Nanos, Settings, Tenant as PolicyTenant, ZoneId,
+    Class as PolicyClass, DedupScope, Discovery, Idempotency, Nanos, Settings, Tenant as PolicyTenant, ZoneId,
 };
 use pumicehead_policy::tenant_shares::TenantShares;
 use pumicehead_route::{Matcher, Route as Pattern};
@@ -223,7 +223,7 @@
         /// The header that holds the key, in lower case.
         header: String,
         /// Which servers do.
-        group: Group,
+        group: DedupScope,
         /// For how long.
         window: Nanos,
     },
@@ -401,38 +401,38 @@
         let classes = self.classes_of(pool).into_iter().map(|class| self.classes[class].policy()).collect();
         let pool = &self.pools[pool];
         Settings {
-            me: self.node.number,
-            nodes: self.node.nodes,
+            node_index: self.node.number,
+            node_count: self.node.nodes,
             zone: ZoneId(self.node.zone as u16),
-            zones: self.node.zones.len() as u16,
+            zone_count: self.node.zones.len() as u16,
             classes,
             tenants,
-            over_share_worth: OVER_SHARE_WORTH,
-            worth_by_work: false,
+            over_share_weight: OVER_SHARE_WORTH,
+            weight_by_work: false,
             discovery: match pool.members {
                 Members::Static(_) => Discovery::Push,
                 Members::Discovery { mode, .. } => mode,
             },
             tick: TICK,
             max_attempts: pool.attempts,
-            parallel_tries: pool.hedge,
-            cancel: true,
+            concurrent_attempts: pool.hedge,
+            cancellation: true,
             retry_after: true,
             max_retry_after: self.limits.retry_after,
-            connections_priced: true,
-            crossing_price: pool.crossing,
-            weights_tell_size: true,
-            peers: false,
-            peer_price: 0.0,
-            ask_every: ASK_EVERY,
+            connections_have_cost: true,
+            cross_zone_cost: pool.crossing,
+            weight_is_capacity: true,
+            load_reports: false,
+            load_report_cost: 0.0,
+            poll_interval: ASK_EVERY,
             drain_grace: DRAIN_GRACE,
-            cold_from: pool.cold_from,
-            cold_span: pool.warm_up,
-            fall_multiple: pool.tips_at,
-            fall_span: pool.tips_within,
-            full_unproven: false,
-            order_settle: 0,
-            hang_up_within: Some(HANG_UP),
+            warmup_initial_fraction: pool.cold_from,
+            warmup_duration: pool.warm_up,
+            overload_multiple: pool.tips_at,
+            overload_duration: pool.tips_within,
+            rejection_may_execute: false,
+            key_cooldown: 0,
+            drain_idle_close: Some(HANG_UP),
         }
     }
 }
@@ -451,17 +451,17 @@
 impl Class {
     fn policy(&self) -> PolicyClass {
         PolicyClass {
-            aim: self.aim,
-            aim_stretch: 0.0,
+            latency_objective: self.aim,
+            objective_per_work: 0.0,
             deadline: self.deadline,
-            worth: self.worth,
-            late_worth: self.late_worth,
-            effect: match self.repeats {
-                Repeats::Safe => Effect::Safe,
-                Repeats::Keyed { group, window, .. } => Effect::Keyed { group, window },
-                Repeats::Unsafe => Effect::Unsafe,
+            priority_weight: self.worth,
+            late_weight: self.late_worth,
+            idempotency: match self.repeats {
+                Repeats::Safe => Idempotency::Idempotent,
+                Repeats::Keyed { group, window, .. } => Idempotency::IdempotencyKey { scope: group, window },
+                Repeats::Unsafe => Idempotency::NotIdempotent,
             },
-            keep_order: self.ordered,
+            ordered_by_key: self.ordered,
         }
     }
 }
--- a/crates/config/tests/meaning.rs
+++ b/crates/config/tests/meaning.rs
@@ -6,7 +6,7 @@
 use pumicehead_config::diff::{Shown, diff};
 use pumicehead_config::explain::{Request, explain};
 use pumicehead_config::units;
-use pumicehead_policy::interface::{Effect, Group, SECOND, TenantId};
+use pumicehead_policy::interface::{DedupScope, Idempotency, SECOND, TenantId};
 
 /// What the diff says of a change to the sound text.
 fn changes(from: &str, to: &str) -> Vec<String> {
@@ -120,14 +120,20 @@
     assert_eq!(config.classes_of(1), [0]);
     let boards = config.settings(0);
     assert_eq!(boards.check(), Ok(()));
-    assert_eq!((boards.cold_from, boards.cold_span), (0.16, 23 * SECOND));
-    assert_eq!((boards.fall_multiple, boards.fall_span), (4.0, SECOND * 3 / 2));
-    assert_eq!((boards.classes[1].worth, boards.classes[1].effect), (10.0, Effect::Unsafe));
-    assert_eq!(boards.classes[2].effect, Effect::Keyed { group: Group::Zone, window: 300 * SECOND });
-    assert!(boards.classes[2].keep_order && !boards.classes[0].keep_order);
+    assert_eq!((boards.warmup_initial_fraction, boards.warmup_duration), (0.16, 23 * SECOND));
+    assert_eq!((boards.overload_multiple, boards.overload_duration), (4.0, SECOND * 3 / 2));
+    assert_eq!(
+        (boards.classes[1].priority_weight, boards.classes[1].idempotency),
+        (10.0, Idempotency::NotIdempotent)
+    );
+    assert_eq!(
+        boards.classes[2].idempotency,
+        Idempotency::IdempotencyKey { scope: DedupScope::Zone, window: 300 * SECOND }
+    );
+    assert!(boards.classes[2].ordered_by_key && !boards.classes[0].ordered_by_key);
     let tenant = boards.tenants.get(TenantId(0)).expect("the tenant at the first position");
     assert_eq!((tenant.share, tenant.allowance_per_s), (0.2, 100.0));
-    assert_eq!((boards.zones, config.settings(1).classes.len()), (2, 1));
+    assert_eq!((boards.zone_count, config.settings(1).classes.len()), (2, 1));
 }
 
 #[test]
--- a/crates/flight-recorder/src/cause.rs
+++ b/crates/flight-recorder/src/cause.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use pumicehead_policy::interface::{Nanos, Outcome};
+use pumicehead_policy::interface::{AttemptOutcome, Nanos};
 
 use crate::account::{Accounts, Flow, LossKey, NOBODY, Served, ServerKey};
 use crate::dump::Head;
@@ -152,7 +152,7 @@
 
 impl Pool {
     /// Share of attempts at one server, and at all others, that end in one of some ways.
-    fn shares(&self, server: u32, ways: &[Outcome]) -> (f64, f64, u64) {
+    fn shares(&self, server: u32, ways: &[AttemptOutcome]) -> (f64, f64, u64) {
         let count = |row: &Served| ways.iter().map(|way| row.ended[place(*way)]).sum::<u64>();
         let (mut own, mut others) = ((0, 0), (0, 0));
         for (id, row) in &self.servers {
@@ -163,7 +163,7 @@
         (share(own), share(others), own.0)
     }
 
-    fn is_own(&self, server: u32, ways: &[Outcome]) -> bool {
+    fn is_own(&self, server: u32, ways: &[AttemptOutcome]) -> bool {
         let (own, others, count) = self.shares(server, ways);
         let attempts = self.servers.get(&server).map_or(0, Served::attempts);
         // Chernoff's bound on so many or more of a binomial count: (e n p / k)^k.
@@ -174,7 +174,7 @@
 
     /// How slow a server's answers are against those of the others.
     fn slowness(&self, server: u32) -> f64 {
-        let answered = |row: &Served| row.ended[place(Outcome::Ok)];
+        let answered = |row: &Served| row.ended[place(AttemptOutcome::Success)];
         let Some(row) = self.servers.get(&server).filter(|row| answered(row) >= ENOUGH) else {
             return 1.0;
         };
@@ -192,12 +192,12 @@
 
     /// What is the matter with a server, if anything, the gravest first.
     fn matter(&self, server: u32) -> Option<Matter> {
-        let ways: [(&[Outcome], Matter); 5] = [
-            (&[Outcome::TimedOut, Outcome::Cancelled], Matter::Silent),
-            (&[Outcome::Reset], Matter::Resets),
-            (&[Outcome::ConnectFailed], Matter::Unreachable),
-            (&[Outcome::Error], Matter::Errors),
-            (&[Outcome::Full], Matter::TurnsAway),
+        let ways: [(&[AttemptOutcome], Matter); 5] = [
+            (&[AttemptOutcome::TimedOut, AttemptOutcome::Cancelled], Matter::Silent),
+            (&[AttemptOutcome::Reset], Matter::Resets),
+            (&[AttemptOutcome::ConnectFailed], Matter::Unreachable),
+            (&[AttemptOutcome::Error], Matter::Errors),
+            (&[AttemptOutcome::Rejected], Matter::TurnsAway),
         ];
         let own = ways.into_iter().filter(|(ways, _)| self.is_own(server, ways));
         let gravest = own.max_by(|(one, _), (other, _)| {
@@ -217,7 +217,7 @@
     }
 
     fn answers(&self, server: u32) -> f64 {
-        self.shares(server, &[Outcome::Ok]).0
+        self.shares(server, &[AttemptOutcome::Success]).0
     }
 
     /// Microseconds for which a server's places were taken for nothing.
@@ -316,7 +316,9 @@
             | Cause::OutOfTime(Where::Client)
             | Cause::Left(Where::Client) => (Subject::Clients(pool), Matter::Bodies),
             Cause::NoTurn => (Subject::Pool(pool), Matter::Turns),
-            Cause::Failed(at) if outcome(usize::from(at)) == Some(Outcome::Moot) && self.short[1] > 0 => {
+            Cause::Failed(at)
+                if outcome(usize::from(at)) == Some(AttemptOutcome::NotSent) && self.short[1] > 0 =>
+            {
                 (Subject::Node, Matter::Descriptors)
             }
             Cause::Other => (Subject::Pool(pool), Matter::Other),
@@ -327,11 +329,11 @@
             }
             Cause::Failed(at) => match (of_server, outcome(usize::from(at))) {
                 (Some(matter), _) => (server, matter),
-                (None, Some(Outcome::Full)) => (Subject::Pool(pool), Matter::Crowded),
-                (None, Some(Outcome::TimedOut)) => (Subject::Pool(pool), Matter::Silent),
-                (None, Some(Outcome::Reset)) => (Subject::Pool(pool), Matter::Resets),
-                (None, Some(Outcome::Error)) => (Subject::Pool(pool), Matter::Errors),
-                (None, Some(Outcome::ConnectFailed)) => (Subject::Pool(pool), Matter::Unreachable),
+                (None, Some(AttemptOutcome::Rejected)) => (Subject::Pool(pool), Matter::Crowded),
+                (None, Some(AttemptOutcome::TimedOut)) => (Subject::Pool(pool), Matter::Silent),
+                (None, Some(AttemptOutcome::Reset)) => (Subject::Pool(pool), Matter::Resets),
+                (None, Some(AttemptOutcome::Error)) => (Subject::Pool(pool), Matter::Errors),
+                (None, Some(AttemptOutcome::ConnectFailed)) => (Subject::Pool(pool), Matter::Unreachable),
                 _ => (Subject::Pool(pool), Matter::Other),
             },
             Cause::Late(Where::Server | Where::Earlier)
@@ -395,16 +397,16 @@
             Subject::Server(pool, id) => {
                 let name = format!("server {} of {}", self.head.server(pool, id), self.head.pool(pool));
                 let Some(known) = self.pools.get(&pool) else { return format!("{name} {matter}") };
-                let beside = |ways: &[Outcome]| {
+                let beside = |ways: &[AttemptOutcome]| {
                     let (own, others, _) = known.shares(id, ways);
                     format!("{} of its attempts, {} at the others", percent(own), percent(others))
                 };
                 let evidence = match matter {
-                    Matter::Silent => beside(&[Outcome::TimedOut, Outcome::Cancelled]),
-                    Matter::Resets => beside(&[Outcome::Reset]),
-                    Matter::Errors => beside(&[Outcome::Error]),
-                    Matter::TurnsAway => beside(&[Outcome::Full]),
-                    Matter::Unreachable => beside(&[Outcome::ConnectFailed]),
+                    Matter::Silent => beside(&[AttemptOutcome::TimedOut, AttemptOutcome::Cancelled]),
+                    Matter::Resets => beside(&[AttemptOutcome::Reset]),
+                    Matter::Errors => beside(&[AttemptOutcome::Error]),
+                    Matter::TurnsAway => beside(&[AttemptOutcome::Rejected]),
+                    Matter::Unreachable => beside(&[AttemptOutcome::ConnectFailed]),
                     Matter::Slow => format!("{:.1} times the time that others take", known.slowness(id)),
                     _ => String::new(),
                 };
@@ -451,7 +453,7 @@
 impl Matter {
     fn of_all(self) -> &'static str {
         match self {
-            Self::Silent => said(Outcome::TimedOut),
+            Self::Silent => said(AttemptOutcome::TimedOut),
             Self::Resets => "connections to all servers break alike",
             Self::Errors => "all servers answer with errors alike",
             Self::Unreachable => "no server takes connections",
--- a/crates/flight-recorder/src/event.rs
+++ b/crates/flight-recorder/src/event.rs
@@ -3,7 +3,7 @@
 //! A record is its length, the microseconds since the record before it, the pool, a tag and the fields. Unknown tags are
 //! passed over by their length: a later version may add some.
 
-use pumicehead_policy::interface::{AttemptNo, Nanos, Outcome, RequestId, ServerId};
+use pumicehead_policy::interface::{AttemptNo, AttemptOutcome, EndpointId, Nanos, RequestId};
 use pumicehead_policy::note::{Hurdles, Moved, Note, Rule, Stop};
 
 use crate::bytes::{Reader, put, put_bytes, put_f32, put_some};
@@ -108,7 +108,7 @@
         /// The attempt.
         attempt: AttemptNo,
         /// To this server.
-        server: ServerId,
+        server: EndpointId,
         /// It is given up after so long.
         timeout: Option<Nanos>,
     },
@@ -119,9 +119,9 @@
         /// The attempt.
         attempt: AttemptNo,
         /// At this server.
-        server: ServerId,
+        server: EndpointId,
         /// How.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// It took so long.
         took: Nanos,
         /// Of this, to get a connection.
@@ -146,7 +146,7 @@
     /// The list spoke of a server.
     Server {
         /// Which.
-        server: ServerId,
+        server: EndpointId,
         /// What it said.
         listed: Listed,
     },
@@ -189,27 +189,27 @@
 /// Tag of a request with the revision that it was admitted under.
 const ASKED_UNDER_REVISION: u8 = 12;
 
-const OUTCOMES: [Outcome; 8] = [
-    Outcome::Ok,
-    Outcome::Error,
-    Outcome::Full,
-    Outcome::TimedOut,
-    Outcome::ConnectFailed,
-    Outcome::Reset,
-    Outcome::Cancelled,
-    Outcome::Moot,
+const OUTCOMES: [AttemptOutcome; 8] = [
+    AttemptOutcome::Success,
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::Reset,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
 ];
 const STOPS: [Stop; 4] = [Stop::Attempts, Stop::Effect, Stop::Time, Stop::Budget];
 
 /// Place of an outcome in rows of counts.
 #[must_use]
-pub fn place(outcome: Outcome) -> usize {
+pub fn place(outcome: AttemptOutcome) -> usize {
     OUTCOMES.iter().position(|&known| known == outcome).unwrap_or_default()
 }
 
 /// The outcome at a place.
 #[must_use]
-pub fn outcome(place: usize) -> Option<Outcome> {
+pub fn outcome(place: usize) -> Option<AttemptOutcome> {
     OUTCOMES.get(place).copied()
 }
 
@@ -352,13 +352,13 @@
             2 => Self::Sent {
                 id,
                 attempt: AttemptNo(from.byte()?),
-                server: ServerId(from.small()?),
+                server: EndpointId(from.small()?),
                 timeout: from.some()?,
             },
             3 => Self::Ended {
                 id,
                 attempt: AttemptNo(from.byte()?),
-                server: ServerId(from.small()?),
+                server: EndpointId(from.small()?),
                 outcome: at(&OUTCOMES, from.byte()?)?,
                 took: from.number()?,
                 dial: from.number()?,
@@ -366,7 +366,7 @@
             },
             4 => Self::Began { id, attempt: AttemptNo(from.byte()?) },
             5 => Self::Over { id, how: at(&How::ALL, from.byte()?)? },
-            6 => Self::Server { server: ServerId(first), listed: at(&Listed::ALL, from.byte()?)? },
+            6 => Self::Server { server: EndpointId(first), listed: at(&Listed::ALL, from.byte()?)? },
             7 => Self::Advice { avoid: first, rights: from.small()? },
             8 => Self::Turned { class: u16::try_from(first).ok()?, why: at(&Turned::ALL, from.byte()?)? },
             9 => Self::Short(at(&Short::ALL, u8::try_from(first).ok()?)?),
@@ -450,15 +450,15 @@
 }
 
 fn decode_note(tag: u8, first: u32, from: &mut Reader<'_>) -> Option<Note> {
-    let (id, server) = (RequestId(first), ServerId(first));
+    let (id, server) = (RequestId(first), EndpointId(first));
     let hurdles = |from: &mut Reader<'_>| from.take(5).and_then(|counts| counts.try_into().ok()).map(Hurdles);
     Some(match tag {
         32 => Note::Taken { id, tier: from.byte()?, worth: from.f32()?, aim_at: from.number()? },
         33 => Note::Held { id, held: from.small()? },
         34 => {
-            let (server, score) = (ServerId(from.small()?), from.f32()?);
+            let (server, score) = (EndpointId(from.small()?), from.f32()?);
             let next = match from.some()? {
-                Some(next) => Some((ServerId(u32::try_from(next).ok()?), from.f32()?)),
+                Some(next) => Some((EndpointId(u32::try_from(next).ok()?), from.f32()?)),
                 None => None,
             };
             let (out, limit) = (from.small()?, from.f32()?);
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -1,7 +1,7 @@
 //! Stories in forms that other viewers open: OTLP/JSON (one `TracesData` a line, as the OpenTelemetry protocol's file
 //! exporter writes it) and Chrome's trace events (the "Trace Event Format", JSON object form).
 
-use pumicehead_policy::interface::{Nanos, Outcome};
+use pumicehead_policy::interface::{AttemptOutcome, Nanos};
 use serde_json::{Value, json};
 
 use crate::dump::Dump;
@@ -18,7 +18,7 @@
     server: String,
     from: Nanos,
     to: Nanos,
-    outcome: Option<Outcome>,
+    outcome: Option<AttemptOutcome>,
 }
 
 struct Told {
@@ -107,7 +107,7 @@
             "attributes": attributes, "events": notes, "status": { "code": if failed { 2 } else { 0 } },
         })];
         for attempt in &one.attempts {
-            let bad = attempt.outcome.is_some_and(|outcome| outcome != Outcome::Ok);
+            let bad = attempt.outcome.is_some_and(|outcome| outcome != AttemptOutcome::Success);
             spans.push(json!({
                 "traceId": trace, "spanId": format!("{:016x}", id(story, one.from, u64::from(attempt.number) + 1)),
                 "parentSpanId": root, "name": "attempt", "kind": 3,
--- a/crates/flight-recorder/src/export_names.rs
+++ b/crates/flight-recorder/src/export_names.rs
@@ -4,14 +4,14 @@
 
 use std::fmt::{self, Debug, Formatter};
 
-use pumicehead_policy::interface::ServerId;
+use pumicehead_policy::interface::EndpointId;
 use pumicehead_policy::note::{Hurdles, Moved, Note, Rule, Stop};
 
 /// Formats a decision event under its exported names.
 pub(crate) struct Exported<'a>(pub &'a Note);
 
 /// An id of an endpoint under its exported name.
-struct ExportedServer(ServerId);
+struct ExportedServer(EndpointId);
 
 /// Counts of exclusions under their exported name.
 struct ExportedHurdles(Hurdles);
--- a/crates/flight-recorder/src/loss.rs
+++ b/crates/flight-recorder/src/loss.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use pumicehead_policy::interface::{AttemptNo, Nanos, Outcome, ServerId};
+use pumicehead_policy::interface::{AttemptNo, AttemptOutcome, EndpointId, Nanos};
 use pumicehead_policy::note::{Note, Rule, Stop};
 
 use crate::event::{Event, How, Turned, outcome, place};
@@ -137,16 +137,16 @@
 
 /// How an attempt ended, in words.
 #[must_use]
-pub fn said(outcome: Outcome) -> &'static str {
+pub fn said(outcome: AttemptOutcome) -> &'static str {
     match outcome {
-        Outcome::Ok => "answered",
-        Outcome::Error => "answered with an error",
-        Outcome::Full => "turned away as full",
-        Outcome::TimedOut => "no answer in time",
-        Outcome::ConnectFailed => "no connection",
-        Outcome::Reset => "the connection broke",
-        Outcome::Cancelled => "called back",
-        Outcome::Moot => "never sent",
+        AttemptOutcome::Success => "answered",
+        AttemptOutcome::Error => "answered with an error",
+        AttemptOutcome::Rejected => "turned away as full",
+        AttemptOutcome::TimedOut => "no answer in time",
+        AttemptOutcome::ConnectFailed => "no connection",
+        AttemptOutcome::Reset => "the connection broke",
+        AttemptOutcome::Cancelled => "called back",
+        AttemptOutcome::NotSent => "never sent",
     }
 }
 
@@ -160,7 +160,7 @@
     /// What the rest is put down to, where there is a rest.
     pub cause: Option<Cause>,
     /// The server that carries it, where one does.
-    pub server: Option<ServerId>,
+    pub server: Option<EndpointId>,
     /// Why there was no further attempt, where that was asked.
     pub stop: Option<Stop>,
 }
@@ -176,8 +176,8 @@
 /// An attempt that ended badly.
 #[derive(Clone, Copy, Debug)]
 struct Bad {
-    server: ServerId,
-    outcome: Outcome,
+    server: EndpointId,
+    outcome: AttemptOutcome,
     took: Nanos,
 }
 
@@ -191,7 +191,7 @@
     aim_at: Nanos,
     rule: Option<Rule>,
     /// Attempts out: number, server, sent.
-    out: Vec<(AttemptNo, ServerId, Nanos)>,
+    out: Vec<(AttemptNo, EndpointId, Nanos)>,
     sends: u32,
     /// Waiting with no attempt out, so far, and since when.
     waited: Nanos,
@@ -201,7 +201,7 @@
     last: Option<Bad>,
     bad: Nanos,
     /// The one that was answered: server, time, of that for its connection.
-    good: Option<(ServerId, Nanos, Nanos)>,
+    good: Option<(EndpointId, Nanos, Nanos)>,
 }
 
 impl Life {
@@ -248,9 +248,9 @@
             }
             Event::Ended { attempt, server, outcome, took, dial, .. } => {
                 self.out.retain(|(number, ..)| number != attempt);
-                if *outcome == Outcome::Ok {
+                if *outcome == AttemptOutcome::Success {
                     self.good.get_or_insert((*server, *took, *dial));
-                } else if *outcome != Outcome::Cancelled || self.good.is_none() {
+                } else if *outcome != AttemptOutcome::Cancelled || self.good.is_none() {
                     let bad = Bad { server: *server, outcome: *outcome, took: *took };
                     self.last = Some(bad);
                     self.bad += took;
@@ -292,7 +292,7 @@
     }
 
     /// Where its time went by `at`, and the server that carries it.
-    fn spent(&self, at: Nanos) -> (Where, Option<ServerId>) {
+    fn spent(&self, at: Nanos) -> (Where, Option<EndpointId>) {
         let idle = self.idle_since.map_or(0, |since| at.saturating_sub(since));
         let oldest = self.out.first().map(|&(_, server, sent)| (server, at.saturating_sub(sent), 0));
         let last = self.good.or(oldest);
@@ -351,5 +351,5 @@
 }
 
 fn place_of_error() -> u8 {
-    place(Outcome::Error) as u8
+    place(AttemptOutcome::Error) as u8
 }
--- a/crates/flight-recorder/src/metrics.rs
+++ b/crates/flight-recorder/src/metrics.rs
@@ -11,7 +11,7 @@
     Counter, Gauge, Histogram, HistogramFn, Key, KeyName, Label, Level, Metadata, Recorder, SharedString,
     Unit,
 };
-use pumicehead_policy::interface::{Nanos, Outcome, SECOND};
+use pumicehead_policy::interface::{AttemptOutcome, Nanos, SECOND};
 
 use crate::event::{How, Turned};
 use crate::loss::said;
@@ -224,7 +224,7 @@
     }
 
     /// An attempt has ended.
-    pub fn attempt(&mut self, outcome: Outcome) {
+    pub fn attempt(&mut self, outcome: AttemptOutcome) {
         let place = crate::event::place(outcome);
         let registry = &self.registry;
         let counter = self.attempts[place].get_or_insert_with(|| {
@@ -263,7 +263,7 @@
             meters.request(((0, 0), ("web", "read")), How::Served, took * 1_000_000, &name, SECOND);
         }
         meters.request(((0, 0), ("web", "read")), How::Refused, 1_000, &name, SECOND);
-        meters.attempt(Outcome::Reset);
+        meters.attempt(AttemptOutcome::Reset);
         meters.gauge("pumicehead_open", 2.0);
         let text = meters.text();
         for line in [
--- a/crates/flight-recorder/src/recorder.rs
+++ b/crates/flight-recorder/src/recorder.rs
@@ -1,6 +1,6 @@
 //! The recorder: takes events in, decides whose story stays, and books what was earned and lost.
 
-use pumicehead_policy::interface::{Nanos, Outcome, RequestId, SECOND, ServerId};
+use pumicehead_policy::interface::{AttemptOutcome, EndpointId, Nanos, RequestId, SECOND};
 use pumicehead_policy::note::{Hurdles, Note};
 use rustc_hash::FxHashMap;
 
@@ -84,7 +84,7 @@
     open: FxHashMap<(PoolId, RequestId), Box<Open>>,
     open_size: usize,
     groups: FxHashMap<(PoolId, u16, u32), Group>,
-    limits: FxHashMap<(PoolId, ServerId), f32>,
+    limits: FxHashMap<(PoolId, EndpointId), f32>,
     meters: Meters,
     scratch: Vec<u8>,
     spare: Vec<Vec<u8>>,
@@ -133,7 +133,7 @@
     }
 
     /// What a server is called.
-    pub fn name(&mut self, pool: PoolId, server: ServerId, name: &str) {
+    pub fn name(&mut self, pool: PoolId, server: EndpointId, name: &str) {
         if let Some(pool) = self.head.pools.get_mut(usize::from(pool.0)) {
             pool.name_server(server.0, name);
         }
@@ -296,8 +296,8 @@
         at: Nanos,
         pool: PoolId,
         id: RequestId,
-        server: ServerId,
-        outcome: Outcome,
+        server: EndpointId,
+        outcome: AttemptOutcome,
         (took, dial): (Nanos, Nanos),
     ) {
         let micros = took / 1_000;
@@ -305,7 +305,7 @@
         let mut stretch = 0;
         if let Some(class) = class {
             let flow = self.accounts.flows.at(at, FlowKey { pool, class });
-            if outcome == Outcome::Ok {
+            if outcome == AttemptOutcome::Success {
                 flow.answered += 1;
                 flow.took += micros;
                 flow.least = if flow.least == 0 { micros + 1 } else { flow.least.min(micros + 1) };
@@ -319,7 +319,7 @@
         let row = self.accounts.servers.at(at, ServerKey { pool, server: server.0 });
         row.ended[place(outcome)] += 1;
         row.dial += dial / 1_000;
-        if outcome == Outcome::Ok {
+        if outcome == AttemptOutcome::Success {
             row.good += micros;
             row.stretch += stretch;
         } else {
--- a/crates/flight-recorder/src/story.rs
+++ b/crates/flight-recorder/src/story.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use pumicehead_policy::interface::{Nanos, Outcome};
+use pumicehead_policy::interface::{AttemptOutcome, Nanos};
 use pumicehead_policy::note::{Hurdle, Hurdles, Note, Rule, Stop};
 
 use crate::dump::Head;
@@ -127,7 +127,7 @@
                 Some(idle) => format!(", on a connection that had been idle for {}", moment::span(*idle)),
                 None => String::new(),
             };
-            let how = if *outcome == Outcome::Moot { "was never sent" } else { said(*outcome) };
+            let how = if *outcome == AttemptOutcome::NotSent { "was never sent" } else { said(*outcome) };
             format!(
                 "Attempt {} at {}: {how} after {}{dial}{kept}.",
                 attempt.0 + 1,
--- a/crates/flight-recorder/tests/bounds.rs
+++ b/crates/flight-recorder/tests/bounds.rs
@@ -66,9 +66,9 @@
         let mut day = Day::new(memory);
         for (class, server, kind, took, pause) in steps {
             match kind {
-                0..=3 => day.one(class, server, Outcome::Ok, took * MS),
-                4 => day.one(class, server, Outcome::Reset, took * MS),
-                5 => day.one(class, server, Outcome::TimedOut, took * MS),
+                0..=3 => day.one(class, server, AttemptOutcome::Success, took * MS),
+                4 => day.one(class, server, AttemptOutcome::Reset, took * MS),
+                5 => day.one(class, server, AttemptOutcome::TimedOut, took * MS),
                 6 => day.refused(class, Rule::WaitShare),
                 _ => day.refused(class, Rule::NearlyOut),
             }
@@ -143,7 +143,7 @@
     let mut day = Day::new(1 << 20);
     // Six events a request.
     for n in 0..6_000_000u32 {
-        let outcome = if n % 50 == 0 { Outcome::Reset } else { Outcome::Ok };
+        let outcome = if n % 50 == 0 { AttemptOutcome::Reset } else { AttemptOutcome::Success };
         day.one((n % 2) as u16, n % 5_000, outcome, 600_000);
         if n % 100_000 == 0 {
             assert!(day.recorder.memory() <= 1 << 20, "{}", day.recorder.memory());
@@ -169,9 +169,9 @@
     let id = day.ask(1, "the long one");
     day.send(id, 0, 3);
     for _ in 0..20_000 {
-        day.one(0, 1, Outcome::Ok, MS);
+        day.one(0, 1, AttemptOutcome::Success, MS);
     }
-    day.end(id, 0, 3, Outcome::TimedOut, 20 * SECOND);
+    day.end(id, 0, 3, AttemptOutcome::TimedOut, 20 * SECOND);
     day.over(id, How::Late);
     let dump = Dump::read(&day.recorder.dump(day.now, "test")).unwrap();
     assert!(dump.head.wrapped > 0);
@@ -191,7 +191,7 @@
     for n in 0..100_000u32 {
         day.tell(Event::Note(Note::NoneFits { id, hurdles: Hurdles([(n % 7) as u8, 0, 0, 0, 0]) }));
         day.send(id, n as u8, n);
-        day.end(id, n as u8, n, Outcome::Error, MS);
+        day.end(id, n as u8, n, AttemptOutcome::Error, MS);
         day.now += MS;
         assert!(day.recorder.memory() <= LEAST_MEMORY);
     }
@@ -214,6 +214,6 @@
     let dump = Dump::read(&day.recorder.dump(day.now, "test")).unwrap();
     assert!(dump.head.untold > 9_000);
     day.recorder.set_level(Level::Off);
-    day.one(0, 0, Outcome::Reset, MS);
+    day.one(0, 0, AttemptOutcome::Reset, MS);
     assert!(day.recorder.accounts().losses.is_empty(), "off is off");
 }
--- a/crates/flight-recorder/tests/causes.rs
+++ b/crates/flight-recorder/tests/causes.rs
@@ -20,7 +20,7 @@
     for n in 0..200u32 {
         let class = (n % 2) as u16;
         for server in 0..4 {
-            day.one(class, server, Outcome::Ok, (20 + u64::from(n % 7)) * MS);
+            day.one(class, server, AttemptOutcome::Success, (20 + u64::from(n % 7)) * MS);
         }
         odd(&mut day, class);
     }
@@ -30,11 +30,11 @@
 #[test]
 fn a_server_at_fault_is_named_with_its_fault() {
     let faults = [
-        (Outcome::TimedOut, Matter::Silent),
-        (Outcome::Reset, Matter::Resets),
-        (Outcome::Error, Matter::Errors),
-        (Outcome::ConnectFailed, Matter::Unreachable),
-        (Outcome::Full, Matter::TurnsAway),
+        (AttemptOutcome::TimedOut, Matter::Silent),
+        (AttemptOutcome::Reset, Matter::Resets),
+        (AttemptOutcome::Error, Matter::Errors),
+        (AttemptOutcome::ConnectFailed, Matter::Unreachable),
+        (AttemptOutcome::Rejected, Matter::TurnsAway),
     ];
     for (outcome, matter) in faults {
         let day = with_fifth(|day, class| day.one(class, 4, outcome, 150 * MS));
@@ -46,7 +46,7 @@
             found.text
         );
     }
-    let day = with_fifth(|day, class| day.one(class, 4, Outcome::Ok, 250 * MS));
+    let day = with_fifth(|day, class| day.one(class, 4, AttemptOutcome::Success, 250 * MS));
     assert_eq!((first(&day).subject, first(&day).matter), (Subject::Server(day.pool, 4), Matter::Slow));
 }
 
@@ -54,7 +54,7 @@
 #[test]
 fn a_queue_is_put_down_to_whoever_took_the_places() {
     let mut day = with_fifth(|day, class| {
-        day.one(class, 4, Outcome::TimedOut, 400 * MS);
+        day.one(class, 4, AttemptOutcome::TimedOut, 400 * MS);
         day.refused(class, Rule::WaitShare);
         day.refused(class, Rule::NearlyOut);
     });
@@ -62,7 +62,7 @@
     assert_eq!((found.subject, found.matter), (Subject::Server(day.pool, 4), Matter::Silent));
     assert!(found.count >= 600, "refusals are in it: {found:?}");
     day = with_fifth(|day, class| {
-        day.one(class, 0, Outcome::Ok, 22 * MS);
+        day.one(class, 0, AttemptOutcome::Success, 22 * MS);
         day.refused(class, Rule::WaitShare);
     });
     assert_eq!((first(&day).subject, first(&day).matter), (Subject::Pool(day.pool), Matter::Crowded));
@@ -73,14 +73,14 @@
     let classes = [class("read", 100 * MS, 1.0), class("hasty", 5 * MS, 10.0)];
     let mut day = Day::of(256 << 10, &classes);
     for n in 0..200 {
-        day.one(0, n % 4, Outcome::Ok, 20 * MS);
-        day.one(1, n % 4, Outcome::TimedOut, 20 * MS);
+        day.one(0, n % 4, AttemptOutcome::Success, 20 * MS);
+        day.one(1, n % 4, AttemptOutcome::TimedOut, 20 * MS);
     }
     assert_eq!((first(&day).subject, first(&day).matter), (Subject::Class(day.pool, 1), Matter::TooTight));
     let mut day = Day::of(256 << 10, &classes);
     for n in 0..200 {
-        day.one(0, n % 4, Outcome::Ok, 20 * MS);
-        day.one(1, n % 4, Outcome::Ok, 20 * MS);
+        day.one(0, n % 4, AttemptOutcome::Success, 20 * MS);
+        day.one(1, n % 4, AttemptOutcome::Success, 20 * MS);
     }
     assert_eq!((first(&day).subject, first(&day).matter), (Subject::Class(day.pool, 1), Matter::TooTight));
 }
@@ -94,7 +94,7 @@
     assert_eq!((first(&day).subject, first(&day).matter), (Subject::Node, Matter::Descriptors));
     day = with_fifth(|day, class| {
         day.tell(Event::Short(Short::Dial));
-        day.one(class, 0, Outcome::Moot, 0);
+        day.one(class, 0, AttemptOutcome::NotSent, 0);
     });
     assert_eq!((first(&day).subject, first(&day).matter), (Subject::Node, Matter::Descriptors));
 }
@@ -103,7 +103,7 @@
 fn faults_of_all_servers_are_no_single_ones() {
     let mut day = Day::new(256 << 10);
     for n in 0..400 {
-        let outcome = if n % 3 == 0 { Outcome::Reset } else { Outcome::Ok };
+        let outcome = if n % 3 == 0 { AttemptOutcome::Reset } else { AttemptOutcome::Success };
         day.one(0, n % 4, outcome, 20 * MS);
     }
     assert_eq!((first(&day).subject, first(&day).matter), (Subject::Pool(day.pool), Matter::Resets));
@@ -116,7 +116,7 @@
         let id = day.ask(0, "x");
         day.now += 10 * MS;
         day.over(id, How::Left);
-        day.one(0, 1, Outcome::Ok, 20 * MS);
+        day.one(0, 1, AttemptOutcome::Success, 20 * MS);
     }
     assert_eq!((first(&day).subject, first(&day).matter), (Subject::Clients(day.pool), Matter::Leave));
 }
--- a/crates/flight-recorder/tests/common/mod.rs
+++ b/crates/flight-recorder/tests/common/mod.rs
@@ -32,7 +32,7 @@
         let mut recorder = Recorder::new("n0", START, memory, 7);
         let pool = recorder.pool("web", classes);
         for server in 0..8 {
-            recorder.name(pool, ServerId(server), &format!("s-{server}"));
+            recorder.name(pool, EndpointId(server), &format!("s-{server}"));
         }
         Self { recorder, pool, now: START, next: 0 }
     }
@@ -50,12 +50,12 @@
     }
 
     pub fn send(&mut self, id: RequestId, attempt: u8, server: u32) {
-        let (attempt, server) = (AttemptNo(attempt), ServerId(server));
+        let (attempt, server) = (AttemptNo(attempt), EndpointId(server));
         self.tell(Event::Sent { id, attempt, server, timeout: None });
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u8, server: u32, outcome: Outcome, took: Nanos) {
-        let (attempt, server) = (AttemptNo(attempt), ServerId(server));
+    pub fn end(&mut self, id: RequestId, attempt: u8, server: u32, outcome: AttemptOutcome, took: Nanos) {
+        let (attempt, server) = (AttemptNo(attempt), EndpointId(server));
         self.tell(Event::Ended { id, attempt, server, outcome, took, dial: 0, idle: None });
     }
 
@@ -64,16 +64,16 @@
     }
 
     /// A request with one attempt, which takes so long and ends so; refused or failed where that is not well.
-    pub fn one(&mut self, class: u16, server: u32, outcome: Outcome, took: Nanos) {
+    pub fn one(&mut self, class: u16, server: u32, outcome: AttemptOutcome, took: Nanos) {
         let name = format!("r{}", self.next);
         let id = self.ask(class, &name);
         self.send(id, 0, server);
         self.now += took;
-        if outcome == Outcome::Ok {
+        if outcome == AttemptOutcome::Success {
             self.over(id, How::Served);
         }
         self.end(id, 0, server, outcome, took);
-        if outcome != Outcome::Ok {
+        if outcome != AttemptOutcome::Success {
             self.tell(Event::Note(Note::Over { id, rule: Rule::NoRetry(Stop::Effect), pressure: 0.0 }));
             self.over(id, How::Failed);
         }
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -15,16 +15,16 @@
 
 fn small() -> Vec<u8> {
     let mut day = Day::new(64 << 10);
-    day.one(0, 1, Outcome::Ok, 20 * MS);
-    day.one(1, 2, Outcome::Reset, 30 * MS);
+    day.one(0, 1, AttemptOutcome::Success, 20 * MS);
+    day.one(1, 2, AttemptOutcome::Reset, 30 * MS);
     day.refused(0, Rule::WaitShare);
-    day.one(0, 3, Outcome::Ok, 150 * MS);
+    day.one(0, 3, AttemptOutcome::Success, 150 * MS);
     day.recorder.dump(day.now, "test")
 }
 
 #[test]
 fn every_event_comes_back_as_it_was() {
-    let (id, server, attempt) = (RequestId(u32::MAX), ServerId(77), AttemptNo(3));
+    let (id, server, attempt) = (RequestId(u32::MAX), EndpointId(77), AttemptNo(3));
     let hurdles = Hurdles([1, 2, 3, 4, 255]);
     let rules = [Rule::WaitShare, Rule::NearlyOut, Rule::NoTurn]
         .into_iter()
--- a/crates/node/src/eyes.rs
+++ b/crates/node/src/eyes.rs
@@ -84,10 +84,10 @@
     pub fn tap(&self, pool: &str, settings: &Settings, classes: &[String]) -> Tap {
         let class = |(name, class): (&String, &pumicehead_policy::interface::Class)| Class {
             name: name.clone(),
-            aim: class.aim,
+            aim: class.latency_objective,
             deadline: class.deadline,
-            worth: class.worth,
-            late_worth: class.late_worth,
+            worth: class.priority_weight,
+            late_worth: class.late_weight,
         };
         let classes: Vec<_> = classes.iter().zip(&settings.classes).map(class).collect();
         let pool = self.recorder.with(|recorder| recorder.pool(pool, &classes));
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -16,7 +16,7 @@
 use pumicehead_membership::member::{BadSetup, Event, Member, Output, Setup};
 use pumicehead_membership::settings::LARGEST_DATAGRAM;
 use pumicehead_membership::{Card, SECOND, Settings};
-use pumicehead_policy::interface::{Nanos, Sharing};
+use pumicehead_policy::interface::{Nanos, NodeShare};
 use thiserror::Error;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{Notify, watch};
@@ -62,7 +62,7 @@
     datagrams: UdpSocket,
     /// Something was put into the machine from outside of its own loop.
     touched: Notify,
-    sharing: watch::Sender<Option<Sharing>>,
+    sharing: watch::Sender<Option<NodeShare>>,
     /// Streams that this node has opened and not ended.
     streams: Cell<usize>,
     refused: Cell<u64>,
@@ -116,7 +116,7 @@
     }
 
     /// How many nodes share the servers, as it changes; nothing until the fleet is known.
-    pub fn sharing(&self) -> watch::Receiver<Option<Sharing>> {
+    pub fn sharing(&self) -> watch::Receiver<Option<NodeShare>> {
         self.sharing.subscribe()
     }
 
@@ -207,7 +207,7 @@
         if !member.is_joined() || member.card().number == 0 || member.is_over() {
             return;
         }
-        let sharing = Some(Sharing { me: member.card().number - 1, nodes: member.nodes(now) });
+        let sharing = Some(NodeShare { node_index: member.card().number - 1, node_count: member.nodes(now) });
         self.sharing.send_if_modified(|known| std::mem::replace(known, sharing) != sharing);
     }
 
--- a/crates/node/src/net/core/actions.rs
+++ b/crates/node/src/net/core/actions.rs
@@ -1,7 +1,9 @@
 //! What the module wants done.
 
 use pumicehead_flight_recorder::event::Event as Told;
-use pumicehead_policy::interface::{Action, AttemptNo, Ended, Event, Nanos, Outcome, RequestId, ServerId};
+use pumicehead_policy::interface::{
+    Action, AttemptEnded, AttemptNo, AttemptOutcome, EndpointId, Event, Nanos, RequestId,
+};
 use tokio::sync::oneshot;
 use tokio::task;
 
@@ -13,8 +15,10 @@
 impl Core {
     pub(super) fn act(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, timeout, by } => self.send(id, server, timeout, by),
-            Action::Refuse { id, retry_after } => {
+            Action::StartAttempt { id, endpoint, timeout, start_before } => {
+                self.send(id, endpoint, timeout, start_before)
+            }
+            Action::Reject { id, retry_after } => {
                 // A server's own words tell more than that it may be tried again.
                 let error = self.open.get_mut(&id).and_then(|open| open.error.take());
                 self.answer(id, error.map_or(Answer::Refused(retry_after), Answer::Served));
@@ -26,7 +30,7 @@
                 let error = open.error.take().map(Answer::Served);
                 self.answer(id, error.unwrap_or(if late { Answer::Late } else { Answer::Failed }));
             }
-            Action::Cancel { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 let open = self.open.get_mut(&id);
                 let out = open.and_then(|open| open.attempts.get_mut(usize::from(attempt.0)));
                 if let Some(Some(cancel)) = out {
@@ -35,19 +39,19 @@
                     let _ = std::mem::replace(cancel, spent).send(());
                 }
             }
-            Action::Timer { at, token } => self.arm(at, token),
-            Action::FreeLinks(server) => {
+            Action::ArmTimer { at, token } => self.arm(at, token),
+            Action::CloseIdleConnections(server) => {
                 if let Some(server) = self.roster.server(server) {
                     server.hang_up();
                 }
             }
             Action::Subscribe => self.ask_for_list(),
             // There is no way to other nodes here; the configuration keeps notes off.
-            Action::Tell { .. } => {}
+            Action::SendLoadReport { .. } => {}
         }
     }
 
-    fn send(&mut self, id: RequestId, server: ServerId, timeout: Option<Nanos>, by: Option<Nanos>) {
+    fn send(&mut self, id: RequestId, server: EndpointId, timeout: Option<Nanos>, by: Option<Nanos>) {
         let now = self.now();
         let Some(open) = self.open.get_mut(&id) else { return };
         let attempt = AttemptNo(open.attempts.len() as u8);
@@ -65,19 +69,19 @@
                     id,
                     attempt,
                     server,
-                    outcome: Outcome::Moot,
+                    outcome: AttemptOutcome::NotSent,
                     took: 0,
                     dial: 0,
                     idle: None,
                 });
             }
-            return self.events.push_back(Event::Ended(Ended {
+            return self.events.push_back(Event::AttemptEnded(AttemptEnded {
                 id,
                 attempt,
-                server,
-                outcome: Outcome::Moot,
-                took: 0,
-                complete: open.answer.is_none(),
+                endpoint: server,
+                outcome: AttemptOutcome::NotSent,
+                duration: 0,
+                final_answer: open.answer.is_none(),
             }));
         };
         let (cancel, cancelled) = oneshot::channel();
--- a/crates/node/src/net/core/mod.rs
+++ b/crates/node/src/net/core/mod.rs
@@ -14,7 +14,7 @@
 use pumicehead_flight_recorder::event::Event as Told;
 use pumicehead_flight_recorder::text::plain;
 use pumicehead_policy::interface::{
-    Discovery, Event, ListChange, Nanos, RequestId, SECOND, ServerId, Settings, TimerToken,
+    Discovery, EndpointId, EndpointUpdate, Event, Nanos, RequestId, SECOND, Settings, TimerToken,
 };
 use pumicehead_policy::note::Note;
 use pumicehead_policy::policy::{Balancer, Knowledge};
@@ -123,8 +123,8 @@
         };
         let mut core = Self {
             pushed: setup.settings.discovery == Discovery::Push,
-            full_unproven: setup.settings.full_unproven,
-            advice: setup.settings.advice(),
+            full_unproven: setup.settings.rejection_may_execute,
+            advice: setup.settings.retry_after_hint(),
             balancer: Balancer::new(setup.settings, setup.seed),
             roster: Roster::new(setup.zones, setup.transport, setup.hands),
             messages,
@@ -150,7 +150,8 @@
             && let Err(error) = core.on_list(known, true)
         {
             warn!(target: "discovery", "the list in the configuration is not used: {error}");
-            core.events.push_back(Event::Members(ListChange::Cached(std::sync::Arc::from([]))));
+            core.events
+                .push_back(Event::EndpointsUpdated(EndpointUpdate::Restored(std::sync::Arc::from([]))));
             core.roster.seq = 0;
         }
         if ask_now {
@@ -209,7 +210,7 @@
     fn feed(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
-            let listed = matches!(event, Event::Members(_));
+            let listed = matches!(event, Event::EndpointsUpdated(_));
             let now = self.now();
             self.balancer.tell_all(self.tap.as_ref().is_some_and(Tap::is_on));
             self.balancer.handle(now, event, &mut actions);
@@ -236,7 +237,7 @@
 
     /// News as the log has them: servers by their names.
     fn worded(&self, note: &Note) -> String {
-        let name = |id: ServerId| self.roster.name(id).map_or_else(|| id.0.to_string(), plain);
+        let name = |id: EndpointId| self.roster.name(id).map_or_else(|| id.0.to_string(), plain);
         match note {
             Note::Aside { server, span } => {
                 let span = *span as f64 / SECOND as f64;
@@ -254,7 +255,7 @@
             }
             self.timers.pop_first();
             match due {
-                Due::Timer(token) => self.events.push_back(Event::Timer(TimerToken(token))),
+                Due::Timer(token) => self.events.push_back(Event::TimerFired(TimerToken(token))),
                 Due::Overdue(_) if !self.messages.is_empty() => {
                     // Its answer may be among what was told before: a loop that is late must not throw that away.
                     self.timers.insert((at, due));
@@ -297,7 +298,7 @@
                 // Another copy may have been faster; this one is then dropped, which ends it.
                 self.tell(&Told::Began { id, attempt });
                 if self.answer(id, Answer::Served(served)) {
-                    self.events.push_back(Event::Streaming { id, attempt });
+                    self.events.push_back(Event::ResponseStarted { id, attempt });
                 }
             }
             Message::List(watch, list) => {
@@ -326,8 +327,8 @@
                 }
             }
             Message::Sharing(sharing) => {
-                self.tell(&Told::Sharing { nodes: sharing.nodes, number: sharing.me });
-                self.events.push_back(Event::Sharing(sharing));
+                self.tell(&Told::Sharing { nodes: sharing.node_count, number: sharing.node_index });
+                self.events.push_back(Event::NodeShare(sharing));
             }
             Message::Retire { gone } => {
                 self.retired = true;
@@ -388,16 +389,16 @@
             let pause = AGENT_PAUSE.as_nanos() as Nanos;
             self.timers.insert((self.now() + pause, Due::Subscribe));
         } else {
-            self.events.push_back(Event::Members(ListChange::Failed));
+            self.events.push_back(Event::EndpointsUpdated(EndpointUpdate::WatchFailed));
         }
     }
 
     /// The module hears of the servers, and so does the recorder.
-    fn list(&mut self, change: ListChange) {
+    fn list(&mut self, change: EndpointUpdate) {
         if let Some(tap) = &self.tap {
             tap.list(&change, |id| self.roster.name(id));
         }
-        self.events.push_back(Event::Members(change));
+        self.events.push_back(Event::EndpointsUpdated(change));
     }
 
     fn on_list(&mut self, list: List, cached: bool) -> Result<(), UnknownSite> {
--- a/crates/node/src/net/core/requests.rs
+++ b/crates/node/src/net/core/requests.rs
@@ -5,7 +5,8 @@
 use pumicehead_flight_recorder::event::{Event as Told, How, Short};
 use pumicehead_flight_recorder::text;
 use pumicehead_policy::interface::{
-    AttemptNo, ClassId, Ended, Event, Nanos, NewRequest, Outcome, RequestId, SECOND, ServerId, TimerToken,
+    AttemptEnded, AttemptNo, AttemptOutcome, ClassId, EndpointId, Event, Nanos, NewRequest, RequestId,
+    SECOND, TimerToken,
 };
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -54,9 +55,9 @@
             id,
             class: ClassId(ask.class as u16),
             tenant: ask.tenant,
-            hint: ask.hint.filter(|&hint| hint > 0),
+            cost_hint: ask.hint.filter(|&hint| hint > 0),
             key: ask.key.map(|key| hash(&key)),
-            not_after: deadline,
+            deadline,
         }));
     }
 
@@ -93,7 +94,7 @@
 
     pub(super) fn on_client_gone(&mut self, id: RequestId) {
         if self.answer(id, Answer::Left) {
-            self.events.push_back(Event::ClientGone(id));
+            self.events.push_back(Event::ClientDisconnected(id));
         }
     }
 
@@ -109,17 +110,17 @@
     }
 
     /// A body that has gone to one server in part can go to no other: what becomes of its request is no longer a choice.
-    fn end_bound(&mut self, id: RequestId, outcome: Outcome) {
+    fn end_bound(&mut self, id: RequestId, outcome: AttemptOutcome) {
         let Some(open) = self.open.get_mut(&id) else { return };
         let Some(upload) = open.call.rest.as_ref().filter(|upload| upload.is_bound()) else { return };
-        let (again, broken) = (outcome.never_ran(self.full_unproven), upload.is_broken());
+        let (again, broken) = (outcome.never_executed(self.full_unproven), upload.is_broken());
         let too_long = upload.is_too_long();
         let error = open.error.take().map(Answer::Served);
         let given = error.unwrap_or(match outcome {
             _ if too_long => Answer::TooLong,
             _ if broken => Answer::Broken,
             _ if again => Answer::Refused(self.advice),
-            Outcome::TimedOut => Answer::Late,
+            AttemptOutcome::TimedOut => Answer::Late,
             _ => Answer::Failed,
         });
         self.answer(id, given);
@@ -128,7 +129,7 @@
     /// The answer is past due, or the process is about to end.
     pub(super) fn on_overdue(&mut self, id: RequestId) {
         if self.answer(id, Answer::Late) {
-            self.events.push_back(Event::ClientGone(id));
+            self.events.push_back(Event::ClientDisconnected(id));
         }
     }
 
@@ -136,7 +137,7 @@
         &mut self,
         id: RequestId,
         attempt: AttemptNo,
-        server: ServerId,
+        server: EndpointId,
         sent: Nanos,
         End { outcome, answer, refused, took, dial, idle, short }: End,
     ) {
@@ -153,7 +154,7 @@
             *out = None;
         }
         match answer {
-            Some(served) if outcome == Outcome::Ok => {
+            Some(served) if outcome == AttemptOutcome::Success => {
                 self.answer(id, Answer::Served(served));
             }
             Some(error) => {
@@ -165,15 +166,27 @@
         }
         self.end_bound(id, outcome);
         if !self.watch.has_service() {
-            let connected =
-                matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::TimedOut);
+            let connected = matches!(
+                outcome,
+                AttemptOutcome::Success
+                    | AttemptOutcome::Error
+                    | AttemptOutcome::Rejected
+                    | AttemptOutcome::TimedOut
+            );
             let now_ms = self.now() / 1_000_000;
             if let Some(change) = self.roster.heard(server, refused, connected, now_ms) {
                 self.list(change);
             }
         }
         let complete = self.open.get(&id).is_none_or(|open| open.answer.is_none());
-        self.events.push_back(Event::Ended(Ended { id, attempt, server, outcome, took, complete }));
+        self.events.push_back(Event::AttemptEnded(AttemptEnded {
+            id,
+            attempt,
+            endpoint: server,
+            outcome,
+            duration: took,
+            final_answer: complete,
+        }));
         self.free(id);
     }
 }
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use pumicehead_config::model::Address;
-use pumicehead_policy::interface::LIST_CALL;
+use pumicehead_policy::interface::DISCOVERY_CALL_TIMEOUT;
 use serde::{Deserialize, Deserializer};
 use thiserror::Error;
 use tokio::net::TcpStream;
@@ -22,7 +22,7 @@
 /// While nothing changes, a watch says something so often (the protocol's page).
 const HEARTBEAT: Duration = Duration::from_secs(2);
 /// A call with no answer by then is lost: the service answers or turns away within 2 s.
-const CALL: Duration = Duration::from_nanos(LIST_CALL);
+const CALL: Duration = Duration::from_nanos(DISCOVERY_CALL_TIMEOUT);
 /// A watch that has missed two heartbeats and a quarter is dead. What it misses counts as told 6 s after it fell silent, and
 /// drains are kept from 2 s later on: of these 8 s there are 3.5 left for two pauses of half a second at most, since the
 /// service may turn one call away, and for the answer.
--- a/crates/node/src/net/fastcgi/connection.rs
+++ b/crates/node/src/net/fastcgi/connection.rs
@@ -10,7 +10,7 @@
 use pumicehead_fastcgi::cgi::{AnswerHead, HeadReader};
 use pumicehead_fastcgi::client::{Client, Event, RequestId, Values};
 use pumicehead_fastcgi::record::End;
-use pumicehead_policy::interface::Outcome;
+use pumicehead_policy::interface::AttemptOutcome;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
@@ -269,7 +269,7 @@
         }
         let mut out = BytesMut::with_capacity(job.body.len() + 1_024);
         let Some(id) = self.client.begin(&mut out, true) else {
-            let _ = job.end.send(transport::End::of(Outcome::Full));
+            let _ = job.end.send(transport::End::of(AttemptOutcome::Rejected));
             return self.less();
         };
         self.client.params(&mut out, id, job.params.iter().map(|(name, value)| (&name[..], &value[..])));
--- a/crates/node/src/net/fastcgi/upstream.rs
+++ b/crates/node/src/net/fastcgi/upstream.rs
@@ -10,7 +10,7 @@
 use pumicehead_config::model::Address;
 use pumicehead_fastcgi::cgi::{Around, variables};
 use pumicehead_fastcgi::client::Values;
-use pumicehead_policy::interface::Outcome;
+use pumicehead_policy::interface::AttemptOutcome;
 use tokio::net::{TcpStream, UnixStream};
 use tokio::sync::{Semaphore, oneshot};
 use tokio::task;
@@ -186,10 +186,10 @@
                 biased;
                 done = self.exchange(&call, times, begun.clone()) => done,
                 // The sender is kept as long as the attempt is out; were it lost, nobody would wait.
-                _ = cancel => End::of(Outcome::Cancelled),
+                _ = cancel => End::of(AttemptOutcome::Cancelled),
                 // A time-out before anything was written proves that nothing ran.
                 () = sleep_until(times.deadline) => {
-                    End::of(if begun.get() { Outcome::TimedOut } else { Outcome::Moot })
+                    End::of(if begun.get() { AttemptOutcome::TimedOut } else { AttemptOutcome::NotSent })
                 }
             }
         })
@@ -205,11 +205,11 @@
         // Dialling takes time: what was true when the attempt was decided need not be so now.
         let left = times.left(Instant::now());
         if left.is_zero() || !self.life.usable.get() || call.over.get() {
-            return End::of(Outcome::Moot);
+            return End::of(AttemptOutcome::NotSent);
         }
         let Some(params) = self.params(call, left) else {
             // Such a path is refused before it is sent here.
-            return End::of(Outcome::Moot);
+            return End::of(AttemptOutcome::NotSent);
         };
         let (end, ended) = oneshot::channel();
         let job = Job {
@@ -315,7 +315,10 @@
 
     async fn open(&self, values: Option<oneshot::Sender<Values>>) -> Result<Rc<Shared>, End> {
         // The node's own lack of descriptors is no fault of the server's.
-        let place = self.connections.place().ok_or_else(|| End { short: true, ..End::of(Outcome::Moot) })?;
+        let place = self
+            .connections
+            .place()
+            .ok_or_else(|| End { short: true, ..End::of(AttemptOutcome::NotSent) })?;
         let conn = match &self.life.dial {
             Address::Tcp(address) => {
                 let stream = self.dialled(TcpStream::connect(address)).await?;
--- a/crates/node/src/net/handle.rs
+++ b/crates/node/src/net/handle.rs
@@ -5,7 +5,7 @@
 use std::rc::{Rc, Weak};
 
 use pumicehead_flight_recorder::event::{Event, Turned};
-use pumicehead_policy::interface::{RequestId, Settings, Sharing};
+use pumicehead_policy::interface::{NodeShare, RequestId, Settings};
 use pumicehead_policy::policy::Knowledge;
 use rustc_hash::FxHashSet;
 use tokio::sync::{mpsc, oneshot};
@@ -144,7 +144,7 @@
     }
 
     /// So many nodes share the servers from now on.
-    pub fn share(&self, sharing: Sharing) {
+    pub fn share(&self, sharing: NodeShare) {
         let _ = self.messages.send(Message::Sharing(sharing));
     }
 
--- a/crates/node/src/net/http/answer.rs
+++ b/crates/node/src/net/http/answer.rs
@@ -8,7 +8,7 @@
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{self, HeaderMap};
 use hyper::{Method, Response, StatusCode};
-use pumicehead_policy::interface::Outcome;
+use pumicehead_policy::interface::AttemptOutcome;
 
 use crate::net::ask::Served;
 use crate::net::body::{Body, Passing, Stream};
@@ -57,15 +57,15 @@
         if self.reading.turned_away(&seen) {
             // Whatever becomes of the body.
             let _ = Limited::new(body, SHORT).collect().await;
-            return Read::Whole(End::of(Outcome::Full));
+            return Read::Whole(End::of(AttemptOutcome::Rejected));
         }
-        let reset = || Read::Whole(End::of(Outcome::Reset));
+        let reset = || Read::Whole(End::of(AttemptOutcome::Reset));
         let most = length.unwrap_or(self.longest_unstated);
         if most > self.longest {
             return reset();
         }
         let verdict = self.reading.whole(&seen);
-        let passes = self.passes && verdict == Verdict { outcome: Outcome::Ok, pass: true };
+        let passes = self.passes && verdict == Verdict { outcome: AttemptOutcome::Success, pass: true };
         let head = |headers, body| Served {
             status: parts.status,
             headers: self.fields(headers, parts.status, method),
--- a/crates/node/src/net/http/upstream.rs
+++ b/crates/node/src/net/http/upstream.rs
@@ -12,7 +12,7 @@
 use hyper::header::HeaderValue;
 use hyper_util::rt::TokioIo;
 use pumicehead_config::model::Address;
-use pumicehead_policy::interface::Outcome;
+use pumicehead_policy::interface::AttemptOutcome;
 use pumicehead_slow_peer::{GiveUp, Side};
 use tokio::net::TcpStream;
 use tokio::runtime::Handle;
@@ -202,7 +202,7 @@
                 biased;
                 done = self.shared.exchange(&self.backend, &call, times, (&stage, &way), begin) => done,
                 // The sender is kept as long as the attempt is out; were it lost, nobody would wait.
-                _ = cancel => (End::of(Outcome::Cancelled), None),
+                _ = cancel => (End::of(AttemptOutcome::Cancelled), None),
                 outcome = expiry(&call, deadline, &stage) => (End::of(outcome), None),
             };
             // Kept before the outcome is told, so that what is sent next finds it. Nothing crosses it here: an answer that
@@ -236,7 +236,7 @@
 
 /// The end of an attempt that takes too long, by its stage: a time-out before anything was written proves that nothing
 /// ran. Of a body that passes through, the time counts from its last byte.
-async fn expiry(call: &Call, deadline: Instant, stage: &Cell<Stage>) -> Outcome {
+async fn expiry(call: &Call, deadline: Instant, stage: &Cell<Stage>) -> AttemptOutcome {
     if call.rest.is_none() {
         // Its time means the same all along: it is looked at once, when it is up.
         sleep_until(deadline).await;
@@ -248,7 +248,11 @@
         }
         let Some(upload) = call.rest.as_ref().filter(|upload| upload.is_bound()) else {
             if Instant::now() >= deadline {
-                return if stage.get() == Stage::Written { Outcome::TimedOut } else { Outcome::Moot };
+                return if stage.get() == Stage::Written {
+                    AttemptOutcome::TimedOut
+                } else {
+                    AttemptOutcome::NotSent
+                };
             }
             // An answer may begin to pass through, or a body, in the meantime.
             wait(deadline).await;
@@ -258,15 +262,15 @@
             (Some(done), _) => {
                 let until = Instant::from_std(done) + upload.left;
                 if Instant::now() >= until {
-                    return Outcome::TimedOut;
+                    return AttemptOutcome::TimedOut;
                 }
                 wait(until).await;
             }
             // Its last byte is not written: nothing ran.
             (None, Err(GiveUp::Silent(Side::Sink) | GiveUp::Slow(Side::Sink))) => {
-                return Outcome::ConnectFailed;
+                return AttemptOutcome::ConnectFailed;
             }
-            (None, Err(_)) => return Outcome::Moot,
+            (None, Err(_)) => return AttemptOutcome::NotSent,
             (None, Ok(())) => wait(Instant::now() + LOOK).await,
         }
     }
@@ -298,8 +302,11 @@
     /// A new connection, or why there is none.
     async fn dial(&self, backend: &Backend) -> Result<Conn, End> {
         // The node's own lack of descriptors is no fault of the server's.
-        let place = self.connections.place().ok_or_else(|| End { short: true, ..End::of(Outcome::Moot) })?;
-        let failed = |refused| End { refused, ..End::of(Outcome::ConnectFailed) };
+        let place = self
+            .connections
+            .place()
+            .ok_or_else(|| End { short: true, ..End::of(AttemptOutcome::NotSent) })?;
+        let failed = |refused| End { refused, ..End::of(AttemptOutcome::ConnectFailed) };
         let Address::Tcp(address) = backend.dial else {
             // The checker lets no such address through to this protocol.
             return Err(failed(false));
@@ -346,13 +353,13 @@
             Err(end) => return alone(end),
         };
         if conn.sender.ready().await.is_err() {
-            return alone(End::of(Outcome::ConnectFailed));
+            return alone(End::of(AttemptOutcome::ConnectFailed));
         }
         // Getting here takes time: what was true when the attempt was decided need not be so now. The last look at the times,
         // the server and the client is this one, right before the first byte: nothing is waited for in between.
         let left = times.left(Instant::now());
         if left.is_zero() || !backend.usable.get() || call.over.get() {
-            return alone(End::of(Outcome::Moot));
+            return alone(End::of(AttemptOutcome::NotSent));
         }
         let upload = call.rest.as_ref();
         let (request, size) = call.request(upload.map_or(left, |upload| upload.left));
@@ -364,14 +371,16 @@
             Ok(response) => response,
             // The client broke it off, or is too slow.
             Err(_) if upload.is_some_and(|upload| upload.is_broken()) => {
-                return alone(End::of(Outcome::Moot));
+                return alone(End::of(AttemptOutcome::NotSent));
             }
             Err(_) if upload.is_some_and(|upload| upload.is_going()) => {
-                return alone(End::of(Outcome::ConnectFailed));
+                return alone(End::of(AttemptOutcome::ConnectFailed));
             }
             // `size` is never above the true size: less than that was surely not the whole request.
-            Err(_) if conn.link.written() - before < size => return alone(End::of(Outcome::ConnectFailed)),
-            Err(_) => return alone(End::of(Outcome::Reset)),
+            Err(_) if conn.link.written() - before < size => {
+                return alone(End::of(AttemptOutcome::ConnectFailed));
+            }
+            Err(_) => return alone(End::of(AttemptOutcome::Reset)),
         };
         let took =
             || Some(upload.and_then(|upload| upload.done()).map_or(started, Instant::from_std).elapsed());
@@ -380,7 +389,7 @@
                 if upload.is_some() {
                     end.took = took();
                 }
-                let conn = (end.outcome != Outcome::Reset).then_some(conn);
+                let conn = (end.outcome != AttemptOutcome::Reset).then_some(conn);
                 return (end, conn);
             }
             Read::Begun(served, passing) => (served, passing),
@@ -403,9 +412,9 @@
         });
         begin(served.0);
         let outcome = match served.1.server_done().await {
-            None | Some(Ended::Whole) => Outcome::Ok,
-            Some(Ended::Broken) => Outcome::Reset,
-            Some(Ended::Left) => Outcome::Cancelled,
+            None | Some(Ended::Whole) => AttemptOutcome::Success,
+            Some(Ended::Broken) => AttemptOutcome::Reset,
+            Some(Ended::Left) => AttemptOutcome::Cancelled,
         };
         alone(End { took, ..End::of(outcome) })
     }
--- a/crates/node/src/net/message.rs
+++ b/crates/node/src/net/message.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pumicehead_policy::interface::{AttemptNo, Nanos, RequestId, ServerId, Settings, Sharing};
+use pumicehead_policy::interface::{AttemptNo, EndpointId, Nanos, NodeShare, RequestId, Settings};
 use pumicehead_policy::policy::Knowledge;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -31,7 +31,7 @@
     Ended {
         id: RequestId,
         attempt: AttemptNo,
-        server: ServerId,
+        server: EndpointId,
         sent: Nanos,
         end: End,
     },
@@ -41,7 +41,7 @@
     Servers(List),
     Retune(Box<Settings>),
     /// So many nodes share the servers.
-    Sharing(Sharing),
+    Sharing(NodeShare),
     Retire {
         gone: bool,
     },
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! Sockets in, sockets out. Decides nothing; every decision is the module's.
 //!
 //! Two seams let a protocol in without a change to the loop. *Where requests come from*: a front reads them, asks
-//! its [`admission::Admission`] what they are, and hands an [`ask::Ask`] to a loop by its [`ask::Handle`]. *How an
+//! its [`admission::Admission`] what they are, and hands an [`ask::Poll`] to a loop by its [`ask::Handle`]. *How an
 //! attempt travels*: the loop sends by [`transport::Transport`], whatever servers speak.
 
 pub mod admission;
--- a/crates/node/src/net/roster.rs
+++ b/crates/node/src/net/roster.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 
 use pumicehead_admin::book::Stand;
-use pumicehead_policy::interface::{CellId, Condition, ListChange, Nanos, ServerId, ServerInfo, ZoneId};
+use pumicehead_policy::interface::{
+    CellId, EndpointId, EndpointInfo, EndpointState, EndpointUpdate, Nanos, ZoneId,
+};
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use thiserror::Error;
 
@@ -25,7 +27,7 @@
     born_ms: u64,
     server: Rc<dyn Server>,
     /// As the module was told last.
-    info: ServerInfo,
+    info: EndpointInfo,
     /// Its address refused a connection, and nothing has been heard of it since.
     down: bool,
 }
@@ -34,8 +36,8 @@
 pub struct Roster {
     zones: Vec<String>,
     transport: Rc<dyn Transport>,
-    servers: FxHashMap<ServerId, Known>,
-    ids: FxHashMap<String, ServerId>,
+    servers: FxHashMap<EndpointId, Known>,
+    ids: FxHashMap<String, EndpointId>,
     hands: Rc<Hands>,
     /// The version of the list.
     pub seq: u64,
@@ -48,21 +50,22 @@
     }
 
     /// All servers.
-    pub fn ids(&self) -> impl Iterator<Item = ServerId> + Clone {
+    pub fn ids(&self) -> impl Iterator<Item = EndpointId> + Clone {
         self.servers.keys().copied()
     }
 
     /// Whether a server takes work, as far as the list and staff say.
-    pub fn is_ready(&self, id: ServerId) -> bool {
-        self.servers.get(&id).is_some_and(|known| known.info.condition == Condition::Ready)
+    pub fn is_ready(&self, id: EndpointId) -> bool {
+        self.servers.get(&id).is_some_and(|known| known.info.state == EndpointState::Ready)
     }
 
     /// The book has changed for these names: what that means for those that are listed.
-    pub fn restate(&mut self, names: &[String]) -> Option<ListChange> {
+    pub fn restate(&mut self, names: &[String]) -> Option<EndpointUpdate> {
         let known = names.iter().filter_map(|name| self.servers.get(self.ids.get(name)?));
         let known: Vec<_> = known.map(|known| (known.listed.clone(), known.info.zone)).collect();
-        let infos: Arc<[ServerInfo]> = known.into_iter().map(|(host, zone)| self.learn(host, zone)).collect();
-        (!infos.is_empty()).then_some(ListChange::Delta(infos))
+        let infos: Arc<[EndpointInfo]> =
+            known.into_iter().map(|(host, zone)| self.learn(host, zone)).collect();
+        (!infos.is_empty()).then_some(EndpointUpdate::Delta(infos))
     }
 
     /// A listed server as staff have it.
@@ -82,12 +85,12 @@
     }
 
     /// A server's name.
-    pub fn name(&self, id: ServerId) -> Option<&str> {
+    pub fn name(&self, id: EndpointId) -> Option<&str> {
         self.servers.get(&id).map(|known| known.name.as_str())
     }
 
     /// A server by its id.
-    pub fn server(&self, id: ServerId) -> Option<&Rc<dyn Server>> {
+    pub fn server(&self, id: EndpointId) -> Option<&Rc<dyn Server>> {
         self.servers.get(&id).map(|known| &known.server)
     }
 
@@ -95,7 +98,7 @@
     ///
     /// # Errors
     /// A zone that does not exist; then nothing is changed.
-    pub fn apply(&mut self, list: List, cached: bool) -> Result<ListChange, UnknownSite> {
+    pub fn apply(&mut self, list: List, cached: bool) -> Result<EndpointUpdate, UnknownSite> {
         let zone = |host: &Host| {
             let place = self.zones.iter().position(|zone| *zone == host.site);
             place.map(|place| ZoneId(place as u16)).ok_or_else(|| UnknownSite(host.site.clone()))
@@ -109,13 +112,13 @@
             let missing: Vec<_> = missing.cloned().collect();
             missing.iter().for_each(|name| self.forget(name));
         }
-        let infos: Arc<[ServerInfo]> =
+        let infos: Arc<[EndpointInfo]> =
             list.hosts.into_iter().zip(zones).map(|(host, zone)| self.learn(host, zone)).collect();
         self.seq = list.seq;
         Ok(match (cached, whole) {
-            (true, _) => ListChange::Cached(infos),
-            (_, true) => ListChange::Full(infos),
-            _ => ListChange::Delta(infos),
+            (true, _) => EndpointUpdate::Restored(infos),
+            (_, true) => EndpointUpdate::Snapshot(infos),
+            _ => EndpointUpdate::Delta(infos),
         })
     }
 
@@ -131,7 +134,13 @@
 
     /// What an attempt tells of a server that no discovery tells of: one whose address refused connections and that
     /// takes them again has restarted, and is cold.
-    pub fn heard(&mut self, id: ServerId, refused: bool, connected: bool, now_ms: u64) -> Option<ListChange> {
+    pub fn heard(
+        &mut self,
+        id: EndpointId,
+        refused: bool,
+        connected: bool,
+        now_ms: u64,
+    ) -> Option<EndpointUpdate> {
         let known = self.servers.get_mut(&id)?;
         if refused {
             known.down = true;
@@ -143,21 +152,21 @@
         known.born_ms = now_ms;
         known.listed.born_ms = now_ms;
         known.info.started_at = millis(now_ms);
-        Some(ListChange::Delta(Arc::from([known.info.clone()])))
+        Some(EndpointUpdate::Delta(Arc::from([known.info.clone()])))
     }
 
-    fn learn(&mut self, listed: Host, zone: ZoneId) -> ServerInfo {
+    fn learn(&mut self, listed: Host, zone: ZoneId) -> EndpointInfo {
         self.hands.listed.borrow_mut().add(&listed.host);
         let host = self.by_hand(&listed);
         let id = self.id(&host.host);
-        let info = ServerInfo {
+        let info = EndpointInfo {
             id,
             zone,
             cell: CellId(host.block),
-            condition: match host.health {
-                Health::Active => Condition::Ready,
-                Health::Leaving => Condition::Draining,
-                Health::Left => Condition::Gone,
+            state: match host.health {
+                Health::Active => EndpointState::Ready,
+                Health::Leaving => EndpointState::Draining,
+                Health::Left => EndpointState::Removed,
             },
             weight: host.share,
             started_at: millis(host.born_ms),
@@ -198,11 +207,11 @@
     }
 
     /// The same at every node, since nodes order servers by id on a ring that they share.
-    fn id(&self, name: &str) -> ServerId {
+    fn id(&self, name: &str) -> EndpointId {
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
-        let mut id = ServerId(hash(name.as_bytes()) as u32);
+        let mut id = EndpointId(hash(name.as_bytes()) as u32);
         while self.servers.get(&id).is_some_and(|known| known.name != name) {
             id.0 = id.0.wrapping_add(1);
         }
--- a/crates/node/src/net/tap.rs
+++ b/crates/node/src/net/tap.rs
@@ -5,7 +5,7 @@
 
 use pumicehead_flight_recorder::event::{Event, Listed, PoolId};
 use pumicehead_flight_recorder::recorder::{Level, Recorder};
-use pumicehead_policy::interface::{Condition, ListChange, ServerId};
+use pumicehead_policy::interface::{EndpointId, EndpointState, EndpointUpdate};
 use rustc_hash::FxHashMap;
 
 use super::clock::Clock;
@@ -48,7 +48,7 @@
     shared: Shared,
     clock: Clock,
     pool: PoolId,
-    listed: Rc<RefCell<FxHashMap<ServerId, Listed>>>,
+    listed: Rc<RefCell<FxHashMap<EndpointId, Listed>>>,
 }
 
 impl Tap {
@@ -75,16 +75,19 @@
     }
 
     /// Records what is new in a list.
-    pub fn list<'a>(&self, change: &ListChange, name: impl Fn(ServerId) -> Option<&'a str>) {
-        let (ListChange::Full(infos) | ListChange::Cached(infos) | ListChange::Delta(infos)) = change else {
+    pub fn list<'a>(&self, change: &EndpointUpdate, name: impl Fn(EndpointId) -> Option<&'a str>) {
+        let (EndpointUpdate::Snapshot(infos)
+        | EndpointUpdate::Restored(infos)
+        | EndpointUpdate::Delta(infos)) = change
+        else {
             return;
         };
         let mut known = self.listed.borrow_mut();
         for info in infos.iter() {
-            let listed = match info.condition {
-                Condition::Ready => Listed::Ready,
-                Condition::Draining => Listed::Draining,
-                Condition::Gone => Listed::Gone,
+            let listed = match info.state {
+                EndpointState::Ready => Listed::Ready,
+                EndpointState::Draining => Listed::Draining,
+                EndpointState::Removed => Listed::Gone,
             };
             if known.get(&info.id) == Some(&listed) {
                 continue;
--- a/crates/node/src/net/transport.rs
+++ b/crates/node/src/net/transport.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicehead_config::model::Address;
-use pumicehead_policy::interface::Outcome;
+use pumicehead_policy::interface::AttemptOutcome;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -15,9 +15,9 @@
 /// How an attempt ended.
 pub struct End {
     /// For the module.
-    pub outcome: Outcome,
-    /// The whole answer, where it may be passed on: with [`Outcome::Ok`] it is the final one, with
-    /// [`Outcome::Error`] it is what the client gets if nothing better comes.
+    pub outcome: AttemptOutcome,
+    /// The whole answer, where it may be passed on: with [`AttemptOutcome::Success`] it is the final one, with
+    /// [`AttemptOutcome::Error`] it is what the client gets if nothing better comes.
     pub answer: Option<Served>,
     /// The address refused the connection: no process listens there.
     pub refused: bool,
@@ -34,7 +34,7 @@
 
 impl End {
     /// Without an answer.
-    pub fn of(outcome: Outcome) -> Self {
+    pub fn of(outcome: AttemptOutcome) -> Self {
         Self {
             outcome,
             answer: None,
--- a/crates/node/src/net/verdict.rs
+++ b/crates/node/src/net/verdict.rs
@@ -2,7 +2,7 @@
 //! `docs/answers.md`; it knows nothing of sockets.
 
 use hyper::StatusCode;
-use pumicehead_policy::interface::Outcome;
+use pumicehead_policy::interface::AttemptOutcome;
 
 /// Whose reading of statuses holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
     /// For the module.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// It may be passed on.
     pub pass: bool,
 }
@@ -47,19 +47,23 @@
     /// A whole answer's meaning.
     pub fn whole(self, seen: &Seen) -> Verdict {
         if self.turned_away(seen) {
-            return Verdict { outcome: Outcome::Full, pass: false };
+            return Verdict { outcome: AttemptOutcome::Rejected, pass: false };
         }
-        let reset = Verdict { outcome: Outcome::Reset, pass: false };
+        let reset = Verdict { outcome: AttemptOutcome::Reset, pass: false };
         match self {
             Self::Platform if seen.status != StatusCode::OK => {
-                Verdict { outcome: Outcome::Error, pass: false }
+                Verdict { outcome: AttemptOutcome::Error, pass: false }
             }
             _ if !seen.framed => reset,
-            Self::Platform => Verdict { outcome: Outcome::Ok, pass: true },
+            Self::Platform => Verdict { outcome: AttemptOutcome::Success, pass: true },
             // Nobody asked for another protocol: what follows is no answer.
             Self::Gateway if seen.status == StatusCode::SWITCHING_PROTOCOLS => reset,
             Self::Gateway => {
-                let outcome = if Self::is_failing(seen.status) { Outcome::Error } else { Outcome::Ok };
+                let outcome = if Self::is_failing(seen.status) {
+                    AttemptOutcome::Error
+                } else {
+                    AttemptOutcome::Success
+                };
                 Verdict { outcome, pass: true }
             }
         }
@@ -80,7 +84,7 @@
 mod tests {
     use super::*;
 
-    fn whole(reading: Reading, status: u16, unprocessed: bool, framed: bool) -> (Outcome, bool) {
+    fn whole(reading: Reading, status: u16, unprocessed: bool, framed: bool) -> (AttemptOutcome, bool) {
         let seen = Seen { status: StatusCode::from_u16(status).unwrap(), unprocessed, framed };
         let verdict = reading.whole(&seen);
         (verdict.outcome, verdict.pass)
@@ -89,33 +93,53 @@
     #[test]
     fn a_gateway_passes_on_what_servers_answer() {
         for status in [200, 201, 204, 206, 301, 304, 400, 401, 404, 409, 412, 501, 505] {
-            assert_eq!(whole(Reading::Gateway, status, false, true), (Outcome::Ok, true), "{status}");
-            assert_eq!(whole(Reading::Gateway, status, false, false), (Outcome::Reset, false), "{status}");
+            assert_eq!(
+                whole(Reading::Gateway, status, false, true),
+                (AttemptOutcome::Success, true),
+                "{status}"
+            );
+            assert_eq!(
+                whole(Reading::Gateway, status, false, false),
+                (AttemptOutcome::Reset, false),
+                "{status}"
+            );
         }
         for status in [408, 429, 500, 502, 503, 504, 507, 599] {
-            assert_eq!(whole(Reading::Gateway, status, false, true), (Outcome::Error, true), "{status}");
+            assert_eq!(
+                whole(Reading::Gateway, status, false, true),
+                (AttemptOutcome::Error, true),
+                "{status}"
+            );
         }
-        assert_eq!(whole(Reading::Gateway, 101, false, true), (Outcome::Reset, false));
+        assert_eq!(whole(Reading::Gateway, 101, false, true), (AttemptOutcome::Reset, false));
     }
 
     #[test]
     fn only_the_word_and_the_status_together_prove_that_nothing_ran() {
         for status in [429, 503, 504] {
-            assert_eq!(whole(Reading::Gateway, status, true, false), (Outcome::Full, false), "{status}");
+            assert_eq!(
+                whole(Reading::Gateway, status, true, false),
+                (AttemptOutcome::Rejected, false),
+                "{status}"
+            );
         }
-        assert_eq!(whole(Reading::Gateway, 500, true, true), (Outcome::Error, true));
-        assert_eq!(whole(Reading::Gateway, 200, true, true), (Outcome::Ok, true));
-        assert_eq!(whole(Reading::Platform, 503, true, false), (Outcome::Full, false));
-        assert_eq!(whole(Reading::Platform, 503, false, true), (Outcome::Error, false));
-        assert_eq!(whole(Reading::Platform, 429, true, true), (Outcome::Error, false));
+        assert_eq!(whole(Reading::Gateway, 500, true, true), (AttemptOutcome::Error, true));
+        assert_eq!(whole(Reading::Gateway, 200, true, true), (AttemptOutcome::Success, true));
+        assert_eq!(whole(Reading::Platform, 503, true, false), (AttemptOutcome::Rejected, false));
+        assert_eq!(whole(Reading::Platform, 503, false, true), (AttemptOutcome::Error, false));
+        assert_eq!(whole(Reading::Platform, 429, true, true), (AttemptOutcome::Error, false));
     }
 
     #[test]
     fn the_platform_knows_200_alone() {
         for status in [201, 204, 304, 404] {
-            assert_eq!(whole(Reading::Platform, status, false, true), (Outcome::Error, false), "{status}");
+            assert_eq!(
+                whole(Reading::Platform, status, false, true),
+                (AttemptOutcome::Error, false),
+                "{status}"
+            );
         }
-        assert_eq!(whole(Reading::Platform, 200, false, true), (Outcome::Ok, true));
-        assert_eq!(whole(Reading::Platform, 200, false, false), (Outcome::Reset, false));
+        assert_eq!(whole(Reading::Platform, 200, false, true), (AttemptOutcome::Success, true));
+        assert_eq!(whole(Reading::Platform, 200, false, false), (AttemptOutcome::Reset, false));
     }
 }
--- a/crates/node/src/platform/admission.rs
+++ b/crates/node/src/platform/admission.rs
@@ -5,7 +5,7 @@
 use hyper::Method;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use pumicehead_policy::boot::BootClass;
-use pumicehead_policy::interface::{Effect, Nanos, TenantId};
+use pumicehead_policy::interface::{Idempotency, Nanos, TenantId};
 use rustc_hash::FxHashMap;
 
 use super::config::Config;
@@ -49,11 +49,11 @@
         let (boot, settings) = (&config.boot, &config.settings);
         let rule = |(index, class): (usize, &BootClass)| ClassRule {
             name: class.name.clone(),
-            method: match settings.classes[index].effect {
-                Effect::Safe => Method::GET,
+            method: match settings.classes[index].idempotency {
+                Idempotency::Idempotent => Method::GET,
                 _ => Method::POST,
             },
-            keyed: matches!(settings.classes[index].effect, Effect::Keyed { .. }),
+            keyed: matches!(settings.classes[index].idempotency, Idempotency::IdempotencyKey { .. }),
             deadline: Duration::from_nanos(settings.classes[index].deadline),
         };
         let mut tenants = FxHashMap::default();
--- a/crates/node/src/platform/config.rs
+++ b/crates/node/src/platform/config.rs
@@ -110,7 +110,7 @@
         let file = read()?;
         let mut settings = file.settings.settings()?;
         // Nodes have no way to each other here: with notes off the module does without.
-        settings.peers = false;
+        settings.load_reports = false;
         let seed = file.seed.ok_or_else(|| fault("seed", "missing"))?;
         let sockets = file.limits.sockets;
         if sockets < LEAST_SOCKETS {
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -144,7 +144,7 @@
         most_held: ceilings.most_held,
         last_deadline: span(longest).min(LAST_DEADLINE),
         healthz: true,
-        advice: config.settings.advice(),
+        advice: config.settings.retry_after_hint(),
     };
     let admission = Rc::new(Platform::new(&config, handle.clone()));
     let budget = Budget::new(places.clients, config.sockets);
--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -20,7 +20,7 @@
 use pumicehead_admin::call::{Call, no, yes};
 use pumicehead_config::model::Observe;
 use pumicehead_flight_recorder::recorder::Level;
-use pumicehead_policy::interface::Sharing;
+use pumicehead_policy::interface::NodeShare;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 use tokio::task;
@@ -110,7 +110,7 @@
 }
 
 /// Tells all pools how many nodes share their servers, whenever that changes.
-async fn share(site: Rc<Site>, mut sharing: watch::Receiver<Option<Sharing>>) {
+async fn share(site: Rc<Site>, mut sharing: watch::Receiver<Option<NodeShare>>) {
     while sharing.changed().await.is_ok() {
         let now = *sharing.borrow_and_update();
         if let Some(now) = now {
--- a/crates/node/src/standalone/site.rs
+++ b/crates/node/src/standalone/site.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use pumicehead_config::model::Config;
-use pumicehead_policy::interface::{Settings, Sharing};
+use pumicehead_policy::interface::{NodeShare, Settings};
 use pumicehead_resources::Digest;
 use thiserror::Error;
 use tracing::{info, warn};
@@ -71,7 +71,7 @@
     budget: Rc<Budget>,
     running: RefCell<Running>,
     /// How many nodes share the servers, where the fleet says so.
-    sharing: Cell<Option<Sharing>>,
+    sharing: Cell<Option<NodeShare>>,
     /// Staff empty this node.
     draining: Cell<bool>,
 }
@@ -252,7 +252,7 @@
     }
 
     /// So many nodes share the servers of all pools from now on.
-    pub fn share(&self, sharing: Sharing) {
+    pub fn share(&self, sharing: NodeShare) {
         self.sharing.set(Some(sharing));
         self.running.borrow().pools.values().for_each(|pool| pool.share(sharing));
     }
--- a/crates/node/tests/unit/core.rs
+++ b/crates/node/tests/unit/core.rs
@@ -5,7 +5,7 @@
 use hyper::header::HeaderMap;
 use pumicehead_config::model::Address;
 use pumicehead_policy::boot::Boot;
-use pumicehead_policy::interface::{AttemptNo, Outcome};
+use pumicehead_policy::interface::{AttemptNo, AttemptOutcome};
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
 
@@ -85,7 +85,7 @@
         core.hear();
         let server = core.roster.ids().next().unwrap();
         let answer = Served { status: StatusCode::OK, headers: HeaderMap::new(), body: Bytes::new().into() };
-        let end = End { answer: Some(answer), ..End::of(Outcome::Ok) };
+        let end = End { answer: Some(answer), ..End::of(AttemptOutcome::Success) };
         let sent = core.now();
         let (id, attempt) = (RequestId(0), AttemptNo(0));
         assert!(core.open.get(&id).is_some_and(|open| open.attempts.len() == 1), "it is sent");
--- a/crates/node/tests/unit/front.rs
+++ b/crates/node/tests/unit/front.rs
@@ -49,7 +49,7 @@
             self.0.set(self.0.get() + 1);
             let headers = hyper::header::HeaderMap::new();
             let answer = Served { status: hyper::StatusCode::OK, headers, body: self.1.clone().into() };
-            End { answer: Some(answer), ..End::of(pumicehead_policy::interface::Outcome::Ok) }
+            End { answer: Some(answer), ..End::of(pumicehead_policy::interface::AttemptOutcome::Success) }
         })
     }
 }
--- a/crates/node/tests/unit/upstream.rs
+++ b/crates/node/tests/unit/upstream.rs
@@ -21,7 +21,7 @@
         polls += 1;
         waiting.as_mut().poll(cx)
     });
-    assert_eq!((outcome.await, polls), (Outcome::TimedOut, 2));
+    assert_eq!((outcome.await, polls), (AttemptOutcome::TimedOut, 2));
 }
 
 fn upstream() -> Rc<Upstream> {
@@ -109,5 +109,5 @@
         let (end, _stream) = tokio::join!(attempt, peer);
         (end.outcome, end.answer.is_some())
     });
-    assert_eq!(told.await, (Outcome::Ok, true));
+    assert_eq!(told.await, (AttemptOutcome::Success, true));
 }
--- a/crates/policy/src/advice.rs
+++ b/crates/policy/src/advice.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::{Advice, Nanos, ServerId, Sharing};
+use crate::interface::{CapacityAdvice, EndpointId, Nanos, NodeShare};
 
 /// A server that is advised against looks this many times as slow: it gets work where no other has room, so that advice
 /// against all servers, or all but one, changes little.
@@ -15,24 +15,24 @@
 /// The advice that a node goes by.
 #[derive(Debug, Default)]
 pub struct Advised {
-    avoid: FxHashMap<ServerId, ()>,
+    avoid: FxHashMap<EndpointId, ()>,
     heard: Nanos,
     lasts: Nanos,
-    lent: FxHashMap<ServerId, f64>,
-    granted: FxHashMap<ServerId, f64>,
+    lent: FxHashMap<EndpointId, f64>,
+    granted: FxHashMap<EndpointId, f64>,
     granted_until: Nanos,
     /// By server, the process that was told to be draining. That stays told for as long as it is that process.
-    draining: FxHashMap<ServerId, Nanos>,
+    draining: FxHashMap<EndpointId, Nanos>,
     /// How many nodes share the servers, where the fleet says so.
-    pub sharing: Option<Sharing>,
+    pub sharing: Option<NodeShare>,
 }
 
 impl Advised {
     /// Takes advice in; it replaces what was said before, but for drains.
-    pub fn hear(&mut self, advice: &Advice, now: Nanos) {
+    pub fn hear(&mut self, advice: &CapacityAdvice, now: Nanos) {
         self.avoid = advice.avoid.iter().map(|&server| (server, ())).collect();
         self.heard = now.saturating_sub(advice.age);
-        self.lasts = advice.lasts;
+        self.lasts = advice.valid_for;
         self.lent = advice.lent.iter().copied().collect();
         self.granted = advice.granted.iter().copied().collect();
         self.granted_until = now.saturating_add(advice.granted_for);
@@ -45,7 +45,7 @@
 
     /// At what rate a cold server may be asked, before its ramp, by a node that would ask it at `own` if it were alone.
     #[must_use]
-    pub fn cold_rate(&self, server: ServerId, own: f64, now: Nanos) -> f64 {
+    pub fn cold_rate(&self, server: EndpointId, own: f64, now: Nanos) -> f64 {
         let granted = self.granted.get(&server).filter(|_| now < self.granted_until);
         let lent = self.lent.get(&server).copied().unwrap_or(0.0);
         (own - lent).max(0.0) + granted.copied().unwrap_or(0.0).max(0.0)
@@ -54,7 +54,7 @@
     /// How many times as slow a server is to look, at least 1. In full for half of the time that advice lasts, then by
     /// degrees less, so that its end is no jump.
     #[must_use]
-    pub fn caution(&self, server: ServerId, started_at: Nanos, now: Nanos) -> f64 {
+    pub fn caution(&self, server: EndpointId, started_at: Nanos, now: Nanos) -> f64 {
         if self.draining.get(&server) == Some(&started_at) {
             return CAUTION;
         }
@@ -71,7 +71,7 @@
     use super::*;
     use crate::interface::SECOND;
 
-    const ONE: ServerId = ServerId(1);
+    const ONE: EndpointId = EndpointId(1);
 
     fn at(advised: &Advised) -> impl Fn(u64) -> f64 + '_ {
         |half_seconds| advised.caution(ONE, 0, half_seconds * SECOND / 2)
@@ -81,26 +81,30 @@
     fn advice_fades_and_drains_do_not() {
         let mut advised = Advised::default();
         assert_eq!(advised.caution(ONE, 0, 0), 1.0);
-        let advice = Advice {
-            lasts: 2 * SECOND,
+        let advice = CapacityAdvice {
+            valid_for: 2 * SECOND,
             avoid: [ONE].into(),
-            draining: [(ServerId(2), 7)].into(),
-            ..Advice::default()
+            draining: [(EndpointId(2), 7)].into(),
+            ..CapacityAdvice::default()
         };
         advised.hear(&advice, SECOND);
         assert_eq!([2, 4, 5, 6, 60].map(at(&advised)), [CAUTION, CAUTION, 8.5, 1.0, 1.0]);
         let later = 3_600 * SECOND;
-        assert_eq!(advised.caution(ServerId(2), 7, later), CAUTION);
-        assert_eq!(advised.caution(ServerId(2), 8, later), 1.0, "another process");
+        assert_eq!(advised.caution(EndpointId(2), 7, later), CAUTION);
+        assert_eq!(advised.caution(EndpointId(2), 8, later), 1.0, "another process");
         // The same said again, as old as it is, fades on.
-        let again =
-            Advice { age: 3 * SECOND / 2, lasts: 2 * SECOND, avoid: [ONE].into(), ..Advice::default() };
+        let again = CapacityAdvice {
+            age: 3 * SECOND / 2,
+            valid_for: 2 * SECOND,
+            avoid: [ONE].into(),
+            ..CapacityAdvice::default()
+        };
         advised.hear(&again, 5 * SECOND / 2);
         assert_eq!([5, 6].map(at(&advised)), [8.5, 1.0]);
         // What is no longer advised ends at once; a drain that is not repeated stays.
-        advised.hear(&Advice { lasts: 2 * SECOND, ..Advice::default() }, later);
+        advised.hear(&CapacityAdvice { valid_for: 2 * SECOND, ..CapacityAdvice::default() }, later);
         assert_eq!(advised.caution(ONE, 0, later), 1.0);
-        assert_eq!(advised.caution(ServerId(2), 7, later), CAUTION);
+        assert_eq!(advised.caution(EndpointId(2), 7, later), CAUTION);
     }
 
     #[test]
@@ -108,10 +112,13 @@
         let mut advised = Advised::default();
         assert_eq!(advised.cold_rate(ONE, 5.0, 0), 5.0);
         let granted = [(ONE, 7.0)].into();
-        let lent = [(ONE, 3.0), (ServerId(2), 3.0)].into();
-        advised.hear(&Advice { lent, granted, granted_for: SECOND, ..Advice::default() }, SECOND);
+        let lent = [(ONE, 3.0), (EndpointId(2), 3.0)].into();
+        advised.hear(
+            &CapacityAdvice { lent, granted, granted_for: SECOND, ..CapacityAdvice::default() },
+            SECOND,
+        );
         let rates = |server, own| [1, 2].map(|second| advised.cold_rate(server, own, second * SECOND));
-        assert_eq!((rates(ONE, 5.0), rates(ServerId(2), 5.0)), ([9.0, 2.0], [2.0, 2.0]));
+        assert_eq!((rates(ONE, 5.0), rates(EndpointId(2), 5.0)), ([9.0, 2.0], [2.0, 2.0]));
         // Where its own share has fallen under what is lent, there is nothing left of it, and no debt.
         assert_eq!(rates(ONE, 1.0), [7.0, 0.0]);
     }
@@ -119,9 +126,13 @@
     #[test]
     fn advice_without_an_end_in_sight_does_no_harm() {
         let mut advised = Advised::default();
-        advised.hear(&Advice { lasts: 0, avoid: [ONE].into(), ..Advice::default() }, SECOND);
+        advised
+            .hear(&CapacityAdvice { valid_for: 0, avoid: [ONE].into(), ..CapacityAdvice::default() }, SECOND);
         assert_eq!(advised.caution(ONE, 0, SECOND + 1), 1.0);
-        advised.hear(&Advice { lasts: u64::MAX, avoid: [ONE].into(), ..Advice::default() }, SECOND);
+        advised.hear(
+            &CapacityAdvice { valid_for: u64::MAX, avoid: [ONE].into(), ..CapacityAdvice::default() },
+            SECOND,
+        );
         assert!(advised.caution(ONE, 0, u64::MAX).is_finite());
     }
 }
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/boot.rs
@@ -3,7 +3,9 @@
 
 use serde::Deserialize;
 
-use crate::interface::{Class, Discovery, Effect, Group, Nanos, Settings, SettingsError, Tenant, ZoneId};
+use crate::interface::{
+    Class, DedupScope, Discovery, Idempotency, Nanos, Settings, SettingsError, Tenant, ZoneId,
+};
 
 /// Settings as they are written; unknown keys are ignored.
 #[derive(Debug, Deserialize)]
@@ -171,43 +173,43 @@
     pub fn settings(&self) -> Result<Settings, SettingsError> {
         let classes = self.classes.iter().map(BootClass::class).collect::<Result<_, _>>()?;
         let settings = Settings {
-            me: self.me,
-            nodes: self.replicas_of_me,
+            node_index: self.me,
+            node_count: self.replicas_of_me,
             zone: ZoneId(self.my_zone),
-            zones: u16::try_from(self.zones.len()).map_err(|_| SettingsError::OutOfRange("zones"))?,
+            zone_count: u16::try_from(self.zones.len()).map_err(|_| SettingsError::OutOfRange("zones"))?,
             classes,
             tenants: self
                 .tenants
                 .iter()
                 .map(|t| Tenant { share: t.share, allowance_per_s: t.allowance_per_s })
                 .collect(),
-            over_share_worth: self.over_share_worth,
-            worth_by_work: self.counted_by == "work",
+            over_share_weight: self.over_share_worth,
+            weight_by_work: self.counted_by == "work",
             discovery: match self.membership_mode.as_str() {
                 "automatic" => Discovery::Push,
-                "subscribe" => Discovery::Ask,
+                "subscribe" => Discovery::Poll,
                 _ => return Err(SettingsError::OutOfRange("membership_mode")),
             },
             tick: self.quantum_ns,
             max_attempts: self.ceilings.max_attempts,
-            parallel_tries: self.ceilings.parallel_tries,
-            cancel: self.ceilings.cancel,
+            concurrent_attempts: self.ceilings.parallel_tries,
+            cancellation: self.ceilings.cancel,
             retry_after: self.ceilings.retry_after,
             max_retry_after: self.ceilings.max_retry_after_ns,
-            connections_priced: self.prices.connection > 0.0 || self.prices.handshake > 0.0,
-            crossing_price: self.prices.cross_zone,
-            weights_tell_size: matches!(self.weights.as_str(), "nominal" | "rough"),
-            peers: self.ceilings.peers,
-            peer_price: self.prices.peer,
-            ask_every: self.rules.ask_every_ns,
+            connections_have_cost: self.prices.connection > 0.0 || self.prices.handshake > 0.0,
+            cross_zone_cost: self.prices.cross_zone,
+            weight_is_capacity: matches!(self.weights.as_str(), "nominal" | "rough"),
+            load_reports: self.ceilings.peers,
+            load_report_cost: self.prices.peer,
+            poll_interval: self.rules.ask_every_ns,
             drain_grace: self.rules.stop_sending_within_ns,
-            cold_from: self.rules.cold_from,
-            cold_span: self.rules.cold_ns,
-            fall_multiple: self.rules.fall_multiple,
-            fall_span: self.rules.fall_ns,
-            full_unproven: self.rules.full_unproven,
-            order_settle: self.rules.order_settle_ns,
-            hang_up_within: self.rules.hang_up_within_ns.filter(|&within| within > 0),
+            warmup_initial_fraction: self.rules.cold_from,
+            warmup_duration: self.rules.cold_ns,
+            overload_multiple: self.rules.fall_multiple,
+            overload_duration: self.rules.fall_ns,
+            rejection_may_execute: self.rules.full_unproven,
+            key_cooldown: self.rules.order_settle_ns,
+            drain_idle_close: self.rules.hang_up_within_ns.filter(|&within| within > 0),
         };
         settings.check().map(|()| settings)
     }
@@ -216,28 +218,28 @@
 impl BootClass {
     fn class(&self) -> Result<Class, SettingsError> {
         let effect = match self.effect.as_str() {
-            "pure" => Effect::Safe,
-            "token" => Effect::Keyed { group: self.group()?, window: self.window_ns },
-            "side_effect" => Effect::Unsafe,
+            "pure" => Idempotency::Idempotent,
+            "token" => Idempotency::IdempotencyKey { scope: self.group()?, window: self.window_ns },
+            "side_effect" => Idempotency::NotIdempotent,
             _ => return Err(SettingsError::OutOfRange("effect")),
         };
         Ok(Class {
-            aim: self.target_ns,
-            aim_stretch: self.aim_stretch,
+            latency_objective: self.target_ns,
+            objective_per_work: self.aim_stretch,
             deadline: self.deadline_ns,
-            worth: self.worth,
-            late_worth: self.late_worth,
-            effect,
-            keep_order: self.keep_order,
+            priority_weight: self.worth,
+            late_weight: self.late_worth,
+            idempotency: effect,
+            ordered_by_key: self.keep_order,
         })
     }
 
-    fn group(&self) -> Result<Group, SettingsError> {
+    fn group(&self) -> Result<DedupScope, SettingsError> {
         match self.dedup_scope.as_deref() {
-            Some("all") => Ok(Group::All),
-            Some("zone") => Ok(Group::Zone),
+            Some("all") => Ok(DedupScope::All),
+            Some("zone") => Ok(DedupScope::Zone),
             // Without a word the narrowest group is the safe reading.
-            Some("cell") | None => Ok(Group::Cell),
+            Some("cell") | None => Ok(DedupScope::Cell),
             Some(_) => Err(SettingsError::OutOfRange("dedup_scope")),
         }
     }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -16,10 +16,10 @@
 pub const SECOND: Nanos = 1_000_000_000;
 /// A change of the list counts as known to every node so long after the service had it and could be reached, whatever
 /// became of the node's calls meanwhile (the protocol's page).
-pub const LIST_NOTICE: Nanos = 6 * SECOND;
+pub const DISCOVERY_NOTICE: Nanos = 6 * SECOND;
 /// The service answers a call for the list, or turns it away, within 2 s (the bench's page). With a second more for the
 /// connection and the way, a call that has had no answer after this is lost, and the host ends it.
-pub const LIST_CALL: Nanos = 3 * SECOND;
+pub const DISCOVERY_CALL_TIMEOUT: Nanos = 3 * SECOND;
 
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
@@ -30,7 +30,7 @@
 }
 
 id!(/** A request of a client; every try of the client has its own. */ RequestId(u32));
-id!(/** A server, stable across restarts of its process. */ ServerId(u32));
+id!(/** A server, stable across restarts of its process. */ EndpointId(u32));
 id!(/** Position of a class in [`Settings::classes`]. */ ClassId(u16));
 id!(/** A tenant in [`Settings::tenants`]: the same one before and after a change of settings. */ TenantId(u32));
 id!(/** Position of a zone among [`Settings::zones`]. */ ZoneId(u16));
@@ -40,7 +40,7 @@
 
 /// Which servers discard a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every server.
     All,
     /// The servers of one zone.
@@ -51,37 +51,37 @@
 
 /// What a repeat of a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats are harmless.
-    Safe,
+    Idempotent,
     /// Repeats are discarded inside `group` for `window` after the first send that may have run.
-    Keyed {
+    IdempotencyKey {
         /// The servers that discard repeats.
-        group: Group,
+        scope: DedupScope,
         /// How long they do so.
         window: Nanos,
     },
     /// A repeat may take effect again.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// Answers within this span earn the full worth.
-    pub aim: Nanos,
+    pub latency_objective: Nanos,
     /// The aim grows by this multiple of the request's own work.
-    pub aim_stretch: f64,
+    pub objective_per_work: f64,
     /// How long a client waits over all its tries.
     pub deadline: Nanos,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth kept by an answer after the aim.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// What repeats may do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Requests with one key run one at a time, in the order of their arrival at this node.
-    pub keep_order: bool,
+    pub ordered_by_key: bool,
 }
 
 /// A tenant and its share.
@@ -99,28 +99,28 @@
     /// Changes arrive unasked.
     Push,
     /// Changes arrive after [`Action::Subscribe`].
-    Ask,
+    Poll,
 }
 
 /// Everything an instance is told at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of this node among [`Settings::nodes`].
-    pub me: u32,
+    pub node_index: u32,
     /// How many nodes there are.
-    pub nodes: u32,
+    pub node_count: u32,
     /// Zone of this node.
     pub zone: ZoneId,
     /// How many zones there are.
-    pub zones: u16,
+    pub zone_count: u16,
     /// The classes of requests, at least one.
     pub classes: Vec<Class>,
     /// The tenants, possibly none; shared between all pools of a node.
     pub tenants: TenantShares,
     /// What is left of the worth beyond a tenant's share.
-    pub over_share_worth: f64,
+    pub over_share_weight: f64,
     /// Worth counts for each unit of work, not for each request.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// How the list of servers arrives.
     pub discovery: Discovery,
     /// Least time between two batches of events.
@@ -128,41 +128,41 @@
     /// Attempts that one request may make.
     pub max_attempts: u32,
     /// Two attempts of a request may be out together.
-    pub parallel_tries: bool,
-    /// [`Action::Cancel`] is allowed.
-    pub cancel: bool,
+    pub concurrent_attempts: bool,
+    /// [`Action::CancelAttempt`] is allowed.
+    pub cancellation: bool,
     /// Refusals carry advice when to come back.
     pub retry_after: bool,
     /// Longest such advice that clients follow.
     pub max_retry_after: Nanos,
     /// Open connections or new ones cost service.
-    pub connections_priced: bool,
+    pub connections_have_cost: bool,
     /// What an attempt that crosses zones costs, as a share of a request.
-    pub crossing_price: f64,
+    pub cross_zone_cost: f64,
     /// Weights tell sizes of servers.
-    pub weights_tell_size: bool,
-    /// Nodes may send each other notes ([`Action::Tell`]).
-    pub peers: bool,
+    pub weight_is_capacity: bool,
+    /// Nodes may send each other notes ([`Action::SendLoadReport`]).
+    pub load_reports: bool,
     /// What a note of 256 bytes costs for each peer that gets it, as a share of a request.
-    pub peer_price: f64,
+    pub load_report_cost: f64,
     /// A node without subscription must ask this often.
-    pub ask_every: Nanos,
+    pub poll_interval: Nanos,
     /// Sends to a server that drains or is gone must have ceased so long after its node knows.
     pub drain_grace: Nanos,
     /// Share of its capacity that a fresh server has at least.
-    pub cold_from: f64,
+    pub warmup_initial_fraction: f64,
     /// A fresh server is warm after this span.
-    pub cold_span: Nanos,
+    pub warmup_duration: Nanos,
     /// Multiple of its present capacity that pushes a cold server over.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// Span over which that multiple counts.
-    pub fall_span: Nanos,
+    pub overload_duration: Nanos,
     /// An attempt that was turned away as full may have run all the same.
-    pub full_unproven: bool,
+    pub rejection_may_execute: bool,
     /// How long a key rests after an attempt whose work may go on, where order is kept.
-    pub order_settle: Nanos,
+    pub key_cooldown: Nanos,
     /// How long an idle connection to a draining server may stay open, where that is limited.
-    pub hang_up_within: Option<Nanos>,
+    pub drain_idle_close: Option<Nanos>,
 }
 
 /// Why settings cannot be used.
@@ -179,7 +179,7 @@
 impl Settings {
     /// Advice with a refusal, where any is allowed: well within what clients follow.
     #[must_use]
-    pub fn advice(&self) -> Option<Nanos> {
+    pub fn retry_after_hint(&self) -> Option<Nanos> {
         self.retry_after.then_some(self.max_retry_after / 4)
     }
 
@@ -195,19 +195,19 @@
         if self.classes.is_empty() {
             return Err(SettingsError::NoClass);
         }
-        no(self.nodes == 0, "number of nodes")?;
-        no(self.zone.0 >= self.zones.max(1), "zone")?;
-        no(!share(self.over_share_worth), "over-share worth")?;
-        no(!share(self.cold_from), "cold share")?;
-        no(!(some(self.fall_multiple) && self.fall_multiple > 0.0), "fall multiple")?;
-        no(!some(self.peer_price), "price of notes")?;
-        no(!some(self.crossing_price), "price of crossing zones")?;
+        no(self.node_count == 0, "number of nodes")?;
+        no(self.zone.0 >= self.zone_count.max(1), "zone")?;
+        no(!share(self.over_share_weight), "over-share worth")?;
+        no(!share(self.warmup_initial_fraction), "cold share")?;
+        no(!(some(self.overload_multiple) && self.overload_multiple > 0.0), "fall multiple")?;
+        no(!some(self.load_report_cost), "price of notes")?;
+        no(!some(self.cross_zone_cost), "price of crossing zones")?;
         no(self.max_attempts == 0, "attempts")?;
         for class in &self.classes {
-            no(!some(class.worth), "worth")?;
-            no(!share(class.late_worth), "late worth")?;
-            no(!some(class.aim_stretch), "aim stretch")?;
-            no(class.aim == 0 || class.deadline == 0, "aim or deadline")?;
+            no(!some(class.priority_weight), "worth")?;
+            no(!share(class.late_weight), "late worth")?;
+            no(!some(class.objective_per_work), "aim stretch")?;
+            no(class.latency_objective == 0 || class.deadline == 0, "aim or deadline")?;
         }
         no(!self.tenants.is_sound(), "tenant share")
     }
@@ -215,26 +215,26 @@
 
 /// Whether a listed server takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Condition {
+pub enum EndpointState {
     /// Takes work.
     Ready,
     /// Finishes what it has.
     Draining,
     /// Withdrawn.
-    Gone,
+    Removed,
 }
 
 /// A server as the list shows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServerInfo {
+pub struct EndpointInfo {
     /// Its id.
-    pub id: ServerId,
+    pub id: EndpointId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
     /// Whether it takes work.
-    pub condition: Condition,
+    pub state: EndpointState,
     /// Its weight among others.
     pub weight: f32,
     /// When it last started; 0 is long ago.
@@ -243,26 +243,26 @@
 
 /// What a list event says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ListChange {
+pub enum EndpointUpdate {
     /// Only what changed.
-    Delta(Arc<[ServerInfo]>),
+    Delta(Arc<[EndpointInfo]>),
     /// All there is; a server not in it is gone.
-    Full(Arc<[ServerInfo]>),
+    Snapshot(Arc<[EndpointInfo]>),
     /// All that this node held last; possibly stale.
-    Cached(Arc<[ServerInfo]>),
+    Restored(Arc<[EndpointInfo]>),
     /// A call failed or the subscription broke.
-    Failed,
+    WatchFailed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// Served.
-    Ok,
+    Success,
     /// Answered with an error; may have run.
     Error,
     /// Turned away unseen; never ran, unless [`Settings::full_unproven`].
-    Full,
+    Rejected,
     /// No answer in time; may have run.
     TimedOut,
     /// No connection; never ran.
@@ -272,20 +272,20 @@
     /// Withdrawn; may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// Whether the outcome proves that the attempt never ran. Where servers may shed work that they had
     /// begun (`full_unproven`), being turned away proves nothing.
     #[must_use]
-    pub fn never_ran(self, full_unproven: bool) -> bool {
-        matches!(self, Self::ConnectFailed | Self::Moot) || (self == Self::Full && !full_unproven)
+    pub fn never_executed(self, full_unproven: bool) -> bool {
+        matches!(self, Self::ConnectFailed | Self::NotSent) || (self == Self::Rejected && !full_unproven)
     }
 
     /// Whether the server may still be at work on the attempt.
     #[must_use]
-    pub fn may_go_on(self) -> bool {
+    pub fn may_still_execute(self) -> bool {
         matches!(self, Self::TimedOut | Self::Reset | Self::Cancelled)
     }
 }
@@ -300,54 +300,54 @@
     /// Its tenant, where there are tenants.
     pub tenant: Option<TenantId>,
     /// Expected work on a standard core.
-    pub hint: Option<Nanos>,
+    pub cost_hint: Option<Nanos>,
     /// Its key, where requests carry one.
     pub key: Option<u64>,
     /// When the client gives up.
-    pub not_after: Nanos,
+    pub deadline: Nanos,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct AttemptEnded {
     /// The request.
     pub id: RequestId,
     /// The attempt.
     pub attempt: AttemptNo,
     /// The server it went to.
-    pub server: ServerId,
+    pub endpoint: EndpointId,
     /// How it ended.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// How long it took.
-    pub took: Nanos,
+    pub duration: Nanos,
     /// The request has its final answer, by this or before.
-    pub complete: bool,
+    pub final_answer: bool,
 }
 
 /// How many nodes share the servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sharing {
+pub struct NodeShare {
     /// This node's number among them: its place on the ring of servers. Any number will do, each node having another.
-    pub me: u32,
+    pub node_index: u32,
     /// How many there are, this one among them.
-    pub nodes: u32,
+    pub node_count: u32,
 }
 
 /// What planners advise, from what many nodes have seen.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Advice {
+pub struct CapacityAdvice {
     /// How old it is already when it is heard.
     pub age: Nanos,
     /// How old it becomes; in the second half of that it loses weight.
-    pub lasts: Nanos,
+    pub valid_for: Nanos,
     /// Servers that are better avoided for now.
-    pub avoid: Arc<[ServerId]>,
+    pub avoid: Arc<[EndpointId]>,
     /// Servers that somebody was told are draining, with the start of the process that is meant.
-    pub draining: Arc<[(ServerId, Nanos)]>,
+    pub draining: Arc<[(EndpointId, Nanos)]>,
     /// Work for cold servers that this node has lent, by server, in requests a second before its ramp: it does without.
-    pub lent: Arc<[(ServerId, f64)]>,
+    pub lent: Arc<[(EndpointId, f64)]>,
     /// The same that it has been granted, by server, until `granted_for` from when it is heard.
-    pub granted: Arc<[(ServerId, f64)]>,
+    pub granted: Arc<[(EndpointId, f64)]>,
     /// How long that holds. The end is kept by the module itself, however late the next advice is.
     pub granted_for: Nanos,
 }
@@ -356,31 +356,31 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the servers.
-    Members(ListChange),
+    EndpointsUpdated(EndpointUpdate),
     /// A client's request, which is owed one final answer.
     Request(NewRequest),
     /// The answer to an attempt began to stream; the attempt is the client's now.
-    Streaming {
+    ResponseStarted {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
     /// An attempt ended.
-    Ended(Ended),
+    AttemptEnded(AttemptEnded),
     /// The client left; nothing is owed any more.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer fired.
-    Timer(TimerToken),
+    TimerFired(TimerToken),
     /// Planners' advice, which replaces what they said before.
-    Advice(Advice),
+    CapacityAdvice(CapacityAdvice),
     /// What the fleet's own view says of how many share the servers, in place of [`Settings::nodes`] and [`Settings::me`].
-    Sharing(Sharing),
+    NodeShare(NodeShare),
     /// Another node's note.
-    Note {
+    LoadReport {
         /// Its number.
         from: u32,
-        /// What it sent by [`Action::Tell`].
+        /// What it sent by [`Action::SendLoadReport`].
         body: Vec<u8>,
     },
 }
@@ -389,18 +389,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
-    Send {
+    StartAttempt {
         /// The request.
         id: RequestId,
         /// Where to.
-        server: ServerId,
+        endpoint: EndpointId,
         /// Its time-out; `None` is until the client gives up.
         timeout: Option<Nanos>,
         /// What is not on its way by then must not go any more: servers may have forgotten the attempt that it repeats.
-        by: Option<Nanos>,
+        start_before: Option<Nanos>,
     },
     /// Final answer: come back later, nothing happened.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// When to come back at the earliest.
@@ -409,28 +409,28 @@
     /// Final answer: it failed, with no promise.
     Fail(RequestId),
     /// Stop waiting for an attempt.
-    Cancel {
+    CancelAttempt {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
     /// Wake the module at or after a time.
-    Timer {
+    ArmTimer {
         /// When.
         at: Nanos,
         /// Handed back.
         token: TimerToken,
     },
     /// Send a note to another node; it may be lost.
-    Tell {
+    SendLoadReport {
         /// Its number.
         to: u32,
         /// At most 256 bytes.
         body: Arc<[u8]>,
     },
     /// Close the idle connections to a server.
-    FreeLinks(ServerId),
+    CloseIdleConnections(EndpointId),
     /// Have changes of the list delivered from now on.
     Subscribe,
 }
--- a/crates/policy/src/note.rs
+++ b/crates/policy/src/note.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use crate::interface::{Nanos, RequestId, SECOND, ServerId};
+use crate::interface::{EndpointId, Nanos, RequestId, SECOND};
 use crate::meter::seconds;
 
 /// Why a server was passed over in a pick.
@@ -129,11 +129,11 @@
         /// For which request.
         id: RequestId,
         /// The server.
-        server: ServerId,
+        server: EndpointId,
         /// Its smoothed latency over the expected, times own attempts and one.
         score: f32,
         /// The runner-up and its score.
-        next: Option<(ServerId, f32)>,
+        next: Option<(EndpointId, f32)>,
         /// Own attempts there before this one.
         out: u16,
         /// Its limit.
@@ -160,7 +160,7 @@
     /// A server's limit moved.
     Limit {
         /// Whose.
-        server: ServerId,
+        server: EndpointId,
         /// Before.
         from: f32,
         /// From now on.
@@ -178,14 +178,14 @@
     /// A server is set aside.
     Aside {
         /// Which.
-        server: ServerId,
+        server: EndpointId,
         /// For how long.
         span: Nanos,
     },
     /// It has answered again.
     Back {
         /// Which.
-        server: ServerId,
+        server: EndpointId,
     },
     /// How many servers in use look out of order.
     Doubt {
@@ -296,7 +296,7 @@
     #[test]
     fn news_of_one_kind_come_every_few_seconds() {
         let mut news = News::default();
-        let aside = |n| Note::Aside { server: ServerId(n), span: SECOND };
+        let aside = |n| Note::Aside { server: EndpointId(n), span: SECOND };
         assert_eq!(news.line(&aside(1), SECOND).as_deref(), Some("server 1 set aside for 1.0 s"));
         assert_eq!(news.line(&aside(2), 2 * SECOND), None);
         assert_eq!(news.line(&Note::Calm, 2 * SECOND).as_deref(), Some("overload left"));
--- a/crates/policy/src/peers.rs
+++ b/crates/policy/src/peers.rs
@@ -5,7 +5,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::{Nanos, ServerId};
+use crate::interface::{EndpointId, Nanos};
 use crate::meter::ring;
 
 const VERSION: u8 = 1;
@@ -18,19 +18,19 @@
 struct Note {
     seq: u8,
     at: Nanos,
-    out: Vec<(ServerId, u8)>,
+    out: Vec<(EndpointId, u8)>,
 }
 
 /// The last note of each peer, and their sums by server.
 #[derive(Debug, Default)]
 pub struct Peers {
     notes: FxHashMap<u32, Note>,
-    sums: FxHashMap<ServerId, u32>,
+    sums: FxHashMap<EndpointId, u32>,
 }
 
 /// The bytes of a note: servers without attempts are left out, and so are those past its size.
 #[must_use]
-pub fn write(seq: u8, out: impl IntoIterator<Item = (ServerId, usize)>) -> Vec<u8> {
+pub fn write(seq: u8, out: impl IntoIterator<Item = (EndpointId, usize)>) -> Vec<u8> {
     let mut body = vec![VERSION, seq];
     for (server, count) in out.into_iter().filter(|&(_, count)| count > 0).take((MOST - HEADER) / ENTRY) {
         body.extend_from_slice(&server.0.to_le_bytes());
@@ -57,7 +57,7 @@
             return;
         }
         self.forget(from);
-        let entry = |e: &[u8]| (ServerId(u32::from_le_bytes([e[0], e[1], e[2], e[3]])), e[4]);
+        let entry = |e: &[u8]| (EndpointId(u32::from_le_bytes([e[0], e[1], e[2], e[3]])), e[4]);
         let out: Vec<_> = entries.chunks_exact(ENTRY).map(entry).collect();
         for &(server, count) in &out {
             *self.sums.entry(server).or_default() += u32::from(count);
@@ -88,7 +88,7 @@
 
     /// Attempts that peers have out at a server.
     #[must_use]
-    pub fn out(&self, server: ServerId) -> usize {
+    pub fn out(&self, server: EndpointId) -> usize {
         self.sums.get(&server).map_or(0, |&sum| sum as usize)
     }
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -29,9 +29,9 @@
 
 use crate::advice::Advised;
 use crate::interface::{
-    Action, AttemptNo, Class, ClassId, Condition, Discovery, Effect, Ended, Event, Group, LIST_CALL,
-    LIST_NOTICE, ListChange, Nanos, NewRequest, Outcome, RequestId, SECOND, ServerId, ServerInfo, Settings,
-    TenantId, TimerToken, ZoneId,
+    Action, AttemptEnded, AttemptNo, AttemptOutcome, Class, ClassId, DISCOVERY_CALL_TIMEOUT,
+    DISCOVERY_NOTICE, DedupScope, Discovery, EndpointId, EndpointInfo, EndpointState, EndpointUpdate, Event,
+    Idempotency, Nanos, NewRequest, RequestId, SECOND, Settings, TenantId, TimerToken, ZoneId,
 };
 use crate::meter::{mix, nanos, ring, seconds};
 use crate::note::{Hurdle, Look, Moved, Note, Rule, Stop};
@@ -144,7 +144,7 @@
     rng: Pcg64Mcg,
     now: Nanos,
     servers: Vec<Server>,
-    slots: FxHashMap<ServerId, usize>,
+    slots: FxHashMap<EndpointId, usize>,
     pools: Pools,
     flow: Flow,
     subscribed: bool,
@@ -176,8 +176,8 @@
         let class = |aim: Nanos| ClassState { mean: seconds(aim) * 0.2, ..ClassState::default() };
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            classes: settings.classes.iter().map(|c| class(c.aim)).collect(),
-            calms: vec![class(0); settings.classes.len() * usize::from(settings.zones.max(1))],
+            classes: settings.classes.iter().map(|c| class(c.latency_objective)).collect(),
+            calms: vec![class(0); settings.classes.len() * usize::from(settings.zone_count.max(1))],
             tenants: TenantTable::default(),
             settings,
             now: 0,
@@ -213,16 +213,16 @@
             self.next_turn(key);
         }
         match event {
-            Event::Members(change) => self.on_members(&change, actions),
+            Event::EndpointsUpdated(change) => self.on_members(&change, actions),
             Event::Request(request) => self.on_request(&request, actions),
-            Event::Ended(ended) => self.on_ended(&ended, actions),
+            Event::AttemptEnded(ended) => self.on_ended(&ended, actions),
             // A started stream is the client's: that attempt is not called back, other copies are.
-            Event::Streaming { id, attempt } => self.on_over(id, Some(attempt), actions),
-            Event::ClientGone(id) => self.on_over(id, None, actions),
-            Event::Timer(token) => self.on_timer(token, actions),
-            Event::Advice(advice) => self.advised.hear(&advice, self.now),
-            Event::Sharing(sharing) => self.share(sharing),
-            Event::Note { from, body } => self.peers.hear(from, &body, self.now),
+            Event::ResponseStarted { id, attempt } => self.on_over(id, Some(attempt), actions),
+            Event::ClientDisconnected(id) => self.on_over(id, None, actions),
+            Event::TimerFired(token) => self.on_timer(token, actions),
+            Event::CapacityAdvice(advice) => self.advised.hear(&advice, self.now),
+            Event::NodeShare(sharing) => self.share(sharing),
+            Event::LoadReport { from, body } => self.peers.hear(from, &body, self.now),
         }
         self.dispatch(actions);
         if let Some(sent) = self.to_tell.take().filter(|_| !self.group.is_empty()) {
@@ -240,21 +240,21 @@
 
     // ---- Membership -----------------------------------------------------------------------------
 
-    fn on_members(&mut self, change: &ListChange, actions: &mut Vec<Action>) {
+    fn on_members(&mut self, change: &EndpointUpdate, actions: &mut Vec<Action>) {
         match change {
-            ListChange::Delta(list) => list.iter().for_each(|info| self.learn(info)),
-            ListChange::Full(list) | ListChange::Cached(list) => {
+            EndpointUpdate::Delta(list) => list.iter().for_each(|info| self.learn(info)),
+            EndpointUpdate::Snapshot(list) | EndpointUpdate::Restored(list) => {
                 // A server missing from a whole list is gone: nothing goes to it from this moment.
                 self.servers.iter_mut().for_each(|server| server.ready = false);
                 list.iter().for_each(|info| self.learn(info));
             }
-            ListChange::Failed => {
+            EndpointUpdate::WatchFailed => {
                 self.subscribed = false;
                 self.ask_fails += 1;
                 self.notes.push(Note::ListLost);
             }
         }
-        if self.settings.discovery == Discovery::Ask {
+        if self.settings.discovery == Discovery::Poll {
             self.keep_subscription(change, actions);
         }
         (0..self.servers.len()).for_each(|slot| self.hang_up(slot, actions));
@@ -266,22 +266,22 @@
     /// whenever an attempt there has ended. Once more half the time later, should one have been opening.
     fn hang_up(&self, slot: usize, actions: &mut Vec<Action>) {
         let server = &self.servers[slot];
-        if let Some(within) = self.settings.hang_up_within.filter(|_| !server.ready) {
-            actions.push(Action::FreeLinks(server.id));
+        if let Some(within) = self.settings.drain_idle_close.filter(|_| !server.ready) {
+            actions.push(Action::CloseIdleConnections(server.id));
             self.arm(self.now + within / 2, T_HANG_UP, server.id.0, actions);
         }
     }
 
     /// The list is asked for after a random pause, so that nodes that start or lose it together ask apart. A
-    /// change binds [`LIST_NOTICE`] after it could be had, drains a grace later. Off that time go a lost call
+    /// change binds [`DISCOVERY_NOTICE`] after it could be had, drains a grace later. Off that time go a lost call
     /// and an answered one; two pauses, as a call may be turned away, share the rest: half of it at first.
-    fn keep_subscription(&mut self, change: &ListChange, actions: &mut Vec<Action>) {
-        let notice = LIST_NOTICE.min(self.settings.ask_every);
-        let spare = (notice + self.settings.drain_grace).saturating_sub(2 * LIST_CALL);
+    fn keep_subscription(&mut self, change: &EndpointUpdate, actions: &mut Vec<Action>) {
+        let notice = DISCOVERY_NOTICE.min(self.settings.poll_interval);
+        let spare = (notice + self.settings.drain_grace).saturating_sub(2 * DISCOVERY_CALL_TIMEOUT);
         let most = seconds((spare / 2).max(notice / 20));
         let pause = match change {
-            ListChange::Cached(_) => 0.5 * most * self.chance(),
-            ListChange::Failed => {
+            EndpointUpdate::Restored(_) => 0.5 * most * self.chance(),
+            EndpointUpdate::WatchFailed => {
                 let most = if self.ask_fails > 2 { most } else { 0.5 * most };
                 most * (0.5 + 0.5 * self.chance())
             }
@@ -297,8 +297,8 @@
         self.arm(self.now + nanos(pause), T_ASK, 0, actions);
     }
 
-    fn learn(&mut self, info: &ServerInfo) {
-        let ready = info.condition == Condition::Ready;
+    fn learn(&mut self, info: &EndpointInfo) {
+        let ready = info.state == EndpointState::Ready;
         let slot = match self.slots.get(&info.id) {
             Some(&slot) => slot,
             None if !ready => return,
@@ -348,7 +348,7 @@
         }
         for ranked in &mut self.pools.ranked {
             ranked.sort_unstable_by_key(|&slot| self.servers[slot].rank);
-            let place = ring(self.settings.me, ranked.len());
+            let place = ring(self.settings.node_index, ranked.len());
             ranked.rotate_left(place);
         }
         self.regroup();
@@ -360,16 +360,16 @@
     fn regroup(&mut self) {
         self.group.clear();
         let servers = self.pools.ranked[0].len();
-        if !self.settings.peers || servers == 0 || !self.pools.ranked[1].is_empty() {
+        if !self.settings.load_reports || servers == 0 || !self.pools.ranked[1].is_empty() {
             return;
         }
-        let nodes = self.settings.nodes;
+        let nodes = self.settings.node_count;
         let groups = (servers / self.least_width(servers)).max(nodes as usize / GROUP.1).clamp(1, servers);
-        let me = self.settings.me;
+        let me = self.settings.node_index;
         self.group = peers::group(me, nodes, groups);
         // Two notes a request, of two servers each.
         let bytes = 2.0 * 12.0 * self.group.len() as f64;
-        let dear = self.settings.peer_price * bytes / 256.0 > DEAR_NOTES;
+        let dear = self.settings.load_report_cost * bytes / 256.0 > DEAR_NOTES;
         // A few nodes a group would leave the groups too uneven; such nodes see enough alone.
         if dear || (nodes as usize) < GROUP.0 * groups {
             return self.group.clear();
@@ -386,7 +386,7 @@
         // Ends are told to every other one in turn: half the notes, and what a note told fades anyway.
         let (step, skip) = if all { (1, 0) } else { (2, usize::from(self.told.0 / 2 % 2)) };
         let to = self.group.iter().skip(skip).step_by(step);
-        actions.extend(to.map(|&to| Action::Tell { to, body: body.clone() }));
+        actions.extend(to.map(|&to| Action::SendLoadReport { to, body: body.clone() }));
     }
 
     /// Whether what most of the group has out is known; else a node keeps to its own share of places.
@@ -400,7 +400,7 @@
     }
 
     fn is_far(&self, zone: ZoneId) -> bool {
-        self.settings.crossing_price >= DEAR_CROSSING && zone != self.settings.zone
+        self.settings.cross_zone_cost >= DEAR_CROSSING && zone != self.settings.zone
     }
 
     // ---- Server health and limits ---------------------------------------------------------------
@@ -505,8 +505,8 @@
     }
 
     fn least_width(&self, servers: usize) -> usize {
-        let least = if self.settings.connections_priced { WIDTH.0 } else { WIDTH.1 };
-        least.max(servers.div_ceil(self.settings.nodes as usize))
+        let least = if self.settings.connections_have_cost { WIDTH.0 } else { WIDTH.1 };
+        least.max(servers.div_ceil(self.settings.node_count as usize))
     }
 
     /// The mean of own attempts over the last second or so; to be called before their number changes.
@@ -528,7 +528,7 @@
             return self.group.len() as f64 + 1.0;
         }
         let servers: usize = self.pools.ranked.iter().map(Vec::len).sum();
-        (f64::from(self.settings.nodes) * self.pools.width as f64 / servers.max(1) as f64).max(1.0)
+        (f64::from(self.settings.node_count) * self.pools.width as f64 / servers.max(1) as f64).max(1.0)
     }
 
     /// Set aside, or silent for so long that it may be hung: a hung server gives no samples, so the
@@ -553,7 +553,7 @@
             state.mean = base;
         }
         state.mean += (1.0 / f64::from(state.samples)).max(0.03) * (base.min(5.0 * state.mean) - state.mean);
-        let zones = self.settings.zones.max(1);
+        let zones = self.settings.zone_count.max(1);
         let zone = self.servers[slot].zone.0.min(zones - 1);
         let (mean, state) =
             (state.mean, &mut self.calms[usize::from(class.0) * usize::from(zones) + usize::from(zone)]);
@@ -591,11 +591,11 @@
     /// where a server has a place or two that time is the latency itself, slow answers counted most, and a
     /// calm fleet whose limits had once fallen looked busy and never got its places back.
     fn learn_limit(&mut self, slot: usize, class: ClassId, base: f64, calm: f64) {
-        let aim = seconds(self.told(class).aim);
+        let aim = seconds(self.told(class).latency_objective);
         let least = LEAST_PLACES / self.nodes_per_server();
         // How much farther it is than the nearest zone: fewer requests make it no shorter, and servers
         // whose way alone takes most of the aim read as crowded for good, at the least of places.
-        let zones = usize::from(self.settings.zones.max(1));
+        let zones = usize::from(self.settings.zone_count.max(1));
         let calms = self.calms.chunks(zones).nth(usize::from(class.0)).into_iter().flatten();
         let near = calms.filter(|zone| zone.samples > 0).map(|zone| zone.calm).fold(calm, f64::min);
         let server = &mut self.servers[slot];
@@ -685,11 +685,11 @@
     /// Share of its capacity that a server has at least by now.
     fn ramp(&self, server: &Server) -> f64 {
         let age = self.now.saturating_sub(server.started_at);
-        if server.started_at == 0 || age >= self.settings.cold_span {
+        if server.started_at == 0 || age >= self.settings.warmup_duration {
             return 1.0;
         }
-        let grown = age as f64 / self.settings.cold_span as f64;
-        self.settings.cold_from + (1.0 - self.settings.cold_from) * grown
+        let grown = age as f64 / self.settings.warmup_duration as f64;
+        self.settings.warmup_initial_fraction + (1.0 - self.settings.warmup_initial_fraction) * grown
     }
 
     /// A cold server earns work as a share of what this node sends a warm one, and may not save it up:
@@ -701,7 +701,7 @@
         }
         let own = self.pools.warm_rate;
         let rate = COLD_SHARE * ramp * self.advised.cold_rate(self.servers[slot].id, own, self.now);
-        let most = (rate * seconds(self.settings.fall_span) * 0.25).max(0.01);
+        let most = (rate * seconds(self.settings.overload_duration) * 0.25).max(0.01);
         let server = &mut self.servers[slot];
         let earned = rate * seconds(self.now.saturating_sub(server.cold_at));
         server.cold_at = self.now;
@@ -713,7 +713,7 @@
 
     /// The told worth against the best class's; without differences in worth everything is Medium.
     fn tier(&self, worth: f64) -> usize {
-        let worths = || self.settings.classes.iter().map(|class| class.worth);
+        let worths = || self.settings.classes.iter().map(|class| class.priority_weight);
         let best = worths().fold(0.0, f64::max);
         let least = worths().fold(f64::MAX, f64::min);
         let share = if best > 0.0 { worth / best } else { 1.0 };
@@ -728,7 +728,7 @@
     /// Whether a tenant is past its share of this node's traffic; counts the request.
     fn over_share(&mut self, tenant: TenantId) -> bool {
         let Some(told) = self.settings.tenants.get(tenant) else { return false };
-        let part = told.allowance_per_s / f64::from(self.settings.nodes);
+        let part = told.allowance_per_s / f64::from(self.settings.node_count);
         let rate = part.max(told.share * self.flow.arrivals.get(self.now));
         let most = 2.0 + 3.0 * rate;
         let earned = |since: Nanos| rate * seconds(self.now.saturating_sub(since)).min(EARNING_S);
@@ -795,16 +795,17 @@
     // ---- Admission ------------------------------------------------------------------------------
 
     fn on_request(&mut self, new: &NewRequest, actions: &mut Vec<Action>) {
-        let NewRequest { id, class, tenant, hint, key, not_after } = *new;
+        let NewRequest { id, class, tenant, cost_hint, key, deadline } = *new;
         let Some(told) = self.settings.classes.get(usize::from(class.0)) else { return };
-        let (aim, stretch, mut worth) = (told.aim, told.aim_stretch, told.worth);
-        let key = key.filter(|_| told.keep_order);
-        let aim = aim + (stretch * hint.unwrap_or(0) as f64) as Nanos;
-        let work = hint.map_or(1.0, |hint| self.hinted(class, hint));
+        let (aim, stretch, mut worth) =
+            (told.latency_objective, told.objective_per_work, told.priority_weight);
+        let key = key.filter(|_| told.ordered_by_key);
+        let aim = aim + (stretch * cost_hint.unwrap_or(0) as f64) as Nanos;
+        let work = cost_hint.map_or(1.0, |hint| self.hinted(class, hint));
         self.flow.arrivals.add(self.now, 1.0);
         self.flow.retry_budget = (self.flow.retry_budget + RETRY_SHARE).min(RETRY_BURST);
         if tenant.is_some_and(|tenant| self.over_share(tenant)) {
-            worth *= self.settings.over_share_worth;
+            worth *= self.settings.over_share_weight;
         }
         let request = Request {
             class,
@@ -812,7 +813,7 @@
             tier: self.tier(worth),
             work,
             aim_at: self.now + aim,
-            not_after,
+            not_after: deadline,
             attempts: Vec::new(),
             out: 0,
             held: None,
@@ -869,7 +870,7 @@
 
     /// Until when an answer is worth anything.
     fn useful_until(&self, request: &Request) -> Nanos {
-        let late = self.told(request.class).late_worth > 0.0;
+        let late = self.told(request.class).late_weight > 0.0;
         if late { request.not_after } else { request.aim_at.min(request.not_after) }
     }
 
@@ -932,7 +933,10 @@
             // On trial after it was set aside: one at a time, and only what may be tried elsewhere then.
             // Behind unsafe requests in line nothing else is sent, so where the server only turned away
             // they are the trial, or there is none.
-            let once = || self.told(self.requests[&id].class).effect == Effect::Unsafe && !server.turned_away;
+            let once = || {
+                self.told(self.requests[&id].class).idempotency == Idempotency::NotIdempotent
+                    && !server.turned_away
+            };
             if server.trial && (!server.out.is_empty() || once()) {
                 return Err(Hurdle::OnTrial);
             }
@@ -944,7 +948,7 @@
     fn score(&mut self, slot: usize) -> f64 {
         let tie = 1.0 + 0.05 * self.chance();
         let server = &self.servers[slot];
-        let size = if self.settings.weights_tell_size { server.weight.max(0.1) } else { 1.0 };
+        let size = if self.settings.weight_is_capacity { server.weight.max(0.1) } else { 1.0 };
         let caution = self.advised.caution(server.id, server.started_at, self.now);
         server.latency(self.now) * (self.known_out(slot) as f64 + 1.0) / size * tie * caution
     }
@@ -989,7 +993,7 @@
         if request.done
             || !server.ready
             || request.attempts.len() >= self.settings.max_attempts as usize
-            || (request.out > 0 && !self.settings.parallel_tries)
+            || (request.out > 0 && !self.settings.concurrent_attempts)
             || self.now + self.settings.tick > request.not_after
             || request.attempts.iter().any(|a| a.server == server.id && a.ran != Ran::Never)
         {
@@ -1002,9 +1006,9 @@
 
     /// Whether what `first` may have done allows another attempt, there or (`None`) anywhere.
     fn may_repeat(&self, class: ClassId, first: &Attempt, to: Option<&Server>) -> bool {
-        let inside = to.is_none_or(|server| match self.told(class).effect {
-            Effect::Keyed { group: Group::Zone, .. } => first.zone == server.zone,
-            Effect::Keyed { group: Group::Cell, .. } => first.cell == server.cell,
+        let inside = to.is_none_or(|server| match self.told(class).idempotency {
+            Idempotency::IdempotencyKey { scope: DedupScope::Zone, .. } => first.zone == server.zone,
+            Idempotency::IdempotencyKey { scope: DedupScope::Cell, .. } => first.cell == server.cell,
             _ => true,
         });
         inside && self.now < self.repeats_until(class, first)
@@ -1012,16 +1016,16 @@
 
     /// Until when a repeat may set out; a tenth of the window is left for the way to the server.
     fn repeats_until(&self, class: ClassId, first: &Attempt) -> Nanos {
-        match self.told(class).effect {
-            Effect::Safe => Nanos::MAX,
-            Effect::Unsafe => 0,
-            Effect::Keyed { window, .. } => first.sent + window / 10 * 9,
+        match self.told(class).idempotency {
+            Idempotency::Idempotent => Nanos::MAX,
+            Idempotency::NotIdempotent => 0,
+            Idempotency::IdempotencyKey { window, .. } => first.sent + window / 10 * 9,
         }
     }
 
     fn may_refuse(&self, request: &Request) -> bool {
-        match self.told(request.class).effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+        match self.told(request.class).idempotency {
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DedupScope::All, .. } => true,
             _ => request.attempts.iter().all(|a| a.ran == Ran::Never),
         }
     }
@@ -1039,7 +1043,8 @@
         request.out += 1;
         let (class, work, tries_left) =
             (request.class, request.work, number + 1 < self.settings.max_attempts as usize);
-        let (safe, expected) = (self.told(class).effect == Effect::Safe, self.expected(class, work));
+        let (safe, expected) =
+            (self.told(class).idempotency == Idempotency::Idempotent, self.expected(class, work));
         let by = first.map(|first| self.repeats_until(class, &first));
         let server = &mut self.servers[slot];
         server.out.push_back((id, number, now, expected));
@@ -1051,9 +1056,9 @@
         self.pools.out[usize::from(self.is_far(zone))] += 1;
         let patience = nanos(HEDGE * expected * self.servers[slot].latency(now).clamp(1.0, 2.0));
         // Where two may not be out at once, giving up on the first is the only way to try another.
-        let timeout = (safe && tries_left && !self.settings.parallel_tries).then_some(2 * patience);
-        actions.push(Action::Send { id, server: self.servers[slot].id, timeout, by });
-        if safe && tries_left && self.settings.parallel_tries {
+        let timeout = (safe && tries_left && !self.settings.concurrent_attempts).then_some(2 * patience);
+        actions.push(Action::StartAttempt { id, endpoint: self.servers[slot].id, timeout, start_before: by });
+        if safe && tries_left && self.settings.concurrent_attempts {
             self.arm(now + patience, T_HEDGE, id.0, actions);
         }
     }
@@ -1078,9 +1083,9 @@
         }
     }
 
-    fn on_ended(&mut self, ended: &Ended, actions: &mut Vec<Action>) {
+    fn on_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
         let (id, number) = (ended.id, usize::from(ended.attempt.0));
-        let never_ran = ended.outcome.never_ran(self.settings.full_unproven);
+        let never_ran = ended.outcome.never_executed(self.settings.rejection_may_execute);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempts.get_mut(number).filter(|a| a.ran == Ran::Outstanding) else {
             return;
@@ -1088,17 +1093,17 @@
         attempt.ran = if never_ran { Ran::Never } else { Ran::Maybe };
         request.out -= 1;
         let (class, work, key) = (request.class, request.work, request.key);
-        if let Some(key) = key.filter(|_| ended.outcome.may_go_on()) {
+        if let Some(key) = key.filter(|_| ended.outcome.may_still_execute()) {
             // The work may go on at the server: the key rests.
-            let until = self.now + self.settings.order_settle;
+            let until = self.now + self.settings.key_cooldown;
             self.turns.rest(key, until);
             self.arm(until, T_TURN, 0, actions);
         }
         self.note_out();
         self.flow.out_total -= 1;
         self.to_tell.get_or_insert(false);
-        if let Some(&slot) = self.slots.get(&ended.server) {
-            self.servers[slot].turned_away = ended.outcome == Outcome::Full;
+        if let Some(&slot) = self.slots.get(&ended.endpoint) {
+            self.servers[slot].turned_away = ended.outcome == AttemptOutcome::Rejected;
             self.servers[slot].out.retain(|&(request, n, ..)| (request, n) != (id, number));
             // Exact again at the next refresh, should the server be out of order.
             let far = usize::from(self.is_far(self.servers[slot].zone));
@@ -1106,19 +1111,19 @@
             self.learn_outcome(slot, (class, work), ended);
             self.hang_up(slot, actions);
         }
-        if ended.complete {
+        if ended.final_answer {
             self.on_over(id, None, actions);
         } else {
             self.settle(id, actions);
         }
     }
 
-    fn learn_outcome(&mut self, slot: usize, of: (ClassId, f64), ended: &Ended) {
-        let ((class, work), took) = (of, ended.took);
+    fn learn_outcome(&mut self, slot: usize, of: (ClassId, f64), ended: &AttemptEnded) {
+        let ((class, work), took) = (of, ended.duration);
         let (sent, expected) = (self.now.saturating_sub(took), self.expected(class, work));
         match ended.outcome {
             _ if self.now < self.flow.resumed + took => {}
-            Outcome::Ok => {
+            AttemptOutcome::Success => {
                 self.flow.served.add(self.now, work);
                 self.servers[slot].heard = self.servers[slot].heard.max(sent);
                 self.learn_latency(slot, class, work, took);
@@ -1133,19 +1138,22 @@
             }
             // A silent connection. Taken for the server's latency, a few made a whole class seem five times
             // slower, second copies came late, and every limit was cut for what no server had done.
-            Outcome::Cancelled | Outcome::TimedOut if self.servers[slot].overtook(sent, expected) => {}
+            AttemptOutcome::Cancelled | AttemptOutcome::TimedOut
+                if self.servers[slot].overtook(sent, expected) => {}
             // A hung server whose attempts are all called back for a faster copy would never show.
-            Outcome::Cancelled if seconds(took) <= HEDGE * expected => {}
-            Outcome::Error | Outcome::Reset | Outcome::Cancelled => self.learn_failure(slot, 1, true),
+            AttemptOutcome::Cancelled if seconds(took) <= HEDGE * expected => {}
+            AttemptOutcome::Error | AttemptOutcome::Reset | AttemptOutcome::Cancelled => {
+                self.learn_failure(slot, 1, true)
+            }
             // It would have taken longer; from answers alone, what is sent too late stays unseen.
-            Outcome::TimedOut => {
+            AttemptOutcome::TimedOut => {
                 self.learn_latency(slot, class, work, 2 * took);
                 self.learn_failure(slot, 1, true);
             }
             // A server that only turns away may be draining without the list saying so.
-            Outcome::Full => self.learn_failure(slot, 1, false),
-            Outcome::Moot => {}
-            Outcome::ConnectFailed => self.learn_failure(slot, 2, false),
+            AttemptOutcome::Rejected => self.learn_failure(slot, 1, false),
+            AttemptOutcome::NotSent => {}
+            AttemptOutcome::ConnectFailed => self.learn_failure(slot, 2, false),
         }
     }
 
@@ -1189,7 +1197,7 @@
         let Some(request) = self.requests.get(&id).filter(|request| !request.done) else { return };
         let pressure = if rule == Rule::WaitShare { self.pressure(request) as f32 } else { 0.0 };
         if self.may_refuse(request) {
-            actions.push(Action::Refuse { id, retry_after: self.settings.advice() });
+            actions.push(Action::Reject { id, retry_after: self.settings.retry_after_hint() });
         } else {
             actions.push(Action::Fail(id));
         }
@@ -1204,10 +1212,10 @@
     fn on_over(&mut self, id: RequestId, keep: Option<AttemptNo>, actions: &mut Vec<Action>) {
         self.unhold(id);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if !std::mem::replace(&mut request.done, true) && self.settings.cancel {
+        if !std::mem::replace(&mut request.done, true) && self.settings.cancellation {
             let numbered = (0..).map(AttemptNo).zip(&request.attempts);
             let out = numbered.filter(|(number, a)| a.ran == Ran::Outstanding && keep != Some(*number));
-            actions.extend(out.map(|(attempt, _)| Action::Cancel { id, attempt }));
+            actions.extend(out.map(|(attempt, _)| Action::CancelAttempt { id, attempt }));
         }
         let key = request.key;
         if request.out == 0 {
@@ -1222,7 +1230,7 @@
     // ---- Timers ---------------------------------------------------------------------------------
 
     fn arm(&self, at: Nanos, kind: u64, about: u32, actions: &mut Vec<Action>) {
-        actions.push(Action::Timer { at: at.max(self.now + 1), token: TimerToken::new(kind, about) });
+        actions.push(Action::ArmTimer { at: at.max(self.now + 1), token: TimerToken::new(kind, about) });
     }
 
     fn on_timer(&mut self, token: TimerToken, actions: &mut Vec<Action>) {
@@ -1234,9 +1242,9 @@
             T_ASK if !self.subscribed => actions.push(Action::Subscribe),
             T_AGAIN => self.settle(id, actions),
             T_HANG_UP => {
-                let server = ServerId(id.0);
+                let server = EndpointId(id.0);
                 if self.slots.get(&server).is_none_or(|&slot| !self.servers[slot].ready) {
-                    actions.push(Action::FreeLinks(server));
+                    actions.push(Action::CloseIdleConnections(server));
                 }
             }
             _ => {}
--- a/crates/policy/src/policy/knowledge.rs
+++ b/crates/policy/src/policy/knowledge.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Balancer;
-use crate::interface::{Nanos, ServerId};
+use crate::interface::{EndpointId, Nanos};
 use crate::meter::{nanos, seconds};
 use crate::state::ClassState;
 
@@ -149,7 +149,7 @@
             (self.flow.demand, self.flow.demand_at) = (known.demand * believed, now);
         }
         for known in known.servers.iter().filter(|known| known.is_sound()) {
-            let Some(&slot) = self.slots.get(&ServerId(known.id)) else { continue };
+            let Some(&slot) = self.slots.get(&EndpointId(known.id)) else { continue };
             let server = &mut self.servers[slot];
             // Another process of it, or one that this node has heard of by itself.
             if known.started_at != server.started_at || server.heard > 0 || server.failures > 0 {
--- a/crates/policy/src/policy/retune.rs
+++ b/crates/policy/src/policy/retune.rs
@@ -2,7 +2,7 @@
 //! what it may lend. Decides nothing.
 
 use super::Balancer;
-use crate::interface::{ServerId, Settings};
+use crate::interface::{EndpointId, Settings};
 
 impl Settings {
     /// Whether a module with these settings may go over to others: requests that are open must end under the rules
@@ -12,20 +12,22 @@
     pub fn retunes_to(&self, new: &Self) -> bool {
         let same_rules = self.classes.iter().zip(&new.classes).all(|(old, new)| {
             // What a repeat may do is asked for again whenever an attempt ends.
-            old.effect == new.effect && old.keep_order == new.keep_order
+            old.idempotency == new.idempotency && old.ordered_by_key == new.ordered_by_key
         });
         same_rules
             && self.classes.len() <= new.classes.len()
-            && (self.me, self.nodes, self.zone, self.zones) == (new.me, new.nodes, new.zone, new.zones)
-            && (self.discovery, self.full_unproven) == (new.discovery, new.full_unproven)
-            && (self.parallel_tries, self.cancel, self.peers) == (new.parallel_tries, new.cancel, new.peers)
+            && (self.node_index, self.node_count, self.zone, self.zone_count)
+                == (new.node_index, new.node_count, new.zone, new.zone_count)
+            && (self.discovery, self.rejection_may_execute) == (new.discovery, new.rejection_may_execute)
+            && (self.concurrent_attempts, self.cancellation, self.load_reports)
+                == (new.concurrent_attempts, new.cancellation, new.load_reports)
     }
 }
 
 impl Balancer {
     /// This node's own share of the cold servers that it uses, in requests a second before their ramp: what it sends a warm
     /// one. It may be lent. Of servers that it does not use it has none: others do.
-    pub fn cold_shares(&self) -> impl Iterator<Item = (ServerId, f64)> {
+    pub fn cold_shares(&self) -> impl Iterator<Item = (EndpointId, f64)> {
         let used = self.pools.active.iter().flatten().map(|&slot| &self.servers[slot]);
         let cold = used.filter(|server| self.ramp(server) < 1.0);
         cold.map(|server| (server.id, self.pools.warm_rate))
@@ -33,7 +35,7 @@
 
     /// Whether a server gets nothing new for now: it is not ready, set aside or silent.
     #[must_use]
-    pub fn avoids(&self, id: ServerId) -> bool {
+    pub fn avoids(&self, id: EndpointId) -> bool {
         self.slots.get(&id).is_none_or(|&slot| !self.servers[slot].ready || self.out_of_order(slot))
     }
 
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use crate::interface::{CellId, ClassId, Nanos, RequestId, ServerId, ZoneId};
+use crate::interface::{CellId, ClassId, EndpointId, Nanos, RequestId, ZoneId};
 use crate::meter;
 
 /// Memory of traffic rates, in seconds.
@@ -21,7 +21,7 @@
 
 #[derive(Clone)]
 pub(crate) struct Attempt {
-    pub server: ServerId,
+    pub server: EndpointId,
     pub zone: ZoneId,
     pub cell: CellId,
     pub sent: Nanos,
@@ -47,7 +47,7 @@
 
 #[derive(Default)]
 pub(crate) struct Server {
-    pub id: ServerId,
+    pub id: EndpointId,
     pub zone: ZoneId,
     pub cell: CellId,
     pub weight: f64,
@@ -79,7 +79,7 @@
 }
 
 impl Server {
-    pub fn new(id: ServerId, rank: u64, now: Nanos) -> Self {
+    pub fn new(id: EndpointId, rank: u64, now: Nanos) -> Self {
         Self { id, ready: true, stretch: 1.0, seen: now, load: 0.5, cold_at: now, rank, ..Self::default() }
     }
 }
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -35,20 +35,20 @@
 
 impl Fleet {
     fn new() -> Self {
-        let told = Settings { nodes: NODES, ..settings(vec![class(Effect::Unsafe, 1.0)]) };
+        let told = Settings { node_count: NODES, ..settings(vec![class(Idempotency::NotIdempotent, 1.0)]) };
         let mut fleet = Self { nodes: Vec::new(), told, sent: Vec::new(), turn: 0 };
         fleet.restart(0, &list((1..=SERVERS).map(server)), SECOND);
         fleet
     }
 
-    fn restart(&mut self, generation: u64, known: &std::sync::Arc<[ServerInfo]>, now: Nanos) {
+    fn restart(&mut self, generation: u64, known: &std::sync::Arc<[EndpointInfo]>, now: Nanos) {
         self.keep();
         self.nodes = (0..NODES)
             .map(|me| {
-                let told = Settings { me, ..self.told.clone() };
+                let told = Settings { node_index: me, ..self.told.clone() };
                 let mut node = Node::new(told, generation * 100 + u64::from(me));
                 node.now = now;
-                node.members(ListChange::Cached(known.clone()));
+                node.members(EndpointUpdate::Restored(known.clone()));
                 node
             })
             .collect();
@@ -73,7 +73,7 @@
                 node.advance(node.now + step);
                 for (id, n) in node.out() {
                     if node.now >= node.tries(id)[n].at + WORK {
-                        node.end(id, n, Outcome::Ok);
+                        node.end(id, n, AttemptOutcome::Success);
                     }
                 }
                 if (self.turn + me * 7).is_multiple_of(SECOND / step / RATE) {
@@ -96,41 +96,48 @@
         let mut fleet = Fleet::new();
         fleet.run(8 * SECOND);
         let started = fleet.nodes[0].now;
-        let cold = ServerInfo { started_at: started, ..server(COLD) };
+        let cold = EndpointInfo { started_at: started, ..server(COLD) };
         let all = list((1..=SERVERS).map(|id| if id == COLD { cold.clone() } else { server(id) }));
         match known {
             Known::AtTheirStart => fleet.restart(1, &all, started),
             Known::InAWholeList => {
-                fleet.nodes.iter_mut().for_each(|node| drop(node.members(ListChange::Full(all.clone()))));
+                fleet
+                    .nodes
+                    .iter_mut()
+                    .for_each(|node| drop(node.members(EndpointUpdate::Snapshot(all.clone()))));
             }
             Known::WithAttemptsOut => {
                 let mut out = 0;
                 for node in &mut fleet.nodes {
-                    node.members(ListChange::Delta(list([cold.clone()])));
+                    node.members(EndpointUpdate::Delta(list([cold.clone()])));
                     for (id, n) in node.out() {
-                        if node.tries(id)[n].server == ServerId(COLD) {
+                        if node.tries(id)[n].server == EndpointId(COLD) {
                             out += 1;
-                            node.end(id, n, Outcome::ConnectFailed);
+                            node.end(id, n, AttemptOutcome::ConnectFailed);
                         }
                     }
                 }
                 assert!(out > 0, "some were on their way");
             }
         }
-        fleet.run(fleet.told.cold_span);
+        fleet.run(fleet.told.warmup_duration);
         fleet.keep();
-        let Settings { fall_span, fall_multiple, cold_from, cold_span, .. } = fleet.told;
+        let Settings {
+            overload_duration, overload_multiple, warmup_initial_fraction, warmup_duration, ..
+        } = fleet.told;
         // What one of its size can do: what the nodes ask for, by server.
-        let full = (u64::from(NODES) * RATE) as f64 / f64::from(SERVERS) * fall_span as f64 / SECOND as f64;
+        let full =
+            (u64::from(NODES) * RATE) as f64 / f64::from(SERVERS) * overload_duration as f64 / SECOND as f64;
         let mut most: f64 = 0.0;
-        for from in (started..started + cold_span - fall_span).step_by(50 * MS as usize) {
-            let ramp = cold_from + (1.0 - cold_from) * (from - started) as f64 / cold_span as f64;
-            let allowed = fall_multiple * ramp * full;
+        for from in (started..started + warmup_duration - overload_duration).step_by(50 * MS as usize) {
+            let ramp = warmup_initial_fraction
+                + (1.0 - warmup_initial_fraction) * (from - started) as f64 / warmup_duration as f64;
+            let allowed = overload_multiple * ramp * full;
             let falls = allowed + 3.0 * allowed.sqrt() + 3.0;
-            most = most.max(fleet.count(COLD, from, fall_span) / falls);
+            most = most.max(fleet.count(COLD, from, overload_duration) / falls);
         }
         assert!(most < 1.0, "{known:?}: {most} of what it falls at");
-        let used = fleet.count(COLD, started, cold_span);
+        let used = fleet.count(COLD, started, warmup_duration);
         assert!(used > 0.2 * full, "{known:?}: it is used, {used}");
     }
 }
--- a/crates/policy/tests/combinations.rs
+++ b/crates/policy/tests/combinations.rs
@@ -10,7 +10,7 @@
 
 /// One safe request and one unsafe every 10 ms; what `end` says of an attempt ends it 40 ms after its
 /// start, `None` leaves it out. Returns how many requests were served.
-fn run(node: &mut Node, rounds: usize, end: impl Fn(&Try) -> Option<Outcome>) -> usize {
+fn run(node: &mut Node, rounds: usize, end: impl Fn(&Try) -> Option<AttemptOutcome>) -> usize {
     let first = node.requests.len();
     for _ in 0..rounds {
         node.request(0, 900 * MS);
@@ -25,16 +25,16 @@
             }
         }
     }
-    let served = |k: &&Known| k.tries.iter().any(|t| t.ended == Some(Outcome::Ok));
+    let served = |k: &&Known| k.tries.iter().any(|t| t.ended == Some(AttemptOutcome::Success));
     node.requests.values().skip(first).filter(served).count()
 }
 
-fn ok(_: &Try) -> Option<Outcome> {
-    Some(Outcome::Ok)
+fn ok(_: &Try) -> Option<AttemptOutcome> {
+    Some(AttemptOutcome::Success)
 }
 
 fn told() -> Settings {
-    settings(vec![class(Effect::Safe, 1.0), class(Effect::Unsafe, 5.0)])
+    settings(vec![class(Idempotency::Idempotent, 1.0), class(Idempotency::NotIdempotent, 5.0)])
 }
 
 /// After the trouble, ten seconds to recover; then nearly all of two seconds' requests are served, and in
@@ -52,7 +52,13 @@
 
 #[test]
 fn every_answer_a_failure() {
-    for outcome in [Outcome::Error, Outcome::Full, Outcome::ConnectFailed, Outcome::Reset, Outcome::Moot] {
+    for outcome in [
+        AttemptOutcome::Error,
+        AttemptOutcome::Rejected,
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::Reset,
+        AttemptOutcome::NotSent,
+    ] {
         let mut node = Node::with_servers(told(), 6);
         run(&mut node, 200, ok);
         assert_eq!(run(&mut node, 500, |_| Some(outcome)), 0);
@@ -70,11 +76,11 @@
 
 #[test]
 fn the_list_is_lost_while_servers_drain() {
-    let mut node = Node::with_servers(Settings { discovery: Discovery::Ask, ..told() }, 6);
+    let mut node = Node::with_servers(Settings { discovery: Discovery::Poll, ..told() }, 6);
     run(&mut node, 200, ok);
-    let draining = (1..=3).map(|id| ServerInfo { condition: Condition::Draining, ..server(id) });
-    node.members(ListChange::Delta(list(draining)));
-    node.members(ListChange::Failed);
+    let draining = (1..=3).map(|id| EndpointInfo { state: EndpointState::Draining, ..server(id) });
+    node.members(EndpointUpdate::Delta(list(draining)));
+    node.members(EndpointUpdate::WatchFailed);
     run(&mut node, 500, ok);
     comes_back(&mut node, "drain without a list");
     let late = node.requests.values().rev().take(100).flat_map(|k| &k.tries);
@@ -85,12 +91,12 @@
 fn a_fresh_server_that_hangs_among_failing_ones() {
     let mut node = Node::with_servers(told(), 4);
     run(&mut node, 200, ok);
-    let fresh = ServerInfo { started_at: node.now, ..server(9) };
-    node.members(ListChange::Delta(list([fresh])));
+    let fresh = EndpointInfo { started_at: node.now, ..server(9) };
+    node.members(EndpointUpdate::Delta(list([fresh])));
     run(&mut node, 500, |t| match t.server.0 {
         9 => None,
-        1 => Some(Outcome::Error),
-        _ => Some(Outcome::Ok),
+        1 => Some(AttemptOutcome::Error),
+        _ => Some(AttemptOutcome::Success),
     });
     comes_back(&mut node, "fresh and hung");
 }
@@ -99,7 +105,9 @@
 fn all_servers_cold_and_the_node_just_started() {
     let mut node = Node::new(told(), 5);
     let now = node.now;
-    node.members(ListChange::Cached(list((1..=4).map(|id| ServerInfo { started_at: now, ..server(id) }))));
+    node.members(EndpointUpdate::Restored(list(
+        (1..=4).map(|id| EndpointInfo { started_at: now, ..server(id) }),
+    )));
     run(&mut node, 300, ok);
     comes_back(&mut node, "all cold");
 }
@@ -108,21 +116,26 @@
 fn one_server_left_then_none_then_all() {
     let mut node = Node::with_servers(told(), 6);
     run(&mut node, 200, ok);
-    node.members(ListChange::Full(list([server(4)])));
+    node.members(EndpointUpdate::Snapshot(list([server(4)])));
     run(&mut node, 200, ok);
-    node.members(ListChange::Full(list([])));
+    node.members(EndpointUpdate::Snapshot(list([])));
     assert_eq!(run(&mut node, 200, |_| None), 0);
-    node.members(ListChange::Full(list((1..=6).map(server))));
+    node.members(EndpointUpdate::Snapshot(list((1..=6).map(server))));
     comes_back(&mut node, "none left");
 }
 
 #[test]
 fn little_is_permitted() {
-    let bare =
-        Settings { max_attempts: 1, parallel_tries: false, cancel: false, retry_after: false, ..told() };
+    let bare = Settings {
+        max_attempts: 1,
+        concurrent_attempts: false,
+        cancellation: false,
+        retry_after: false,
+        ..told()
+    };
     let mut node = Node::with_servers(bare, 6);
     run(&mut node, 200, ok);
-    run(&mut node, 300, |t| if t.server.0 == 2 { None } else { Some(Outcome::Error) });
+    run(&mut node, 300, |t| if t.server.0 == 2 { None } else { Some(AttemptOutcome::Error) });
     comes_back(&mut node, "one attempt, no cancel");
     assert!(node.requests.values().all(|k| k.tries.len() <= 1));
 }
@@ -136,7 +149,7 @@
         node.advance(node.now + 10 * MS);
         for (id, n) in node.out() {
             if node.now >= node.tries(id)[n].at + CALM {
-                node.end(id, n, Outcome::Ok);
+                node.end(id, n, AttemptOutcome::Success);
             }
         }
     }
