--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -12,72 +12,72 @@
 
 pub const MS: Nanos = 1_000_000;
 
-pub fn class(effect: Effect, worth: f64) -> Class {
+pub fn class(effect: Idempotency, worth: f64) -> Class {
     Class {
-        aim: 500 * MS,
-        aim_stretch: 0.0,
+        latency_objective: 500 * MS,
+        objective_per_work: 0.0,
         deadline: 1000 * MS,
-        worth,
-        late_worth: 0.0,
-        effect,
-        keep_order: false,
+        priority_weight: worth,
+        late_weight: 0.0,
+        idempotency: effect,
+        ordered_by_key: false,
     }
 }
 
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
-        me: 0,
-        nodes: 1,
+        node_index: 0,
+        node_count: 1,
         zone: ZoneId(0),
-        zones: 1,
+        zone_count: 1,
         classes,
         tenants: TenantShares::default(),
-        over_share_worth: 0.2,
-        worth_by_work: false,
+        over_share_weight: 0.2,
+        weight_by_work: false,
         discovery: Discovery::Push,
         tick: 5 * MS,
         max_attempts: 3,
-        parallel_tries: true,
-        cancel: true,
+        concurrent_attempts: true,
+        cancellation: true,
         retry_after: true,
         max_retry_after: 2 * SECOND,
-        connections_priced: false,
-        crossing_price: 0.0,
-        weights_tell_size: false,
-        peers: false,
-        peer_price: 0.0,
-        ask_every: 10 * SECOND,
+        connections_have_cost: false,
+        cross_zone_cost: 0.0,
+        weight_is_capacity: false,
+        load_reports: false,
+        load_report_cost: 0.0,
+        poll_interval: 10 * SECOND,
         drain_grace: 2 * SECOND,
-        cold_from: 0.2,
-        cold_span: 10 * SECOND,
-        fall_multiple: 2.5,
-        fall_span: 2 * SECOND,
-        full_unproven: false,
-        order_settle: 0,
-        hang_up_within: None,
+        warmup_initial_fraction: 0.2,
+        warmup_duration: 10 * SECOND,
+        overload_multiple: 2.5,
+        overload_duration: 2 * SECOND,
+        rejection_may_execute: false,
+        key_cooldown: 0,
+        drain_idle_close: None,
     }
 }
 
-pub fn server(id: u32) -> ServerInfo {
-    ServerInfo {
-        id: ServerId(id),
+pub fn server(id: u32) -> EndpointInfo {
+    EndpointInfo {
+        id: EndpointId(id),
         zone: ZoneId(0),
         cell: CellId(0),
-        condition: Condition::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
         started_at: 0,
     }
 }
 
-pub fn list(servers: impl IntoIterator<Item = ServerInfo>) -> Arc<[ServerInfo]> {
+pub fn list(servers: impl IntoIterator<Item = EndpointInfo>) -> Arc<[EndpointInfo]> {
     servers.into_iter().collect()
 }
 
 /// Whether an outcome proves that nothing ran, in the checker's own words.
-fn proves(outcome: Outcome, full_unproven: bool) -> bool {
+fn proves(outcome: AttemptOutcome, full_unproven: bool) -> bool {
     match outcome {
-        Outcome::ConnectFailed | Outcome::Moot => true,
-        Outcome::Full => !full_unproven,
+        AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => true,
+        AttemptOutcome::Rejected => !full_unproven,
         _ => false,
     }
 }
@@ -85,9 +85,9 @@
 /// What the checker knows of an attempt.
 #[derive(Clone)]
 pub struct Try {
-    pub server: ServerId,
+    pub server: EndpointId,
     pub at: Nanos,
-    pub ended: Option<Outcome>,
+    pub ended: Option<AttemptOutcome>,
     pub ended_at: Nanos,
 }
 
@@ -109,14 +109,14 @@
     pub now: Nanos,
     pub timers: BTreeMap<(Nanos, u64), TimerToken>,
     pub requests: BTreeMap<u32, Known>,
-    pub servers: HashMap<ServerId, ServerInfo>,
+    pub servers: HashMap<EndpointId, EndpointInfo>,
     pub log: Vec<Action>,
     pub notes: Vec<Note>,
     /// Rules that were broken, in words.
     pub broken: Vec<String>,
     /// When idle connections to a server were closed, and when it was last told of or used.
-    freed: HashMap<ServerId, Nanos>,
-    used: HashMap<ServerId, Nanos>,
+    freed: HashMap<EndpointId, Nanos>,
+    used: HashMap<EndpointId, Nanos>,
     open: BTreeSet<(RequestId, usize)>,
     next_request: u32,
     next_timer: u64,
@@ -144,7 +144,7 @@
 
     pub fn with_servers(settings: Settings, count: u32) -> Self {
         let mut node = Self::new(settings, 7);
-        node.members(ListChange::Cached(list((1..=count).map(server))));
+        node.members(EndpointUpdate::Restored(list((1..=count).map(server))));
         node
     }
 
@@ -158,38 +158,38 @@
         self.notes.extend(self.balancer.notes());
         // A withdrawn attempt ends so at once.
         for action in &actions {
-            if let Action::Cancel { id, attempt } = *action {
-                self.end(id, usize::from(attempt.0), Outcome::Cancelled);
+            if let Action::CancelAttempt { id, attempt } = *action {
+                self.end(id, usize::from(attempt.0), AttemptOutcome::Cancelled);
             }
         }
         actions
     }
 
-    pub fn members(&mut self, change: ListChange) -> Vec<Action> {
+    pub fn members(&mut self, change: EndpointUpdate) -> Vec<Action> {
         let now = self.now;
         for server in self.servers.values_mut() {
             let said = match &change {
-                ListChange::Full(all) | ListChange::Cached(all) | ListChange::Delta(all) => {
-                    all.iter().find(|s| s.id == server.id)
-                }
-                ListChange::Failed => None,
+                EndpointUpdate::Snapshot(all)
+                | EndpointUpdate::Restored(all)
+                | EndpointUpdate::Delta(all) => all.iter().find(|s| s.id == server.id),
+                EndpointUpdate::WatchFailed => None,
             };
-            if said.is_some_and(|s| s.condition == Condition::Draining)
-                && server.condition == Condition::Ready
+            if said.is_some_and(|s| s.state == EndpointState::Draining)
+                && server.state == EndpointState::Ready
             {
                 self.used.insert(server.id, now);
             }
         }
         match &change {
-            ListChange::Full(all) | ListChange::Cached(all) => {
+            EndpointUpdate::Snapshot(all) | EndpointUpdate::Restored(all) => {
                 self.servers = all.iter().map(|s| (s.id, s.clone())).collect();
             }
-            ListChange::Delta(some) => {
+            EndpointUpdate::Delta(some) => {
                 self.servers.extend(some.iter().map(|s| (s.id, s.clone())));
             }
-            ListChange::Failed => {}
+            EndpointUpdate::WatchFailed => {}
         }
-        self.event(Event::Members(change))
+        self.event(Event::EndpointsUpdated(change))
     }
 
     pub fn request(&mut self, class: usize, patience: Nanos) -> RequestId {
@@ -217,12 +217,19 @@
         self.requests
             .insert(id.0, Known { class, key, not_after, tries: Vec::new(), finals: 0, over_at: None });
         let class = ClassId(u16::try_from(class).unwrap());
-        self.event(Event::Request(NewRequest { id, class, tenant, hint: None, key, not_after }));
+        self.event(Event::Request(NewRequest {
+            id,
+            class,
+            tenant,
+            cost_hint: None,
+            key,
+            deadline: not_after,
+        }));
         id
     }
 
     /// Ends an attempt; a success concludes its request.
-    pub fn end(&mut self, id: RequestId, attempt: usize, outcome: Outcome) -> Vec<Action> {
+    pub fn end(&mut self, id: RequestId, attempt: usize, outcome: AttemptOutcome) -> Vec<Action> {
         let known = self.requests.get_mut(&id.0).unwrap();
         let tried = &mut known.tries[attempt];
         if tried.ended.is_some() {
@@ -233,13 +240,20 @@
         self.used.insert(tried.server, self.now);
         self.open.remove(&(id, attempt));
         let (server, took) = (tried.server, self.now - tried.at);
-        if outcome == Outcome::Ok && known.finals == 0 {
+        if outcome == AttemptOutcome::Success && known.finals == 0 {
             known.finals = 1;
             known.over_at = Some(self.now);
         }
         let complete = known.finals > 0;
         let attempt = AttemptNo(u8::try_from(attempt).unwrap());
-        self.event(Event::Ended(Ended { id, attempt, server, outcome, took, complete }))
+        self.event(Event::AttemptEnded(AttemptEnded {
+            id,
+            attempt,
+            endpoint: server,
+            outcome,
+            duration: took,
+            final_answer: complete,
+        }))
     }
 
     /// Moves the clock, firing timers and timing attempts out at the clients' deadlines.
@@ -253,7 +267,7 @@
                 (Some((at, n)), Some((end, ..))) if at <= end => self.fire(at, n),
                 (_, Some((end, id, n))) => {
                     self.now = self.now.max(end);
-                    self.end(id, n, Outcome::TimedOut);
+                    self.end(id, n, AttemptOutcome::TimedOut);
                 }
                 (None, None) => break,
             }
@@ -264,8 +278,8 @@
 
     /// Rule 'closing on drains': where the limit is set, no idle connection stays open past it.
     fn check_links(&mut self) {
-        let Some(within) = self.settings.hang_up_within else { return };
-        for server in self.servers.values().filter(|s| s.condition == Condition::Draining) {
+        let Some(within) = self.settings.drain_idle_close else { return };
+        for server in self.servers.values().filter(|s| s.state == EndpointState::Draining) {
             let Some(&used) = self.used.get(&server.id) else { continue };
             let busy = self.open.iter().any(|&(id, n)| self.requests[&id.0].tries[n].server == server.id);
             let freed = self.freed.get(&server.id).copied().unwrap_or(0);
@@ -279,16 +293,18 @@
     /// go on at a server has had its rest.
     fn check_order(&mut self, id: RequestId) {
         let known = &self.requests[&id.0];
-        if known.key.is_none() || !self.settings.classes[known.class].keep_order {
+        if known.key.is_none() || !self.settings.classes[known.class].ordered_by_key {
             return;
         }
         for earlier in self.requests.range(..id.0).map(|(_, k)| k) {
-            if earlier.key != known.key || !self.settings.classes[earlier.class].keep_order {
+            if earlier.key != known.key || !self.settings.classes[earlier.class].ordered_by_key {
                 continue;
             }
             let rests = |t: &Try| {
-                matches!(t.ended, Some(Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled))
-                    && self.now < t.ended_at + self.settings.order_settle
+                matches!(
+                    t.ended,
+                    Some(AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled)
+                ) && self.now < t.ended_at + self.settings.key_cooldown
             };
             if earlier.over_at.is_none() || earlier.tries.iter().any(|t| t.ended.is_none() || rests(t)) {
                 self.broken.push(format!("5: {id:?} sent out of turn"));
@@ -300,7 +316,7 @@
     fn fire(&mut self, at: Nanos, number: u64) {
         self.now = self.now.max(at);
         let token = self.timers.remove(&(at, number)).unwrap();
-        self.event(Event::Timer(token));
+        self.event(Event::TimerFired(token));
     }
 
     /// Outstanding attempts in the order of requests.
@@ -324,48 +340,48 @@
 
     fn check(&mut self, action: &Action) {
         match *action {
-            Action::Timer { at, token } => {
+            Action::ArmTimer { at, token } => {
                 assert!(at > self.now, "a timer in the past");
                 self.next_timer += 1;
                 self.timers.insert((at, self.next_timer), token);
             }
-            Action::Send { id, server, .. } => self.check_send(id, server),
-            Action::Refuse { id, .. } => self.check_final(id, true),
+            Action::StartAttempt { id, endpoint, .. } => self.check_send(id, endpoint),
+            Action::Reject { id, .. } => self.check_final(id, true),
             Action::Fail(id) => self.check_final(id, false),
-            Action::Cancel { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 let known = &self.requests[&id.0];
                 assert!(usize::from(attempt.0) < known.tries.len(), "cancel of an attempt never made");
             }
-            Action::FreeLinks(server) => drop(self.freed.insert(server, self.now)),
-            Action::Subscribe | Action::Tell { .. } => {}
+            Action::CloseIdleConnections(server) => drop(self.freed.insert(server, self.now)),
+            Action::Subscribe | Action::SendLoadReport { .. } => {}
         }
     }
 
-    fn check_send(&mut self, id: RequestId, server: ServerId) {
+    fn check_send(&mut self, id: RequestId, server: EndpointId) {
         self.check_order(id);
         self.used.insert(server, self.now);
         let mut broken = Vec::new();
         let known = self.requests.get_mut(&id.0).unwrap();
-        let (class, full) = (&self.settings.classes[known.class], self.settings.full_unproven);
+        let (class, full) = (&self.settings.classes[known.class], self.settings.rejection_may_execute);
         if known.over_at.is_some() {
             broken.push(format!("1: sent {id:?} after its end"));
         }
         let unproven: Vec<&Try> =
             known.tries.iter().filter(|t| !t.ended.is_some_and(|end| proves(end, full))).collect();
         if !unproven.is_empty() {
-            match class.effect {
-                Effect::Safe => {}
-                Effect::Unsafe => broken.push(format!("2: unsafe {id:?} sent twice")),
-                Effect::Keyed { group, window } => {
+            match class.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NotIdempotent => broken.push(format!("2: unsafe {id:?} sent twice")),
+                Idempotency::IdempotencyKey { scope, window } => {
                     let first = unproven.iter().min_by_key(|t| t.at).unwrap();
                     if self.now > first.at + window {
                         broken.push(format!("2: keyed {id:?} sent outside of its window"));
                     }
                     let (a, b) = (&self.servers[&first.server], &self.servers[&server]);
-                    let inside = match group {
-                        Group::All => true,
-                        Group::Zone => a.zone == b.zone,
-                        Group::Cell => a.cell == b.cell,
+                    let inside = match scope {
+                        DedupScope::All => true,
+                        DedupScope::Zone => a.zone == b.zone,
+                        DedupScope::Cell => a.cell == b.cell,
                     };
                     if !inside {
                         broken.push(format!("2: keyed {id:?} sent outside of its group"));
@@ -373,13 +389,13 @@
                 }
             }
         }
-        if known.tries.iter().any(|t| t.ended.is_none()) && !self.settings.parallel_tries {
+        if known.tries.iter().any(|t| t.ended.is_none()) && !self.settings.concurrent_attempts {
             broken.push(format!("2: two attempts of {id:?} at once"));
         }
         if known.tries.len() >= self.settings.max_attempts as usize {
             broken.push(format!("attempts: too many of {id:?}"));
         }
-        if self.servers.get(&server).is_none_or(|s| s.condition != Condition::Ready) {
+        if self.servers.get(&server).is_none_or(|s| s.state != EndpointState::Ready) {
             broken.push(format!("3: sent to {server:?}, which drains or is gone"));
         }
         self.open.insert((id, known.tries.len()));
@@ -397,10 +413,16 @@
             self.broken.push(format!("1: {id:?} answered late"));
         }
         known.over_at.get_or_insert(self.now);
-        let full = self.settings.full_unproven;
+        let full = self.settings.rejection_may_execute;
         let proven = known.tries.iter().all(|t| t.ended.is_some_and(|end| proves(end, full)));
-        let effect = self.settings.classes[known.class].effect;
-        if refused && !proven && !matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. }) {
+        let effect = self.settings.classes[known.class].idempotency;
+        if refused
+            && !proven
+            && !matches!(
+                effect,
+                Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DedupScope::All, .. }
+            )
+        {
             self.broken.push(format!("2: {id:?} refused though it may have run"));
         }
     }
--- a/crates/policy/tests/knowledge.rs
+++ b/crates/policy/tests/knowledge.rs
@@ -14,17 +14,17 @@
     boot.settings().unwrap()
 }
 
-fn info(id: u32, started_at: Nanos) -> ServerInfo {
+fn info(id: u32, started_at: Nanos) -> EndpointInfo {
     let (zone, cell) = (ZoneId(0), CellId(0));
-    ServerInfo { id: ServerId(id), zone, cell, condition: Condition::Ready, weight: 1.0, started_at }
+    EndpointInfo { id: EndpointId(id), zone, cell, state: EndpointState::Ready, weight: 1.0, started_at }
 }
 
-fn listing(servers: &[ServerInfo]) -> Event {
-    Event::Members(ListChange::Full(servers.into()))
+fn listing(servers: &[EndpointInfo]) -> Event {
+    Event::EndpointsUpdated(EndpointUpdate::Snapshot(servers.into()))
 }
 
 /// One that has served from `start` on for some seconds, two servers, 25 ms each.
-fn learned(start: Nanos, answer: Outcome) -> (Balancer, Nanos) {
+fn learned(start: Nanos, answer: AttemptOutcome) -> (Balancer, Nanos) {
     let mut balancer = Balancer::new(settings(), 7);
     let (mut actions, mut now) = (Vec::new(), start);
     balancer.handle(now, listing(&[info(1, 5), info(2, 5)]), &mut actions);
@@ -34,25 +34,26 @@
             id: RequestId(id),
             class: ClassId(0),
             tenant: None,
-            hint: None,
+            cost_hint: None,
             key: None,
-            not_after: now + 2 * SECOND,
+            deadline: now + 2 * SECOND,
         };
         actions.clear();
         balancer.handle(now, Event::Request(request), &mut actions);
         let sent: Vec<_> = actions
             .iter()
             .filter_map(|action| match action {
-                Action::Send { id, server, .. } => Some((*id, *server)),
+                Action::StartAttempt { id, endpoint, .. } => Some((*id, *endpoint)),
                 _ => None,
             })
             .collect();
         now += SECOND / 40;
         for (id, server) in sent {
             let (attempt, took) = (AttemptNo(0), SECOND / 40);
-            let outcome = if server.0 == 2 { answer } else { Outcome::Ok };
-            let ended = Ended { id, attempt, server, outcome, took, complete: true };
-            balancer.handle(now, Event::Ended(ended), &mut Vec::new());
+            let outcome = if server.0 == 2 { answer } else { AttemptOutcome::Success };
+            let ended =
+                AttemptEnded { id, attempt, endpoint: server, outcome, duration: took, final_answer: true };
+            balancer.handle(now, Event::AttemptEnded(ended), &mut Vec::new());
         }
     }
     (balancer, now)
@@ -69,7 +70,7 @@
 }
 
 /// A newcomer that has been told of the servers, and of what was learned `later`.
-fn newcomer(known: &Knowledge, now: Nanos, servers: &[ServerInfo]) -> Balancer {
+fn newcomer(known: &Knowledge, now: Nanos, servers: &[EndpointInfo]) -> Balancer {
     let mut balancer = Balancer::new(settings(), 8);
     balancer.handle(now, listing(servers), &mut Vec::new());
     balancer.inherit(known, now);
@@ -78,7 +79,7 @@
 
 #[test]
 fn a_newcomer_knows_what_was_known_and_believes_it_less_with_age() {
-    let (old, now) = learned(SECOND, Outcome::Ok);
+    let (old, now) = learned(SECOND, AttemptOutcome::Success);
     let known = old.knowledge(now);
     let back: Knowledge = serde_json::from_value(text(&known)).unwrap();
     assert_eq!(back, known);
@@ -100,7 +101,7 @@
 
 #[test]
 fn what_has_started_since_is_unknown() {
-    let (old, now) = learned(SECOND, Outcome::Ok);
+    let (old, now) = learned(SECOND, AttemptOutcome::Success);
     let new = newcomer(&old.knowledge(now), now, &[info(1, now), info(2, 5)]);
     let plain = newcomer(&Balancer::new(settings(), 1).knowledge(now), now, &[info(1, now), info(2, 5)]);
     assert_eq!(limit(&new, now, 1), limit(&plain, now, 1));
@@ -109,9 +110,10 @@
 
 #[test]
 fn a_server_set_aside_is_so_for_the_newcomer_too() {
-    let (old, now) = learned(SECOND, Outcome::Reset);
-    let aside =
-        |balancer: &Balancer, now| balancer.avoids(ServerId(2)) && !balancer.avoids(ServerId(1)) && now > 0;
+    let (old, now) = learned(SECOND, AttemptOutcome::Reset);
+    let aside = |balancer: &Balancer, now| {
+        balancer.avoids(EndpointId(2)) && !balancer.avoids(EndpointId(1)) && now > 0
+    };
     let until = text(&old.knowledge(now))["servers"][1]["aside_until"].as_u64().unwrap();
     assert!(until > 0, "its failures have set it aside");
     let at = until - 1;
@@ -121,7 +123,7 @@
 
 #[test]
 fn what_can_not_be_true_is_passed_over() {
-    let (old, now) = learned(SECOND, Outcome::Ok);
+    let (old, now) = learned(SECOND, AttemptOutcome::Success);
     let servers = [info(1, 5), info(2, 5)];
     let plain = newcomer(&Balancer::new(settings(), 1).knowledge(now), now, &servers).knowledge(now);
     let good = text(&old.knowledge(now));
@@ -149,15 +151,15 @@
     bad["servers"][0]["aside_until"] = u64::MAX.into();
     let bad: Knowledge = serde_json::from_value(bad).unwrap();
     let mut new = newcomer(&bad, now, &servers);
-    assert!(new.avoids(ServerId(1)));
+    assert!(new.avoids(EndpointId(1)));
     new.handle(now + 9 * SECOND, listing(&servers), &mut Vec::new());
-    assert!(!new.avoids(ServerId(1)));
+    assert!(!new.avoids(EndpointId(1)));
 }
 
 #[test]
 fn own_answers_are_never_overridden() {
-    let (old, now) = learned(SECOND, Outcome::Ok);
-    let (mut own, later) = learned(now, Outcome::Reset);
+    let (old, now) = learned(SECOND, AttemptOutcome::Success);
+    let (mut own, later) = learned(now, AttemptOutcome::Reset);
     let before = own.knowledge(later);
     own.inherit(&old.knowledge(now), later);
     assert_eq!(own.knowledge(later), before);
--- a/crates/policy/tests/list_calls.rs
+++ b/crates/policy/tests/list_calls.rs
@@ -5,7 +5,8 @@
 
 use common::*;
 use pumicehead_policy::interface::{
-    Action, Discovery, Effect, Event, LIST_CALL, LIST_NOTICE, ListChange, Nanos, SECOND, Settings, TimerToken,
+    Action, DISCOVERY_CALL_TIMEOUT, DISCOVERY_NOTICE, Discovery, EndpointUpdate, Event, Idempotency, Nanos,
+    SECOND, Settings, TimerToken,
 };
 use pumicehead_policy::policy::Balancer;
 
@@ -32,7 +33,7 @@
 impl Fate {
     fn takes(self) -> Nanos {
         match self {
-            Self::Lost => LIST_CALL,
+            Self::Lost => DISCOVERY_CALL_TIMEOUT,
             Self::TurnedAway => 0,
             Self::TurnedAwayLate | Self::Answered => CALL_WAIT,
         }
@@ -70,22 +71,22 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Timer { at, token } => self.due = Some((at, token)),
+                Action::ArmTimer { at, token } => self.due = Some((at, token)),
                 Action::Subscribe => self.calls += 1,
                 other => panic!("{other:?}"),
             }
         }
     }
 
-    fn list(&mut self, change: ListChange) {
-        self.handle(Event::Members(change));
+    fn list(&mut self, change: EndpointUpdate) {
+        self.handle(Event::EndpointsUpdated(change));
     }
 
     /// Waits for the next call.
     fn call(&mut self) {
         let (calls, (at, token)) = (self.calls, self.due.take().expect("a call is due"));
         self.now = at;
-        self.handle(Event::Timer(token));
+        self.handle(Event::TimerFired(token));
         assert_eq!(self.calls, calls + 1, "the module asks");
     }
 
@@ -95,28 +96,28 @@
             self.call();
             self.now += fate.takes();
             let answered = fate == Fate::Answered;
-            self.list(if answered { ListChange::Delta(list([])) } else { ListChange::Failed });
+            self.list(if answered { EndpointUpdate::Delta(list([])) } else { EndpointUpdate::WatchFailed });
         }
     }
 }
 
 fn asking(grace: Nanos, ask_every: Nanos) -> Settings {
-    let mut settings = settings(vec![class(Effect::Safe, 1.0)]);
-    (settings.discovery, settings.drain_grace, settings.ask_every) = (Discovery::Ask, grace, ask_every);
+    let mut settings = settings(vec![class(Idempotency::Idempotent, 1.0)]);
+    (settings.discovery, settings.drain_grace, settings.poll_interval) = (Discovery::Poll, grace, ask_every);
     settings
 }
 
 /// The time from the moment in which the service could be reached, and had the change, to the answer.
 fn until_answered(settings: &Settings, seed: u64, before: Before, then: &[Fate]) -> Nanos {
     let mut asker = Asker::new(settings.clone(), seed);
-    asker.list(ListChange::Cached(list([server(1)])));
+    asker.list(EndpointUpdate::Restored(list([server(1)])));
     let since = match before {
         Before::Start => asker.now,
         Before::SilentWatch => {
             asker.through(&[Fate::Answered]);
             let silent = asker.now;
             asker.now += WATCH_SILENCE;
-            asker.list(ListChange::Failed);
+            asker.list(EndpointUpdate::WatchFailed);
             silent
         }
         Before::LostCalls(count) => {
@@ -155,7 +156,7 @@
             for grace in [SECOND, 2 * SECOND] {
                 for seed in 0..300 {
                     let took = until_answered(&asking(grace, 10 * SECOND), seed, before, order);
-                    assert!(took <= LIST_NOTICE + grace, "{before:?} {order:?} {grace}: {took}");
+                    assert!(took <= DISCOVERY_NOTICE + grace, "{before:?} {order:?} {grace}: {took}");
                 }
             }
         }
@@ -177,15 +178,16 @@
 #[test]
 fn a_move_leaves_time_for_a_failure() {
     use Fate::{Answered, TurnedAway};
-    let orders: [(Nanos, &[Fate]); 2] = [(LIST_CALL, &[Answered]), (0, &[TurnedAway, TurnedAway, Answered])];
+    let orders: [(Nanos, &[Fate]); 2] =
+        [(DISCOVERY_CALL_TIMEOUT, &[Answered]), (0, &[TurnedAway, TurnedAway, Answered])];
     for (spent, order) in orders {
         for seed in 0..300 {
             let mut asker = Asker::new(asking(2 * SECOND, 10 * SECOND), seed);
-            asker.list(ListChange::Cached(list([server(1)])));
+            asker.list(EndpointUpdate::Restored(list([server(1)])));
             asker.through(&[Answered]);
             let moved = asker.now;
             asker.now += spent;
-            asker.list(ListChange::Failed);
+            asker.list(EndpointUpdate::WatchFailed);
             asker.through(order);
             let took = asker.now - moved;
             assert!(took <= MOVE_NOTICE + 2 * SECOND, "{order:?}: {took}");
@@ -200,7 +202,7 @@
     let firsts = |before: &[Fate]| {
         let pauses = (0..200).map(|seed| {
             let mut asker = Asker::new(settings.clone(), seed);
-            asker.list(ListChange::Cached(list([server(1)])));
+            asker.list(EndpointUpdate::Restored(list([server(1)])));
             asker.through(before);
             asker.due.expect("a call").0 - asker.now
         });
@@ -237,7 +239,7 @@
     let mut askers: Vec<_> = (0..nodes).map(|seed| Asker::new(settings.clone(), seed)).collect();
     let mut due = std::collections::BTreeSet::new();
     for (number, asker) in askers.iter_mut().enumerate() {
-        asker.list(ListChange::Cached(list([server(1)])));
+        asker.list(EndpointUpdate::Restored(list([server(1)])));
         due.insert((asker.due.expect("a call").0, number));
     }
     let mut last = 0;
@@ -247,7 +249,7 @@
         if let Some(done) = service.take(now) {
             last = last.max(done);
         } else {
-            asker.list(ListChange::Failed);
+            asker.list(EndpointUpdate::WatchFailed);
             due.insert((asker.due.expect("a further call").0, number));
         }
     }
@@ -262,7 +264,10 @@
     for all_calls in [2, 4, 6, 8] {
         let (last, calls) = start_together(nodes, all_calls * SECOND);
         assert!(last <= all_calls * SECOND + SECOND, "{all_calls} s: the last after {last}");
-        assert!(last <= LIST_NOTICE + 2 * SECOND || all_calls > 6, "{all_calls} s: the last after {last}");
+        assert!(
+            last <= DISCOVERY_NOTICE + 2 * SECOND || all_calls > 6,
+            "{all_calls} s: the last after {last}"
+        );
         let most = nodes * 2 * (all_calls + 1);
         assert!(u64::from(calls) <= most, "{all_calls} s: {calls} calls");
     }
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -13,13 +13,13 @@
         let to = node.now + took;
         node.advance(to);
         for (id, n) in node.out() {
-            node.end(id, n, Outcome::Ok);
+            node.end(id, n, AttemptOutcome::Success);
         }
     }
 }
 
 fn two_classes() -> Settings {
-    settings(vec![class(Effect::Safe, 1.0), class(Effect::Safe, 10.0)])
+    settings(vec![class(Idempotency::Idempotent, 1.0), class(Idempotency::Idempotent, 10.0)])
 }
 
 /// Fills all places with requests of the low class; returns how many went out.
@@ -50,7 +50,7 @@
     for _ in 0..out {
         let Some(&(id, n)) = node.out().first() else { break };
         node.now += 5 * MS;
-        node.end(id, n, Outcome::Ok);
+        node.end(id, n, AttemptOutcome::Success);
         if !node.tries(high).is_empty() {
             break;
         }
@@ -69,7 +69,7 @@
         node.advance(node.now + 20 * MS);
         for (id, n) in node.out() {
             if node.now >= node.tries(id)[n].at + 100 * MS {
-                node.end(id, n, Outcome::Ok);
+                node.end(id, n, AttemptOutcome::Success);
             }
         }
     };
@@ -78,7 +78,7 @@
     }
     let refused = |node: &Node, class: usize| {
         let ids =
-            node.log.iter().filter_map(|a| if let Action::Refuse { id, .. } = a { Some(id.0) } else { None });
+            node.log.iter().filter_map(|a| if let Action::Reject { id, .. } = a { Some(id.0) } else { None });
         ids.filter(|id| node.requests[id].class == class).count()
     };
     let (low, high) = (refused(&node, 0), refused(&node, 1));
@@ -98,7 +98,7 @@
 
 #[test]
 fn what_cannot_be_in_time_makes_room_also_where_late_answers_earn() {
-    let late = Class { late_worth: 0.3, deadline: 5 * SECOND, ..class(Effect::Safe, 1.0) };
+    let late = Class { late_weight: 0.3, deadline: 5 * SECOND, ..class(Idempotency::Idempotent, 1.0) };
     let mut node = Node::with_servers(settings(vec![late]), 1);
     for _ in 0..40 {
         node.request(0, 5 * SECOND);
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_tenant_past_its_share_ranks_lower() {
-    let mut told = settings(vec![class(Effect::Safe, 1.0), class(Effect::Safe, 1.2)]);
+    let mut told = settings(vec![class(Idempotency::Idempotent, 1.0), class(Idempotency::Idempotent, 1.2)]);
     told.tenants =
         vec![Tenant { share: 0.1, allowance_per_s: 1.0 }, Tenant { share: 0.9, allowance_per_s: 1000.0 }]
             .into();
@@ -123,20 +123,20 @@
     while node.tries(modest).is_empty() {
         let (id, n) = node.out()[0];
         node.now += 2 * MS;
-        node.end(id, n, Outcome::Ok);
+        node.end(id, n, AttemptOutcome::Success);
     }
     assert!(node.tries(greedy).is_empty());
 }
 
 #[test]
 fn the_faster_server_gets_more() {
-    let mut node = Node::with_servers(settings(vec![class(Effect::Safe, 1.0)]), 2);
+    let mut node = Node::with_servers(settings(vec![class(Idempotency::Idempotent, 1.0)]), 2);
     let mut due: Vec<(Nanos, RequestId, usize)> = Vec::new();
     let mut count = [0; 2];
     for _ in 0..600 {
         let id = node.request(0, 900 * MS);
         if let Some(tried) = node.tries(id).first() {
-            let slow = tried.server == ServerId(2);
+            let slow = tried.server == EndpointId(2);
             count[usize::from(slow)] += 1;
             due.push((node.now + if slow { 120 * MS } else { 30 * MS }, id, 0));
         }
@@ -144,7 +144,7 @@
         let now = node.now;
         for &(_, id, n) in due.iter().filter(|d| d.0 <= now) {
             if node.requests[&id.0].finals == 0 {
-                node.end(id, n, Outcome::Ok);
+                node.end(id, n, AttemptOutcome::Success);
             }
         }
         due.retain(|d| d.0 > now);
@@ -154,9 +154,9 @@
 
 #[test]
 fn a_silent_server_is_left_alone_and_comes_back() {
-    let mut node = Node::with_servers(settings(vec![class(Effect::Safe, 1.0)]), 4);
+    let mut node = Node::with_servers(settings(vec![class(Idempotency::Idempotent, 1.0)]), 4);
     serve(&mut node, 80, 20 * MS);
-    let hung = ServerId(3);
+    let hung = EndpointId(3);
     let run = |node: &mut Node, rounds: usize, silent: bool| {
         let before: usize =
             node.requests.values().flat_map(|k| &k.tries).filter(|t| t.server == hung).count();
@@ -167,7 +167,7 @@
             node.advance(node.now + 20 * MS);
             for (id, n) in node.out() {
                 if !silent || node.tries(id)[n].server != hung {
-                    node.end(id, n, Outcome::Ok);
+                    node.end(id, n, AttemptOutcome::Success);
                 }
             }
         }
@@ -182,7 +182,7 @@
 
 #[test]
 fn when_all_are_slow_none_is_set_aside() {
-    let mut node = Node::with_servers(settings(vec![class(Effect::Safe, 1.0)]), 4);
+    let mut node = Node::with_servers(settings(vec![class(Idempotency::Idempotent, 1.0)]), 4);
     serve(&mut node, 80, 20 * MS);
     serve(&mut node, 40, 300 * MS);
     let used: std::collections::BTreeSet<_> =
@@ -193,7 +193,12 @@
 
 #[test]
 fn every_kind_of_failure_everywhere_ends_in_time_and_service_comes_back() {
-    for outcome in [Outcome::Error, Outcome::Full, Outcome::ConnectFailed, Outcome::Reset] {
+    for outcome in [
+        AttemptOutcome::Error,
+        AttemptOutcome::Rejected,
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::Reset,
+    ] {
         let mut node = Node::with_servers(two_classes(), 4);
         serve(&mut node, 40, 20 * MS);
         for _ in 0..200 {
@@ -210,7 +215,7 @@
         let before = node.log.len();
         serve(&mut node, 60, 20 * MS);
         node.advance(node.now + 2 * SECOND);
-        let bad = node.log[before..].iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)));
+        let bad = node.log[before..].iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)));
         assert!(bad.count() <= 6, "{outcome:?}: service comes back");
         assert!(node.broken.is_empty(), "{:?}", node.broken);
     }
@@ -218,9 +223,9 @@
 
 #[test]
 fn no_server_at_all_holds_then_answers_in_time() {
-    for effect in [Effect::Safe, Effect::Unsafe] {
+    for effect in [Idempotency::Idempotent, Idempotency::NotIdempotent] {
         let mut node = Node::new(settings(vec![class(effect, 1.0)]), 1);
-        node.members(ListChange::Cached(list([])));
+        node.members(EndpointUpdate::Restored(list([])));
         for patience in [1, 20, 300, 900] {
             node.request(0, patience * MS);
         }
@@ -233,10 +238,10 @@
 fn subscriptions_are_asked_for_apart_and_again_after_a_failure() {
     let mut first = Vec::new();
     for seed in 0..20 {
-        let mut told = settings(vec![class(Effect::Safe, 1.0)]);
-        told.discovery = Discovery::Ask;
+        let mut told = settings(vec![class(Idempotency::Idempotent, 1.0)]);
+        told.discovery = Discovery::Poll;
         let mut node = Node::new(told, seed);
-        node.members(ListChange::Cached(list([server(1)])));
+        node.members(EndpointUpdate::Restored(list([server(1)])));
         let start = node.now;
         let asks = |node: &Node| node.log.iter().filter(|a| **a == Action::Subscribe).count();
         while asks(&node) == 0 {
@@ -244,10 +249,10 @@
             assert!(node.now < start + 6 * SECOND);
         }
         first.push(node.now - start);
-        node.members(ListChange::Failed);
+        node.members(EndpointUpdate::WatchFailed);
         node.advance(node.now + 6 * SECOND);
         assert_eq!(asks(&node), 2);
-        node.members(ListChange::Delta(list([])));
+        node.members(EndpointUpdate::Delta(list([])));
         node.advance(node.now + 60 * SECOND);
         assert_eq!(asks(&node), 2, "a standing subscription is not asked for again");
     }
@@ -261,7 +266,7 @@
 fn same_seed_same_actions() {
     let run = |seed| {
         let mut node = Node::new(two_classes(), seed);
-        node.members(ListChange::Cached(list((1..40).map(server))));
+        node.members(EndpointUpdate::Restored(list((1..40).map(server))));
         serve(&mut node, 100, 15 * MS);
         node.log
     };
@@ -272,10 +277,10 @@
 #[test]
 fn nodes_use_different_stable_subsets() {
     let used = |me| {
-        let mut told = settings(vec![class(Effect::Safe, 1.0)]);
-        (told.nodes, told.me, told.connections_priced) = (1000, me, true);
+        let mut told = settings(vec![class(Idempotency::Idempotent, 1.0)]);
+        (told.node_count, told.node_index, told.connections_have_cost) = (1000, me, true);
         let mut node = Node::new(told, 9);
-        node.members(ListChange::Cached(list((1..200).map(server))));
+        node.members(EndpointUpdate::Restored(list((1..200).map(server))));
         serve(&mut node, 200, 20 * MS);
         let all = node.requests.values().flat_map(|k| &k.tries).map(|t| t.server);
         all.collect::<std::collections::BTreeSet<_>>()
@@ -287,8 +292,12 @@
 
 #[test]
 fn bursts_over_the_limits_do_not_drive_them_up() {
-    let told = Class { aim: 2 * SECOND, deadline: 3 * SECOND, ..class(Effect::Unsafe, 1.0) };
-    let told = Settings { nodes: 140, ..settings(vec![told]) };
+    let told = Class {
+        latency_objective: 2 * SECOND,
+        deadline: 3 * SECOND,
+        ..class(Idempotency::NotIdempotent, 1.0)
+    };
+    let told = Settings { node_count: 140, ..settings(vec![told]) };
     let mut node = Node::with_servers(told, 50);
     // Far more is asked for than there are places, each served in 300 ms. This node's part of 50 servers
     // is a place or two at first; in its first second and a half it has next to nothing to judge by.
@@ -298,7 +307,7 @@
         node.advance(node.now + 20 * MS);
         for (id, n) in node.out() {
             if node.now >= node.tries(id)[n].at + 300 * MS {
-                node.end(id, n, Outcome::Ok);
+                node.end(id, n, AttemptOutcome::Success);
             }
         }
         most = most.max(node.out().len());
@@ -309,14 +318,16 @@
 
 /// One server that takes 300 ms (`outcome` after that time) and has its places full; then a request of
 /// the highest tier comes that is to be in time within 500 ms, and all places get free after `wait`.
-fn sent_after(wait: Nanos, outcome: Outcome) -> (Node, RequestId) {
-    let mut node =
-        Node::with_servers(settings(vec![class(Effect::Unsafe, 1.0), class(Effect::Unsafe, 10.0)]), 1);
+fn sent_after(wait: Nanos, outcome: AttemptOutcome) -> (Node, RequestId) {
+    let mut node = Node::with_servers(
+        settings(vec![class(Idempotency::NotIdempotent, 1.0), class(Idempotency::NotIdempotent, 10.0)]),
+        1,
+    );
     for round in 0..90 {
         let id = node.request(1, 900 * MS);
         node.advance(node.now + if round < 30 { 100 * MS } else { 300 * MS });
         if !node.tries(id).is_empty() {
-            node.end(id, 0, if round < 30 { Outcome::Ok } else { outcome });
+            node.end(id, 0, if round < 30 { AttemptOutcome::Success } else { outcome });
         }
     }
     let mut id = node.request(1, 900 * MS);
@@ -325,7 +336,7 @@
     }
     node.advance(node.now + wait);
     for (out, n) in node.out() {
-        node.end(out, n, Outcome::Ok);
+        node.end(out, n, AttemptOutcome::Success);
     }
     assert!(node.broken.is_empty());
     (node, id)
@@ -333,15 +344,15 @@
 
 #[test]
 fn a_held_request_leaves_while_its_answer_can_be_in_time_or_is_refused() {
-    let (node, id) = sent_after(150 * MS, Outcome::Ok);
+    let (node, id) = sent_after(150 * MS, AttemptOutcome::Success);
     assert_eq!(node.tries(id).len(), 1, "350 ms are left");
-    let (node, id) = sent_after(260 * MS, Outcome::Ok);
+    let (node, id) = sent_after(260 * MS, AttemptOutcome::Success);
     assert_eq!((node.tries(id).len(), node.requests[&id.0].finals), (0, 1), "240 ms are left");
 }
 
 #[test]
 fn attempts_that_ran_out_of_time_teach_that_answers_take_longer() {
-    let (node, id) = sent_after(260 * MS, Outcome::TimedOut);
+    let (node, id) = sent_after(260 * MS, AttemptOutcome::TimedOut);
     assert_eq!((node.tries(id).len(), node.requests[&id.0].finals), (0, 1), "240 ms are left");
 }
 
@@ -349,7 +360,7 @@
 /// attempts they cannot see: servers stand crowded beside idle ones.
 #[test]
 fn lack_of_room_does_not_spread_a_node_over_the_fleet() {
-    let told = Settings { nodes: 40, ..settings(vec![class(Effect::Safe, 1.0)]) };
+    let told = Settings { node_count: 40, ..settings(vec![class(Idempotency::Idempotent, 1.0)]) };
     let mut node = Node::with_servers(told, 200);
     for _ in 0..400 {
         for _ in 0..3 {
@@ -358,13 +369,13 @@
         node.advance(node.now + 20 * MS);
         for (id, n) in node.out() {
             if node.now >= node.tries(id)[n].at + 200 * MS {
-                node.end(id, n, Outcome::Ok);
+                node.end(id, n, AttemptOutcome::Success);
             }
         }
     }
     let used: std::collections::BTreeSet<_> =
         node.requests.values().flat_map(|k| &k.tries).map(|t| t.server).collect();
-    assert!(node.log.iter().any(|a| matches!(a, Action::Refuse { .. })), "it lacked room");
+    assert!(node.log.iter().any(|a| matches!(a, Action::Reject { .. })), "it lacked room");
     assert!(used.len() <= 60, "{} of 200 servers used", used.len());
     assert!(node.broken.is_empty());
 }
@@ -372,8 +383,11 @@
 /// Servers that choked recover only when they get less: a place for each of hundreds of nodes is far too much.
 #[test]
 fn a_share_under_one_place_is_not_rounded_up_while_servers_are_jammed() {
-    let told =
-        Settings { nodes: 400, connections_priced: true, ..settings(vec![class(Effect::Unsafe, 1.0)]) };
+    let told = Settings {
+        node_count: 400,
+        connections_have_cost: true,
+        ..settings(vec![class(Idempotency::NotIdempotent, 1.0)])
+    };
     let mut node = Node::with_servers(told, 50);
     let run = |node: &mut Node, rounds: usize, took: Nanos| {
         let mut sum = 0;
@@ -383,7 +397,7 @@
                 node.advance(node.now + 10 * MS);
                 for (id, n) in node.out() {
                     if node.now >= node.tries(id)[n].at + took {
-                        node.end(id, n, Outcome::Ok);
+                        node.end(id, n, AttemptOutcome::Success);
                     }
                 }
                 sum += node.out().len();
@@ -392,7 +406,7 @@
         sum as f64 / (10 * rounds) as f64
     };
     let calm = run(&mut node, 100, 20 * MS);
-    let refused = node.log.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+    let refused = node.log.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
     assert!(refused == 0 && calm > 0.05, "sent at once while servers are fast: {refused} refused");
     run(&mut node, 50, 350 * MS);
     let jammed = run(&mut node, 100, 350 * MS);
@@ -404,7 +418,7 @@
 /// crowded in its first seconds, and learns from that a calm latency that is none.
 #[test]
 fn a_node_with_servers_of_its_own_starts_with_one_place_each() {
-    let told = Settings { nodes: 20, ..settings(vec![class(Effect::Safe, 1.0)]) };
+    let told = Settings { node_count: 20, ..settings(vec![class(Idempotency::Idempotent, 1.0)]) };
     let mut node = Node::with_servers(told, 100);
     for _ in 0..40 {
         node.request(0, 900 * MS);
@@ -425,14 +439,14 @@
         node.advance(node.now + 20 * MS);
         for (id, n) in node.out() {
             if node.now >= node.tries(id)[n].at + 100 * MS {
-                node.end(id, n, Outcome::Ok);
+                node.end(id, n, AttemptOutcome::Success);
             }
         }
     };
     (0..250).for_each(|_| step(&mut node));
     let before = node.out().len();
     assert!(before >= 16, "{before} out at first");
-    node.members(ListChange::Full(list((100..104).map(server))));
+    node.members(EndpointUpdate::Snapshot(list((100..104).map(server))));
     (0..10).for_each(|_| step(&mut node));
     let new: usize = node.out().iter().filter(|&&(id, n)| node.tries(id)[n].server.0 >= 100).count();
     assert!(2 * new > before, "{new} out after {before}");
@@ -442,7 +456,7 @@
 /// Guards against a server left out for one connection that fell silent while it answers on all others.
 #[test]
 fn one_silent_attempt_does_not_mark_its_server_as_hung() {
-    let mut node = Node::with_servers(settings(vec![class(Effect::Unsafe, 1.0)]), 2);
+    let mut node = Node::with_servers(settings(vec![class(Idempotency::NotIdempotent, 1.0)]), 2);
     let mut silent = None;
     let mut late = 0;
     for round in 0..200 {
@@ -458,7 +472,7 @@
         node.advance(node.now + 20 * MS);
         for (id, n) in node.out() {
             if silent.is_none_or(|(silent, _)| silent != id) {
-                node.end(id, n, Outcome::Ok);
+                node.end(id, n, AttemptOutcome::Success);
             }
         }
     }
@@ -468,10 +482,10 @@
 /// Guards far servers: the way there is no sign of crowding, and where only they are left they keep their room.
 #[test]
 fn a_long_way_is_not_taken_for_crowding() {
-    let both = Settings { zones: 2, ..two_classes() };
+    let both = Settings { zone_count: 2, ..two_classes() };
     let mut node = Node::with_servers(both, 4);
-    let far = |id| ServerInfo { zone: ZoneId(1), ..server(id) };
-    node.members(ListChange::Delta(list((11..15).map(far))));
+    let far = |id| EndpointInfo { zone: ZoneId(1), ..server(id) };
+    node.members(EndpointUpdate::Delta(list((11..15).map(far))));
     let step = |node: &mut Node, count: usize| {
         for _ in 0..count {
             node.request(0, 900 * MS);
@@ -481,12 +495,12 @@
             let attempt = &node.tries(id)[n];
             let takes = if attempt.server.0 >= 11 { 100 } else { 20 };
             if node.now >= attempt.at + takes * MS {
-                node.end(id, n, Outcome::Ok);
+                node.end(id, n, AttemptOutcome::Success);
             }
         }
     };
     (0..500).for_each(|_| step(&mut node, 3));
-    node.members(ListChange::Full(list((11..15).map(far))));
+    node.members(EndpointUpdate::Snapshot(list((11..15).map(far))));
     (0..250).for_each(|_| step(&mut node, 3));
     let out = node.out().len();
     assert!(out >= 12, "{out} out at the far servers");
@@ -495,21 +509,21 @@
 /// Other settings keep what was learned, but never change the rules under which requests are open.
 #[test]
 fn settings_change_in_place_unless_rules_for_repeats_do() {
-    let settings = settings(vec![class(Effect::Safe, 1.0)]);
+    let settings = settings(vec![class(Idempotency::Idempotent, 1.0)]);
     let mut balancer = pumicehead_policy::Balancer::new(settings.clone(), 1);
     let mut other = settings.clone();
-    other.classes[0].worth = 8.0;
-    other.classes[0].aim += SECOND;
+    other.classes[0].priority_weight = 8.0;
+    other.classes[0].latency_objective += SECOND;
     assert!(balancer.retune(other.clone()));
-    other.classes.push(class(Effect::Unsafe, 10.0));
+    other.classes.push(class(Idempotency::NotIdempotent, 10.0));
     assert!(balancer.retune(other.clone()));
     for change in [
-        |new: &mut Settings| new.classes[0].effect = Effect::Unsafe,
-        |new: &mut Settings| new.classes[0].keep_order ^= true,
+        |new: &mut Settings| new.classes[0].idempotency = Idempotency::NotIdempotent,
+        |new: &mut Settings| new.classes[0].ordered_by_key ^= true,
         |new: &mut Settings| new.classes.truncate(1),
-        |new: &mut Settings| new.zones += 1,
-        |new: &mut Settings| new.cancel ^= true,
-        |new: &mut Settings| new.nodes += 1,
+        |new: &mut Settings| new.zone_count += 1,
+        |new: &mut Settings| new.cancellation ^= true,
+        |new: &mut Settings| new.node_count += 1,
     ] {
         let mut new = other.clone();
         change(&mut new);
--- a/crates/policy/tests/peers.rs
+++ b/crates/policy/tests/peers.rs
@@ -11,23 +11,23 @@
 #[test]
 fn a_note_replaces_the_last_and_odd_ones_are_passed_over() {
     let mut peers = Peers::default();
-    peers.hear(7, &write(1, [(ServerId(1), 2), (ServerId(2), 0)]), SECOND);
-    peers.hear(8, &write(200, [(ServerId(1), 1)]), SECOND);
-    assert_eq!((peers.out(ServerId(1)), peers.out(ServerId(2)), peers.heard()), (3, 0, 2));
+    peers.hear(7, &write(1, [(EndpointId(1), 2), (EndpointId(2), 0)]), SECOND);
+    peers.hear(8, &write(200, [(EndpointId(1), 1)]), SECOND);
+    assert_eq!((peers.out(EndpointId(1)), peers.out(EndpointId(2)), peers.heard()), (3, 0, 2));
     for odd in [&[][..], &[1], &[9, 9, 0, 0], &[1, 2, 1, 0, 0], &[1; 255]] {
         peers.hear(7, odd, SECOND);
     }
-    assert_eq!(peers.out(ServerId(1)), 3, "of unknown form, or no newer");
-    peers.hear(7, &write(0, [(ServerId(1), 9)]), SECOND);
-    peers.hear(7, &write(1, [(ServerId(1), 9)]), SECOND);
-    assert_eq!(peers.out(ServerId(1)), 3, "overtaken on the way, or doubled");
-    peers.hear(7, &write(2, [(ServerId(3), 1)]), 2 * SECOND);
-    assert_eq!((peers.out(ServerId(1)), peers.out(ServerId(3))), (1, 1));
+    assert_eq!(peers.out(EndpointId(1)), 3, "of unknown form, or no newer");
+    peers.hear(7, &write(0, [(EndpointId(1), 9)]), SECOND);
+    peers.hear(7, &write(1, [(EndpointId(1), 9)]), SECOND);
+    assert_eq!(peers.out(EndpointId(1)), 3, "overtaken on the way, or doubled");
+    peers.hear(7, &write(2, [(EndpointId(3), 1)]), 2 * SECOND);
+    assert_eq!((peers.out(EndpointId(1)), peers.out(EndpointId(3))), (1, 1));
     peers.expire(2 * SECOND, SECOND);
-    assert_eq!((peers.out(ServerId(1)), peers.heard()), (0, 2), "an old note no longer counts");
+    assert_eq!((peers.out(EndpointId(1)), peers.heard()), (0, 2), "an old note no longer counts");
     peers.expire(3 * SECOND, 3 * SECOND);
-    assert_eq!((peers.out(ServerId(3)), peers.heard()), (0, 0));
-    let long = write(0, (0..1000).map(|id| (ServerId(id), 1000)));
+    assert_eq!((peers.out(EndpointId(3)), peers.heard()), (0, 0));
+    let long = write(0, (0..1000).map(|id| (EndpointId(id), 1000)));
     assert!(long.len() <= 256, "{} bytes", long.len());
 }
 
@@ -45,8 +45,12 @@
     }
 }
 
-fn informed() -> (Node, Vec<u32>, BTreeSet<ServerId>) {
-    let told = Settings { nodes: 60, peers: true, ..settings(vec![class(Effect::Safe, 1.0)]) };
+fn informed() -> (Node, Vec<u32>, BTreeSet<EndpointId>) {
+    let told = Settings {
+        node_count: 60,
+        load_reports: true,
+        ..settings(vec![class(Idempotency::Idempotent, 1.0)])
+    };
     let mut node = Node::with_servers(told, 20);
     let mut used = BTreeSet::new();
     for _ in 0..100 {
@@ -54,13 +58,13 @@
         used.extend(node.tries(id).iter().map(|t| t.server));
         node.advance(node.now + 20 * MS);
         for (id, n) in node.out() {
-            node.end(id, n, Outcome::Ok);
+            node.end(id, n, AttemptOutcome::Success);
         }
     }
     let peers: BTreeSet<u32> = node
         .log
         .iter()
-        .filter_map(|a| if let Action::Tell { to, .. } = a { Some(*to) } else { None })
+        .filter_map(|a| if let Action::SendLoadReport { to, .. } = a { Some(*to) } else { None })
         .collect();
     (node, peers.into_iter().collect(), used)
 }
@@ -74,23 +78,23 @@
     for seq in 0..40 {
         for &peer in &peers {
             let body = write(seq, [(busy, 1)]);
-            node.event(Event::Note { from: peer, body });
+            node.event(Event::LoadReport { from: peer, body });
         }
         let id = node.request(0, 900 * MS);
         assert!(node.tries(id).iter().all(|t| t.server != busy), "round {seq}");
         node.advance(node.now + 10 * MS);
         for (id, n) in node.out() {
-            node.end(id, n, Outcome::Ok);
+            node.end(id, n, AttemptOutcome::Success);
         }
     }
     // The notes cease: soon the server is used again, and everything is served.
     node.advance(node.now + 5 * SECOND);
-    let later: BTreeSet<ServerId> = (0..60)
+    let later: BTreeSet<EndpointId> = (0..60)
         .flat_map(|_| {
             let id = node.request(0, 900 * MS);
             let server = node.tries(id)[0].server;
             node.advance(node.now + 10 * MS);
-            node.end(id, 0, Outcome::Ok);
+            node.end(id, 0, AttemptOutcome::Success);
             [server]
         })
         .collect();
@@ -101,12 +105,17 @@
 #[test]
 fn no_notes_where_they_are_not_allowed_or_dear() {
     for (peers, peer_price) in [(false, 0.0), (true, 10.0)] {
-        let told = Settings { nodes: 60, peers, peer_price, ..settings(vec![class(Effect::Safe, 1.0)]) };
+        let told = Settings {
+            node_count: 60,
+            load_reports: peers,
+            load_report_cost: peer_price,
+            ..settings(vec![class(Idempotency::Idempotent, 1.0)])
+        };
         let mut node = Node::with_servers(told, 20);
         for _ in 0..20 {
             node.request(0, 900 * MS);
             node.advance(node.now + 20 * MS);
         }
-        assert!(!node.log.iter().any(|a| matches!(a, Action::Tell { .. })));
+        assert!(!node.log.iter().any(|a| matches!(a, Action::SendLoadReport { .. })));
     }
 }
--- a/crates/policy/tests/stall.rs
+++ b/crates/policy/tests/stall.rs
@@ -9,12 +9,14 @@
 /// Servers that answer in 20 ms and idle; the node stands still for 5 s with requests out, and what clients asked meanwhile
 /// comes at once. Returns the node after the second that follows, and which request was the first to come after the stall.
 fn after_a_stall(told: bool) -> (Node, u32) {
-    let mut node =
-        Node::with_servers(settings(vec![class(Effect::Safe, 1.0), class(Effect::Unsafe, 10.0)]), 4);
+    let mut node = Node::with_servers(
+        settings(vec![class(Idempotency::Idempotent, 1.0), class(Idempotency::NotIdempotent, 10.0)]),
+        4,
+    );
     let answer = |node: &mut Node| {
         for (id, n) in node.out() {
             if node.now >= node.tries(id)[n].at + 20 * MS {
-                node.end(id, n, Outcome::Ok);
+                node.end(id, n, AttemptOutcome::Success);
             }
         }
     };
@@ -31,8 +33,8 @@
         node.balancer.resume(node.now, 5 * SECOND);
     }
     // The deadline of one is past; the other's answer lay there all the time.
-    node.end(late, 0, Outcome::TimedOut);
-    node.end(waiting, 0, Outcome::Ok);
+    node.end(late, 0, AttemptOutcome::TimedOut);
+    node.end(waiting, 0, AttemptOutcome::Success);
     let first = node.requests.keys().last().copied().unwrap_or_default();
     for class in (0..70).map(|number| number % 2) {
         node.request(class, 900 * MS);
@@ -50,7 +52,7 @@
 }
 
 fn refused(node: &Node, first: u32) -> usize {
-    node.log.iter().filter(|action| matches!(action, Action::Refuse { id, .. } if id.0 > first)).count()
+    node.log.iter().filter(|action| matches!(action, Action::Reject { id, .. } if id.0 > first)).count()
 }
 
 /// Guards against taking an own stall for the servers' fault: no limit is lowered and nobody set aside, and of those that
@@ -71,14 +73,14 @@
 /// nothing after, and what is past its time is not sent.
 #[test]
 fn a_stall_moves_no_promise() {
-    let mut node = Node::with_servers(settings(vec![class(Effect::Safe, 1.0)]), 1);
+    let mut node = Node::with_servers(settings(vec![class(Idempotency::Idempotent, 1.0)]), 1);
     let mut held: Vec<_> = (0..60).map(|_| node.request(0, 900 * MS)).collect();
     held.retain(|id| node.tries(*id).is_empty());
     assert!(!held.is_empty());
     node.now += 5 * SECOND;
     node.balancer.resume(node.now, 5 * SECOND);
-    let leaving = ServerInfo { condition: Condition::Draining, ..server(1) };
-    node.members(ListChange::Delta(list([leaving])));
+    let leaving = EndpointInfo { state: EndpointState::Draining, ..server(1) };
+    node.members(EndpointUpdate::Delta(list([leaving])));
     node.advance(node.now + 3 * SECOND);
     let sent = held.iter().filter(|id| node.tries(**id).iter().any(|one| one.at > 5 * SECOND)).count();
     assert_eq!(sent, 0);
@@ -91,14 +93,14 @@
 fn after_a_release_no_node_is_without_room() {
     let refusals = |me: u32| {
         let told = Settings {
-            nodes: 300,
-            me,
-            connections_priced: true,
-            cold_span: 30 * SECOND,
-            ..settings(vec![class(Effect::Safe, 1.0), class(Effect::Safe, 10.0)])
+            node_count: 300,
+            node_index: me,
+            connections_have_cost: true,
+            warmup_duration: 30 * SECOND,
+            ..settings(vec![class(Idempotency::Idempotent, 1.0), class(Idempotency::Idempotent, 10.0)])
         };
         let mut node = Node::new(told, 9);
-        node.members(ListChange::Cached(list((1..=200).map(server))));
+        node.members(EndpointUpdate::Restored(list((1..=200).map(server))));
         let rounds = |node: &mut Node, count: usize| {
             for number in 0..count {
                 node.request(number % 2, 900 * MS);
@@ -106,7 +108,7 @@
                     node.advance(node.now + 10 * MS);
                     for (id, n) in node.out() {
                         if node.now >= node.tries(id)[n].at + 60 * MS {
-                            node.end(id, n, Outcome::Ok);
+                            node.end(id, n, AttemptOutcome::Success);
                         }
                     }
                 }
@@ -117,13 +119,13 @@
         let now = node.now;
         let all = (1..=200).map(|id| match id % 3 {
             0 => server(id),
-            _ => ServerInfo { started_at: now, ..server(1_000 + id) },
+            _ => EndpointInfo { started_at: now, ..server(1_000 + id) },
         });
-        node.members(ListChange::Full(list(all)));
+        node.members(EndpointUpdate::Snapshot(list(all)));
         let before = node.log.len();
         rounds(&mut node, 100);
         assert!(node.broken.is_empty(), "{:?}", node.broken);
-        node.log[before..].iter().filter(|action| matches!(action, Action::Refuse { .. })).count()
+        node.log[before..].iter().filter(|action| matches!(action, Action::Reject { .. })).count()
     };
     let all: Vec<_> = (0..40).map(|number| refusals(number * 7)).collect();
     let worst = all.iter().max().copied().unwrap_or_default();
--- a/crates/policy/tests/tenants.rs
+++ b/crates/policy/tests/tenants.rs
@@ -26,9 +26,9 @@
     fn new(tenants: TenantShares) -> Self {
         let settings = Settings {
             tenants,
-            nodes: 2,
-            over_share_worth: OVER_WORTH,
-            ..settings(vec![class(Effect::Safe, WORTH)])
+            node_count: 2,
+            over_share_weight: OVER_WORTH,
+            ..settings(vec![class(Idempotency::Idempotent, WORTH)])
         };
         let mut balancer = Balancer::new(settings.clone(), 1);
         balancer.tell_all(true);
@@ -43,9 +43,9 @@
             id,
             class: ClassId(0),
             tenant: Some(TenantId(tenant)),
-            hint: None,
+            cost_hint: None,
             key: None,
-            not_after: self.now + SECOND,
+            deadline: self.now + SECOND,
         };
         let mut actions = Vec::new();
         self.balancer.handle(self.now, Event::Request(request), &mut actions);
@@ -53,7 +53,7 @@
             Note::Taken { worth, .. } => Some(f64::from(*worth)),
             _ => None,
         });
-        self.balancer.handle(self.now, Event::ClientGone(id), &mut actions);
+        self.balancer.handle(self.now, Event::ClientDisconnected(id), &mut actions);
         worth.expect("a note of the request")
     }
 
@@ -161,7 +161,7 @@
                     }
                 }
                 Step::Nodes(nodes) => {
-                    let sharing = Event::Sharing(Sharing { me: 0, nodes });
+                    let sharing = Event::NodeShare(NodeShare { node_index: 0, node_count: nodes });
                     subject.balancer.handle(subject.now, sharing, &mut Vec::new());
                     reference.nodes = nodes;
                 }
--- a/crates/resources/src/digest.rs
+++ b/crates/resources/src/digest.rs
@@ -9,7 +9,7 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-use pumicehead_policy::interface::{Discovery, Group};
+use pumicehead_policy::interface::{DedupScope, Discovery};
 use pumicehead_route::{HeaderRule, Methods};
 use siphasher::sip128::{Hasher128, SipHasher13};
 
@@ -186,7 +186,7 @@
             Endpoints::Discovered(address, mode) => {
                 self.byte(match mode {
                     Discovery::Push => 1,
-                    Discovery::Ask => 2,
+                    Discovery::Poll => 2,
                 });
                 self.socket(address);
             }
@@ -236,9 +236,9 @@
             Repeats::Unsafe => self.byte(1),
             Repeats::Keyed { header, group, window } => {
                 self.byte(match group {
-                    Group::All => 2,
-                    Group::Zone => 3,
-                    Group::Cell => 4,
+                    DedupScope::All => 2,
+                    DedupScope::Zone => 3,
+                    DedupScope::Cell => 4,
                 });
                 self.text(header);
                 self.number(*window);
--- a/crates/resources/src/resource.rs
+++ b/crates/resources/src/resource.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use pumicehead_policy::interface::{Discovery, Group, Nanos};
+use pumicehead_policy::interface::{DedupScope, Discovery, Nanos};
 use pumicehead_route::Route as Pattern;
 
 /// A resource's name. Clones share the text.
@@ -109,7 +109,7 @@
         /// The header that holds the key, in lower case.
         header: String,
         /// Which backends do.
-        group: Group,
+        group: DedupScope,
         /// For how long.
         window: Nanos,
     },
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -12,8 +12,9 @@
 
 use pumicehead_policy::boot::Boot;
 use pumicehead_policy::interface::{
-    Action, AttemptNo, CellId, ClassId, Condition, Ended, Event, ListChange, Nanos, NewRequest, Outcome,
-    RequestId, ServerId, ServerInfo, Settings, SettingsError, TenantId, TimerToken, ZoneId,
+    Action, AttemptEnded, AttemptNo, AttemptOutcome, CellId, ClassId, EndpointId, EndpointInfo,
+    EndpointState, EndpointUpdate, Event, Nanos, NewRequest, RequestId, Settings, SettingsError, TenantId,
+    TimerToken, ZoneId,
 };
 
 /// Number of an instance on the wire.
@@ -161,7 +162,7 @@
 /// Decodes batches; keeps the numbered server lists and the bounds of each instance's settings.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    lists: FxHashMap<u32, Arc<[ServerInfo]>>,
+    lists: FxHashMap<u32, Arc<[EndpointInfo]>>,
     bounds: FxHashMap<Instance, Bounds>,
 }
 
@@ -226,11 +227,11 @@
                 let id = RequestId(f.u32("corr")?);
                 f.u32("backend")?;
                 f.u64("took_ns")?;
-                Event::Streaming { id, attempt: AttemptNo(f.u8("leg")?) }
+                Event::ResponseStarted { id, attempt: AttemptNo(f.u8("leg")?) }
             }
             5 => ended(f)?,
-            6 => Event::ClientGone(RequestId(f.u32("corr")?)),
-            7 => Event::Timer(TimerToken(f.u64("token")?)),
+            6 => Event::ClientDisconnected(RequestId(f.u32("corr")?)),
+            7 => Event::TimerFired(TimerToken(f.u64("token")?)),
             8 => {
                 // The module neither probes nor needs what probes tell; they are only checked.
                 f.u32("backend")?;
@@ -242,7 +243,7 @@
             9 => {
                 let from = u32::from(f.u16("neighbour")?);
                 let len = f.u16("body")?;
-                Event::Note { from, body: f.take("body", usize::from(len))?.to_vec() }
+                Event::LoadReport { from, body: f.take("body", usize::from(len))?.to_vec() }
             }
             _ => {
                 self.bounds.remove(&instance);
@@ -264,7 +265,7 @@
         let bounds = Bounds {
             classes: settings.classes.len(),
             tenants: settings.tenants.len(),
-            zones: settings.zones.max(1),
+            zones: settings.zone_count.max(1),
         };
         self.bounds.insert(instance, bounds);
         Ok(Input::Begin { seed, settings: Box::new(settings) })
@@ -279,24 +280,24 @@
         let bytes = f.take("records", count.saturating_mul(ENTRY))?;
         let entries = bytes.chunks_exact(ENTRY).map(|chunk| {
             let mut e = Fields { left: chunk, ..f };
-            let id = ServerId(e.u32("backend")?);
+            let id = EndpointId(e.u32("backend")?);
             let zone = ZoneId(e.u16("site")?);
             e.u16("machine")?;
-            Ok(ServerInfo {
+            Ok(EndpointInfo {
                 id,
                 zone,
                 cell: CellId(e.u16("cohort")?),
-                condition: match e.u8("condition")? {
-                    0 => Condition::Ready,
-                    1 => Condition::Draining,
-                    2 => Condition::Gone,
+                state: match e.u8("condition")? {
+                    0 => EndpointState::Ready,
+                    1 => EndpointState::Draining,
+                    2 => EndpointState::Removed,
                     other => return Err(e.bad("condition", other)),
                 },
                 weight: f32::from_bits(e.u32("heft")?),
                 started_at: e.u64("started_at_ns")?,
             })
         });
-        let list = entries.collect::<Result<Arc<[ServerInfo]>, WireError>>()?;
+        let list = entries.collect::<Result<Arc<[EndpointInfo]>, WireError>>()?;
         self.lists.insert(table, list);
         Ok(())
     }
@@ -306,16 +307,16 @@
         f.u32("epoch")?;
         let mode = f.u8("mode")?;
         if mode == 3 {
-            return Ok(Event::Members(ListChange::Failed));
+            return Ok(Event::EndpointsUpdated(EndpointUpdate::WatchFailed));
         }
         let list = self.lists.get(&table).ok_or_else(|| f.bad("table", table))?.clone();
         if let Some(beyond) = list.iter().find(|server| server.zone.0 >= bounds.zones) {
             return Err(f.bad("site", beyond.zone.0));
         }
-        Ok(Event::Members(match mode {
-            0 => ListChange::Delta(list),
-            1 => ListChange::Full(list),
-            2 => ListChange::Cached(list),
+        Ok(Event::EndpointsUpdated(match mode {
+            0 => EndpointUpdate::Delta(list),
+            1 => EndpointUpdate::Snapshot(list),
+            2 => EndpointUpdate::Restored(list),
             other => return Err(f.bad("mode", other)),
         }))
     }
@@ -339,21 +340,28 @@
         id,
         class: ClassId(class),
         tenant: (bounds.tenants > 0).then_some(TenantId(tenant)),
-        hint: (bits & HAS_HINT != 0 && hint > 0).then_some(hint),
+        cost_hint: (bits & HAS_HINT != 0 && hint > 0).then_some(hint),
         key: (key != 0).then_some(key),
-        not_after,
+        deadline: not_after,
     }))
 }
 
 fn ended(mut f: Fields<'_>) -> Result<Event, WireError> {
     let id = RequestId(f.u32("corr")?);
     let complete = f.u8("complete")? != 0;
-    let server = ServerId(f.u32("backend")?);
+    let server = EndpointId(f.u32("backend")?);
     let outcome = f.outcome()?;
     let attempt = AttemptNo(f.u8("leg")?);
     let took = f.u64("took_ns")?;
     f.report()?;
-    Ok(Event::Ended(Ended { id, attempt, server, outcome, took, complete }))
+    Ok(Event::AttemptEnded(AttemptEnded {
+        id,
+        attempt,
+        endpoint: server,
+        outcome,
+        duration: took,
+        final_answer: complete,
+    }))
 }
 
 /// The fields of one record that are not read yet.
@@ -398,16 +406,16 @@
         WireError::BadValue { record: self.record, name: self.name, field, value: value.into() }
     }
 
-    fn outcome(&mut self) -> Result<Outcome, WireError> {
+    fn outcome(&mut self) -> Result<AttemptOutcome, WireError> {
         Ok(match self.u16("code")? {
-            200 => Outcome::Ok,
-            502 => Outcome::Error,
-            429 => Outcome::Full,
-            408 => Outcome::TimedOut,
-            521 => Outcome::ConnectFailed,
-            520 => Outcome::Reset,
-            444 => Outcome::Cancelled,
-            409 => Outcome::Moot,
+            200 => AttemptOutcome::Success,
+            502 => AttemptOutcome::Error,
+            429 => AttemptOutcome::Rejected,
+            408 => AttemptOutcome::TimedOut,
+            521 => AttemptOutcome::ConnectFailed,
+            520 => AttemptOutcome::Reset,
+            444 => AttemptOutcome::Cancelled,
+            409 => AttemptOutcome::NotSent,
             other => return Err(self.bad("code", other)),
         })
     }
@@ -431,13 +439,13 @@
     pub fn push(&mut self, instance: Instance, action: &Action) {
         self.count += 1;
         match action {
-            Action::Send { id, server, timeout, .. } => {
+            Action::StartAttempt { id, endpoint, timeout, .. } => {
                 self.start(1, 20, instance);
                 self.word(id.0);
-                self.word(server.0);
+                self.word(endpoint.0);
                 self.long(timeout.unwrap_or(0));
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.start(2, 16, instance);
                 self.word(id.0);
                 self.long(retry_after.unwrap_or(0));
@@ -446,17 +454,17 @@
                 self.start(3, 8, instance);
                 self.word(id.0);
             }
-            Action::Cancel { id, attempt } => {
+            Action::CancelAttempt { id, attempt } => {
                 self.start(4, 9, instance);
                 self.word(id.0);
                 self.body.push(attempt.0);
             }
-            Action::Timer { at, token } => {
+            Action::ArmTimer { at, token } => {
                 self.start(5, 20, instance);
                 self.long(*at);
                 self.long(token.0);
             }
-            Action::Tell { to, body } => {
+            Action::SendLoadReport { to, body } => {
                 let len = u16::try_from(body.len()).unwrap_or_default();
                 let text = &body[..usize::from(len)];
                 self.start(8, 10 + u32::from(len), instance);
@@ -464,7 +472,7 @@
                 self.body.extend_from_slice(&len.to_le_bytes());
                 self.body.extend_from_slice(text);
             }
-            Action::FreeLinks(server) => {
+            Action::CloseIdleConnections(server) => {
                 self.start(7, 8, instance);
                 self.word(server.0);
             }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -75,8 +75,10 @@
         })
         .collect();
     assert_eq!(events.len(), 5);
-    let Event::Members(ListChange::Cached(servers)) = events[0] else { panic!("{:?}", events[0]) };
-    assert_eq!(servers[0].id, ServerId(0x0312_4a07));
+    let Event::EndpointsUpdated(EndpointUpdate::Restored(servers)) = events[0] else {
+        panic!("{:?}", events[0])
+    };
+    assert_eq!(servers[0].id, EndpointId(0x0312_4a07));
     assert_eq!((servers[1].weight, servers[1].started_at), (1.5, 0x0000_0001_6b96_9d00));
     let id = RequestId(0x5d3a_91c4);
     assert_eq!(
@@ -85,27 +87,37 @@
             id,
             class: ClassId(0),
             tenant: Some(TenantId(0)),
-            hint: Some(12_000_000),
+            cost_hint: Some(12_000_000),
             key: Some(0x91f0_3b7c_55d2_0a64),
-            not_after: 0x0000_0002_03b6_db90,
+            deadline: 0x0000_0002_03b6_db90,
         })
     );
-    let server = ServerId(0x0312_4a07);
-    let (attempt, outcome) = (AttemptNo(0), Outcome::Ok);
+    let server = EndpointId(0x0312_4a07);
+    let (attempt, outcome) = (AttemptNo(0), AttemptOutcome::Success);
     assert_eq!(
         events[2],
-        &Event::Ended(Ended { id, attempt, server, outcome, took: 18_500_000, complete: true })
+        &Event::AttemptEnded(AttemptEnded {
+            id,
+            attempt,
+            endpoint: server,
+            outcome,
+            duration: 18_500_000,
+            final_answer: true
+        })
     );
-    assert_eq!(events[3], &Event::Timer(TimerToken(0x4d)));
-    assert_eq!(events[4], &Event::ClientGone(RequestId(0x0e6f_2b19)));
+    assert_eq!(events[3], &Event::TimerFired(TimerToken(0x4d)));
+    assert_eq!(events[4], &Event::ClientDisconnected(RequestId(0x0e6f_2b19)));
 }
 
 #[test]
 fn examples_are_written() {
     let mut reply = Reply::default();
-    let (id, server) = (RequestId(0x5d3a_91c4), ServerId(0x0312_4a07));
-    reply.push(3, &Action::Send { id, server, timeout: Some(80_000_000), by: None });
-    reply.push(3, &Action::Timer { at: 0x0000_0002_1336_2490, token: TimerToken(0x4d) });
+    let (id, server) = (RequestId(0x5d3a_91c4), EndpointId(0x0312_4a07));
+    reply.push(
+        3,
+        &Action::StartAttempt { id, endpoint: server, timeout: Some(80_000_000), start_before: None },
+    );
+    reply.push(3, &Action::ArmTimer { at: 0x0000_0002_1336_2490, token: TimerToken(0x4d) });
     reply.log(5, "two servers known");
     let mut out = Vec::new();
     reply.finish(12, &mut out);
@@ -177,7 +189,9 @@
     ];
     let batch = decoder.decode(&frame(6, &records.concat())).unwrap();
     assert_eq!(batch.input.len(), 3);
-    assert!(matches!(&batch.input[1].1, Input::Event(Event::Members(ListChange::Cached(l))) if l.is_empty()));
+    assert!(
+        matches!(&batch.input[1].1, Input::Event(Event::EndpointsUpdated(EndpointUpdate::Restored(l))) if l.is_empty())
+    );
     assert!(matches!(batch.input[2].1, Input::Killed));
     let nan = ENDED.replace("00006841", "0000c07f");
     let batch = decoder.decode(&frame(2, &[begin(3, &settings()), hex(&nan)].concat())).unwrap();
--- a/crates/testbed/src/world/levels.rs
+++ b/crates/testbed/src/world/levels.rs
@@ -13,7 +13,7 @@
 use pumicehead_capacity_leases::view::View;
 use pumicehead_capacity_leases::wire::{Body, Frames, Plan, Report, Sighting, frame};
 use pumicehead_capacity_leases::{ForwarderId, PlannerId};
-use pumicehead_policy::interface::{Advice, Nanos, SECOND, ServerId};
+use pumicehead_policy::interface::{CapacityAdvice, EndpointId, Nanos, SECOND};
 
 /// How often a node reports to each planner.
 pub const PACE: Nanos = SECOND / 2;
@@ -64,7 +64,7 @@
     pub fn report(
         &mut self,
         place: usize,
-        shares: impl Iterator<Item = (ServerId, f64)>,
+        shares: impl Iterator<Item = (EndpointId, f64)>,
         now: Nanos,
     ) -> Bytes {
         self.holder.set_own(shares.map(|(server, rate)| (server, Rate::per_second(rate))));
@@ -94,7 +94,7 @@
     }
 
     /// What all planners together advise now: what any of them advises against is advised against.
-    pub fn advice(&self, now: Nanos) -> Advice {
+    pub fn advice(&self, now: Nanos) -> CapacityAdvice {
         let lease = Terms::at_least(TERMS.lease);
         let (mut avoid, mut draining) = (BTreeSet::new(), BTreeMap::new());
         let live = self.sides.iter().filter(|side| side.heard > 0 && now < side.heard + lease);
@@ -102,18 +102,18 @@
         for (&server, value) in live.flat_map(|side| side.advice.table()) {
             let Ok(said) = Sighting::decode(value.clone()) else { continue };
             if said.failed > 0 {
-                avoid.insert(ServerId(server));
+                avoid.insert(EndpointId(server));
             }
             if said.draining {
-                draining.insert(ServerId(server), said.born);
+                draining.insert(EndpointId(server), said.born);
             }
         }
         let rates =
-            |rates: BTreeMap<ServerId, Rate>| rates.into_iter().map(|(id, rate)| (id, rate.requests()));
+            |rates: BTreeMap<EndpointId, Rate>| rates.into_iter().map(|(id, rate)| (id, rate.requests()));
         let (granted, granted_for) = self.holder.granted(now);
-        Advice {
+        CapacityAdvice {
             age: now - latest,
-            lasts: lease,
+            valid_for: lease,
             avoid: avoid.into_iter().collect(),
             draining: draining.into_iter().collect(),
             lent: rates(self.holder.all_lent(now)).collect(),
@@ -156,7 +156,7 @@
             }
             for (server, value) in &delta.set {
                 if let Ok(sighting) = Sighting::decode(value.clone()) {
-                    self.view.hear(from, ServerId(*server), &sighting, now);
+                    self.view.hear(from, EndpointId(*server), &sighting, now);
                 }
             }
         }
@@ -164,7 +164,7 @@
             self.ledger.expire(now);
             let merged =
                 self.view.merged(now).into_iter().filter(|(_, server)| server.avoid || server.draining);
-            let entry = |(id, server): (ServerId, pumicehead_capacity_leases::view::Merged)| {
+            let entry = |(id, server): (EndpointId, pumicehead_capacity_leases::view::Merged)| {
                 let said = Sighting {
                     born: server.born,
                     draining: server.draining,
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -11,8 +11,9 @@
 use bytes::Bytes;
 use pumicehead_capacity_leases::{ForwarderId, PlannerId};
 use pumicehead_policy::interface::{
-    Action, AttemptNo, CellId, Class, ClassId, Condition, Discovery, Effect, Ended, Event, ListChange, Nanos,
-    NewRequest, Outcome, RequestId, SECOND, ServerId, ServerInfo, Settings, TimerToken, ZoneId,
+    Action, AttemptEnded, AttemptNo, AttemptOutcome, CellId, Class, ClassId, Discovery, EndpointId,
+    EndpointInfo, EndpointState, EndpointUpdate, Event, Idempotency, Nanos, NewRequest, RequestId, SECOND,
+    Settings, TimerToken, ZoneId,
 };
 use pumicehead_policy::policy::Balancer;
 use pumicehead_policy::tenant_shares::TenantShares;
@@ -141,61 +142,61 @@
 
 fn classes() -> Vec<Class> {
     let class = |place: usize, worth, effect| Class {
-        aim: AIMS[place],
-        aim_stretch: 0.0,
+        latency_objective: AIMS[place],
+        objective_per_work: 0.0,
         deadline: DEADLINES[place],
-        worth,
-        late_worth: 0.2,
-        effect,
-        keep_order: false,
+        priority_weight: worth,
+        late_weight: 0.2,
+        idempotency: effect,
+        ordered_by_key: false,
     };
-    vec![class(0, 1.0, Effect::Safe), class(1, 10.0, Effect::Unsafe)]
+    vec![class(0, 1.0, Idempotency::Idempotent), class(1, 10.0, Idempotency::NotIdempotent)]
 }
 
 fn settings(day: &Day, me: u32) -> Settings {
     Settings {
-        me,
-        nodes: day.nodes,
+        node_index: me,
+        node_count: day.nodes,
         zone: ZoneId(0),
-        zones: 1,
+        zone_count: 1,
         classes: classes(),
         tenants: TenantShares::default(),
-        over_share_worth: 0.2,
-        worth_by_work: false,
+        over_share_weight: 0.2,
+        weight_by_work: false,
         discovery: Discovery::Push,
         tick: SECOND / 1_000,
         max_attempts: 3,
-        parallel_tries: true,
-        cancel: true,
+        concurrent_attempts: true,
+        cancellation: true,
         retry_after: true,
         max_retry_after: 2 * SECOND,
-        connections_priced: false,
-        crossing_price: 0.0,
-        weights_tell_size: false,
-        peers: day.notes,
-        peer_price: 0.001,
-        ask_every: 10 * SECOND,
+        connections_have_cost: false,
+        cross_zone_cost: 0.0,
+        weight_is_capacity: false,
+        load_reports: day.notes,
+        load_report_cost: 0.001,
+        poll_interval: 10 * SECOND,
         drain_grace: 2 * SECOND,
-        cold_from: COLD_FROM,
-        cold_span: COLD_SPAN,
-        fall_multiple: FALL_MULTIPLE,
-        fall_span: FALL_SPAN,
-        full_unproven: false,
-        order_settle: 0,
-        hang_up_within: None,
+        warmup_initial_fraction: COLD_FROM,
+        warmup_duration: COLD_SPAN,
+        overload_multiple: FALL_MULTIPLE,
+        overload_duration: FALL_SPAN,
+        rejection_may_execute: false,
+        key_cooldown: 0,
+        drain_idle_close: None,
     }
 }
 
-const OUTCOMES: [Outcome; 6] = [
-    Outcome::Ok,
-    Outcome::Error,
-    Outcome::Full,
-    Outcome::ConnectFailed,
-    Outcome::TimedOut,
-    Outcome::Cancelled,
+const OUTCOMES: [AttemptOutcome; 6] = [
+    AttemptOutcome::Success,
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::Cancelled,
 ];
 
-fn code(outcome: Outcome) -> u8 {
+fn code(outcome: AttemptOutcome) -> u8 {
     OUTCOMES.iter().position(|known| *known == outcome).unwrap_or(1) as u8
 }
 
@@ -230,9 +231,9 @@
             pairs: std::collections::HashSet::new(),
             tally: Tally::default(),
         };
-        let list: Arc<[ServerInfo]> = (0..world.servers.len()).map(|server| world.info(server)).collect();
+        let list: Arc<[EndpointInfo]> = (0..world.servers.len()).map(|server| world.info(server)).collect();
         for node in 0..world.nodes.len() {
-            world.tell(node, Event::Members(ListChange::Full(list.clone())));
+            world.tell(node, Event::EndpointsUpdated(EndpointUpdate::Snapshot(list.clone())));
         }
         world.push(world.now, Due::Arrive);
         for node in 0..world.nodes.len() {
@@ -246,13 +247,17 @@
         world
     }
 
-    fn info(&self, server: usize) -> ServerInfo {
+    fn info(&self, server: usize) -> EndpointInfo {
         let known = &self.servers[server];
-        ServerInfo {
-            id: ServerId(server as u32),
+        EndpointInfo {
+            id: EndpointId(server as u32),
             zone: ZoneId(0),
             cell: CellId(0),
-            condition: if known.draining_since.is_some() { Condition::Draining } else { Condition::Ready },
+            state: if known.draining_since.is_some() {
+                EndpointState::Draining
+            } else {
+                EndpointState::Ready
+            },
             weight: 1.0,
             started_at: known.started_at,
         }
@@ -344,19 +349,19 @@
             Due::End { node, id, attempt, outcome } => {
                 self.end(node, id, attempt, OUTCOMES[usize::from(outcome)])
             }
-            Due::Timer { node, token } => self.tell(node, Event::Timer(TimerToken(token))),
+            Due::Timer { node, token } => self.tell(node, Event::TimerFired(TimerToken(token))),
             Due::Overdue { node, id } => self.overdue(node, id),
             Due::Note { to, from, note } => {
                 let body = self.notes[note].to_vec();
-                self.tell(to, Event::Note { from: from as u32, body });
+                self.tell(to, Event::LoadReport { from: from as u32, body });
             }
             Due::News { node, server } => {
                 let known = &self.servers[server];
                 if known.draining_since.is_some() {
                     self.forwarders[node].draining(server as u32, known.started_at);
                 }
-                let change = ListChange::Delta(Arc::from([self.info(server)]));
-                self.tell(node, Event::Members(change));
+                let change = EndpointUpdate::Delta(Arc::from([self.info(server)]));
+                self.tell(node, Event::EndpointsUpdated(change));
             }
             Due::Report { node, place } => {
                 self.push(self.now + levels::PACE, Due::Report { node, place });
@@ -365,7 +370,7 @@
                     let bytes = self.forwarders[node].report(place, shares, self.now);
                     // What is lent is done without before anybody hears of it.
                     let advice = self.forwarders[node].advice(self.now);
-                    self.tell(node, Event::Advice(advice));
+                    self.tell(node, Event::CapacityAdvice(advice));
                     let message = self.carry(bytes);
                     self.push(self.now + HOP, Due::Told { node, place, message });
                 }
@@ -387,7 +392,7 @@
                     };
                     self.tally.grants +=
                         u64::from(advice.granted.iter().any(|&(server, rate)| rate > lent(server)));
-                    self.tell(node, Event::Advice(advice));
+                    self.tell(node, Event::CapacityAdvice(advice));
                 }
             }
             Due::Second => {
@@ -417,9 +422,9 @@
             id: RequestId(id),
             class: ClassId(class as u16),
             tenant: None,
-            hint: None,
+            cost_hint: None,
             key: None,
-            not_after,
+            deadline: not_after,
         };
         self.tell(node, Event::Request(request));
     }
@@ -434,8 +439,10 @@
 
     fn act(&mut self, node: usize, action: Action) {
         match action {
-            Action::Send { id, server, timeout, .. } => self.send(node, id.0, server.0 as usize, timeout),
-            Action::Refuse { id, .. } => {
+            Action::StartAttempt { id, endpoint, timeout, .. } => {
+                self.send(node, id.0, endpoint.0 as usize, timeout)
+            }
+            Action::Reject { id, .. } => {
                 if self.answer(node, id.0) {
                     self.tally.refused += 1;
                 }
@@ -445,18 +452,18 @@
                     self.tally.failed += 1;
                 }
             }
-            Action::Cancel { id, attempt } => {
-                let outcome = code(Outcome::Cancelled);
+            Action::CancelAttempt { id, attempt } => {
+                let outcome = code(AttemptOutcome::Cancelled);
                 // Told as any end, by which time it may have ended otherwise.
                 self.push(self.now, Due::End { node, id: id.0, attempt: attempt.0, outcome });
             }
-            Action::Timer { at, token } => self.push(at, Due::Timer { node, token: token.0 }),
-            Action::Tell { to, body } => {
+            Action::ArmTimer { at, token } => self.push(at, Due::Timer { node, token: token.0 }),
+            Action::SendLoadReport { to, body } => {
                 self.notes.push(body);
                 let note = self.notes.len() - 1;
                 self.push(self.now + HOP, Due::Note { to: to as usize, from: node, note });
             }
-            Action::FreeLinks(_) | Action::Subscribe => {}
+            Action::CloseIdleConnections(_) | Action::Subscribe => {}
         }
     }
 
@@ -476,7 +483,7 @@
             *self.tally.at_failing.entry(self.now / SECOND).or_default() += 1;
         }
         self.push(self.now + HOP, Due::Reach { node, id, attempt, server });
-        let outcome = code(Outcome::TimedOut);
+        let outcome = code(AttemptOutcome::TimedOut);
         self.push(until, Due::End { node, id, attempt, outcome });
     }
 
@@ -493,10 +500,10 @@
             self.restart(server);
         }
         let outcome = match self.servers[server].health {
-            Health::Failing => Some(Outcome::Error),
+            Health::Failing => Some(AttemptOutcome::Error),
             Health::Silent => return,
-            Health::Sound if fell => Some(Outcome::ConnectFailed),
-            Health::Sound => (!self.servers[server].has_room()).then_some(Outcome::Full),
+            Health::Sound if fell => Some(AttemptOutcome::ConnectFailed),
+            Health::Sound => (!self.servers[server].has_room()).then_some(AttemptOutcome::Rejected),
         };
         if let Some(outcome) = outcome {
             self.push(now + HOP, Due::End { node, id, attempt, outcome: code(outcome) });
@@ -523,13 +530,13 @@
         // Of a process that is gone nothing comes.
         let Some((job, next)) = self.servers[server].finish(number) else { return };
         let Job { node, id, attempt } = job;
-        self.push(self.now + HOP, Due::End { node, id, attempt, outcome: code(Outcome::Ok) });
+        self.push(self.now + HOP, Due::End { node, id, attempt, outcome: code(AttemptOutcome::Success) });
         if let Some(next) = next {
             self.work(server, next);
         }
     }
 
-    fn end(&mut self, node: usize, id: u32, attempt: u8, outcome: Outcome) {
+    fn end(&mut self, node: usize, id: u32, attempt: u8, outcome: AttemptOutcome) {
         let now = self.now;
         let Some(asked) = self.nodes[node].asked.get_mut(&id) else { return };
         let Some((server, sent, out)) = asked.attempts.get_mut(usize::from(attempt)) else { return };
@@ -537,24 +544,24 @@
             return;
         }
         let (server, took) = (*server, now - *sent);
-        if outcome == Outcome::Ok && !std::mem::replace(&mut asked.answered, true) {
+        if outcome == AttemptOutcome::Success && !std::mem::replace(&mut asked.answered, true) {
             self.tally.served += 1;
             self.tally.in_aim += u64::from(now - asked.arrived <= AIMS[asked.class]);
         }
-        if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::TimedOut) {
+        if matches!(outcome, AttemptOutcome::Success | AttemptOutcome::Error | AttemptOutcome::TimedOut) {
             let born = self.servers[server].started_at;
-            self.forwarders[node].ended(server as u32, born, outcome != Outcome::Ok);
+            self.forwarders[node].ended(server as u32, born, outcome != AttemptOutcome::Success);
         }
         let complete = asked.answered;
-        let ended = Ended {
+        let ended = AttemptEnded {
             id: RequestId(id),
             attempt: AttemptNo(attempt),
-            server: ServerId(server as u32),
+            endpoint: EndpointId(server as u32),
             outcome,
-            took,
-            complete,
+            duration: took,
+            final_answer: complete,
         };
-        self.tell(node, Event::Ended(ended));
+        self.tell(node, Event::AttemptEnded(ended));
     }
 
     fn overdue(&mut self, node: usize, id: u32) {
@@ -562,6 +569,6 @@
         if !asked.answered {
             self.tally.lost += 1;
         }
-        self.tell(node, Event::ClientGone(RequestId(id)));
+        self.tell(node, Event::ClientDisconnected(RequestId(id)));
     }
 }
