--- a/crates/capacity-leases/src/holder.rs
+++ b/crates/capacity-leases/src/holder.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use pumicehead_policy::interface::{EndpointId, Nanos};
+use pumicehead_policy::{EndpointId, Nanos};
 use rustc_hash::FxHashMap;
 
 use crate::room::{Rate, Standing};
--- a/crates/capacity-leases/src/ledger.rs
+++ b/crates/capacity-leases/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use pumicehead_policy::interface::{EndpointId, Nanos};
+use pumicehead_policy::{EndpointId, Nanos};
 use rustc_hash::FxHashMap;
 
 use crate::holder::{Granting, Lending, MOST_COLD};
--- a/crates/capacity-leases/src/room.rs
+++ b/crates/capacity-leases/src/room.rs
@@ -3,7 +3,7 @@
 use std::iter::Sum;
 use std::ops::{Add, AddAssign};
 
-use pumicehead_policy::interface::Nanos;
+use pumicehead_policy::Nanos;
 
 /// So much work for a cold server, in millionths of a request a second, before its ramp: at a third of its ramp a third
 /// of it. Whole numbers, so that sums of many are exact.
--- a/crates/capacity-leases/src/terms.rs
+++ b/crates/capacity-leases/src/terms.rs
@@ -1,6 +1,6 @@
 //! What both levels must agree on. All spans are measured on one machine's own clock; points in time never travel.
 
-use pumicehead_policy::interface::{Nanos, SECOND};
+use pumicehead_policy::{Nanos, SECOND};
 use thiserror::Error;
 
 /// Clocks of two machines may run apart by one part in so many, 2%: oscillators are off by 0.01%, and a clock that is
--- a/crates/capacity-leases/src/view.rs
+++ b/crates/capacity-leases/src/view.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use pumicehead_policy::interface::{EndpointId, Nanos, SECOND};
+use pumicehead_policy::{EndpointId, Nanos, SECOND};
 use rustc_hash::FxHashMap;
 
 use crate::ForwarderId;
--- a/crates/capacity-leases/src/wire.rs
+++ b/crates/capacity-leases/src/wire.rs
@@ -12,7 +12,7 @@
 use crate::room::Rate;
 use crate::sync::Delta;
 use crate::{PlanNo, PlannerId, ReportNo};
-use pumicehead_policy::interface::EndpointId;
+use pumicehead_policy::EndpointId;
 
 /// This version.
 pub const VERSION: u32 = 1;
--- a/crates/capacity-leases/tests/rights.rs
+++ b/crates/capacity-leases/tests/rights.rs
@@ -12,7 +12,7 @@
 use pumicehead_capacity_leases::room::Rate;
 use pumicehead_capacity_leases::terms::Terms;
 use pumicehead_capacity_leases::{ForwarderId, PlannerId};
-use pumicehead_policy::interface::{EndpointId, Nanos, SECOND};
+use pumicehead_policy::{EndpointId, Nanos, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/capacity-leases/tests/view.rs
+++ b/crates/capacity-leases/tests/view.rs
@@ -3,7 +3,7 @@
 use pumicehead_capacity_leases::ForwarderId;
 use pumicehead_capacity_leases::view::View;
 use pumicehead_capacity_leases::wire::Sighting;
-use pumicehead_policy::interface::{EndpointId, Nanos, SECOND};
+use pumicehead_policy::{EndpointId, Nanos, SECOND};
 
 const A: ForwarderId = ForwarderId(1);
 const B: ForwarderId = ForwarderId(2);
--- a/crates/config/src/check/blocks.rs
+++ b/crates/config/src/check/blocks.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use http::Method;
-use pumicehead_policy::interface::{DedupScope, Discovery, Nanos};
+use pumicehead_policy::{DedupScope, Discovery, Nanos};
 use pumicehead_route::{HeaderRule, HostPattern, Methods, Route as Pattern};
 
 use super::reader::{Reader, address, header, server_address, small, within};
--- a/crates/config/src/diff.rs
+++ b/crates/config/src/diff.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::fmt;
 
-use pumicehead_policy::interface::{DedupScope, Discovery};
+use pumicehead_policy::{DedupScope, Discovery};
 use pumicehead_resources::{self as resources, Delta, ResourceId};
 use pumicehead_route::Methods;
 
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -5,10 +5,10 @@
 use std::ops::Index;
 use std::path::PathBuf;
 
-use pumicehead_policy::interface::{
+use pumicehead_policy::tenant_shares::TenantShares;
+use pumicehead_policy::{
     Class as PolicyClass, DedupScope, Discovery, Idempotency, Nanos, Settings, Tenant as PolicyTenant, ZoneId,
 };
-use pumicehead_policy::tenant_shares::TenantShares;
 use pumicehead_route::{Matcher, Route as Pattern};
 
 use crate::span::Span;
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,6 +1,6 @@
 //! Times, sizes, shares and numbers as they are written. Times and sizes always carry a unit.
 
-use pumicehead_policy::interface::Nanos;
+use pumicehead_policy::Nanos;
 
 use crate::diag::nearest;
 
--- a/crates/config/tests/meaning.rs
+++ b/crates/config/tests/meaning.rs
@@ -6,7 +6,7 @@
 use pumicehead_config::diff::{Shown, diff};
 use pumicehead_config::explain::{Request, explain};
 use pumicehead_config::units;
-use pumicehead_policy::interface::{DedupScope, Idempotency, SECOND, TenantId};
+use pumicehead_policy::{DedupScope, Idempotency, SECOND, TenantId};
 
 /// What the diff says of a change to the sound text.
 fn changes(from: &str, to: &str) -> Vec<String> {
--- a/crates/flight-recorder/src/account.rs
+++ b/crates/flight-recorder/src/account.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use pumicehead_policy::interface::{Nanos, SECOND};
+use pumicehead_policy::{Nanos, SECOND};
 
 use crate::bytes::{Reader, put, put_f32};
 use crate::event::PoolId;
--- a/crates/flight-recorder/src/breakdown.rs
+++ b/crates/flight-recorder/src/breakdown.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use pumicehead_policy::interface::Nanos;
+use pumicehead_policy::Nanos;
 
 use crate::account::{Accounts, Loss, LossKey, NOBODY};
 use crate::dump::{Dump, Head};
--- a/crates/flight-recorder/src/cause.rs
+++ b/crates/flight-recorder/src/cause.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use pumicehead_policy::interface::{AttemptOutcome, Nanos};
+use pumicehead_policy::{AttemptOutcome, Nanos};
 
 use crate::account::{Accounts, Flow, LossKey, NOBODY, Served, ServerKey};
 use crate::dump::Head;
--- a/crates/flight-recorder/src/dump.rs
+++ b/crates/flight-recorder/src/dump.rs
@@ -5,7 +5,7 @@
 //! what matters most first; last an end. A frame that is damaged ends what can be read, and all before it counts. A
 //! kind that is not known is passed over: a later version may add some without another number.
 
-use pumicehead_policy::interface::Nanos;
+use pumicehead_policy::Nanos;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
--- a/crates/flight-recorder/src/event.rs
+++ b/crates/flight-recorder/src/event.rs
@@ -3,8 +3,10 @@
 //! A record is its length, the microseconds since the record before it, the pool, a tag and the fields. Unknown tags are
 //! passed over by their length: a later version may add some.
 
-use pumicehead_policy::interface::{AttemptNo, AttemptOutcome, EndpointId, Nanos, RequestId};
-use pumicehead_policy::note::{Hurdles, Moved, Note, Rule, Stop};
+use pumicehead_policy::decision_event::{
+    DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RejectionReason,
+};
+use pumicehead_policy::{AttemptNo, AttemptOutcome, EndpointId, Nanos, RequestId};
 
 use crate::bytes::{Reader, put, put_bytes, put_f32, put_some};
 use crate::text::Name;
@@ -100,7 +102,7 @@
         revision: Option<u64>,
     },
     /// What the module says of its reasons.
-    Note(Note),
+    Note(DecisionEvent),
     /// An attempt began.
     Sent {
         /// Of this request.
@@ -199,7 +201,12 @@
     AttemptOutcome::Cancelled,
     AttemptOutcome::NotSent,
 ];
-const STOPS: [Stop; 4] = [Stop::Attempts, Stop::Effect, Stop::Time, Stop::Budget];
+const STOPS: [NoRetryReason; 4] = [
+    NoRetryReason::AttemptsExhausted,
+    NoRetryReason::NotIdempotent,
+    NoRetryReason::NoTimeLeft,
+    NoRetryReason::RetryBudgetSpent,
+];
 
 /// Place of an outcome in rows of counts.
 #[must_use]
@@ -217,21 +224,23 @@
     all.get(usize::from(place)).copied()
 }
 
-fn rule_code(rule: Rule) -> u8 {
+fn rule_code(rule: RejectionReason) -> u8 {
     match rule {
-        Rule::WaitShare => 0,
-        Rule::NearlyOut => 1,
-        Rule::NoTurn => 2,
-        Rule::NoRetry(stop) => 3 + STOPS.iter().position(|&known| known == stop).unwrap_or_default() as u8,
+        RejectionReason::QueueTooLong => 0,
+        RejectionReason::QueueTimeout => 1,
+        RejectionReason::KeyOrderTimeout => 2,
+        RejectionReason::NoRetry(stop) => {
+            3 + STOPS.iter().position(|&known| known == stop).unwrap_or_default() as u8
+        }
     }
 }
 
-fn rule_of(code: u8) -> Option<Rule> {
+fn rule_of(code: u8) -> Option<RejectionReason> {
     Some(match code {
-        0 => Rule::WaitShare,
-        1 => Rule::NearlyOut,
-        2 => Rule::NoTurn,
-        code => Rule::NoRetry(at(&STOPS, code - 3)?),
+        0 => RejectionReason::QueueTooLong,
+        1 => RejectionReason::QueueTimeout,
+        2 => RejectionReason::KeyOrderTimeout,
+        code => RejectionReason::NoRetry(at(&STOPS, code - 3)?),
     })
 }
 
@@ -246,11 +255,11 @@
             | Self::Began { id, .. }
             | Self::Over { id, .. }
             | Self::Note(
-                Note::Taken { id, .. }
-                | Note::Held { id, .. }
-                | Note::Picked { id, .. }
-                | Note::NoneFits { id, .. }
-                | Note::Over { id, .. },
+                DecisionEvent::Classified { id, .. }
+                | DecisionEvent::Queued { id, .. }
+                | DecisionEvent::EndpointSelected { id, .. }
+                | DecisionEvent::NoEndpointAvailable { id, .. }
+                | DecisionEvent::AnsweredWithoutEndpoint { id, .. },
             ) => Some(id),
             _ => None,
         }
@@ -384,77 +393,91 @@
     }
 }
 
-fn encode_note(note: &Note, out: &mut Vec<u8>) {
+fn encode_note(note: &DecisionEvent, out: &mut Vec<u8>) {
     let mut start = |tag: u8, first: u32| {
         out.push(tag);
         put(out, u64::from(first));
     };
     match *note {
-        Note::Taken { id, tier, worth, aim_at } => {
+        DecisionEvent::Classified { id, tier, priority_weight, objective_deadline } => {
             start(32, id.0);
             out.push(tier);
-            put_f32(out, worth);
-            put(out, aim_at);
+            put_f32(out, priority_weight);
+            put(out, objective_deadline);
         }
-        Note::Held { id, held } => {
+        DecisionEvent::Queued { id, queued } => {
             start(33, id.0);
-            put(out, u64::from(held));
+            put(out, u64::from(queued));
         }
-        Note::Picked { id, server, score, next, out: used, limit, hurdles } => {
+        DecisionEvent::EndpointSelected {
+            id,
+            endpoint,
+            score,
+            runner_up,
+            in_flight: used,
+            limit,
+            exclusions,
+        } => {
             start(34, id.0);
-            put(out, u64::from(server.0));
+            put(out, u64::from(endpoint.0));
             put_f32(out, score);
-            put_some(out, next.map(|(server, _)| u64::from(server.0)));
-            if let Some((_, score)) = next {
+            put_some(out, runner_up.map(|(server, _)| u64::from(server.0)));
+            if let Some((_, score)) = runner_up {
                 put_f32(out, score);
             }
             put(out, u64::from(used));
             put_f32(out, limit);
-            out.extend_from_slice(&hurdles.0);
+            out.extend_from_slice(&exclusions.0);
         }
-        Note::NoneFits { id, hurdles } => {
+        DecisionEvent::NoEndpointAvailable { id, exclusions } => {
             start(35, id.0);
-            out.extend_from_slice(&hurdles.0);
+            out.extend_from_slice(&exclusions.0);
         }
-        Note::Over { id, rule, pressure } => {
+        DecisionEvent::AnsweredWithoutEndpoint { id, reason, pressure } => {
             start(36, id.0);
-            out.push(rule_code(rule));
+            out.push(rule_code(reason));
             put_f32(out, pressure);
         }
-        Note::Limit { server, from, to, why } => {
-            start(37, server.0);
+        DecisionEvent::LimitChanged { endpoint, from, to, reason } => {
+            start(37, endpoint.0);
             put_f32(out, from);
             put_f32(out, to);
-            out.push(u8::from(why == Moved::Failure));
+            out.push(u8::from(reason == LimitChangeReason::Failure));
         }
-        Note::Limits { factor, load } => {
+        DecisionEvent::AllLimitsChanged { factor, utilization } => {
             start(38, 0);
             put_f32(out, factor);
-            put_f32(out, load);
+            put_f32(out, utilization);
         }
-        Note::Aside { server, span } => {
-            start(39, server.0);
-            put(out, span);
+        DecisionEvent::Ejected { endpoint, duration } => {
+            start(39, endpoint.0);
+            put(out, duration);
         }
-        Note::Back { server } => start(40, server.0),
-        Note::Doubt { bad, all, most } => {
-            start(41, bad);
-            put(out, u64::from(all));
-            out.push(u8::from(most));
+        DecisionEvent::Reinstated { endpoint } => start(40, endpoint.0),
+        DecisionEvent::OutlierRatio { outliers, total, panic_mode } => {
+            start(41, outliers);
+            put(out, u64::from(total));
+            out.push(u8::from(panic_mode));
         }
-        Note::Overload { held } => start(42, held),
-        Note::Calm => start(43, 0),
-        Note::ListLost => start(44, 0),
-        Note::ListRegained => start(45, 0),
+        DecisionEvent::OverloadStarted { queued } => start(42, queued),
+        DecisionEvent::OverloadEnded => start(43, 0),
+        DecisionEvent::WatchLost => start(44, 0),
+        DecisionEvent::WatchRestored => start(45, 0),
     }
 }
 
-fn decode_note(tag: u8, first: u32, from: &mut Reader<'_>) -> Option<Note> {
+fn decode_note(tag: u8, first: u32, from: &mut Reader<'_>) -> Option<DecisionEvent> {
     let (id, server) = (RequestId(first), EndpointId(first));
-    let hurdles = |from: &mut Reader<'_>| from.take(5).and_then(|counts| counts.try_into().ok()).map(Hurdles);
+    let hurdles =
+        |from: &mut Reader<'_>| from.take(5).and_then(|counts| counts.try_into().ok()).map(ExclusionReasons);
     Some(match tag {
-        32 => Note::Taken { id, tier: from.byte()?, worth: from.f32()?, aim_at: from.number()? },
-        33 => Note::Held { id, held: from.small()? },
+        32 => DecisionEvent::Classified {
+            id,
+            tier: from.byte()?,
+            priority_weight: from.f32()?,
+            objective_deadline: from.number()?,
+        },
+        33 => DecisionEvent::Queued { id, queued: from.small()? },
         34 => {
             let (server, score) = (EndpointId(from.small()?), from.f32()?);
             let next = match from.some()? {
@@ -462,24 +485,44 @@
                 None => None,
             };
             let (out, limit) = (from.small()?, from.f32()?);
-            Note::Picked { id, server, score, next, out, limit, hurdles: hurdles(from)? }
+            DecisionEvent::EndpointSelected {
+                id,
+                endpoint: server,
+                score,
+                runner_up: next,
+                in_flight: out,
+                limit,
+                exclusions: hurdles(from)?,
+            }
         }
-        35 => Note::NoneFits { id, hurdles: hurdles(from)? },
-        36 => Note::Over { id, rule: rule_of(from.byte()?)?, pressure: from.f32()? },
-        37 => Note::Limit {
-            server,
+        35 => DecisionEvent::NoEndpointAvailable { id, exclusions: hurdles(from)? },
+        36 => DecisionEvent::AnsweredWithoutEndpoint {
+            id,
+            reason: rule_of(from.byte()?)?,
+            pressure: from.f32()?,
+        },
+        37 => DecisionEvent::LimitChanged {
+            endpoint: server,
             from: from.f32()?,
             to: from.f32()?,
-            why: if from.byte()? == 0 { Moved::Compared } else { Moved::Failure },
+            reason: if from.byte()? == 0 {
+                LimitChangeReason::ComparedLatency
+            } else {
+                LimitChangeReason::Failure
+            },
+        },
+        38 => DecisionEvent::AllLimitsChanged { factor: from.f32()?, utilization: from.f32()? },
+        39 => DecisionEvent::Ejected { endpoint: server, duration: from.number()? },
+        40 => DecisionEvent::Reinstated { endpoint: server },
+        41 => DecisionEvent::OutlierRatio {
+            outliers: first,
+            total: from.small()?,
+            panic_mode: from.byte()? != 0,
         },
-        38 => Note::Limits { factor: from.f32()?, load: from.f32()? },
-        39 => Note::Aside { server, span: from.number()? },
-        40 => Note::Back { server },
-        41 => Note::Doubt { bad: first, all: from.small()?, most: from.byte()? != 0 },
-        42 => Note::Overload { held: first },
-        43 => Note::Calm,
-        44 => Note::ListLost,
-        45 => Note::ListRegained,
+        42 => DecisionEvent::OverloadStarted { queued: first },
+        43 => DecisionEvent::OverloadEnded,
+        44 => DecisionEvent::WatchLost,
+        45 => DecisionEvent::WatchRestored,
         _ => return None,
     })
 }
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -1,7 +1,7 @@
 //! Stories in forms that other viewers open: OTLP/JSON (one `TracesData` a line, as the OpenTelemetry protocol's file
 //! exporter writes it) and Chrome's trace events (the "Trace Event Format", JSON object form).
 
-use pumicehead_policy::interface::{AttemptOutcome, Nanos};
+use pumicehead_policy::{AttemptOutcome, Nanos};
 use serde_json::{Value, json};
 
 use crate::dump::Dump;
@@ -60,7 +60,7 @@
 
 /// Eight bytes that name a span: the same dump gives the same ids.
 fn id(story: &Story, from: Nanos, part: u64) -> u64 {
-    pumicehead_policy::meter::mix(
+    pumicehead_policy::hash_ring::mix(
         story.name.hash ^ from.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15),
     )
     .max(1)
--- a/crates/flight-recorder/src/export_names.rs
+++ b/crates/flight-recorder/src/export_names.rs
@@ -4,23 +4,25 @@
 
 use std::fmt::{self, Debug, Formatter};
 
-use pumicehead_policy::interface::EndpointId;
-use pumicehead_policy::note::{Hurdles, Moved, Note, Rule, Stop};
+use pumicehead_policy::EndpointId;
+use pumicehead_policy::decision_event::{
+    DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RejectionReason,
+};
 
 /// Formats a decision event under its exported names.
-pub(crate) struct Exported<'a>(pub &'a Note);
+pub(crate) struct Exported<'a>(pub &'a DecisionEvent);
 
 /// An id of an endpoint under its exported name.
 struct ExportedServer(EndpointId);
 
 /// Counts of exclusions under their exported name.
-struct ExportedHurdles(Hurdles);
+struct ExportedHurdles(ExclusionReasons);
 
 /// A name that is written without quotes.
 struct Bare(&'static str);
 
 /// The reason of a final answer under its exported name.
-struct ExportedRule(Rule);
+struct ExportedRule(RejectionReason);
 
 impl Debug for Bare {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
@@ -43,79 +45,95 @@
 impl Debug for ExportedRule {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Rule::WaitShare => out.write_str("WaitShare"),
-            Rule::NearlyOut => out.write_str("NearlyOut"),
-            Rule::NoTurn => out.write_str("NoTurn"),
-            Rule::NoRetry(stop) => out.debug_tuple("NoRetry").field(&Bare(stop_name(stop))).finish(),
+            RejectionReason::QueueTooLong => out.write_str("WaitShare"),
+            RejectionReason::QueueTimeout => out.write_str("NearlyOut"),
+            RejectionReason::KeyOrderTimeout => out.write_str("NoTurn"),
+            RejectionReason::NoRetry(stop) => {
+                out.debug_tuple("NoRetry").field(&Bare(stop_name(stop))).finish()
+            }
         }
     }
 }
 
-fn stop_name(stop: Stop) -> &'static str {
+fn stop_name(stop: NoRetryReason) -> &'static str {
     match stop {
-        Stop::Attempts => "Attempts",
-        Stop::Effect => "Effect",
-        Stop::Time => "Time",
-        Stop::Budget => "Budget",
+        NoRetryReason::AttemptsExhausted => "Attempts",
+        NoRetryReason::NotIdempotent => "Effect",
+        NoRetryReason::NoTimeLeft => "Time",
+        NoRetryReason::RetryBudgetSpent => "Budget",
     }
 }
 
-fn moved_name(why: Moved) -> &'static str {
+fn moved_name(why: LimitChangeReason) -> &'static str {
     match why {
-        Moved::Compared => "Compared",
-        Moved::Failure => "Failure",
+        LimitChangeReason::ComparedLatency => "Compared",
+        LimitChangeReason::Failure => "Failure",
     }
 }
 
 impl Debug for Exported<'_> {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         match self.0 {
-            Note::Taken { .. }
-            | Note::Held { .. }
-            | Note::Picked { .. }
-            | Note::NoneFits { .. }
-            | Note::Over { .. } => write_request_event(self.0, out),
-            Note::Limit { .. }
-            | Note::Limits { .. }
-            | Note::Aside { .. }
-            | Note::Back { .. }
-            | Note::Doubt { .. } => write_endpoint_event(self.0, out),
-            Note::Overload { held } => out.debug_struct("Overload").field("held", held).finish(),
-            Note::Calm => out.write_str("Calm"),
-            Note::ListLost => out.write_str("ListLost"),
-            Note::ListRegained => out.write_str("ListRegained"),
+            DecisionEvent::Classified { .. }
+            | DecisionEvent::Queued { .. }
+            | DecisionEvent::EndpointSelected { .. }
+            | DecisionEvent::NoEndpointAvailable { .. }
+            | DecisionEvent::AnsweredWithoutEndpoint { .. } => write_request_event(self.0, out),
+            DecisionEvent::LimitChanged { .. }
+            | DecisionEvent::AllLimitsChanged { .. }
+            | DecisionEvent::Ejected { .. }
+            | DecisionEvent::Reinstated { .. }
+            | DecisionEvent::OutlierRatio { .. } => write_endpoint_event(self.0, out),
+            DecisionEvent::OverloadStarted { queued } => {
+                out.debug_struct("Overload").field("held", queued).finish()
+            }
+            DecisionEvent::OverloadEnded => out.write_str("Calm"),
+            DecisionEvent::WatchLost => out.write_str("ListLost"),
+            DecisionEvent::WatchRestored => out.write_str("ListRegained"),
         }
     }
 }
 
 /// Events about one request.
-fn write_request_event(event: &Note, out: &mut Formatter<'_>) -> fmt::Result {
+fn write_request_event(event: &DecisionEvent, out: &mut Formatter<'_>) -> fmt::Result {
     match event {
-        Note::Taken { id, tier, worth, aim_at } => out
+        DecisionEvent::Classified { id, tier, priority_weight, objective_deadline } => out
             .debug_struct("Taken")
             .field("id", id)
             .field("tier", tier)
-            .field("worth", worth)
-            .field("aim_at", aim_at)
+            .field("worth", priority_weight)
+            .field("aim_at", objective_deadline)
             .finish(),
-        Note::Held { id, held } => out.debug_struct("Held").field("id", id).field("held", held).finish(),
-        Note::Picked { id, server, score, next, out: used, limit, hurdles } => out
+        DecisionEvent::Queued { id, queued } => {
+            out.debug_struct("Held").field("id", id).field("held", queued).finish()
+        }
+        DecisionEvent::EndpointSelected {
+            id,
+            endpoint,
+            score,
+            runner_up,
+            in_flight: used,
+            limit,
+            exclusions,
+        } => out
             .debug_struct("Picked")
             .field("id", id)
-            .field("server", &ExportedServer(*server))
+            .field("server", &ExportedServer(*endpoint))
             .field("score", score)
-            .field("next", &next.map(|(server, score)| (ExportedServer(server), score)))
+            .field("next", &runner_up.map(|(server, score)| (ExportedServer(server), score)))
             .field("out", used)
             .field("limit", limit)
-            .field("hurdles", &ExportedHurdles(*hurdles))
+            .field("hurdles", &ExportedHurdles(*exclusions))
             .finish(),
-        Note::NoneFits { id, hurdles } => {
-            out.debug_struct("NoneFits").field("id", id).field("hurdles", &ExportedHurdles(*hurdles)).finish()
-        }
-        Note::Over { id, rule, pressure } => out
+        DecisionEvent::NoEndpointAvailable { id, exclusions } => out
+            .debug_struct("NoneFits")
+            .field("id", id)
+            .field("hurdles", &ExportedHurdles(*exclusions))
+            .finish(),
+        DecisionEvent::AnsweredWithoutEndpoint { id, reason, pressure } => out
             .debug_struct("Over")
             .field("id", id)
-            .field("rule", &ExportedRule(*rule))
+            .field("rule", &ExportedRule(*reason))
             .field("pressure", pressure)
             .finish(),
         _ => Ok(()),
@@ -123,25 +141,32 @@
 }
 
 /// Events about endpoints and their limits.
-fn write_endpoint_event(event: &Note, out: &mut Formatter<'_>) -> fmt::Result {
+fn write_endpoint_event(event: &DecisionEvent, out: &mut Formatter<'_>) -> fmt::Result {
     match event {
-        Note::Limit { server, from, to, why } => out
+        DecisionEvent::LimitChanged { endpoint, from, to, reason } => out
             .debug_struct("Limit")
-            .field("server", &ExportedServer(*server))
+            .field("server", &ExportedServer(*endpoint))
             .field("from", from)
             .field("to", to)
-            .field("why", &Bare(moved_name(*why)))
+            .field("why", &Bare(moved_name(*reason)))
             .finish(),
-        Note::Limits { factor, load } => {
-            out.debug_struct("Limits").field("factor", factor).field("load", load).finish()
+        DecisionEvent::AllLimitsChanged { factor, utilization } => {
+            out.debug_struct("Limits").field("factor", factor).field("load", utilization).finish()
         }
-        Note::Aside { server, span } => {
-            out.debug_struct("Aside").field("server", &ExportedServer(*server)).field("span", span).finish()
-        }
-        Note::Back { server } => out.debug_struct("Back").field("server", &ExportedServer(*server)).finish(),
-        Note::Doubt { bad, all, most } => {
-            out.debug_struct("Doubt").field("bad", bad).field("all", all).field("most", most).finish()
+        DecisionEvent::Ejected { endpoint, duration } => out
+            .debug_struct("Aside")
+            .field("server", &ExportedServer(*endpoint))
+            .field("span", duration)
+            .finish(),
+        DecisionEvent::Reinstated { endpoint } => {
+            out.debug_struct("Back").field("server", &ExportedServer(*endpoint)).finish()
         }
+        DecisionEvent::OutlierRatio { outliers, total, panic_mode } => out
+            .debug_struct("Doubt")
+            .field("bad", outliers)
+            .field("all", total)
+            .field("most", panic_mode)
+            .finish(),
         _ => Ok(()),
     }
 }
--- a/crates/flight-recorder/src/kept.rs
+++ b/crates/flight-recorder/src/kept.rs
@@ -1,6 +1,6 @@
 //! What a recording is made of besides events: plain types that the recorder fills and files hold.
 
-use pumicehead_policy::interface::Nanos;
+use pumicehead_policy::Nanos;
 
 use crate::event::PoolId;
 use crate::loss::Cause;
--- a/crates/flight-recorder/src/loss.rs
+++ b/crates/flight-recorder/src/loss.rs
@@ -3,8 +3,8 @@
 
 use std::fmt;
 
-use pumicehead_policy::interface::{AttemptNo, AttemptOutcome, EndpointId, Nanos};
-use pumicehead_policy::note::{Note, Rule, Stop};
+use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
+use pumicehead_policy::{AttemptNo, AttemptOutcome, EndpointId, Nanos};
 
 use crate::event::{Event, How, Turned, outcome, place};
 
@@ -162,7 +162,7 @@
     /// The server that carries it, where one does.
     pub server: Option<EndpointId>,
     /// Why there was no further attempt, where that was asked.
-    pub stop: Option<Stop>,
+    pub stop: Option<NoRetryReason>,
 }
 
 impl Verdict {
@@ -189,7 +189,7 @@
     worth: Micro,
     late_worth: f64,
     aim_at: Nanos,
-    rule: Option<Rule>,
+    rule: Option<RejectionReason>,
     /// Attempts out: number, server, sent.
     out: Vec<(AttemptNo, EndpointId, Nanos)>,
     sends: u32,
@@ -229,11 +229,11 @@
     /// Takes an event of it in.
     pub fn see(&mut self, at: Nanos, event: &Event) {
         match event {
-            Event::Note(Note::Taken { worth, aim_at, .. }) => {
-                self.worth = micro(f64::from(*worth));
-                self.aim_at = *aim_at;
+            Event::Note(DecisionEvent::Classified { priority_weight, objective_deadline, .. }) => {
+                self.worth = micro(f64::from(*priority_weight));
+                self.aim_at = *objective_deadline;
             }
-            Event::Note(Note::Over { rule, .. }) => self.rule = Some(*rule),
+            Event::Note(DecisionEvent::AnsweredWithoutEndpoint { reason, .. }) => self.rule = Some(*reason),
             Event::Sent { attempt, server, .. } => {
                 self.sends += 1;
                 if let Some(since) = self.idle_since.take() {
@@ -322,7 +322,7 @@
             How::Served => self.worth,
             _ => 0,
         };
-        let stop = if let Some(Rule::NoRetry(stop)) = self.rule { Some(stop) } else { None };
+        let stop = if let Some(RejectionReason::NoRetry(stop)) = self.rule { Some(stop) } else { None };
         let verdict = |(cause, server)| Verdict {
             asked: self.worth,
             earned,
@@ -337,10 +337,12 @@
             (How::Body, _) => (Cause::Body, None),
             (How::Left, _) => (Cause::Left(place), server),
             (How::ServedFault, _) => self.last.map_or((Cause::Failed(place_of_error()), server), failed),
-            (_, Some(Rule::WaitShare)) => (Cause::WaitShare, None),
-            (_, Some(Rule::NearlyOut)) => (Cause::NearlyOut, None),
-            (_, Some(Rule::NoTurn)) => (Cause::NoTurn, None),
-            (_, Some(Rule::NoRetry(_))) => self.last.map_or((Cause::OutOfTime(place), server), failed),
+            (_, Some(RejectionReason::QueueTooLong)) => (Cause::WaitShare, None),
+            (_, Some(RejectionReason::QueueTimeout)) => (Cause::NearlyOut, None),
+            (_, Some(RejectionReason::KeyOrderTimeout)) => (Cause::NoTurn, None),
+            (_, Some(RejectionReason::NoRetry(_))) => {
+                self.last.map_or((Cause::OutOfTime(place), server), failed)
+            }
             (_, None) => match self.last {
                 // Nothing was out any more: what ended last is what failed.
                 Some(bad) if self.out.is_empty() => failed(bad),
--- a/crates/flight-recorder/src/metrics.rs
+++ b/crates/flight-recorder/src/metrics.rs
@@ -11,7 +11,7 @@
     Counter, Gauge, Histogram, HistogramFn, Key, KeyName, Label, Level, Metadata, Recorder, SharedString,
     Unit,
 };
-use pumicehead_policy::interface::{AttemptOutcome, Nanos, SECOND};
+use pumicehead_policy::{AttemptOutcome, Nanos, SECOND};
 
 use crate::event::{How, Turned};
 use crate::loss::said;
--- a/crates/flight-recorder/src/moment.rs
+++ b/crates/flight-recorder/src/moment.rs
@@ -1,6 +1,6 @@
 //! Moments as people write them.
 
-use pumicehead_policy::interface::{Nanos, SECOND};
+use pumicehead_policy::{Nanos, SECOND};
 use thiserror::Error;
 
 const DAY: u64 = 86_400;
--- a/crates/flight-recorder/src/page.rs
+++ b/crates/flight-recorder/src/page.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use plotters::prelude::*;
-use pumicehead_policy::interface::{Nanos, SECOND};
+use pumicehead_policy::{Nanos, SECOND};
 
 use crate::account::{Accounts, NOBODY};
 use crate::breakdown::Breakdown;
--- a/crates/flight-recorder/src/quota.rs
+++ b/crates/flight-recorder/src/quota.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use pumicehead_policy::interface::{Nanos, SECOND};
+use pumicehead_policy::{Nanos, SECOND};
 
 /// Messages of one kind in a span that are told one by one: enough to see what differs among them.
 pub const FIRST: u32 = 10;
--- a/crates/flight-recorder/src/recorder.rs
+++ b/crates/flight-recorder/src/recorder.rs
@@ -1,7 +1,7 @@
 //! The recorder: takes events in, decides whose story stays, and books what was earned and lost.
 
-use pumicehead_policy::interface::{AttemptOutcome, EndpointId, Nanos, RequestId, SECOND};
-use pumicehead_policy::note::{Hurdles, Note};
+use pumicehead_policy::decision_event::{DecisionEvent, ExclusionReasons};
+use pumicehead_policy::{AttemptOutcome, EndpointId, Nanos, RequestId, SECOND};
 use rustc_hash::FxHashMap;
 
 use crate::account::{Accounts, FlowKey, LossKey, NOBODY, ServerKey};
@@ -61,7 +61,7 @@
     last: Nanos,
     cut: bool,
     verdict: Option<(Verdict, Nanos, How)>,
-    hurdles: Option<Hurdles>,
+    hurdles: Option<ExclusionReasons>,
 }
 
 /// How often a group of class and tenant has come lately.
@@ -169,9 +169,9 @@
             }
             Event::Turned { class, why } => self.book_turned(at, pool, *class, *why),
             Event::Short(what) => self.accounts.short[usize::from(*what == Short::Dial)] += 1,
-            Event::Note(Note::Aside { server, span }) => {
-                let key = ServerKey { pool, server: server.0 };
-                self.accounts.servers.at(at, key).aside += span / 1_000;
+            Event::Note(DecisionEvent::Ejected { endpoint, duration }) => {
+                let key = ServerKey { pool, server: endpoint.0 };
+                self.accounts.servers.at(at, key).aside += duration / 1_000;
             }
             Event::Ended { server, outcome, took, dial, id, .. } => {
                 self.book_attempt(at, pool, *id, *server, *outcome, (*took, *dial));
@@ -187,23 +187,27 @@
     /// Whether it is worth a record: what is said again and again is not.
     fn is_worth(&mut self, at: Nanos, pool: PoolId, event: &Event) -> bool {
         match event {
-            Event::Note(Note::NoneFits { id, hurdles }) => match self.open.get_mut(&(pool, *id)) {
-                Some(open) => open.hurdles.replace(*hurdles) != Some(*hurdles) || self.level == Level::Full,
-                None => false,
-            },
-            Event::Note(Note::Limit { server, from, to, .. }) => {
-                self.accounts.servers.at(at, ServerKey { pool, server: server.0 }).limit = *to;
+            Event::Note(DecisionEvent::NoEndpointAvailable { id, exclusions }) => {
+                match self.open.get_mut(&(pool, *id)) {
+                    Some(open) => {
+                        open.hurdles.replace(*exclusions) != Some(*exclusions) || self.level == Level::Full
+                    }
+                    None => false,
+                }
+            }
+            Event::Note(DecisionEvent::LimitChanged { endpoint, from, to, .. }) => {
+                self.accounts.servers.at(at, ServerKey { pool, server: endpoint.0 }).limit = *to;
                 if self.limits.len() >= LIMITS {
                     self.limits.clear();
                 }
-                let last = self.limits.entry((pool, *server)).or_insert(*from);
+                let last = self.limits.entry((pool, *endpoint)).or_insert(*from);
                 let moved = *to > *last * MOVED || *to * MOVED < *last || self.level == Level::Full;
                 if moved {
                     *last = *to;
                 }
                 moved
             }
-            Event::Note(Note::Limits { factor, .. }) => {
+            Event::Note(DecisionEvent::AllLimitsChanged { factor, .. }) => {
                 self.level == Level::Full || *factor > MOVED || *factor * MOVED < 1.0
             }
             _ => true,
--- a/crates/flight-recorder/src/reservoir.rs
+++ b/crates/flight-recorder/src/reservoir.rs
@@ -8,7 +8,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-use pumicehead_policy::interface::{Nanos, SECOND};
+use pumicehead_policy::{Nanos, SECOND};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/flight-recorder/src/ring.rs
+++ b/crates/flight-recorder/src/ring.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use pumicehead_policy::interface::Nanos;
+use pumicehead_policy::Nanos;
 
 use crate::bytes::{Reader, put};
 use crate::event::{Event, PoolId};
--- a/crates/flight-recorder/src/text.rs
+++ b/crates/flight-recorder/src/text.rs
@@ -43,7 +43,7 @@
     let mut hasher = FxHasher::default();
     hasher.write(text.as_bytes());
     // The hasher leaves the low bits of its last word as they come.
-    pumicehead_policy::meter::mix(hasher.finish())
+    pumicehead_policy::hash_ring::mix(hasher.finish())
 }
 
 /// A text without anything that steers a terminal, ends a line or passes for another sign: all of that is escaped.
--- a/crates/node/src/eyes.rs
+++ b/crates/node/src/eyes.rs
@@ -11,7 +11,7 @@
 use pumicehead_admin::call::{Amount, Call, no, yes};
 use pumicehead_flight_recorder::event::PoolId;
 use pumicehead_flight_recorder::recorder::{Class, Level, Recorder};
-use pumicehead_policy::interface::{Settings, TenantId};
+use pumicehead_policy::{Settings, TenantId};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task;
 use tokio::time::sleep;
@@ -82,7 +82,7 @@
 
     /// A pool's way to the recorder, with the names of its classes in the order of its settings.
     pub fn tap(&self, pool: &str, settings: &Settings, classes: &[String]) -> Tap {
-        let class = |(name, class): (&String, &pumicehead_policy::interface::Class)| Class {
+        let class = |(name, class): (&String, &pumicehead_policy::Class)| Class {
             name: name.clone(),
             aim: class.latency_objective,
             deadline: class.deadline,
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -16,7 +16,7 @@
 use pumicehead_membership::member::{BadSetup, Event, Member, Output, Setup};
 use pumicehead_membership::settings::LARGEST_DATAGRAM;
 use pumicehead_membership::{Card, SECOND, Settings};
-use pumicehead_policy::interface::{Nanos, NodeShare};
+use pumicehead_policy::{Nanos, NodeShare};
 use thiserror::Error;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{Notify, watch};
--- a/crates/node/src/fleet/told.rs
+++ b/crates/node/src/fleet/told.rs
@@ -3,7 +3,7 @@
 use pumicehead_membership::member::Member;
 use pumicehead_membership::table::Held;
 use pumicehead_membership::{Key, SECOND, State};
-use pumicehead_policy::interface::Nanos;
+use pumicehead_policy::Nanos;
 use serde_json::{Value, json};
 
 fn seconds(now: Nanos, since: i64) -> Option<f64> {
--- a/crates/node/src/net/answer.rs
+++ b/crates/node/src/net/answer.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::{Response, StatusCode};
-use pumicehead_policy::interface::{Nanos, SECOND};
+use pumicehead_policy::{Nanos, SECOND};
 
 use super::admission::{Bad, Manner};
 use super::ask::{Answer, Served};
--- a/crates/node/src/net/ask.rs
+++ b/crates/node/src/net/ask.rs
@@ -9,7 +9,7 @@
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode, Uri};
 use pumicehead_admin::figures::Outcome;
-use pumicehead_policy::interface::{Nanos, TenantId};
+use pumicehead_policy::{Nanos, TenantId};
 
 use super::body::Body;
 use super::upload::Upload;
--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use pumicehead_policy::interface::{Nanos, SECOND};
+use pumicehead_policy::{Nanos, SECOND};
 use tokio::time::Instant;
 
 /// The clock; copies tell the same time.
--- a/crates/node/src/net/core/actions.rs
+++ b/crates/node/src/net/core/actions.rs
@@ -1,7 +1,7 @@
 //! What the module wants done.
 
 use pumicehead_flight_recorder::event::Event as Told;
-use pumicehead_policy::interface::{
+use pumicehead_policy::{
     Action, AttemptEnded, AttemptNo, AttemptOutcome, EndpointId, Event, Nanos, RequestId,
 };
 use tokio::sync::oneshot;
--- a/crates/node/src/net/core/mod.rs
+++ b/crates/node/src/net/core/mod.rs
@@ -13,11 +13,11 @@
 
 use pumicehead_flight_recorder::event::Event as Told;
 use pumicehead_flight_recorder::text::plain;
-use pumicehead_policy::interface::{
+use pumicehead_policy::decision_event::DecisionEvent;
+use pumicehead_policy::{Balancer, WarmState};
+use pumicehead_policy::{
     Discovery, EndpointId, EndpointUpdate, Event, Nanos, RequestId, SECOND, Settings, TimerToken,
 };
-use pumicehead_policy::note::Note;
-use pumicehead_policy::policy::{Balancer, Knowledge};
 use rustc_hash::FxHashMap;
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
@@ -80,7 +80,7 @@
     /// Servers taken out by hand.
     pub hands: Rc<Hands>,
     /// What an earlier process of this node has learned.
-    pub learned: Option<Knowledge>,
+    pub learned: Option<WarmState>,
     /// The node's clock.
     pub clock: Clock,
     /// The way to the recorder, where there is one.
@@ -108,7 +108,7 @@
     handles: Weak<Cell<u32>>,
     retired: bool,
     /// Taken over as servers become known, for as long as it is worth anything.
-    learned: Option<Knowledge>,
+    learned: Option<WarmState>,
     stalls: Stalls,
 }
 
@@ -191,7 +191,7 @@
     fn stood_still(&mut self, from: Nanos, to: Nanos) -> bool {
         let Some(span) = self.stalls.seen(from, to) else { return false };
         warn!(target: "loop", "stood still for {:.1} s; nothing is learned from it", span as f64 / SECOND as f64);
-        self.balancer.resume(to, span);
+        self.balancer.recover_from_stall(to, span);
         true
     }
 
@@ -212,10 +212,10 @@
         while let Some(event) = self.events.pop_front() {
             let listed = matches!(event, Event::EndpointsUpdated(_));
             let now = self.now();
-            self.balancer.tell_all(self.tap.as_ref().is_some_and(Tap::is_on));
+            self.balancer.record_every_decision(self.tap.as_ref().is_some_and(Tap::is_on));
             self.balancer.handle(now, event, &mut actions);
-            for note in self.balancer.notes() {
-                if note.is_news() {
+            for note in self.balancer.decision_events() {
+                if note.is_logged() {
                     info!(target: "decisions", "{}", self.worded(note));
                 }
                 if let Some(tap) = self.tap.as_ref().filter(|tap| tap.is_on()) {
@@ -226,7 +226,7 @@
             if let Some(learned) = self.learned.take_if(|learned| listed || learned.age(now) > WORTH)
                 && learned.age(now) <= WORTH
             {
-                self.balancer.inherit(&learned, now);
+                self.balancer.restore_warm_state(&learned, now);
                 self.learned = Some(learned);
             }
             for action in actions.drain(..) {
@@ -236,14 +236,14 @@
     }
 
     /// News as the log has them: servers by their names.
-    fn worded(&self, note: &Note) -> String {
+    fn worded(&self, note: &DecisionEvent) -> String {
         let name = |id: EndpointId| self.roster.name(id).map_or_else(|| id.0.to_string(), plain);
         match note {
-            Note::Aside { server, span } => {
-                let span = *span as f64 / SECOND as f64;
-                format!("server {} set aside for {span:.1} s", name(*server))
+            DecisionEvent::Ejected { endpoint, duration } => {
+                let span = *duration as f64 / SECOND as f64;
+                format!("server {} set aside for {span:.1} s", name(*endpoint))
             }
-            Note::Back { server } => format!("server {} is back", name(*server)),
+            DecisionEvent::Reinstated { endpoint } => format!("server {} is back", name(*endpoint)),
             other => other.to_string(),
         }
     }
@@ -322,7 +322,7 @@
                 self.set_servers(list);
             }
             Message::Retune(settings) => {
-                if !self.balancer.retune(*settings) {
+                if !self.balancer.update_settings(*settings) {
                     warn!(target: "settings", "settings that can't be changed in place are not used");
                 }
             }
@@ -350,7 +350,7 @@
                 // Whoever asked may have gone.
                 let _ = reply.send(Members { listed, unavailable });
             }
-            Message::Learned(reply) => drop(reply.send(self.balancer.knowledge(self.now()))),
+            Message::Learned(reply) => drop(reply.send(self.balancer.warm_state(self.now()))),
             Message::GiveUp => {
                 let open: Vec<_> = self.open.keys().copied().collect();
                 for id in open {
--- a/crates/node/src/net/core/requests.rs
+++ b/crates/node/src/net/core/requests.rs
@@ -4,7 +4,7 @@
 
 use pumicehead_flight_recorder::event::{Event as Told, How, Short};
 use pumicehead_flight_recorder::text;
-use pumicehead_policy::interface::{
+use pumicehead_policy::{
     AttemptEnded, AttemptNo, AttemptOutcome, ClassId, EndpointId, Event, Nanos, NewRequest, RequestId,
     SECOND, TimerToken,
 };
--- a/crates/node/src/net/core/stall.rs
+++ b/crates/node/src/net/core/stall.rs
@@ -1,6 +1,6 @@
 //! Which delays of the event loop are stalls of this process: stopped by its system, or without a processor for once.
 
-use pumicehead_policy::interface::{Nanos, SECOND};
+use pumicehead_policy::{Nanos, SECOND};
 
 /// A loop that comes so late to what is due, or takes so long over a turn, has stood still: some periods (of 100 ms) of a
 /// system that shares out a processor, and much less than any deadline.
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use pumicehead_config::model::Address;
-use pumicehead_policy::interface::DISCOVERY_CALL_TIMEOUT;
+use pumicehead_policy::DISCOVERY_CALL_TIMEOUT;
 use serde::{Deserialize, Deserializer};
 use thiserror::Error;
 use tokio::net::TcpStream;
--- a/crates/node/src/net/fastcgi/connection.rs
+++ b/crates/node/src/net/fastcgi/connection.rs
@@ -10,7 +10,7 @@
 use pumicehead_fastcgi::cgi::{AnswerHead, HeadReader};
 use pumicehead_fastcgi::client::{Client, Event, RequestId, Values};
 use pumicehead_fastcgi::record::End;
-use pumicehead_policy::interface::AttemptOutcome;
+use pumicehead_policy::AttemptOutcome;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
--- a/crates/node/src/net/fastcgi/ending.rs
+++ b/crates/node/src/net/fastcgi/ending.rs
@@ -3,7 +3,7 @@
 
 use pumicehead_fastcgi::client::never_ran;
 use pumicehead_fastcgi::record::End;
-use pumicehead_policy::interface::AttemptOutcome;
+use pumicehead_policy::AttemptOutcome;
 
 use crate::net::verdict::{Reading, Seen, Verdict};
 
--- a/crates/node/src/net/fastcgi/upstream.rs
+++ b/crates/node/src/net/fastcgi/upstream.rs
@@ -10,7 +10,7 @@
 use pumicehead_config::model::Address;
 use pumicehead_fastcgi::cgi::{Around, variables};
 use pumicehead_fastcgi::client::Values;
-use pumicehead_policy::interface::AttemptOutcome;
+use pumicehead_policy::AttemptOutcome;
 use tokio::net::{TcpStream, UnixStream};
 use tokio::sync::{Semaphore, oneshot};
 use tokio::task;
--- a/crates/node/src/net/front/conn.rs
+++ b/crates/node/src/net/front/conn.rs
@@ -29,7 +29,7 @@
     counted: Cell<bool>,
     /// When it came up, was last answered, or was closed.
     pub since: Cell<Instant>,
-    /// Where it is among all connections; [`super::budget::Budget`] alone changes it.
+    /// Where it is among all connections; [`super::budget::RetryBudgetSpent`] alone changes it.
     pub place: Cell<usize>,
     /// Over the budget: told so and closed.
     pub extra: bool,
--- a/crates/node/src/net/front/mod.rs
+++ b/crates/node/src/net/front/mod.rs
@@ -25,7 +25,7 @@
 use pumicehead_admin::figures::{Figures, Outcome};
 use pumicehead_config::model::Protocol;
 use pumicehead_flight_recorder::event::{Event, Short, Turned};
-use pumicehead_policy::interface::Nanos;
+use pumicehead_policy::Nanos;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
--- a/crates/node/src/net/handle.rs
+++ b/crates/node/src/net/handle.rs
@@ -5,8 +5,8 @@
 use std::rc::{Rc, Weak};
 
 use pumicehead_flight_recorder::event::{Event, Turned};
-use pumicehead_policy::interface::{NodeShare, RequestId, Settings};
-use pumicehead_policy::policy::Knowledge;
+use pumicehead_policy::WarmState;
+use pumicehead_policy::{NodeShare, RequestId, Settings};
 use rustc_hash::FxHashSet;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -138,7 +138,7 @@
         let _ = self.messages.send(Message::Servers(list));
     }
 
-    /// The module goes on with these settings; [`Settings::retunes_to`] must allow it.
+    /// The module goes on with these settings; [`Settings::can_update_to`] must allow it.
     pub fn retune(&self, settings: Box<Settings>) {
         let _ = self.messages.send(Message::Retune(settings));
     }
@@ -167,7 +167,7 @@
     }
 
     /// What the module has learned; none where the loop has ended.
-    pub async fn knowledge(&self) -> Option<Knowledge> {
+    pub async fn knowledge(&self) -> Option<WarmState> {
         let (reply, learned) = oneshot::channel();
         let _ = self.messages.send(Message::Learned(reply));
         learned.await.ok()
--- a/crates/node/src/net/http/answer.rs
+++ b/crates/node/src/net/http/answer.rs
@@ -8,7 +8,7 @@
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{self, HeaderMap};
 use hyper::{Method, Response, StatusCode};
-use pumicehead_policy::interface::AttemptOutcome;
+use pumicehead_policy::AttemptOutcome;
 
 use crate::net::ask::Served;
 use crate::net::body::{Body, Passing, Stream};
--- a/crates/node/src/net/http/upstream.rs
+++ b/crates/node/src/net/http/upstream.rs
@@ -12,7 +12,7 @@
 use hyper::header::HeaderValue;
 use hyper_util::rt::TokioIo;
 use pumicehead_config::model::Address;
-use pumicehead_policy::interface::AttemptOutcome;
+use pumicehead_policy::AttemptOutcome;
 use pumicehead_slow_peer::{GiveUp, Side};
 use tokio::net::TcpStream;
 use tokio::runtime::Handle;
--- a/crates/node/src/net/message.rs
+++ b/crates/node/src/net/message.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pumicehead_policy::interface::{AttemptNo, EndpointId, Nanos, NodeShare, RequestId, Settings};
-use pumicehead_policy::policy::Knowledge;
+use pumicehead_policy::WarmState;
+use pumicehead_policy::{AttemptNo, EndpointId, Nanos, NodeShare, RequestId, Settings};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -49,5 +49,5 @@
     /// The book of servers taken out has changed for these.
     Restate(Vec<String>),
     Look(oneshot::Sender<Members>),
-    Learned(oneshot::Sender<Knowledge>),
+    Learned(oneshot::Sender<WarmState>),
 }
--- a/crates/node/src/net/open.rs
+++ b/crates/node/src/net/open.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use pumicehead_policy::interface::Nanos;
+use pumicehead_policy::Nanos;
 use tokio::sync::oneshot;
 
 use super::ask::{Answer, Call, Served};
--- a/crates/node/src/net/roster.rs
+++ b/crates/node/src/net/roster.rs
@@ -5,9 +5,7 @@
 use std::sync::Arc;
 
 use pumicehead_admin::book::Stand;
-use pumicehead_policy::interface::{
-    CellId, EndpointId, EndpointInfo, EndpointState, EndpointUpdate, Nanos, ZoneId,
-};
+use pumicehead_policy::{CellId, EndpointId, EndpointInfo, EndpointState, EndpointUpdate, Nanos, ZoneId};
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use thiserror::Error;
 
--- a/crates/node/src/net/tap.rs
+++ b/crates/node/src/net/tap.rs
@@ -5,7 +5,7 @@
 
 use pumicehead_flight_recorder::event::{Event, Listed, PoolId};
 use pumicehead_flight_recorder::recorder::{Level, Recorder};
-use pumicehead_policy::interface::{EndpointId, EndpointState, EndpointUpdate};
+use pumicehead_policy::{EndpointId, EndpointState, EndpointUpdate};
 use rustc_hash::FxHashMap;
 
 use super::clock::Clock;
@@ -70,7 +70,7 @@
     }
 
     /// Records an event of a time that is known already.
-    pub fn record_at(&self, at: pumicehead_policy::interface::Nanos, event: &Event) {
+    pub fn record_at(&self, at: pumicehead_policy::Nanos, event: &Event) {
         self.shared.with(|recorder| recorder.record(at, self.pool, event));
     }
 
--- a/crates/node/src/net/transport.rs
+++ b/crates/node/src/net/transport.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicehead_config::model::Address;
-use pumicehead_policy::interface::AttemptOutcome;
+use pumicehead_policy::AttemptOutcome;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
--- a/crates/node/src/net/verdict.rs
+++ b/crates/node/src/net/verdict.rs
@@ -2,7 +2,7 @@
 //! `docs/answers.md`; it knows nothing of sockets.
 
 use hyper::StatusCode;
-use pumicehead_policy::interface::AttemptOutcome;
+use pumicehead_policy::AttemptOutcome;
 
 /// Whose reading of statuses holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/node/src/platform/admission.rs
+++ b/crates/node/src/platform/admission.rs
@@ -4,8 +4,8 @@
 
 use hyper::Method;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
-use pumicehead_policy::boot::BootClass;
-use pumicehead_policy::interface::{Idempotency, Nanos, TenantId};
+use pumicehead_policy::deployment_settings::BootClass;
+use pumicehead_policy::{Idempotency, Nanos, TenantId};
 use rustc_hash::FxHashMap;
 
 use super::config::Config;
--- a/crates/node/src/platform/config.rs
+++ b/crates/node/src/platform/config.rs
@@ -5,8 +5,8 @@
 use std::io;
 use std::net::SocketAddr;
 
-use pumicehead_policy::boot::Boot;
-use pumicehead_policy::interface::{Settings, SettingsError};
+use pumicehead_policy::deployment_settings::Boot;
+use pumicehead_policy::{Settings, SettingsError};
 use serde::Deserialize;
 use thiserror::Error;
 
--- a/crates/node/src/platform/handover.rs
+++ b/crates/node/src/platform/handover.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use pumicehead_policy::policy::Knowledge;
+use pumicehead_policy::WarmState;
 use serde::{Deserialize, Serialize};
 use tracing::warn;
 
@@ -17,7 +17,7 @@
     /// Names of servers that were listed.
     pub listed: Vec<String>,
     /// What the module has learned. Its times are Unix time, of the one machine.
-    pub knowledge: Knowledge,
+    pub knowledge: WarmState,
     /// Staff have the node empty. Files of versions that did not say so have none.
     #[serde(default)]
     pub lame: bool,
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use pumicehead_admin::figures::{Figures, count};
-use pumicehead_policy::interface::TenantId;
+use pumicehead_policy::TenantId;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::Mutex;
 use tokio::task;
--- a/crates/node/src/standalone/admission.rs
+++ b/crates/node/src/standalone/admission.rs
@@ -11,7 +11,7 @@
 use pumicehead_config::explain::key_of;
 use pumicehead_config::model::{Config, Protocol, Repeats, TenantOf};
 use pumicehead_config::route_table::RouteTable;
-use pumicehead_policy::interface::TenantId;
+use pumicehead_policy::TenantId;
 use pumicehead_policy::tenant_ids::{IdsByName, TenantIds};
 use pumicehead_resources::Revision;
 use pumicehead_route::{Found, Query, RequestPath, request_host};
--- a/crates/node/src/standalone/listeners.rs
+++ b/crates/node/src/standalone/listeners.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pumicehead_config::model::{Config, Limits, Protocol};
-use pumicehead_policy::interface::SECOND;
+use pumicehead_policy::SECOND;
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 use tokio::task::{self, JoinHandle};
--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -20,7 +20,7 @@
 use pumicehead_admin::call::{Call, no, yes};
 use pumicehead_config::model::Observe;
 use pumicehead_flight_recorder::recorder::Level;
-use pumicehead_policy::interface::NodeShare;
+use pumicehead_policy::NodeShare;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 use tokio::task;
--- a/crates/node/src/standalone/pools.rs
+++ b/crates/node/src/standalone/pools.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use pumicehead_config::model::{Config, Members, Protocol};
-use pumicehead_policy::interface::{Nanos, Settings};
 use pumicehead_policy::tenant_shares::TenantShares;
+use pumicehead_policy::{Nanos, Settings};
 use tokio::task;
 
 use super::site::SiteError;
@@ -108,7 +108,7 @@
     #[must_use]
     pub fn retunes_to(&self, new: &Self) -> bool {
         let same_names = self.classes.iter().zip(&new.classes).all(|(old, new)| old == new);
-        same_names && self.connection == new.connection && self.settings.retunes_to(&new.settings)
+        same_names && self.connection == new.connection && self.settings.can_update_to(&new.settings)
     }
 }
 
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use pumicehead_config::diff::Shown;
-use pumicehead_policy::interface::Nanos;
+use pumicehead_policy::Nanos;
 use thiserror::Error;
 use tokio::task;
 use tracing::{info, warn};
--- a/crates/node/src/standalone/revision.rs
+++ b/crates/node/src/standalone/revision.rs
@@ -6,8 +6,8 @@
 
 use pumicehead_config::kept::KeptConfig;
 use pumicehead_config::model::Config;
-use pumicehead_policy::interface::{Nanos, Settings};
 use pumicehead_policy::tenant_ids::TenantIds;
+use pumicehead_policy::{Nanos, Settings};
 use pumicehead_resources::{Digest, Revision};
 
 use super::admission::RequestTable;
--- a/crates/node/src/standalone/site.rs
+++ b/crates/node/src/standalone/site.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use pumicehead_config::model::Config;
-use pumicehead_policy::interface::{NodeShare, Settings};
+use pumicehead_policy::{NodeShare, Settings};
 use pumicehead_resources::Digest;
 use thiserror::Error;
 use tracing::{info, warn};
@@ -52,7 +52,7 @@
         /// Which.
         pool: String,
         /// Why not.
-        source: pumicehead_policy::interface::SettingsError,
+        source: pumicehead_policy::SettingsError,
     },
 }
 
--- a/crates/node/src/why.rs
+++ b/crates/node/src/why.rs
@@ -12,7 +12,7 @@
 use pumicehead_flight_recorder::cause::{Finding, find};
 use pumicehead_flight_recorder::dump::{Dump, LONGEST};
 use pumicehead_flight_recorder::{export as forms, moment, page, story};
-use pumicehead_policy::interface::Nanos;
+use pumicehead_policy::Nanos;
 use serde_json::json;
 
 use crate::report::{error, print};
--- a/crates/node/tests/unit/core.rs
+++ b/crates/node/tests/unit/core.rs
@@ -4,8 +4,8 @@
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
 use pumicehead_config::model::Address;
-use pumicehead_policy::boot::Boot;
-use pumicehead_policy::interface::{AttemptNo, AttemptOutcome};
+use pumicehead_policy::deployment_settings::Boot;
+use pumicehead_policy::{AttemptNo, AttemptOutcome};
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
 
--- a/crates/policy/src/advice.rs
+++ b/crates/policy/src/capacity_advice.rs
@@ -1,13 +1,13 @@
-//! What planners advise on servers: a plain container, and how far advice is believed as it ages. What is made of it is
-//! said in `src/policy.rs`: it can make a node more careful, or give it of a cold server's room what another node has given
-//! up, and nothing else.
+//! What planners advise on servers: a plain container, and how far advice is believed as it ages. What is
+//! made of it is said in `src/policy.rs`: it can make a node more careful, or give it of a cold server's room
+//! what another node has given up, and nothing else.
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::{CapacityAdvice, EndpointId, Nanos, NodeShare};
+use crate::{CapacityAdvice, EndpointId, Nanos, NodeShare};
 
-/// A server that is advised against looks this many times as slow: it gets work where no other has room, so that advice
-/// against all servers, or all but one, changes little.
+/// A server that is advised against looks this many times as slow: it gets work where no other has room, so
+/// that advice against all servers, or all but one, changes little.
 const CAUTION: f64 = 16.0;
 /// Most servers that are remembered as draining: far more than a fleet has at a time.
 const MOST_DRAINING: usize = 25_000;
@@ -21,7 +21,8 @@
     lent: FxHashMap<EndpointId, f64>,
     granted: FxHashMap<EndpointId, f64>,
     granted_until: Nanos,
-    /// By server, the process that was told to be draining. That stays told for as long as it is that process.
+    /// By server, the process that was told to be draining. That stays told for as long as it is that
+    /// process.
     draining: FxHashMap<EndpointId, Nanos>,
     /// How many nodes share the servers, where the fleet says so.
     pub sharing: Option<NodeShare>,
@@ -43,7 +44,8 @@
         }
     }
 
-    /// At what rate a cold server may be asked, before its ramp, by a node that would ask it at `own` if it were alone.
+    /// At what rate a cold server may be asked, before its ramp, by a node that would ask it at `own` if it
+    /// were alone.
     #[must_use]
     pub fn cold_rate(&self, server: EndpointId, own: f64, now: Nanos) -> f64 {
         let granted = self.granted.get(&server).filter(|_| now < self.granted_until);
@@ -51,8 +53,8 @@
         (own - lent).max(0.0) + granted.copied().unwrap_or(0.0).max(0.0)
     }
 
-    /// How many times as slow a server is to look, at least 1. In full for half of the time that advice lasts, then by
-    /// degrees less, so that its end is no jump.
+    /// How many times as slow a server is to look, at least 1. In full for half of the time that advice
+    /// lasts, then by degrees less, so that its end is no jump.
     #[must_use]
     pub fn caution(&self, server: EndpointId, started_at: Nanos, now: Nanos) -> f64 {
         if self.draining.get(&server) == Some(&started_at) {
@@ -69,7 +71,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::SECOND;
+    use crate::SECOND;
 
     const ONE: EndpointId = EndpointId(1);
 
--- a/crates/policy/src/boot.rs
+++ b/crates/policy/src/deployment_settings.rs
@@ -3,9 +3,7 @@
 
 use serde::Deserialize;
 
-use crate::interface::{
-    Class, DedupScope, Discovery, Idempotency, Nanos, Settings, SettingsError, Tenant, ZoneId,
-};
+use crate::{Class, DedupScope, Discovery, Idempotency, Nanos, Settings, SettingsError, Tenant, ZoneId};
 
 /// Settings as they are written; unknown keys are ignored.
 #[derive(Debug, Deserialize)]
--- a/crates/policy/src/peers.rs
+++ b/crates/policy/src/load_reports.rs
@@ -5,8 +5,8 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::{EndpointId, Nanos};
-use crate::meter::ring;
+use crate::hash_ring::ring;
+use crate::{EndpointId, Nanos};
 
 const VERSION: u8 = 1;
 /// Longest note that may be sent.
--- a/crates/policy/src/turns.rs
+++ b/crates/policy/src/ordered_keys.rs
@@ -5,7 +5,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::{Nanos, RequestId};
+use crate::{Nanos, RequestId};
 
 #[derive(Debug, Default)]
 struct Line {
--- /dev/null
+++ b/crates/policy/src/outcome.rs
@@ -0,0 +1,37 @@
+//! How an attempt ended, and what that proves.
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptOutcome {
+    /// A response.
+    Success,
+    /// A response that is an error; may have executed.
+    Error,
+    /// Turned away unseen; never ran, unless [`Settings::full_unproven`].
+    Rejected,
+    /// No response in time; may have executed.
+    TimedOut,
+    /// No connection; not executed.
+    ConnectFailed,
+    /// Connection lost; may have executed.
+    Reset,
+    /// Cancelled by this node; may have executed.
+    Cancelled,
+    /// Nothing was sent; not executed.
+    NotSent,
+}
+
+impl AttemptOutcome {
+    /// Whether the outcome proves that the attempt was not executed. Where endpoints may reject work that
+    /// they have begun (`rejection_may_execute`), a rejection proves nothing.
+    #[must_use]
+    pub fn never_executed(self, full_unproven: bool) -> bool {
+        matches!(self, Self::ConnectFailed | Self::NotSent) || (self == Self::Rejected && !full_unproven)
+    }
+
+    /// Whether the endpoint may still be executing the attempt.
+    #[must_use]
+    pub fn may_still_execute(self) -> bool {
+        matches!(self, Self::TimedOut | Self::Reset | Self::Cancelled)
+    }
+}
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -15,11 +15,11 @@
 //! 6. `on_ended` learns the server's latency and limit, then answers, retries or waits (`settle`).
 //! 7. Every final answer of ours comes from `finish`, which asks `may_refuse` whether it may be a refusal.
 
-mod knowledge;
-mod listen;
-mod retune;
-mod share;
-mod stall;
+mod decision_log;
+mod event_loop_stall;
+mod node_share;
+mod settings_update;
+mod warm_state;
 
 use std::sync::Arc;
 
@@ -27,20 +27,23 @@
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
 
-use crate::advice::Advised;
-use crate::interface::{
-    Action, AttemptEnded, AttemptNo, AttemptOutcome, Class, ClassId, DISCOVERY_CALL_TIMEOUT,
-    DISCOVERY_NOTICE, DedupScope, Discovery, EndpointId, EndpointInfo, EndpointState, EndpointUpdate, Event,
-    Idempotency, Nanos, NewRequest, RequestId, SECOND, Settings, TenantId, TimerToken, ZoneId,
+use crate::capacity_advice::Advised;
+use crate::decision_event::{
+    DecisionEvent, ExclusionReason, LimitChangeReason, NoRetryReason, RejectionReason, SelectionTrace,
 };
-use crate::meter::{mix, nanos, ring, seconds};
-use crate::note::{Hurdle, Look, Moved, Note, Rule, Stop};
-use crate::peers::{self, Peers};
+use crate::hash_ring::{mix, ring};
+use crate::load_reports::{self as peers, Peers};
+use crate::ordered_keys::Turns;
 use crate::state::{Attempt, ClassState, Flow, Pools, Queues, RATE_S, Ran, Request, Server};
 use crate::tenants::{Asked, EARNING_S, TenantTable};
+use crate::time::{nanos, seconds};
 use crate::timer::{T_AGAIN, T_ASK, T_GIVE_UP, T_HANG_UP, T_HEDGE, T_PUMP, T_TURN};
-use crate::turns::Turns;
-pub use knowledge::Knowledge;
+use crate::{
+    Action, AttemptEnded, AttemptNo, AttemptOutcome, Class, ClassId, DISCOVERY_CALL_TIMEOUT,
+    DISCOVERY_NOTICE, DedupScope, Discovery, EndpointId, EndpointInfo, EndpointState, EndpointUpdate, Event,
+    Idempotency, Nanos, NewRequest, RequestId, SECOND, Settings, TenantId, TimerToken, ZoneId,
+};
+pub use warm_state::WarmState;
 
 /// Servers compared for one pick: enough to avoid a bad one, few enough for 10 us and against herding.
 const SAMPLE: usize = 5;
@@ -165,7 +168,7 @@
     pumping: bool,
     overload: bool,
     /// What the event at hand was decided by, for whoever listens.
-    notes: Vec<Note>,
+    notes: Vec<DecisionEvent>,
     telling: bool,
 }
 
@@ -251,7 +254,7 @@
             EndpointUpdate::WatchFailed => {
                 self.subscribed = false;
                 self.ask_fails += 1;
-                self.notes.push(Note::ListLost);
+                self.notes.push(DecisionEvent::WatchLost);
             }
         }
         if self.settings.discovery == Discovery::Poll {
@@ -273,8 +276,9 @@
     }
 
     /// The list is asked for after a random pause, so that nodes that start or lose it together ask apart. A
-    /// change binds [`DISCOVERY_NOTICE`] after it could be had, drains a grace later. Off that time go a lost call
-    /// and an answered one; two pauses, as a call may be turned away, share the rest: half of it at first.
+    /// change binds [`DISCOVERY_NOTICE`] after it could be had, drains a grace later. Off that time go a lost
+    /// call and an answered one; two pauses, as a call may be turned away, share the rest: half of it at
+    /// first.
     fn keep_subscription(&mut self, change: &EndpointUpdate, actions: &mut Vec<Action>) {
         let notice = DISCOVERY_NOTICE.min(self.settings.poll_interval);
         let spare = (notice + self.settings.drain_grace).saturating_sub(2 * DISCOVERY_CALL_TIMEOUT);
@@ -287,7 +291,7 @@
             }
             _ => {
                 if !self.subscribed && self.ask_fails > 0 {
-                    self.notes.push(Note::ListRegained);
+                    self.notes.push(DecisionEvent::WatchRestored);
                 }
                 self.subscribed = true;
                 self.ask_fails = 0;
@@ -459,13 +463,13 @@
         let most = bad * 2 > all;
         if most != self.pools.most_aside {
             self.pools.most_aside = most;
-            self.notes.push(Note::Doubt { bad, all, most });
+            self.notes.push(DecisionEvent::OutlierRatio { outliers: bad, total: all, panic_mode: most });
         }
         self.move_limits();
         self.sum_up();
         if self.overload && self.queues.order.is_empty() {
             self.overload = false;
-            self.notes.push(Note::Calm);
+            self.notes.push(DecisionEvent::OverloadEnded);
         }
     }
 
@@ -613,7 +617,12 @@
         let (id, from) = (server.id, server.limit);
         let to = (from * (gain * gap.clamp(0.01, 0.5) * error.max(-1.0)).exp()).clamp(least, 1e4);
         server.limit = to;
-        self.note(|_| Note::Limit { server: id, from: from as f32, to: to as f32, why: Moved::Compared });
+        self.note(|_| DecisionEvent::LimitChanged {
+            endpoint: id,
+            from: from as f32,
+            to: to as f32,
+            reason: LimitChangeReason::ComparedLatency,
+        });
     }
 
     /// Moves all limits by the smoothed latency of all servers: down when it is over its mark, slowly up
@@ -629,7 +638,10 @@
         if error < 0.0 || used {
             let gain = sure(count) * if error < 0.0 { GAIN.1 } else { GAIN.0 };
             let factor = (gain * span * error.max(-1.0)).exp();
-            self.note(|me| Note::Limits { factor: factor as f32, load: me.flow.load as f32 });
+            self.note(|me| DecisionEvent::AllLimitsChanged {
+                factor: factor as f32,
+                utilization: me.flow.load as f32,
+            });
             let nodes = self.nodes_per_server();
             let (least, start) = (LEAST_PLACES / nodes, START_PLACES / nodes);
             // Few nodes start with a place a server, under the share that many take untried. While latency is
@@ -675,9 +687,14 @@
             server.aside_until = self.now + nanos(span);
             server.aside_times += 1;
             server.trial = true;
-            self.notes.push(Note::Aside { server: id, span: nanos(span) });
+            self.notes.push(DecisionEvent::Ejected { endpoint: id, duration: nanos(span) });
         }
-        self.note(|_| Note::Limit { server: id, from: from as f32, to: to as f32, why: Moved::Failure });
+        self.note(|_| DecisionEvent::LimitChanged {
+            endpoint: id,
+            from: from as f32,
+            to: to as f32,
+            reason: LimitChangeReason::Failure,
+        });
     }
 
     // ---- Cold ramp ------------------------------------------------------------------------------
@@ -821,7 +838,12 @@
             key,
         };
         let (tier, aim_at) = (request.tier, request.aim_at);
-        self.note(|_| Note::Taken { id, tier: tier as u8, worth: worth as f32, aim_at });
+        self.note(|_| DecisionEvent::Classified {
+            id,
+            tier: tier as u8,
+            priority_weight: worth as f32,
+            objective_deadline: aim_at,
+        });
         self.requests.insert(id, request);
         if let Some(key) = key {
             self.turns.join(key, id);
@@ -832,10 +854,10 @@
         self.dispatch(actions);
         if self.requests.get(&id).is_some_and(|request| request.attempts.is_empty()) {
             if self.requests[&id].held.is_some() && tier >= MEDIUM && self.overloaded(id) {
-                self.finish(id, Rule::WaitShare, actions);
+                self.finish(id, RejectionReason::QueueTooLong, actions);
             } else {
                 let held = self.queues.order.len() as u32;
-                self.note(|_| Note::Held { id, held });
+                self.note(|_| DecisionEvent::Queued { id, queued: held });
                 self.arm_give_up(id, actions);
             }
         }
@@ -919,16 +941,16 @@
         !self.pools.ranked[1].is_empty() && !self.fits(self.pools.out[pool], self.pools.limits[pool])
     }
 
-    fn room(&mut self, slot: usize, id: RequestId) -> Result<(), Hurdle> {
+    fn room(&mut self, slot: usize, id: RequestId) -> Result<(), ExclusionReason> {
         let server = &self.servers[slot];
         let nodes = if self.informed() { self.nodes_per_server() } else { 1.0 };
         let out = if self.informed() { self.known_out(slot) } else { server.out.len() };
         if out as f64 >= (server.limit * nodes).ceil().max(1.0) {
-            return Err(Hurdle::Full);
+            return Err(ExclusionReason::AtLimit);
         }
         if !self.pools.most_aside {
             if self.out_of_order(slot) {
-                return Err(Hurdle::OutOfOrder);
+                return Err(ExclusionReason::Outlier);
             }
             // On trial after it was set aside: one at a time, and only what may be tried elsewhere then.
             // Behind unsafe requests in line nothing else is sent, so where the server only turned away
@@ -938,11 +960,11 @@
                     && !server.turned_away
             };
             if server.trial && (!server.out.is_empty() || once()) {
-                return Err(Hurdle::OnTrial);
+                return Err(ExclusionReason::OnProbation);
             }
         }
-        let room = self.cold_room(slot).then_some(()).ok_or(Hurdle::Cold);
-        room.and_then(|()| self.may_send(id, slot).then_some(()).ok_or(Hurdle::Barred))
+        let room = self.cold_room(slot).then_some(()).ok_or(ExclusionReason::SlowStart);
+        room.and_then(|()| self.may_send(id, slot).then_some(()).ok_or(ExclusionReason::NotPermitted))
     }
 
     fn score(&mut self, slot: usize) -> f64 {
@@ -956,7 +978,7 @@
     /// Among servers with room the least smoothed peak latency x (own in-flight + 1); on many servers
     /// a sample of them. Own zone first while it has room.
     fn pick(&mut self, id: RequestId) -> Option<usize> {
-        let mut look = Look::default();
+        let mut look = SelectionTrace::default();
         for pool in 0..2 {
             if self.own_zone_full(pool) {
                 continue;
@@ -969,9 +991,9 @@
                 let slot = self.pools.active[pool][at];
                 match self.room(slot, id) {
                     Ok(()) => look.offer(self.score(slot), slot),
-                    Err(hurdle) => look.hurdles.add(hurdle),
+                    Err(hurdle) => look.exclusions.add(hurdle),
                 }
-                if look.found >= SAMPLE {
+                if look.candidates >= SAMPLE {
                     break;
                 }
             }
@@ -980,7 +1002,7 @@
                 return Some(slot);
             }
         }
-        self.note(|_| Note::NoneFits { id, hurdles: look.hurdles });
+        self.note(|_| DecisionEvent::NoEndpointAvailable { id, exclusions: look.exclusions });
         None
     }
 
@@ -1131,7 +1153,7 @@
                 server.broken -= BROKEN * server.broken;
                 server.failures = 0;
                 if std::mem::take(&mut server.trial) {
-                    self.notes.push(Note::Back { server: server.id });
+                    self.notes.push(DecisionEvent::Reinstated { endpoint: server.id });
                 } else {
                     server.aside_times = 0;
                 }
@@ -1171,14 +1193,17 @@
         let price = if unrun { 0.3 } else { 1.0 };
         let end = self.give_up_at(request);
         let stops = [
-            (request.attempts.len() >= self.settings.max_attempts as usize, Stop::Attempts),
-            (!first.is_none_or(|first| self.may_repeat(request.class, first, None)), Stop::Effect),
+            (request.attempts.len() >= self.settings.max_attempts as usize, NoRetryReason::AttemptsExhausted),
+            (
+                !first.is_none_or(|first| self.may_repeat(request.class, first, None)),
+                NoRetryReason::NotIdempotent,
+            ),
             // The same moment as for a held request: a later one would have it wait without a next step.
-            (self.now + 1 >= end, Stop::Time),
-            (self.flow.retry_budget < price, Stop::Budget),
+            (self.now + 1 >= end, NoRetryReason::NoTimeLeft),
+            (self.flow.retry_budget < price, NoRetryReason::RetryBudgetSpent),
         ];
         if let Some((_, stop)) = stops.into_iter().find(|(holds, _)| *holds) {
-            return self.finish(id, Rule::NoRetry(stop), actions);
+            return self.finish(id, RejectionReason::NoRetry(stop), actions);
         }
         if let Some(slot) = if self.has_places() { self.pick(id) } else { None } {
             self.flow.retry_budget -= price;
@@ -1193,18 +1218,21 @@
 
     /// Every final answer of ours. A refusal promises that nothing happened; where that is not certain
     /// the answer is a failure.
-    fn finish(&mut self, id: RequestId, rule: Rule, actions: &mut Vec<Action>) {
+    fn finish(&mut self, id: RequestId, rule: RejectionReason, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.done) else { return };
-        let pressure = if rule == Rule::WaitShare { self.pressure(request) as f32 } else { 0.0 };
+        let pressure =
+            if rule == RejectionReason::QueueTooLong { self.pressure(request) as f32 } else { 0.0 };
         if self.may_refuse(request) {
             actions.push(Action::Reject { id, retry_after: self.settings.retry_after_hint() });
         } else {
             actions.push(Action::Fail(id));
         }
-        if matches!(rule, Rule::WaitShare | Rule::NearlyOut) && !std::mem::replace(&mut self.overload, true) {
-            self.notes.push(Note::Overload { held: self.queues.order.len() as u32 });
+        if matches!(rule, RejectionReason::QueueTooLong | RejectionReason::QueueTimeout)
+            && !std::mem::replace(&mut self.overload, true)
+        {
+            self.notes.push(DecisionEvent::OverloadStarted { queued: self.queues.order.len() as u32 });
         }
-        self.note(|_| Note::Over { id, rule, pressure });
+        self.note(|_| DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure });
         self.on_over(id, None, actions);
     }
 
@@ -1256,7 +1284,11 @@
         let Some(request) = self.requests.get(&id) else { return };
         let no_turn = request.key.is_some() && request.attempts.is_empty();
         if request.held.is_some() || no_turn {
-            let rule = if request.held.is_some() { Rule::NearlyOut } else { Rule::NoTurn };
+            let rule = if request.held.is_some() {
+                RejectionReason::QueueTimeout
+            } else {
+                RejectionReason::KeyOrderTimeout
+            };
             self.finish(id, rule, actions);
         }
     }
--- a/crates/policy/src/policy/share.rs
+++ b/crates/policy/src/policy/node_share.rs
@@ -1,8 +1,8 @@
-//! How many nodes share the servers, where the fleet's own view says so in place of the settings. Decides nothing: subsets and
-//! shares of places are made of it as of the settings.
+//! How many nodes share the servers, where the fleet's own view says so in place of the settings. Decides
+//! nothing: subsets and shares of places are made of it as of the settings.
 
 use super::Balancer;
-use crate::interface::{NodeShare, Settings};
+use crate::{NodeShare, Settings};
 
 impl Balancer {
     /// From now on so many nodes share the servers, and this one has this number.
--- a/crates/policy/src/policy/knowledge.rs
+++ b/crates/policy/src/policy/warm_state.rs
@@ -1,13 +1,13 @@
-//! What a module has learned, as it is handed to the next process of the same node, and how far that one believes it.
-//! Knowledge makes a newcomer careful at once; what praises a server is believed less the older it is. Rights to cold
-//! servers are not handed on: they are earned from zero.
+//! What a module has learned, as it is handed to the next process of the same node, and how far that one
+//! believes it. Knowledge makes a newcomer careful at once; what praises a server is believed less the older
+//! it is. Rights to cold servers are not handed on: they are earned from zero.
 
 use serde::{Deserialize, Serialize};
 
 use super::Balancer;
-use crate::interface::{EndpointId, Nanos};
-use crate::meter::{nanos, seconds};
 use crate::state::ClassState;
+use crate::time::{nanos, seconds};
+use crate::{EndpointId, Nanos};
 
 /// The form of it; another one is not read.
 const VERSION: u32 = 1;
@@ -46,10 +46,10 @@
     trial: bool,
 }
 
-/// What a module has learned. Times are those of [`Balancer::handle`]: who hands it on must see to it that both
-/// processes count from the same point.
+/// What a module has learned. Times are those of [`Balancer::handle`]: who hands it on must see to it that
+/// both processes count from the same point.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Knowledge {
+pub struct WarmState {
     v: u32,
     at: Nanos,
     classes: Vec<ClassKnown>,
@@ -89,7 +89,7 @@
     }
 }
 
-impl Knowledge {
+impl WarmState {
     /// How old it is.
     #[must_use]
     pub fn age(&self, now: Nanos) -> Nanos {
@@ -108,7 +108,7 @@
 impl Balancer {
     /// What has been learned by `now`.
     #[must_use]
-    pub fn knowledge(&self, now: Nanos) -> Knowledge {
+    pub fn warm_state(&self, now: Nanos) -> WarmState {
         let servers = self.servers.iter().filter(|server| server.ready && server.limit > 0.0);
         let known = |server: &crate::state::Server| ServerKnown {
             id: server.id.0,
@@ -122,7 +122,7 @@
             aside_until: server.aside_until,
             trial: server.trial,
         };
-        Knowledge {
+        WarmState {
             v: VERSION,
             at: now,
             classes: self.classes.iter().map(ClassKnown::of).collect(),
@@ -132,9 +132,10 @@
         }
     }
 
-    /// Takes over what another process has learned, of classes and servers that this one has no answer from yet. What does
-    /// not fit these settings, or can't be true, is passed over as a whole. May be said again as servers become known.
-    pub fn inherit(&mut self, known: &Knowledge, now: Nanos) {
+    /// Takes over what another process has learned, of classes and servers that this one has no answer from
+    /// yet. What does not fit these settings, or can't be true, is passed over as a whole. May be said again
+    /// as servers become known.
+    pub fn restore_warm_state(&mut self, known: &WarmState, now: Nanos) {
         let fits = known.classes.len() == self.classes.len() && known.calms.len() == self.calms.len();
         if !fits || !known.is_sound() {
             return;
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -3,13 +3,13 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use crate::interface::{CellId, ClassId, EndpointId, Nanos, RequestId, ZoneId};
-use crate::meter;
+use crate::decaying_rate;
+use crate::{CellId, ClassId, EndpointId, Nanos, RequestId, ZoneId};
 
 /// Memory of traffic rates, in seconds.
 pub(crate) const RATE_S: f64 = 3.0;
 /// A rate of traffic over the module's memory.
-pub(crate) type Rate = meter::Rate<{ (RATE_S * 1000.0) as u32 }>;
+pub(crate) type Rate = decaying_rate::DecayingRate<{ (RATE_S * 1000.0) as u32 }>;
 
 /// What is known of an attempt's effect.
 #[derive(Clone, Copy, PartialEq)]
@@ -119,7 +119,8 @@
     pub limits: [f64; 2],
     pub out: [usize; 2],
     pub width: usize,
-    /// By pool: what is left to this node of a place, where more nodes than usual share servers since many are cold.
+    /// By pool: what is left to this node of a place, where more nodes than usual share servers since many
+    /// are cold.
     pub shared: [f64; 2],
     pub refreshed: Nanos,
     pub limit_sum: f64,
@@ -142,7 +143,8 @@
     pub served: Rate,
     pub retry_budget: f64,
     pub out_total: usize,
-    /// Since when this process runs without having stood still, and until when it works off what came meanwhile.
+    /// Since when this process runs without having stood still, and until when it works off what came
+    /// meanwhile.
     pub resumed: Nanos,
     pub behind_until: Nanos,
 }
--- a/crates/policy/src/tenant_ids.rs
+++ b/crates/policy/src/tenant_ids.rs
@@ -1,17 +1,17 @@
 //! Ids of tenants that files know by name: a name keeps its id for as long as files name it.
 //!
-//! A name that is removed and comes back within [`RETIRED_FOR`] gets its own id back, and with it its state in every pool:
-//! a new one would give a tenant over its share a fresh allowance. After that it gets another id. Its former state is
-//! no longer worth anything by then: a tenant that was idle for so long earns as much from the start (see
-//! `src/tenants.rs`). Ids are handed out in turn, and those in use or retired are passed over, so that no id means
-//! another tenant while its former tenant's state may count.
+//! A name that is removed and comes back within [`RETIRED_FOR`] gets its own id back, and with it its state
+//! in every pool: a new one would give a tenant over its share a fresh allowance. After that it gets another
+//! id. Its former state is no longer worth anything by then: a tenant that was idle for so long earns as much
+//! from the start (see `src/tenants.rs`). Ids are handed out in turn, and those in use or retired are passed
+//! over, so that no id means another tenant while its former tenant's state may count.
 
 use std::sync::Arc;
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::interface::{Nanos, SECOND, Tenant, TenantId};
 use crate::tenant_shares::TenantShares;
+use crate::{Nanos, SECOND, Tenant, TenantId};
 
 /// How long a removed name's id is kept for it: the longest span that a tenant earns for.
 pub const RETIRED_FOR: Nanos = 10 * SECOND;
--- a/crates/policy/src/tenant_shares.rs
+++ b/crates/policy/src/tenant_shares.rs
@@ -4,8 +4,8 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::{Tenant, TenantId};
-use crate::meter::mix;
+use crate::hash_ring::mix;
+use crate::{Tenant, TenantId};
 
 #[derive(Debug)]
 struct Shares {
--- a/crates/policy/src/tenants.rs
+++ b/crates/policy/src/tenants.rs
@@ -1,31 +1,31 @@
-//! What each tenant has earned in one pool: a bounded table of records. Whether a tenant is over its share is decided in
-//! `src/policy.rs` (`over_share`); this module says whose record is kept.
+//! What each tenant has earned in one pool: a bounded table of records. Whether a tenant is over its share is
+//! decided in `src/policy.rs` (`over_share`); this module says whose record is kept.
 //!
-//! A tenant earns an allowance for at most [`EARNING_S`] seconds at a time. After so long without a request, one with a
-//! record has what it had left plus the whole span's earnings (up to the most it may save); one without a record has
-//! the span's earnings alone. Hence the rule:
+//! A tenant earns an allowance for at most [`EARNING_S`] seconds at a time. After so long without a request,
+//! one with a record has what it had left plus the whole span's earnings (up to the most it may save); one
+//! without a record has the span's earnings alone. Hence the rule:
 //!
-//! 1. A record of a tenant that has asked within the last [`EARNING_S`] seconds is never dropped: a new record would give
-//!    its tenant back what it has spent.
-//! 2. A record that is idle for longer may be dropped, the one idle for longest first. Its tenant never gains by
-//!    that; it loses at most what it had saved. While a pool has no more than [`KEPT_STATES`] records none is dropped,
-//!    so with few tenants every answer is the one of a record for each. Beyond that, records idle for [`RELEASE_AFTER`]
-//!    are dropped as requests come, and from [`MOST_STATES`] on a new tenant takes the place of one idle for
-//!    [`EARNING_S`] seconds.
-//! 3. Where all [`MOST_STATES`] records are recent, a new tenant gets none. It is judged by a record made up from
-//!    [`Overflow`], a small table of shared counters that never says less than what the tenant itself has used. It is
-//!    neither over its share for lack of a record nor within it without a count. Once it gets a record, that one begins
-//!    with what the counters say.
+//! 1. A record of a tenant that has asked within the last [`EARNING_S`] seconds is never dropped: a new
+//!    record would give its tenant back what it has spent.
+//! 2. A record that is idle for longer may be dropped, the one idle for longest first. Its tenant never
+//!    gains by that; it loses at most what it had saved. While a pool has no more than [`KEPT_STATES`]
+//!    records none is dropped, so with few tenants every answer is the one of a record for each. Beyond
+//!    that, records idle for [`RELEASE_AFTER`] are dropped as requests come, and from [`MOST_STATES`] on a
+//!    new tenant takes the place of one idle for [`EARNING_S`] seconds.
+//! 3. Where all [`MOST_STATES`] records are recent, a new tenant gets none. It is judged by a record made
+//!    up from [`Overflow`], a small table of shared counters that never says less than what the tenant
+//!    itself has used. It is neither over its share for lack of a record nor within it without a count.
+//!    Once it gets a record, that one begins with what the counters say.
 //!
-//! By 2 and 3 a tenant that earns at a steady rate never has more requests within its share, counted from its first one,
-//! than with a record that is never dropped (`tests/tenants.rs` has this as a property).
+//! By 2 and 3 a tenant that earns at a steady rate never has more requests within its share, counted from its
+//! first one, than with a record that is never dropped (`tests/tenants.rs` has this as a property).
 
 mod overflow;
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::{Nanos, SECOND, TenantId};
-use crate::meter::seconds;
+use crate::time::seconds;
+use crate::{Nanos, SECOND, TenantId};
 use overflow::Overflow;
 
 /// Longest time that a tenant earns for between two of its requests, in seconds.
@@ -98,7 +98,8 @@
 }
 
 impl TenantTable {
-    /// Has `is_over` judge a request by its tenant's record, and takes one request off the allowance where it is not.
+    /// Has `is_over` judge a request by its tenant's record, and takes one request off the allowance where it
+    /// is not.
     pub fn judge(&mut self, asked: Asked, is_over: impl FnOnce(&mut TenantState) -> bool) -> bool {
         self.release(asked.at);
         let place = self.places.get(&asked.tenant).copied();
--- a/crates/policy/src/tenants/overflow.rs
+++ b/crates/policy/src/tenants/overflow.rs
@@ -1,15 +1,18 @@
 //! Shared counters for tenants that have no record of their own.
 //!
-//! A tenant without a record has a debt: the time in which it earns what it lacks of a full allowance. The counters of its row hold the moment
-//! at which a debt is paid. Tenants share counters, and the smaller of a tenant's two counts (a count-min sketch with
-//! conservative update). Each counter is raised to at least the debt of whoever uses it, so none ever says less than the
-//! tenant's own debt. A tenant's count is too high only where others use both of its counters.
+//! A tenant without a record has a debt: the time in which it earns what it lacks of a full allowance. The
+//! counters of its row hold the moment at which a debt is paid. Tenants share counters, and the smaller of a
+//! tenant's two counts (a count-min sketch with conservative update). Each counter is raised to at least the
+//! debt of whoever uses it, so none ever says less than the tenant's own debt. A tenant's count is too high
+//! only where others use both of its counters.
 
 use super::{Asked, TenantState};
-use crate::interface::Nanos;
-use crate::meter::{mix, nanos, seconds};
+use crate::Nanos;
+use crate::hash_ring::mix;
+use crate::time::{nanos, seconds};
 
-/// Counters of a row: enough for 16,000 tenants that ask at once. They are there only while a pool's records do not do.
+/// Counters of a row: enough for 16,000 tenants that ask at once. They are there only while a pool's records
+/// do not do.
 const WIDTH: usize = 16_384;
 /// Rows: a tenant has a counter in each.
 const ROWS: usize = 2;
--- a/crates/policy/src/timer.rs
+++ b/crates/policy/src/timer.rs
@@ -1,6 +1,6 @@
 //! What a timer of the module is about: a kind in the upper half of its token, an id in the lower.
 
-use crate::interface::{RequestId, TimerToken};
+use crate::{RequestId, TimerToken};
 
 /// A held request is nearly out of time.
 pub(crate) const T_GIVE_UP: u64 = 1;
@@ -30,8 +30,8 @@
         self.0 as u32
     }
 
-    /// The request that it is about, if any: once that has its final answer and no attempt out, the timer does
-    /// nothing, and a host may drop it.
+    /// The request that it is about, if any: once that has its final answer and no attempt out, the timer
+    /// does nothing, and a host may drop it.
     pub fn request(self) -> Option<RequestId> {
         matches!(self.kind(), T_GIVE_UP | T_HEDGE | T_AGAIN).then(|| RequestId(self.about()))
     }
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use pumicehead_policy::interface::*;
+use pumicehead_policy::*;
 
 const NODES: u32 = 20;
 const SERVERS: u32 = 10;
--- a/crates/policy/tests/combinations.rs
+++ b/crates/policy/tests/combinations.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use pumicehead_policy::interface::*;
+use pumicehead_policy::*;
 
 const CALM: Nanos = 40 * MS;
 
--- a/crates/policy/tests/list_calls.rs
+++ b/crates/policy/tests/list_calls.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use common::*;
-use pumicehead_policy::interface::{
+use pumicehead_policy::Balancer;
+use pumicehead_policy::{
     Action, DISCOVERY_CALL_TIMEOUT, DISCOVERY_NOTICE, Discovery, EndpointUpdate, Event, Idempotency, Nanos,
     SECOND, Settings, TimerToken,
 };
-use pumicehead_policy::policy::Balancer;
 
 /// The service answers a call, or turns it away, within this.
 const CALL_WAIT: Nanos = 2 * SECOND;
--- a/crates/policy/tests/peers.rs
+++ b/crates/policy/tests/peers.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 
 use common::*;
-use pumicehead_policy::interface::*;
-use pumicehead_policy::peers::{Peers, group, write};
+use pumicehead_policy::load_reports::{Peers, group, write};
+use pumicehead_policy::*;
 
 #[test]
 fn a_note_replaces_the_last_and_odd_ones_are_passed_over() {
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -5,7 +5,7 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use pumicehead_policy::interface::*;
+use pumicehead_policy::*;
 
 const KEYED_CELL: Idempotency = Idempotency::IdempotencyKey { scope: DedupScope::Cell, window: 300 * MS };
 const KEYED_ALL: Idempotency = Idempotency::IdempotencyKey { scope: DedupScope::All, window: 300 * MS };
--- a/crates/policy/tests/tenant_ids.rs
+++ b/crates/policy/tests/tenant_ids.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
-use pumicehead_policy::interface::{Nanos, SECOND, Tenant, TenantId};
 use pumicehead_policy::tenant_ids::{RETIRED_FOR, TenantIds};
 use pumicehead_policy::tenant_shares::TenantShares;
+use pumicehead_policy::{Nanos, SECOND, Tenant, TenantId};
 
 fn tenant(share: f64) -> Tenant {
     Tenant { share, allowance_per_s: 1.0 }
--- a/crates/resources/src/digest.rs
+++ b/crates/resources/src/digest.rs
@@ -9,7 +9,7 @@
 use std::hash::Hasher;
 use std::net::SocketAddr;
 
-use pumicehead_policy::interface::{DedupScope, Discovery};
+use pumicehead_policy::{DedupScope, Discovery};
 use pumicehead_route::{HeaderRule, Methods};
 use siphasher::sip128::{Hasher128, SipHasher13};
 
--- a/crates/resources/src/resource.rs
+++ b/crates/resources/src/resource.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-use pumicehead_policy::interface::{DedupScope, Discovery, Nanos};
+use pumicehead_policy::{DedupScope, Discovery, Nanos};
 use pumicehead_route::Route as Pattern;
 
 /// A resource's name. Clones share the text.
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -10,8 +10,8 @@
 use rustc_hash::FxHashMap;
 use thiserror::Error;
 
-use pumicehead_policy::boot::Boot;
-use pumicehead_policy::interface::{
+use pumicehead_policy::deployment_settings::Boot;
+use pumicehead_policy::{
     Action, AttemptEnded, AttemptNo, AttemptOutcome, CellId, ClassId, EndpointId, EndpointInfo,
     EndpointState, EndpointUpdate, Event, Nanos, NewRequest, RequestId, Settings, SettingsError, TenantId,
     TimerToken, ZoneId,
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-use pumicehead_policy::interface::*;
+use pumicehead_policy::*;
 use pumicehead_simulator_adapter::{Decoder, Input, Reply, WireError, read_frame};
 
 const NOW: u64 = 8_410_152_848;
--- a/crates/testbed/src/measure/fleet.rs
+++ b/crates/testbed/src/measure/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-use pumicehead_policy::interface::SECOND;
+use pumicehead_policy::SECOND;
 
 use super::Plan;
 use crate::report::Report;
--- a/crates/testbed/src/world/levels.rs
+++ b/crates/testbed/src/world/levels.rs
@@ -13,7 +13,7 @@
 use pumicehead_capacity_leases::view::View;
 use pumicehead_capacity_leases::wire::{Body, Frames, Plan, Report, Sighting, frame};
 use pumicehead_capacity_leases::{ForwarderId, PlannerId};
-use pumicehead_policy::interface::{CapacityAdvice, EndpointId, Nanos, SECOND};
+use pumicehead_policy::{CapacityAdvice, EndpointId, Nanos, SECOND};
 
 /// How often a node reports to each planner.
 pub const PACE: Nanos = SECOND / 2;
--- a/crates/testbed/src/world/mod.rs
+++ b/crates/testbed/src/world/mod.rs
@@ -10,13 +10,13 @@
 
 use bytes::Bytes;
 use pumicehead_capacity_leases::{ForwarderId, PlannerId};
-use pumicehead_policy::interface::{
+use pumicehead_policy::Balancer;
+use pumicehead_policy::tenant_shares::TenantShares;
+use pumicehead_policy::{
     Action, AttemptEnded, AttemptNo, AttemptOutcome, CellId, Class, ClassId, Discovery, EndpointId,
     EndpointInfo, EndpointState, EndpointUpdate, Event, Idempotency, Nanos, NewRequest, RequestId, SECOND,
     Settings, TimerToken, ZoneId,
 };
-use pumicehead_policy::policy::Balancer;
-use pumicehead_policy::tenant_shares::TenantShares;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -366,7 +366,7 @@
             Due::Report { node, place } => {
                 self.push(self.now + levels::PACE, Due::Report { node, place });
                 if self.planners[place].is_some() {
-                    let shares = self.nodes[node].balancer.cold_shares();
+                    let shares = self.nodes[node].balancer.slow_start_rates();
                     let bytes = self.forwarders[node].report(place, shares, self.now);
                     // What is lent is done without before anybody hears of it.
                     let advice = self.forwarders[node].advice(self.now);
--- a/crates/testbed/src/world/server.rs
+++ b/crates/testbed/src/world/server.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use pumicehead_policy::interface::{Nanos, SECOND};
+use pumicehead_policy::{Nanos, SECOND};
 
 use super::{COLD_FROM, COLD_SPAN, FALL_MULTIPLE, FALL_SPAN};
 
--- a/crates/testbed/tests/world.rs
+++ b/crates/testbed/tests/world.rs
@@ -2,7 +2,7 @@
 //!
 //! A failing seed is printed; `SEED=n cargo test -p pumicehead-testbed --test world` plays it alone.
 
-use pumicehead_policy::interface::{Nanos, SECOND};
+use pumicehead_policy::{Nanos, SECOND};
 use pumicehead_testbed::world::{Day, Health, Job, Server, Tally, World};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
