--- /dev/null
+++ b/crates/trace/tests/stored_forms.rs
@@ -0,0 +1,406 @@
+//! Recordings and their exports as files hold them. The fixtures were written by version 0.2.0, before its types were
+//! renamed, and must stay readable: a name that changes in the code must not change a stored byte.
+
+mod common;
+
+use std::fs;
+use std::path::{Path, PathBuf};
+
+use common::*;
+use pumicehead_policy::interface::*;
+use pumicehead_policy::note::{Hurdles, Moved, Note, Rule, Stop};
+use pumicehead_trace::breakdown::Breakdown;
+use pumicehead_trace::dump::{ClassHead, Dump, Head, PoolHead, write};
+use pumicehead_trace::event::{Event, How, Listed, PoolId, Short, Turned, outcome};
+use pumicehead_trace::export::{chrome, otlp};
+use pumicehead_trace::loss::{Cause, Where};
+use pumicehead_trace::recorder::{Class, Level, Recorder, Story};
+use pumicehead_trace::ring::{Ring, append};
+use pumicehead_trace::text::Name;
+
+/// The version that wrote the fixtures.
+const WRITTEN_BY: &str = "0.2.0";
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+fn stored(name: &str) -> Vec<u8> {
+    fs::read(fixture(name)).unwrap()
+}
+
+/// Compares a whole text with a stored one.
+fn assert_stored_text(name: &str, text: &str) {
+    let expected = String::from_utf8(stored(name)).unwrap();
+    for (line, (one, other)) in text.lines().zip(expected.lines()).enumerate() {
+        assert_eq!(one, other, "{name}, line {}", line + 1);
+    }
+    assert_eq!(text, expected, "{name}");
+}
+
+/// Compares all bytes of a recording with a stored one; the head names the program's version, which may be a later one.
+fn assert_stored_recording(name: &str, bytes: &[u8]) {
+    let (written, expected) = (frames(bytes), frames(&stored(name)));
+    assert_eq!(bytes[..10], stored(name)[..10], "{name}: magic and version");
+    assert_eq!(written.len(), expected.len(), "{name}: frames");
+    for (number, (one, other)) in written.iter().zip(&expected).enumerate() {
+        assert_eq!(one, other, "{name}, frame {number}");
+    }
+}
+
+/// The frames behind the magic and the version, each with its kind: one byte, length and checksum in four each, contents.
+fn frames(bytes: &[u8]) -> Vec<(u8, Vec<u8>)> {
+    const HEAD: u8 = 1;
+    let (mut rest, mut all) = (&bytes[10..], Vec::new());
+    while let [kind, length @ ..] = rest {
+        let length = u32::from_le_bytes(length[..4].try_into().unwrap()) as usize;
+        let mut contents = rest[9..9 + length].to_vec();
+        if *kind == HEAD {
+            let now = format!("\"program\":\"{}\"", env!("CARGO_PKG_VERSION"));
+            let then = format!("\"program\":\"{WRITTEN_BY}\"");
+            contents = String::from_utf8(contents).unwrap().replace(&now, &then).into_bytes();
+        }
+        all.push((*kind, contents));
+        rest = &rest[9 + length..];
+    }
+    all
+}
+
+const ID: RequestId = RequestId(7);
+const SERVER: ServerId = ServerId(3);
+const ATTEMPT: AttemptNo = AttemptNo(1);
+
+/// Every note, with each value that it may hold of a fixed set.
+fn every_note() -> Vec<Note> {
+    let (id, server) = (ID, SERVER);
+    let hurdles = Hurdles([1, 2, 3, 4, 255]);
+    let rules = [Rule::WaitShare, Rule::NearlyOut, Rule::NoTurn]
+        .into_iter()
+        .chain([Stop::Attempts, Stop::Effect, Stop::Time, Stop::Budget].map(Rule::NoRetry));
+    let mut all = vec![
+        Note::Taken { id, tier: 3, worth: 1.5, aim_at: START + 100 * MS },
+        Note::Held { id, held: 7 },
+        Note::Picked {
+            id,
+            server,
+            score: 0.1,
+            next: Some((ServerId(4), 2.0)),
+            out: 9,
+            limit: 12.25,
+            hurdles,
+        },
+        Note::Picked { id, server, score: 0.1, next: None, out: 0, limit: 1.0, hurdles: Hurdles::default() },
+        Note::NoneFits { id, hurdles },
+        Note::NoneFits { id, hurdles: Hurdles::default() },
+        Note::Limit { server, from: 1.0, to: 2.5, why: Moved::Compared },
+        Note::Limit { server, from: 2.5, to: 1.0, why: Moved::Failure },
+        Note::Limits { factor: 0.5, load: 2.0 },
+        Note::Aside { server, span: 1_500 * MS },
+        Note::Back { server },
+        Note::Doubt { bad: 1, all: 8, most: false },
+        Note::Doubt { bad: 7, all: 8, most: true },
+        Note::Overload { held: 30 },
+        Note::Calm,
+        Note::ListLost,
+        Note::ListRegained,
+    ];
+    all.extend(rules.map(|rule| Note::Over { id, rule, pressure: 0.75 }));
+    all.push(Note::Over { id, rule: Rule::WaitShare, pressure: f32::INFINITY });
+    all
+}
+
+/// Every event but notes, with each value that it may hold of a fixed set.
+fn every_event() -> Vec<Event> {
+    let (id, server, attempt) = (ID, SERVER, ATTEMPT);
+    let asked = |tenant, sending, name: &str, revision| Event::Asked {
+        id,
+        class: 1,
+        tenant,
+        left: 2 * SECOND,
+        sending,
+        name: Name::new(name),
+        revision,
+    };
+    let long = "a name that is longer than what is kept of names here, by some";
+    let mut all = vec![
+        asked(Some(70_000), 2 * MS, "req-7", Some(4)),
+        asked(None, 0, long, None),
+        Event::Sent { id, attempt, server, timeout: Some(80 * MS) },
+        Event::Sent { id, attempt: AttemptNo(2), server, timeout: None },
+        Event::Began { id, attempt },
+        Event::Advice { avoid: 3, rights: 4 },
+        Event::Sharing { nodes: 277, number: 12 },
+        Event::Turned { class: 1, why: Turned::Held },
+        Event::Turned { class: 1, why: Turned::Connections },
+        Event::Short(Short::Accept),
+        Event::Short(Short::Dial),
+        Event::Member { name: Name::new("n7"), from: Some(0), to: 3 },
+        Event::Member { name: Name::new(long), from: None, to: 0 },
+    ];
+    let outcomes = (0..8).filter_map(outcome);
+    all.extend(outcomes.enumerate().map(|(number, outcome)| Event::Ended {
+        id,
+        attempt: AttemptNo(number as u8),
+        server,
+        outcome,
+        took: 30 * MS,
+        dial: if number % 2 == 0 { 0 } else { 2 * MS },
+        idle: (number % 3 == 0).then_some(7 * SECOND),
+    }));
+    let hows = [How::Served, How::ServedFault, How::Refused, How::Failed, How::Late, How::Body, How::Left];
+    all.extend(hows.map(|how| Event::Over { id, how }));
+    let listed = [Listed::Ready, Listed::Draining, Listed::Gone];
+    all.extend(listed.map(|listed| Event::Server { server, listed }));
+    all
+}
+
+/// Every cause of a loss.
+fn every_cause() -> Vec<Cause> {
+    let places = [Where::Client, Where::Queue, Where::Earlier, Where::Connect, Where::Server];
+    let mut all = vec![Cause::WaitShare, Cause::NearlyOut, Cause::NoTurn];
+    all.extend((0..8).map(Cause::Failed));
+    all.extend(places.map(Cause::Late));
+    all.extend(places.map(Cause::OutOfTime));
+    all.extend(places.map(Cause::Left));
+    all.extend([Cause::Body, Cause::Turned(false), Cause::Turned(true), Cause::Other]);
+    all
+}
+
+fn story(name: &str, cause: Option<Cause>, events: &[Event]) -> Story {
+    let mut last = START + SECOND;
+    let mut page = last.to_le_bytes().to_vec();
+    let mut at = last;
+    for event in events {
+        let mut bytes = Vec::new();
+        event.encode(&mut bytes);
+        at += MS;
+        append(&mut page, &mut last, at, PoolId(0), &bytes);
+    }
+    let cut = name.ends_with("cut");
+    Story { pool: PoolId(0), class: 1, name: Name::new(name), at, cause, page: page.into(), cut }
+}
+
+/// A recording with every event, every note and every cause in it, put together by hand.
+fn every_event_recording() -> Vec<u8> {
+    let class = |name: &str, worth| ClassHead {
+        name: name.into(),
+        aim_ns: 100 * MS,
+        deadline_ns: SECOND,
+        worth,
+        late_worth: 0.3,
+    };
+    let mut head = Head::new("n\"0", START);
+    head.at = START + 60 * SECOND;
+    head.reason = "asked by a call".into();
+    head.pools = vec![
+        PoolHead {
+            name: "web".into(),
+            classes: vec![class("read", 1.0), class("submit", 10.0)],
+            tenants: Vec::new(),
+            servers: vec![(3, "s-3".into()), (4, "s-4".into())],
+        },
+        PoolHead {
+            name: "old".into(),
+            classes: Vec::new(),
+            tenants: vec!["acme".into()],
+            servers: Vec::new(),
+        },
+    ];
+    head.tenants = [(70_000, "late"), (3, "early")].map(|(id, name)| (id, name.into())).into_iter().collect();
+    (head.wrapped, head.untold) = (11, 5);
+    let events: Vec<_> = every_event().into_iter().chain(every_note().into_iter().map(Event::Note)).collect();
+    let mut stories = vec![
+        story("every-event", Some(Cause::Other), &events),
+        story("open", None, &events[..3]),
+        story("cut", None, &events[..1]),
+    ];
+    let some = [events[0].clone(), Event::Over { id: ID, how: How::Late }];
+    stories.extend(every_cause().into_iter().map(|cause| {
+        let name = format!("lost-{}", cause.code());
+        story(&name, Some(cause), &some)
+    }));
+    let mut ring = Ring::new(8 << 10);
+    for (number, event) in events.iter().enumerate() {
+        let mut bytes = Vec::new();
+        event.encode(&mut bytes);
+        ring.push(START + number as u64 * MS, PoolId((number % 2) as u16), &bytes);
+    }
+    let pages: Vec<_> = ring.pages().collect();
+    let day = faulty_day();
+    write(&head, day.recorder.accounts(), stories.iter(), pages.into_iter().rev())
+}
+
+fn next_pool(day: &mut Day, name: &str, classes: &[Class]) {
+    day.pool = day.recorder.pool(name, classes);
+    for server in 0..5 {
+        day.recorder.name(day.pool, ServerId(server), &format!("{name}-{server}"));
+    }
+}
+
+/// Rounds over four servers that answer well, each followed by something else.
+fn rounds(day: &mut Day, count: u64, mut other: impl FnMut(&mut Day)) {
+    for n in 0..count {
+        for server in 0..4 {
+            day.one(0, server, Outcome::Ok, (20 + n % 7) * MS);
+        }
+        other(day);
+    }
+}
+
+/// A day on which each pool has a fault of its own: every finding there is.
+fn faulty_day() -> Day {
+    let usual = [class("read", 100 * MS, 1.0), class("submit", 200 * MS, 10.0)];
+    let mut day = Day::of(192 << 10, &usual);
+    day.recorder.set_level(Level::Full);
+    rounds(&mut day, 5, |_| {});
+    let at_one = [
+        ("silent", Outcome::TimedOut),
+        ("resets", Outcome::Reset),
+        ("errors", Outcome::Error),
+        ("unreachable", Outcome::ConnectFailed),
+        ("full", Outcome::Full),
+    ];
+    for (name, outcome) in at_one {
+        next_pool(&mut day, name, &usual);
+        rounds(&mut day, 20, |day| day.one(0, 4, outcome, 150 * MS));
+        next_pool(&mut day, &format!("all-{name}"), &usual);
+        for n in 0..60 {
+            day.one(0, n % 4, if n % 3 == 0 { outcome } else { Outcome::Ok }, 20 * MS);
+        }
+    }
+    next_pool(&mut day, "slow", &usual);
+    rounds(&mut day, 20, |day| day.one(0, 4, Outcome::Ok, 250 * MS));
+    next_pool(&mut day, "slow-to-connect", &usual);
+    for n in 0..60 {
+        day.one(0, n % 4, Outcome::Ok, 80 * MS);
+    }
+    for _ in 0..20 {
+        let id = day.ask(0, "dialled");
+        day.send(id, 0, 4);
+        day.now += 110 * MS;
+        let (attempt, server, outcome) = (AttemptNo(0), ServerId(4), Outcome::Ok);
+        let (took, dial) = (110 * MS, 100 * MS);
+        day.tell(Event::Ended { id, attempt, server, outcome, took, dial, idle: None });
+        day.over(id, How::Served);
+    }
+    next_pool(&mut day, "tight", &[class("read", 100 * MS, 1.0), class("hasty", 5 * MS, 10.0)]);
+    for n in 0..60 {
+        day.one(0, n % 4, Outcome::Ok, 20 * MS);
+        day.one(1, n % 4, Outcome::TimedOut, 20 * MS);
+    }
+    next_pool(&mut day, "crowded", &usual);
+    rounds(&mut day, 5, |day| {
+        day.refused(0, Rule::WaitShare);
+        day.refused(1, Rule::NearlyOut);
+    });
+    next_pool(&mut day, "turns", &usual);
+    rounds(&mut day, 5, |day| day.refused(1, Rule::NoTurn));
+    next_pool(&mut day, "clients", &usual);
+    rounds(&mut day, 5, |day| {
+        for how in [How::Left, How::Body] {
+            let id = day.ask(1, "impatient");
+            day.now += 10 * MS;
+            day.over(id, how);
+        }
+    });
+    next_pool(&mut day, "other", &usual);
+    rounds(&mut day, 5, |day| {
+        let id = day.ask(1, "called back");
+        for (attempt, outcome) in [(0, Outcome::Reset), (1, Outcome::Moot)] {
+            day.send(id, attempt, u32::from(attempt));
+            day.now += 5 * MS;
+            day.end(id, attempt, u32::from(attempt), outcome, 5 * MS);
+        }
+        day.tell(Event::Note(Note::Over { id, rule: Rule::NoRetry(Stop::Attempts), pressure: 0.0 }));
+        day.over(id, How::Failed);
+        let id = day.ask(0, "faulty");
+        day.send(id, 0, 2);
+        day.now += 20 * MS;
+        day.end(id, 0, 2, Outcome::Ok, 20 * MS);
+        day.over(id, How::ServedFault);
+        let id = day.ask(0, "out of time");
+        day.send(id, 0, 2);
+        day.now += 400 * MS;
+        day.over(id, How::Late);
+        day.end(id, 0, 2, Outcome::Cancelled, 400 * MS);
+    });
+    for why in [Turned::Held, Turned::Connections] {
+        (0..3).for_each(|_| day.tell(Event::Turned { class: 0, why }));
+    }
+    // The node's shortage of descriptors would be put down as the cause of every attempt that was not sent.
+    day.tell(Event::Short(Short::Accept));
+    day.tell(Event::Note(Note::Aside { server: SERVER, span: 1_500 * MS }));
+    day.tell(Event::Note(Note::Limit { server: SERVER, from: 1.0, to: 2.5, why: Moved::Compared }));
+    let id = day.ask(1, "still open");
+    day.tell(Event::Note(Note::Held { id, held: 1 }));
+    day
+}
+
+fn read(name: &str) -> Dump {
+    let dump = Dump::read(&stored(name)).unwrap();
+    assert_eq!(dump.damage, None, "{name}");
+    dump
+}
+
+fn told(dump: &Dump) -> String {
+    let all = dump.stories.iter().map(|story| pumicehead_trace::story::tell(&dump.head, story));
+    all.collect::<Vec<_>>().join("\n")
+}
+
+#[test]
+fn recordings_are_written_as_before() {
+    assert_stored_recording("every_event.rec", &every_event_recording());
+    let day = faulty_day();
+    assert_stored_recording("faulty_day.rec", &day.recorder.dump(day.now, "asked by a signal"));
+}
+
+#[test]
+fn an_older_recording_holds_the_same_events() {
+    let dump = read("every_event.rec");
+    let events: Vec<_> = every_event().into_iter().chain(every_note().into_iter().map(Event::Note)).collect();
+    let read: Vec<_> = dump.records.iter().map(|record| record.event.clone()).collect();
+    assert_eq!(read, events);
+    let causes: Vec<_> = dump.stories.iter().skip(3).map(|story| story.cause.unwrap()).collect();
+    assert_eq!(causes, every_cause());
+}
+
+#[test]
+fn an_older_recording_is_exported_as_before() {
+    let dump = read("every_event.rec");
+    assert_stored_text("every_event.otlp.jsonl", &otlp(&dump));
+    assert_stored_text("every_event.chrome.json", &chrome(&dump));
+}
+
+#[test]
+fn an_older_recording_is_told_in_the_same_sentences() {
+    assert_stored_text("every_event.stories.txt", &told(&read("every_event.rec")));
+    let dump = read("faulty_day.rec");
+    let breakdown = Breakdown::of(&dump, 0, Nanos::MAX).unwrap();
+    assert_stored_text("faulty_day.breakdown.txt", &breakdown.to_string());
+}
+
+#[test]
+fn scraped_metrics_keep_their_names_and_labels() {
+    let mut recorder = Recorder::new("n0", START, 1 << 20, 1);
+    let pool = recorder.pool("web", &[class("read", 100 * MS, 1.0)]);
+    let mut at = START;
+    for (number, event) in every_event().into_iter().enumerate() {
+        at += 10 * MS;
+        if let Event::Over { how, .. } = event {
+            let id = RequestId(100 + number as u32);
+            let name = Name::new(&format!("r{number}"));
+            let (tenant, left, revision) = (None, SECOND, None);
+            recorder.record(
+                at,
+                pool,
+                &Event::Asked { id, class: 0, tenant, left, sending: 0, name, revision },
+            );
+            at += 20 * MS;
+            recorder.record(at, pool, &Event::Over { id, how });
+        } else {
+            recorder.record(at, pool, &event);
+        }
+    }
+    recorder.meters().gauge("pumicehead_requests_open", 2.0);
+    assert_stored_text("metrics.txt", &recorder.prometheus());
+}
