--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -1,11 +1,12 @@
 //! Stories in forms that other viewers open: OTLP/JSON (one `TracesData` a line, as the OpenTelemetry protocol's file
 //! exporter writes it) and Chrome's trace events (the "Trace Event Format", JSON object form).
 
-use pumicehead_policy::interface::{Nanos, Outcome};
+use pumicehead_policy::{AttemptOutcome, Nanos};
 use serde_json::{Value, json};
 
 use crate::dump::Dump;
 use crate::event::{Event, How};
+use crate::export_names::Exported;
 use crate::kept::Story;
 use crate::loss::said;
 use crate::ring::{Record, records};
@@ -17,7 +18,7 @@
     server: String,
     from: Nanos,
     to: Nanos,
-    outcome: Option<Outcome>,
+    outcome: Option<AttemptOutcome>,
 }
 
 struct Told {
@@ -59,7 +60,7 @@
 
 /// Eight bytes that name a span: the same dump gives the same ids.
 fn id(story: &Story, from: Nanos, part: u64) -> u64 {
-    pumicehead_policy::meter::mix(
+    pumicehead_policy::hash_ring::mix(
         story.name.hash ^ from.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15),
     )
     .max(1)
@@ -95,7 +96,7 @@
             .filter_map(|record| match &record.event {
                 Event::Note(note) => Some(json!({
                     "timeUnixNano": record.at.to_string(),
-                    "name": format!("{note:?}"),
+                    "name": format!("{:?}", Exported(note)),
                 })),
                 _ => None,
             })
@@ -106,7 +107,7 @@
             "attributes": attributes, "events": notes, "status": { "code": if failed { 2 } else { 0 } },
         })];
         for attempt in &one.attempts {
-            let bad = attempt.outcome.is_some_and(|outcome| outcome != Outcome::Ok);
+            let bad = attempt.outcome.is_some_and(|outcome| outcome != AttemptOutcome::Success);
             spans.push(json!({
                 "traceId": trace, "spanId": format!("{:016x}", id(story, one.from, u64::from(attempt.number) + 1)),
                 "parentSpanId": root, "name": "attempt", "kind": 3,
--- a/crates/flight-recorder/src/loss.rs
+++ b/crates/flight-recorder/src/loss.rs
@@ -3,8 +3,8 @@
 
 use std::fmt;
 
-use pumicehead_policy::interface::{AttemptNo, Nanos, Outcome, ServerId};
-use pumicehead_policy::note::{Note, Rule, Stop};
+use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
+use pumicehead_policy::{AttemptNo, AttemptOutcome, EndpointId, Nanos};
 
 use crate::event::{Event, How, Turned, outcome, place};
 
@@ -137,16 +137,16 @@
 
 /// How an attempt ended, in words.
 #[must_use]
-pub fn said(outcome: Outcome) -> &'static str {
+pub fn said(outcome: AttemptOutcome) -> &'static str {
     match outcome {
-        Outcome::Ok => "answered",
-        Outcome::Error => "answered with an error",
-        Outcome::Full => "turned away as full",
-        Outcome::TimedOut => "no answer in time",
-        Outcome::ConnectFailed => "no connection",
-        Outcome::Reset => "the connection broke",
-        Outcome::Cancelled => "called back",
-        Outcome::Moot => "never sent",
+        AttemptOutcome::Success => "answered",
+        AttemptOutcome::Error => "answered with an error",
+        AttemptOutcome::Rejected => "turned away as full",
+        AttemptOutcome::TimedOut => "no answer in time",
+        AttemptOutcome::ConnectFailed => "no connection",
+        AttemptOutcome::Reset => "the connection broke",
+        AttemptOutcome::Cancelled => "called back",
+        AttemptOutcome::NotSent => "never sent",
     }
 }
 
@@ -160,9 +160,9 @@
     /// What the rest is put down to, where there is a rest.
     pub cause: Option<Cause>,
     /// The server that carries it, where one does.
-    pub server: Option<ServerId>,
+    pub server: Option<EndpointId>,
     /// Why there was no further attempt, where that was asked.
-    pub stop: Option<Stop>,
+    pub stop: Option<NoRetryReason>,
 }
 
 impl Verdict {
@@ -176,8 +176,8 @@
 /// An attempt that ended badly.
 #[derive(Clone, Copy, Debug)]
 struct Bad {
-    server: ServerId,
-    outcome: Outcome,
+    server: EndpointId,
+    outcome: AttemptOutcome,
     took: Nanos,
 }
 
@@ -189,9 +189,9 @@
     worth: Micro,
     late_worth: f64,
     aim_at: Nanos,
-    rule: Option<Rule>,
+    rule: Option<RejectionReason>,
     /// Attempts out: number, server, sent.
-    out: Vec<(AttemptNo, ServerId, Nanos)>,
+    out: Vec<(AttemptNo, EndpointId, Nanos)>,
     sends: u32,
     /// Waiting with no attempt out, so far, and since when.
     waited: Nanos,
@@ -201,7 +201,7 @@
     last: Option<Bad>,
     bad: Nanos,
     /// The one that was answered: server, time, of that for its connection.
-    good: Option<(ServerId, Nanos, Nanos)>,
+    good: Option<(EndpointId, Nanos, Nanos)>,
 }
 
 impl Life {
@@ -229,11 +229,11 @@
     /// Takes an event of it in.
     pub fn see(&mut self, at: Nanos, event: &Event) {
         match event {
-            Event::Note(Note::Taken { worth, aim_at, .. }) => {
-                self.worth = micro(f64::from(*worth));
-                self.aim_at = *aim_at;
+            Event::Note(DecisionEvent::Classified { priority_weight, objective_deadline, .. }) => {
+                self.worth = micro(f64::from(*priority_weight));
+                self.aim_at = *objective_deadline;
             }
-            Event::Note(Note::Over { rule, .. }) => self.rule = Some(*rule),
+            Event::Note(DecisionEvent::AnsweredWithoutEndpoint { reason, .. }) => self.rule = Some(*reason),
             Event::Sent { attempt, server, .. } => {
                 self.sends += 1;
                 if let Some(since) = self.idle_since.take() {
@@ -248,9 +248,9 @@
             }
             Event::Ended { attempt, server, outcome, took, dial, .. } => {
                 self.out.retain(|(number, ..)| number != attempt);
-                if *outcome == Outcome::Ok {
+                if *outcome == AttemptOutcome::Success {
                     self.good.get_or_insert((*server, *took, *dial));
-                } else if *outcome != Outcome::Cancelled || self.good.is_none() {
+                } else if *outcome != AttemptOutcome::Cancelled || self.good.is_none() {
                     let bad = Bad { server: *server, outcome: *outcome, took: *took };
                     self.last = Some(bad);
                     self.bad += took;
@@ -292,7 +292,7 @@
     }
 
     /// Where its time went by `at`, and the server that carries it.
-    fn spent(&self, at: Nanos) -> (Where, Option<ServerId>) {
+    fn spent(&self, at: Nanos) -> (Where, Option<EndpointId>) {
         let idle = self.idle_since.map_or(0, |since| at.saturating_sub(since));
         let oldest = self.out.first().map(|&(_, server, sent)| (server, at.saturating_sub(sent), 0));
         let last = self.good.or(oldest);
@@ -322,7 +322,7 @@
             How::Served => self.worth,
             _ => 0,
         };
-        let stop = if let Some(Rule::NoRetry(stop)) = self.rule { Some(stop) } else { None };
+        let stop = if let Some(RejectionReason::NoRetry(stop)) = self.rule { Some(stop) } else { None };
         let verdict = |(cause, server)| Verdict {
             asked: self.worth,
             earned,
@@ -337,10 +337,12 @@
             (How::Body, _) => (Cause::Body, None),
             (How::Left, _) => (Cause::Left(place), server),
             (How::ServedFault, _) => self.last.map_or((Cause::Failed(place_of_error()), server), failed),
-            (_, Some(Rule::WaitShare)) => (Cause::WaitShare, None),
-            (_, Some(Rule::NearlyOut)) => (Cause::NearlyOut, None),
-            (_, Some(Rule::NoTurn)) => (Cause::NoTurn, None),
-            (_, Some(Rule::NoRetry(_))) => self.last.map_or((Cause::OutOfTime(place), server), failed),
+            (_, Some(RejectionReason::QueueTooLong)) => (Cause::WaitShare, None),
+            (_, Some(RejectionReason::QueueTimeout)) => (Cause::NearlyOut, None),
+            (_, Some(RejectionReason::KeyOrderTimeout)) => (Cause::NoTurn, None),
+            (_, Some(RejectionReason::NoRetry(_))) => {
+                self.last.map_or((Cause::OutOfTime(place), server), failed)
+            }
             (_, None) => match self.last {
                 // Nothing was out any more: what ended last is what failed.
                 Some(bad) if self.out.is_empty() => failed(bad),
@@ -351,5 +353,5 @@
 }
 
 fn place_of_error() -> u8 {
-    place(Outcome::Error) as u8
+    place(AttemptOutcome::Error) as u8
 }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -16,7 +16,7 @@
 use pumicehead_membership::settings::MAX_DATAGRAM_BYTES;
 use pumicehead_membership::{Event, Membership, MembershipConfig, MembershipError, Output};
 use pumicehead_membership::{MemberRecord, SECOND, Settings};
-use pumicehead_policy::interface::{Nanos, Sharing};
+use pumicehead_policy::{Nanos, NodeShare};
 use thiserror::Error;
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::{Notify, watch};
@@ -62,7 +62,7 @@
     datagrams: UdpSocket,
     /// Something was put into the machine from outside of its own loop.
     touched: Notify,
-    sharing: watch::Sender<Option<Sharing>>,
+    sharing: watch::Sender<Option<NodeShare>>,
     /// Streams that this node has opened and not ended.
     streams: Cell<usize>,
     refused: Cell<u64>,
@@ -116,7 +116,7 @@
     }
 
     /// How many nodes share the servers, as it changes; nothing until the fleet is known.
-    pub fn sharing(&self) -> watch::Receiver<Option<Sharing>> {
+    pub fn sharing(&self) -> watch::Receiver<Option<NodeShare>> {
         self.sharing.subscribe()
     }
 
@@ -207,7 +207,10 @@
         if !member.is_joined() || member.record().node_number == 0 || member.is_stopped() {
             return;
         }
-        let sharing = Some(Sharing { me: member.record().node_number - 1, nodes: member.node_count(now) });
+        let sharing = Some(NodeShare {
+            node_index: member.record().node_number - 1,
+            node_count: member.node_count(now),
+        });
         self.sharing.send_if_modified(|known| std::mem::replace(known, sharing) != sharing);
     }
 
--- a/crates/node/src/fleet/told.rs
+++ b/crates/node/src/fleet/told.rs
@@ -3,7 +3,7 @@
 use pumicehead_membership::MemberEntry;
 use pumicehead_membership::Membership;
 use pumicehead_membership::{MemberId, MemberState, SECOND};
-use pumicehead_policy::interface::Nanos;
+use pumicehead_policy::Nanos;
 use serde_json::{Value, json};
 
 fn seconds(now: Nanos, since: i64) -> Option<f64> {
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -15,11 +15,11 @@
 //! 6. `on_ended` learns the server's latency and limit, then answers, retries or waits (`settle`).
 //! 7. Every final answer of ours comes from `finish`, which asks `may_refuse` whether it may be a refusal.
 
-mod knowledge;
-mod listen;
-mod retune;
-mod share;
-mod stall;
+mod decision_log;
+mod event_loop_stall;
+mod node_share;
+mod settings_update;
+mod warm_state;
 
 use std::sync::Arc;
 
@@ -27,20 +27,23 @@
 use rand_pcg::Pcg64Mcg;
 use rustc_hash::FxHashMap;
 
-use crate::advice::Advised;
-use crate::interface::{
-    Action, AttemptNo, Class, ClassId, Condition, Discovery, Effect, Ended, Event, Group, LIST_CALL,
-    LIST_NOTICE, ListChange, Nanos, NewRequest, Outcome, RequestId, SECOND, ServerId, ServerInfo, Settings,
-    TenantId, TimerToken, ZoneId,
+use crate::capacity_advice::Advised;
+use crate::decision_event::{
+    DecisionEvent, ExclusionReason, LimitChangeReason, NoRetryReason, RejectionReason, SelectionTrace,
 };
-use crate::meter::{mix, nanos, ring, seconds};
-use crate::note::{Hurdle, Look, Moved, Note, Rule, Stop};
-use crate::peers::{self, Peers};
+use crate::hash_ring::{mix, ring};
+use crate::load_reports::{self as peers, Peers};
+use crate::ordered_keys::Turns;
 use crate::state::{Attempt, ClassState, Flow, Pools, Queues, RATE_S, Ran, Request, Server};
 use crate::tenants::{Asked, EARNING_S, TenantTable};
+use crate::time::{nanos, seconds};
 use crate::timer::{T_AGAIN, T_ASK, T_GIVE_UP, T_HANG_UP, T_HEDGE, T_PUMP, T_TURN};
-use crate::turns::Turns;
-pub use knowledge::Knowledge;
+use crate::{
+    Action, AttemptEnded, AttemptNo, AttemptOutcome, Class, ClassId, DISCOVERY_CALL_TIMEOUT,
+    DISCOVERY_NOTICE, DedupScope, Discovery, EndpointId, EndpointInfo, EndpointState, EndpointUpdate, Event,
+    Idempotency, Nanos, NewRequest, RequestId, SECOND, Settings, TenantId, TimerToken, ZoneId,
+};
+pub use warm_state::WarmState;
 
 /// Servers compared for one pick: enough to avoid a bad one, few enough for 10 us and against herding.
 const SAMPLE: usize = 5;
@@ -144,7 +147,7 @@
     rng: Pcg64Mcg,
     now: Nanos,
     servers: Vec<Server>,
-    slots: FxHashMap<ServerId, usize>,
+    slots: FxHashMap<EndpointId, usize>,
     pools: Pools,
     flow: Flow,
     subscribed: bool,
@@ -165,7 +168,7 @@
     pumping: bool,
     overload: bool,
     /// What the event at hand was decided by, for whoever listens.
-    notes: Vec<Note>,
+    notes: Vec<DecisionEvent>,
     telling: bool,
 }
 
@@ -176,8 +179,8 @@
         let class = |aim: Nanos| ClassState { mean: seconds(aim) * 0.2, ..ClassState::default() };
         Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            classes: settings.classes.iter().map(|c| class(c.aim)).collect(),
-            calms: vec![class(0); settings.classes.len() * usize::from(settings.zones.max(1))],
+            classes: settings.classes.iter().map(|c| class(c.latency_objective)).collect(),
+            calms: vec![class(0); settings.classes.len() * usize::from(settings.zone_count.max(1))],
             tenants: TenantTable::default(),
             settings,
             now: 0,
@@ -213,16 +216,16 @@
             self.next_turn(key);
         }
         match event {
-            Event::Members(change) => self.on_members(&change, actions),
+            Event::EndpointsUpdated(change) => self.on_members(&change, actions),
             Event::Request(request) => self.on_request(&request, actions),
-            Event::Ended(ended) => self.on_ended(&ended, actions),
+            Event::AttemptEnded(ended) => self.on_ended(&ended, actions),
             // A started stream is the client's: that attempt is not called back, other copies are.
-            Event::Streaming { id, attempt } => self.on_over(id, Some(attempt), actions),
-            Event::ClientGone(id) => self.on_over(id, None, actions),
-            Event::Timer(token) => self.on_timer(token, actions),
-            Event::Advice(advice) => self.advised.hear(&advice, self.now),
-            Event::Sharing(sharing) => self.share(sharing),
-            Event::Note { from, body } => self.peers.hear(from, &body, self.now),
+            Event::ResponseStarted { id, attempt } => self.on_over(id, Some(attempt), actions),
+            Event::ClientDisconnected(id) => self.on_over(id, None, actions),
+            Event::TimerFired(token) => self.on_timer(token, actions),
+            Event::CapacityAdvice(advice) => self.advised.hear(&advice, self.now),
+            Event::NodeShare(sharing) => self.share(sharing),
+            Event::LoadReport { from, body } => self.peers.hear(from, &body, self.now),
         }
         self.dispatch(actions);
         if let Some(sent) = self.to_tell.take().filter(|_| !self.group.is_empty()) {
@@ -240,21 +243,21 @@
 
     // ---- Membership -----------------------------------------------------------------------------
 
-    fn on_members(&mut self, change: &ListChange, actions: &mut Vec<Action>) {
+    fn on_members(&mut self, change: &EndpointUpdate, actions: &mut Vec<Action>) {
         match change {
-            ListChange::Delta(list) => list.iter().for_each(|info| self.learn(info)),
-            ListChange::Full(list) | ListChange::Cached(list) => {
+            EndpointUpdate::Delta(list) => list.iter().for_each(|info| self.learn(info)),
+            EndpointUpdate::Snapshot(list) | EndpointUpdate::Restored(list) => {
                 // A server missing from a whole list is gone: nothing goes to it from this moment.
                 self.servers.iter_mut().for_each(|server| server.ready = false);
                 list.iter().for_each(|info| self.learn(info));
             }
-            ListChange::Failed => {
+            EndpointUpdate::WatchFailed => {
                 self.subscribed = false;
                 self.ask_fails += 1;
-                self.notes.push(Note::ListLost);
+                self.notes.push(DecisionEvent::WatchLost);
             }
         }
-        if self.settings.discovery == Discovery::Ask {
+        if self.settings.discovery == Discovery::Poll {
             self.keep_subscription(change, actions);
         }
         (0..self.servers.len()).for_each(|slot| self.hang_up(slot, actions));
@@ -266,28 +269,29 @@
     /// whenever an attempt there has ended. Once more half the time later, should one have been opening.
     fn hang_up(&self, slot: usize, actions: &mut Vec<Action>) {
         let server = &self.servers[slot];
-        if let Some(within) = self.settings.hang_up_within.filter(|_| !server.ready) {
-            actions.push(Action::FreeLinks(server.id));
+        if let Some(within) = self.settings.drain_idle_close.filter(|_| !server.ready) {
+            actions.push(Action::CloseIdleConnections(server.id));
             self.arm(self.now + within / 2, T_HANG_UP, server.id.0, actions);
         }
     }
 
     /// The list is asked for after a random pause, so that nodes that start or lose it together ask apart. A
-    /// change binds [`LIST_NOTICE`] after it could be had, drains a grace later. Off that time go a lost call
-    /// and an answered one; two pauses, as a call may be turned away, share the rest: half of it at first.
-    fn keep_subscription(&mut self, change: &ListChange, actions: &mut Vec<Action>) {
-        let notice = LIST_NOTICE.min(self.settings.ask_every);
-        let spare = (notice + self.settings.drain_grace).saturating_sub(2 * LIST_CALL);
+    /// change binds [`DISCOVERY_NOTICE`] after it could be had, drains a grace later. Off that time go a lost
+    /// call and an answered one; two pauses, as a call may be turned away, share the rest: half of it at
+    /// first.
+    fn keep_subscription(&mut self, change: &EndpointUpdate, actions: &mut Vec<Action>) {
+        let notice = DISCOVERY_NOTICE.min(self.settings.poll_interval);
+        let spare = (notice + self.settings.drain_grace).saturating_sub(2 * DISCOVERY_CALL_TIMEOUT);
         let most = seconds((spare / 2).max(notice / 20));
         let pause = match change {
-            ListChange::Cached(_) => 0.5 * most * self.chance(),
-            ListChange::Failed => {
+            EndpointUpdate::Restored(_) => 0.5 * most * self.chance(),
+            EndpointUpdate::WatchFailed => {
                 let most = if self.ask_fails > 2 { most } else { 0.5 * most };
                 most * (0.5 + 0.5 * self.chance())
             }
             _ => {
                 if !self.subscribed && self.ask_fails > 0 {
-                    self.notes.push(Note::ListRegained);
+                    self.notes.push(DecisionEvent::WatchRestored);
                 }
                 self.subscribed = true;
                 self.ask_fails = 0;
@@ -297,8 +301,8 @@
         self.arm(self.now + nanos(pause), T_ASK, 0, actions);
     }
 
-    fn learn(&mut self, info: &ServerInfo) {
-        let ready = info.condition == Condition::Ready;
+    fn learn(&mut self, info: &EndpointInfo) {
+        let ready = info.state == EndpointState::Ready;
         let slot = match self.slots.get(&info.id) {
             Some(&slot) => slot,
             None if !ready => return,
@@ -348,7 +352,7 @@
         }
         for ranked in &mut self.pools.ranked {
             ranked.sort_unstable_by_key(|&slot| self.servers[slot].rank);
-            let place = ring(self.settings.me, ranked.len());
+            let place = ring(self.settings.node_index, ranked.len());
             ranked.rotate_left(place);
         }
         self.regroup();
@@ -360,16 +364,16 @@
     fn regroup(&mut self) {
         self.group.clear();
         let servers = self.pools.ranked[0].len();
-        if !self.settings.peers || servers == 0 || !self.pools.ranked[1].is_empty() {
+        if !self.settings.load_reports || servers == 0 || !self.pools.ranked[1].is_empty() {
             return;
         }
-        let nodes = self.settings.nodes;
+        let nodes = self.settings.node_count;
         let groups = (servers / self.least_width(servers)).max(nodes as usize / GROUP.1).clamp(1, servers);
-        let me = self.settings.me;
+        let me = self.settings.node_index;
         self.group = peers::group(me, nodes, groups);
         // Two notes a request, of two servers each.
         let bytes = 2.0 * 12.0 * self.group.len() as f64;
-        let dear = self.settings.peer_price * bytes / 256.0 > DEAR_NOTES;
+        let dear = self.settings.load_report_cost * bytes / 256.0 > DEAR_NOTES;
         // A few nodes a group would leave the groups too uneven; such nodes see enough alone.
         if dear || (nodes as usize) < GROUP.0 * groups {
             return self.group.clear();
@@ -386,7 +390,7 @@
         // Ends are told to every other one in turn: half the notes, and what a note told fades anyway.
         let (step, skip) = if all { (1, 0) } else { (2, usize::from(self.told.0 / 2 % 2)) };
         let to = self.group.iter().skip(skip).step_by(step);
-        actions.extend(to.map(|&to| Action::Tell { to, body: body.clone() }));
+        actions.extend(to.map(|&to| Action::SendLoadReport { to, body: body.clone() }));
     }
 
     /// Whether what most of the group has out is known; else a node keeps to its own share of places.
@@ -400,7 +404,7 @@
     }
 
     fn is_far(&self, zone: ZoneId) -> bool {
-        self.settings.crossing_price >= DEAR_CROSSING && zone != self.settings.zone
+        self.settings.cross_zone_cost >= DEAR_CROSSING && zone != self.settings.zone
     }
 
     // ---- Server health and limits ---------------------------------------------------------------
@@ -459,13 +463,13 @@
         let most = bad * 2 > all;
         if most != self.pools.most_aside {
             self.pools.most_aside = most;
-            self.notes.push(Note::Doubt { bad, all, most });
+            self.notes.push(DecisionEvent::OutlierRatio { outliers: bad, total: all, panic_mode: most });
         }
         self.move_limits();
         self.sum_up();
         if self.overload && self.queues.order.is_empty() {
             self.overload = false;
-            self.notes.push(Note::Calm);
+            self.notes.push(DecisionEvent::OverloadEnded);
         }
     }
 
@@ -505,8 +509,8 @@
     }
 
     fn least_width(&self, servers: usize) -> usize {
-        let least = if self.settings.connections_priced { WIDTH.0 } else { WIDTH.1 };
-        least.max(servers.div_ceil(self.settings.nodes as usize))
+        let least = if self.settings.connections_have_cost { WIDTH.0 } else { WIDTH.1 };
+        least.max(servers.div_ceil(self.settings.node_count as usize))
     }
 
     /// The mean of own attempts over the last second or so; to be called before their number changes.
@@ -528,7 +532,7 @@
             return self.group.len() as f64 + 1.0;
         }
         let servers: usize = self.pools.ranked.iter().map(Vec::len).sum();
-        (f64::from(self.settings.nodes) * self.pools.width as f64 / servers.max(1) as f64).max(1.0)
+        (f64::from(self.settings.node_count) * self.pools.width as f64 / servers.max(1) as f64).max(1.0)
     }
 
     /// Set aside, or silent for so long that it may be hung: a hung server gives no samples, so the
@@ -553,7 +557,7 @@
             state.mean = base;
         }
         state.mean += (1.0 / f64::from(state.samples)).max(0.03) * (base.min(5.0 * state.mean) - state.mean);
-        let zones = self.settings.zones.max(1);
+        let zones = self.settings.zone_count.max(1);
         let zone = self.servers[slot].zone.0.min(zones - 1);
         let (mean, state) =
             (state.mean, &mut self.calms[usize::from(class.0) * usize::from(zones) + usize::from(zone)]);
@@ -591,11 +595,11 @@
     /// where a server has a place or two that time is the latency itself, slow answers counted most, and a
     /// calm fleet whose limits had once fallen looked busy and never got its places back.
     fn learn_limit(&mut self, slot: usize, class: ClassId, base: f64, calm: f64) {
-        let aim = seconds(self.told(class).aim);
+        let aim = seconds(self.told(class).latency_objective);
         let least = LEAST_PLACES / self.nodes_per_server();
         // How much farther it is than the nearest zone: fewer requests make it no shorter, and servers
         // whose way alone takes most of the aim read as crowded for good, at the least of places.
-        let zones = usize::from(self.settings.zones.max(1));
+        let zones = usize::from(self.settings.zone_count.max(1));
         let calms = self.calms.chunks(zones).nth(usize::from(class.0)).into_iter().flatten();
         let near = calms.filter(|zone| zone.samples > 0).map(|zone| zone.calm).fold(calm, f64::min);
         let server = &mut self.servers[slot];
@@ -613,7 +617,12 @@
         let (id, from) = (server.id, server.limit);
         let to = (from * (gain * gap.clamp(0.01, 0.5) * error.max(-1.0)).exp()).clamp(least, 1e4);
         server.limit = to;
-        self.note(|_| Note::Limit { server: id, from: from as f32, to: to as f32, why: Moved::Compared });
+        self.note(|_| DecisionEvent::LimitChanged {
+            endpoint: id,
+            from: from as f32,
+            to: to as f32,
+            reason: LimitChangeReason::ComparedLatency,
+        });
     }
 
     /// Moves all limits by the smoothed latency of all servers: down when it is over its mark, slowly up
@@ -629,7 +638,10 @@
         if error < 0.0 || used {
             let gain = sure(count) * if error < 0.0 { GAIN.1 } else { GAIN.0 };
             let factor = (gain * span * error.max(-1.0)).exp();
-            self.note(|me| Note::Limits { factor: factor as f32, load: me.flow.load as f32 });
+            self.note(|me| DecisionEvent::AllLimitsChanged {
+                factor: factor as f32,
+                utilization: me.flow.load as f32,
+            });
             let nodes = self.nodes_per_server();
             let (least, start) = (LEAST_PLACES / nodes, START_PLACES / nodes);
             // Few nodes start with a place a server, under the share that many take untried. While latency is
@@ -675,9 +687,14 @@
             server.aside_until = self.now + nanos(span);
             server.aside_times += 1;
             server.trial = true;
-            self.notes.push(Note::Aside { server: id, span: nanos(span) });
+            self.notes.push(DecisionEvent::Ejected { endpoint: id, duration: nanos(span) });
         }
-        self.note(|_| Note::Limit { server: id, from: from as f32, to: to as f32, why: Moved::Failure });
+        self.note(|_| DecisionEvent::LimitChanged {
+            endpoint: id,
+            from: from as f32,
+            to: to as f32,
+            reason: LimitChangeReason::Failure,
+        });
     }
 
     // ---- Cold ramp ------------------------------------------------------------------------------
@@ -685,11 +702,11 @@
     /// Share of its capacity that a server has at least by now.
     fn ramp(&self, server: &Server) -> f64 {
         let age = self.now.saturating_sub(server.started_at);
-        if server.started_at == 0 || age >= self.settings.cold_span {
+        if server.started_at == 0 || age >= self.settings.warmup_duration {
             return 1.0;
         }
-        let grown = age as f64 / self.settings.cold_span as f64;
-        self.settings.cold_from + (1.0 - self.settings.cold_from) * grown
+        let grown = age as f64 / self.settings.warmup_duration as f64;
+        self.settings.warmup_initial_fraction + (1.0 - self.settings.warmup_initial_fraction) * grown
     }
 
     /// A cold server earns work as a share of what this node sends a warm one, and may not save it up:
@@ -701,7 +718,7 @@
         }
         let own = self.pools.warm_rate;
         let rate = COLD_SHARE * ramp * self.advised.cold_rate(self.servers[slot].id, own, self.now);
-        let most = (rate * seconds(self.settings.fall_span) * 0.25).max(0.01);
+        let most = (rate * seconds(self.settings.overload_duration) * 0.25).max(0.01);
         let server = &mut self.servers[slot];
         let earned = rate * seconds(self.now.saturating_sub(server.cold_at));
         server.cold_at = self.now;
@@ -713,7 +730,7 @@
 
     /// The told worth against the best class's; without differences in worth everything is Medium.
     fn tier(&self, worth: f64) -> usize {
-        let worths = || self.settings.classes.iter().map(|class| class.worth);
+        let worths = || self.settings.classes.iter().map(|class| class.priority_weight);
         let best = worths().fold(0.0, f64::max);
         let least = worths().fold(f64::MAX, f64::min);
         let share = if best > 0.0 { worth / best } else { 1.0 };
@@ -728,7 +745,7 @@
     /// Whether a tenant is past its share of this node's traffic; counts the request.
     fn over_share(&mut self, tenant: TenantId) -> bool {
         let Some(told) = self.settings.tenants.get(tenant) else { return false };
-        let part = told.allowance_per_s / f64::from(self.settings.nodes);
+        let part = told.allowance_per_s / f64::from(self.settings.node_count);
         let rate = part.max(told.share * self.flow.arrivals.get(self.now));
         let most = 2.0 + 3.0 * rate;
         let earned = |since: Nanos| rate * seconds(self.now.saturating_sub(since)).min(EARNING_S);
@@ -795,16 +812,17 @@
     // ---- Admission ------------------------------------------------------------------------------
 
     fn on_request(&mut self, new: &NewRequest, actions: &mut Vec<Action>) {
-        let NewRequest { id, class, tenant, hint, key, not_after } = *new;
+        let NewRequest { id, class, tenant, cost_hint, key, deadline } = *new;
         let Some(told) = self.settings.classes.get(usize::from(class.0)) else { return };
-        let (aim, stretch, mut worth) = (told.aim, told.aim_stretch, told.worth);
-        let key = key.filter(|_| told.keep_order);
-        let aim = aim + (stretch * hint.unwrap_or(0) as f64) as Nanos;
-        let work = hint.map_or(1.0, |hint| self.hinted(class, hint));
+        let (aim, stretch, mut worth) =
+            (told.latency_objective, told.objective_per_work, told.priority_weight);
+        let key = key.filter(|_| told.ordered_by_key);
+        let aim = aim + (stretch * cost_hint.unwrap_or(0) as f64) as Nanos;
+        let work = cost_hint.map_or(1.0, |hint| self.hinted(class, hint));
         self.flow.arrivals.add(self.now, 1.0);
         self.flow.retry_budget = (self.flow.retry_budget + RETRY_SHARE).min(RETRY_BURST);
         if tenant.is_some_and(|tenant| self.over_share(tenant)) {
-            worth *= self.settings.over_share_worth;
+            worth *= self.settings.over_share_weight;
         }
         let request = Request {
             class,
@@ -812,7 +830,7 @@
             tier: self.tier(worth),
             work,
             aim_at: self.now + aim,
-            not_after,
+            not_after: deadline,
             attempts: Vec::new(),
             out: 0,
             held: None,
@@ -820,7 +838,12 @@
             key,
         };
         let (tier, aim_at) = (request.tier, request.aim_at);
-        self.note(|_| Note::Taken { id, tier: tier as u8, worth: worth as f32, aim_at });
+        self.note(|_| DecisionEvent::Classified {
+            id,
+            tier: tier as u8,
+            priority_weight: worth as f32,
+            objective_deadline: aim_at,
+        });
         self.requests.insert(id, request);
         if let Some(key) = key {
             self.turns.join(key, id);
@@ -831,10 +854,10 @@
         self.dispatch(actions);
         if self.requests.get(&id).is_some_and(|request| request.attempts.is_empty()) {
             if self.requests[&id].held.is_some() && tier >= MEDIUM && self.overloaded(id) {
-                self.finish(id, Rule::WaitShare, actions);
+                self.finish(id, RejectionReason::QueueTooLong, actions);
             } else {
                 let held = self.queues.order.len() as u32;
-                self.note(|_| Note::Held { id, held });
+                self.note(|_| DecisionEvent::Queued { id, queued: held });
                 self.arm_give_up(id, actions);
             }
         }
@@ -869,7 +892,7 @@
 
     /// Until when an answer is worth anything.
     fn useful_until(&self, request: &Request) -> Nanos {
-        let late = self.told(request.class).late_worth > 0.0;
+        let late = self.told(request.class).late_weight > 0.0;
         if late { request.not_after } else { request.aim_at.min(request.not_after) }
     }
 
@@ -918,33 +941,36 @@
         !self.pools.ranked[1].is_empty() && !self.fits(self.pools.out[pool], self.pools.limits[pool])
     }
 
-    fn room(&mut self, slot: usize, id: RequestId) -> Result<(), Hurdle> {
+    fn room(&mut self, slot: usize, id: RequestId) -> Result<(), ExclusionReason> {
         let server = &self.servers[slot];
         let nodes = if self.informed() { self.nodes_per_server() } else { 1.0 };
         let out = if self.informed() { self.known_out(slot) } else { server.out.len() };
         if out as f64 >= (server.limit * nodes).ceil().max(1.0) {
-            return Err(Hurdle::Full);
+            return Err(ExclusionReason::AtLimit);
         }
         if !self.pools.most_aside {
             if self.out_of_order(slot) {
-                return Err(Hurdle::OutOfOrder);
+                return Err(ExclusionReason::Outlier);
             }
             // On trial after it was set aside: one at a time, and only what may be tried elsewhere then.
             // Behind unsafe requests in line nothing else is sent, so where the server only turned away
             // they are the trial, or there is none.
-            let once = || self.told(self.requests[&id].class).effect == Effect::Unsafe && !server.turned_away;
+            let once = || {
+                self.told(self.requests[&id].class).idempotency == Idempotency::NotIdempotent
+                    && !server.turned_away
+            };
             if server.trial && (!server.out.is_empty() || once()) {
-                return Err(Hurdle::OnTrial);
+                return Err(ExclusionReason::OnProbation);
             }
         }
-        let room = self.cold_room(slot).then_some(()).ok_or(Hurdle::Cold);
-        room.and_then(|()| self.may_send(id, slot).then_some(()).ok_or(Hurdle::Barred))
+        let room = self.cold_room(slot).then_some(()).ok_or(ExclusionReason::SlowStart);
+        room.and_then(|()| self.may_send(id, slot).then_some(()).ok_or(ExclusionReason::NotPermitted))
     }
 
     fn score(&mut self, slot: usize) -> f64 {
         let tie = 1.0 + 0.05 * self.chance();
         let server = &self.servers[slot];
-        let size = if self.settings.weights_tell_size { server.weight.max(0.1) } else { 1.0 };
+        let size = if self.settings.weight_is_capacity { server.weight.max(0.1) } else { 1.0 };
         let caution = self.advised.caution(server.id, server.started_at, self.now);
         server.latency(self.now) * (self.known_out(slot) as f64 + 1.0) / size * tie * caution
     }
@@ -952,7 +978,7 @@
     /// Among servers with room the least smoothed peak latency x (own in-flight + 1); on many servers
     /// a sample of them. Own zone first while it has room.
     fn pick(&mut self, id: RequestId) -> Option<usize> {
-        let mut look = Look::default();
+        let mut look = SelectionTrace::default();
         for pool in 0..2 {
             if self.own_zone_full(pool) {
                 continue;
@@ -965,9 +991,9 @@
                 let slot = self.pools.active[pool][at];
                 match self.room(slot, id) {
                     Ok(()) => look.offer(self.score(slot), slot),
-                    Err(hurdle) => look.hurdles.add(hurdle),
+                    Err(hurdle) => look.exclusions.add(hurdle),
                 }
-                if look.found >= SAMPLE {
+                if look.candidates >= SAMPLE {
                     break;
                 }
             }
@@ -976,7 +1002,7 @@
                 return Some(slot);
             }
         }
-        self.note(|_| Note::NoneFits { id, hurdles: look.hurdles });
+        self.note(|_| DecisionEvent::NoEndpointAvailable { id, exclusions: look.exclusions });
         None
     }
 
@@ -989,7 +1015,7 @@
         if request.done
             || !server.ready
             || request.attempts.len() >= self.settings.max_attempts as usize
-            || (request.out > 0 && !self.settings.parallel_tries)
+            || (request.out > 0 && !self.settings.concurrent_attempts)
             || self.now + self.settings.tick > request.not_after
             || request.attempts.iter().any(|a| a.server == server.id && a.ran != Ran::Never)
         {
@@ -1002,9 +1028,9 @@
 
     /// Whether what `first` may have done allows another attempt, there or (`None`) anywhere.
     fn may_repeat(&self, class: ClassId, first: &Attempt, to: Option<&Server>) -> bool {
-        let inside = to.is_none_or(|server| match self.told(class).effect {
-            Effect::Keyed { group: Group::Zone, .. } => first.zone == server.zone,
-            Effect::Keyed { group: Group::Cell, .. } => first.cell == server.cell,
+        let inside = to.is_none_or(|server| match self.told(class).idempotency {
+            Idempotency::IdempotencyKey { scope: DedupScope::Zone, .. } => first.zone == server.zone,
+            Idempotency::IdempotencyKey { scope: DedupScope::Cell, .. } => first.cell == server.cell,
             _ => true,
         });
         inside && self.now < self.repeats_until(class, first)
@@ -1012,16 +1038,16 @@
 
     /// Until when a repeat may set out; a tenth of the window is left for the way to the server.
     fn repeats_until(&self, class: ClassId, first: &Attempt) -> Nanos {
-        match self.told(class).effect {
-            Effect::Safe => Nanos::MAX,
-            Effect::Unsafe => 0,
-            Effect::Keyed { window, .. } => first.sent + window / 10 * 9,
+        match self.told(class).idempotency {
+            Idempotency::Idempotent => Nanos::MAX,
+            Idempotency::NotIdempotent => 0,
+            Idempotency::IdempotencyKey { window, .. } => first.sent + window / 10 * 9,
         }
     }
 
     fn may_refuse(&self, request: &Request) -> bool {
-        match self.told(request.class).effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+        match self.told(request.class).idempotency {
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DedupScope::All, .. } => true,
             _ => request.attempts.iter().all(|a| a.ran == Ran::Never),
         }
     }
@@ -1039,7 +1065,8 @@
         request.out += 1;
         let (class, work, tries_left) =
             (request.class, request.work, number + 1 < self.settings.max_attempts as usize);
-        let (safe, expected) = (self.told(class).effect == Effect::Safe, self.expected(class, work));
+        let (safe, expected) =
+            (self.told(class).idempotency == Idempotency::Idempotent, self.expected(class, work));
         let by = first.map(|first| self.repeats_until(class, &first));
         let server = &mut self.servers[slot];
         server.out.push_back((id, number, now, expected));
@@ -1051,9 +1078,9 @@
         self.pools.out[usize::from(self.is_far(zone))] += 1;
         let patience = nanos(HEDGE * expected * self.servers[slot].latency(now).clamp(1.0, 2.0));
         // Where two may not be out at once, giving up on the first is the only way to try another.
-        let timeout = (safe && tries_left && !self.settings.parallel_tries).then_some(2 * patience);
-        actions.push(Action::Send { id, server: self.servers[slot].id, timeout, by });
-        if safe && tries_left && self.settings.parallel_tries {
+        let timeout = (safe && tries_left && !self.settings.concurrent_attempts).then_some(2 * patience);
+        actions.push(Action::StartAttempt { id, endpoint: self.servers[slot].id, timeout, start_before: by });
+        if safe && tries_left && self.settings.concurrent_attempts {
             self.arm(now + patience, T_HEDGE, id.0, actions);
         }
     }
@@ -1078,9 +1105,9 @@
         }
     }
 
-    fn on_ended(&mut self, ended: &Ended, actions: &mut Vec<Action>) {
+    fn on_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
         let (id, number) = (ended.id, usize::from(ended.attempt.0));
-        let never_ran = ended.outcome.never_ran(self.settings.full_unproven);
+        let never_ran = ended.outcome.never_executed(self.settings.rejection_may_execute);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = request.attempts.get_mut(number).filter(|a| a.ran == Ran::Outstanding) else {
             return;
@@ -1088,17 +1115,17 @@
         attempt.ran = if never_ran { Ran::Never } else { Ran::Maybe };
         request.out -= 1;
         let (class, work, key) = (request.class, request.work, request.key);
-        if let Some(key) = key.filter(|_| ended.outcome.may_go_on()) {
+        if let Some(key) = key.filter(|_| ended.outcome.may_still_execute()) {
             // The work may go on at the server: the key rests.
-            let until = self.now + self.settings.order_settle;
+            let until = self.now + self.settings.key_cooldown;
             self.turns.rest(key, until);
             self.arm(until, T_TURN, 0, actions);
         }
         self.note_out();
         self.flow.out_total -= 1;
         self.to_tell.get_or_insert(false);
-        if let Some(&slot) = self.slots.get(&ended.server) {
-            self.servers[slot].turned_away = ended.outcome == Outcome::Full;
+        if let Some(&slot) = self.slots.get(&ended.endpoint) {
+            self.servers[slot].turned_away = ended.outcome == AttemptOutcome::Rejected;
             self.servers[slot].out.retain(|&(request, n, ..)| (request, n) != (id, number));
             // Exact again at the next refresh, should the server be out of order.
             let far = usize::from(self.is_far(self.servers[slot].zone));
@@ -1106,19 +1133,19 @@
             self.learn_outcome(slot, (class, work), ended);
             self.hang_up(slot, actions);
         }
-        if ended.complete {
+        if ended.final_answer {
             self.on_over(id, None, actions);
         } else {
             self.settle(id, actions);
         }
     }
 
-    fn learn_outcome(&mut self, slot: usize, of: (ClassId, f64), ended: &Ended) {
-        let ((class, work), took) = (of, ended.took);
+    fn learn_outcome(&mut self, slot: usize, of: (ClassId, f64), ended: &AttemptEnded) {
+        let ((class, work), took) = (of, ended.duration);
         let (sent, expected) = (self.now.saturating_sub(took), self.expected(class, work));
         match ended.outcome {
             _ if self.now < self.flow.resumed + took => {}
-            Outcome::Ok => {
+            AttemptOutcome::Success => {
                 self.flow.served.add(self.now, work);
                 self.servers[slot].heard = self.servers[slot].heard.max(sent);
                 self.learn_latency(slot, class, work, took);
@@ -1126,26 +1153,29 @@
                 server.broken -= BROKEN * server.broken;
                 server.failures = 0;
                 if std::mem::take(&mut server.trial) {
-                    self.notes.push(Note::Back { server: server.id });
+                    self.notes.push(DecisionEvent::Reinstated { endpoint: server.id });
                 } else {
                     server.aside_times = 0;
                 }
             }
             // A silent connection. Taken for the server's latency, a few made a whole class seem five times
             // slower, second copies came late, and every limit was cut for what no server had done.
-            Outcome::Cancelled | Outcome::TimedOut if self.servers[slot].overtook(sent, expected) => {}
+            AttemptOutcome::Cancelled | AttemptOutcome::TimedOut
+                if self.servers[slot].overtook(sent, expected) => {}
             // A hung server whose attempts are all called back for a faster copy would never show.
-            Outcome::Cancelled if seconds(took) <= HEDGE * expected => {}
-            Outcome::Error | Outcome::Reset | Outcome::Cancelled => self.learn_failure(slot, 1, true),
+            AttemptOutcome::Cancelled if seconds(took) <= HEDGE * expected => {}
+            AttemptOutcome::Error | AttemptOutcome::Reset | AttemptOutcome::Cancelled => {
+                self.learn_failure(slot, 1, true)
+            }
             // It would have taken longer; from answers alone, what is sent too late stays unseen.
-            Outcome::TimedOut => {
+            AttemptOutcome::TimedOut => {
                 self.learn_latency(slot, class, work, 2 * took);
                 self.learn_failure(slot, 1, true);
             }
             // A server that only turns away may be draining without the list saying so.
-            Outcome::Full => self.learn_failure(slot, 1, false),
-            Outcome::Moot => {}
-            Outcome::ConnectFailed => self.learn_failure(slot, 2, false),
+            AttemptOutcome::Rejected => self.learn_failure(slot, 1, false),
+            AttemptOutcome::NotSent => {}
+            AttemptOutcome::ConnectFailed => self.learn_failure(slot, 2, false),
         }
     }
 
@@ -1163,14 +1193,17 @@
         let price = if unrun { 0.3 } else { 1.0 };
         let end = self.give_up_at(request);
         let stops = [
-            (request.attempts.len() >= self.settings.max_attempts as usize, Stop::Attempts),
-            (!first.is_none_or(|first| self.may_repeat(request.class, first, None)), Stop::Effect),
+            (request.attempts.len() >= self.settings.max_attempts as usize, NoRetryReason::AttemptsExhausted),
+            (
+                !first.is_none_or(|first| self.may_repeat(request.class, first, None)),
+                NoRetryReason::NotIdempotent,
+            ),
             // The same moment as for a held request: a later one would have it wait without a next step.
-            (self.now + 1 >= end, Stop::Time),
-            (self.flow.retry_budget < price, Stop::Budget),
+            (self.now + 1 >= end, NoRetryReason::NoTimeLeft),
+            (self.flow.retry_budget < price, NoRetryReason::RetryBudgetSpent),
         ];
         if let Some((_, stop)) = stops.into_iter().find(|(holds, _)| *holds) {
-            return self.finish(id, Rule::NoRetry(stop), actions);
+            return self.finish(id, RejectionReason::NoRetry(stop), actions);
         }
         if let Some(slot) = if self.has_places() { self.pick(id) } else { None } {
             self.flow.retry_budget -= price;
@@ -1185,18 +1218,21 @@
 
     /// Every final answer of ours. A refusal promises that nothing happened; where that is not certain
     /// the answer is a failure.
-    fn finish(&mut self, id: RequestId, rule: Rule, actions: &mut Vec<Action>) {
+    fn finish(&mut self, id: RequestId, rule: RejectionReason, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.done) else { return };
-        let pressure = if rule == Rule::WaitShare { self.pressure(request) as f32 } else { 0.0 };
+        let pressure =
+            if rule == RejectionReason::QueueTooLong { self.pressure(request) as f32 } else { 0.0 };
         if self.may_refuse(request) {
-            actions.push(Action::Refuse { id, retry_after: self.settings.advice() });
+            actions.push(Action::Reject { id, retry_after: self.settings.retry_after_hint() });
         } else {
             actions.push(Action::Fail(id));
         }
-        if matches!(rule, Rule::WaitShare | Rule::NearlyOut) && !std::mem::replace(&mut self.overload, true) {
-            self.notes.push(Note::Overload { held: self.queues.order.len() as u32 });
+        if matches!(rule, RejectionReason::QueueTooLong | RejectionReason::QueueTimeout)
+            && !std::mem::replace(&mut self.overload, true)
+        {
+            self.notes.push(DecisionEvent::OverloadStarted { queued: self.queues.order.len() as u32 });
         }
-        self.note(|_| Note::Over { id, rule, pressure });
+        self.note(|_| DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure });
         self.on_over(id, None, actions);
     }
 
@@ -1204,10 +1240,10 @@
     fn on_over(&mut self, id: RequestId, keep: Option<AttemptNo>, actions: &mut Vec<Action>) {
         self.unhold(id);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        if !std::mem::replace(&mut request.done, true) && self.settings.cancel {
+        if !std::mem::replace(&mut request.done, true) && self.settings.cancellation {
             let numbered = (0..).map(AttemptNo).zip(&request.attempts);
             let out = numbered.filter(|(number, a)| a.ran == Ran::Outstanding && keep != Some(*number));
-            actions.extend(out.map(|(attempt, _)| Action::Cancel { id, attempt }));
+            actions.extend(out.map(|(attempt, _)| Action::CancelAttempt { id, attempt }));
         }
         let key = request.key;
         if request.out == 0 {
@@ -1222,7 +1258,7 @@
     // ---- Timers ---------------------------------------------------------------------------------
 
     fn arm(&self, at: Nanos, kind: u64, about: u32, actions: &mut Vec<Action>) {
-        actions.push(Action::Timer { at: at.max(self.now + 1), token: TimerToken::new(kind, about) });
+        actions.push(Action::ArmTimer { at: at.max(self.now + 1), token: TimerToken::new(kind, about) });
     }
 
     fn on_timer(&mut self, token: TimerToken, actions: &mut Vec<Action>) {
@@ -1234,9 +1270,9 @@
             T_ASK if !self.subscribed => actions.push(Action::Subscribe),
             T_AGAIN => self.settle(id, actions),
             T_HANG_UP => {
-                let server = ServerId(id.0);
+                let server = EndpointId(id.0);
                 if self.slots.get(&server).is_none_or(|&slot| !self.servers[slot].ready) {
-                    actions.push(Action::FreeLinks(server));
+                    actions.push(Action::CloseIdleConnections(server));
                 }
             }
             _ => {}
@@ -1248,7 +1284,11 @@
         let Some(request) = self.requests.get(&id) else { return };
         let no_turn = request.key.is_some() && request.attempts.is_empty();
         if request.held.is_some() || no_turn {
-            let rule = if request.held.is_some() { Rule::NearlyOut } else { Rule::NoTurn };
+            let rule = if request.held.is_some() {
+                RejectionReason::QueueTimeout
+            } else {
+                RejectionReason::KeyOrderTimeout
+            };
             self.finish(id, rule, actions);
         }
     }
