--- a/crates/chaos/src/run/process.rs
+++ b/crates/chaos/src/run/process.rs
@@ -98,7 +98,7 @@
             while let Some(line) = lines.recv().await {
                 let after =
                     |words: &str| line.split_once(words).and_then(|(_, address)| address.trim().parse().ok());
-                fleet = fleet.or(after(" speaks on "));
+                fleet = fleet.or(after(" fleet_address="));
                 clients = clients.or(after(" listens on "));
                 // The last of what it says of addresses.
                 if let (Some(clients), Some(calls)) = (clients, after(" takes calls on ")) {
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -70,7 +70,7 @@
     /// The fleet as a running node sees it.
     Fleet {
         #[command(subcommand)]
-        question: fleet_cli::Question,
+        question: fleet_cli::FleetCommand,
     },
     /// Checks configurations.
     Check {
@@ -132,7 +132,7 @@
         }
         Command::Trace { address, out } => why::fetch(address, &out).map(|()| ExitCode::SUCCESS),
         Command::Why(why) => why.tell().map(|()| ExitCode::SUCCESS),
-        Command::Fleet { question } => fleet_cli::tell(&question).map(|()| ExitCode::SUCCESS),
+        Command::Fleet { question } => fleet_cli::run(&question).map(|()| ExitCode::SUCCESS),
         Command::Export { file, form } => why::export(&file, form).map(|()| ExitCode::SUCCESS),
         Command::Check { files, format, deny_warnings } => Ok(check_all(&files, format, deny_warnings)),
         Command::Fmt { files, check } => format_all(&files, check),
--- /dev/null
+++ b/crates/node/src/fleet_cli/watch.rs
@@ -0,0 +1,83 @@
+//! Changes of a node's view as they come.
+
+use std::collections::BTreeMap;
+use std::error::Error;
+use std::net::SocketAddr;
+use std::thread::sleep;
+use std::time::Duration;
+
+use serde_json::json;
+
+use super::request::request;
+use super::table;
+use crate::fleet::report::{FleetReport, MemberReport};
+use crate::report::print;
+
+/// Time between two requests.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+
+/// What is compared of a member.
+#[derive(Clone, PartialEq, Eq)]
+struct Observed {
+    state: String,
+    reachable_from_here: bool,
+}
+
+/// Prints changes until a request fails.
+///
+/// # Errors
+/// No answer, or one that cannot be read.
+pub fn run(address: SocketAddr, json: bool) -> Result<(), Box<dyn Error>> {
+    let mut known: Option<BTreeMap<String, Observed>> = None;
+    loop {
+        let report: FleetReport = serde_json::from_str(&request(address, "FLEET members")?)?;
+        let now: BTreeMap<_, _> = report.members.iter().map(observe).collect();
+        if let Some(known) = &known {
+            print_changes(known, &now, &report, json);
+        } else if !json {
+            print(&table::render(&report));
+        }
+        known = Some(now);
+        sleep(POLL_INTERVAL);
+    }
+}
+
+fn observe(member: &MemberReport) -> (String, Observed) {
+    let reachable_from_here = member.reachable_from_here;
+    (member.name.clone(), Observed { state: member.state.clone(), reachable_from_here })
+}
+
+fn print_changes(
+    known: &BTreeMap<String, Observed>,
+    now: &BTreeMap<String, Observed>,
+    report: &FleetReport,
+    json: bool,
+) {
+    for member in &report.members {
+        let before = known.get(&member.name);
+        if before != now.get(&member.name) {
+            let from = before.map_or("new", |observed| &observed.state);
+            print(&change(member, from, &report.fingerprint, json));
+        }
+    }
+    for name in known.keys().filter(|name| !now.contains_key(*name)) {
+        print(&if json {
+            format!("{}\n", json!({ "name": name, "to": "forgotten" }))
+        } else {
+            format!("{name}: forgotten\n")
+        });
+    }
+}
+
+fn change(member: &MemberReport, from: &str, fingerprint: &str, json: bool) -> String {
+    let MemberReport { name, state, reporter, reachable_from_here, .. } = member;
+    if json {
+        let change = json!({
+            "name": name, "from": from, "to": state, "here": reachable_from_here, "says": reporter,
+            "fingerprint": fingerprint,
+        });
+        return format!("{change}\n");
+    }
+    let here = if *reachable_from_here { "" } else { ", not reached from here" };
+    format!("{name}: {from} -> {state}{here}, says {reporter}\n")
+}
--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -150,7 +150,7 @@
                 let draining = call == Call::LameDuck;
                 self.site.set_draining(draining);
                 if let Some(fleet) = fleet {
-                    fleet.set_lame(draining);
+                    fleet.set_lame_duck(draining);
                 }
                 yes("")
             }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -41,7 +41,7 @@
     seeds: &[SocketAddr],
 ) -> (Standalone, SocketAddr, SocketAddr) {
     let node = Standalone::start(&text(name, server, fleet, seeds), 1);
-    let (speaks, calls) = (at(&node, " speaks on "), at(&node, " takes calls on "));
+    let (speaks, calls) = (at(&node, " fleet_address="), at(&node, " takes calls on "));
     (node, speaks, calls)
 }
 
@@ -131,7 +131,7 @@
         let _ = stream.shutdown(std::net::Shutdown::Write);
         let _ = stream.read_to_end(&mut Vec::new());
     }
-    wait_for("the other fleet refused", || one.said("is refused: of another fleet") >= 1);
+    wait_for("the other fleet refused", || one.said("reason=of another fleet") >= 1);
     assert!(is_held(calls, &[("n1", "alive")]) && is_held(elsewhere, &[("n2", "alive")]));
     let mut client = Client::connect(one.address());
     client.write("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
