--- a/crates/membership/src/membership/claims.rs
+++ b/crates/membership/src/membership/claims.rs
@@ -1,7 +1,7 @@
 //! Claims about members: merging them into the table, and what follows from a change.
 
 use super::{Event, Membership, Output};
-use crate::entry::{MemberClaim, NEVER_HEARD};
+use crate::entry::{MemberClaim, MemberEntry, NEVER_HEARD};
 use crate::record::MemberId;
 use crate::settings::FLAP_THRESHOLD;
 use crate::state::MemberState;
@@ -97,7 +97,7 @@
     fn forward_to_accused(&mut self, now: Nanos, claim: &MemberClaim) {
         let Some(entry) = self.table.get(claim.id()) else { return };
         let Some(to) = self.address_of(entry) else { return };
-        let claimed = crate::MemberEntry {
+        let claimed = MemberEntry {
             state: claim.state,
             connection_refused: claim.connection_refused,
             state_since: claim.state_since,
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -27,6 +27,7 @@
 use crate::Nanos;
 use crate::awareness::Awareness;
 use crate::broadcast_queue::BroadcastQueue;
+use crate::entry::MemberClaim;
 use crate::node_count::NodeCount;
 use crate::probe::{Probe, SequenceNumber};
 use crate::probe_history::ProbeHistory;
@@ -222,7 +223,7 @@
 
     /// Takes over the table of another member, as if a push/pull exchange had been completed.
     pub fn adopt_table(&mut self, table: &MemberTable) {
-        let own = self.table.get(self.id).map(crate::MemberClaim::from);
+        let own = self.table.get(self.id).map(MemberClaim::from);
         self.table = table.clone();
         if let Some(own) = own {
             self.table.merge(&own);
--- a/crates/membership/src/membership/peers.rs
+++ b/crates/membership/src/membership/peers.rs
@@ -7,8 +7,7 @@
 use super::Membership;
 use crate::entry::MemberEntry;
 use crate::random::shuffle;
-use crate::record::{MemberId, Phase};
-use crate::state::MemberState;
+use crate::record::MemberId;
 
 /// Tables over this size are sampled instead of scanned.
 const SAMPLING_THRESHOLD: usize = 64;
@@ -61,31 +60,4 @@
         }
         ids
     }
-
-    /// Up to `count` members to send requests to, as names and addresses: alive, serving and reachable from here; those of the
-    /// own zone first, in random order.
-    pub fn select_peers(&mut self, count: usize) -> Vec<(String, SocketAddr)> {
-        let is_fit = |entry: &&MemberEntry| {
-            entry.id() != self.id
-                && entry.state == MemberState::Alive
-                && entry.reachable_from_here
-                && entry.record().phase() == Phase::Serving
-        };
-        let fit = self.table.iter().filter(is_fit).filter_map(|entry| Some((entry, self.address_of(entry)?)));
-        let mut all: Vec<_> = fit
-            .map(|(entry, address)| {
-                let record = entry.record();
-                ((record.zone != self.record.zone, entry.id()), (record.name.clone(), address))
-            })
-            .collect();
-        all.sort_by_key(|(order, _)| *order);
-        let near = all.iter().take_while(|((is_far, _), _)| !is_far).count();
-        for span in [0..near, near..all.len()] {
-            for place in span.clone().rev() {
-                let other = span.start + self.rng.next_u64() as usize % (place - span.start + 1);
-                all.swap(place, other);
-            }
-        }
-        all.into_iter().take(count).map(|(_, peer)| peer).collect()
-    }
 }
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -4,7 +4,7 @@
 
 use super::timers::Timer;
 use super::{Event, Membership, Output};
-use crate::probe::{Probe, ProbeOutcome, StreamProbeOutcome};
+use crate::probe::{Probe, ProbeOutcome, SequenceNumber, StreamProbeOutcome};
 use crate::record::MemberId;
 use crate::state::MemberState;
 use crate::wire::{DatagramKind, FrameKind};
@@ -70,7 +70,7 @@
     }
 
     /// Handles the end of a stream probe.
-    pub fn on_stream_probe(&mut self, now: Nanos, seq: crate::SequenceNumber, outcome: StreamProbeOutcome) {
+    pub fn on_stream_probe(&mut self, now: Nanos, seq: SequenceNumber, outcome: StreamProbeOutcome) {
         self.detect_stall(now);
         let Some(probe) = self.probe.as_mut().filter(|probe| probe.seq == seq) else { return };
         probe.stream_outcome = Some(outcome);
--- a/crates/membership/src/probe_schedule.rs
+++ b/crates/membership/src/probe_schedule.rs
@@ -19,7 +19,7 @@
 }
 
 impl ProbeSchedule {
-    /// Probes a member out of turn; ignored while [`MAX_URGENT`] others wait.
+    /// Probes a member out of turn; ignored while `MAX_URGENT` others wait.
     pub fn prioritize(&mut self, id: MemberId) {
         if !self.urgent.contains(&id) && self.urgent.len() < MAX_URGENT {
             self.urgent.push_back(id);
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,6 +1,5 @@
 //! The record that a member publishes about itself, and the identifiers in it.
 
-use std::fmt;
 use std::hash::Hasher;
 use std::net::{IpAddr, SocketAddr};
 
@@ -58,12 +57,6 @@
     pub incarnation: Incarnation,
 }
 
-impl fmt::Display for RecordVersion {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:x}.{}", self.epoch.0, self.incarnation.0)
-    }
-}
-
 /// Lifecycle phase that a member announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Phase {
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -64,12 +64,6 @@
         }
     }
 
-    /// Virtual time since the start.
-    #[must_use]
-    pub fn now(&self) -> Nanos {
-        self.now - CLOCK_START
-    }
-
     /// Starts the process of a node.
     ///
     /// # Panics
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Nodes that know of each other, as processes on loopback: how they are started, asked and ended. What links do to them is the
-//! storm's (`crates/chaos`).
+//! Fleets of nodes as processes on loopback: start, agreement, admin commands and departure. Faults of links are tested by
+//! `crates/chaos`.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -10,7 +10,8 @@
 use pumicehead_testbed::scripted::{Backend, Client, ok};
 use serde_json::Value;
 
-fn text(name: &str, server: &Backend, fleet: &str, seeds: &[SocketAddr]) -> String {
+/// The configuration of a node.
+fn config(name: &str, server: &Backend, fleet: &str, seeds: &[SocketAddr]) -> String {
     let seeds = seeds.iter().map(|seed| format!(" {seed}")).collect::<String>();
     let seeds = if seeds.is_empty() { String::new() } else { format!("seeds{seeds};") };
     format!(
@@ -25,7 +26,8 @@
     )
 }
 
-fn at(node: &Standalone, words: &str) -> SocketAddr {
+/// The address that ends a log line, after these words.
+fn logged_address(node: &Standalone, words: &str) -> SocketAddr {
     let find = || {
         let log = node.log.lock().unwrap();
         log.iter().find_map(|line| line.split_once(words)?.1.trim().parse().ok())
@@ -34,135 +36,160 @@
     find().unwrap()
 }
 
-fn start(
-    name: &str,
-    server: &Backend,
-    fleet: &str,
-    seeds: &[SocketAddr],
-) -> (Standalone, SocketAddr, SocketAddr) {
-    let node = Standalone::start(&text(name, server, fleet, seeds), 1);
-    let (speaks, calls) = (at(&node, " fleet_address="), at(&node, " takes calls on "));
-    (node, speaks, calls)
+/// A running node.
+struct Member {
+    process: Standalone,
+    /// Where other members reach it.
+    fleet: SocketAddr,
+    /// Where it takes admin commands.
+    admin: SocketAddr,
 }
 
-fn cli(arguments: &[&str]) -> (Option<i32>, String, String) {
+fn start(name: &str, server: &Backend, fleet: &str, seeds: &[SocketAddr]) -> Member {
+    let process = Standalone::start(&config(name, server, fleet, seeds), 1);
+    let fleet = logged_address(&process, " fleet_address=");
+    let admin = logged_address(&process, " takes calls on ");
+    Member { process, fleet, admin }
+}
+
+/// What the `fleet` command printed.
+struct CommandOutput {
+    code: Option<i32>,
+    stdout: String,
+    stderr: String,
+}
+
+fn fleet_command(arguments: &[&str]) -> CommandOutput {
     let done = Command::new(built("pumicehead").unwrap()).arg("fleet").args(arguments).output().unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    (done.status.code(), text(done.stdout), text(done.stderr))
+    CommandOutput { code: done.status.code(), stdout: text(done.stdout), stderr: text(done.stderr) }
 }
 
-fn view(calls: SocketAddr) -> Value {
-    serde_json::from_str(&cli(&["members", &calls.to_string(), "--json"]).1).unwrap_or_default()
+/// A node's view of the fleet.
+fn view(admin: SocketAddr) -> Value {
+    serde_json::from_str(&fleet_command(&["members", &admin.to_string(), "--json"]).stdout)
+        .unwrap_or_default()
 }
 
-/// Names and states in a view.
-fn held(calls: SocketAddr) -> Vec<(String, String)> {
-    let view = view(calls);
+/// Names and states in a node's view.
+fn states(admin: SocketAddr) -> Vec<(String, String)> {
+    let view = view(admin);
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     let members = view["members"].as_array().cloned().unwrap_or_default();
     members.iter().map(|one| (text(&one["name"]), text(&one["state"]))).collect()
 }
 
-fn is_held(calls: SocketAddr, wanted: &[(&str, &str)]) -> bool {
-    held(calls)
+fn has_states(admin: SocketAddr, wanted: &[(&str, &str)]) -> bool {
+    states(admin)
         == wanted.iter().map(|(name, state)| ((*name).to_owned(), (*state).to_owned())).collect::<Vec<_>>()
 }
 
-/// Guards use: three nodes find each other, agree, number themselves, tell people; one leaves in order, one is killed, and
-/// requests are served all along.
+fn assert_serves(node: &Member) {
+    let mut client = Client::connect(node.process.address());
+    client.write("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
+    assert_eq!(client.read().unwrap().status(), 200);
+}
+
+/// Three nodes agree and number themselves; a drained one, a departed one and a killed one are seen as such; requests are served
+/// all along.
 #[test]
-fn nodes_find_lose_and_tell_of_each_other() {
+fn nodes_join_agree_and_see_departures_and_crashes() {
     let server = Backend::start(|_| ok("x"));
-    let (one, speaks, calls) = start("n1", &server, "tablero", &[]);
-    let (mut two, _, second) = start("n2", &server, "tablero", &[speaks]);
-    let (three, _, third) = start("n3", &server, "tablero", &[speaks]);
+    let one = start("n1", &server, "tablero", &[]);
+    let mut two = start("n2", &server, "tablero", &[one.fleet]);
+    let three = start("n3", &server, "tablero", &[one.fleet]);
     let all = [("n1", "alive"), ("n2", "alive"), ("n3", "alive")];
     wait_for("one view", || {
-        let prints = [calls, second, third].map(|at| view(at)["fingerprint"].clone());
-        prints[0] == prints[1] && prints[1] == prints[2] && is_held(calls, &all)
+        let prints = [one.admin, two.admin, three.admin].map(|admin| view(admin)["fingerprint"].clone());
+        prints[0] == prints[1] && prints[1] == prints[2] && has_states(one.admin, &all)
     });
     wait_for("numbers", || {
-        let view = view(calls);
+        let view = view(one.admin);
         let numbers = view["members"].as_array().unwrap().iter().map(|one| one["number"].as_u64().unwrap());
         let mut numbers: Vec<_> = numbers.collect();
         numbers.sort_unstable();
         numbers == [1, 2, 3] && view["nodes"] == 3
     });
-    let (code, table, _) = cli(&["members", &calls.to_string()]);
-    assert!(code == Some(0) && table.contains("3 there") && table.contains("n2"), "{table}");
-    let (code, why, _) = cli(&["why", "n2", &calls.to_string()]);
-    assert!(code == Some(0) && why.contains("n2 is held alive"), "{why}");
-    let (code, _, said) = cli(&["why", "n9", &calls.to_string()]);
-    assert!(code == Some(2) && said.contains("nobody here knows `n9`"), "{said}");
-    // Staff empty one: all are told.
-    let mut call = TcpStream::connect(third).unwrap();
+    let admin = one.admin.to_string();
+    let list = fleet_command(&["members", &admin]);
+    assert!(
+        list.code == Some(0) && list.stdout.contains("3 there") && list.stdout.contains("n2"),
+        "{}",
+        list.stdout
+    );
+    let why = fleet_command(&["why", "n2", &admin]);
+    assert!(why.code == Some(0) && why.stdout.contains("n2 is held alive"), "{}", why.stdout);
+    let unknown = fleet_command(&["why", "n9", &admin]);
+    assert!(
+        unknown.code == Some(2) && unknown.stderr.contains("nobody here knows `n9`"),
+        "{}",
+        unknown.stderr
+    );
+    let mut call = TcpStream::connect(three.admin).unwrap();
     call.write_all(b"LAMEDUCK\n").unwrap();
-    wait_for("lameduck told", || view(second)["members"][2]["phase"] == "lameduck");
-    two.signal("TERM");
-    assert!(two.wait().success());
-    wait_for("left", || is_held(third, &[("n1", "alive"), ("n2", "left"), ("n3", "alive")]));
+    wait_for("lame duck announced", || view(two.admin)["members"][2]["phase"] == "lameduck");
+    two.process.signal("TERM");
+    assert!(two.process.wait().success());
+    wait_for("left", || has_states(three.admin, &[("n1", "alive"), ("n2", "left"), ("n3", "alive")]));
     drop(three);
-    wait_for("dead", || is_held(calls, &[("n1", "alive"), ("n2", "left"), ("n3", "dead")]));
-    let (_, why, _) = cli(&["why", "n3", &calls.to_string()]);
-    assert!(why.contains("refused connections"), "{why}");
-    let mut client = Client::connect(one.address());
-    client.write("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-    assert_eq!(client.read().unwrap().status(), 200);
+    wait_for("dead", || has_states(one.admin, &[("n1", "alive"), ("n2", "left"), ("n3", "dead")]));
+    let why = fleet_command(&["why", "n3", &admin]);
+    assert!(why.stdout.contains("refused connections"), "{}", why.stdout);
+    assert_serves(&one);
 }
 
-/// Guards against strangers: bytes of all kinds, datagrams and streams, another fleet; the node serves on, and says once what it
-/// refuses.
+/// Arbitrary bytes over datagrams and streams, and another fleet, change nothing; the other fleet is reported.
 #[test]
 fn strangers_change_nothing() {
     let server = Backend::start(|_| ok("x"));
-    let (one, speaks, calls) = start("n1", &server, "tablero", &[]);
-    let (_other, _, elsewhere) = start("n2", &server, "otro", &[speaks]);
+    let one = start("n1", &server, "tablero", &[]);
+    let other = start("n2", &server, "otro", &[one.fleet]);
     let noise = UdpSocket::bind("127.0.0.1:0").unwrap();
     for length in [0, 1, 7, 60, 1_200, 9_000, 65_000] {
         let bytes: Vec<u8> = (0..length).map(|n| (n * 31 % 251) as u8).collect();
-        let _ = noise.send_to(&bytes, speaks);
+        let _ = noise.send_to(&bytes, one.fleet);
     }
     for bytes in
         [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 40], &[0, 0, 0, 0], &[0, 0, 0, 9, 1], &[0, 0x10, 0, 0, 8, 1]]
     {
-        let mut stream = TcpStream::connect(speaks).unwrap();
+        let mut stream = TcpStream::connect(one.fleet).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         let _ = stream.write_all(bytes);
         let _ = stream.shutdown(std::net::Shutdown::Write);
         let _ = stream.read_to_end(&mut Vec::new());
     }
-    wait_for("the other fleet refused", || one.said("reason=of another fleet") >= 1);
-    assert!(is_held(calls, &[("n1", "alive")]) && is_held(elsewhere, &[("n2", "alive")]));
-    let mut client = Client::connect(one.address());
-    client.write("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-    assert_eq!(client.read().unwrap().status(), 200);
+    wait_for("the other fleet rejected", || one.process.said("reason=of another fleet") >= 1);
+    assert!(has_states(one.admin, &[("n1", "alive")]) && has_states(other.admin, &[("n2", "alive")]));
+    assert_serves(&one);
 }
 
-/// Guards one name in two processes: the later one is the member, the earlier one says so and serves on.
+/// Of two processes with one name the later one is the member; the earlier one reports that and serves on.
 #[test]
-fn the_later_process_of_a_name_is_the_member() {
+fn later_process_of_a_name_supersedes_the_earlier_one() {
     let server = Backend::start(|_| ok("x"));
-    let (_one, speaks, calls) = start("n1", &server, "tablero", &[]);
-    let (early, _, first) = start("n2", &server, "tablero", &[speaks]);
-    wait_for("joined", || is_held(calls, &[("n1", "alive"), ("n2", "alive")]));
-    let (_late, again, _) = start("n2", &server, "tablero", &[speaks]);
+    let one = start("n1", &server, "tablero", &[]);
+    let early = start("n2", &server, "tablero", &[one.fleet]);
+    wait_for("joined", || has_states(one.admin, &[("n1", "alive"), ("n2", "alive")]));
+    let late = start("n2", &server, "tablero", &[one.fleet]);
     wait_for("superseded", || {
-        early.said("a later process has this node's name") == 1 && view(first)["superseded"] == true
+        early.process.said("a later process has this node's name") == 1
+            && view(early.admin)["superseded"] == true
     });
-    wait_for("the later one's address", || view(calls)["members"][1]["address"] == again.to_string());
-    let mut client = Client::connect(early.address());
-    client.write("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
-    assert_eq!(client.read().unwrap().status(), 200);
+    wait_for("the later one's address", || {
+        view(one.admin)["members"][1]["address"] == late.fleet.to_string()
+    });
+    assert_serves(&early);
 }
 
-/// Guards what can't be: one clear message, nothing started; and a node without a fleet says so.
+/// Each invalid configuration gives one clear message and starts nothing; a node without a fleet says so.
 #[test]
-fn what_cannot_be_is_told() {
+fn invalid_configurations_are_reported() {
     let server = Backend::start(|_| ok("x"));
-    let (_one, speaks, _) = start("n1", &server, "tablero", &[]);
+    let one = start("n1", &server, "tablero", &[]);
     let file = pumicehead_testbed::program::temporary(".conf");
-    let good = text("n2", &server, "tablero", &[]);
-    for (from, to, says) in [
+    let good = config("n2", &server, "tablero", &[]);
+    let program = built("pumicehead").unwrap();
+    for (from, to, message) in [
         ("name tablero; ", "", "has no `name`"),
         ("name tablero;", "name \"a b\";", "is no name for a fleet"),
         ("address 127.0.0.1:0;  }", "address 0.0.0.0:7000 }", "others can't reach"),
@@ -173,18 +200,18 @@
         let text = good.replacen(from, to, 1);
         assert_ne!(text, good, "{from}");
         std::fs::write(&file, text).unwrap();
-        let done = Command::new(built("pumicehead").unwrap()).arg("check").arg(&file).output().unwrap();
-        let said =
+        let done = Command::new(&program).arg("check").arg(&file).output().unwrap();
+        let printed =
             String::from_utf8_lossy(&done.stderr).into_owned() + &String::from_utf8_lossy(&done.stdout);
-        assert!(!done.status.success() && said.contains(says), "{to}: {said}");
+        assert!(!done.status.success() && printed.contains(message), "{to}: {printed}");
     }
-    std::fs::write(&file, good.replacen("127.0.0.1:0;  }", &format!("{speaks} }}"), 1)).unwrap();
-    let done = Command::new(built("pumicehead").unwrap()).arg("run").arg(&file).output().unwrap();
-    let said = String::from_utf8_lossy(&done.stderr);
-    assert!(!done.status.success() && said.contains("for the fleet"), "{said}");
+    std::fs::write(&file, good.replacen("127.0.0.1:0;  }", &format!("{} }}", one.fleet), 1)).unwrap();
+    let done = Command::new(&program).arg("run").arg(&file).output().unwrap();
+    let printed = String::from_utf8_lossy(&done.stderr);
+    assert!(!done.status.success() && printed.contains("for the fleet"), "{printed}");
     let alone = good.split("fleet {").next().unwrap().to_owned();
     let node = Standalone::start(&alone, 1);
-    let (code, _, said) = cli(&["members", &at(&node, " takes calls on ").to_string()]);
-    assert!(code == Some(2) && said.contains("no block `fleet`"), "{said}");
+    let answer = fleet_command(&["members", &logged_address(&node, " takes calls on ").to_string()]);
+    assert!(answer.code == Some(2) && answer.stderr.contains("no block `fleet`"), "{}", answer.stderr);
     let _ = std::fs::remove_file(file);
 }
