--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -7,16 +7,18 @@
 use std::path::{Path, PathBuf};
 
 use common::*;
-use pumicehead_policy::interface::*;
-use pumicehead_policy::note::{Hurdles, Moved, Note, Rule, Stop};
-use pumicehead_trace::breakdown::Breakdown;
-use pumicehead_trace::dump::{ClassHead, Dump, Head, PoolHead, write};
-use pumicehead_trace::event::{Event, How, Listed, PoolId, Short, Turned, outcome};
-use pumicehead_trace::export::{chrome, otlp};
-use pumicehead_trace::loss::{Cause, Where};
-use pumicehead_trace::recorder::{Class, Level, Recorder, Story};
-use pumicehead_trace::ring::{Ring, append};
-use pumicehead_trace::text::Name;
+use pumicehead_flight_recorder::breakdown::Breakdown;
+use pumicehead_flight_recorder::dump::{ClassHead, Dump, Head, PoolHead, write};
+use pumicehead_flight_recorder::event::{Event, How, Listed, PoolId, Short, Turned, outcome};
+use pumicehead_flight_recorder::export::{chrome, otlp};
+use pumicehead_flight_recorder::loss::{Cause, Where};
+use pumicehead_flight_recorder::recorder::{Class, Level, Recorder, Story};
+use pumicehead_flight_recorder::ring::{Ring, append};
+use pumicehead_flight_recorder::text::Name;
+use pumicehead_policy::decision_event::{
+    DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RejectionReason,
+};
+use pumicehead_policy::*;
 
 /// The version that wrote the fixtures.
 const WRITTEN_BY: &str = "0.2.0";
@@ -67,45 +69,76 @@
 }
 
 const ID: RequestId = RequestId(7);
-const SERVER: ServerId = ServerId(3);
+const SERVER: EndpointId = EndpointId(3);
 const ATTEMPT: AttemptNo = AttemptNo(1);
 
 /// Every note, with each value that it may hold of a fixed set.
-fn every_note() -> Vec<Note> {
+fn every_note() -> Vec<DecisionEvent> {
     let (id, server) = (ID, SERVER);
-    let hurdles = Hurdles([1, 2, 3, 4, 255]);
-    let rules = [Rule::WaitShare, Rule::NearlyOut, Rule::NoTurn]
-        .into_iter()
-        .chain([Stop::Attempts, Stop::Effect, Stop::Time, Stop::Budget].map(Rule::NoRetry));
+    let hurdles = ExclusionReasons([1, 2, 3, 4, 255]);
+    let rules =
+        [RejectionReason::QueueTooLong, RejectionReason::QueueTimeout, RejectionReason::KeyOrderTimeout]
+            .into_iter()
+            .chain(
+                [
+                    NoRetryReason::AttemptsExhausted,
+                    NoRetryReason::NotIdempotent,
+                    NoRetryReason::NoTimeLeft,
+                    NoRetryReason::RetryBudgetSpent,
+                ]
+                .map(RejectionReason::NoRetry),
+            );
     let mut all = vec![
-        Note::Taken { id, tier: 3, worth: 1.5, aim_at: START + 100 * MS },
-        Note::Held { id, held: 7 },
-        Note::Picked {
+        DecisionEvent::Classified { id, tier: 3, priority_weight: 1.5, objective_deadline: START + 100 * MS },
+        DecisionEvent::Queued { id, queued: 7 },
+        DecisionEvent::EndpointSelected {
             id,
-            server,
+            endpoint: server,
             score: 0.1,
-            next: Some((ServerId(4), 2.0)),
-            out: 9,
+            runner_up: Some((EndpointId(4), 2.0)),
+            in_flight: 9,
             limit: 12.25,
-            hurdles,
+            exclusions: hurdles,
+        },
+        DecisionEvent::EndpointSelected {
+            id,
+            endpoint: server,
+            score: 0.1,
+            runner_up: None,
+            in_flight: 0,
+            limit: 1.0,
+            exclusions: ExclusionReasons::default(),
+        },
+        DecisionEvent::NoEndpointAvailable { id, exclusions: hurdles },
+        DecisionEvent::NoEndpointAvailable { id, exclusions: ExclusionReasons::default() },
+        DecisionEvent::LimitChanged {
+            endpoint: server,
+            from: 1.0,
+            to: 2.5,
+            reason: LimitChangeReason::ComparedLatency,
         },
-        Note::Picked { id, server, score: 0.1, next: None, out: 0, limit: 1.0, hurdles: Hurdles::default() },
-        Note::NoneFits { id, hurdles },
-        Note::NoneFits { id, hurdles: Hurdles::default() },
-        Note::Limit { server, from: 1.0, to: 2.5, why: Moved::Compared },
-        Note::Limit { server, from: 2.5, to: 1.0, why: Moved::Failure },
-        Note::Limits { factor: 0.5, load: 2.0 },
-        Note::Aside { server, span: 1_500 * MS },
-        Note::Back { server },
-        Note::Doubt { bad: 1, all: 8, most: false },
-        Note::Doubt { bad: 7, all: 8, most: true },
-        Note::Overload { held: 30 },
-        Note::Calm,
-        Note::ListLost,
-        Note::ListRegained,
+        DecisionEvent::LimitChanged {
+            endpoint: server,
+            from: 2.5,
+            to: 1.0,
+            reason: LimitChangeReason::Failure,
+        },
+        DecisionEvent::AllLimitsChanged { factor: 0.5, utilization: 2.0 },
+        DecisionEvent::Ejected { endpoint: server, duration: 1_500 * MS },
+        DecisionEvent::Reinstated { endpoint: server },
+        DecisionEvent::OutlierRatio { outliers: 1, total: 8, panic_mode: false },
+        DecisionEvent::OutlierRatio { outliers: 7, total: 8, panic_mode: true },
+        DecisionEvent::OverloadStarted { queued: 30 },
+        DecisionEvent::OverloadEnded,
+        DecisionEvent::WatchLost,
+        DecisionEvent::WatchRestored,
     ];
-    all.extend(rules.map(|rule| Note::Over { id, rule, pressure: 0.75 }));
-    all.push(Note::Over { id, rule: Rule::WaitShare, pressure: f32::INFINITY });
+    all.extend(rules.map(|rule| DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure: 0.75 }));
+    all.push(DecisionEvent::AnsweredWithoutEndpoint {
+        id,
+        reason: RejectionReason::QueueTooLong,
+        pressure: f32::INFINITY,
+    });
     all
 }
 
@@ -233,7 +266,7 @@
 fn next_pool(day: &mut Day, name: &str, classes: &[Class]) {
     day.pool = day.recorder.pool(name, classes);
     for server in 0..5 {
-        day.recorder.name(day.pool, ServerId(server), &format!("{name}-{server}"));
+        day.recorder.name(day.pool, EndpointId(server), &format!("{name}-{server}"));
     }
 }
 
@@ -241,7 +274,7 @@
 fn rounds(day: &mut Day, count: u64, mut other: impl FnMut(&mut Day)) {
     for n in 0..count {
         for server in 0..4 {
-            day.one(0, server, Outcome::Ok, (20 + n % 7) * MS);
+            day.one(0, server, AttemptOutcome::Success, (20 + n % 7) * MS);
         }
         other(day);
     }
@@ -254,47 +287,47 @@
     day.recorder.set_level(Level::Full);
     rounds(&mut day, 5, |_| {});
     let at_one = [
-        ("silent", Outcome::TimedOut),
-        ("resets", Outcome::Reset),
-        ("errors", Outcome::Error),
-        ("unreachable", Outcome::ConnectFailed),
-        ("full", Outcome::Full),
+        ("silent", AttemptOutcome::TimedOut),
+        ("resets", AttemptOutcome::Reset),
+        ("errors", AttemptOutcome::Error),
+        ("unreachable", AttemptOutcome::ConnectFailed),
+        ("full", AttemptOutcome::Rejected),
     ];
     for (name, outcome) in at_one {
         next_pool(&mut day, name, &usual);
         rounds(&mut day, 20, |day| day.one(0, 4, outcome, 150 * MS));
         next_pool(&mut day, &format!("all-{name}"), &usual);
         for n in 0..60 {
-            day.one(0, n % 4, if n % 3 == 0 { outcome } else { Outcome::Ok }, 20 * MS);
+            day.one(0, n % 4, if n % 3 == 0 { outcome } else { AttemptOutcome::Success }, 20 * MS);
         }
     }
     next_pool(&mut day, "slow", &usual);
-    rounds(&mut day, 20, |day| day.one(0, 4, Outcome::Ok, 250 * MS));
+    rounds(&mut day, 20, |day| day.one(0, 4, AttemptOutcome::Success, 250 * MS));
     next_pool(&mut day, "slow-to-connect", &usual);
     for n in 0..60 {
-        day.one(0, n % 4, Outcome::Ok, 80 * MS);
+        day.one(0, n % 4, AttemptOutcome::Success, 80 * MS);
     }
     for _ in 0..20 {
         let id = day.ask(0, "dialled");
         day.send(id, 0, 4);
         day.now += 110 * MS;
-        let (attempt, server, outcome) = (AttemptNo(0), ServerId(4), Outcome::Ok);
+        let (attempt, server, outcome) = (AttemptNo(0), EndpointId(4), AttemptOutcome::Success);
         let (took, dial) = (110 * MS, 100 * MS);
         day.tell(Event::Ended { id, attempt, server, outcome, took, dial, idle: None });
         day.over(id, How::Served);
     }
     next_pool(&mut day, "tight", &[class("read", 100 * MS, 1.0), class("hasty", 5 * MS, 10.0)]);
     for n in 0..60 {
-        day.one(0, n % 4, Outcome::Ok, 20 * MS);
-        day.one(1, n % 4, Outcome::TimedOut, 20 * MS);
+        day.one(0, n % 4, AttemptOutcome::Success, 20 * MS);
+        day.one(1, n % 4, AttemptOutcome::TimedOut, 20 * MS);
     }
     next_pool(&mut day, "crowded", &usual);
     rounds(&mut day, 5, |day| {
-        day.refused(0, Rule::WaitShare);
-        day.refused(1, Rule::NearlyOut);
+        day.refused(0, RejectionReason::QueueTooLong);
+        day.refused(1, RejectionReason::QueueTimeout);
     });
     next_pool(&mut day, "turns", &usual);
-    rounds(&mut day, 5, |day| day.refused(1, Rule::NoTurn));
+    rounds(&mut day, 5, |day| day.refused(1, RejectionReason::KeyOrderTimeout));
     next_pool(&mut day, "clients", &usual);
     rounds(&mut day, 5, |day| {
         for how in [How::Left, How::Body] {
@@ -306,33 +339,42 @@
     next_pool(&mut day, "other", &usual);
     rounds(&mut day, 5, |day| {
         let id = day.ask(1, "called back");
-        for (attempt, outcome) in [(0, Outcome::Reset), (1, Outcome::Moot)] {
+        for (attempt, outcome) in [(0, AttemptOutcome::Reset), (1, AttemptOutcome::NotSent)] {
             day.send(id, attempt, u32::from(attempt));
             day.now += 5 * MS;
             day.end(id, attempt, u32::from(attempt), outcome, 5 * MS);
         }
-        day.tell(Event::Note(Note::Over { id, rule: Rule::NoRetry(Stop::Attempts), pressure: 0.0 }));
+        day.tell(Event::Note(DecisionEvent::AnsweredWithoutEndpoint {
+            id,
+            reason: RejectionReason::NoRetry(NoRetryReason::AttemptsExhausted),
+            pressure: 0.0,
+        }));
         day.over(id, How::Failed);
         let id = day.ask(0, "faulty");
         day.send(id, 0, 2);
         day.now += 20 * MS;
-        day.end(id, 0, 2, Outcome::Ok, 20 * MS);
+        day.end(id, 0, 2, AttemptOutcome::Success, 20 * MS);
         day.over(id, How::ServedFault);
         let id = day.ask(0, "out of time");
         day.send(id, 0, 2);
         day.now += 400 * MS;
         day.over(id, How::Late);
-        day.end(id, 0, 2, Outcome::Cancelled, 400 * MS);
+        day.end(id, 0, 2, AttemptOutcome::Cancelled, 400 * MS);
     });
     for why in [Turned::Held, Turned::Connections] {
         (0..3).for_each(|_| day.tell(Event::Turned { class: 0, why }));
     }
     // The node's shortage of descriptors would be put down as the cause of every attempt that was not sent.
     day.tell(Event::Short(Short::Accept));
-    day.tell(Event::Note(Note::Aside { server: SERVER, span: 1_500 * MS }));
-    day.tell(Event::Note(Note::Limit { server: SERVER, from: 1.0, to: 2.5, why: Moved::Compared }));
+    day.tell(Event::Note(DecisionEvent::Ejected { endpoint: SERVER, duration: 1_500 * MS }));
+    day.tell(Event::Note(DecisionEvent::LimitChanged {
+        endpoint: SERVER,
+        from: 1.0,
+        to: 2.5,
+        reason: LimitChangeReason::ComparedLatency,
+    }));
     let id = day.ask(1, "still open");
-    day.tell(Event::Note(Note::Held { id, held: 1 }));
+    day.tell(Event::Note(DecisionEvent::Queued { id, queued: 1 }));
     day
 }
 
@@ -343,7 +385,7 @@
 }
 
 fn told(dump: &Dump) -> String {
-    let all = dump.stories.iter().map(|story| pumicehead_trace::story::tell(&dump.head, story));
+    let all = dump.stories.iter().map(|story| pumicehead_flight_recorder::story::tell(&dump.head, story));
     all.collect::<Vec<_>>().join("\n")
 }
 
--- a/crates/node/tests/stored_forms.rs
+++ b/crates/node/tests/stored_forms.rs
@@ -10,8 +10,8 @@
 use std::process::Command;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use pumicehead_rig::program::{LIMIT, Standalone, temporary, wait_for};
-use pumicehead_rig::scripted::{Backend, Client, Node, Setup, ok, request};
+use pumicehead_testbed::program::{LIMIT, Standalone, temporary, wait_for};
+use pumicehead_testbed::scripted::{Backend, Client, Node, Setup, ok, request};
 use serde_json::Value;
 
 fn fixture(name: &str) -> PathBuf {
