--- /dev/null
+++ b/crates/fleet/tests/stored_forms.rs
@@ -0,0 +1,96 @@
+//! Messages between forwarders and planners as they travel. The fixtures were written by version 0.2.0, before its types
+//! were renamed, and must stay readable: both levels may run different versions.
+
+use std::fs;
+use std::path::Path;
+
+use bytes::Bytes;
+use prost::Message;
+use pumicehead_fleet::wire::{Body, Changes, Entry, Frames, Grant, Hello, Plan, Report, Sighting, frame};
+
+/// Compares a whole text with a stored one.
+fn assert_stored_text(name: &str, text: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    assert_eq!(text, fs::read_to_string(path).unwrap(), "{name}");
+}
+
+fn stored_bytes(name: &str) -> Vec<u8> {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    let text = fs::read_to_string(path).unwrap();
+    let digits: String = text.split_whitespace().collect();
+    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+}
+
+fn hex_line(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n"
+}
+
+fn sighting() -> Sighting {
+    Sighting {
+        born: 1_700_000_000_000_000_000,
+        known_for: 9_000_000_000,
+        draining: true,
+        answered: 400,
+        failed: 3,
+        out: 5,
+        places: 12,
+    }
+}
+
+fn changes(whole: bool, value: Vec<u8>) -> Changes {
+    Changes {
+        whole,
+        set: vec![Entry { key: 7, value: Bytes::from(value) }, Entry { key: 8, value: Bytes::new() }],
+        gone: vec![1, 2, 300],
+        digest: 0x0123_4567_89ab_cdef,
+    }
+}
+
+fn messages() -> Vec<Body> {
+    let grants = vec![Grant { server: 3, rate: 1_500_000 }, Grant { server: 70_000, rate: 1 }];
+    vec![
+        Body::Hello(Hello {
+            version: 1,
+            least_version: 1,
+            id: 0x5d3a_91c4_0312_4a07,
+            lease: 3_000_000_000,
+            loan: 500_000_000,
+        }),
+        Body::Report(Report {
+            number: 9,
+            planner: 0x91f0_3b7c_55d2_0a64,
+            heard: 8,
+            lent: grants.clone(),
+            servers: Some(changes(true, sighting().encode_to_vec())),
+            lost: false,
+        }),
+        Body::Report(Report { number: 10, lost: true, ..Report::default() }),
+        Body::Plan(Plan {
+            number: 12,
+            answers: 9,
+            planner: 0x91f0_3b7c_55d2_0a64,
+            grants,
+            servers: Some(changes(false, vec![1, 2, 3])),
+            lost: false,
+        }),
+        Body::Plan(Plan { number: 13, lost: true, ..Plan::default() }),
+    ]
+}
+
+#[test]
+fn reports_and_plans_travel_as_before() {
+    let written: String = messages().into_iter().map(|message| hex_line(&frame(message))).collect();
+    assert_stored_text("messages.hex", &written);
+    let (mut frames, mut read) = (Frames::default(), Vec::new());
+    frames.feed(&stored_bytes("messages.hex"));
+    while let Some(message) = frames.next_message().unwrap() {
+        read.push(message);
+    }
+    assert_eq!((read, frames.waiting()), (messages(), 0));
+}
+
+#[test]
+fn sightings_travel_as_before() {
+    assert_stored_text("sighting.hex", &hex_line(&sighting().encode_to_vec()));
+    assert_eq!(Sighting::decode(stored_bytes("sighting.hex").as_slice()).unwrap(), sighting());
+}
