--- a/crates/admin/tests/stored_forms.rs
+++ b/crates/admin/tests/stored_forms.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::Path;
 
-use pumicehead_ops::book::{Book, Stand};
+use pumicehead_admin::book::{Book, Stand};
 
 fn stored() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/servers_out.json");
--- a/crates/capacity-leases/tests/stored_forms.rs
+++ b/crates/capacity-leases/tests/stored_forms.rs
@@ -6,7 +6,9 @@
 
 use bytes::Bytes;
 use prost::Message;
-use pumicehead_fleet::wire::{Body, Changes, Entry, Frames, Grant, Hello, Plan, Report, Sighting, frame};
+use pumicehead_capacity_leases::wire::{
+    Body, Changes, Entry, Frames, Grant, Hello, Plan, Report, Sighting, frame,
+};
 
 /// Compares a whole text with a stored one.
 fn assert_stored_text(name: &str, text: &str) {
--- a/crates/membership/tests/stored_forms.rs
+++ b/crates/membership/tests/stored_forms.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 
 use prost::Message;
-use pumicehead_members::card::{Card, Key, Phase, hash};
-use pumicehead_members::state::State;
-use pumicehead_members::wire::{Datagram, Entry, Frame, Kind, Step, fleet};
+use pumicehead_membership::card::{Card, Key, Phase, hash};
+use pumicehead_membership::state::State;
+use pumicehead_membership::wire::{Datagram, Entry, Frame, Kind, Step, fleet};
 
 /// Compares a whole text with a stored one.
 fn assert_stored_text(name: &str, text: &str) {
