--- a/crates/node/src/fleet/stream.rs
+++ b/crates/node/src/fleet/stream.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pumicehead_membership::member::{Checked, Exchange};
-use pumicehead_membership::settings::LARGEST_FRAME;
+use pumicehead_membership::settings::MAX_FRAME_BYTES;
+use pumicehead_membership::{SequenceNumber, StreamAction, StreamProbeOutcome};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
@@ -17,7 +17,7 @@
 
 use super::Fleet;
 
-/// Streams from others at once; more wait. A frame takes [`LARGEST_FRAME`] at the most.
+/// Streams from others at once; more wait. A frame takes [`MAX_FRAME_BYTES`] at the most.
 pub const MOST_TAKEN: usize = 8;
 /// Streams to others at once; more are not opened.
 pub const MOST_OPENED: usize = 16;
@@ -38,7 +38,7 @@
         Err(error) => return Err(error),
     }
     let length = u32::from_be_bytes(length) as usize;
-    if length > LARGEST_FRAME {
+    if length > MAX_FRAME_BYTES {
         return Err(io::Error::new(io::ErrorKind::InvalidData, format!("a frame of {length} bytes")));
     }
     let mut bytes = Vec::new();
@@ -84,12 +84,12 @@
 async fn take(fleet: &Rc<Fleet>, mut stream: TcpStream, from: SocketAddr) -> io::Result<()> {
     stream.set_nodelay(true)?;
     while let Some(bytes) = read(&mut stream).await? {
-        let came = fleet.member.borrow_mut().on_frame(fleet.clock.now(), from, &bytes);
+        let came = fleet.member.borrow_mut().on_stream_request(fleet.clock.now(), from, &bytes);
         fleet.touched.notify_one();
         match came {
-            Ok(Exchange::Answer(answer)) => write(&mut stream, &answer).await?,
-            Ok(Exchange::Over) => return Ok(()),
-            Err((_, refusal)) => return write(&mut stream, &refusal).await,
+            Ok(StreamAction::Reply(answer)) => write(&mut stream, &answer).await?,
+            Ok(StreamAction::Close) => return Ok(()),
+            Err(rejected) => return write(&mut stream, &rejected.reply).await,
         }
     }
     Ok(())
@@ -115,13 +115,15 @@
 }
 
 /// Asks a member whether it is there.
-pub async fn check(fleet: Rc<Fleet>, seq: u32, to: SocketAddr, frame: Vec<u8>) {
+pub async fn check(fleet: Rc<Fleet>, seq: SequenceNumber, to: SocketAddr, frame: Vec<u8>) {
     let Some(_place) = Opened::new(&fleet) else { return };
     let asked = async {
         let mut stream = match TcpStream::connect(to).await {
             Ok(stream) => stream,
-            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return Checked::Refused,
-            Err(_) => return Checked::Unreachable,
+            Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
+                return StreamProbeOutcome::Refused;
+            }
+            Err(_) => return StreamProbeOutcome::Unreachable,
         };
         let _ = stream.set_nodelay(true);
         let answered = async {
@@ -130,16 +132,16 @@
         };
         match timeout(CHECK, answered).await {
             Ok(Ok(Some(bytes))) => {
-                fleet.member.borrow_mut().on_reply(fleet.clock.now(), to, &bytes);
-                Checked::Answered
+                fleet.member.borrow_mut().on_stream_reply(fleet.clock.now(), to, &bytes);
+                StreamProbeOutcome::Answered
             }
             // Closed or reset without a word: what is behind this address takes no connections.
-            Ok(Ok(None) | Err(_)) => Checked::Refused,
-            Err(_) => Checked::Silent,
+            Ok(Ok(None) | Err(_)) => StreamProbeOutcome::Refused,
+            Err(_) => StreamProbeOutcome::NoResponse,
         }
     };
-    let checked = timeout(2 * CHECK, asked).await.unwrap_or(Checked::Unreachable);
-    fleet.member.borrow_mut().on_checked(fleet.clock.now(), seq, checked);
+    let checked = timeout(2 * CHECK, asked).await.unwrap_or(StreamProbeOutcome::Unreachable);
+    fleet.member.borrow_mut().on_stream_probe(fleet.clock.now(), seq, checked);
     fleet.touched.notify_one();
 }
 
@@ -153,11 +155,11 @@
         loop {
             write(&mut stream, &next).await?;
             let Some(bytes) = read(&mut stream).await? else { return io::Result::Ok(()) };
-            let came = fleet.member.borrow_mut().on_reply(fleet.clock.now(), to, &bytes);
+            let came = fleet.member.borrow_mut().on_stream_reply(fleet.clock.now(), to, &bytes);
             fleet.touched.notify_one();
             match came {
-                Exchange::Answer(answer) => next = answer,
-                Exchange::Over => return Ok(()),
+                StreamAction::Reply(answer) => next = answer,
+                StreamAction::Close => return Ok(()),
             }
         }
     };
