--- a/crates/node/src/eyes.rs
+++ b/crates/node/src/eyes.rs
@@ -19,8 +19,8 @@
 
 use crate::log::Log;
 use crate::net::clock::Clock;
-use crate::net::roster::hash;
-use crate::net::tap::{Shared, Tap};
+use crate::net::endpoint_directory::hash;
+use crate::net::recorder_sink::{Shared, Tap};
 
 /// Recordings of a node that stay in the folder; older ones make way. Where the folder counts as memory it should be few.
 const KEPT: usize = 2;
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::eyes::Eyes;
 use crate::net::clock::Clock;
-use crate::net::tap::Tap;
+use crate::net::recorder_sink::Tap;
 
 /// How often the number of nodes is looked at, and the node's load told: both change slowly.
 const LOOK: Nanos = SECOND;
--- a/crates/node/src/net/admission.rs
+++ b/crates/node/src/net/admission.rs
@@ -7,8 +7,8 @@
 use hyper::{Method, StatusCode, Uri, Version};
 use thiserror::Error;
 
-use super::ask::Ask;
-use super::handle::Handle;
+use crate::net::exchange::Ask;
+use crate::net::pool_handle::Handle;
 
 /// How answers are worded.
 #[derive(Clone)]
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery/mod.rs
@@ -1,5 +1,8 @@
 //! The list of backends: its form, and the watch that brings its changes line by line.
 
+mod json_stream;
+pub(super) mod watch_task;
+
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -16,8 +19,8 @@
 use tokio::task::{self, JoinError};
 use tokio::time::{Instant, error::Elapsed, timeout_at};
 
-use super::documents::{Documents, Fault};
-use super::link::Link;
+use crate::net::counting_stream::Link;
+use crate::net::discovery::json_stream::{Documents, Fault};
 
 /// While nothing changes, a watch says something so often (the protocol's page).
 const HEARTBEAT: Duration = Duration::from_secs(2);
@@ -179,5 +182,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/discovery.rs"]
+#[path = "../../../tests/unit/discovery.rs"]
 mod tests;
--- a/crates/node/src/net/watch.rs
+++ b/crates/node/src/net/discovery/watch_task.rs
@@ -5,11 +5,11 @@
 use tokio::sync::mpsc;
 use tokio::task::{self, AbortHandle};
 
-use super::discovery;
-use super::message::Message;
+use crate::net::discovery;
+use crate::net::pool_message::Message;
 
 /// The watch of a loop.
-pub(super) struct Watch {
+pub(in crate::net) struct Watch {
     /// Where it is; `None` where the configuration has the servers.
     address: Option<SocketAddr>,
     current: Option<(u64, AbortHandle)>,
--- a/crates/node/src/net/front/conn.rs
+++ b/crates/node/src/net/downstream/connection.rs
@@ -7,8 +7,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use super::Options;
-use crate::net::link::{Link, Unread};
+use crate::net::counting_stream::{Link, Unread};
+use crate::net::downstream::Options;
 
 /// Where places are short, a connection makes way that has asked nothing for so long after it came up: clients
 /// connect in order to ask ...
@@ -29,7 +29,7 @@
     counted: Cell<bool>,
     /// When it came up, was last answered, or was closed.
     pub since: Cell<Instant>,
-    /// Where it is among all connections; [`super::budget::RetryBudgetSpent`] alone changes it.
+    /// Where it is among all connections; [`crate::net::downstream::connection_budget::RetryBudgetSpent`] alone changes it.
     pub place: Cell<usize>,
     /// Over the budget: told so and closed.
     pub extra: bool,
--- a/crates/node/src/net/front/budget.rs
+++ b/crates/node/src/net/downstream/connection_budget.rs
@@ -5,8 +5,8 @@
 
 use tokio::time::Instant;
 
-use super::conn::{Conn, Stage};
-use crate::net::link::Unread;
+use crate::net::counting_stream::Unread;
+use crate::net::downstream::connection::{Conn, Stage};
 
 /// From this part of all descriptors on, connections that ask are crowded: each closes with its next answer.
 /// Clients may hold a third at a node, and clients that ask once and stay for some seconds took all of it:
@@ -51,7 +51,7 @@
 
     /// Whether so many are over it that they can't be told so any more.
     pub fn is_overfull(&self) -> bool {
-        self.count() >= self.places + super::EXTRA
+        self.count() >= self.places + crate::net::downstream::EXTRA
     }
 
     /// The count of those that ask, for a new one.
@@ -80,7 +80,7 @@
     }
 
     /// Those of one front.
-    pub fn each_of(&self, owner: &super::Front, mut take: impl FnMut(&Conn)) {
+    pub fn each_of(&self, owner: &crate::net::downstream::Front, mut take: impl FnMut(&Conn)) {
         let conns = self.conns.borrow();
         conns.iter().filter(|conn| owner.owns(conn)).for_each(|conn| take(conn));
     }
--- a/crates/node/src/net/front/drain.rs
+++ b/crates/node/src/net/downstream/drain.rs
@@ -6,8 +6,8 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use super::conn::RESTED;
-use super::{ACCEPT_PAUSE, Front};
+use crate::net::downstream::connection::RESTED;
+use crate::net::downstream::{ACCEPT_PAUSE, Front};
 
 /// After SIGTERM new connections go on coming for up to 0.4 s: accepting ends after this ...
 const ACCEPT_ON: Duration = Duration::from_millis(500);
--- a/crates/node/src/net/front/fastcgi.rs
+++ b/crates/node/src/net/downstream/fastcgi.rs
@@ -16,12 +16,12 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{Instant, sleep_until};
 
-use super::Front;
-use super::conn::{Conn, Stage};
-use super::read::Came;
 use crate::net::admission::{Bad, Head};
-use crate::net::answer;
-use crate::net::body::Body;
+use crate::net::downstream::Front;
+use crate::net::downstream::connection::{Conn, Stage};
+use crate::net::downstream::request_body::Came;
+use crate::net::downstream::response;
+use crate::net::response_body::Body;
 
 /// Bytes that are read at once, and that are made ready to be written.
 const CHUNK: usize = 32 << 10;
@@ -161,7 +161,7 @@
                     let answers = exchange.answers.clone();
                     let serial = exchange.next_serial();
                     let task = exchange.tasks.spawn_local(async move {
-                        let parts = parts(&Method::POST, answer::bad(&bad)).await;
+                        let parts = parts(&Method::POST, response::bad(&bad)).await;
                         let _ = answers.send((id, serial, parts));
                     });
                     exchange.asking.insert(id, (serial, task));
@@ -184,7 +184,7 @@
     async fn answer_fastcgi(&self, conn: &Conn, peer: IpAddr, params: &[Pair], body: Bytes) -> Vec<Bytes> {
         let read = match request(params) {
             Ok(read) => read,
-            Err(fault) => return parts(&Method::GET, answer::bad(&Bad::Target(fault.to_string()))).await,
+            Err(fault) => return parts(&Method::GET, response::bad(&Bad::Target(fault.to_string()))).await,
         };
         let head = Head {
             method: &read.method,
@@ -222,7 +222,7 @@
             self.coming.iter().filter(|(_, until)| **until <= now).map(|(id, _)| *id).collect();
         for id in slow {
             self.coming.remove(&id);
-            self.server.end(id, parts(&Method::GET, answer::bad(&Bad::Slow)).await, 0);
+            self.server.end(id, parts(&Method::GET, response::bad(&Bad::Slow)).await, 0);
         }
     }
 }
--- a/crates/node/src/net/front/mod.rs
+++ b/crates/node/src/net/downstream/mod.rs
@@ -1,10 +1,11 @@
 //! Client connections: requests in, exactly one answer out for each.
 
-pub mod budget;
-mod conn;
+mod connection;
+pub mod connection_budget;
 mod drain;
 mod fastcgi;
-mod read;
+mod request_body;
+mod response;
 
 use std::cell::{Cell, OnceCell};
 use std::convert::Infallible;
@@ -31,20 +32,19 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tracing::warn;
 
-use super::admission::{Admission, Admitted, Bad, Head, Manner};
-use super::answer;
-use super::ask::Answer;
-use super::body::{Body, Ended};
-use super::handle::Held;
-use super::http::upstream::LONGEST_HEAD;
-use super::link::Link;
-use super::room::Room;
-use super::tap::Tap;
-use budget::Budget;
-use conn::{Conn, RESTED, Stage};
+use crate::net::admission::{Admission, Admitted, Bad, Head, Manner};
+use crate::net::counting_stream::Link;
+use crate::net::exchange::Answer;
+use crate::net::memory_budget::Room;
+use crate::net::pool_handle::Held;
+use crate::net::recorder_sink::Tap;
+use crate::net::response_body::{Body, Ended};
+use crate::net::upstream::http::transport::LONGEST_HEAD;
+use connection::{Conn, RESTED, Stage};
+use connection_budget::Budget;
 pub use drain::Ending;
 use drain::FRESH;
-use read::{Came, Framing, collect, hold};
+use request_body::{Came, Framing, collect, hold};
 
 /// Connections that wait in the kernel are already taken, so it should never have to turn one away.
 const BACKLOG: u32 = 4096;
@@ -355,15 +355,15 @@
         let mut response = if self.options.get().healthz && request.uri().path() == "/healthz" {
             let away = self.draining.get() || self.is_lame();
             let status = if away { hyper::StatusCode::SERVICE_UNAVAILABLE } else { hyper::StatusCode::OK };
-            answer::plain(status, "")
+            response::plain(status, "")
         } else if conn.link.has_ended() {
             // It came ahead of its client's end, behind a request that took longer: nobody waits for it.
-            answer::refusal(&Manner::Platform, None)
+            response::refusal(&Manner::Platform, None)
         } else {
             let until = begun + self.options.get().patience;
             let head = Instant::now();
             match self.read(request, peer, framing, until).await {
-                Err(bad) => answer::bad(&bad),
+                Err(bad) => response::bad(&bad),
                 Ok((mut admitted, came)) => {
                     admitted.ask.sending = head.elapsed();
                     let rest = came.rest();
@@ -383,7 +383,7 @@
             || unsent
             || !matches!(framing, Framing::Length(_))
         {
-            answer::close(&mut response);
+            response::close(&mut response);
         }
         response
     }
@@ -392,16 +392,16 @@
     async fn decide(&self, admitted: Result<Admitted, Bad>, came: Came, extra: bool) -> Response<Body> {
         let Admitted { core, mut ask, manner, bodiless } = match admitted {
             Ok(admitted) => admitted,
-            Err(bad) => return answer::bad(&bad),
+            Err(bad) => return response::bad(&bad),
         };
         let class = ask.class;
         if bodiless && !came.is_empty() {
-            return answer::bad(&Bad::Method(Vec::new()));
+            return response::bad(&Bad::Method(Vec::new()));
         }
         if extra || self.over.get() || self.is_full() {
             core.turned(class, if extra { Turned::Connections } else { Turned::Held });
             self.figures.ended(class, Outcome::Rejected);
-            return answer::refusal(&manner, self.options.get().advice);
+            return response::refusal(&manner, self.options.get().advice);
         }
         (ask.call.body, ask.call.rest) = came.into_parts();
         match core.ask(ask).await {
@@ -417,9 +417,9 @@
                     }
                     given => self.figures.ended(class, given.outcome()),
                 }
-                answer::response(&manner, given)
+                response::response(&manner, given)
             }
-            None => answer::bad(&Bad::Twice),
+            None => response::bad(&Bad::Twice),
         }
     }
 
@@ -468,5 +468,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/front.rs"]
+#[path = "../../../tests/unit/downstream.rs"]
 mod tests;
--- a/crates/node/src/net/front/read.rs
+++ b/crates/node/src/net/downstream/request_body.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use crate::net::admission::Bad;
-use crate::net::room::Room;
+use crate::net::memory_budget::Room;
 use crate::net::upload::{RULES, Upload};
 
 /// How a request's head says where its body ends.
--- a/crates/node/src/net/answer.rs
+++ b/crates/node/src/net/downstream/response.rs
@@ -5,9 +5,9 @@
 use hyper::{Response, StatusCode};
 use pumicehead_policy::{Nanos, SECOND};
 
-use super::admission::{Bad, Manner};
-use super::ask::{Answer, Served};
-use super::body::Body;
+use crate::net::admission::{Bad, Manner};
+use crate::net::exchange::{Answer, Served};
+use crate::net::response_body::Body;
 
 /// An answer's message.
 pub fn response(manner: &Manner, answer: Answer) -> Response<Body> {
--- a/crates/node/src/net/roster.rs
+++ b/crates/node/src/net/endpoint_directory.rs
@@ -9,9 +9,9 @@
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use thiserror::Error;
 
-use super::discovery::{Health, Host, List};
-use super::hands::Hands;
-use super::transport::{Server, Transport};
+use crate::net::admin_overrides::Hands;
+use crate::net::discovery::{Health, Host, List};
+use crate::net::upstream::transport::{Server, Transport};
 
 /// An entry that can't be used.
 #[derive(Debug, Error)]
--- a/crates/node/src/net/ask.rs
+++ b/crates/node/src/net/exchange.rs
@@ -11,8 +11,8 @@
 use pumicehead_admin::figures::Outcome;
 use pumicehead_policy::{Nanos, TenantId};
 
-use super::body::Body;
-use super::upload::Upload;
+use crate::net::response_body::Body;
+use crate::net::upload::Upload;
 
 /// A request as it goes on to a server.
 #[derive(Default)]
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,31 +1,24 @@
-//! Sockets in, sockets out. Decides nothing; every decision is the module's.
+//! The request path: client connections, one event loop for each pool of endpoints, and connections to endpoints.
 //!
-//! Two seams let a protocol in without a change to the loop. *Where requests come from*: a front reads them, asks
-//! its [`admission::Admission`] what they are, and hands an [`ask::Poll`] to a loop by its [`ask::Handle`]. *How an
-//! attempt travels*: the loop sends by [`transport::Transport`], whatever servers speak.
+//! No decision is made here; `pumicehead-policy` makes them all. A listener in [`downstream`] reads a request, has
+//! [`admission::Admission`] say which pool it goes to, and sends it to that pool's loop through a
+//! [`pool_handle::PoolHandle`]. The [`pool_loop`] starts attempts through the [`upstream::transport::Transport`] of
+//! the protocol that the endpoints speak.
 
+pub mod admin_overrides;
 pub mod admission;
-pub mod answer;
-pub mod ask;
-pub mod body;
 pub mod clock;
-pub mod connections;
-pub mod core;
+pub mod counting_stream;
 pub mod discovery;
-mod documents;
-pub mod fastcgi;
-pub mod fields;
-pub mod front;
-pub mod handle;
-pub mod hands;
-pub mod http;
-pub mod link;
-mod message;
-mod open;
-pub mod room;
-pub mod roster;
-pub mod tap;
-pub mod transport;
+pub mod downstream;
+pub mod endpoint_directory;
+pub mod exchange;
+pub mod header_fields;
+pub mod memory_budget;
+pub mod pool_handle;
+pub mod pool_loop;
+mod pool_message;
+pub mod recorder_sink;
+pub mod response_body;
 pub mod upload;
-pub mod verdict;
-mod watch;
+pub mod upstream;
--- a/crates/node/src/net/handle.rs
+++ b/crates/node/src/net/pool_handle.rs
@@ -11,10 +11,10 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use super::ask::{Answer, Ask};
-use super::discovery::List;
-use super::message::{Members, Message};
-use super::tap::Tap;
+use crate::net::discovery::List;
+use crate::net::exchange::{Answer, Ask};
+use crate::net::pool_message::{Members, Message};
+use crate::net::recorder_sink::Tap;
 
 /// Requests without a final answer, and the names in use: one of these for all loops of a node.
 #[derive(Clone, Default)]
@@ -55,7 +55,7 @@
 }
 
 /// The name of a request that has no final answer, whose answer is on its way, or of which an attempt is out.
-pub(super) struct Name {
+pub(in crate::net) struct Name {
     held: Held,
     correlation: Box<str>,
 }
@@ -91,7 +91,7 @@
 }
 
 impl Handle {
-    pub(super) fn new(
+    pub(in crate::net) fn new(
         messages: mpsc::UnboundedSender<Message>,
         held: Held,
         tap: Option<Tap>,
--- a/crates/node/src/net/core/actions.rs
+++ b/crates/node/src/net/pool_loop/actions.rs
@@ -7,10 +7,10 @@
 use tokio::sync::oneshot;
 use tokio::task;
 
-use super::Core;
-use crate::net::ask::Answer;
-use crate::net::message::Message;
-use crate::net::transport::Times;
+use crate::net::exchange::Answer;
+use crate::net::pool_loop::Core;
+use crate::net::pool_message::Message;
+use crate::net::upstream::transport::Times;
 
 impl Core {
     pub(super) fn act(&mut self, action: Action) {
--- a/crates/node/src/net/open.rs
+++ b/crates/node/src/net/pool_loop/in_flight.rs
@@ -5,8 +5,8 @@
 use pumicehead_policy::Nanos;
 use tokio::sync::oneshot;
 
-use super::ask::{Answer, Call, Served};
-use super::handle::Name;
+use crate::net::exchange::{Answer, Call, Served};
+use crate::net::pool_handle::Name;
 
 /// What a loop waits for.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/node/src/net/core/mod.rs
+++ b/crates/node/src/net/pool_loop/mod.rs
@@ -2,6 +2,7 @@
 //! place that knows both requests and the ids of the module. A node has one loop for each pool of servers.
 
 mod actions;
+mod in_flight;
 mod requests;
 mod stall;
 
@@ -24,17 +25,17 @@
 use tracing::{info, warn};
 
 use self::stall::Stalls;
-use crate::net::ask::Answer;
+use crate::net::admin_overrides::Hands;
 use crate::net::clock::Clock;
+use crate::net::discovery::watch_task::Watch;
 use crate::net::discovery::{List, WatchError};
-use crate::net::handle::{Handle, Held};
-use crate::net::hands::Hands;
-use crate::net::message::{Members, Message};
-use crate::net::open::{Due, Open};
-use crate::net::roster::{Roster, UnknownSite};
-use crate::net::tap::Tap;
-use crate::net::transport::Transport;
-use crate::net::watch::Watch;
+use crate::net::endpoint_directory::{Roster, UnknownSite};
+use crate::net::exchange::Answer;
+use crate::net::pool_handle::{Handle, Held};
+use crate::net::pool_loop::in_flight::{Due, Open};
+use crate::net::pool_message::{Members, Message};
+use crate::net::recorder_sink::Tap;
+use crate::net::upstream::transport::Transport;
 
 /// A request that has no final answer this long after its deadline gets one from the event loop: the module
 /// answers earlier, by the time-out of its attempts or its own timers.
@@ -416,5 +417,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/core.rs"]
+#[path = "../../../tests/unit/pool_loop.rs"]
 mod tests;
--- a/crates/node/src/net/core/requests.rs
+++ b/crates/node/src/net/pool_loop/requests.rs
@@ -11,12 +11,12 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::{Core, OVERDUE};
-use crate::net::ask::{Answer, Ask};
-use crate::net::handle::Name;
-use crate::net::open::{Due, Open};
-use crate::net::roster::hash;
-use crate::net::transport::End;
+use crate::net::endpoint_directory::hash;
+use crate::net::exchange::{Answer, Ask};
+use crate::net::pool_handle::Name;
+use crate::net::pool_loop::in_flight::{Due, Open};
+use crate::net::pool_loop::{Core, OVERDUE};
+use crate::net::upstream::transport::End;
 
 impl Core {
     pub(super) fn on_request(
--- a/crates/node/src/net/message.rs
+++ b/crates/node/src/net/pool_message.rs
@@ -8,10 +8,10 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::ask::{Answer, Ask, Served};
-use super::discovery::{List, WatchError};
-use super::handle::Name;
-use super::transport::End;
+use crate::net::discovery::{List, WatchError};
+use crate::net::exchange::{Answer, Ask, Served};
+use crate::net::pool_handle::Name;
+use crate::net::upstream::transport::End;
 
 /// Servers in the list.
 #[derive(Clone, Copy, Debug, Default)]
@@ -23,7 +23,7 @@
 }
 
 /// What a loop is told.
-pub(super) enum Message {
+pub(in crate::net) enum Message {
     Request(RequestId, Box<Ask>, Instant, oneshot::Sender<Answer>, Rc<Name>),
     ClientGone(RequestId),
     /// An answer begins to pass through.
--- a/crates/node/src/net/tap.rs
+++ b/crates/node/src/net/recorder_sink.rs
@@ -8,7 +8,7 @@
 use pumicehead_policy::{EndpointId, EndpointState, EndpointUpdate};
 use rustc_hash::FxHashMap;
 
-use super::clock::Clock;
+use crate::net::clock::Clock;
 
 /// Servers whose last condition is remembered, so that a list that says the same again is no news.
 const MOST_LISTED: usize = 20_000;
--- a/crates/node/src/net/body.rs
+++ b/crates/node/src/net/response_body.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 use tracing::warn;
 
-use super::room::Part;
+use crate::net::memory_budget::Part;
 
 /// How often a stream is looked over.
 const LOOK: Duration = Duration::from_millis(100);
--- a/crates/node/src/net/connections.rs
+++ b/crates/node/src/net/upstream/connection_registry.rs
@@ -94,5 +94,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/connections.rs"]
+#[path = "../../../tests/unit/connection_registry.rs"]
 mod tests;
--- a/crates/node/src/net/fastcgi/connection.rs
+++ b/crates/node/src/net/upstream/fastcgi/connection.rs
@@ -16,13 +16,13 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::warn;
 
-use super::ending::{Ending, Got};
-use crate::net::ask::Served;
-use crate::net::connections::Place;
-use crate::net::fields;
-use crate::net::link::{Link, Unread};
-use crate::net::room::{Part, SHORT};
-use crate::net::transport;
+use crate::net::counting_stream::{Link, Unread};
+use crate::net::exchange::Served;
+use crate::net::header_fields;
+use crate::net::memory_budget::{Part, SHORT};
+use crate::net::upstream::connection_registry::Place;
+use crate::net::upstream::fastcgi::outcome::{Ending, Got};
+use crate::net::upstream::transport;
 
 /// Bytes that are read at once.
 const READ: usize = 16 << 10;
@@ -438,14 +438,18 @@
                     stated.as_ref().map(|value| value.to_str().ok().and_then(|text| text.parse().ok()));
                 let fits = self.is_bodiless() || length.is_none_or(|length| length == Some(self.body.len()));
                 let unprocessed = head.headers.get("x-unprocessed").is_some_and(|value| value == "1");
-                let seen = crate::net::verdict::Seen { status: head.status, unprocessed, framed: true };
+                let seen = crate::net::upstream::response_classification::Seen {
+                    status: head.status,
+                    unprocessed,
+                    framed: true,
+                };
                 if fits { Got::Whole(seen) } else { Got::Spoilt }
             }
         };
         let verdict = Ending::Ended(end, got).verdict();
         let bodiless = self.is_bodiless();
         let answer = self.answer.take().filter(|_| verdict.pass).map(|AnswerHead { status, mut headers }| {
-            fields::strip_hop_by_hop(&mut headers);
+            header_fields::strip_hop_by_hop(&mut headers);
             // Of an answer without a body it tells what there would be.
             if let Some(length) = stated.filter(|_| bodiless && status != StatusCode::NO_CONTENT) {
                 headers.insert(header::CONTENT_LENGTH, length);
--- a/crates/node/src/net/fastcgi/ending.rs
+++ b/crates/node/src/net/upstream/fastcgi/outcome.rs
@@ -5,7 +5,7 @@
 use pumicehead_fastcgi::record::End;
 use pumicehead_policy::AttemptOutcome;
 
-use crate::net::verdict::{Reading, Seen, Verdict};
+use crate::net::upstream::response_classification::{Reading, Seen, Verdict};
 
 /// What has come of an answer.
 #[derive(Clone, Copy, Debug)]
@@ -58,39 +58,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use hyper::StatusCode;
-    use pumicehead_fastcgi::record::ProtocolStatus;
-
-    use super::*;
-
-    fn ended(protocol: ProtocolStatus, application: u32, got: Got) -> AttemptOutcome {
-        Ending::Ended(End { application, protocol }, got).verdict().outcome
-    }
-
-    #[test]
-    fn every_ending_has_its_outcome() {
-        use ProtocolStatus::{CantMultiplex, Complete, Other, Overloaded, UnknownRole};
-        assert_eq!(Ending::NoConnection.verdict().outcome, AttemptOutcome::ConnectFailed);
-        assert_eq!(Ending::NoRoom.verdict().outcome, AttemptOutcome::Rejected);
-        assert_eq!(Ending::Broken { sent: false }.verdict().outcome, AttemptOutcome::ConnectFailed);
-        assert_eq!(Ending::Broken { sent: true }.verdict().outcome, AttemptOutcome::Reset);
-        let seen = |status: u16, unprocessed| {
-            Got::Whole(Seen { status: StatusCode::from_u16(status).unwrap(), unprocessed, framed: true })
-        };
-        for status in [CantMultiplex, Overloaded, UnknownRole] {
-            assert_eq!(ended(status, 0, Got::Nothing), AttemptOutcome::Rejected);
-            assert_eq!(ended(status, 0, Got::Spoilt), AttemptOutcome::Reset);
-            assert_eq!(ended(status, 0, seen(200, false)), AttemptOutcome::Reset);
-        }
-        for status in [Complete, Other(9)] {
-            for application in [0, 1] {
-                assert_eq!(ended(status, application, Got::Nothing), AttemptOutcome::Error);
-                assert_eq!(ended(status, application, Got::Spoilt), AttemptOutcome::Reset);
-                assert_eq!(ended(status, application, seen(200, false)), AttemptOutcome::Success);
-                assert_eq!(ended(status, application, seen(500, false)), AttemptOutcome::Error);
-                assert_eq!(ended(status, application, seen(503, true)), AttemptOutcome::Rejected);
-            }
-        }
-    }
-}
+#[path = "../../../../tests/unit/fastcgi_outcome.rs"]
+mod tests;
--- a/crates/node/src/net/fastcgi/upstream.rs
+++ b/crates/node/src/net/upstream/fastcgi/transport.rs
@@ -16,13 +16,13 @@
 use tokio::task;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use super::connection::{Common, Driver, Job, Pool, Shared};
-use super::ending::Ending;
-use crate::net::ask::Call;
-use crate::net::connections::{Connections, IDLE_SHARE, Idle, Place};
-use crate::net::link::Link;
-use crate::net::room::Room;
-use crate::net::transport::{Attempt, Begin, End, Server, Times, Transport};
+use crate::net::counting_stream::Link;
+use crate::net::exchange::Call;
+use crate::net::memory_budget::Room;
+use crate::net::upstream::connection_registry::{Connections, IDLE_SHARE, Idle, Place};
+use crate::net::upstream::fastcgi::connection::{Common, Driver, Job, Pool, Shared};
+use crate::net::upstream::fastcgi::outcome::Ending;
+use crate::net::upstream::transport::{Attempt, Begin, End, Server, Times, Transport};
 
 /// Longest wait for what a server says of itself; one that says nothing takes one request a connection.
 const VALUES_WAIT: Duration = Duration::from_millis(250);
--- a/crates/node/src/net/http/answer.rs
+++ b/crates/node/src/net/upstream/http/response_reader.rs
@@ -10,11 +10,11 @@
 use hyper::{Method, Response, StatusCode};
 use pumicehead_policy::AttemptOutcome;
 
-use crate::net::ask::Served;
-use crate::net::body::{Body, Passing, Stream};
-use crate::net::room::{Room, SHORT};
-use crate::net::transport::End;
-use crate::net::verdict::{Reading, Seen, Verdict};
+use crate::net::exchange::Served;
+use crate::net::memory_budget::{Room, SHORT};
+use crate::net::response_body::{Body, Passing, Stream};
+use crate::net::upstream::response_classification::{Reading, Seen, Verdict};
+use crate::net::upstream::transport::End;
 
 /// How answers are read.
 #[derive(Clone)]
@@ -100,7 +100,7 @@
             // Of an answer without a body it tells what there would be (RFC 9110 section 8.6).
             let bodiless = *method == Method::HEAD || status == StatusCode::NOT_MODIFIED;
             let length = headers.remove(header::CONTENT_LENGTH).filter(|_| bodiless);
-            crate::net::fields::strip_hop_by_hop(&mut headers);
+            crate::net::header_fields::strip_hop_by_hop(&mut headers);
             if let Some(length) = length {
                 headers.insert(header::CONTENT_LENGTH, length);
             }
@@ -129,7 +129,7 @@
 }
 
 /// A body of at most so many bytes; `None` where it is longer, breaks off, or finds no room.
-async fn collect(mut body: Incoming, most: u64, part: &mut crate::net::room::Part) -> Option<Bytes> {
+async fn collect(mut body: Incoming, most: u64, part: &mut crate::net::memory_budget::Part) -> Option<Bytes> {
     let mut first: Option<Bytes> = None;
     let mut whole = BytesMut::new();
     let mut size = 0;
--- a/crates/node/src/net/http/upstream.rs
+++ b/crates/node/src/net/upstream/http/transport.rs
@@ -20,13 +20,13 @@
 use tokio::task::{self, JoinSet};
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
-use super::answer::{Read, Reader};
-use crate::net::ask::Call;
-use crate::net::body::Ended;
-use crate::net::connections::{Connections, IDLE_SHARE, Idle, Place};
-use crate::net::link::{Counter, Link, Unread};
-use crate::net::transport::{Attempt, Begin, End, Server, Times, Transport};
+use crate::net::counting_stream::{Counter, Link, Unread};
+use crate::net::exchange::Call;
+use crate::net::response_body::Ended;
 use crate::net::upload::Outgoing;
+use crate::net::upstream::connection_registry::{Connections, IDLE_SHARE, Idle, Place};
+use crate::net::upstream::http::response_reader::{Read, Reader};
+use crate::net::upstream::transport::{Attempt, Begin, End, Server, Times, Transport};
 
 /// Longest head of a message.
 pub const LONGEST_HEAD: usize = 32 << 10;
@@ -453,5 +453,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/upstream.rs"]
+#[path = "../../../../tests/unit/http_transport.rs"]
 mod tests;
--- /dev/null
+++ b/crates/node/src/net/upstream/mod.rs
@@ -0,0 +1,7 @@
+//! Connections to endpoints: the interface that attempts are made through, and an implementation for each protocol.
+
+pub mod connection_registry;
+pub mod fastcgi;
+pub mod http;
+pub mod response_classification;
+pub mod transport;
--- a/crates/node/src/net/transport.rs
+++ b/crates/node/src/net/upstream/transport.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::ask::{Call, Served};
+use crate::net::exchange::{Call, Served};
 
 /// How an attempt ended.
 pub struct End {
--- a/crates/node/src/places.rs
+++ b/crates/node/src/places.rs
@@ -1,6 +1,6 @@
 //! How a node's descriptors are dealt out.
 
-use crate::net::front::EXTRA;
+use crate::net::downstream::EXTRA;
 
 /// Descriptors for the program itself: standard streams, the event loop, discovery, signals, the first listener.
 const OWN: usize = 24;
--- a/crates/node/src/platform/admin.rs
+++ b/crates/node/src/platform/admin.rs
@@ -15,9 +15,9 @@
 use super::keep::Keep;
 use crate::calls::Answers;
 use crate::eyes::Eyes;
-use crate::net::front::Front;
-use crate::net::handle::{Handle, Held};
-use crate::net::hands::Hands;
+use crate::net::admin_overrides::Hands;
+use crate::net::downstream::Front;
+use crate::net::pool_handle::{Handle, Held};
 
 /// Longest that a call is kept from its answer by another one that changes the book.
 const TURN_WAIT: Duration = Duration::from_millis(800);
--- a/crates/node/src/platform/admission.rs
+++ b/crates/node/src/platform/admission.rs
@@ -10,8 +10,8 @@
 
 use super::config::Config;
 use crate::net::admission::{Admission, Admitted, Bad, Head, Manner};
-use crate::net::ask::{Ask, Call};
-use crate::net::handle::Handle;
+use crate::net::exchange::{Ask, Call};
+use crate::net::pool_handle::Handle;
 
 /// Longest that a client's word is taken for how long it waits.
 const LONGEST_WAIT: Duration = Duration::from_secs(600);
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -24,17 +24,17 @@
 use crate::calls::{self, MOST_CALLERS};
 use crate::eyes::{self, Eyes, Saving};
 use crate::log::{Log, LoopWriter};
+use crate::net::admin_overrides::Hands;
 use crate::net::clock::{Clock, unix_ns};
-use crate::net::connections::Connections;
-use crate::net::core::{Core, Setup, Source, WORTH};
-use crate::net::front::budget::Budget;
-use crate::net::front::{self, Ending, Front, Options};
-use crate::net::handle::Held;
-use crate::net::hands::Hands;
-use crate::net::http::answer::Reader;
-use crate::net::http::upstream::Upstream;
-use crate::net::room::Room;
-use crate::net::verdict::Reading;
+use crate::net::downstream::connection_budget::Budget;
+use crate::net::downstream::{self, Ending, Front, Options};
+use crate::net::memory_budget::Room;
+use crate::net::pool_handle::Held;
+use crate::net::pool_loop::{Core, Setup, Source, WORTH};
+use crate::net::upstream::connection_registry::Connections;
+use crate::net::upstream::http::response_reader::Reader;
+use crate::net::upstream::http::transport::Upstream;
+use crate::net::upstream::response_classification::Reading;
 use crate::places::Places;
 use admin::Admin;
 use admission::Platform;
@@ -69,9 +69,9 @@
     let on = |address, error| format!("listen on {address}: {error}");
     let listener = match inherited {
         Some(listener) => listener,
-        None => front::listen(config.listen).map_err(|error| on(config.listen, error))?,
+        None => downstream::listen(config.listen).map_err(|error| on(config.listen, error))?,
     };
-    let staff = config.admin.map(|address| front::listen(address).map_err(|error| on(address, error)));
+    let staff = config.admin.map(|address| downstream::listen(address).map_err(|error| on(address, error)));
     let staff = staff.transpose()?;
     info!(target: "node", "{} listens on {}", config.name, listener.local_addr()?);
     if let Some(staff) = &staff {
--- a/crates/node/src/standalone/admission.rs
+++ b/crates/node/src/standalone/admission.rs
@@ -17,9 +17,9 @@
 use pumicehead_route::{Found, Query, RequestPath, request_host};
 
 use crate::net::admission::{Admission, Admitted, Bad, Head, Manner};
-use crate::net::ask::{Ask, Call};
-use crate::net::fields;
-use crate::net::handle::Handle;
+use crate::net::exchange::{Ask, Call};
+use crate::net::header_fields;
+use crate::net::pool_handle::Handle;
 use crate::standalone::record::Recorder;
 
 /// A name that servers may log a request by.
@@ -93,7 +93,8 @@
             routes: Arc::new(RouteTable::new(&config.routes)),
             tenants: config.tenants.iter().map(|tenant| tenants.get(&tenant.name)).collect(),
             tenants_by_name: tenants.by_name().clone(),
-            via: [Version::HTTP_10, Version::HTTP_11].map(|version| fields::via(version, &config.node.name)),
+            via: [Version::HTTP_10, Version::HTTP_11]
+                .map(|version| header_fields::via(version, &config.node.name)),
         }
     }
 
@@ -195,9 +196,9 @@
         let mut headers = head.headers;
         headers
             .insert(header::HOST, HeaderValue::from_str(&authority).map_err(|_| Bad::Header("host".into()))?);
-        fields::strip_hop_by_hop(&mut headers);
+        header_fields::strip_hop_by_hop(&mut headers);
         append(&mut headers, header::VIA, table.via[usize::from(head.version != Version::HTTP_10)].clone());
-        append(&mut headers, header::FORWARDED, fields::forwarded(head.peer, Some(&authority)));
+        append(&mut headers, header::FORWARDED, header_fields::forwarded(head.peer, Some(&authority)));
         if !headers.contains_key(&CORRELATION) {
             append(&mut headers, CORRELATION, HeaderValue::from_bytes(correlation.as_bytes()).ok());
         }
--- a/crates/node/src/standalone/listeners.rs
+++ b/crates/node/src/standalone/listeners.rs
@@ -11,7 +11,7 @@
 use tokio::task::{self, JoinHandle};
 
 use super::site::SiteError;
-use crate::net::front::{self, Ending, Front, Options};
+use crate::net::downstream::{self, Ending, Front, Options};
 
 /// An address that was bound for a configuration that is not in force yet.
 pub struct BoundListener {
@@ -54,7 +54,7 @@
 pub fn bind(config: &Config, bound: &[SocketAddr]) -> Result<Vec<BoundListener>, SiteError> {
     let addresses = config.listeners.iter().map(|listener| listener.address);
     let new = addresses.filter(|address| !bound.contains(address));
-    new.map(|address| match front::listen(address) {
+    new.map(|address| match downstream::listen(address) {
         Ok(listener) => Ok(BoundListener { address, listener }),
         Err(source) => Err(SiteError::Listen { address, source }),
     })
--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -32,7 +32,7 @@
 use crate::fleet::Fleet;
 use crate::log::{Form, Log};
 use crate::net::clock::Clock;
-use crate::net::front;
+use crate::net::downstream;
 pub use reading::Reading;
 use record::Recorder;
 use reload::reload_on;
@@ -69,8 +69,8 @@
         eyes.set_level(Level::Off);
     }
     eyes.open()?;
-    let listener =
-        calls.map(|address| front::listen(address).map_err(|error| format!("listen on {address}: {error}")));
+    let listener = calls
+        .map(|address| downstream::listen(address).map_err(|error| format!("listen on {address}: {error}")));
     let listener = listener.transpose()?;
     let fleet = match &config.fleet {
         Some(block) => Some(Fleet::start(block, &config.node, &eyes, seed).await?),
--- a/crates/node/src/standalone/pools.rs
+++ b/crates/node/src/standalone/pools.rs
@@ -11,15 +11,15 @@
 
 use super::site::SiteError;
 use crate::eyes::Eyes;
-use crate::net::connections::Connections;
-use crate::net::core::{Core, Setup, Source};
 use crate::net::discovery::{Health, Host, List};
-use crate::net::handle::{Handle, Held};
-use crate::net::http::answer::Reader;
-use crate::net::room::Room;
-use crate::net::transport::Transport;
-use crate::net::verdict::Reading;
-use crate::net::{fastcgi, http};
+use crate::net::memory_budget::Room;
+use crate::net::pool_handle::{Handle, Held};
+use crate::net::pool_loop::{Core, Setup, Source};
+use crate::net::upstream::connection_registry::Connections;
+use crate::net::upstream::http::response_reader::Reader;
+use crate::net::upstream::response_classification::Reading;
+use crate::net::upstream::transport::Transport;
+use crate::net::upstream::{fastcgi, http};
 
 /// Classes that a pool no longer serves stay in its settings, so that the others keep their places: so many more than
 /// there are in the file, then the pool begins anew.
@@ -191,10 +191,10 @@
                     passes: false,
                     room,
                 };
-                http::upstream::Upstream::new(connections, dial_timeout, conn_idle, reader, Rc::default())
+                http::transport::Upstream::new(connections, dial_timeout, conn_idle, reader, Rc::default())
             }
             Protocol::FastCgi => {
-                let settings = fastcgi::upstream::Settings {
+                let settings = fastcgi::transport::Settings {
                     dial_timeout,
                     conn_idle,
                     longest: settings.answer_body,
@@ -202,7 +202,7 @@
                     script: settings.script.clone(),
                     root: settings.root.clone(),
                 };
-                fastcgi::upstream::Upstream::new(connections, settings)
+                fastcgi::transport::Upstream::new(connections, settings)
             }
         }
     }
--- a/crates/node/src/standalone/site.rs
+++ b/crates/node/src/standalone/site.rs
@@ -22,11 +22,11 @@
 use crate::calls::MOST_CALLERS;
 use crate::eyes::Eyes;
 use crate::fleet;
-use crate::net::connections::Connections;
-use crate::net::front::budget::Budget;
-use crate::net::front::{Ending, Front};
-use crate::net::handle::{Handle, Held};
-use crate::net::room::Room;
+use crate::net::downstream::connection_budget::Budget;
+use crate::net::downstream::{Ending, Front};
+use crate::net::memory_budget::Room;
+use crate::net::pool_handle::{Handle, Held};
+use crate::net::upstream::connection_registry::Connections;
 use crate::places::Places;
 
 /// Long answers may take this part of the memory: the rest of it is for connections and requests.
--- a/crates/node/tests/unit/discovery.rs
+++ b/crates/node/tests/unit/discovery.rs
@@ -6,7 +6,7 @@
 use tokio::runtime::{Builder, LocalOptions};
 
 use super::*;
-use crate::net::core::AGENT_PAUSE;
+use crate::net::pool_loop::AGENT_PAUSE;
 
 /// What a service says before it falls silent.
 #[derive(Clone, Copy, PartialEq)]
--- a/crates/node/tests/unit/front.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -12,11 +12,11 @@
 use tokio::sync::oneshot;
 
 use super::*;
-use crate::net::ask::{Ask, Call, Served};
 use crate::net::clock::Clock;
-use crate::net::core::{Core, Setup, Source};
-use crate::net::handle::Handle;
-use crate::net::transport::{Attempt, Begin, End, Server, Times, Transport};
+use crate::net::exchange::{Ask, Call, Served};
+use crate::net::pool_handle::Handle;
+use crate::net::pool_loop::{Core, Setup, Source};
+use crate::net::upstream::transport::{Attempt, Begin, End, Server, Times, Transport};
 
 /// Servers that answer on the spot, and count.
 #[derive(Clone, Default)]
--- a/crates/node/tests/unit/upstream.rs
+++ b/crates/node/tests/unit/http_transport.rs
@@ -8,8 +8,8 @@
 use tokio::task::LocalSet;
 
 use super::*;
-use crate::net::room::Room;
-use crate::net::verdict::Reading;
+use crate::net::memory_budget::Room;
+use crate::net::upstream::response_classification::Reading;
 
 /// Guards the loop's rest: most attempts end long before their time is up, and each wake is work for nothing.
 #[tokio::test(start_paused = true)]
--- a/crates/node/tests/unit/core.rs
+++ b/crates/node/tests/unit/pool_loop.rs
@@ -10,8 +10,8 @@
 use tokio::task::LocalSet;
 
 use super::*;
-use crate::net::ask::{Ask, Call, Served};
-use crate::net::transport::{Attempt, Begin, End, Server, Times};
+use crate::net::exchange::{Ask, Call, Served};
+use crate::net::upstream::transport::{Attempt, Begin, End, Server, Times};
 
 /// Servers that get no attempt: the test tells of their ends itself.
 struct Nowhere;
