--- a/crates/node/src/eyes.rs
+++ b/crates/node/src/eyes.rs
@@ -19,8 +19,8 @@
 
 use crate::log::Log;
 use crate::net::clock::Clock;
-use crate::net::endpoint_directory::hash;
-use crate::net::recorder_sink::{Shared, Tap};
+use crate::net::endpoint_directory::unseeded_hash;
+use crate::net::recorder_sink::{RecorderSink, SharedRecorder};
 
 /// Recordings of a node that stay in the folder; older ones make way. Where the folder counts as memory it should be few.
 const KEPT: usize = 2;
@@ -51,7 +51,7 @@
 
 /// The eyes of a node.
 pub struct Eyes {
-    recorder: Shared,
+    recorder: SharedRecorder,
     clock: Clock,
     log: Log,
     saving: Saving,
@@ -64,8 +64,8 @@
 impl Eyes {
     /// Of a node, with so much memory for its recorder.
     pub fn new(node: &str, clock: Clock, memory: usize, seed: u64, log: Log, saving: Saving) -> Rc<Self> {
-        let recorder = Shared::new(Recorder::new(node, clock.began(), memory, seed));
-        let node = hash(node.as_bytes());
+        let recorder = SharedRecorder::new(Recorder::new(node, clock.began(), memory, seed));
+        let node = unseeded_hash(node.as_bytes());
         let eyes = Self { recorder, clock, log, saving, node, dumps: Cell::new(0), dropped: Cell::new(0) };
         Rc::new(eyes)
     }
@@ -81,7 +81,7 @@
     }
 
     /// A pool's way to the recorder, with the names of its classes in the order of its settings.
-    pub fn tap(&self, pool: &str, settings: &Settings, classes: &[String]) -> Tap {
+    pub fn tap(&self, pool: &str, settings: &Settings, classes: &[String]) -> RecorderSink {
         let class = |(name, class): (&String, &pumicehead_policy::Class)| Class {
             name: name.clone(),
             aim: class.latency_objective,
@@ -91,7 +91,7 @@
         };
         let classes: Vec<_> = classes.iter().zip(&settings.classes).map(class).collect();
         let pool = self.recorder.with(|recorder| recorder.pool(pool, &classes));
-        Tap::new(&self.recorder, self.clock, pool.unwrap_or(PoolId(u16::MAX)))
+        RecorderSink::new(&self.recorder, self.clock, pool.unwrap_or(PoolId(u16::MAX)))
     }
 
     /// What the tenants of all pools are called from now on.
@@ -101,8 +101,8 @@
     }
 
     /// The way to the recorder for what no pool sees.
-    pub fn front_tap(&self) -> Tap {
-        Tap::new(&self.recorder, self.clock, PoolId(0))
+    pub fn front_tap(&self) -> RecorderSink {
+        RecorderSink::new(&self.recorder, self.clock, PoolId(0))
     }
 
     /// How much is recorded from now on.
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::eyes::Eyes;
 use crate::net::clock::Clock;
-use crate::net::recorder_sink::Tap;
+use crate::net::recorder_sink::RecorderSink;
 
 /// How often the number of nodes is looked at, and the node's load told: both change slowly.
 const LOOK: Nanos = SECOND;
@@ -58,7 +58,7 @@
     name: String,
     member: RefCell<Member>,
     clock: Clock,
-    tap: Tap,
+    tap: RecorderSink,
     datagrams: UdpSocket,
     /// Something was put into the machine from outside of its own loop.
     touched: Notify,
--- a/crates/node/src/net/admin_overrides.rs
+++ b/crates/node/src/net/admin_overrides.rs
@@ -6,7 +6,7 @@
 
 /// Shared by whoever is called and the loops.
 #[derive(Default)]
-pub struct Hands {
+pub struct AdminOverrides {
     /// Who is out.
     pub book: RefCell<Book>,
     /// Who was ever listed.
--- a/crates/node/src/net/admission.rs
+++ b/crates/node/src/net/admission.rs
@@ -7,12 +7,12 @@
 use hyper::{Method, StatusCode, Uri, Version};
 use thiserror::Error;
 
-use crate::net::exchange::Ask;
-use crate::net::pool_handle::Handle;
+use crate::net::exchange::ProxyRequest;
+use crate::net::pool_handle::PoolHandle;
 
 /// How answers are worded.
 #[derive(Clone)]
-pub enum Manner {
+pub enum ResponseStyle {
     /// As the platform has it: 200 with body and type, and advice in decimals.
     Platform,
     /// As RFC 9110 has it of a gateway: status, end-to-end fields and body of a server's answer, with this `Via`.
@@ -20,7 +20,7 @@
 }
 
 /// A request's head.
-pub struct Head<'a> {
+pub struct RequestHead<'a> {
     /// Method.
     pub method: &'a Method,
     /// Target.
@@ -34,20 +34,20 @@
 }
 
 /// A request that is let in.
-pub struct Admitted {
+pub struct AdmittedRequest {
     /// The loop that it goes to.
-    pub core: Handle,
+    pub core: PoolHandle,
     /// What that loop is told; its body is still to come.
-    pub ask: Ask,
+    pub ask: ProxyRequest,
     /// How it is answered.
-    pub manner: Manner,
+    pub manner: ResponseStyle,
     /// It must have no body.
     pub bodiless: bool,
 }
 
 /// A request that is not one, or has its answer without a server.
 #[derive(Debug, Error)]
-pub enum Bad {
+pub enum RequestError {
     /// A field.
     #[error("header {0} is missing or malformed")]
     Header(Cow<'static, str>),
@@ -83,7 +83,7 @@
     Own(StatusCode),
 }
 
-impl Bad {
+impl RequestError {
     /// The status that tells of it.
     pub fn status(&self) -> StatusCode {
         match self {
@@ -110,5 +110,5 @@
     ///
     /// # Errors
     /// What is wrong with it, or the answer that it has already.
-    fn admit(&self, head: Head<'_>) -> Result<Admitted, Bad>;
+    fn admit(&self, head: RequestHead<'_>) -> Result<AdmittedRequest, RequestError>;
 }
--- a/crates/node/src/net/counting_stream.rs
+++ b/crates/node/src/net/counting_stream.rs
@@ -18,7 +18,7 @@
 
 /// A shared socket; the descriptor closes with its last clone.
 #[derive(Clone)]
-pub struct Link(Rc<Shared>);
+pub struct CountingStream(Rc<StreamState>);
 
 /// Either kind of stream.
 enum Socket {
@@ -86,7 +86,7 @@
 /// A counter that others read.
 pub type Counter = Rc<Cell<u64>>;
 
-struct Shared {
+struct StreamState {
     stream: Socket,
     written: Cell<u64>,
     came: Cell<u64>,
@@ -94,13 +94,13 @@
     blocked: Cell<bool>,
     /// Once so much is written, the counter goes up by one.
     mark: RefCell<Option<(u64, Counter)>>,
-    tap: Option<RefCell<Tap>>,
+    tap: Option<RefCell<HeadCapture>>,
 }
 
 /// The head of the next request as it came. The HTTP library drops a `Content-Length` beside a
 /// `Transfer-Encoding` without a word, so its headers can't tell of a request that hides another.
 #[derive(Default)]
-struct Tap {
+struct HeadCapture {
     head: Vec<u8>,
     /// Bytes of the last request's body that are still to come.
     skip: u64,
@@ -108,7 +108,7 @@
     since: Option<Instant>,
 }
 
-impl Tap {
+impl HeadCapture {
     fn take(&mut self, bytes: &[u8]) {
         let skipped = bytes.len().min(usize::try_from(self.skip).unwrap_or(usize::MAX));
         self.skip -= skipped as u64;
@@ -122,7 +122,7 @@
 
 /// What lies unread in a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum UnreadState {
     /// Nothing; the connection is open.
     Nothing,
     /// Bytes.
@@ -131,7 +131,7 @@
     End,
 }
 
-impl Link {
+impl CountingStream {
     /// Takes a connected socket over.
     pub fn new(stream: TcpStream) -> Self {
         Self::with(stream, None)
@@ -139,7 +139,7 @@
 
     /// The same of this machine's own kind.
     pub fn unix(stream: UnixStream) -> Self {
-        Self(Rc::new(Shared {
+        Self(Rc::new(StreamState {
             stream: Socket::Unix(stream),
             written: Cell::new(0),
             came: Cell::new(0),
@@ -154,11 +154,11 @@
         Self::with(stream, Some(RefCell::default()))
     }
 
-    fn with(stream: TcpStream, tap: Option<RefCell<Tap>>) -> Self {
+    fn with(stream: TcpStream, tap: Option<RefCell<HeadCapture>>) -> Self {
         // Small messages must not wait for acknowledgements. A socket that can't be set up is dead, which
         // its first use will tell.
         let _ = stream.set_nodelay(true);
-        Self(Rc::new(Shared {
+        Self(Rc::new(StreamState {
             stream: Socket::Tcp(stream),
             written: Cell::new(0),
             came: Cell::new(0),
@@ -227,12 +227,12 @@
     }
 
     /// Asks the kernel, not the event loop, which may not have seen the latest yet.
-    pub fn unread(&self) -> Unread {
+    pub fn unread(&self) -> UnreadState {
         match self.0.stream.as_ref().peek(&mut [MaybeUninit::uninit()]) {
-            Ok(0) => Unread::End,
-            Ok(_) => Unread::Bytes,
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Unread::Nothing,
-            Err(_) => Unread::End,
+            Ok(0) => UnreadState::End,
+            Ok(_) => UnreadState::Bytes,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => UnreadState::Nothing,
+            Err(_) => UnreadState::End,
         }
     }
 
@@ -287,7 +287,7 @@
     end
 }
 
-impl AsyncRead for Link {
+impl AsyncRead for CountingStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.stream.poll_read_ready(cx))?;
@@ -313,7 +313,7 @@
     }
 }
 
-impl Link {
+impl CountingStream {
     fn poll_try(
         &self,
         cx: &mut Context<'_>,
@@ -339,7 +339,7 @@
     }
 }
 
-impl AsyncWrite for Link {
+impl AsyncWrite for CountingStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_try(cx, |stream| stream.try_write(buf))
     }
--- a/crates/node/src/net/discovery/json_stream.rs
+++ b/crates/node/src/net/discovery/json_stream.rs
@@ -9,7 +9,7 @@
 
 /// Why a stream holds no further documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum JsonStreamError {
     /// It is longer than any list.
     #[error("too long")]
     TooLong,
@@ -20,7 +20,7 @@
 
 /// Where in a document the stream is.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
-enum Place {
+enum Position {
     /// Between two.
     #[default]
     Outside,
@@ -34,17 +34,17 @@
 
 /// The documents of a stream.
 #[derive(Default)]
-pub struct Documents {
+pub struct JsonStream {
     held: BytesMut,
     /// Bytes of `held` that have been looked at.
     seen: usize,
     depth: usize,
-    place: Place,
+    place: Position,
 }
 
-impl Documents {
+impl JsonStream {
     /// Takes a piece: the documents that are whole by now, up to a fault, after which nothing more is to be had.
-    pub fn take(&mut self, piece: &[u8]) -> Vec<Result<BytesMut, Fault>> {
+    pub fn take(&mut self, piece: &[u8]) -> Vec<Result<BytesMut, JsonStreamError>> {
         self.held.extend_from_slice(piece);
         let mut whole = Vec::new();
         while let Some(document) = self.next() {
@@ -59,43 +59,43 @@
 
     /// Whether one has begun and not ended.
     pub fn is_inside(&self) -> bool {
-        self.place != Place::Outside
+        self.place != Position::Outside
     }
 
-    fn next(&mut self) -> Option<Result<BytesMut, Fault>> {
+    fn next(&mut self) -> Option<Result<BytesMut, JsonStreamError>> {
         while let Some(&byte) = self.held.get(self.seen) {
             self.seen += 1;
             self.place = match (self.place, byte) {
-                (Place::Outside, b'{') => {
+                (Position::Outside, b'{') => {
                     self.depth = 1;
-                    Place::Plain
+                    Position::Plain
                 }
-                (Place::Outside, byte) if byte.is_ascii_whitespace() => {
+                (Position::Outside, byte) if byte.is_ascii_whitespace() => {
                     self.held.advance(1);
                     self.seen = 0;
-                    Place::Outside
+                    Position::Outside
                 }
-                (Place::Outside, _) => return Some(Err(Fault::Outside)),
-                (Place::Plain, b'"') => Place::Text,
-                (Place::Plain, b'{' | b'[') => {
+                (Position::Outside, _) => return Some(Err(JsonStreamError::Outside)),
+                (Position::Plain, b'"') => Position::Text,
+                (Position::Plain, b'{' | b'[') => {
                     self.depth += 1;
-                    Place::Plain
+                    Position::Plain
                 }
-                (Place::Plain, b'}' | b']') => {
+                (Position::Plain, b'}' | b']') => {
                     self.depth -= 1;
                     if self.depth == 0 {
-                        self.place = Place::Outside;
+                        self.place = Position::Outside;
                         return Some(Ok(self.held.split_to(std::mem::take(&mut self.seen))));
                     }
-                    Place::Plain
+                    Position::Plain
                 }
-                (Place::Text, b'"') => Place::Plain,
-                (Place::Text, b'\\') => Place::Escaped,
-                (Place::Escaped, _) => Place::Text,
+                (Position::Text, b'"') => Position::Plain,
+                (Position::Text, b'\\') => Position::Escaped,
+                (Position::Escaped, _) => Position::Text,
                 (place, _) => place,
             };
         }
-        (self.held.len() > LONGEST).then_some(Err(Fault::TooLong))
+        (self.held.len() > LONGEST).then_some(Err(JsonStreamError::TooLong))
     }
 }
 
--- a/crates/node/src/net/discovery/mod.rs
+++ b/crates/node/src/net/discovery/mod.rs
@@ -19,8 +19,8 @@
 use tokio::task::{self, JoinError};
 use tokio::time::{Instant, error::Elapsed, timeout_at};
 
-use crate::net::counting_stream::Link;
-use crate::net::discovery::json_stream::{Documents, Fault};
+use crate::net::counting_stream::CountingStream;
+use crate::net::discovery::json_stream::{JsonStream, JsonStreamError};
 
 /// While nothing changes, a watch says something so often (the protocol's page).
 const HEARTBEAT: Duration = Duration::from_secs(2);
@@ -38,19 +38,19 @@
 
 /// Backends, all or those that changed.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     /// Version.
     pub seq: u64,
     /// All there are; what it does not name is gone.
     #[serde(default)]
     pub whole: bool,
     /// The entries.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<ListedEndpoint>,
 }
 
 /// A backend as listed.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Host {
+pub struct ListedEndpoint {
     /// Its name, the same at every node.
     pub host: String,
     /// Its address for this node.
@@ -62,7 +62,7 @@
     #[serde(default)]
     pub block: u16,
     /// Whether it takes work.
-    pub health: Health,
+    pub health: ListedState,
     /// Its weight.
     #[serde(default = "one")]
     pub share: f32,
@@ -83,7 +83,7 @@
 /// Whether a backend takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Health {
+pub enum ListedState {
     /// It does.
     Active,
     /// It finishes what it has.
@@ -124,15 +124,20 @@
     Task(#[from] JoinError),
 }
 
-impl From<Fault> for WatchError {
-    fn from(fault: Fault) -> Self {
+impl From<JsonStreamError> for WatchError {
+    fn from(fault: JsonStreamError) -> Self {
         Self::List(fault.to_string())
     }
 }
 
 /// Watches from a version on and hands over each list until the watch ends, which it always does by an error. An `agent` is
 /// on the node's own machine.
-pub async fn watch(address: SocketAddr, after: u64, agent: bool, mut take: impl FnMut(List)) -> WatchError {
+pub async fn watch(
+    address: SocketAddr,
+    after: u64,
+    agent: bool,
+    mut take: impl FnMut(EndpointList),
+) -> WatchError {
     match follow(address, after, agent, &mut take).await {
         Ok(never) => never,
         Err(error) => error,
@@ -143,11 +148,11 @@
     address: SocketAddr,
     after: u64,
     agent: bool,
-    take: &mut impl FnMut(List),
+    take: &mut impl FnMut(EndpointList),
 ) -> Result<WatchError, WatchError> {
     let (call, silence) = if agent { (AGENT_SILENCE, HEARTBEAT + AGENT_SILENCE) } else { (CALL, SILENCE) };
     let by = Instant::now() + call;
-    let link = Link::new(timeout_at(by, TcpStream::connect(address)).await??);
+    let link = CountingStream::new(timeout_at(by, TcpStream::connect(address)).await??);
     let (mut sender, connection) = http1::handshake(TokioIo::new(link)).await?;
     let mut driver = task::JoinSet::new();
     driver.spawn_local(connection);
@@ -159,7 +164,7 @@
         return Err(WatchError::Status(response.status()));
     }
     let mut body = response.into_body();
-    let mut documents = Documents::default();
+    let mut documents = JsonStream::default();
     let mut begun: Option<Instant> = None;
     // An agent has its list at hand. A service that has nothing new to tell may say so with its first heartbeat.
     let mut silent = if agent { by } else { Instant::now() + silence };
--- a/crates/node/src/net/discovery/watch_task.rs
+++ b/crates/node/src/net/discovery/watch_task.rs
@@ -6,17 +6,17 @@
 use tokio::task::{self, AbortHandle};
 
 use crate::net::discovery;
-use crate::net::pool_message::Message;
+use crate::net::pool_message::PoolMessage;
 
 /// The watch of a loop.
-pub(in crate::net) struct Watch {
+pub(in crate::net) struct WatchTask {
     /// Where it is; `None` where the configuration has the servers.
     address: Option<SocketAddr>,
     current: Option<(u64, AbortHandle)>,
     count: u64,
 }
 
-impl Watch {
+impl WatchTask {
     /// None yet.
     pub fn new(address: Option<SocketAddr>) -> Self {
         Self { address, current: None, count: 0 }
@@ -37,15 +37,15 @@
     }
 
     /// Begins anew, after a version of the list; what comes is told by messages with the watch's number.
-    pub fn begin(&mut self, after: u64, agent: bool, messages: mpsc::UnboundedSender<Message>) {
+    pub fn begin(&mut self, after: u64, agent: bool, messages: mpsc::UnboundedSender<PoolMessage>) {
         self.stop();
         let Some(address) = self.address else { return };
         self.count += 1;
         let number = self.count;
         let watch = task::spawn_local(async move {
-            let take = |list| drop(messages.send(Message::List(number, list)));
+            let take = |list| drop(messages.send(PoolMessage::List(number, list)));
             let error = discovery::watch(address, after, agent, take).await;
-            let _ = messages.send(Message::WatchEnded(number, error));
+            let _ = messages.send(PoolMessage::WatchEnded(number, error));
         });
         self.current = Some((number, watch.abort_handle()));
     }
--- a/crates/node/src/net/downstream/connection.rs
+++ b/crates/node/src/net/downstream/connection.rs
@@ -7,8 +7,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::net::counting_stream::{Link, Unread};
-use crate::net::downstream::Options;
+use crate::net::counting_stream::{CountingStream, UnreadState};
+use crate::net::downstream::ListenerOptions;
 
 /// Where places are short, a connection makes way that has asked nothing for so long after it came up: clients
 /// connect in order to ask ...
@@ -19,10 +19,10 @@
 const SLOW: Duration = Duration::from_millis(500);
 
 /// A client's connection.
-pub struct Conn {
+pub struct DownstreamConnection {
     /// Its socket.
-    pub link: Link,
-    stage: Cell<Stage>,
+    pub link: CountingStream,
+    stage: Cell<ConnectionStage>,
     used: Cell<bool>,
     /// Connections that ask, over all; this one counts among them or not.
     asking: Rc<Cell<usize>>,
@@ -34,7 +34,7 @@
     /// Over the budget: told so and closed.
     pub extra: bool,
     /// The bounds of its front.
-    pub options: Rc<Cell<Options>>,
+    pub options: Rc<Cell<ListenerOptions>>,
     /// To be closed after the request that it has, if any.
     pub close: Notify,
     /// To be closed at once.
@@ -43,7 +43,7 @@
 
 /// What a connection is about.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum ConnectionStage {
     /// Waiting for a request, or for the rest of its head.
     Waiting,
     /// A request is being read or answered.
@@ -54,14 +54,19 @@
     Ending,
 }
 
-impl Conn {
+impl DownstreamConnection {
     /// One that has come up.
-    pub fn new(link: Link, extra: bool, options: Rc<Cell<Options>>, asking: Rc<Cell<usize>>) -> Rc<Self> {
+    pub fn new(
+        link: CountingStream,
+        extra: bool,
+        options: Rc<Cell<ListenerOptions>>,
+        asking: Rc<Cell<usize>>,
+    ) -> Rc<Self> {
         Rc::new(Self {
             asking,
             counted: Cell::new(false),
             link,
-            stage: Cell::new(Stage::Waiting),
+            stage: Cell::new(ConnectionStage::Waiting),
             used: Cell::new(false),
             since: Cell::new(Instant::now()),
             place: Cell::new(0),
@@ -73,7 +78,7 @@
     }
 
     /// What it is about.
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> ConnectionStage {
         self.stage.get()
     }
 
@@ -83,13 +88,13 @@
     }
 
     /// It is about something else now; `used` once it has had an answer.
-    pub fn set(&self, stage: Stage, used: bool) {
+    pub fn set(&self, stage: ConnectionStage, used: bool) {
         self.stage.set(stage);
         self.used.set(used);
         let asks = match stage {
-            Stage::Busy => true,
-            Stage::Waiting => used,
-            Stage::Lingering | Stage::Ending => false,
+            ConnectionStage::Busy => true,
+            ConnectionStage::Waiting => used,
+            ConnectionStage::Lingering | ConnectionStage::Ending => false,
         };
         if self.counted.replace(asks) != asks {
             let count = self.asking.get();
@@ -99,19 +104,19 @@
 
     /// Nothing is asked or half asked, as far as can be seen.
     pub fn is_idle(&self) -> bool {
-        self.stage.get() == Stage::Waiting
+        self.stage.get() == ConnectionStage::Waiting
             && self.link.begun().is_none()
             && !self.link.is_blocked()
-            && self.link.unread() != Unread::Bytes
+            && self.link.unread() != UnreadState::Bytes
     }
 
     /// A request on it has come, as far as can be seen, and its answer has not gone, or only just.
     pub fn is_owing(&self) -> bool {
         match self.stage.get() {
-            Stage::Busy => true,
-            Stage::Waiting => self.link.is_blocked() || self.link.unread() == Unread::Bytes,
-            Stage::Lingering => self.since.get().elapsed() < RESTED,
-            Stage::Ending => false,
+            ConnectionStage::Busy => true,
+            ConnectionStage::Waiting => self.link.is_blocked() || self.link.unread() == UnreadState::Bytes,
+            ConnectionStage::Lingering => self.since.get().elapsed() < RESTED,
+            ConnectionStage::Ending => false,
         }
     }
 
@@ -119,35 +124,35 @@
     pub fn dispensable(&self, now: Instant) -> Option<u8> {
         let rested = |span| now.saturating_duration_since(self.since.get()) >= span;
         match (self.stage.get(), self.link.begun()) {
-            (Stage::Lingering, _) => rested(RESTED).then_some(0),
+            (ConnectionStage::Lingering, _) => rested(RESTED).then_some(0),
             // Its last answer still waits for the client to read: an end now would cut it.
-            (Stage::Waiting, _) if self.link.is_blocked() => rested(SLOW).then_some(3),
-            (Stage::Waiting, None) if !self.used.get() => rested(SILENT).then_some(1),
-            (Stage::Waiting, None) => rested(RESTED).then_some(2),
-            (Stage::Waiting, Some(begun)) => (now >= begun + SLOW).then_some(3),
+            (ConnectionStage::Waiting, _) if self.link.is_blocked() => rested(SLOW).then_some(3),
+            (ConnectionStage::Waiting, None) if !self.used.get() => rested(SILENT).then_some(1),
+            (ConnectionStage::Waiting, None) => rested(RESTED).then_some(2),
+            (ConnectionStage::Waiting, Some(begun)) => (now >= begun + SLOW).then_some(3),
             _ => None,
         }
     }
 
     /// Has taken too long over a request, or has been idle for long.
     pub fn is_stale(&self, now: Instant) -> bool {
-        let Options { patience, keep, .. } = self.options.get();
-        self.stage.get() == Stage::Waiting
+        let ListenerOptions { patience, keep, .. } = self.options.get();
+        self.stage.get() == ConnectionStage::Waiting
             && match self.link.begun() {
                 _ if !self.used.get() => now >= self.since.get() + patience,
                 Some(begun) => now >= begun + patience,
-                None => now >= self.since.get() + keep && self.link.unread() == Unread::Nothing,
+                None => now >= self.since.get() + keep && self.link.unread() == UnreadState::Nothing,
             }
     }
 
     /// Closes it now.
     pub fn cut(&self) {
-        self.set(Stage::Ending, self.used());
+        self.set(ConnectionStage::Ending, self.used());
         self.cut.notify_one();
     }
 }
 
-impl Drop for Conn {
+impl Drop for DownstreamConnection {
     fn drop(&mut self) {
         if self.counted.get() {
             self.asking.set(self.asking.get() - 1);
--- a/crates/node/src/net/downstream/connection_budget.rs
+++ b/crates/node/src/net/downstream/connection_budget.rs
@@ -5,8 +5,8 @@
 
 use tokio::time::Instant;
 
-use crate::net::counting_stream::Unread;
-use crate::net::downstream::connection::{Conn, Stage};
+use crate::net::counting_stream::UnreadState;
+use crate::net::downstream::connection::{ConnectionStage, DownstreamConnection};
 
 /// From this part of all descriptors on, connections that ask are crowded: each closes with its next answer.
 /// Clients may hold a third at a node, and clients that ask once and stay for some seconds took all of it:
@@ -15,15 +15,15 @@
 const CROWDED: usize = 4;
 
 /// Connections of clients, over all fronts.
-pub struct Budget {
-    conns: RefCell<Vec<Rc<Conn>>>,
+pub struct ConnectionBudget {
+    conns: RefCell<Vec<Rc<DownstreamConnection>>>,
     /// Those that ask, or have asked and may again; each counts itself.
     asking: Rc<Cell<usize>>,
     places: usize,
     crowded: usize,
 }
 
-impl Budget {
+impl ConnectionBudget {
     /// At most `places`, of a node that may hold so many descriptors.
     pub fn new(places: usize, descriptors: usize) -> Rc<Self> {
         Rc::new(Self {
@@ -51,7 +51,7 @@
 
     /// Whether so many are over it that they can't be told so any more.
     pub fn is_overfull(&self) -> bool {
-        self.count() >= self.places + crate::net::downstream::EXTRA
+        self.count() >= self.places + crate::net::downstream::OVERFLOW_CONNECTIONS
     }
 
     /// The count of those that ask, for a new one.
@@ -60,14 +60,14 @@
     }
 
     /// Takes one in.
-    pub fn add(&self, conn: &Rc<Conn>) {
+    pub fn add(&self, conn: &Rc<DownstreamConnection>) {
         let mut conns = self.conns.borrow_mut();
         conn.place.set(conns.len());
         conns.push(conn.clone());
     }
 
     /// One has ended.
-    pub fn remove(&self, conn: &Rc<Conn>) {
+    pub fn remove(&self, conn: &Rc<DownstreamConnection>) {
         // At every end of thousands: the last one takes its place, where a search would cost more than the rest.
         let mut conns = self.conns.borrow_mut();
         let place = conn.place.get();
@@ -80,7 +80,11 @@
     }
 
     /// Those of one front.
-    pub fn each_of(&self, owner: &crate::net::downstream::Front, mut take: impl FnMut(&Conn)) {
+    pub fn each_of(
+        &self,
+        owner: &crate::net::downstream::DownstreamListener,
+        mut take: impl FnMut(&DownstreamConnection),
+    ) {
         let conns = self.conns.borrow();
         conns.iter().filter(|conn| owner.owns(conn)).for_each(|conn| take(conn));
     }
@@ -89,10 +93,10 @@
     /// Only the chosen one's socket is asked whether a request has just come.
     pub fn shed(&self) -> bool {
         let (conns, now) = (self.conns.borrow(), Instant::now());
-        let rank = |conn: &Rc<Conn>| Some((conn.dispensable(now)?, conn.since.get()));
+        let rank = |conn: &Rc<DownstreamConnection>| Some((conn.dispensable(now)?, conn.since.get()));
         let ranked = conns.iter().filter_map(|conn| Some((rank(conn)?, conn)));
         let Some((_, conn)) = ranked.min_by_key(|(rank, _)| *rank) else { return false };
-        if conn.stage() == Stage::Waiting && conn.link.unread() == Unread::Bytes {
+        if conn.stage() == ConnectionStage::Waiting && conn.link.unread() == UnreadState::Bytes {
             // It is asking after all: the event loop has not come to it yet.
             return false;
         }
--- a/crates/node/src/net/downstream/drain.rs
+++ b/crates/node/src/net/downstream/drain.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::net::downstream::connection::RESTED;
-use crate::net::downstream::{ACCEPT_PAUSE, Front};
+use crate::net::downstream::{ACCEPT_PAUSE, DownstreamListener};
 
 /// After SIGTERM new connections go on coming for up to 0.4 s: accepting ends after this ...
 const ACCEPT_ON: Duration = Duration::from_millis(500);
@@ -29,17 +29,17 @@
 
 /// Why a front ends.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum DrainReason {
     /// The process does.
     Process,
     /// Its listener is gone from the configuration; others go on.
     Listener,
 }
 
-impl Front {
+impl DownstreamListener {
     /// Goes on accepting while new connections come, unless another process does, answers with `Connection: close`,
     /// closes what is idle, and returns when all that was taken has been answered.
-    pub(super) async fn drain(self: Rc<Self>, listener: TcpListener, ending: Ending) {
+    pub(super) async fn drain(self: Rc<Self>, listener: TcpListener, ending: DrainReason) {
         self.draining.set(true);
         let start = Instant::now();
         let end = start + self.options.get().last_deadline + LAST_MARGIN;
@@ -59,7 +59,7 @@
                 self.close_idle(quiet, quiet);
             }
             // A front that ends alone has no say over the requests of others; its own end by their deadlines.
-            if now >= end && ending == Ending::Process {
+            if now >= end && ending == DrainReason::Process {
                 // What is read from now on is told so at once: clients send on each connection that stays open.
                 self.over.set(true);
                 (self.give_up)();
--- a/crates/node/src/net/downstream/fastcgi.rs
+++ b/crates/node/src/net/downstream/fastcgi.rs
@@ -16,12 +16,12 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{Instant, sleep_until};
 
-use crate::net::admission::{Bad, Head};
-use crate::net::downstream::Front;
-use crate::net::downstream::connection::{Conn, Stage};
-use crate::net::downstream::request_body::Came;
+use crate::net::admission::{RequestError, RequestHead};
+use crate::net::downstream::DownstreamListener;
+use crate::net::downstream::connection::{ConnectionStage, DownstreamConnection};
+use crate::net::downstream::request_body::ReceivedBody;
 use crate::net::downstream::response;
-use crate::net::response_body::Body;
+use crate::net::response_body::ResponseBody;
 
 /// Bytes that are read at once, and that are made ready to be written.
 const CHUNK: usize = 32 << 10;
@@ -34,7 +34,7 @@
 const MOST_WAITING: usize = 4 << 20;
 
 /// A connection's state.
-struct Exchange {
+struct FastCgiSession {
     server: Server,
     /// Requests that have begun, and until when they must be whole.
     coming: HashMap<u16, Instant>,
@@ -47,9 +47,9 @@
     answers: mpsc::UnboundedSender<(u16, u64, Vec<Bytes>)>,
 }
 
-impl Front {
+impl DownstreamListener {
     /// Serves a connection to its end.
-    pub(super) async fn serve_fastcgi(self: &Rc<Self>, conn: &Rc<Conn>, peer: IpAddr) {
+    pub(super) async fn serve_fastcgi(self: &Rc<Self>, conn: &Rc<DownstreamConnection>, peer: IpAddr) {
         let options = self.options.get();
         let mut server = Server::new(Bounds {
             connections: u32::try_from(self.budget.places()).unwrap_or(u32::MAX),
@@ -64,7 +64,7 @@
             server.stop();
         }
         let (answers, mut answered) = mpsc::unbounded_channel();
-        let mut exchange = Exchange {
+        let mut exchange = FastCgiSession {
             server,
             coming: HashMap::new(),
             asking: HashMap::new(),
@@ -81,9 +81,9 @@
                 progress = Instant::now();
             }
             let idle = out.is_empty() && exchange.server.is_idle();
-            if idle != (conn.stage() == Stage::Waiting) {
+            if idle != (conn.stage() == ConnectionStage::Waiting) {
                 conn.since.set(Instant::now());
-                conn.set(if idle { Stage::Waiting } else { Stage::Busy }, true);
+                conn.set(if idle { ConnectionStage::Waiting } else { ConnectionStage::Busy }, true);
             }
             if out.is_empty() && exchange.server.is_over()
                 || idle && (self.draining.get() || conn.extra && conn.used())
@@ -124,8 +124,8 @@
     /// Takes what has come; tells whether the connection is still of use.
     fn take_records(
         self: &Rc<Self>,
-        exchange: &mut Exchange,
-        conn: &Rc<Conn>,
+        exchange: &mut FastCgiSession,
+        conn: &Rc<DownstreamConnection>,
         peer: IpAddr,
         input: &[u8],
     ) -> bool {
@@ -154,8 +154,8 @@
                 Event::Bad(id, why) => {
                     exchange.coming.remove(&id);
                     let bad = match why {
-                        BadRequest::BodyTooLong(_) => Bad::TooLong,
-                        BadRequest::Params(fault) => Bad::Target(fault.to_string()),
+                        BadRequest::BodyTooLong(_) => RequestError::TooLong,
+                        BadRequest::Params(fault) => RequestError::Target(fault.to_string()),
                     };
                     // Made on a task as any other, so that there is one way out.
                     let answers = exchange.answers.clone();
@@ -181,12 +181,20 @@
         sound.is_ok()
     }
 
-    async fn answer_fastcgi(&self, conn: &Conn, peer: IpAddr, params: &[Pair], body: Bytes) -> Vec<Bytes> {
+    async fn answer_fastcgi(
+        &self,
+        conn: &DownstreamConnection,
+        peer: IpAddr,
+        params: &[Pair],
+        body: Bytes,
+    ) -> Vec<Bytes> {
         let read = match request(params) {
             Ok(read) => read,
-            Err(fault) => return parts(&Method::GET, response::bad(&Bad::Target(fault.to_string()))).await,
+            Err(fault) => {
+                return parts(&Method::GET, response::bad(&RequestError::Target(fault.to_string()))).await;
+            }
         };
-        let head = Head {
+        let head = RequestHead {
             method: &read.method,
             uri: &read.uri,
             version: Version::HTTP_11,
@@ -195,13 +203,14 @@
         };
         let whole = read.length.is_none_or(|length| length == body.len() as u64);
         let admitted = self.admission.admit(head);
-        let admitted = admitted.and_then(|admitted| if whole { Ok(admitted) } else { Err(Bad::Broken) });
-        let response = self.decide(admitted, Came::Whole(body), conn.extra).await;
+        let admitted =
+            admitted.and_then(|admitted| if whole { Ok(admitted) } else { Err(RequestError::Broken) });
+        let response = self.decide(admitted, ReceivedBody::Whole(body), conn.extra).await;
         parts(&read.method, response).await
     }
 }
 
-impl Exchange {
+impl FastCgiSession {
     fn next_serial(&mut self) -> u64 {
         self.serial += 1;
         self.serial
@@ -222,13 +231,13 @@
             self.coming.iter().filter(|(_, until)| **until <= now).map(|(id, _)| *id).collect();
         for id in slow {
             self.coming.remove(&id);
-            self.server.end(id, parts(&Method::GET, response::bad(&Bad::Slow)).await, 0);
+            self.server.end(id, parts(&Method::GET, response::bad(&RequestError::Slow)).await, 0);
         }
     }
 }
 
 /// An answer as the output of an application.
-async fn parts(method: &Method, response: Response<Body>) -> Vec<Bytes> {
+async fn parts(method: &Method, response: Response<ResponseBody>) -> Vec<Bytes> {
     let (mut head, body) = response.into_parts();
     let body = body.collect().await.map(http_body_util::Collected::to_bytes).unwrap_or_default();
     head.headers.remove(header::CONNECTION);
--- a/crates/node/src/net/downstream/mod.rs
+++ b/crates/node/src/net/downstream/mod.rs
@@ -32,24 +32,24 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tracing::warn;
 
-use crate::net::admission::{Admission, Admitted, Bad, Head, Manner};
-use crate::net::counting_stream::Link;
-use crate::net::exchange::Answer;
-use crate::net::memory_budget::Room;
-use crate::net::pool_handle::Held;
-use crate::net::recorder_sink::Tap;
-use crate::net::response_body::{Body, Ended};
+use crate::net::admission::{Admission, AdmittedRequest, RequestError, RequestHead, ResponseStyle};
+use crate::net::counting_stream::CountingStream;
+use crate::net::exchange::FinalResponse;
+use crate::net::memory_budget::MemoryBudget;
+use crate::net::pool_handle::ActiveRequestIds;
+use crate::net::recorder_sink::RecorderSink;
+use crate::net::response_body::{ResponseBody, StreamEnd};
 use crate::net::upstream::http::transport::LONGEST_HEAD;
-use connection::{Conn, RESTED, Stage};
-use connection_budget::Budget;
-pub use drain::Ending;
+use connection::{ConnectionStage, DownstreamConnection, RESTED};
+use connection_budget::ConnectionBudget;
+pub use drain::DrainReason;
 use drain::FRESH;
-use request_body::{Came, Framing, collect, hold};
+use request_body::{BodyFraming, ReceivedBody, collect, hold};
 
 /// Connections that wait in the kernel are already taken, so it should never have to turn one away.
 const BACKLOG: u32 = 4096;
 /// Connections beyond the budget that are told so in an answer, not left in the kernel's queue.
-pub const EXTRA: usize = 32;
+pub const OVERFLOW_CONNECTIONS: usize = 32;
 /// Pause after an accept that failed for lack of descriptors: without it the loop would spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// Longest that a closed connection is read on, so that its last answer arrives.
@@ -66,7 +66,7 @@
 
 /// Bounds on what clients may do.
 #[derive(Clone, Copy, Debug)]
-pub struct Options {
+pub struct ListenerOptions {
     /// Longest that a client may take from connecting, or from the first byte of a later request, to the last byte
     /// of its request.
     pub patience: Duration,
@@ -87,11 +87,11 @@
 }
 
 /// The front's state.
-pub struct Front {
+pub struct DownstreamListener {
     admission: Rc<dyn Admission>,
-    held: Held,
-    options: Rc<Cell<Options>>,
-    budget: Rc<Budget>,
+    held: ActiveRequestIds,
+    options: Rc<Cell<ListenerOptions>>,
+    budget: Rc<ConnectionBudget>,
     draining: Cell<bool>,
     /// The process is about to end: there is no time left to serve anything.
     over: Cell<bool>,
@@ -101,13 +101,13 @@
     shared: Cell<bool>,
     figures: Rc<Figures>,
     /// Memory for the held parts of long bodies.
-    room: Arc<Room>,
+    room: Arc<MemoryBudget>,
     /// What new connections speak.
     protocol: Cell<Protocol>,
     /// Has all that is open in the node fail.
     give_up: Box<dyn Fn()>,
     /// The way to the recorder, for what no pool sees.
-    tap: OnceCell<Tap>,
+    tap: OnceCell<RecorderSink>,
 }
 
 /// Ends a task with its owner.
@@ -131,16 +131,16 @@
     socket.listen(BACKLOG)
 }
 
-impl Front {
+impl DownstreamListener {
     /// A front that shares a budget with others.
     pub fn new(
         admission: Rc<dyn Admission>,
-        held: Held,
-        options: Options,
-        budget: Rc<Budget>,
+        held: ActiveRequestIds,
+        options: ListenerOptions,
+        budget: Rc<ConnectionBudget>,
         give_up: impl Fn() + 'static,
         figures: Rc<Figures>,
-        room: Arc<Room>,
+        room: Arc<MemoryBudget>,
     ) -> Rc<Self> {
         Rc::new(Self {
             admission,
@@ -160,12 +160,12 @@
     }
 
     /// Tells a recorder what no pool sees; the first one that is given stays.
-    pub fn set_tap(&self, tap: Tap) {
+    pub fn set_tap(&self, tap: RecorderSink) {
         let _ = self.tap.set(tap);
     }
 
     /// Other bounds from now on.
-    pub fn set_options(&self, options: Options) {
+    pub fn set_options(&self, options: ListenerOptions) {
         self.options.set(options);
     }
 
@@ -194,12 +194,12 @@
         self.shared.set(true);
     }
 
-    fn owns(&self, conn: &Conn) -> bool {
+    fn owns(&self, conn: &DownstreamConnection) -> bool {
         Rc::ptr_eq(&self.options, &conn.options)
     }
 
     /// Serves until `stop`, then ends in order.
-    pub async fn run(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = Ending>) {
+    pub async fn run(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = DrainReason>) {
         let front = self.clone();
         let _looking = AbortOnDrop(task::spawn_local(async move {
             loop {
@@ -257,10 +257,10 @@
         let extra = self.budget.is_full() && !self.budget.shed();
         let protocol = self.protocol.get();
         let link = match protocol {
-            Protocol::Http => Link::tapped(stream),
-            Protocol::FastCgi => Link::new(stream),
+            Protocol::Http => CountingStream::tapped(stream),
+            Protocol::FastCgi => CountingStream::new(stream),
         };
-        let conn = Conn::new(link, extra, self.options.clone(), self.budget.asking());
+        let conn = DownstreamConnection::new(link, extra, self.options.clone(), self.budget.asking());
         self.budget.add(&conn);
         task::spawn_local(async move {
             match protocol {
@@ -275,17 +275,17 @@
         });
     }
 
-    async fn serve(&self, conn: &Rc<Conn>, peer: IpAddr) {
+    async fn serve(&self, conn: &Rc<DownstreamConnection>, peer: IpAddr) {
         let (streams, waits) = (Cell::new(false), Cell::new(false));
         let service = service_fn(|request| async {
-            conn.set(Stage::Busy, conn.used());
+            conn.set(ConnectionStage::Busy, conn.used());
             waits.set(true);
             let mut response = self.respond(conn, peer, request).await;
             waits.set(false);
-            let answered = |conn: &Conn| {
+            let answered = |conn: &DownstreamConnection| {
                 conn.since.set(Instant::now());
-                if conn.stage() == Stage::Busy {
-                    conn.set(Stage::Waiting, true);
+                if conn.stage() == ConnectionStage::Busy {
+                    conn.set(ConnectionStage::Waiting, true);
                 }
             };
             let body = response.body_mut();
@@ -336,8 +336,8 @@
     }
 
     /// Reads on after the last answer for as long as that may take to arrive.
-    async fn linger(&self, conn: &Conn) {
-        conn.set(Stage::Lingering, conn.used());
+    async fn linger(&self, conn: &DownstreamConnection) {
+        conn.set(ConnectionStage::Lingering, conn.used());
         conn.since.set(Instant::now());
         tokio::select! {
             _ = timeout(LINGER, conn.link.linger()) => {}
@@ -345,9 +345,14 @@
         }
     }
 
-    async fn respond(&self, conn: &Conn, peer: IpAddr, request: Request<Incoming>) -> Response<Body> {
+    async fn respond(
+        &self,
+        conn: &DownstreamConnection,
+        peer: IpAddr,
+        request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
         let begun = if conn.used() { Instant::now() } else { conn.since.get() };
-        let framing = Framing::of(&conn.link.take_head());
+        let framing = BodyFraming::of(&conn.link.take_head());
         conn.link.skip(framing.body());
         let expects = request.headers().contains_key(header::EXPECT);
         // Where the rest of the body still comes, nobody will read it.
@@ -358,7 +363,7 @@
             response::plain(status, "")
         } else if conn.link.has_ended() {
             // It came ahead of its client's end, behind a request that took longer: nobody waits for it.
-            response::refusal(&Manner::Platform, None)
+            response::refusal(&ResponseStyle::Platform, None)
         } else {
             let until = begun + self.options.get().patience;
             let head = Instant::now();
@@ -381,7 +386,7 @@
             || crowded
             || unread
             || unsent
-            || !matches!(framing, Framing::Length(_))
+            || !matches!(framing, BodyFraming::Length(_))
         {
             response::close(&mut response);
         }
@@ -389,14 +394,19 @@
     }
 
     /// Has what was admitted answered, whatever protocol it came by.
-    async fn decide(&self, admitted: Result<Admitted, Bad>, came: Came, extra: bool) -> Response<Body> {
-        let Admitted { core, mut ask, manner, bodiless } = match admitted {
+    async fn decide(
+        &self,
+        admitted: Result<AdmittedRequest, RequestError>,
+        came: ReceivedBody,
+        extra: bool,
+    ) -> Response<ResponseBody> {
+        let AdmittedRequest { core, mut ask, manner, bodiless } = match admitted {
             Ok(admitted) => admitted,
             Err(bad) => return response::bad(&bad),
         };
         let class = ask.class;
         if bodiless && !came.is_empty() {
-            return response::bad(&Bad::Method(Vec::new()));
+            return response::bad(&RequestError::Method(Vec::new()));
         }
         if extra || self.over.get() || self.is_full() {
             core.turned(class, if extra { Turned::Connections } else { Turned::Held });
@@ -407,19 +417,19 @@
         match core.ask(ask).await {
             Some(mut given) => {
                 match &mut given {
-                    Answer::Served(served) if served.body.is_stream() => {
+                    FinalResponse::Served(served) if served.body.is_stream() => {
                         let figures = self.figures.clone();
                         served.body.at_end(move |ended| match ended {
-                            Ended::Whole => figures.ended(class, Outcome::Completed),
-                            Ended::Broken => figures.ended(class, Outcome::Failed),
-                            Ended::Left => {}
+                            StreamEnd::Whole => figures.ended(class, Outcome::Completed),
+                            StreamEnd::Broken => figures.ended(class, Outcome::Failed),
+                            StreamEnd::Left => {}
                         });
                     }
                     given => self.figures.ended(class, given.outcome()),
                 }
                 response::response(&manner, given)
             }
-            None => response::bad(&Bad::Twice),
+            None => response::bad(&RequestError::Twice),
         }
     }
 
@@ -432,14 +442,14 @@
         &self,
         request: Request<Incoming>,
         peer: IpAddr,
-        framing: Framing,
+        framing: BodyFraming,
         until: Instant,
-    ) -> Result<(Admitted, Came), Bad> {
-        if framing == Framing::Doubtful {
-            return Err(Bad::Framing);
+    ) -> Result<(AdmittedRequest, ReceivedBody), RequestError> {
+        if framing == BodyFraming::Doubtful {
+            return Err(RequestError::Framing);
         }
         let (parts, body) = request.into_parts();
-        let head = Head {
+        let head = RequestHead {
             method: &parts.method,
             uri: &parts.uri,
             version: parts.version,
@@ -450,17 +460,17 @@
         let admitted = self.admission.admit(head);
         if admitted.is_err() && expects {
             // The client has not begun to write its body, and now needs not (RFC 9110 section 10.1.1).
-            return admitted.map(|admitted| (admitted, Came::Whole(Bytes::new())));
+            return admitted.map(|admitted| (admitted, ReceivedBody::Whole(Bytes::new())));
         }
         // The body first, whatever the head says: the answer then meets no client that is still writing.
-        let Options { longest_body, passes, .. } = self.options.get();
+        let ListenerOptions { longest_body, passes, .. } = self.options.get();
         let came = match (passes, &admitted) {
-            (Some(most), Ok(Admitted { ask, .. })) => {
+            (Some(most), Ok(AdmittedRequest { ask, .. })) => {
                 hold(body, longest_body, most, ask.left, &self.room).await?
             }
             _ => {
                 let body = collect(body, longest_body);
-                Came::Whole(timeout_at(until, body).await.unwrap_or(Err(Bad::Slow))?)
+                ReceivedBody::Whole(timeout_at(until, body).await.unwrap_or(Err(RequestError::Slow))?)
             }
         };
         Ok((admitted?, came))
--- a/crates/node/src/net/downstream/request_body.rs
+++ b/crates/node/src/net/downstream/request_body.rs
@@ -11,13 +11,13 @@
 use pumicehead_slow_peer::Pace;
 use tokio::time::timeout;
 
-use crate::net::admission::Bad;
-use crate::net::memory_budget::Room;
+use crate::net::admission::RequestError;
+use crate::net::memory_budget::MemoryBudget;
 use crate::net::upload::{RULES, Upload};
 
 /// How a request's head says where its body ends.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Framing {
+pub enum BodyFraming {
     /// By its length, or there is none.
     Length(u64),
     /// In chunks.
@@ -26,7 +26,7 @@
     Doubtful,
 }
 
-impl Framing {
+impl BodyFraming {
     /// Read from the head as it came.
     pub fn of(head: &[u8]) -> Self {
         let lines = head.split(|&byte| byte == b'\n').map(<[u8]>::trim_ascii_end);
@@ -61,15 +61,15 @@
 ///
 /// # Errors
 /// One that is longer or breaks off.
-pub async fn collect(mut body: Incoming, longest: usize) -> Result<Bytes, Bad> {
+pub async fn collect(mut body: Incoming, longest: usize) -> Result<Bytes, RequestError> {
     if body.size_hint().lower() > longest as u64 {
-        return Err(Bad::TooLong);
+        return Err(RequestError::TooLong);
     }
     let mut whole = Vec::new();
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(|_| Bad::Broken)?.into_data() else { continue };
+        let Ok(data) = frame.map_err(|_| RequestError::Broken)?.into_data() else { continue };
         if whole.len() + data.len() > longest {
-            return Err(Bad::TooLong);
+            return Err(RequestError::TooLong);
         }
         whole.extend_from_slice(&data);
     }
@@ -82,14 +82,14 @@
 const LOOK: Duration = Duration::from_millis(100);
 
 /// A body as far as it has come.
-pub enum Came {
+pub enum ReceivedBody {
     /// All of it.
     Whole(Bytes),
     /// It is longer than what is held of it.
     Long(Bytes, Rc<Upload>),
 }
 
-impl Came {
+impl ReceivedBody {
     /// Whether there is none.
     pub fn is_empty(&self) -> bool {
         matches!(self, Self::Whole(body) if body.is_empty())
@@ -118,11 +118,11 @@
     least: usize,
     most: u64,
     left: Duration,
-    room: &Arc<Room>,
-) -> Result<Came, Bad> {
+    room: &Arc<MemoryBudget>,
+) -> Result<ReceivedBody, RequestError> {
     let length = body.size_hint().exact();
     if length.is_some_and(|length| length > most) {
-        return Err(Bad::TooLong);
+        return Err(RequestError::TooLong);
     }
     let mut part = room.part();
     // Room for what is stated is taken at once: taken by pieces, many would have some and none enough.
@@ -134,20 +134,20 @@
         pace.wants_more(Instant::now());
         let frame = match timeout(LOOK, body.frame()).await {
             Err(_) => {
-                pace.look(Instant::now()).map_err(|_| Bad::Slow)?;
+                pace.look(Instant::now()).map_err(|_| RequestError::Slow)?;
                 continue;
             }
-            Ok(None) => return Ok(Came::Whole(part.keep(whole.freeze()))),
-            Ok(Some(frame)) => frame.map_err(|_| Bad::Broken)?,
+            Ok(None) => return Ok(ReceivedBody::Whole(part.keep(whole.freeze()))),
+            Ok(Some(frame)) => frame.map_err(|_| RequestError::Broken)?,
         };
         let Ok(data) = frame.into_data() else { continue };
         pace.moved(data.len() as u64, Instant::now());
-        pace.look(Instant::now()).map_err(|_| Bad::Slow)?;
+        pace.look(Instant::now()).map_err(|_| RequestError::Slow)?;
         whole.extend_from_slice(&data);
         if whole.len() > held || whole.len() == held && !body.is_end_stream() {
-            let allowed = most.checked_sub(whole.len() as u64).ok_or(Bad::TooLong)?;
+            let allowed = most.checked_sub(whole.len() as u64).ok_or(RequestError::TooLong)?;
             let rest = Upload::new(body, length, allowed, left);
-            return Ok(Came::Long(part.keep(whole.freeze()), rest));
+            return Ok(ReceivedBody::Long(part.keep(whole.freeze()), rest));
         }
     }
 }
--- a/crates/node/src/net/downstream/response.rs
+++ b/crates/node/src/net/downstream/response.rs
@@ -5,39 +5,39 @@
 use hyper::{Response, StatusCode};
 use pumicehead_policy::{Nanos, SECOND};
 
-use crate::net::admission::{Bad, Manner};
-use crate::net::exchange::{Answer, Served};
-use crate::net::response_body::Body;
+use crate::net::admission::{RequestError, ResponseStyle};
+use crate::net::exchange::{FinalResponse, UpstreamResponse};
+use crate::net::response_body::ResponseBody;
 
 /// An answer's message.
-pub fn response(manner: &Manner, answer: Answer) -> Response<Body> {
+pub fn response(manner: &ResponseStyle, answer: FinalResponse) -> Response<ResponseBody> {
     match (answer, manner) {
-        (Answer::Served(served), Manner::Platform) => {
+        (FinalResponse::Served(served), ResponseStyle::Platform) => {
             let mut response = Response::new(served.body);
             if let Some(content_type) = served.headers.get(header::CONTENT_TYPE) {
                 response.headers_mut().insert(header::CONTENT_TYPE, content_type.clone());
             }
             response
         }
-        (Answer::Served(Served { status, headers, body }), Manner::Gateway(via)) => {
+        (FinalResponse::Served(UpstreamResponse { status, headers, body }), ResponseStyle::Gateway(via)) => {
             let mut response = Response::new(body);
             *response.status_mut() = status;
             *response.headers_mut() = headers;
             response.headers_mut().append(header::VIA, via.clone());
             response
         }
-        (Answer::Refused(retry_after), _) => refusal(manner, retry_after),
-        (Answer::Failed | Answer::Left, _) => plain(StatusCode::BAD_GATEWAY, ""),
-        (Answer::Late, _) => plain(StatusCode::GATEWAY_TIMEOUT, ""),
-        (Answer::Broken, _) => bad(&Bad::Slow),
-        (Answer::TooLong, _) => bad(&Bad::TooLong),
+        (FinalResponse::Refused(retry_after), _) => refusal(manner, retry_after),
+        (FinalResponse::Failed | FinalResponse::Left, _) => plain(StatusCode::BAD_GATEWAY, ""),
+        (FinalResponse::Late, _) => plain(StatusCode::GATEWAY_TIMEOUT, ""),
+        (FinalResponse::Broken, _) => bad(&RequestError::Slow),
+        (FinalResponse::TooLong, _) => bad(&RequestError::TooLong),
     }
 }
 
 /// The answer to what is no request.
-pub fn bad(bad: &Bad) -> Response<Body> {
+pub fn bad(bad: &RequestError) -> Response<ResponseBody> {
     let mut response = plain(bad.status(), &bad.to_string());
-    if let Bad::Method(allowed) = bad
+    if let RequestError::Method(allowed) = bad
         && !allowed.is_empty()
     {
         let names: Vec<_> = allowed.iter().map(hyper::Method::as_str).collect();
@@ -50,13 +50,13 @@
 }
 
 /// Come back later; nothing happened.
-pub fn refusal(manner: &Manner, retry_after: Option<Nanos>) -> Response<Body> {
+pub fn refusal(manner: &ResponseStyle, retry_after: Option<Nanos>) -> Response<ResponseBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "");
     if let Some(span) = retry_after {
         let seconds = match manner {
-            Manner::Platform => format!("{:.3}", span as f64 / SECOND as f64),
+            ResponseStyle::Platform => format!("{:.3}", span as f64 / SECOND as f64),
             // Whole seconds (RFC 9110 section 10.2.3), and not too early.
-            Manner::Gateway(_) => span.div_ceil(SECOND).max(1).to_string(),
+            ResponseStyle::Gateway(_) => span.div_ceil(SECOND).max(1).to_string(),
         };
         insert(response.headers_mut(), header::RETRY_AFTER, &seconds);
     }
@@ -70,13 +70,13 @@
 }
 
 /// A message of the node's own.
-pub fn plain(status: StatusCode, text: &str) -> Response<Body> {
+pub fn plain(status: StatusCode, text: &str) -> Response<ResponseBody> {
     let mut response = Response::new(Bytes::copy_from_slice(text.as_bytes()).into());
     *response.status_mut() = status;
     response
 }
 
 /// Has the connection end with a message.
-pub fn close(response: &mut Response<Body>) {
+pub fn close(response: &mut Response<ResponseBody>) {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/node/src/net/endpoint_directory.rs
+++ b/crates/node/src/net/endpoint_directory.rs
@@ -9,21 +9,21 @@
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use thiserror::Error;
 
-use crate::net::admin_overrides::Hands;
-use crate::net::discovery::{Health, Host, List};
-use crate::net::upstream::transport::{Server, Transport};
+use crate::net::admin_overrides::AdminOverrides;
+use crate::net::discovery::{EndpointList, ListedEndpoint, ListedState};
+use crate::net::upstream::transport::{EndpointConnector, Transport};
 
 /// An entry that can't be used.
 #[derive(Debug, Error)]
 #[error("unknown site `{0}`")]
-pub struct UnknownSite(String);
+pub struct UnknownZoneError(String);
 
-struct Known {
+struct EndpointEntry {
     name: String,
     /// As it was listed, whatever staff have said since.
-    listed: Host,
+    listed: ListedEndpoint,
     born_ms: u64,
-    server: Rc<dyn Server>,
+    server: Rc<dyn EndpointConnector>,
     /// As the module was told last.
     info: EndpointInfo,
     /// Its address refused a connection, and nothing has been heard of it since.
@@ -31,19 +31,19 @@
 }
 
 /// The servers.
-pub struct Roster {
+pub struct EndpointDirectory {
     zones: Vec<String>,
     transport: Rc<dyn Transport>,
-    servers: FxHashMap<EndpointId, Known>,
+    servers: FxHashMap<EndpointId, EndpointEntry>,
     ids: FxHashMap<String, EndpointId>,
-    hands: Rc<Hands>,
+    hands: Rc<AdminOverrides>,
     /// The version of the list.
     pub seq: u64,
 }
 
-impl Roster {
+impl EndpointDirectory {
     /// No servers yet.
-    pub fn new(zones: Vec<String>, transport: Rc<dyn Transport>, hands: Rc<Hands>) -> Self {
+    pub fn new(zones: Vec<String>, transport: Rc<dyn Transport>, hands: Rc<AdminOverrides>) -> Self {
         Self { zones, transport, servers: FxHashMap::default(), ids: FxHashMap::default(), hands, seq: 0 }
     }
 
@@ -67,10 +67,10 @@
     }
 
     /// A listed server as staff have it.
-    fn by_hand(&self, listed: &Host) -> Host {
+    fn by_hand(&self, listed: &ListedEndpoint) -> ListedEndpoint {
         let mut host = listed.clone();
         match self.hands.book.borrow().stand(&host.host, host.born_ms) {
-            Stand::Out if host.health == Health::Active => host.health = Health::Leaving,
+            Stand::Out if host.health == ListedState::Active => host.health = ListedState::Leaving,
             Stand::Out => {}
             Stand::In { born_ms } => host.born_ms = born_ms,
         }
@@ -88,7 +88,7 @@
     }
 
     /// A server by its id.
-    pub fn server(&self, id: EndpointId) -> Option<&Rc<dyn Server>> {
+    pub fn server(&self, id: EndpointId) -> Option<&Rc<dyn EndpointConnector>> {
         self.servers.get(&id).map(|known| &known.server)
     }
 
@@ -96,10 +96,10 @@
     ///
     /// # Errors
     /// A zone that does not exist; then nothing is changed.
-    pub fn apply(&mut self, list: List, cached: bool) -> Result<EndpointUpdate, UnknownSite> {
-        let zone = |host: &Host| {
+    pub fn apply(&mut self, list: EndpointList, cached: bool) -> Result<EndpointUpdate, UnknownZoneError> {
+        let zone = |host: &ListedEndpoint| {
             let place = self.zones.iter().position(|zone| *zone == host.site);
-            place.map(|place| ZoneId(place as u16)).ok_or_else(|| UnknownSite(host.site.clone()))
+            place.map(|place| ZoneId(place as u16)).ok_or_else(|| UnknownZoneError(host.site.clone()))
         };
         // All or nothing: a list that is half understood must not be half believed.
         let zones = list.hosts.iter().map(zone).collect::<Result<Vec<_>, _>>()?;
@@ -122,7 +122,7 @@
 
     /// Gives the servers of a file their births: one that is known under its name and address has not restarted, and
     /// any other may just have been started for the new file.
-    pub fn date(&self, list: &mut List, now_ms: u64) {
+    pub fn date(&self, list: &mut EndpointList, now_ms: u64) {
         for host in &mut list.hosts {
             let known = self.ids.get(&host.host).and_then(|id| self.servers.get(id));
             let known = known.filter(|known| *known.server.dial() == host.dial);
@@ -153,7 +153,7 @@
         Some(EndpointUpdate::Delta(Arc::from([known.info.clone()])))
     }
 
-    fn learn(&mut self, listed: Host, zone: ZoneId) -> EndpointInfo {
+    fn learn(&mut self, listed: ListedEndpoint, zone: ZoneId) -> EndpointInfo {
         self.hands.listed.borrow_mut().add(&listed.host);
         let host = self.by_hand(&listed);
         let id = self.id(&host.host);
@@ -162,15 +162,15 @@
             zone,
             cell: CellId(host.block),
             state: match host.health {
-                Health::Active => EndpointState::Ready,
-                Health::Leaving => EndpointState::Draining,
-                Health::Left => EndpointState::Removed,
+                ListedState::Active => EndpointState::Ready,
+                ListedState::Leaving => EndpointState::Draining,
+                ListedState::Left => EndpointState::Removed,
             },
             weight: host.share,
             started_at: millis(host.born_ms),
         };
         let transport = &self.transport;
-        let fresh = || Known {
+        let fresh = || EndpointEntry {
             name: host.host.clone(),
             listed: listed.clone(),
             born_ms: host.born_ms,
@@ -187,10 +187,10 @@
         known.info = info.clone();
         known.listed = listed.clone();
         self.ids.insert(host.host.clone(), id);
-        if host.health != Health::Active {
+        if host.health != ListedState::Active {
             known.server.retire();
         }
-        if host.health == Health::Left {
+        if host.health == ListedState::Left {
             self.forget(&host.host);
         }
         info
@@ -209,7 +209,7 @@
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
-        let mut id = EndpointId(hash(name.as_bytes()) as u32);
+        let mut id = EndpointId(unseeded_hash(name.as_bytes()) as u32);
         while self.servers.get(&id).is_some_and(|known| known.name != name) {
             id.0 = id.0.wrapping_add(1);
         }
@@ -222,7 +222,7 @@
 }
 
 /// A hash without a seed.
-pub fn hash(bytes: &[u8]) -> u64 {
+pub fn unseeded_hash(bytes: &[u8]) -> u64 {
     let mut hasher = FxHasher::default();
     hasher.write(bytes);
     hasher.finish()
--- a/crates/node/src/net/exchange.rs
+++ b/crates/node/src/net/exchange.rs
@@ -11,12 +11,12 @@
 use pumicehead_admin::figures::Outcome;
 use pumicehead_policy::{Nanos, TenantId};
 
-use crate::net::response_body::Body;
+use crate::net::response_body::ResponseBody;
 use crate::net::upload::Upload;
 
 /// A request as it goes on to a server.
 #[derive(Default)]
-pub struct Call {
+pub struct UpstreamRequest {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -35,7 +35,7 @@
 }
 
 /// A client's request with what the module wants to know of it.
-pub struct Ask {
+pub struct ProxyRequest {
     /// A name for it that no other open request has.
     pub correlation: Box<str>,
     /// Class.
@@ -53,23 +53,23 @@
     /// How long its body took to come.
     pub sending: Duration,
     /// What goes on to a server.
-    pub call: Call,
+    pub call: UpstreamRequest,
 }
 
 /// A server's whole answer.
-pub struct Served {
+pub struct UpstreamResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its fields.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Body,
+    pub body: ResponseBody,
 }
 
 /// A final answer.
-pub enum Answer {
+pub enum FinalResponse {
     /// A server's.
-    Served(Served),
+    Served(UpstreamResponse),
     /// Come back later; nothing happened.
     Refused(Option<Nanos>),
     /// It failed, with no promise.
@@ -84,7 +84,7 @@
     Left,
 }
 
-impl Answer {
+impl FinalResponse {
     /// What it counts as.
     pub fn outcome(&self) -> Outcome {
         match self {
--- a/crates/node/src/net/memory_budget.rs
+++ b/crates/node/src/net/memory_budget.rs
@@ -6,31 +6,31 @@
 use bytes::Bytes;
 
 /// Answers take memory of the room for long ones from here on, in steps of as much.
-pub const SHORT: usize = 64 << 10;
+pub const SMALL_BODY_BYTES: usize = 64 << 10;
 
-/// Memory for the parts of answers that are longer than [`SHORT`], until they are written to their clients. Counted
+/// Memory for the parts of answers that are longer than [`SMALL_BODY_BYTES`], until they are written to their clients. Counted
 /// atomically only since the body of a message must be `Send`.
-pub struct Room(AtomicUsize);
+pub struct MemoryBudget(AtomicUsize);
 
 /// A part of the room.
-pub struct Part {
-    room: Arc<Room>,
+pub struct Reservation {
+    room: Arc<MemoryBudget>,
     size: usize,
 }
 
-impl Room {
+impl MemoryBudget {
     /// So many bytes.
     pub fn new(size: usize) -> Arc<Self> {
         Arc::new(Self(AtomicUsize::new(size)))
     }
 
     /// A part of it that is empty yet.
-    pub fn part(self: &Arc<Self>) -> Part {
-        Part { room: self.clone(), size: 0 }
+    pub fn part(self: &Arc<Self>) -> Reservation {
+        Reservation { room: self.clone(), size: 0 }
     }
 }
 
-impl Part {
+impl Reservation {
     /// Its bytes.
     pub fn size(&self) -> usize {
         self.size
@@ -38,7 +38,7 @@
 
     /// A body that holds this part until it is written.
     pub fn keep(self, body: Bytes) -> Bytes {
-        if self.size > 0 { Bytes::from_owner(Roomy { body, _part: self }) } else { body }
+        if self.size > 0 { Bytes::from_owner(ReservedBytes { body, _part: self }) } else { body }
     }
 
     /// Grows to a size; tells whether there was room.
@@ -51,19 +51,19 @@
     }
 }
 
-impl Drop for Part {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.room.0.fetch_add(self.size, Ordering::Relaxed);
     }
 }
 
 /// A body that holds its part of the room.
-struct Roomy {
+struct ReservedBytes {
     body: Bytes,
-    _part: Part,
+    _part: Reservation,
 }
 
-impl AsRef<[u8]> for Roomy {
+impl AsRef<[u8]> for ReservedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.body
     }
--- a/crates/node/src/net/pool_handle.rs
+++ b/crates/node/src/net/pool_handle.rs
@@ -11,90 +11,90 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use crate::net::discovery::List;
-use crate::net::exchange::{Answer, Ask};
-use crate::net::pool_message::{Members, Message};
-use crate::net::recorder_sink::Tap;
+use crate::net::discovery::EndpointList;
+use crate::net::exchange::{FinalResponse, ProxyRequest};
+use crate::net::pool_message::{EndpointCounts, PoolMessage};
+use crate::net::recorder_sink::RecorderSink;
 
 /// Requests without a final answer, and the names in use: one of these for all loops of a node.
 #[derive(Clone, Default)]
-pub struct Held(Rc<HeldState>);
+pub struct ActiveRequestIds(Rc<ActiveRequestState>);
 
 #[derive(Default)]
-struct HeldState {
+struct ActiveRequestState {
     count: Cell<usize>,
     names: RefCell<FxHashSet<Box<str>>>,
 }
 
-impl Held {
+impl ActiveRequestIds {
     /// How many requests have no final answer, or one that is on its way.
     pub fn count(&self) -> usize {
         self.0.count.get()
     }
 
-    fn one_more(&self) -> Counted {
+    fn one_more(&self) -> ActiveRequestGuard {
         self.0.count.set(self.count() + 1);
-        Counted(self.clone())
+        ActiveRequestGuard(self.clone())
     }
 
     /// Takes a name; `None` where it is in use.
-    fn take(&self, correlation: &str) -> Option<Rc<Name>> {
+    fn take(&self, correlation: &str) -> Option<Rc<RequestIdGuard>> {
         let fresh = self.0.names.borrow_mut().insert(correlation.into());
-        fresh.then(|| Rc::new(Name { held: self.clone(), correlation: correlation.into() }))
+        fresh.then(|| Rc::new(RequestIdGuard { held: self.clone(), correlation: correlation.into() }))
     }
 }
 
 /// A front's way to an event loop.
 #[derive(Clone)]
-pub struct Handle {
-    messages: mpsc::UnboundedSender<Message>,
+pub struct PoolHandle {
+    messages: mpsc::UnboundedSender<PoolMessage>,
     /// Shared by all clones; the loop sees by it whether any are left.
     next: Rc<Cell<u32>>,
-    held: Held,
-    tap: Option<Tap>,
+    held: ActiveRequestIds,
+    tap: Option<RecorderSink>,
 }
 
 /// The name of a request that has no final answer, whose answer is on its way, or of which an attempt is out.
-pub(in crate::net) struct Name {
-    held: Held,
+pub(in crate::net) struct RequestIdGuard {
+    held: ActiveRequestIds,
     correlation: Box<str>,
 }
 
-impl Drop for Name {
+impl Drop for RequestIdGuard {
     fn drop(&mut self) {
         self.held.0.names.borrow_mut().remove(&self.correlation);
     }
 }
 
 /// One of the requests that count as held.
-struct Counted(Held);
+struct ActiveRequestGuard(ActiveRequestIds);
 
-impl Drop for Counted {
+impl Drop for ActiveRequestGuard {
     fn drop(&mut self) {
         self.0.0.count.set(self.0.count() - 1);
     }
 }
 
 /// Tells of a client that left before its answer.
-struct Waiting<'a> {
-    handle: &'a Handle,
+struct DisconnectNotifier<'a> {
+    handle: &'a PoolHandle,
     id: RequestId,
     answered: bool,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for DisconnectNotifier<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            let _ = self.handle.messages.send(Message::ClientGone(self.id));
+            let _ = self.handle.messages.send(PoolMessage::ClientGone(self.id));
         }
     }
 }
 
-impl Handle {
+impl PoolHandle {
     pub(in crate::net) fn new(
-        messages: mpsc::UnboundedSender<Message>,
-        held: Held,
-        tap: Option<Tap>,
+        messages: mpsc::UnboundedSender<PoolMessage>,
+        held: ActiveRequestIds,
+        tap: Option<RecorderSink>,
     ) -> (Self, Weak<Cell<u32>>) {
         let next = Rc::default();
         let alive = Rc::downgrade(&next);
@@ -110,19 +110,20 @@
 
     /// Waits for the final answer; dropped before, the client is gone. `None`: a request of this name is open,
     /// and this one goes nowhere.
-    pub async fn ask(&self, ask: Ask) -> Option<Answer> {
+    pub async fn ask(&self, ask: ProxyRequest) -> Option<FinalResponse> {
         let name = self.held.take(&ask.correlation)?;
         let counted = self.held.one_more();
         let id = RequestId(self.next.get());
         self.next.set(id.0.wrapping_add(1));
-        let mut waiting = Waiting { handle: self, id, answered: false };
+        let mut waiting = DisconnectNotifier { handle: self, id, answered: false };
         let (sender, answer) = oneshot::channel();
         // A loop that has ended drops the sender, and the answer is a failure.
-        let _ = self.messages.send(Message::Request(id, Box::new(ask), Instant::now(), sender, name.clone()));
+        let _ =
+            self.messages.send(PoolMessage::Request(id, Box::new(ask), Instant::now(), sender, name.clone()));
         let answer = answer.await;
         waiting.answered = true;
-        let mut answer = answer.unwrap_or(Answer::Failed);
-        if let Answer::Served(served) = &mut answer {
+        let mut answer = answer.unwrap_or(FinalResponse::Failed);
+        if let FinalResponse::Served(served) = &mut answer {
             served.body.at_end(move |_| drop((name, counted)));
         }
         Some(answer)
@@ -130,51 +131,51 @@
 
     /// Discovery is at this address from now on.
     pub fn move_discovery(&self, address: SocketAddr) {
-        let _ = self.messages.send(Message::Moved(address));
+        let _ = self.messages.send(PoolMessage::Moved(address));
     }
 
     /// The servers are these from now on.
-    pub fn set_servers(&self, list: List) {
-        let _ = self.messages.send(Message::Servers(list));
+    pub fn set_servers(&self, list: EndpointList) {
+        let _ = self.messages.send(PoolMessage::Servers(list));
     }
 
     /// The module goes on with these settings; [`Settings::can_update_to`] must allow it.
     pub fn retune(&self, settings: Box<Settings>) {
-        let _ = self.messages.send(Message::Retune(settings));
+        let _ = self.messages.send(PoolMessage::Retune(settings));
     }
 
     /// So many nodes share the servers from now on.
     pub fn share(&self, sharing: NodeShare) {
-        let _ = self.messages.send(Message::Sharing(sharing));
+        let _ = self.messages.send(PoolMessage::Sharing(sharing));
     }
 
     /// No more requests come. The loop ends with the last that it has; where the servers are `gone`, nothing new
     /// goes to them after a grace.
     pub fn retire(&self, gone: bool) {
-        let _ = self.messages.send(Message::Retire { gone });
+        let _ = self.messages.send(PoolMessage::Retire { gone });
     }
 
     /// The book of servers taken out has changed for these names.
     pub fn restate(&self, names: Vec<String>) {
-        let _ = self.messages.send(Message::Restate(names));
+        let _ = self.messages.send(PoolMessage::Restate(names));
     }
 
     /// The servers as the loop sees them now; none where it has ended.
-    pub async fn look(&self) -> Members {
+    pub async fn look(&self) -> EndpointCounts {
         let (reply, members) = oneshot::channel();
-        let _ = self.messages.send(Message::Look(reply));
+        let _ = self.messages.send(PoolMessage::Look(reply));
         members.await.unwrap_or_default()
     }
 
     /// What the module has learned; none where the loop has ended.
     pub async fn knowledge(&self) -> Option<WarmState> {
         let (reply, learned) = oneshot::channel();
-        let _ = self.messages.send(Message::Learned(reply));
+        let _ = self.messages.send(PoolMessage::Learned(reply));
         learned.await.ok()
     }
 
     /// Has all that is still open fail now: the process is about to end.
     pub fn give_up(&self) {
-        let _ = self.messages.send(Message::GiveUp);
+        let _ = self.messages.send(PoolMessage::GiveUp);
     }
 }
--- a/crates/node/src/net/pool_loop/actions.rs
+++ b/crates/node/src/net/pool_loop/actions.rs
@@ -7,12 +7,12 @@
 use tokio::sync::oneshot;
 use tokio::task;
 
-use crate::net::exchange::Answer;
-use crate::net::pool_loop::Core;
-use crate::net::pool_message::Message;
-use crate::net::upstream::transport::Times;
+use crate::net::exchange::FinalResponse;
+use crate::net::pool_loop::PoolLoop;
+use crate::net::pool_message::PoolMessage;
+use crate::net::upstream::transport::AttemptDeadlines;
 
-impl Core {
+impl PoolLoop {
     pub(super) fn act(&mut self, action: Action) {
         match action {
             Action::StartAttempt { id, endpoint, timeout, start_before } => {
@@ -21,14 +21,17 @@
             Action::Reject { id, retry_after } => {
                 // A server's own words tell more than that it may be tried again.
                 let error = self.open.get_mut(&id).and_then(|open| open.error.take());
-                self.answer(id, error.map_or(Answer::Refused(retry_after), Answer::Served));
+                self.answer(id, error.map_or(FinalResponse::Refused(retry_after), FinalResponse::Served));
             }
             Action::Fail(id) => {
                 let now = self.now();
                 let Some(open) = self.open.get_mut(&id) else { return };
                 let late = now >= open.deadline;
-                let error = open.error.take().map(Answer::Served);
-                self.answer(id, error.unwrap_or(if late { Answer::Late } else { Answer::Failed }));
+                let error = open.error.take().map(FinalResponse::Served);
+                self.answer(
+                    id,
+                    error.unwrap_or(if late { FinalResponse::Late } else { FinalResponse::Failed }),
+                );
             }
             Action::CancelAttempt { id, attempt } => {
                 let open = self.open.get_mut(&id);
@@ -88,13 +91,13 @@
         open.attempts.push(Some(cancel));
         let call = open.call.clone();
         let instant = |at| self.clock.instant(at);
-        let times = Times { deadline: instant(end), by: instant(by.unwrap_or(Nanos::MAX)) };
+        let times = AttemptDeadlines { deadline: instant(end), by: instant(by.unwrap_or(Nanos::MAX)) };
         let messages = self.to_self.clone();
         task::spawn_local(async move {
             let to_core = messages.clone();
-            let begin = move |served| drop(to_core.send(Message::Began(id, attempt, served)));
+            let begin = move |served| drop(to_core.send(PoolMessage::Began(id, attempt, served)));
             let end = known.attempt(call, times, cancelled, Box::new(begin)).await;
-            let _ = messages.send(Message::Ended { id, attempt, server, sent: now, end });
+            let _ = messages.send(PoolMessage::Ended { id, attempt, server, sent: now, end });
         });
     }
 }
--- a/crates/node/src/net/pool_loop/in_flight.rs
+++ b/crates/node/src/net/pool_loop/in_flight.rs
@@ -5,12 +5,12 @@
 use pumicehead_policy::Nanos;
 use tokio::sync::oneshot;
 
-use crate::net::exchange::{Answer, Call, Served};
-use crate::net::pool_handle::Name;
+use crate::net::exchange::{FinalResponse, UpstreamRequest, UpstreamResponse};
+use crate::net::pool_handle::RequestIdGuard;
 
 /// What a loop waits for.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Due {
+pub(super) enum TimerKind {
     Timer(u64),
     Overdue(u32),
     Sweep,
@@ -19,24 +19,24 @@
 }
 
 /// A request in hand.
-pub(super) struct Open {
-    pub call: Rc<Call>,
+pub(super) struct InFlightRequest {
+    pub call: Rc<UpstreamRequest>,
     /// Taken by the final answer.
-    pub answer: Option<oneshot::Sender<Answer>>,
+    pub answer: Option<oneshot::Sender<FinalResponse>>,
     pub deadline: Nanos,
     /// A server's own words on how it failed: the client gets them if nothing better comes.
-    pub error: Option<Served>,
+    pub error: Option<UpstreamResponse>,
     /// By attempt number, while it is out.
     pub attempts: Vec<Option<oneshot::Sender<()>>>,
     /// Taken for as long as an attempt is out: a second request under it, once the client of the first has left, would be
     /// a second effect at a server that still works on it.
-    pub _name: Rc<Name>,
+    pub _name: Rc<RequestIdGuard>,
     /// What is armed for it, or has fired: dropped with it. Most requests end long before any of it is due, and
     /// each would wake the loop for nothing.
-    pub timers: Vec<(Nanos, Due)>,
+    pub timers: Vec<(Nanos, TimerKind)>,
 }
 
-impl Open {
+impl InFlightRequest {
     pub fn is_over(&self) -> bool {
         self.answer.is_none() && self.attempts.iter().all(Option::is_none)
     }
--- a/crates/node/src/net/pool_loop/mod.rs
+++ b/crates/node/src/net/pool_loop/mod.rs
@@ -24,50 +24,50 @@
 use tokio::time::sleep_until;
 use tracing::{info, warn};
 
-use self::stall::Stalls;
-use crate::net::admin_overrides::Hands;
+use self::stall::StallDetector;
+use crate::net::admin_overrides::AdminOverrides;
 use crate::net::clock::Clock;
-use crate::net::discovery::watch_task::Watch;
-use crate::net::discovery::{List, WatchError};
-use crate::net::endpoint_directory::{Roster, UnknownSite};
-use crate::net::exchange::Answer;
-use crate::net::pool_handle::{Handle, Held};
-use crate::net::pool_loop::in_flight::{Due, Open};
-use crate::net::pool_message::{Members, Message};
-use crate::net::recorder_sink::Tap;
+use crate::net::discovery::watch_task::WatchTask;
+use crate::net::discovery::{EndpointList, WatchError};
+use crate::net::endpoint_directory::{EndpointDirectory, UnknownZoneError};
+use crate::net::exchange::FinalResponse;
+use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
+use crate::net::pool_loop::in_flight::{InFlightRequest, TimerKind};
+use crate::net::pool_message::{EndpointCounts, PoolMessage};
+use crate::net::recorder_sink::RecorderSink;
 use crate::net::upstream::transport::Transport;
 
 /// A request that has no final answer this long after its deadline gets one from the event loop: the module
 /// answers earlier, by the time-out of its attempts or its own timers.
 const OVERDUE: Nanos = SECOND / 100;
 /// What an earlier process has learned is taken over for so long.
-pub const WORTH: Nanos = 30 * SECOND;
+pub const WARM_STATE_MAX_AGE: Nanos = 30 * SECOND;
 /// How often idle connections are looked over.
 const SWEEP: Nanos = SECOND;
 /// Pause before an agent that pushes the list is asked again.
-pub const AGENT_PAUSE: Duration = Duration::from_millis(250);
+pub const AGENT_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// A pool that is gone from the configuration serves the requests it has for so long; from then on nothing new is
 /// sent, well within the 2 s in which a drain must be kept.
 const GRACE: Nanos = SECOND;
 
 /// Where a loop's list of servers comes from.
-pub enum Source {
+pub enum EndpointSource {
     /// A service is watched, after the list that was known last.
     Watch {
         /// Its address.
         discovery: SocketAddr,
         /// The list as it was known last; where there is none, the service is asked at once.
-        known: Option<List>,
+        known: Option<EndpointList>,
         /// It is asked at once all the same, and not when the module thinks best: this process takes over from another,
         /// whose news bind it.
         at_once: bool,
     },
     /// The configuration has it.
-    Fixed(List),
+    Fixed(EndpointList),
 }
 
 /// What a loop is made of.
-pub struct Setup {
+pub struct PoolConfig {
     /// What the module is told.
     pub settings: Settings,
     /// For its random numbers.
@@ -75,59 +75,59 @@
     /// The zones, by name.
     pub zones: Vec<String>,
     /// Its servers.
-    pub source: Source,
+    pub source: EndpointSource,
     /// How attempts travel.
     pub transport: Rc<dyn Transport>,
     /// Servers taken out by hand.
-    pub hands: Rc<Hands>,
+    pub hands: Rc<AdminOverrides>,
     /// What an earlier process of this node has learned.
     pub learned: Option<WarmState>,
     /// The node's clock.
     pub clock: Clock,
     /// The way to the recorder, where there is one.
-    pub tap: Option<Tap>,
+    pub tap: Option<RecorderSink>,
 }
 
 /// The event loop's state.
-pub struct Core {
+pub struct PoolLoop {
     balancer: Balancer,
-    roster: Roster,
-    messages: mpsc::UnboundedReceiver<Message>,
-    to_self: mpsc::UnboundedSender<Message>,
+    roster: EndpointDirectory,
+    messages: mpsc::UnboundedReceiver<PoolMessage>,
+    to_self: mpsc::UnboundedSender<PoolMessage>,
     clock: Clock,
-    tap: Option<Tap>,
-    timers: BTreeSet<(Nanos, Due)>,
+    tap: Option<RecorderSink>,
+    timers: BTreeSet<(Nanos, TimerKind)>,
     events: VecDeque<Event>,
-    open: FxHashMap<RequestId, Open>,
+    open: FxHashMap<RequestId, InFlightRequest>,
     pushed: bool,
-    /// As [`Settings::full_unproven`].
+    /// As `Settings::rejection_may_execute`.
     full_unproven: bool,
     /// Advice with a refusal of what could not be sent again, where the settings allow any.
     advice: Option<Nanos>,
-    watch: Watch,
+    watch: WatchTask,
     /// Ways to this loop that are left: a request may still be on its way to be asked.
     handles: Weak<Cell<u32>>,
     retired: bool,
     /// Taken over as servers become known, for as long as it is worth anything.
     learned: Option<WarmState>,
-    stalls: Stalls,
+    stalls: StallDetector,
 }
 
-impl Core {
+impl PoolLoop {
     /// An event loop that has not begun, and the way to it.
-    pub fn new(setup: Setup, held: Held) -> (Self, Handle) {
+    pub fn new(setup: PoolConfig, held: ActiveRequestIds) -> (Self, PoolHandle) {
         let (to_self, messages) = mpsc::unbounded_channel();
-        let (handle, handles) = Handle::new(to_self.clone(), held, setup.tap.clone());
+        let (handle, handles) = PoolHandle::new(to_self.clone(), held, setup.tap.clone());
         let (discovery, known, at_once, fixed) = match setup.source {
-            Source::Watch { discovery, known, at_once } => (Some(discovery), known, at_once, None),
-            Source::Fixed(list) => (None, None, false, Some(list)),
+            EndpointSource::Watch { discovery, known, at_once } => (Some(discovery), known, at_once, None),
+            EndpointSource::Fixed(list) => (None, None, false, Some(list)),
         };
         let mut core = Self {
             pushed: setup.settings.discovery == Discovery::Push,
             full_unproven: setup.settings.rejection_may_execute,
             advice: setup.settings.retry_after_hint(),
             balancer: Balancer::new(setup.settings, setup.seed),
-            roster: Roster::new(setup.zones, setup.transport, setup.hands),
+            roster: EndpointDirectory::new(setup.zones, setup.transport, setup.hands),
             messages,
             to_self,
             clock: setup.clock,
@@ -135,13 +135,13 @@
             timers: BTreeSet::new(),
             events: VecDeque::new(),
             open: FxHashMap::default(),
-            watch: Watch::new(discovery),
+            watch: WatchTask::new(discovery),
             handles,
             retired: false,
             learned: setup.learned,
-            stalls: Stalls::default(),
+            stalls: StallDetector::default(),
         };
-        core.timers.insert((core.now() + SWEEP, Due::Sweep));
+        core.timers.insert((core.now() + SWEEP, TimerKind::Sweep));
         if let Some(list) = fixed {
             core.set_servers(list);
             return (core, handle);
@@ -213,7 +213,7 @@
         while let Some(event) = self.events.pop_front() {
             let listed = matches!(event, Event::EndpointsUpdated(_));
             let now = self.now();
-            self.balancer.record_every_decision(self.tap.as_ref().is_some_and(Tap::is_on));
+            self.balancer.record_every_decision(self.tap.as_ref().is_some_and(RecorderSink::is_on));
             self.balancer.handle(now, event, &mut actions);
             for note in self.balancer.decision_events() {
                 if note.is_logged() {
@@ -224,8 +224,9 @@
                 }
             }
             let now = self.now();
-            if let Some(learned) = self.learned.take_if(|learned| listed || learned.age(now) > WORTH)
-                && learned.age(now) <= WORTH
+            if let Some(learned) =
+                self.learned.take_if(|learned| listed || learned.age(now) > WARM_STATE_MAX_AGE)
+                && learned.age(now) <= WARM_STATE_MAX_AGE
             {
                 self.balancer.restore_warm_state(&learned, now);
                 self.learned = Some(learned);
@@ -256,22 +257,22 @@
             }
             self.timers.pop_first();
             match due {
-                Due::Timer(token) => self.events.push_back(Event::TimerFired(TimerToken(token))),
-                Due::Overdue(_) if !self.messages.is_empty() => {
+                TimerKind::Timer(token) => self.events.push_back(Event::TimerFired(TimerToken(token))),
+                TimerKind::Overdue(_) if !self.messages.is_empty() => {
                     // Its answer may be among what was told before: a loop that is late must not throw that away.
                     self.timers.insert((at, due));
                     self.hear();
                 }
-                Due::Overdue(id) => match self.later(RequestId(id)) {
+                TimerKind::Overdue(id) => match self.later(RequestId(id)) {
                     Some(later) => drop(self.timers.insert((later, due))),
                     None => self.on_overdue(RequestId(id)),
                 },
-                Due::Sweep => {
+                TimerKind::Sweep => {
                     self.roster.transport().sweep();
-                    self.timers.insert((self.now() + SWEEP, Due::Sweep));
+                    self.timers.insert((self.now() + SWEEP, TimerKind::Sweep));
                 }
-                Due::Subscribe => self.ask_for_list(),
-                Due::Empty => self.set_servers(List { whole: true, ..List::default() }),
+                TimerKind::Subscribe => self.ask_for_list(),
+                TimerKind::Empty => self.set_servers(EndpointList { whole: true, ..EndpointList::default() }),
             }
             self.feed();
         }
@@ -286,23 +287,23 @@
         }
     }
 
-    fn on_message(&mut self, message: Message) {
+    fn on_message(&mut self, message: PoolMessage) {
         match message {
-            Message::Request(id, ask, arrived, answer, name) => {
+            PoolMessage::Request(id, ask, arrived, answer, name) => {
                 self.on_request(id, *ask, arrived, answer, name);
             }
-            Message::ClientGone(id) => self.on_client_gone(id),
-            Message::Ended { id, attempt, server, sent, end } => {
+            PoolMessage::ClientGone(id) => self.on_client_gone(id),
+            PoolMessage::Ended { id, attempt, server, sent, end } => {
                 self.on_ended(id, attempt, server, sent, end)
             }
-            Message::Began(id, attempt, served) => {
+            PoolMessage::Began(id, attempt, served) => {
                 // Another copy may have been faster; this one is then dropped, which ends it.
                 self.tell(&Told::Began { id, attempt });
-                if self.answer(id, Answer::Served(served)) {
+                if self.answer(id, FinalResponse::Served(served)) {
                     self.events.push_back(Event::ResponseStarted { id, attempt });
                 }
             }
-            Message::List(watch, list) => {
+            PoolMessage::List(watch, list) => {
                 // What an earlier watch said last is old news.
                 if self.watch.is_current(watch)
                     && let Err(error) = self.on_list(list, false)
@@ -310,49 +311,49 @@
                     self.on_watch_ended(watch, &WatchError::List(error.to_string()));
                 }
             }
-            Message::WatchEnded(watch, error) => self.on_watch_ended(watch, &error),
-            Message::Moved(address) => {
+            PoolMessage::WatchEnded(watch, error) => self.on_watch_ended(watch, &error),
+            PoolMessage::Moved(address) => {
                 if self.watch.moves(address) {
                     // Another service's versions mean nothing to this one: the whole list is asked for.
                     self.roster.seq = 0;
                     self.subscribe();
                 }
             }
-            Message::Servers(mut list) => {
+            PoolMessage::Servers(mut list) => {
                 self.roster.date(&mut list, self.now() / 1_000_000);
                 self.set_servers(list);
             }
-            Message::Retune(settings) => {
+            PoolMessage::Retune(settings) => {
                 if !self.balancer.update_settings(*settings) {
                     warn!(target: "settings", "settings that can't be changed in place are not used");
                 }
             }
-            Message::Sharing(sharing) => {
+            PoolMessage::Sharing(sharing) => {
                 self.tell(&Told::Sharing { nodes: sharing.node_count, number: sharing.node_index });
                 self.events.push_back(Event::NodeShare(sharing));
             }
-            Message::Retire { gone } => {
+            PoolMessage::Retire { gone } => {
                 self.retired = true;
                 self.watch.stop();
                 if gone {
-                    self.timers.insert((self.now() + GRACE, Due::Empty));
+                    self.timers.insert((self.now() + GRACE, TimerKind::Empty));
                 }
             }
-            Message::Restate(names) => {
+            PoolMessage::Restate(names) => {
                 if let Some(change) = self.roster.restate(&names) {
                     self.list(change);
                 }
             }
-            Message::Look(reply) => {
+            PoolMessage::Look(reply) => {
                 let ids = self.roster.ids();
                 let listed = ids.clone().count();
                 let unavailable =
                     ids.filter(|&id| !self.roster.is_ready(id) || self.balancer.avoids(id)).count();
                 // Whoever asked may have gone.
-                let _ = reply.send(Members { listed, unavailable });
+                let _ = reply.send(EndpointCounts { listed, unavailable });
             }
-            Message::Learned(reply) => drop(reply.send(self.balancer.warm_state(self.now()))),
-            Message::GiveUp => {
+            PoolMessage::Learned(reply) => drop(reply.send(self.balancer.warm_state(self.now()))),
+            PoolMessage::GiveUp => {
                 let open: Vec<_> = self.open.keys().copied().collect();
                 for id in open {
                     self.on_overdue(id);
@@ -387,8 +388,8 @@
         self.watch.stop();
         warn!(target: "discovery", "watch lost: {error}");
         if self.pushed {
-            let pause = AGENT_PAUSE.as_nanos() as Nanos;
-            self.timers.insert((self.now() + pause, Due::Subscribe));
+            let pause = AGENT_RETRY_DELAY.as_nanos() as Nanos;
+            self.timers.insert((self.now() + pause, TimerKind::Subscribe));
         } else {
             self.events.push_back(Event::EndpointsUpdated(EndpointUpdate::WatchFailed));
         }
@@ -402,14 +403,14 @@
         self.events.push_back(Event::EndpointsUpdated(change));
     }
 
-    fn on_list(&mut self, list: List, cached: bool) -> Result<(), UnknownSite> {
+    fn on_list(&mut self, list: EndpointList, cached: bool) -> Result<(), UnknownZoneError> {
         let change = self.roster.apply(list, cached)?;
         self.list(change);
         Ok(())
     }
 
     /// Takes the servers of the configuration, whose zones are known.
-    fn set_servers(&mut self, list: List) {
+    fn set_servers(&mut self, list: EndpointList) {
         if let Err(error) = self.on_list(list, false) {
             warn!(target: "settings", "the servers of the configuration are not used: {error}");
         }
--- a/crates/node/src/net/pool_loop/requests.rs
+++ b/crates/node/src/net/pool_loop/requests.rs
@@ -11,21 +11,21 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::net::endpoint_directory::hash;
-use crate::net::exchange::{Answer, Ask};
-use crate::net::pool_handle::Name;
-use crate::net::pool_loop::in_flight::{Due, Open};
-use crate::net::pool_loop::{Core, OVERDUE};
-use crate::net::upstream::transport::End;
+use crate::net::endpoint_directory::unseeded_hash;
+use crate::net::exchange::{FinalResponse, ProxyRequest};
+use crate::net::pool_handle::RequestIdGuard;
+use crate::net::pool_loop::in_flight::{InFlightRequest, TimerKind};
+use crate::net::pool_loop::{OVERDUE, PoolLoop};
+use crate::net::upstream::transport::AttemptResult;
 
-impl Core {
+impl PoolLoop {
     pub(super) fn on_request(
         &mut self,
         id: RequestId,
-        ask: Ask,
+        ask: ProxyRequest,
         arrived: Instant,
-        answer: oneshot::Sender<Answer>,
-        name: Rc<Name>,
+        answer: oneshot::Sender<FinalResponse>,
+        name: Rc<RequestIdGuard>,
     ) {
         let deadline = self.clock.at(arrived) + ask.left.as_nanos() as Nanos;
         if let Some(tap) = self.tap.as_ref().filter(|tap| tap.is_on()) {
@@ -39,9 +39,9 @@
                 revision: ask.revision,
             });
         }
-        let overdue = (deadline + OVERDUE, Due::Overdue(id.0));
+        let overdue = (deadline + OVERDUE, TimerKind::Overdue(id.0));
         self.timers.insert(overdue);
-        let open = Open {
+        let open = InFlightRequest {
             call: Rc::new(ask.call),
             answer: Some(answer),
             deadline,
@@ -56,13 +56,13 @@
             class: ClassId(ask.class as u16),
             tenant: ask.tenant,
             cost_hint: ask.hint.filter(|&hint| hint > 0),
-            key: ask.key.map(|key| hash(&key)),
+            key: ask.key.map(|key| unseeded_hash(&key)),
             deadline,
         }));
     }
 
     /// Gives the final answer, once; tells whether it was this one.
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) -> bool {
+    pub(super) fn answer(&mut self, id: RequestId, answer: FinalResponse) -> bool {
         let Some(open) = self.open.get_mut(&id) else { return false };
         let Some(sender) = open.answer.take() else { return false };
         open.call.over.set(true);
@@ -74,7 +74,7 @@
     }
 
     fn free(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(Open::is_over) {
+        if self.open.get(&id).is_some_and(InFlightRequest::is_over) {
             let timers = self.open.remove(&id).map_or_else(Vec::new, |open| open.timers);
             for timer in timers {
                 self.timers.remove(&timer);
@@ -83,7 +83,7 @@
     }
 
     pub(super) fn arm(&mut self, at: Nanos, token: TimerToken) {
-        let timer = (at, Due::Timer(token.0));
+        let timer = (at, TimerKind::Timer(token.0));
         if let Some(id) = token.request() {
             // Of one that is over it would do nothing.
             let Some(open) = self.open.get_mut(&id) else { return };
@@ -93,7 +93,7 @@
     }
 
     pub(super) fn on_client_gone(&mut self, id: RequestId) {
-        if self.answer(id, Answer::Left) {
+        if self.answer(id, FinalResponse::Left) {
             self.events.push_back(Event::ClientDisconnected(id));
         }
     }
@@ -115,20 +115,20 @@
         let Some(upload) = open.call.rest.as_ref().filter(|upload| upload.is_bound()) else { return };
         let (again, broken) = (outcome.never_executed(self.full_unproven), upload.is_broken());
         let too_long = upload.is_too_long();
-        let error = open.error.take().map(Answer::Served);
+        let error = open.error.take().map(FinalResponse::Served);
         let given = error.unwrap_or(match outcome {
-            _ if too_long => Answer::TooLong,
-            _ if broken => Answer::Broken,
-            _ if again => Answer::Refused(self.advice),
-            AttemptOutcome::TimedOut => Answer::Late,
-            _ => Answer::Failed,
+            _ if too_long => FinalResponse::TooLong,
+            _ if broken => FinalResponse::Broken,
+            _ if again => FinalResponse::Refused(self.advice),
+            AttemptOutcome::TimedOut => FinalResponse::Late,
+            _ => FinalResponse::Failed,
         });
         self.answer(id, given);
     }
 
     /// The answer is past due, or the process is about to end.
     pub(super) fn on_overdue(&mut self, id: RequestId) {
-        if self.answer(id, Answer::Late) {
+        if self.answer(id, FinalResponse::Late) {
             self.events.push_back(Event::ClientDisconnected(id));
         }
     }
@@ -139,7 +139,7 @@
         attempt: AttemptNo,
         server: EndpointId,
         sent: Nanos,
-        End { outcome, answer, refused, took, dial, idle, short }: End,
+        AttemptResult { outcome, answer, refused, took, dial, idle, short }: AttemptResult,
     ) {
         let took = took.map_or_else(|| self.now().saturating_sub(sent), |took| took.as_nanos() as Nanos);
         let dial = dial.as_nanos() as Nanos;
@@ -155,7 +155,7 @@
         }
         match answer {
             Some(served) if outcome == AttemptOutcome::Success => {
-                self.answer(id, Answer::Served(served));
+                self.answer(id, FinalResponse::Served(served));
             }
             Some(error) => {
                 if let Some(open) = self.open.get_mut(&id) {
@@ -192,14 +192,14 @@
 }
 
 /// How an answer ends a request.
-fn how(answer: &Answer) -> How {
+fn how(answer: &FinalResponse) -> How {
     match answer {
-        Answer::Served(served) if served.status.is_server_error() => How::ServedFault,
-        Answer::Served(_) => How::Served,
-        Answer::Refused(_) => How::Refused,
-        Answer::Failed => How::Failed,
-        Answer::Late => How::Late,
-        Answer::Broken | Answer::TooLong => How::Body,
-        Answer::Left => How::Left,
+        FinalResponse::Served(served) if served.status.is_server_error() => How::ServedFault,
+        FinalResponse::Served(_) => How::Served,
+        FinalResponse::Refused(_) => How::Refused,
+        FinalResponse::Failed => How::Failed,
+        FinalResponse::Late => How::Late,
+        FinalResponse::Broken | FinalResponse::TooLong => How::Body,
+        FinalResponse::Left => How::Left,
     }
 }
--- a/crates/node/src/net/pool_loop/stall.rs
+++ b/crates/node/src/net/pool_loop/stall.rs
@@ -11,12 +11,12 @@
 
 /// The delays seen so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Stalls {
+pub struct StallDetector {
     /// When the last one ended, and how long it took.
     last: Option<(Nanos, Nanos)>,
 }
 
-impl Stalls {
+impl StallDetector {
     /// The loop got no further from one time to another, and should have: for how long it has stood still, where it has.
     pub fn seen(&mut self, from: Nanos, to: Nanos) -> Option<Nanos> {
         let span = to.saturating_sub(from);
--- a/crates/node/src/net/pool_message.rs
+++ b/crates/node/src/net/pool_message.rs
@@ -8,14 +8,14 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::net::discovery::{List, WatchError};
-use crate::net::exchange::{Answer, Ask, Served};
-use crate::net::pool_handle::Name;
-use crate::net::upstream::transport::End;
+use crate::net::discovery::{EndpointList, WatchError};
+use crate::net::exchange::{FinalResponse, ProxyRequest, UpstreamResponse};
+use crate::net::pool_handle::RequestIdGuard;
+use crate::net::upstream::transport::AttemptResult;
 
 /// Servers in the list.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Members {
+pub struct EndpointCounts {
     /// All of them.
     pub listed: usize,
     /// Those that get nothing new, by hand or by choice.
@@ -23,22 +23,22 @@
 }
 
 /// What a loop is told.
-pub(in crate::net) enum Message {
-    Request(RequestId, Box<Ask>, Instant, oneshot::Sender<Answer>, Rc<Name>),
+pub(in crate::net) enum PoolMessage {
+    Request(RequestId, Box<ProxyRequest>, Instant, oneshot::Sender<FinalResponse>, Rc<RequestIdGuard>),
     ClientGone(RequestId),
     /// An answer begins to pass through.
-    Began(RequestId, AttemptNo, Served),
+    Began(RequestId, AttemptNo, UpstreamResponse),
     Ended {
         id: RequestId,
         attempt: AttemptNo,
         server: EndpointId,
         sent: Nanos,
-        end: End,
+        end: AttemptResult,
     },
-    List(u64, List),
+    List(u64, EndpointList),
     WatchEnded(u64, WatchError),
     Moved(SocketAddr),
-    Servers(List),
+    Servers(EndpointList),
     Retune(Box<Settings>),
     /// So many nodes share the servers.
     Sharing(NodeShare),
@@ -48,6 +48,6 @@
     GiveUp,
     /// The book of servers taken out has changed for these.
     Restate(Vec<String>),
-    Look(oneshot::Sender<Members>),
+    Look(oneshot::Sender<EndpointCounts>),
     Learned(oneshot::Sender<WarmState>),
 }
--- a/crates/node/src/net/recorder_sink.rs
+++ b/crates/node/src/net/recorder_sink.rs
@@ -15,19 +15,19 @@
 
 /// A node's recorder; all that tell it something are on one thread.
 #[derive(Clone)]
-pub struct Shared(Rc<SharedState>);
+pub struct SharedRecorder(Rc<SharedRecorderState>);
 
-struct SharedState {
+struct SharedRecorderState {
     recorder: RefCell<Recorder>,
     /// As in the recorder, to be read without a borrow.
     level: Cell<Level>,
 }
 
-impl Shared {
+impl SharedRecorder {
     /// Around a recorder.
     pub fn new(recorder: Recorder) -> Self {
         let level = Cell::new(recorder.level());
-        Self(Rc::new(SharedState { recorder: RefCell::new(recorder), level }))
+        Self(Rc::new(SharedRecorderState { recorder: RefCell::new(recorder), level }))
     }
 
     /// How much is recorded from now on.
@@ -44,16 +44,16 @@
 
 /// A pool's way to the recorder.
 #[derive(Clone)]
-pub struct Tap {
-    shared: Shared,
+pub struct RecorderSink {
+    shared: SharedRecorder,
     clock: Clock,
     pool: PoolId,
     listed: Rc<RefCell<FxHashMap<EndpointId, Listed>>>,
 }
 
-impl Tap {
+impl RecorderSink {
     /// For a pool.
-    pub fn new(shared: &Shared, clock: Clock, pool: PoolId) -> Self {
+    pub fn new(shared: &SharedRecorder, clock: Clock, pool: PoolId) -> Self {
         Self { shared: shared.clone(), clock, pool, listed: Rc::default() }
     }
 
--- a/crates/node/src/net/response_body.rs
+++ b/crates/node/src/net/response_body.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 use tracing::warn;
 
-use crate::net::memory_budget::Part;
+use crate::net::memory_budget::Reservation;
 
 /// How often a stream is looked over.
 const LOOK: Duration = Duration::from_millis(100);
@@ -36,7 +36,7 @@
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum StreamEnd {
     /// All of it has been passed on.
     Whole,
     /// The server broke off or was given up.
@@ -46,16 +46,16 @@
 }
 
 /// A body.
-pub enum Body {
+pub enum ResponseBody {
     /// All of it.
     Whole(Bytes),
     /// As it comes.
-    Stream(Box<Stream>),
+    Stream(Box<StreamedBody>),
 }
 
-impl Body {
+impl ResponseBody {
     /// What to do at the end of one that passes through; nothing for a whole one.
-    pub fn at_end(&mut self, hook: impl FnOnce(Ended) + 'static) {
+    pub fn at_end(&mut self, hook: impl FnOnce(StreamEnd) + 'static) {
         if let Self::Stream(stream) = self {
             stream.hooks.push(Box::new(hook));
         }
@@ -74,41 +74,46 @@
     }
 }
 
-impl From<Bytes> for Body {
+impl From<Bytes> for ResponseBody {
     fn from(bytes: Bytes) -> Self {
         Self::Whole(bytes)
     }
 }
 
 /// What is told when a stream ends.
-type Hook = Box<dyn FnOnce(Ended)>;
+type EndHook = Box<dyn FnOnce(StreamEnd)>;
 
 /// An answer that passes through.
-pub struct Stream {
+pub struct StreamedBody {
     first: Option<Bytes>,
     rest: Incoming,
     /// The stated length.
     length: Option<u64>,
-    passing: Rc<Passing>,
-    hooks: Vec<Hook>,
+    passing: Rc<StreamProgress>,
+    hooks: Vec<EndHook>,
     /// What its buffers take.
-    _part: Part,
+    _part: Reservation,
 }
 
 /// What those who wait beside a stream know of it.
-pub struct Passing {
+pub struct StreamProgress {
     pace: RefCell<Pace>,
-    ended: Cell<Option<Ended>>,
+    ended: Cell<Option<StreamEnd>>,
     /// The server's part is done, or the stream has ended.
     free: Notify,
     given_up: Cell<bool>,
     cut: RefCell<Option<Box<dyn Fn()>>>,
 }
 
-impl Stream {
+impl StreamedBody {
     /// Begins to pass on an answer whose start has come.
-    pub fn new(first: Bytes, rest: Incoming, length: Option<u64>, part: Part) -> (Self, Rc<Passing>) {
-        let passing = Rc::new(Passing {
+    pub fn new(
+        first: Bytes,
+        rest: Incoming,
+        length: Option<u64>,
+        part: Reservation,
+    ) -> (Self, Rc<StreamProgress>) {
+        let passing = Rc::new(StreamProgress {
             pace: RefCell::new(Pace::new(RULES, Instant::now())),
             ended: Cell::new(None),
             free: Notify::new(),
@@ -120,7 +125,7 @@
         (Self { first, rest, length, passing: passing.clone(), hooks: Vec::new(), _part: part }, passing)
     }
 
-    fn finish(&mut self, how: Ended) {
+    fn finish(&mut self, how: StreamEnd) {
         if self.passing.ended.get().is_none() {
             self.passing.ended.set(Some(how));
             self.passing.free.notify_one();
@@ -129,16 +134,16 @@
     }
 }
 
-impl Drop for Stream {
+impl Drop for StreamedBody {
     fn drop(&mut self) {
         let whole = self.rest.is_end_stream() && self.first.is_none();
-        self.finish(if whole { Ended::Whole } else { Ended::Left });
+        self.finish(if whole { StreamEnd::Whole } else { StreamEnd::Left });
     }
 }
 
-impl Passing {
+impl StreamProgress {
     /// Waits until the server's part is done; how the stream ended, if it has.
-    pub async fn server_done(&self) -> Option<Ended> {
+    pub async fn server_done(&self) -> Option<StreamEnd> {
         self.free.notified().await;
         self.ended.get()
     }
@@ -171,7 +176,7 @@
     }
 }
 
-impl HttpBody for Body {
+impl HttpBody for ResponseBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -203,10 +208,10 @@
     }
 }
 
-impl Stream {
+impl StreamedBody {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         if self.passing.given_up.get() {
-            self.finish(Ended::Broken);
+            self.finish(StreamEnd::Broken);
             return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
         }
         if let Some(first) = self.first.take() {
@@ -222,11 +227,11 @@
                     Poll::Pending
                 }
                 Poll::Ready(None) => {
-                    self.finish(Ended::Whole);
+                    self.finish(StreamEnd::Whole);
                     Poll::Ready(None)
                 }
                 Poll::Ready(Some(Err(error))) => {
-                    self.finish(Ended::Broken);
+                    self.finish(StreamEnd::Broken);
                     Poll::Ready(Some(Err(io::Error::other(error))))
                 }
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
--- a/crates/node/src/net/upstream/connection_registry.rs
+++ b/crates/node/src/net/upstream/connection_registry.rs
@@ -15,17 +15,17 @@
 const LEAST_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// One of the descriptors that servers may use.
-pub struct Place(Rc<Cell<usize>>);
+pub struct ConnectionPermit(Rc<Cell<usize>>);
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 /// A server's idle connections.
-pub trait Idle {
-    /// Whether it is among the servers with idle connections; [`Connections`] alone changes it.
+pub trait IdleConnections {
+    /// Whether it is among the servers with idle connections; [`ConnectionRegistry`] alone changes it.
     fn registered(&self) -> &Cell<bool>;
 
     /// Since when the longest idle one is so; `None` where there is none.
@@ -39,15 +39,15 @@
 }
 
 /// Connections of all pools.
-pub struct Connections {
+pub struct ConnectionRegistry {
     places: usize,
     used: Rc<Cell<usize>>,
     /// Servers with idle connections.
-    servers: RefCell<Vec<Rc<dyn Idle>>>,
+    servers: RefCell<Vec<Rc<dyn IdleConnections>>>,
     last_sweep: Cell<Option<Instant>>,
 }
 
-impl Connections {
+impl ConnectionRegistry {
     /// At most so many.
     pub fn new(places: usize) -> Rc<Self> {
         Rc::new(Self {
@@ -59,18 +59,18 @@
     }
 
     /// A place for one more. Where there is none, the longest idle one makes way.
-    pub fn place(&self) -> Option<Place> {
+    pub fn place(&self) -> Option<ConnectionPermit> {
         if self.used.get() >= self.places {
             let servers = self.servers.borrow();
             let idle = servers.iter().filter_map(|server| Some((server.longest()?, server)));
             idle.min_by_key(|(since, _)| *since)?.1.shed();
         }
         self.used.set(self.used.get() + 1);
-        Some(Place(self.used.clone()))
+        Some(ConnectionPermit(self.used.clone()))
     }
 
     /// A server has idle connections.
-    pub fn register<T: Idle + 'static>(&self, server: &Rc<T>) {
+    pub fn register<T: IdleConnections + 'static>(&self, server: &Rc<T>) {
         // With every answer: a search among a thousand servers would cost more than the rest.
         if !server.registered().replace(true) {
             self.servers.borrow_mut().push(server.clone());
--- a/crates/node/src/net/upstream/fastcgi/connection.rs
+++ b/crates/node/src/net/upstream/fastcgi/connection.rs
@@ -16,12 +16,12 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::warn;
 
-use crate::net::counting_stream::{Link, Unread};
-use crate::net::exchange::Served;
+use crate::net::counting_stream::{CountingStream, UnreadState};
+use crate::net::exchange::UpstreamResponse;
 use crate::net::header_fields;
-use crate::net::memory_budget::{Part, SHORT};
-use crate::net::upstream::connection_registry::Place;
-use crate::net::upstream::fastcgi::outcome::{Ending, Got};
+use crate::net::memory_budget::{Reservation, SMALL_BODY_BYTES};
+use crate::net::upstream::connection_registry::ConnectionPermit;
+use crate::net::upstream::fastcgi::outcome::{FastCgiEnding, ResponseProgress};
 use crate::net::upstream::transport;
 
 /// Bytes that are read at once.
@@ -34,7 +34,7 @@
 const STDERR_SHOWN: usize = 200;
 
 /// A request for a connection.
-pub struct Job {
+pub struct FastCgiRequest {
     /// Variables.
     pub params: Vec<(Bytes, Bytes)>,
     /// Body.
@@ -44,21 +44,21 @@
     /// Longest body of an answer.
     pub longest: u64,
     /// Memory for a long one.
-    pub part: Part,
+    pub part: Reservation,
     /// How it ended.
-    pub end: oneshot::Sender<transport::End>,
+    pub end: oneshot::Sender<transport::AttemptResult>,
     /// Set once a byte of it may have been written.
     pub begun: Rc<Cell<bool>>,
 }
 
-enum Order {
-    Request(u64, Job),
+enum ConnectionCommand {
+    Request(u64, FastCgiRequest),
     Abort(u64),
 }
 
 /// What a connection's owner sees of it.
-pub struct Shared {
-    orders: mpsc::UnboundedSender<Order>,
+pub struct FastCgiConnection {
+    orders: mpsc::UnboundedSender<ConnectionCommand>,
     /// Requests on it that have not ended.
     pub open: Cell<usize>,
     /// It takes no more.
@@ -68,45 +68,46 @@
     close: Notify,
     next: Cell<u64>,
     /// To ask the kernel by, while it is open.
-    link: RefCell<Option<Link>>,
+    link: RefCell<Option<CountingStream>>,
 }
 
 /// An attempt on a connection; dropped before its end, it is aborted.
-pub struct Ticket {
-    connection: Rc<Shared>,
+pub struct AbortGuard {
+    connection: Rc<FastCgiConnection>,
     number: u64,
     over: bool,
 }
 
-impl Ticket {
+impl AbortGuard {
     /// The attempt has ended.
     pub fn done(mut self) {
         self.over = true;
     }
 }
 
-impl Drop for Ticket {
+impl Drop for AbortGuard {
     fn drop(&mut self) {
         if !self.over {
-            let _ = self.connection.orders.send(Order::Abort(self.number));
+            let _ = self.connection.orders.send(ConnectionCommand::Abort(self.number));
         }
     }
 }
 
-impl Shared {
+impl FastCgiConnection {
     /// Sends a request. One that comes to a connection which has just ended is told that it never began.
-    pub fn send(self: &Rc<Self>, job: Job) -> Ticket {
+    pub fn send(self: &Rc<Self>, job: FastCgiRequest) -> AbortGuard {
         let number = self.next.get();
         self.next.set(number + 1);
         self.open.set(self.open.get() + 1);
         // Where the task has ended, dropping the job tells so.
-        let _ = self.orders.send(Order::Request(number, job));
-        Ticket { connection: self.clone(), number, over: false }
+        let _ = self.orders.send(ConnectionCommand::Request(number, job));
+        AbortGuard { connection: self.clone(), number, over: false }
     }
 
     /// Whether a request may be sent on it. The kernel is asked, not the loop, which may not have seen the latest yet.
     pub fn is_open(&self) -> bool {
-        !self.closed.get() && self.link.borrow().as_ref().is_some_and(|link| link.unread() != Unread::End)
+        !self.closed.get()
+            && self.link.borrow().as_ref().is_some_and(|link| link.unread() != UnreadState::End)
     }
 
     /// Closes it, now if it is idle, or else after its last request.
@@ -117,9 +118,9 @@
 }
 
 /// A request that has been sent, or is being.
-struct Sent {
+struct PendingRequest {
     number: u64,
-    job: Job,
+    job: FastCgiRequest,
     head: HeadReader,
     answer: Option<AnswerHead>,
     body: BytesMut,
@@ -130,18 +131,18 @@
 }
 
 /// The task of a connection.
-pub struct Driver {
+pub struct ConnectionDriver {
     /// One socket; clones of it read, write and look.
-    reader: Link,
-    writer: Link,
-    shared: Rc<Shared>,
-    orders: mpsc::UnboundedReceiver<Order>,
+    reader: CountingStream,
+    writer: CountingStream,
+    shared: Rc<FastCgiConnection>,
+    orders: mpsc::UnboundedReceiver<ConnectionCommand>,
     client: Client,
     out: VecDeque<Bytes>,
     /// Bytes that were put out and written.
     put: u64,
     written: u64,
-    sent: HashMap<RequestId, Sent>,
+    sent: HashMap<RequestId, PendingRequest>,
     /// When the first aborted request was, of those that have not ended.
     aborted: HashMap<RequestId, Instant>,
     values: Option<oneshot::Sender<Values>>,
@@ -149,12 +150,12 @@
     multiplexes: Rc<Cell<bool>>,
     name: Rc<str>,
     told: Rc<Cell<Option<Instant>>>,
-    _place: Place,
+    _place: ConnectionPermit,
 }
 
 /// What drivers of a server share.
 #[derive(Clone)]
-pub struct Common {
+pub struct DriverContext {
     /// A connection may carry several requests at once.
     pub multiplexes: Rc<Cell<bool>>,
     /// For the log.
@@ -163,16 +164,16 @@
     pub told: Rc<Cell<Option<Instant>>>,
 }
 
-impl Driver {
+impl ConnectionDriver {
     /// A connection that has come up. `values` asks what the application is able to do.
     pub fn new(
-        link: Link,
-        common: Common,
-        place: Place,
+        link: CountingStream,
+        common: DriverContext,
+        place: ConnectionPermit,
         values: Option<oneshot::Sender<Values>>,
-    ) -> (Self, Rc<Shared>) {
+    ) -> (Self, Rc<FastCgiConnection>) {
         let (to, orders) = mpsc::unbounded_channel();
-        let shared = Rc::new(Shared {
+        let shared = Rc::new(FastCgiConnection {
             orders: to,
             open: Cell::new(0),
             closed: Cell::new(false),
@@ -219,15 +220,15 @@
             let far = Instant::now() + ABORT_GRACE;
             tokio::select! {
                 order = self.orders.recv() => match order {
-                    Some(Order::Request(number, job)) => {
+                    Some(ConnectionCommand::Request(number, job)) => {
                         // A request that is written behind the end of a kept connection may have run, for all
                         // that can be known.
-                        if self.sent.is_empty() && self.reader.unread() == Unread::End {
+                        if self.sent.is_empty() && self.reader.unread() == UnreadState::End {
                             break;
                         }
                         self.request(number, job);
                     }
-                    Some(Order::Abort(number)) => if self.abort(number).await { break },
+                    Some(ConnectionCommand::Abort(number)) => if self.abort(number).await { break },
                     None => break,
                 },
                 read = self.reader.read(&mut input) => match read {
@@ -263,13 +264,13 @@
         }
     }
 
-    fn request(&mut self, number: u64, job: Job) {
+    fn request(&mut self, number: u64, job: FastCgiRequest) {
         if job.end.is_closed() {
             return self.less();
         }
         let mut out = BytesMut::with_capacity(job.body.len() + 1_024);
         let Some(id) = self.client.begin(&mut out, true) else {
-            let _ = job.end.send(transport::End::of(AttemptOutcome::Rejected));
+            let _ = job.end.send(transport::AttemptResult::of(AttemptOutcome::Rejected));
             return self.less();
         };
         self.client.params(&mut out, id, job.params.iter().map(|(name, value)| (&name[..], &value[..])));
@@ -277,7 +278,7 @@
         self.client.stdin_end(&mut out, id);
         job.begun.set(true);
         self.put(out);
-        let sent = Sent {
+        let sent = PendingRequest {
             number,
             job,
             head: HeadReader::default(),
@@ -374,18 +375,18 @@
         self.shared.link.take();
         for (_, sent) in std::mem::take(&mut self.sent) {
             // What was put out and not written never arrived.
-            let broken = Ending::Broken { sent: self.written >= sent.whole_at };
+            let broken = FastCgiEnding::Broken { sent: self.written >= sent.whole_at };
             self.less();
-            let _ = sent.job.end.send(transport::End::of(broken.verdict().outcome));
+            let _ = sent.job.end.send(transport::AttemptResult::of(broken.verdict().outcome));
         }
     }
 }
 
-async fn write(link: &mut Link, bytes: Option<&Bytes>) -> std::io::Result<usize> {
+async fn write(link: &mut CountingStream, bytes: Option<&Bytes>) -> std::io::Result<usize> {
     link.write(bytes.map_or(&[], |bytes| &bytes[..])).await
 }
 
-impl Sent {
+impl PendingRequest {
     fn take(&mut self, part: &[u8]) {
         self.nothing = false;
         if self.spoilt {
@@ -416,8 +417,8 @@
             return;
         }
         let size = self.body.len() + part.len();
-        let room =
-            size <= SHORT.max(self.job.part.size()) || self.job.part.grow(size.next_multiple_of(SHORT));
+        let room = size <= SMALL_BODY_BYTES.max(self.job.part.size())
+            || self.job.part.grow(size.next_multiple_of(SMALL_BODY_BYTES));
         if size as u64 > self.job.longest || !room {
             self.spoilt = true;
             self.body = BytesMut::new();
@@ -429,24 +430,24 @@
     fn finish(mut self, end: End) {
         let mut stated = None;
         let got = match &self.answer {
-            _ if self.nothing => Got::Nothing,
-            None => Got::Spoilt,
-            Some(_) if self.spoilt => Got::Spoilt,
+            _ if self.nothing => ResponseProgress::Nothing,
+            None => ResponseProgress::Spoilt,
+            Some(_) if self.spoilt => ResponseProgress::Spoilt,
             Some(head) => {
                 stated = head.headers.get(header::CONTENT_LENGTH).cloned();
                 let length =
                     stated.as_ref().map(|value| value.to_str().ok().and_then(|text| text.parse().ok()));
                 let fits = self.is_bodiless() || length.is_none_or(|length| length == Some(self.body.len()));
                 let unprocessed = head.headers.get("x-unprocessed").is_some_and(|value| value == "1");
-                let seen = crate::net::upstream::response_classification::Seen {
+                let seen = crate::net::upstream::response_classification::ResponseHead {
                     status: head.status,
                     unprocessed,
                     framed: true,
                 };
-                if fits { Got::Whole(seen) } else { Got::Spoilt }
+                if fits { ResponseProgress::Whole(seen) } else { ResponseProgress::Spoilt }
             }
         };
-        let verdict = Ending::Ended(end, got).verdict();
+        let verdict = FastCgiEnding::Ended(end, got).verdict();
         let bodiless = self.is_bodiless();
         let answer = self.answer.take().filter(|_| verdict.pass).map(|AnswerHead { status, mut headers }| {
             header_fields::strip_hop_by_hop(&mut headers);
@@ -454,11 +455,14 @@
             if let Some(length) = stated.filter(|_| bodiless && status != StatusCode::NO_CONTENT) {
                 headers.insert(header::CONTENT_LENGTH, length);
             }
-            Served { status, headers, body: self.job.part.keep(self.body.freeze()).into() }
+            UpstreamResponse { status, headers, body: self.job.part.keep(self.body.freeze()).into() }
         });
-        let _ = self.job.end.send(transport::End { answer, ..transport::End::of(verdict.outcome) });
+        let _ = self
+            .job
+            .end
+            .send(transport::AttemptResult { answer, ..transport::AttemptResult::of(verdict.outcome) });
     }
 }
 
 /// Connections of one server.
-pub type Pool = RefCell<Vec<Rc<Shared>>>;
+pub type Pool = RefCell<Vec<Rc<FastCgiConnection>>>;
--- a/crates/node/src/net/upstream/fastcgi/transport.rs
+++ b/crates/node/src/net/upstream/fastcgi/transport.rs
@@ -16,13 +16,19 @@
 use tokio::task;
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::net::counting_stream::Link;
-use crate::net::exchange::Call;
-use crate::net::memory_budget::Room;
-use crate::net::upstream::connection_registry::{Connections, IDLE_SHARE, Idle, Place};
-use crate::net::upstream::fastcgi::connection::{Common, Driver, Job, Pool, Shared};
-use crate::net::upstream::fastcgi::outcome::Ending;
-use crate::net::upstream::transport::{Attempt, Begin, End, Server, Times, Transport};
+use crate::net::counting_stream::CountingStream;
+use crate::net::exchange::UpstreamRequest;
+use crate::net::memory_budget::MemoryBudget;
+use crate::net::upstream::connection_registry::{
+    ConnectionPermit, ConnectionRegistry, IDLE_SHARE, IdleConnections,
+};
+use crate::net::upstream::fastcgi::connection::{
+    ConnectionDriver, DriverContext, FastCgiConnection, FastCgiRequest, Pool,
+};
+use crate::net::upstream::fastcgi::outcome::FastCgiEnding;
+use crate::net::upstream::transport::{
+    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, ResponseStarted, Transport,
+};
 
 /// Longest wait for what a server says of itself; one that says nothing takes one request a connection.
 const VALUES_WAIT: Duration = Duration::from_millis(250);
@@ -30,7 +36,7 @@
 const MOST_ON_ONE: usize = 64;
 
 /// What a pool's servers share.
-pub struct Settings {
+pub struct FastCgiSettings {
     /// A connection that is not up by then has failed.
     pub dial_timeout: Duration,
     /// Servers close idle connections after this.
@@ -38,7 +44,7 @@
     /// Longest body of an answer.
     pub longest: u64,
     /// Memory for long answers.
-    pub room: Arc<Room>,
+    pub room: Arc<MemoryBudget>,
     /// The part of paths that names the application.
     pub script: String,
     /// The folder of its files.
@@ -46,33 +52,33 @@
 }
 
 /// A pool's way to its servers.
-pub struct Upstream {
-    connections: Rc<Connections>,
-    settings: Rc<Settings>,
+pub struct FastCgiTransport {
+    connections: Rc<ConnectionRegistry>,
+    settings: Rc<FastCgiSettings>,
 }
 
-impl Upstream {
+impl FastCgiTransport {
     /// With the settings of a pool.
-    pub fn new(connections: Rc<Connections>, settings: Settings) -> Rc<Self> {
+    pub fn new(connections: Rc<ConnectionRegistry>, settings: FastCgiSettings) -> Rc<Self> {
         Rc::new(Self { connections, settings: Rc::new(settings) })
     }
 }
 
-impl Transport for Upstream {
-    fn server(&self, dial: &Address) -> Rc<dyn Server> {
-        Rc::new(FastCgiServer {
+impl Transport for FastCgiTransport {
+    fn server(&self, dial: &Address) -> Rc<dyn EndpointConnector> {
+        Rc::new(FastCgiConnector {
             connections: self.connections.clone(),
             settings: self.settings.clone(),
-            life: Rc::new(Life {
+            life: Rc::new(EndpointConnections {
                 dial: dial.clone(),
                 usable: Cell::new(true),
                 pool: Pool::default(),
                 idle_for: self.settings.conn_idle.mul_f64(IDLE_SHARE),
                 registered: Cell::new(false),
             }),
-            said: Cell::new(Said::NotAsked),
+            said: Cell::new(ServerValues::NotAsked),
             asking: Semaphore::new(1),
-            common: Common {
+            common: DriverContext {
                 multiplexes: Rc::new(Cell::new(false)),
                 name: dial.to_string().into(),
                 told: Rc::default(),
@@ -87,7 +93,7 @@
 
 /// What a server says of itself.
 #[derive(Clone, Copy)]
-enum Said {
+enum ServerValues {
     NotAsked,
     /// It closed or was silent: it is not asked again.
     Nothing,
@@ -95,7 +101,7 @@
 }
 
 /// A server's connections, and whether it may be used.
-struct Life {
+struct EndpointConnections {
     dial: Address,
     usable: Cell<bool>,
     pool: Pool,
@@ -103,17 +109,17 @@
     registered: Cell<bool>,
 }
 
-struct FastCgiServer {
-    connections: Rc<Connections>,
-    settings: Rc<Settings>,
-    life: Rc<Life>,
-    said: Cell<Said>,
+struct FastCgiConnector {
+    connections: Rc<ConnectionRegistry>,
+    settings: Rc<FastCgiSettings>,
+    life: Rc<EndpointConnections>,
+    said: Cell<ServerValues>,
     /// One connection at a time asks.
     asking: Semaphore,
-    common: Common,
+    common: DriverContext,
 }
 
-impl Idle for Life {
+impl IdleConnections for EndpointConnections {
     fn registered(&self) -> &Cell<bool> {
         &self.registered
     }
@@ -147,7 +153,7 @@
     }
 }
 
-impl Server for FastCgiServer {
+impl EndpointConnector for FastCgiConnector {
     fn dial(&self) -> &Address {
         &self.life.dial
     }
@@ -175,29 +181,34 @@
 
     fn attempt(
         self: Rc<Self>,
-        call: Rc<Call>,
-        times: Times,
+        call: Rc<UpstreamRequest>,
+        times: AttemptDeadlines,
         cancel: oneshot::Receiver<()>,
-        _: Begin,
-    ) -> Attempt {
+        _: ResponseStarted,
+    ) -> AttemptFuture {
         Box::pin(async move {
             let begun = Rc::new(Cell::new(false));
             tokio::select! {
                 biased;
                 done = self.exchange(&call, times, begun.clone()) => done,
                 // The sender is kept as long as the attempt is out; were it lost, nobody would wait.
-                _ = cancel => End::of(AttemptOutcome::Cancelled),
+                _ = cancel => AttemptResult::of(AttemptOutcome::Cancelled),
                 // A time-out before anything was written proves that nothing ran.
                 () = sleep_until(times.deadline) => {
-                    End::of(if begun.get() { AttemptOutcome::TimedOut } else { AttemptOutcome::NotSent })
+                    AttemptResult::of(if begun.get() { AttemptOutcome::TimedOut } else { AttemptOutcome::NotSent })
                 }
             }
         })
     }
 }
 
-impl FastCgiServer {
-    async fn exchange(&self, call: &Call, times: Times, begun: Rc<Cell<bool>>) -> End {
+impl FastCgiConnector {
+    async fn exchange(
+        &self,
+        call: &UpstreamRequest,
+        times: AttemptDeadlines,
+        begun: Rc<Cell<bool>>,
+    ) -> AttemptResult {
         let conn = match self.connection().await {
             Ok(conn) => conn,
             Err(end) => return end,
@@ -205,14 +216,14 @@
         // Dialling takes time: what was true when the attempt was decided need not be so now.
         let left = times.left(Instant::now());
         if left.is_zero() || !self.life.usable.get() || call.over.get() {
-            return End::of(AttemptOutcome::NotSent);
+            return AttemptResult::of(AttemptOutcome::NotSent);
         }
         let Some(params) = self.params(call, left) else {
             // Such a path is refused before it is sent here.
-            return End::of(AttemptOutcome::NotSent);
+            return AttemptResult::of(AttemptOutcome::NotSent);
         };
         let (end, ended) = oneshot::channel();
-        let job = Job {
+        let job = FastCgiRequest {
             params,
             body: call.body.clone(),
             method: call.method.clone(),
@@ -230,12 +241,12 @@
             // The connection ended as the request came to it: nothing of it was written.
             Err(_) => {
                 ticket.done();
-                End::of(Ending::Broken { sent: false }.verdict().outcome)
+                AttemptResult::of(FastCgiEnding::Broken { sent: false }.verdict().outcome)
             }
         }
     }
 
-    fn params(&self, call: &Call, left: Duration) -> Option<Vec<(Bytes, Bytes)>> {
+    fn params(&self, call: &UpstreamRequest, left: Duration) -> Option<Vec<(Bytes, Bytes)>> {
         let mut headers = call.headers.clone();
         headers.insert("x-time-left", format!("{}u", left.as_micros()).parse().ok()?);
         let around = Around {
@@ -254,7 +265,7 @@
     /// Requests that one connection may carry.
     fn most_on_one(&self) -> usize {
         match self.said.get() {
-            Said::Values(Values { multiplexes: Some(true), requests, .. }) => {
+            ServerValues::Values(Values { multiplexes: Some(true), requests, .. }) => {
                 requests.map_or(MOST_ON_ONE, |most| (most as usize).min(MOST_ON_ONE))
             }
             _ => 1,
@@ -262,11 +273,11 @@
     }
 
     /// A connection with room, or why there is none.
-    async fn connection(&self) -> Result<Rc<Shared>, End> {
-        if matches!(self.said.get(), Said::NotAsked) {
+    async fn connection(&self) -> Result<Rc<FastCgiConnection>, AttemptResult> {
+        if matches!(self.said.get(), ServerValues::NotAsked) {
             // The others wait for the one that asks, or each would.
             let _asking = self.asking.acquire().await;
-            if matches!(self.said.get(), Said::NotAsked) {
+            if matches!(self.said.get(), ServerValues::NotAsked) {
                 return self.ask().await;
             }
         }
@@ -279,11 +290,11 @@
             let free = pool.iter().filter(|conn| conn.open.get() < most);
             free.max_by_key(|conn| (conn.open.get(), conn.idle_since.get())).cloned()
         };
-        if let Said::Values(values) = self.said.get() {
+        if let ServerValues::Values(values) = self.said.get() {
             let connections = self.life.pool.borrow().len();
             let over = |bound: Option<u32>, count: usize| bound.is_some_and(|most| count >= most as usize);
             if over(values.requests, open) || found.is_none() && over(values.connections, connections) {
-                return Err(End::of(Ending::NoRoom.verdict().outcome));
+                return Err(AttemptResult::of(FastCgiEnding::NoRoom.verdict().outcome));
             }
         }
         match found {
@@ -294,7 +305,7 @@
 
     /// Opens the first connection and asks on it what the server is able to do. One that closes on the question is
     /// connected to again without it: nothing has been sent.
-    async fn ask(&self) -> Result<Rc<Shared>, End> {
+    async fn ask(&self) -> Result<Rc<FastCgiConnection>, AttemptResult> {
         let (wanted, values) = oneshot::channel();
         let conn = self.open(Some(wanted)).await?;
         let values = match timeout(VALUES_WAIT, values).await {
@@ -302,31 +313,34 @@
             Ok(Err(_)) | Err(_) => None,
         };
         let Some(values) = values else {
-            self.said.set(Said::Nothing);
+            self.said.set(ServerValues::Nothing);
             if !conn.closed.get() {
                 return Ok(conn);
             }
             return self.open(None).await;
         };
-        self.said.set(Said::Values(values));
+        self.said.set(ServerValues::Values(values));
         self.common.multiplexes.set(self.most_on_one() > 1);
         Ok(conn)
     }
 
-    async fn open(&self, values: Option<oneshot::Sender<Values>>) -> Result<Rc<Shared>, End> {
+    async fn open(
+        &self,
+        values: Option<oneshot::Sender<Values>>,
+    ) -> Result<Rc<FastCgiConnection>, AttemptResult> {
         // The node's own lack of descriptors is no fault of the server's.
         let place = self
             .connections
             .place()
-            .ok_or_else(|| End { short: true, ..End::of(AttemptOutcome::NotSent) })?;
+            .ok_or_else(|| AttemptResult { short: true, ..AttemptResult::of(AttemptOutcome::NotSent) })?;
         let conn = match &self.life.dial {
             Address::Tcp(address) => {
                 let stream = self.dialled(TcpStream::connect(address)).await?;
-                self.drive(Link::new(stream), place, values)
+                self.drive(CountingStream::new(stream), place, values)
             }
             Address::Unix(path) => {
                 let stream = self.dialled(UnixStream::connect(path)).await?;
-                self.drive(Link::unix(stream), place, values)
+                self.drive(CountingStream::unix(stream), place, values)
             }
         };
         self.life.pool.borrow_mut().push(conn.clone());
@@ -334,8 +348,11 @@
         Ok(conn)
     }
 
-    async fn dialled<S>(&self, dial: impl Future<Output = io::Result<S>>) -> Result<S, End> {
-        let failed = |refused| End { refused, ..End::of(Ending::NoConnection.verdict().outcome) };
+    async fn dialled<S>(&self, dial: impl Future<Output = io::Result<S>>) -> Result<S, AttemptResult> {
+        let failed = |refused| AttemptResult {
+            refused,
+            ..AttemptResult::of(FastCgiEnding::NoConnection.verdict().outcome)
+        };
         match timeout(self.settings.dial_timeout, dial).await {
             Ok(Ok(stream)) => Ok(stream),
             Ok(Err(error)) => {
@@ -347,8 +364,13 @@
         }
     }
 
-    fn drive(&self, link: Link, place: Place, values: Option<oneshot::Sender<Values>>) -> Rc<Shared> {
-        let (driver, shared) = Driver::new(link, self.common.clone(), place, values);
+    fn drive(
+        &self,
+        link: CountingStream,
+        place: ConnectionPermit,
+        values: Option<oneshot::Sender<Values>>,
+    ) -> Rc<FastCgiConnection> {
+        let (driver, shared) = ConnectionDriver::new(link, self.common.clone(), place, values);
         task::spawn_local(driver.run());
         shared
     }
--- a/crates/node/src/net/upstream/http/response_reader.rs
+++ b/crates/node/src/net/upstream/http/response_reader.rs
@@ -10,44 +10,44 @@
 use hyper::{Method, Response, StatusCode};
 use pumicehead_policy::AttemptOutcome;
 
-use crate::net::exchange::Served;
-use crate::net::memory_budget::{Room, SHORT};
-use crate::net::response_body::{Body, Passing, Stream};
-use crate::net::upstream::response_classification::{Reading, Seen, Verdict};
-use crate::net::upstream::transport::End;
+use crate::net::exchange::UpstreamResponse;
+use crate::net::memory_budget::{MemoryBudget, SMALL_BODY_BYTES};
+use crate::net::response_body::{ResponseBody, StreamProgress, StreamedBody};
+use crate::net::upstream::response_classification::{ResponseClass, ResponseHead, StatusPolicy};
+use crate::net::upstream::transport::AttemptResult;
 
 /// How answers are read.
 #[derive(Clone)]
-pub struct Reader {
+pub struct ResponseReader {
     /// What they mean.
-    pub reading: Reading,
+    pub reading: StatusPolicy,
     /// Longest body; what is stated longer fails at once.
     pub longest: u64,
     /// Longest one whose length is not stated.
     pub longest_unstated: u64,
     /// Memory for long ones.
-    pub room: Arc<Room>,
+    pub room: Arc<MemoryBudget>,
     /// Long ones pass through as they come; else all are read whole.
     pub passes: bool,
 }
 
 /// What becomes of an answer.
-pub enum Read {
+pub enum ReadResponse {
     /// It is over.
-    Whole(End),
+    Whole(AttemptResult),
     /// It passes through: what is there of it, and how to follow it.
-    Begun(Served, Rc<Passing>),
+    Begun(UpstreamResponse, Rc<StreamProgress>),
 }
 
 /// What a stream takes of the room for long answers: the buffers of its two connections at their fullest.
 const STREAM: usize = 96 << 10;
 
-impl Reader {
+impl ResponseReader {
     /// Reads an answer to the end. What is not whole, too long, or can't be known to be whole is a reset.
-    pub async fn read(&self, response: Response<Incoming>, method: &Method) -> Read {
+    pub async fn read(&self, response: Response<Incoming>, method: &Method) -> ReadResponse {
         let (parts, mut body) = response.into_parts();
         let length = body.size_hint().exact();
-        let seen = Seen {
+        let seen = ResponseHead {
             status: parts.status,
             unprocessed: parts.headers.get("x-unprocessed").is_some_and(|value| value == "1"),
             framed: length.is_some()
@@ -56,47 +56,47 @@
         };
         if self.reading.turned_away(&seen) {
             // Whatever becomes of the body.
-            let _ = Limited::new(body, SHORT).collect().await;
-            return Read::Whole(End::of(AttemptOutcome::Rejected));
+            let _ = Limited::new(body, SMALL_BODY_BYTES).collect().await;
+            return ReadResponse::Whole(AttemptResult::of(AttemptOutcome::Rejected));
         }
-        let reset = || Read::Whole(End::of(AttemptOutcome::Reset));
+        let reset = || ReadResponse::Whole(AttemptResult::of(AttemptOutcome::Reset));
         let most = length.unwrap_or(self.longest_unstated);
         if most > self.longest {
             return reset();
         }
         let verdict = self.reading.whole(&seen);
-        let passes = self.passes && verdict == Verdict { outcome: AttemptOutcome::Success, pass: true };
-        let head = |headers, body| Served {
+        let passes = self.passes && verdict == ResponseClass { outcome: AttemptOutcome::Success, pass: true };
+        let head = |headers, body| UpstreamResponse {
             status: parts.status,
             headers: self.fields(headers, parts.status, method),
             body,
         };
-        if passes && length.is_none_or(|length| length > SHORT as u64) {
-            let least = if length.is_some() { 0 } else { SHORT };
+        if passes && length.is_none_or(|length| length > SMALL_BODY_BYTES as u64) {
+            let least = if length.is_some() { 0 } else { SMALL_BODY_BYTES };
             let Some((start, ended)) = start(&mut body, least).await else { return reset() };
             if ended {
                 let answer = Some(head(parts.headers, start.into()));
-                return Read::Whole(End { answer, ..End::of(verdict.outcome) });
+                return ReadResponse::Whole(AttemptResult { answer, ..AttemptResult::of(verdict.outcome) });
             }
             let mut part = self.room.part();
             if !part.grow(STREAM) {
                 return reset();
             }
-            let (stream, passing) = Stream::new(start, body, length, part);
-            return Read::Begun(head(parts.headers, Body::Stream(Box::new(stream))), passing);
+            let (stream, passing) = StreamedBody::new(start, body, length, part);
+            return ReadResponse::Begun(head(parts.headers, ResponseBody::Stream(Box::new(stream))), passing);
         }
         // Room for what is stated is taken before any of it has come, so that it can't run out on the way.
         let mut part = self.room.part();
-        if length.is_some_and(|length| length > SHORT as u64) && !part.grow(most as usize) {
+        if length.is_some_and(|length| length > SMALL_BODY_BYTES as u64) && !part.grow(most as usize) {
             return reset();
         }
         let Some(body) = collect(body, most, &mut part).await else { return reset() };
         let answer = verdict.pass.then(|| head(parts.headers, part.keep(body).into()));
-        Read::Whole(End { answer, ..End::of(verdict.outcome) })
+        ReadResponse::Whole(AttemptResult { answer, ..AttemptResult::of(verdict.outcome) })
     }
 
     fn fields(&self, mut headers: HeaderMap, status: StatusCode, method: &Method) -> HeaderMap {
-        if self.reading == Reading::Gateway {
+        if self.reading == StatusPolicy::Gateway {
             // Of an answer without a body it tells what there would be (RFC 9110 section 8.6).
             let bodiless = *method == Method::HEAD || status == StatusCode::NOT_MODIFIED;
             let length = headers.remove(header::CONTENT_LENGTH).filter(|_| bodiless);
@@ -129,14 +129,20 @@
 }
 
 /// A body of at most so many bytes; `None` where it is longer, breaks off, or finds no room.
-async fn collect(mut body: Incoming, most: u64, part: &mut crate::net::memory_budget::Part) -> Option<Bytes> {
+async fn collect(
+    mut body: Incoming,
+    most: u64,
+    part: &mut crate::net::memory_budget::Reservation,
+) -> Option<Bytes> {
     let mut first: Option<Bytes> = None;
     let mut whole = BytesMut::new();
     let mut size = 0;
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else { continue };
         size += data.len();
-        if size as u64 > most || size > SHORT.max(part.size()) && !part.grow(size.next_multiple_of(SHORT)) {
+        if size as u64 > most
+            || size > SMALL_BODY_BYTES.max(part.size()) && !part.grow(size.next_multiple_of(SMALL_BODY_BYTES))
+        {
             return None;
         }
         // Most answers come in one piece, which is passed on as it is.
--- a/crates/node/src/net/upstream/http/transport.rs
+++ b/crates/node/src/net/upstream/http/transport.rs
@@ -20,13 +20,17 @@
 use tokio::task::{self, JoinSet};
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
-use crate::net::counting_stream::{Counter, Link, Unread};
-use crate::net::exchange::Call;
-use crate::net::response_body::Ended;
+use crate::net::counting_stream::{Counter, CountingStream, UnreadState};
+use crate::net::exchange::UpstreamRequest;
+use crate::net::response_body::StreamEnd;
 use crate::net::upload::Outgoing;
-use crate::net::upstream::connection_registry::{Connections, IDLE_SHARE, Idle, Place};
-use crate::net::upstream::http::response_reader::{Read, Reader};
-use crate::net::upstream::transport::{Attempt, Begin, End, Server, Times, Transport};
+use crate::net::upstream::connection_registry::{
+    ConnectionPermit, ConnectionRegistry, IDLE_SHARE, IdleConnections,
+};
+use crate::net::upstream::http::response_reader::{ReadResponse, ResponseReader};
+use crate::net::upstream::transport::{
+    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, ResponseStarted, Transport,
+};
 
 /// Longest head of a message.
 pub const LONGEST_HEAD: usize = 32 << 10;
@@ -43,70 +47,70 @@
 const REST: Duration = Duration::from_millis(10);
 
 /// The life of one server process.
-struct Backend {
+struct EndpointConnections {
     dial: Address,
     usable: Cell<bool>,
-    idle: RefCell<VecDeque<(Instant, Conn)>>,
-    surplus: Surplus,
+    idle: RefCell<VecDeque<(Instant, HttpConnection)>>,
+    surplus: LastUnsolicitedData,
     /// Idle connections are kept for so long.
     idle_for: Duration,
     registered: Cell<bool>,
 }
 
 /// A connection; dropping it closes the socket.
-struct Conn {
+struct HttpConnection {
     sender: http1::SendRequest<Outgoing>,
-    link: Link,
+    link: CountingStream,
     /// What had come on it when it was put aside.
     came: u64,
     /// Holds the one task that drives the connection.
     _driver: JoinSet<hyper::Result<()>>,
-    _place: Place,
+    _place: ConnectionPermit,
 }
 
 /// What the servers of a pool share.
-struct Shared {
-    connections: Rc<Connections>,
+struct PoolTransport {
+    connections: Rc<ConnectionRegistry>,
     dial_timeout: Duration,
     idle_for: Duration,
-    reader: Reader,
+    reader: ResponseReader,
     /// Attempts written whole.
     written: Counter,
-    surplus: Surplus,
+    surplus: LastUnsolicitedData,
 }
 
 /// When something was last seen to come that no request of a pool's had asked for.
-type Surplus = Rc<Cell<Option<Instant>>>;
+type LastUnsolicitedData = Rc<Cell<Option<Instant>>>;
 
 /// A pool's way to its servers.
-pub struct Upstream(Rc<Shared>);
+pub struct HttpTransport(Rc<PoolTransport>);
 
-impl Upstream {
+impl HttpTransport {
     /// With the times of a pool: a connection that is not up by `dial_timeout` has failed, and servers close idle
     /// ones after `conn_idle`. `written` counts attempts that are written whole.
     pub fn new(
-        connections: Rc<Connections>,
+        connections: Rc<ConnectionRegistry>,
         dial_timeout: Duration,
         conn_idle: Duration,
-        reader: Reader,
+        reader: ResponseReader,
         written: Counter,
     ) -> Rc<Self> {
         let idle_for = conn_idle.mul_f64(IDLE_SHARE);
-        Rc::new(Self(Rc::new(Shared {
+        Rc::new(Self(Rc::new(PoolTransport {
             connections,
             dial_timeout,
             idle_for,
             reader,
             written,
-            surplus: Surplus::default(),
+            surplus: LastUnsolicitedData::default(),
         })))
     }
 }
 
-impl Transport for Upstream {
-    fn server(&self, dial: &Address) -> Rc<dyn Server> {
+impl Transport for HttpTransport {
+    fn server(&self, dial: &Address) -> Rc<dyn EndpointConnector> {
         let shared = self.0.clone();
-        let backend = Backend {
+        let backend = EndpointConnections {
             dial: dial.clone(),
             usable: Cell::new(true),
             idle: RefCell::default(),
@@ -114,7 +118,7 @@
             idle_for: shared.idle_for,
             registered: Cell::new(false),
         };
-        Rc::new(HttpServer { shared, backend: Rc::new(backend) })
+        Rc::new(HttpConnector { shared, backend: Rc::new(backend) })
     }
 
     fn sweep(&self) {
@@ -122,8 +126,8 @@
     }
 }
 
-impl Backend {
-    fn keep(self: &Rc<Self>, connections: &Connections, mut conn: Conn) {
+impl EndpointConnections {
+    fn keep(self: &Rc<Self>, connections: &ConnectionRegistry, mut conn: HttpConnection) {
         conn.came = conn.link.came();
         // Whether the socket has ended is asked when it is wanted again.
         if self.usable.get() && !conn.sender.is_closed() {
@@ -133,16 +137,16 @@
     }
 }
 
-impl Backend {
+impl EndpointConnections {
     /// Whether anything came on an idle connection.
-    fn look(&self, conn: &Conn, now: Instant) {
-        if conn.link.came() != conn.came || conn.link.unread() == Unread::Bytes {
+    fn look(&self, conn: &HttpConnection, now: Instant) {
+        if conn.link.came() != conn.came || conn.link.unread() == UnreadState::Bytes {
             self.surplus.set(Some(now));
         }
     }
 }
 
-impl Idle for Backend {
+impl IdleConnections for EndpointConnections {
     fn registered(&self) -> &Cell<bool> {
         &self.registered
     }
@@ -165,12 +169,12 @@
     }
 }
 
-struct HttpServer {
-    shared: Rc<Shared>,
-    backend: Rc<Backend>,
+struct HttpConnector {
+    shared: Rc<PoolTransport>,
+    backend: Rc<EndpointConnections>,
 }
 
-impl Server for HttpServer {
+impl EndpointConnector for HttpConnector {
     fn dial(&self) -> &Address {
         &self.backend.dial
     }
@@ -190,42 +194,42 @@
 
     fn attempt(
         self: Rc<Self>,
-        call: Rc<Call>,
-        times: Times,
+        call: Rc<UpstreamRequest>,
+        times: AttemptDeadlines,
         cancel: oneshot::Receiver<()>,
-        begin: Begin,
-    ) -> Attempt {
+        begin: ResponseStarted,
+    ) -> AttemptFuture {
         Box::pin(async move {
             let deadline = times.deadline;
-            let (stage, way) = (Cell::new(Stage::Waiting), Cell::new(Way::default()));
+            let (stage, way) = (Cell::new(AttemptStage::Waiting), Cell::new(ConnectionTiming::default()));
             let (end, conn) = tokio::select! {
                 biased;
                 done = self.shared.exchange(&self.backend, &call, times, (&stage, &way), begin) => done,
                 // The sender is kept as long as the attempt is out; were it lost, nobody would wait.
-                _ = cancel => (End::of(AttemptOutcome::Cancelled), None),
-                outcome = expiry(&call, deadline, &stage) => (End::of(outcome), None),
+                _ = cancel => (AttemptResult::of(AttemptOutcome::Cancelled), None),
+                outcome = expiry(&call, deadline, &stage) => (AttemptResult::of(outcome), None),
             };
             // Kept before the outcome is told, so that what is sent next finds it. Nothing crosses it here: an answer that
             // has been read is the outcome, whoever calls the attempt back or whatever is up meanwhile.
             if let Some(conn) = conn {
                 self.shared.settle(&self.backend, conn, deadline).await;
             }
-            let Way { dial, idle } = way.get();
-            End { dial, idle, ..end }
+            let ConnectionTiming { dial, idle } = way.get();
+            AttemptResult { dial, idle, ..end }
         })
     }
 }
 
 /// How an attempt got its connection.
 #[derive(Clone, Copy, Default)]
-struct Way {
+struct ConnectionTiming {
     dial: Duration,
     idle: Option<Duration>,
 }
 
 /// How far an attempt has come.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Stage {
+enum AttemptStage {
     /// Nothing is written.
     Waiting,
     /// Something may be.
@@ -236,19 +240,19 @@
 
 /// The end of an attempt that takes too long, by its stage: a time-out before anything was written proves that nothing
 /// ran. Of a body that passes through, the time counts from its last byte.
-async fn expiry(call: &Call, deadline: Instant, stage: &Cell<Stage>) -> AttemptOutcome {
+async fn expiry(call: &UpstreamRequest, deadline: Instant, stage: &Cell<AttemptStage>) -> AttemptOutcome {
     if call.rest.is_none() {
         // Its time means the same all along: it is looked at once, when it is up.
         sleep_until(deadline).await;
     }
     let wait = |until| sleep_until(Instant::min(until, Instant::now() + LOOK));
     loop {
-        if stage.get() == Stage::Begun {
+        if stage.get() == AttemptStage::Begun {
             return pending().await;
         }
         let Some(upload) = call.rest.as_ref().filter(|upload| upload.is_bound()) else {
             if Instant::now() >= deadline {
-                return if stage.get() == Stage::Written {
+                return if stage.get() == AttemptStage::Written {
                     AttemptOutcome::TimedOut
                 } else {
                     AttemptOutcome::NotSent
@@ -276,7 +280,7 @@
     }
 }
 
-impl Shared {
+impl PoolTransport {
     /// Whether connections have to rest by now.
     fn must_rest(&self) -> bool {
         // For as long as one that was idle then may be.
@@ -285,7 +289,7 @@
 
     /// The most recently used idle connection that has rested and is still open, and since when it has been idle. Where
     /// none has, and none must, the one that has rested longest.
-    fn kept(&self, backend: &Backend) -> Option<(Instant, Conn)> {
+    fn kept(&self, backend: &EndpointConnections) -> Option<(Instant, HttpConnection)> {
         let mut idle = backend.idle.borrow_mut();
         let now = Instant::now();
         loop {
@@ -300,13 +304,13 @@
     }
 
     /// A new connection, or why there is none.
-    async fn dial(&self, backend: &Backend) -> Result<Conn, End> {
+    async fn dial(&self, backend: &EndpointConnections) -> Result<HttpConnection, AttemptResult> {
         // The node's own lack of descriptors is no fault of the server's.
         let place = self
             .connections
             .place()
-            .ok_or_else(|| End { short: true, ..End::of(AttemptOutcome::NotSent) })?;
-        let failed = |refused| End { refused, ..End::of(AttemptOutcome::ConnectFailed) };
+            .ok_or_else(|| AttemptResult { short: true, ..AttemptResult::of(AttemptOutcome::NotSent) })?;
+        let failed = |refused| AttemptResult { refused, ..AttemptResult::of(AttemptOutcome::ConnectFailed) };
         let Address::Tcp(address) = backend.dial else {
             // The checker lets no such address through to this protocol.
             return Err(failed(false));
@@ -316,35 +320,38 @@
             Ok(Err(error)) => return Err(failed(error.kind() == io::ErrorKind::ConnectionRefused)),
             Err(_) => return Err(failed(false)),
         };
-        let link = Link::new(stream);
+        let link = CountingStream::new(stream);
         let mut builder = http1::Builder::new();
         builder.max_buf_size(LONGEST_HEAD);
         let handshake = builder.handshake(TokioIo::new(link.clone())).await;
         let (sender, connection) = handshake.map_err(|_| failed(false))?;
         let mut driver = JoinSet::new();
         driver.spawn_local(connection);
-        Ok(Conn { sender, link, came: 0, _driver: driver, _place: place })
+        Ok(HttpConnection { sender, link, came: 0, _driver: driver, _place: place })
     }
 
     async fn exchange(
         self: &Rc<Self>,
-        backend: &Rc<Backend>,
-        call: &Call,
-        times: Times,
-        (stage, way): (&Cell<Stage>, &Cell<Way>),
-        begin: Begin,
-    ) -> (End, Option<Conn>) {
+        backend: &Rc<EndpointConnections>,
+        call: &UpstreamRequest,
+        times: AttemptDeadlines,
+        (stage, way): (&Cell<AttemptStage>, &Cell<ConnectionTiming>),
+        begin: ResponseStarted,
+    ) -> (AttemptResult, Option<HttpConnection>) {
         let alone = |end| (end, None);
         let started = Instant::now();
         let kept = self.kept(backend);
         let ready = match kept {
             Some((since, conn)) => {
-                way.set(Way { dial: Duration::ZERO, idle: Some(started.saturating_duration_since(since)) });
+                way.set(ConnectionTiming {
+                    dial: Duration::ZERO,
+                    idle: Some(started.saturating_duration_since(since)),
+                });
                 Ok(conn)
             }
             None => {
                 let ready = self.dial(backend).await;
-                way.set(Way { dial: started.elapsed(), idle: None });
+                way.set(ConnectionTiming { dial: started.elapsed(), idle: None });
                 ready
             }
         };
@@ -353,53 +360,53 @@
             Err(end) => return alone(end),
         };
         if conn.sender.ready().await.is_err() {
-            return alone(End::of(AttemptOutcome::ConnectFailed));
+            return alone(AttemptResult::of(AttemptOutcome::ConnectFailed));
         }
         // Getting here takes time: what was true when the attempt was decided need not be so now. The last look at the times,
         // the server and the client is this one, right before the first byte: nothing is waited for in between.
         let left = times.left(Instant::now());
         if left.is_zero() || !backend.usable.get() || call.over.get() {
-            return alone(End::of(AttemptOutcome::NotSent));
+            return alone(AttemptResult::of(AttemptOutcome::NotSent));
         }
         let upload = call.rest.as_ref();
         let (request, size) = call.request(upload.map_or(left, |upload| upload.left));
         let before = conn.link.written();
         conn.link.count_at(size, &self.written);
-        stage.set(Stage::Written);
+        stage.set(AttemptStage::Written);
         let answer = conn.sender.send_request(request).await;
         let response = match answer {
             Ok(response) => response,
             // The client broke it off, or is too slow.
             Err(_) if upload.is_some_and(|upload| upload.is_broken()) => {
-                return alone(End::of(AttemptOutcome::NotSent));
+                return alone(AttemptResult::of(AttemptOutcome::NotSent));
             }
             Err(_) if upload.is_some_and(|upload| upload.is_going()) => {
-                return alone(End::of(AttemptOutcome::ConnectFailed));
+                return alone(AttemptResult::of(AttemptOutcome::ConnectFailed));
             }
             // `size` is never above the true size: less than that was surely not the whole request.
             Err(_) if conn.link.written() - before < size => {
-                return alone(End::of(AttemptOutcome::ConnectFailed));
+                return alone(AttemptResult::of(AttemptOutcome::ConnectFailed));
             }
-            Err(_) => return alone(End::of(AttemptOutcome::Reset)),
+            Err(_) => return alone(AttemptResult::of(AttemptOutcome::Reset)),
         };
         let took =
             || Some(upload.and_then(|upload| upload.done()).map_or(started, Instant::from_std).elapsed());
         let mut served = match self.reader.read(response, &call.method).await {
-            Read::Whole(mut end) => {
+            ReadResponse::Whole(mut end) => {
                 if upload.is_some() {
                     end.took = took();
                 }
                 let conn = (end.outcome != AttemptOutcome::Reset).then_some(conn);
                 return (end, conn);
             }
-            Read::Begun(served, passing) => (served, passing),
+            ReadResponse::Begun(served, passing) => (served, passing),
         };
-        stage.set(Stage::Begun);
+        stage.set(AttemptStage::Begun);
         let took = took();
         let (shared, backend) = (self.clone(), backend.clone());
         // The connection is the stream's until that has ended, which may be long after the attempt has.
         served.0.body.at_end(move |ended| {
-            if ended != Ended::Whole {
+            if ended != StreamEnd::Whole {
                 return;
             }
             if conn.sender.is_ready() {
@@ -412,15 +419,15 @@
         });
         begin(served.0);
         let outcome = match served.1.server_done().await {
-            None | Some(Ended::Whole) => AttemptOutcome::Success,
-            Some(Ended::Broken) => AttemptOutcome::Reset,
-            Some(Ended::Left) => AttemptOutcome::Cancelled,
+            None | Some(StreamEnd::Whole) => AttemptOutcome::Success,
+            Some(StreamEnd::Broken) => AttemptOutcome::Reset,
+            Some(StreamEnd::Left) => AttemptOutcome::Cancelled,
         };
-        alone(End { took, ..End::of(outcome) })
+        alone(AttemptResult { took, ..AttemptResult::of(outcome) })
     }
 
     /// Keeps a connection that is of further use, if that shows by a time.
-    async fn settle(&self, backend: &Rc<Backend>, mut conn: Conn, by: Instant) {
+    async fn settle(&self, backend: &Rc<EndpointConnections>, mut conn: HttpConnection, by: Instant) {
         let by = by.min(Instant::now() + SETTLE);
         if conn.sender.is_ready() || matches!(timeout_at(by, conn.sender.ready()).await, Ok(Ok(()))) {
             backend.keep(&self.connections, conn);
@@ -428,13 +435,13 @@
     }
 }
 
-impl Conn {
+impl HttpConnection {
     fn is_open(&self) -> bool {
-        !self.sender.is_closed() && self.link.unread() == Unread::Nothing
+        !self.sender.is_closed() && self.link.unread() == UnreadState::Nothing
     }
 }
 
-impl Call {
+impl UpstreamRequest {
     /// The request to write, and a size that its bytes on the wire don't fall short of.
     fn request(&self, left: Duration) -> (Request<Outgoing>, u64) {
         let mut request = Request::new(Outgoing::new(self.body.clone(), self.rest.clone()));
--- a/crates/node/src/net/upstream/response_classification.rs
+++ b/crates/node/src/net/upstream/response_classification.rs
@@ -6,7 +6,7 @@
 
 /// Whose reading of statuses holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
+pub enum StatusPolicy {
     /// The platform's: 200 is served, anything else has failed.
     Platform,
     /// A gateway's: what a healthy server may well answer is served.
@@ -15,7 +15,7 @@
 
 /// The status line and what else counts of an answer's head.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
+pub struct ResponseHead {
     /// Its status.
     pub status: StatusCode,
     /// It says `X-Unprocessed: 1`: the request never ran.
@@ -26,16 +26,16 @@
 
 /// What an answer means once all of it is there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct ResponseClass {
     /// For the module.
     pub outcome: AttemptOutcome,
     /// It may be passed on.
     pub pass: bool,
 }
 
-impl Reading {
+impl StatusPolicy {
     /// Whether the request was turned away unseen, whatever becomes of the rest of the answer.
-    pub fn turned_away(self, seen: &Seen) -> bool {
+    pub fn turned_away(self, seen: &ResponseHead) -> bool {
         let status = match self {
             Self::Platform => matches!(seen.status.as_u16(), 503 | 504),
             Self::Gateway => matches!(seen.status.as_u16(), 429 | 503 | 504),
@@ -45,17 +45,17 @@
     }
 
     /// A whole answer's meaning.
-    pub fn whole(self, seen: &Seen) -> Verdict {
+    pub fn whole(self, seen: &ResponseHead) -> ResponseClass {
         if self.turned_away(seen) {
-            return Verdict { outcome: AttemptOutcome::Rejected, pass: false };
+            return ResponseClass { outcome: AttemptOutcome::Rejected, pass: false };
         }
-        let reset = Verdict { outcome: AttemptOutcome::Reset, pass: false };
+        let reset = ResponseClass { outcome: AttemptOutcome::Reset, pass: false };
         match self {
             Self::Platform if seen.status != StatusCode::OK => {
-                Verdict { outcome: AttemptOutcome::Error, pass: false }
+                ResponseClass { outcome: AttemptOutcome::Error, pass: false }
             }
             _ if !seen.framed => reset,
-            Self::Platform => Verdict { outcome: AttemptOutcome::Success, pass: true },
+            Self::Platform => ResponseClass { outcome: AttemptOutcome::Success, pass: true },
             // Nobody asked for another protocol: what follows is no answer.
             Self::Gateway if seen.status == StatusCode::SWITCHING_PROTOCOLS => reset,
             Self::Gateway => {
@@ -64,7 +64,7 @@
                 } else {
                     AttemptOutcome::Success
                 };
-                Verdict { outcome, pass: true }
+                ResponseClass { outcome, pass: true }
             }
         }
     }
--- a/crates/node/src/net/upstream/transport.rs
+++ b/crates/node/src/net/upstream/transport.rs
@@ -10,15 +10,15 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::net::exchange::{Call, Served};
+use crate::net::exchange::{UpstreamRequest, UpstreamResponse};
 
 /// How an attempt ended.
-pub struct End {
+pub struct AttemptResult {
     /// For the module.
     pub outcome: AttemptOutcome,
     /// The whole answer, where it may be passed on: with [`AttemptOutcome::Success`] it is the final one, with
     /// [`AttemptOutcome::Error`] it is what the client gets if nothing better comes.
-    pub answer: Option<Served>,
+    pub answer: Option<UpstreamResponse>,
     /// The address refused the connection: no process listens there.
     pub refused: bool,
     /// How long the server took, where that is not the time of the attempt: to the first bytes of an answer that passes
@@ -32,7 +32,7 @@
     pub short: bool,
 }
 
-impl End {
+impl AttemptResult {
     /// Without an answer.
     pub fn of(outcome: AttemptOutcome) -> Self {
         Self {
@@ -48,15 +48,15 @@
 }
 
 /// Takes an answer that passes through, once its start is there: it is final.
-pub type Begin = Box<dyn FnOnce(Served)>;
+pub type ResponseStarted = Box<dyn FnOnce(UpstreamResponse)>;
 
 /// An attempt under way.
-pub type Attempt = Pin<Box<dyn Future<Output = End>>>;
+pub type AttemptFuture = Pin<Box<dyn Future<Output = AttemptResult>>>;
 
 /// Makes servers of addresses.
 pub trait Transport {
     /// The life of one server process: a restart, another address or its end needs another one.
-    fn server(&self, dial: &Address) -> Rc<dyn Server>;
+    fn server(&self, dial: &Address) -> Rc<dyn EndpointConnector>;
 
     /// Closes what has been idle for too long. Called about once a second.
     fn sweep(&self);
@@ -64,14 +64,14 @@
 
 /// The times of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct AttemptDeadlines {
     /// It ends then, if it has not before.
     pub deadline: Instant,
     /// What is not written by then must not be: the attempt repeats one that may have run.
     pub by: Instant,
 }
 
-impl Times {
+impl AttemptDeadlines {
     /// How long an attempt has that sets out now; nothing where it must not.
     #[must_use]
     pub fn left(&self, now: Instant) -> Duration {
@@ -80,7 +80,7 @@
 }
 
 /// The life of one server process.
-pub trait Server {
+pub trait EndpointConnector {
     /// Its address.
     fn dial(&self) -> &Address;
 
@@ -98,9 +98,9 @@
     /// been called, neither counts any more, and the attempt ends when the server's part is done.
     fn attempt(
         self: Rc<Self>,
-        call: Rc<Call>,
-        times: Times,
+        call: Rc<UpstreamRequest>,
+        times: AttemptDeadlines,
         cancel: oneshot::Receiver<()>,
-        begin: Begin,
-    ) -> Attempt;
+        begin: ResponseStarted,
+    ) -> AttemptFuture;
 }
--- a/crates/node/src/places.rs
+++ b/crates/node/src/places.rs
@@ -1,6 +1,6 @@
 //! How a node's descriptors are dealt out.
 
-use crate::net::downstream::EXTRA;
+use crate::net::downstream::OVERFLOW_CONNECTIONS;
 
 /// Descriptors for the program itself: standard streams, the event loop, discovery, signals, the first listener.
 const OWN: usize = 24;
@@ -19,6 +19,9 @@
     /// request, which has one attempt out or two.
     pub fn of(descriptors: usize, listeners: usize) -> Self {
         let rest = descriptors.saturating_sub(OWN + listeners.saturating_sub(1));
-        Self { clients: (rest * 6 / 10).saturating_sub(EXTRA).max(1), servers: (rest * 4 / 10).max(1) }
+        Self {
+            clients: (rest * 6 / 10).saturating_sub(OVERFLOW_CONNECTIONS).max(1),
+            servers: (rest * 4 / 10).max(1),
+        }
     }
 }
--- a/crates/node/src/platform/admin.rs
+++ b/crates/node/src/platform/admin.rs
@@ -15,9 +15,9 @@
 use super::keep::Keep;
 use crate::calls::Answers;
 use crate::eyes::Eyes;
-use crate::net::admin_overrides::Hands;
-use crate::net::downstream::Front;
-use crate::net::pool_handle::{Handle, Held};
+use crate::net::admin_overrides::AdminOverrides;
+use crate::net::downstream::DownstreamListener;
+use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
 
 /// Longest that a call is kept from its answer by another one that changes the book.
 const TURN_WAIT: Duration = Duration::from_millis(800);
@@ -29,15 +29,15 @@
 /// What calls are about.
 pub struct Admin {
     /// The loop of the servers.
-    pub core: Handle,
+    pub core: PoolHandle,
     /// The front of the clients.
-    pub front: Rc<Front>,
+    pub front: Rc<DownstreamListener>,
     /// Requests in hand.
-    pub held: Held,
+    pub held: ActiveRequestIds,
     /// Counts.
     pub figures: Rc<Figures>,
     /// Servers out by hand.
-    pub hands: Rc<Hands>,
+    pub hands: Rc<AdminOverrides>,
     /// Where that is kept; without a place for it, in memory alone. One call changes it at a time.
     pub keep: Mutex<Option<Keep>>,
     /// What the next process is to know of this one, where there may be one.
--- a/crates/node/src/platform/admission.rs
+++ b/crates/node/src/platform/admission.rs
@@ -9,9 +9,9 @@
 use rustc_hash::FxHashMap;
 
 use super::config::Config;
-use crate::net::admission::{Admission, Admitted, Bad, Head, Manner};
-use crate::net::exchange::{Ask, Call};
-use crate::net::pool_handle::Handle;
+use crate::net::admission::{Admission, AdmittedRequest, RequestError, RequestHead, ResponseStyle};
+use crate::net::exchange::{ProxyRequest, UpstreamRequest};
+use crate::net::pool_handle::PoolHandle;
 
 /// Longest that a client's word is taken for how long it waits.
 const LONGEST_WAIT: Duration = Duration::from_secs(600);
@@ -38,14 +38,14 @@
 
 /// Knows the platform's requests.
 pub struct Platform {
-    core: Handle,
+    core: PoolHandle,
     classes: Vec<ClassRule>,
     tenants: FxHashMap<String, TenantId>,
 }
 
 impl Platform {
     /// With the classes and tenants of a configuration.
-    pub fn new(config: &Config, core: Handle) -> Self {
+    pub fn new(config: &Config, core: PoolHandle) -> Self {
         let (boot, settings) = (&config.boot, &config.settings);
         let rule = |(index, class): (usize, &BootClass)| ClassRule {
             name: class.name.clone(),
@@ -66,29 +66,29 @@
 }
 
 impl Admission for Platform {
-    fn admit(&self, head: Head<'_>) -> Result<Admitted, Bad> {
+    fn admit(&self, head: RequestHead<'_>) -> Result<AdmittedRequest, RequestError> {
         let headers = &head.headers;
         // In absolute form (RFC 9112 section 3.2.2) it is addressed twice; what goes on is in origin form.
         if let Some(authority) = head.uri.authority() {
             let host = headers.get(header::HOST).map(HeaderValue::as_bytes);
             if host.is_none_or(|host| !host.eq_ignore_ascii_case(authority.as_str().as_bytes())) {
-                return Err(Bad::Unknown);
+                return Err(RequestError::Unknown);
             }
         }
-        let target = head.uri.path_and_query().cloned().ok_or(Bad::Unknown)?;
-        let mut path = head.uri.path().strip_prefix('/').ok_or(Bad::Unknown)?.split('/');
-        let class = path.next().ok_or(Bad::Unknown)?;
-        let class = self.classes.iter().position(|rule| rule.name == class).ok_or(Bad::Unknown)?;
+        let target = head.uri.path_and_query().cloned().ok_or(RequestError::Unknown)?;
+        let mut path = head.uri.path().strip_prefix('/').ok_or(RequestError::Unknown)?.split('/');
+        let class = path.next().ok_or(RequestError::Unknown)?;
+        let class = self.classes.iter().position(|rule| rule.name == class).ok_or(RequestError::Unknown)?;
         let rule = &self.classes[class];
         let named = required(headers, "x-service-class")?;
         if !self.classes.iter().any(|other| other.name == named) {
-            return Err(Bad::Unknown);
+            return Err(RequestError::Unknown);
         }
         if named != rule.name {
-            return Err(Bad::Header("x-service-class".into()));
+            return Err(RequestError::Header("x-service-class".into()));
         }
         if *head.method != rule.method {
-            return Err(Bad::Method(vec![rule.method.clone()]));
+            return Err(RequestError::Method(vec![rule.method.clone()]));
         }
         let correlation = required(headers, "x-correlation-id")?;
         if rule.keyed {
@@ -99,24 +99,24 @@
         } else {
             let account = required(headers, "x-account")?;
             let known = self.tenants.get(account).copied();
-            Some(known.ok_or(Bad::Header("x-account".into()))?)
+            Some(known.ok_or(RequestError::Header("x-account".into()))?)
         };
         let left = required(headers, "x-time-left")?;
-        let left = span(left).ok_or(Bad::Header("x-time-left".into()))?;
+        let left = span(left).ok_or(RequestError::Header("x-time-left".into()))?;
         let hint = match headers.get("x-weight-hint") {
             None => None,
             Some(value) => {
                 let hint = value.to_str().ok().and_then(|text| micros(text, 1.0));
-                Some(hint.ok_or(Bad::Header("x-weight-hint".into()))?.as_nanos() as Nanos)
+                Some(hint.ok_or(RequestError::Header("x-weight-hint".into()))?.as_nanos() as Nanos)
             }
         };
-        let call = Call {
+        let call = UpstreamRequest {
             method: head.method.clone(),
             uri: target.into(),
             headers: forwarded(headers),
-            ..Call::default()
+            ..UpstreamRequest::default()
         };
-        let ask = Ask {
+        let ask = ProxyRequest {
             correlation: correlation.into(),
             class,
             tenant,
@@ -129,16 +129,18 @@
             call,
         };
         let bodiless = *head.method == Method::GET;
-        Ok(Admitted { core: self.core.clone(), ask, manner: Manner::Platform, bodiless })
+        Ok(AdmittedRequest { core: self.core.clone(), ask, manner: ResponseStyle::Platform, bodiless })
     }
 }
 
-fn required<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, Bad> {
+fn required<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, RequestError> {
     let mut values = headers.get_all(name).iter();
     // A second one is as bad as none: who reads on may take the other.
-    let (Some(value), None) = (values.next(), values.next()) else { return Err(Bad::Header(name.into())) };
+    let (Some(value), None) = (values.next(), values.next()) else {
+        return Err(RequestError::Header(name.into()));
+    };
     let value = value.to_str().ok().map(str::trim);
-    value.filter(|text| !text.is_empty()).ok_or(Bad::Header(name.into()))
+    value.filter(|text| !text.is_empty()).ok_or(RequestError::Header(name.into()))
 }
 
 /// A number and a unit: `m` milliseconds, `u` microseconds.
--- a/crates/node/src/platform/config.rs
+++ b/crates/node/src/platform/config.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::net::discovery::List;
+use crate::net::discovery::EndpointList;
 
 /// Descriptors that a node must have at the least to serve anything.
 const LEAST_SOCKETS: usize = 128;
@@ -60,7 +60,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: Option<List>,
+    known: Option<EndpointList>,
     settings: Boot,
 }
 
@@ -94,7 +94,7 @@
     /// Bytes of memory that it may hold.
     pub memory: usize,
     /// The list of backends as it last had it.
-    pub known: List,
+    pub known: EndpointList,
     /// The settings as written: names and limits.
     pub boot: Boot,
     /// The settings as the module takes them.
--- a/crates/node/src/platform/handover.rs
+++ b/crates/node/src/platform/handover.rs
@@ -29,7 +29,7 @@
 impl Handover {
     /// In a folder, for a node's name.
     pub fn new(folder: &Path, node: &str) -> Self {
-        let hash = crate::net::endpoint_directory::hash(node.as_bytes());
+        let hash = crate::net::endpoint_directory::unseeded_hash(node.as_bytes());
         Self(folder.join(format!("pumicehead-{hash:016x}.learned")))
     }
 
--- a/crates/node/src/platform/keep.rs
+++ b/crates/node/src/platform/keep.rs
@@ -49,7 +49,7 @@
     /// In a folder, for a node's name. Nothing is read or written yet.
     pub fn new(folder: PathBuf, node: &str) -> Self {
         // A name may hold anything; a file's may not.
-        let hash = crate::net::endpoint_directory::hash(node.as_bytes());
+        let hash = crate::net::endpoint_directory::unseeded_hash(node.as_bytes());
         Self { path: folder.join(format!("pumicehead-{hash:016x}.out")), seen: None }
     }
 
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -24,17 +24,17 @@
 use crate::calls::{self, MOST_CALLERS};
 use crate::eyes::{self, Eyes, Saving};
 use crate::log::{Log, LoopWriter};
-use crate::net::admin_overrides::Hands;
+use crate::net::admin_overrides::AdminOverrides;
 use crate::net::clock::{Clock, unix_ns};
-use crate::net::downstream::connection_budget::Budget;
-use crate::net::downstream::{self, Ending, Front, Options};
-use crate::net::memory_budget::Room;
-use crate::net::pool_handle::Held;
-use crate::net::pool_loop::{Core, Setup, Source, WORTH};
-use crate::net::upstream::connection_registry::Connections;
-use crate::net::upstream::http::response_reader::Reader;
-use crate::net::upstream::http::transport::Upstream;
-use crate::net::upstream::response_classification::Reading;
+use crate::net::downstream::connection_budget::ConnectionBudget;
+use crate::net::downstream::{self, DownstreamListener, DrainReason, ListenerOptions};
+use crate::net::memory_budget::MemoryBudget;
+use crate::net::pool_handle::ActiveRequestIds;
+use crate::net::pool_loop::{EndpointSource, PoolConfig, PoolLoop, WARM_STATE_MAX_AGE};
+use crate::net::upstream::connection_registry::ConnectionRegistry;
+use crate::net::upstream::http::response_reader::ResponseReader;
+use crate::net::upstream::http::transport::HttpTransport;
+use crate::net::upstream::response_classification::StatusPolicy;
 use crate::places::Places;
 use admin::Admin;
 use admission::Platform;
@@ -80,13 +80,14 @@
     let others = if staff.is_some() { 1 + MOST_CALLERS } else { 0 };
     let places = Places::of(config.sockets, 1 + others);
     let figures = Rc::new(Figures::new(config.boot.classes.iter().map(|class| class.name.clone())));
-    let hands = Rc::new(Hands::default());
+    let hands = Rc::new(AdminOverrides::default());
     let folder = env::var_os("TMPDIR").map(PathBuf::from);
     // Only where a next process may start beside this one.
     let handover = folder.as_ref().filter(|_| shared).map(|folder| Handover::new(folder, &config.name));
     let left = handover.as_ref().and_then(Handover::read);
     // A word that has long been left is nobody's: whoever left it has ended, and staff have gone on.
-    let lame = left.as_ref().is_some_and(|left| left.lame && left.knowledge.age(unix_ns()) <= WORTH);
+    let lame =
+        left.as_ref().is_some_and(|left| left.lame && left.knowledge.age(unix_ns()) <= WARM_STATE_MAX_AGE);
     for name in left.iter().flat_map(|left| &left.listed) {
         hands.listed.borrow_mut().add(name);
     }
@@ -108,35 +109,35 @@
     let tap = eyes.tap("platform", &config.settings, &names);
     let ceilings = &config.boot.ceilings;
     let span = Duration::from_nanos;
-    let room = Room::new(config.memory / LONG_SHARE);
-    let reader = Reader {
-        reading: Reading::Platform,
+    let room = MemoryBudget::new(config.memory / LONG_SHARE);
+    let reader = ResponseReader {
+        reading: StatusPolicy::Platform,
         longest: LONGEST,
         longest_unstated: LONGEST,
         room: room.clone(),
         passes: true,
     };
-    let connections = Connections::new(places.servers);
+    let connections = ConnectionRegistry::new(places.servers);
     let (dial, idle) = (span(ceilings.dial_timeout_ns), span(ceilings.conn_idle_ns));
-    let setup = Setup {
+    let setup = PoolConfig {
         settings: config.settings.clone(),
         seed: config.seed,
         zones: config.boot.zones.clone(),
-        source: Source::Watch {
+        source: EndpointSource::Watch {
             discovery: config.discovery,
             known: Some(config.known.clone()),
             at_once: shared,
         },
-        transport: Upstream::new(connections, dial, idle, reader, figures.upstream_requests.clone()),
+        transport: HttpTransport::new(connections, dial, idle, reader, figures.upstream_requests.clone()),
         hands: hands.clone(),
         learned: left.map(|left| left.knowledge),
         clock: eyes.clock(),
         tap: Some(tap.clone()),
     };
-    let held = Held::default();
-    let (core, handle) = Core::new(setup, held.clone());
+    let held = ActiveRequestIds::default();
+    let (core, handle) = PoolLoop::new(setup, held.clone());
     let longest = config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-    let options = Options {
+    let options = ListenerOptions {
         patience: PATIENCE,
         keep: KEEP,
         longest_body: LONGEST_BODY,
@@ -147,9 +148,9 @@
         advice: config.settings.retry_after_hint(),
     };
     let admission = Rc::new(Platform::new(&config, handle.clone()));
-    let budget = Budget::new(places.clients, config.sockets);
+    let budget = ConnectionBudget::new(places.clients, config.sockets);
     let to_core = handle.clone();
-    let front = Front::new(
+    let front = DownstreamListener::new(
         admission,
         held.clone(),
         options,
@@ -197,7 +198,7 @@
     });
     let stop = async move {
         term.recv().await;
-        Ending::Process
+        DrainReason::Process
     };
     tokio::select! {
         () = front.run(listener, stop) => Ok(()),
--- a/crates/node/src/standalone/admission.rs
+++ b/crates/node/src/standalone/admission.rs
@@ -16,10 +16,10 @@
 use pumicehead_resources::Revision;
 use pumicehead_route::{Found, Query, RequestPath, request_host};
 
-use crate::net::admission::{Admission, Admitted, Bad, Head, Manner};
-use crate::net::exchange::{Ask, Call};
+use crate::net::admission::{Admission, AdmittedRequest, RequestError, RequestHead, ResponseStyle};
+use crate::net::exchange::{ProxyRequest, UpstreamRequest};
 use crate::net::header_fields;
-use crate::net::pool_handle::Handle;
+use crate::net::pool_handle::PoolHandle;
 use crate::standalone::record::Recorder;
 
 /// A name that servers may log a request by.
@@ -115,7 +115,7 @@
     /// The routes.
     pub table: Arc<RequestTable>,
     /// The loop of each pool, in the order of the configuration.
-    pub pools: Vec<Handle>,
+    pub pools: Vec<PoolHandle>,
 }
 
 /// Knows requests by the routes that are in force.
@@ -147,7 +147,7 @@
 }
 
 impl Admission for Gateway {
-    fn admit(&self, mut head: Head<'_>) -> Result<Admitted, Bad> {
+    fn admit(&self, mut head: RequestHead<'_>) -> Result<AdmittedRequest, RequestError> {
         if let Some(recorder) = &self.recorder {
             let target = head.uri.path_and_query().map_or("", |target| target.as_str());
             let length = head.headers.get(header::CONTENT_LENGTH).and_then(|length| length.to_str().ok());
@@ -157,25 +157,25 @@
         let live = self.live.borrow().clone();
         if matches!(*head.method, Method::TRACE | Method::CONNECT) {
             // TRACE shows a client what others added; CONNECT is for proxies that clients choose.
-            return Err(Bad::NotImplemented);
+            return Err(RequestError::NotImplemented);
         }
         if *head.method == Method::OPTIONS && ends_here(&mut head)? {
-            return Err(Bad::Own(StatusCode::NO_CONTENT));
+            return Err(RequestError::Own(StatusCode::NO_CONTENT));
         }
         let authority = authority(&head)?;
-        let target = |text: String| Bad::Target(text);
+        let target = |text: String| RequestError::Target(text);
         let host = request_host(&authority).map_err(|fault| target(format!("the host is {fault}")))?;
         let path = RequestPath::parse(head.uri.path()).map_err(|fault| target(fault.to_string()))?;
         let query = Query { host: &host, path: &path, method: head.method, headers: &head.headers };
         let table = &live.table;
         let place = match table.routes.matcher().find(&query) {
             Found::Route(place) => place,
-            Found::Method(allowed) => return Err(Bad::Method(allowed)),
-            Found::Nothing => return Err(Bad::Unknown),
+            Found::Method(allowed) => return Err(RequestError::Method(allowed)),
+            Found::Nothing => return Err(RequestError::Unknown),
         };
         let service = table.service(place);
         if service.decoded && path.holds_slash() {
-            return Err(Bad::Unknown);
+            return Err(RequestError::Unknown);
         }
         if let Some(name) = &service.keyed {
             one(&head.headers, name)?;
@@ -184,7 +184,7 @@
             TenantOf::None => None,
             TenantOf::Fixed(place) => table.tenants[*place],
             TenantOf::Header(name) => {
-                let missing = || Bad::Header(name.clone().into());
+                let missing = || RequestError::Header(name.clone().into());
                 let field = HeaderName::from_bytes(name.as_bytes()).map_err(|_| missing())?;
                 let value = std::str::from_utf8(one(&head.headers, &field)?).ok();
                 let known = value.and_then(|value| table.tenants_by_name.get(value)).copied();
@@ -194,17 +194,23 @@
         let correlation = self.correlation();
         let key = key_of(table.routes.key(place), &query);
         let mut headers = head.headers;
-        headers
-            .insert(header::HOST, HeaderValue::from_str(&authority).map_err(|_| Bad::Header("host".into()))?);
+        headers.insert(
+            header::HOST,
+            HeaderValue::from_str(&authority).map_err(|_| RequestError::Header("host".into()))?,
+        );
         header_fields::strip_hop_by_hop(&mut headers);
         append(&mut headers, header::VIA, table.via[usize::from(head.version != Version::HTTP_10)].clone());
         append(&mut headers, header::FORWARDED, header_fields::forwarded(head.peer, Some(&authority)));
         if !headers.contains_key(&CORRELATION) {
             append(&mut headers, CORRELATION, HeaderValue::from_bytes(correlation.as_bytes()).ok());
         }
-        let call =
-            Call { method: head.method.clone(), uri: origin_form(head.uri)?, headers, ..Call::default() };
-        let ask = Ask {
+        let call = UpstreamRequest {
+            method: head.method.clone(),
+            uri: origin_form(head.uri)?,
+            headers,
+            ..UpstreamRequest::default()
+        };
+        let ask = ProxyRequest {
             correlation: correlation.into(),
             class: service.class,
             tenant,
@@ -218,28 +224,28 @@
         // The server's answer is one of HTTP/1.1 whatever it speaks: the node has taken it whole.
         let via = table.via[1].clone().unwrap_or(HeaderValue::from_static("1.1 pumicehead"));
         let core = live.pools[service.pool].clone();
-        Ok(Admitted { core, ask, manner: Manner::Gateway(via), bodiless: false })
+        Ok(AdmittedRequest { core, ask, manner: ResponseStyle::Gateway(via), bodiless: false })
     }
 }
 
 /// The host that a request names, with its port: of an absolute target, or else its one `Host` field (RFC 9112
 /// sections 3.2 and 3.2.2). A client of HTTP/1.0 needs none.
-fn authority(head: &Head<'_>) -> Result<String, Bad> {
+fn authority(head: &RequestHead<'_>) -> Result<String, RequestError> {
     let mut hosts = head.headers.get_all(header::HOST).iter();
     let field = match (hosts.next(), hosts.next()) {
-        (Some(host), None) => host.to_str().map_err(|_| Bad::Header("host".into()))?,
+        (Some(host), None) => host.to_str().map_err(|_| RequestError::Header("host".into()))?,
         (None, _) if head.version == Version::HTTP_10 => "",
-        _ => return Err(Bad::Header("host".into())),
+        _ => return Err(RequestError::Header("host".into())),
     };
     Ok(head.uri.authority().map_or(field, |authority| authority.as_str()).to_owned())
 }
 
-fn origin_form(uri: &Uri) -> Result<Uri, Bad> {
+fn origin_form(uri: &Uri) -> Result<Uri, RequestError> {
     if uri.authority().is_none() {
         return Ok(uri.clone());
     }
     let path = uri.path_and_query().cloned();
-    let fault = |_| Bad::Target("the target can't be read".into());
+    let fault = |_| RequestError::Target("the target can't be read".into());
     path.map_or_else(
         || Ok(Uri::from_static("/")),
         |path| Uri::builder().path_and_query(path).build().map_err(fault),
@@ -248,13 +254,13 @@
 
 /// Whether an OPTIONS request is for this node, by its target or since it may go no further (RFC 9110 sections
 /// 9.3.7 and 7.6.2); else its count of hops goes down.
-fn ends_here(head: &mut Head<'_>) -> Result<bool, Bad> {
+fn ends_here(head: &mut RequestHead<'_>) -> Result<bool, RequestError> {
     if head.uri.path() == "*" {
         return Ok(true);
     }
     let Some(hops) = head.headers.get(header::MAX_FORWARDS) else { return Ok(false) };
     let hops: Option<u32> = hops.to_str().ok().and_then(|hops| hops.trim().parse().ok());
-    let hops = hops.ok_or(Bad::Header("max-forwards".into()))?;
+    let hops = hops.ok_or(RequestError::Header("max-forwards".into()))?;
     if let Some(left) = hops.checked_sub(1) {
         head.headers.insert(header::MAX_FORWARDS, left.into());
     }
@@ -262,11 +268,11 @@
 }
 
 /// The one value of a field: who reads on may take another of two.
-fn one<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a [u8], Bad> {
+fn one<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a [u8], RequestError> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (Some(value), None) if !value.as_bytes().trim_ascii().is_empty() => Ok(value.as_bytes().trim_ascii()),
-        _ => Err(Bad::Header(name.as_str().to_owned().into())),
+        _ => Err(RequestError::Header(name.as_str().to_owned().into())),
     }
 }
 
--- a/crates/node/src/standalone/listeners.rs
+++ b/crates/node/src/standalone/listeners.rs
@@ -11,7 +11,7 @@
 use tokio::task::{self, JoinHandle};
 
 use super::site::SiteError;
-use crate::net::downstream::{self, Ending, Front, Options};
+use crate::net::downstream::{self, DownstreamListener, DrainReason, ListenerOptions};
 
 /// An address that was bound for a configuration that is not in force yet.
 pub struct BoundListener {
@@ -26,22 +26,22 @@
     /// As the file has it.
     pub address: SocketAddr,
     /// Its connections.
-    pub front: Rc<Front>,
-    stop: oneshot::Sender<Ending>,
+    pub front: Rc<DownstreamListener>,
+    stop: oneshot::Sender<DrainReason>,
     done: JoinHandle<()>,
 }
 
 impl RunningListener {
     /// Serves on an address that is bound.
-    pub fn start(bound: BoundListener, front: Rc<Front>) -> Self {
+    pub fn start(bound: BoundListener, front: Rc<DownstreamListener>) -> Self {
         let (stop, stopped) = oneshot::channel();
-        let stopped = async move { stopped.await.unwrap_or(Ending::Process) };
+        let stopped = async move { stopped.await.unwrap_or(DrainReason::Process) };
         let done = task::spawn_local(front.clone().run(bound.listener, stopped));
         Self { address: bound.address, front, stop, done }
     }
 
     /// Takes no more connections; it goes on by itself until its last answer, which the returned task waits for.
-    pub fn stop(self, ending: Ending) -> JoinHandle<()> {
+    pub fn stop(self, ending: DrainReason) -> JoinHandle<()> {
         let _ = self.stop.send(ending);
         self.done
     }
@@ -68,10 +68,10 @@
 }
 
 /// The bounds of all listeners.
-pub fn options(config: &Config) -> Options {
+pub fn options(config: &Config) -> ListenerOptions {
     let Limits { request_time, idle, request_body, held, .. } = config.limits;
     let longest = config.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-    Options {
+    ListenerOptions {
         patience: Duration::from_nanos(request_time),
         keep: Duration::from_nanos(idle),
         longest_body: request_body as usize,
