--- a/crates/node/src/standalone/pools.rs
+++ b/crates/node/src/standalone/pools.rs
@@ -11,13 +11,13 @@
 
 use super::site::SiteError;
 use crate::eyes::Eyes;
-use crate::net::discovery::{Health, Host, List};
-use crate::net::memory_budget::Room;
-use crate::net::pool_handle::{Handle, Held};
-use crate::net::pool_loop::{Core, Setup, Source};
-use crate::net::upstream::connection_registry::Connections;
-use crate::net::upstream::http::response_reader::Reader;
-use crate::net::upstream::response_classification::Reading;
+use crate::net::discovery::{EndpointList, ListedEndpoint, ListedState};
+use crate::net::memory_budget::MemoryBudget;
+use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
+use crate::net::pool_loop::{EndpointSource, PoolConfig, PoolLoop};
+use crate::net::upstream::connection_registry::ConnectionRegistry;
+use crate::net::upstream::http::response_reader::ResponseReader;
+use crate::net::upstream::response_classification::StatusPolicy;
 use crate::net::upstream::transport::Transport;
 use crate::net::upstream::{fastcgi, http};
 
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Endpoints {
     /// The file has them.
-    Fixed(List),
+    Fixed(EndpointList),
     /// A service at this address lists them.
     Discovery(std::net::SocketAddr),
 }
@@ -129,27 +129,27 @@
             Members::Discovery { address, .. } => return Self::Discovery(*address),
             Members::Static(servers) => servers,
         };
-        let hosts = servers.iter().map(|server| Host {
+        let hosts = servers.iter().map(|server| ListedEndpoint {
             host: server.name.clone(),
             dial: server.address.clone(),
             site: config.node.zones[server.zone].clone(),
             block: server.cell,
-            health: Health::Active,
+            health: ListedState::Active,
             share: server.weight as f32,
             born_ms: 0,
         });
-        Self::Fixed(List { seq: 0, whole: true, hosts: hosts.collect() })
+        Self::Fixed(EndpointList { seq: 0, whole: true, hosts: hosts.collect() })
     }
 }
 
 /// What all pools of a node share.
 pub struct PoolContext {
     /// Connections to servers.
-    pub connections: Rc<Connections>,
+    pub connections: Rc<ConnectionRegistry>,
     /// Memory for the held parts of long bodies.
-    pub room: Arc<Room>,
+    pub room: Arc<MemoryBudget>,
     /// Requests without a final answer.
-    pub held: Held,
+    pub held: ActiveRequestIds,
     /// Recorder and log.
     pub eyes: Rc<Eyes>,
     /// For random numbers.
@@ -158,14 +158,22 @@
 
 impl PoolContext {
     /// Starts the loop of a pool that is at `place` in its configuration.
-    pub fn start(&self, name: &str, place: usize, identity: &PoolIdentity, endpoints: Endpoints) -> Handle {
-        let setup = Setup {
+    pub fn start(
+        &self,
+        name: &str,
+        place: usize,
+        identity: &PoolIdentity,
+        endpoints: Endpoints,
+    ) -> PoolHandle {
+        let setup = PoolConfig {
             settings: identity.settings.clone(),
             seed: self.seed.wrapping_add(place as u64),
             zones: identity.connection.zones.clone(),
             source: match endpoints {
-                Endpoints::Fixed(list) => Source::Fixed(list),
-                Endpoints::Discovery(discovery) => Source::Watch { discovery, known: None, at_once: false },
+                Endpoints::Fixed(list) => EndpointSource::Fixed(list),
+                Endpoints::Discovery(discovery) => {
+                    EndpointSource::Watch { discovery, known: None, at_once: false }
+                }
             },
             transport: self.transport(&identity.connection),
             hands: Rc::default(),
@@ -173,7 +181,7 @@
             clock: self.eyes.clock(),
             tap: Some(self.eyes.tap(name, &identity.settings, &identity.classes)),
         };
-        let (core, handle) = Core::new(setup, self.held.clone());
+        let (core, handle) = PoolLoop::new(setup, self.held.clone());
         task::spawn_local(core.run());
         handle
     }
@@ -184,17 +192,23 @@
         let (connections, room) = (self.connections.clone(), self.room.clone());
         match settings.protocol {
             Protocol::Http => {
-                let reader = Reader {
-                    reading: Reading::Gateway,
+                let reader = ResponseReader {
+                    reading: StatusPolicy::Gateway,
                     longest: settings.answer_body,
                     longest_unstated: settings.answer_body,
                     passes: false,
                     room,
                 };
-                http::transport::Upstream::new(connections, dial_timeout, conn_idle, reader, Rc::default())
+                http::transport::HttpTransport::new(
+                    connections,
+                    dial_timeout,
+                    conn_idle,
+                    reader,
+                    Rc::default(),
+                )
             }
             Protocol::FastCgi => {
-                let settings = fastcgi::transport::Settings {
+                let settings = fastcgi::transport::FastCgiSettings {
                     dial_timeout,
                     conn_idle,
                     longest: settings.answer_body,
@@ -202,7 +216,7 @@
                     script: settings.script.clone(),
                     root: settings.root.clone(),
                 };
-                fastcgi::transport::Upstream::new(connections, settings)
+                fastcgi::transport::FastCgiTransport::new(connections, settings)
             }
         }
     }
--- a/crates/node/src/standalone/site.rs
+++ b/crates/node/src/standalone/site.rs
@@ -22,11 +22,11 @@
 use crate::calls::MOST_CALLERS;
 use crate::eyes::Eyes;
 use crate::fleet;
-use crate::net::downstream::connection_budget::Budget;
-use crate::net::downstream::{Ending, Front};
-use crate::net::memory_budget::Room;
-use crate::net::pool_handle::{Handle, Held};
-use crate::net::upstream::connection_registry::Connections;
+use crate::net::downstream::connection_budget::ConnectionBudget;
+use crate::net::downstream::{DownstreamListener, DrainReason};
+use crate::net::memory_budget::MemoryBudget;
+use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
+use crate::net::upstream::connection_registry::ConnectionRegistry;
 use crate::places::Places;
 
 /// Long answers may take this part of the memory: the rest of it is for connections and requests.
@@ -60,7 +60,7 @@
 struct Running {
     active: Arc<NodeConfig>,
     /// The loops of its pools, by name.
-    pools: HashMap<String, Handle>,
+    pools: HashMap<String, PoolHandle>,
     listeners: Vec<RunningListener>,
 }
 
@@ -68,7 +68,7 @@
 pub struct Site {
     gateway: Rc<Gateway>,
     pools: PoolContext,
-    budget: Rc<Budget>,
+    budget: Rc<ConnectionBudget>,
     running: RefCell<Running>,
     /// How many nodes share the servers, where the fleet says so.
     sharing: Cell<Option<NodeShare>>,
@@ -94,9 +94,9 @@
         // Hash tables are seeded from the system's source of randomness.
         let seed = RandomState::new().build_hasher().finish();
         let pools = PoolContext {
-            connections: Connections::new(places.servers),
-            room: Room::new((config.limits.memory / LONG_SHARE) as usize),
-            held: Held::default(),
+            connections: ConnectionRegistry::new(places.servers),
+            room: MemoryBudget::new((config.limits.memory / LONG_SHARE) as usize),
+            held: ActiveRequestIds::default(),
             eyes,
             seed,
         };
@@ -109,7 +109,7 @@
             Running { pools: names.zip(handles).collect(), listeners: Vec::new(), active: active.clone() };
         let site = Rc::new(Self {
             gateway: Gateway::new(live, seed, recorder),
-            budget: Budget::new(places.clients, config.limits.descriptors),
+            budget: ConnectionBudget::new(places.clients, config.limits.descriptors),
             pools,
             running: RefCell::new(running),
             sharing: Cell::new(None),
@@ -156,7 +156,7 @@
     }
 
     /// Carries out what becomes of each pool; the loops, in the order of the configuration.
-    fn change_pools(&self, next: &NodeConfig, steps: Vec<PoolStep>) -> Vec<Handle> {
+    fn change_pools(&self, next: &NodeConfig, steps: Vec<PoolStep>) -> Vec<PoolHandle> {
         let mut running = self.running.borrow_mut();
         let mut former = std::mem::take(&mut running.pools);
         let mut handles = Vec::with_capacity(steps.len());
@@ -191,7 +191,7 @@
     }
 
     /// Starts a pool that knows how many nodes share its servers.
-    fn start_shared_pool(&self, next: &NodeConfig, place: usize, endpoints: Endpoints) -> Handle {
+    fn start_shared_pool(&self, next: &NodeConfig, place: usize, endpoints: Endpoints) -> PoolHandle {
         let handle = start_pool(&self.pools, next, place, endpoints);
         if let Some(sharing) = self.sharing.get() {
             handle.share(sharing);
@@ -209,15 +209,15 @@
         }
     }
 
-    fn front(self: &Rc<Self>, config: &Config) -> Rc<Front> {
+    fn front(self: &Rc<Self>, config: &Config) -> Rc<DownstreamListener> {
         // The fronts belong to the site: it may not be kept by them.
         let site = Rc::downgrade(self);
         let give_up = move || {
             if let Some(site) = site.upgrade() {
-                site.running.borrow().pools.values().for_each(Handle::give_up);
+                site.running.borrow().pools.values().for_each(PoolHandle::give_up);
             }
         };
-        let front = Front::new(
+        let front = DownstreamListener::new(
             self.gateway.clone(),
             self.pools.held.clone(),
             listeners::options(config),
@@ -239,7 +239,7 @@
         let (kept, gone): (Vec<_>, Vec<_>) = running.listeners.drain(..).partition(stays);
         running.listeners = kept;
         for listener in gone {
-            listener.stop(Ending::Listener);
+            listener.stop(DrainReason::Listener);
         }
     }
 
@@ -302,19 +302,20 @@
     pub async fn end(&self) {
         let listeners = std::mem::take(&mut self.running.borrow_mut().listeners);
         // All are told before any is waited for.
-        let ending: Vec<_> = listeners.into_iter().map(|listener| listener.stop(Ending::Process)).collect();
+        let ending: Vec<_> =
+            listeners.into_iter().map(|listener| listener.stop(DrainReason::Process)).collect();
         for done in ending {
             let _ = done.await;
         }
     }
 }
 
-fn start_pool(pools: &PoolContext, revision: &NodeConfig, place: usize, endpoints: Endpoints) -> Handle {
+fn start_pool(pools: &PoolContext, revision: &NodeConfig, place: usize, endpoints: Endpoints) -> PoolHandle {
     let name = &revision.config.settings().pools[place].name;
     pools.start(name, place, &revision.identities[place], endpoints)
 }
 
-fn update_pool(pool: &Handle, settings: Option<Box<Settings>>, endpoints: Option<Endpoints>) {
+fn update_pool(pool: &PoolHandle, settings: Option<Box<Settings>>, endpoints: Option<Endpoints>) {
     if let Some(settings) = settings {
         pool.retune(settings);
     }
--- a/crates/node/tests/unit/connection_registry.rs
+++ b/crates/node/tests/unit/connection_registry.rs
@@ -7,7 +7,7 @@
     sweeps: Cell<u32>,
 }
 
-impl Idle for Counting {
+impl IdleConnections for Counting {
     fn registered(&self) -> &Cell<bool> {
         &self.registered
     }
@@ -27,7 +27,7 @@
 /// Guards the loop's turn where there are many pools: each asks for a sweep a second, and they share one.
 #[tokio::test(start_paused = true)]
 async fn pools_share_a_sweep() {
-    let connections = Connections::new(8);
+    let connections = ConnectionRegistry::new(8);
     let server = Rc::new(Counting::default());
     connections.register(&server);
     for second in 1..=3 {
--- a/crates/node/tests/unit/discovery.rs
+++ b/crates/node/tests/unit/discovery.rs
@@ -6,7 +6,7 @@
 use tokio::runtime::{Builder, LocalOptions};
 
 use super::*;
-use crate::net::pool_loop::AGENT_PAUSE;
+use crate::net::pool_loop::AGENT_RETRY_DELAY;
 
 /// What a service says before it falls silent.
 #[derive(Clone, Copy, PartialEq)]
@@ -67,10 +67,10 @@
 fn an_agent_that_is_silent_is_left_in_time() {
     let grace = Duration::from_secs(2);
     for said in [Said::Nothing, Said::Head] {
-        assert!(silent_for(true, said) + AGENT_PAUSE < grace);
+        assert!(silent_for(true, said) + AGENT_RETRY_DELAY < grace);
     }
     let watched = silent_for(true, Said::List);
-    assert!(watched > HEARTBEAT && watched + AGENT_PAUSE < HEARTBEAT + grace, "{watched:?}");
+    assert!(watched > HEARTBEAT && watched + AGENT_RETRY_DELAY < HEARTBEAT + grace, "{watched:?}");
 }
 
 /// Guards drains and prices at a service of all nodes: two heartbeats may be late, and it may have a call wait for 2 s. What is
--- a/crates/node/tests/unit/downstream.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -13,24 +13,26 @@
 
 use super::*;
 use crate::net::clock::Clock;
-use crate::net::exchange::{Ask, Call, Served};
-use crate::net::pool_handle::Handle;
-use crate::net::pool_loop::{Core, Setup, Source};
-use crate::net::upstream::transport::{Attempt, Begin, End, Server, Times, Transport};
+use crate::net::exchange::{ProxyRequest, UpstreamRequest, UpstreamResponse};
+use crate::net::pool_handle::PoolHandle;
+use crate::net::pool_loop::{EndpointSource, PoolConfig, PoolLoop};
+use crate::net::upstream::transport::{
+    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, ResponseStarted, Transport,
+};
 
 /// Servers that answer on the spot, and count.
 #[derive(Clone, Default)]
 struct Quick(Rc<Cell<usize>>, Bytes);
 
 impl Transport for Quick {
-    fn server(&self, _: &Address) -> Rc<dyn Server> {
+    fn server(&self, _: &Address) -> Rc<dyn EndpointConnector> {
         Rc::new(self.clone())
     }
 
     fn sweep(&self) {}
 }
 
-impl Server for Quick {
+impl EndpointConnector for Quick {
     fn dial(&self) -> &Address {
         const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
         &Address::Tcp(NOWHERE)
@@ -44,23 +46,33 @@
 
     fn hang_up(&self) {}
 
-    fn attempt(self: Rc<Self>, _: Rc<Call>, _: Times, _cancel: oneshot::Receiver<()>, _: Begin) -> Attempt {
+    fn attempt(
+        self: Rc<Self>,
+        _: Rc<UpstreamRequest>,
+        _: AttemptDeadlines,
+        _cancel: oneshot::Receiver<()>,
+        _: ResponseStarted,
+    ) -> AttemptFuture {
         Box::pin(async move {
             self.0.set(self.0.get() + 1);
             let headers = hyper::header::HeaderMap::new();
-            let answer = Served { status: hyper::StatusCode::OK, headers, body: self.1.clone().into() };
-            End { answer: Some(answer), ..End::of(pumicehead_policy::AttemptOutcome::Success) }
+            let answer =
+                UpstreamResponse { status: hyper::StatusCode::OK, headers, body: self.1.clone().into() };
+            AttemptResult {
+                answer: Some(answer),
+                ..AttemptResult::of(pumicehead_policy::AttemptOutcome::Success)
+            }
         })
     }
 }
 
 /// Lets everything in.
-struct Open(Handle, Cell<usize>);
+struct Open(PoolHandle, Cell<usize>);
 
 impl Admission for Open {
-    fn admit(&self, _: Head<'_>) -> Result<Admitted, Bad> {
+    fn admit(&self, _: RequestHead<'_>) -> Result<AdmittedRequest, RequestError> {
         self.1.set(self.1.get() + 1);
-        let ask = Ask {
+        let ask = ProxyRequest {
             correlation: self.1.get().to_string().into(),
             class: 0,
             tenant: None,
@@ -69,14 +81,18 @@
             revision: None,
             left: Duration::from_secs(60),
             sending: Duration::ZERO,
-            call: Call { method: Method::GET, uri: Uri::from_static("/"), ..Call::default() },
+            call: UpstreamRequest {
+                method: Method::GET,
+                uri: Uri::from_static("/"),
+                ..UpstreamRequest::default()
+            },
         };
-        let manner = Manner::Gateway(HeaderValue::from_static("1.1 a"));
-        Ok(Admitted { core: self.0.clone(), ask, manner, bodiless: false })
+        let manner = ResponseStyle::Gateway(HeaderValue::from_static("1.1 a"));
+        Ok(AdmittedRequest { core: self.0.clone(), ask, manner, bodiless: false })
     }
 }
 
-fn front(server: &Quick) -> Rc<Front> {
+fn front(server: &Quick) -> Rc<DownstreamListener> {
     let boot: Boot = serde_json::from_str(
         r#"{"classes":[{"name":"submit","effect":"side_effect","target_ns":60000000000,"deadline_ns":60000000000}],
         "zones":["a"],"membership_mode":"automatic","quantum_ns":5000000,"ceilings":{"max_attempts":1}}"#,
@@ -84,21 +100,21 @@
     .unwrap();
     let list =
         r#"{"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","health":"active"}]}"#;
-    let setup = Setup {
+    let setup = PoolConfig {
         settings: boot.settings().unwrap(),
         seed: 1,
         zones: vec!["a".into()],
-        source: Source::Fixed(serde_json::from_str(list).unwrap()),
+        source: EndpointSource::Fixed(serde_json::from_str(list).unwrap()),
         transport: Rc::new(server.clone()),
         hands: Rc::default(),
         learned: None,
         clock: Clock::start(),
         tap: None,
     };
-    let held = Held::default();
-    let (core, handle) = Core::new(setup, held.clone());
+    let held = ActiveRequestIds::default();
+    let (core, handle) = PoolLoop::new(setup, held.clone());
     task::spawn_local(core.run());
-    let options = Options {
+    let options = ListenerOptions {
         patience: Duration::from_secs(60),
         keep: Duration::from_secs(60),
         longest_body: 1 << 10,
@@ -110,7 +126,15 @@
     };
     let figures = Rc::new(Figures::new(["submit".to_owned()]));
     let admission = Rc::new(Open(handle, Cell::new(0)));
-    Front::new(admission, held, options, Budget::new(100, 400), || (), figures, Room::new(1 << 20))
+    DownstreamListener::new(
+        admission,
+        held,
+        options,
+        ConnectionBudget::new(100, 400),
+        || (),
+        figures,
+        MemoryBudget::new(1 << 20),
+    )
 }
 
 /// Guards a request that is read in the moment in which its connection is to be closed as idle: it has its answer, and not
--- a/crates/node/tests/unit/http_transport.rs
+++ b/crates/node/tests/unit/http_transport.rs
@@ -8,13 +8,13 @@
 use tokio::task::LocalSet;
 
 use super::*;
-use crate::net::memory_budget::Room;
-use crate::net::upstream::response_classification::Reading;
+use crate::net::memory_budget::MemoryBudget;
+use crate::net::upstream::response_classification::StatusPolicy;
 
 /// Guards the loop's rest: most attempts end long before their time is up, and each wake is work for nothing.
 #[tokio::test(start_paused = true)]
 async fn an_attempt_without_an_upload_wakes_nobody_before_its_time() {
-    let (call, stage) = (Call::default(), Cell::new(Stage::Written));
+    let (call, stage) = (UpstreamRequest::default(), Cell::new(AttemptStage::Written));
     let mut waiting = pin!(expiry(&call, Instant::now() + Duration::from_secs(60), &stage));
     let mut polls = 0;
     let outcome = poll_fn(|cx| {
@@ -24,16 +24,16 @@
     assert_eq!((outcome.await, polls), (AttemptOutcome::TimedOut, 2));
 }
 
-fn upstream() -> Rc<Upstream> {
-    let reader = Reader {
-        reading: Reading::Platform,
+fn upstream() -> Rc<HttpTransport> {
+    let reader = ResponseReader {
+        reading: StatusPolicy::Platform,
         longest: 1 << 20,
         longest_unstated: 1 << 20,
-        room: Room::new(1 << 20),
+        room: MemoryBudget::new(1 << 20),
         passes: false,
     };
     let second = Duration::from_secs(1);
-    Upstream::new(Connections::new(8), second, 60 * second, reader, Counter::default())
+    HttpTransport::new(ConnectionRegistry::new(8), second, 60 * second, reader, Counter::default())
 }
 
 /// Guards a request from a second answer that is still on its way on a connection that has only just had its first, as far
@@ -45,7 +45,7 @@
     let told = local.run_until(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let shared = upstream().0.clone();
-        let backend = Backend {
+        let backend = EndpointConnections {
             dial: Address::Tcp(listener.local_addr().unwrap()),
             usable: Cell::new(true),
             idle: RefCell::default(),
@@ -89,10 +89,14 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (upstream, second) = (upstream(), Duration::from_secs(1));
         let server = upstream.server(&Address::Tcp(listener.local_addr().unwrap()));
-        let call = Call { method: Method::POST, body: Bytes::from(vec![0; 64 << 20]), ..Call::default() };
+        let call = UpstreamRequest {
+            method: Method::POST,
+            body: Bytes::from(vec![0; 64 << 20]),
+            ..UpstreamRequest::default()
+        };
         let (cancel, cancelled) = oneshot::channel();
         let by = Instant::now() + 60 * second;
-        let times = Times { deadline: by, by };
+        let times = AttemptDeadlines { deadline: by, by };
         let attempt = server.attempt(Rc::new(call), times, cancelled, Box::new(|_| ()));
         let peer = async {
             let (mut stream, _) = listener.accept().await.unwrap();
--- a/crates/node/tests/unit/json_stream.rs
+++ b/crates/node/tests/unit/json_stream.rs
@@ -3,7 +3,7 @@
 const STREAM: &str = "\n{\"seq\":1}\n\n  {\n  \"seq\": 2,\n\n  \"hosts\": [\n    {\"host\": \"a}\\\"]{\"}\n  ]\n}{\"seq\":3}\r\n\t{}";
 
 fn all(pieces: &[&[u8]]) -> Vec<Vec<u8>> {
-    let mut documents = Documents::default();
+    let mut documents = JsonStream::default();
     let whole = pieces.iter().flat_map(|piece| documents.take(piece));
     let whole = whole.map(|document| document.unwrap().to_vec()).collect();
     assert!(!documents.is_inside());
@@ -26,13 +26,13 @@
 /// Guards the memory of a node from a list without an end, and its list from what is none.
 #[test]
 fn what_is_no_document_is_a_fault() {
-    let mut documents = Documents::default();
+    let mut documents = JsonStream::default();
     let taken = documents.take(b"{} nonsense {}");
     assert_eq!(taken.len(), 2);
-    assert_eq!(taken[1], Err(Fault::Outside));
-    let mut documents = Documents::default();
+    assert_eq!(taken[1], Err(JsonStreamError::Outside));
+    let mut documents = JsonStream::default();
     assert!(documents.take(b"{\"hosts\":[").is_empty() && documents.is_inside());
     let piece = vec![b' '; 1 << 20];
     let fault = (0..5).find_map(|_| documents.take(&piece).pop());
-    assert_eq!(fault, Some(Err(Fault::TooLong)));
+    assert_eq!(fault, Some(Err(JsonStreamError::TooLong)));
 }
--- a/crates/node/tests/unit/pool_loop.rs
+++ b/crates/node/tests/unit/pool_loop.rs
@@ -10,14 +10,16 @@
 use tokio::task::LocalSet;
 
 use super::*;
-use crate::net::exchange::{Ask, Call, Served};
-use crate::net::upstream::transport::{Attempt, Begin, End, Server, Times};
+use crate::net::exchange::{ProxyRequest, UpstreamRequest, UpstreamResponse};
+use crate::net::upstream::transport::{
+    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, ResponseStarted,
+};
 
 /// Servers that get no attempt: the test tells of their ends itself.
 struct Nowhere;
 
 impl Transport for Nowhere {
-    fn server(&self, dial: &Address) -> Rc<dyn Server> {
+    fn server(&self, dial: &Address) -> Rc<dyn EndpointConnector> {
         Rc::new(Silent(dial.clone()))
     }
 
@@ -26,7 +28,7 @@
 
 struct Silent(Address);
 
-impl Server for Silent {
+impl EndpointConnector for Silent {
     fn dial(&self) -> &Address {
         &self.0
     }
@@ -39,7 +41,13 @@
 
     fn hang_up(&self) {}
 
-    fn attempt(self: Rc<Self>, _: Rc<Call>, _: Times, _cancel: oneshot::Receiver<()>, _: Begin) -> Attempt {
+    fn attempt(
+        self: Rc<Self>,
+        _: Rc<UpstreamRequest>,
+        _: AttemptDeadlines,
+        _cancel: oneshot::Receiver<()>,
+        _: ResponseStarted,
+    ) -> AttemptFuture {
         Box::pin(std::future::pending())
     }
 }
@@ -54,11 +62,11 @@
     .unwrap();
     let list =
         r#"{"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","health":"active"}]}"#;
-    let setup = Setup {
+    let setup = PoolConfig {
         settings: boot.settings().unwrap(),
         seed: 1,
         zones: vec!["a".into()],
-        source: Source::Fixed(serde_json::from_str(list).unwrap()),
+        source: EndpointSource::Fixed(serde_json::from_str(list).unwrap()),
         transport: Rc::new(Nowhere),
         hands: Rc::default(),
         learned: None,
@@ -67,8 +75,8 @@
     };
     let local = LocalSet::new();
     let told = local.run_until(async {
-        let (mut core, handle) = Core::new(setup, Held::default());
-        let ask = Ask {
+        let (mut core, handle) = PoolLoop::new(setup, ActiveRequestIds::default());
+        let ask = ProxyRequest {
             correlation: "one".into(),
             class: 0,
             tenant: None,
@@ -77,24 +85,25 @@
             revision: None,
             left: Duration::from_millis(100),
             sending: Duration::ZERO,
-            call: Call::default(),
+            call: UpstreamRequest::default(),
         };
         let asked = tokio::task::spawn_local(async move { handle.ask(ask).await });
         tokio::task::yield_now().await;
         core.feed();
         core.hear();
         let server = core.roster.ids().next().unwrap();
-        let answer = Served { status: StatusCode::OK, headers: HeaderMap::new(), body: Bytes::new().into() };
-        let end = End { answer: Some(answer), ..End::of(AttemptOutcome::Success) };
+        let answer =
+            UpstreamResponse { status: StatusCode::OK, headers: HeaderMap::new(), body: Bytes::new().into() };
+        let end = AttemptResult { answer: Some(answer), ..AttemptResult::of(AttemptOutcome::Success) };
         let sent = core.now();
         let (id, attempt) = (RequestId(0), AttemptNo(0));
         assert!(core.open.get(&id).is_some_and(|open| open.attempts.len() == 1), "it is sent");
-        core.to_self.send(Message::Ended { id, attempt, server, sent, end }).unwrap();
+        core.to_self.send(PoolMessage::Ended { id, attempt, server, sent, end }).unwrap();
         tokio::time::advance(Duration::from_millis(400)).await;
         core.fire();
         asked.await.unwrap()
     });
-    assert!(matches!(told.await, Some(Answer::Served(_))));
+    assert!(matches!(told.await, Some(FinalResponse::Served(_))));
 }
 
 /// Guards that a process which takes over from another asks for the list as it begins, and others after the module's pause.
@@ -107,12 +116,12 @@
     .unwrap();
     for at_once in [true, false] {
         let discovery = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let source = Source::Watch {
+        let source = EndpointSource::Watch {
             discovery: discovery.local_addr().unwrap(),
-            known: Some(List::default()),
+            known: Some(EndpointList::default()),
             at_once,
         };
-        let setup = Setup {
+        let setup = PoolConfig {
             settings: boot.settings().unwrap(),
             seed: 1,
             zones: vec!["a".into()],
@@ -124,7 +133,9 @@
             tap: None,
         };
         let local = LocalSet::new();
-        let asks = local.run_until(async { Core::new(setup, Held::default()).0.watch.is_under_way() }).await;
+        let asks = local
+            .run_until(async { PoolLoop::new(setup, ActiveRequestIds::default()).0.watch.is_under_way() })
+            .await;
         assert_eq!(asks, at_once);
     }
 }
