--- a/crates/node/src/eyes.rs
+++ b/crates/node/src/eyes.rs
@@ -64,7 +64,7 @@
 impl Eyes {
     /// Of a node, with so much memory for its recorder.
     pub fn new(node: &str, clock: Clock, memory: usize, seed: u64, log: Log, saving: Saving) -> Rc<Self> {
-        let recorder = SharedRecorder::new(Recorder::new(node, clock.began(), memory, seed));
+        let recorder = SharedRecorder::new(Recorder::new(node, clock.started_at(), memory, seed));
         let node = unseeded_hash(node.as_bytes());
         let eyes = Self { recorder, clock, log, saving, node, dumps: Cell::new(0), dropped: Cell::new(0) };
         Rc::new(eyes)
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -81,7 +81,7 @@
         let card = Card {
             name: node.name.clone(),
             // Later starts have later epochs, on one machine; where its clock went back, the fleet says so at the join.
-            epoch: clock.began() / 1_000_000,
+            epoch: clock.started_at() / 1_000_000,
             address: block.told_as.unwrap_or(address).to_string(),
             zone: node.zones[node.zone].clone(),
             program: env!("CARGO_PKG_VERSION").into(),
@@ -191,7 +191,7 @@
                     // Somebody refused an earlier one: that is no news here, a question without an answer is.
                     Err(error) => debug!(target: "fleet", "datagrams: {error}"),
                 },
-                () = sleep_until(self.clock.instant(next)) => {
+                () = sleep_until(self.clock.instant_at(next)) => {
                     let now = self.clock.now();
                     if self.member.borrow().next() <= now {
                         self.member.borrow_mut().on_timer(now);
--- a/crates/node/src/net/admission.rs
+++ b/crates/node/src/net/admission.rs
@@ -36,13 +36,13 @@
 /// A request that is let in.
 pub struct AdmittedRequest {
     /// The loop that it goes to.
-    pub core: PoolHandle,
+    pub pool: PoolHandle,
     /// What that loop is told; its body is still to come.
-    pub ask: ProxyRequest,
+    pub request: ProxyRequest,
     /// How it is answered.
-    pub manner: ResponseStyle,
+    pub style: ResponseStyle,
     /// It must have no body.
-    pub bodiless: bool,
+    pub must_be_empty: bool,
 }
 
 /// A request that is not one, or has its answer without a server.
@@ -50,57 +50,60 @@
 pub enum RequestError {
     /// A field.
     #[error("header {0} is missing or malformed")]
-    Header(Cow<'static, str>),
+    InvalidHeader(Cow<'static, str>),
     /// No class or path of that name.
     #[error("no such class or path")]
-    Unknown,
+    UnknownTarget,
     /// A target that could be read in two ways.
     #[error("{0}")]
-    Target(String),
+    AmbiguousTarget(String),
     /// Not this method.
     #[error("method not allowed")]
-    Method(Vec<Method>),
+    MethodNotAllowed(Vec<Method>),
     /// A method that is never passed on.
     #[error("method not implemented")]
     NotImplemented,
     /// Too long a body.
     #[error("body too long")]
-    TooLong,
+    BodyTooLong,
     /// The body's end is missing.
     #[error("body broken off")]
-    Broken,
+    BodyIncomplete,
     /// The body took too long.
     #[error("body too slow")]
-    Slow,
+    BodyTimeout,
     /// It may hide another request in its body.
     #[error("Content-Length more than once or with Transfer-Encoding")]
-    Framing,
+    AmbiguousFraming,
     /// Its name is taken.
     #[error("a request with this X-Correlation-Id is open")]
-    Twice,
+    DuplicateId,
     /// No mistake: the node itself answers, with nothing more to say.
     #[error("")]
-    Own(StatusCode),
+    LocalResponse(StatusCode),
 }
 
 impl RequestError {
     /// The status that tells of it.
     pub fn status(&self) -> StatusCode {
         match self {
-            Self::Header(_) | Self::Broken | Self::Framing | Self::Target(_) => StatusCode::BAD_REQUEST,
-            Self::Twice => StatusCode::CONFLICT,
-            Self::Slow => StatusCode::REQUEST_TIMEOUT,
-            Self::Unknown => StatusCode::NOT_FOUND,
-            Self::Method(_) => StatusCode::METHOD_NOT_ALLOWED,
+            Self::InvalidHeader(_)
+            | Self::BodyIncomplete
+            | Self::AmbiguousFraming
+            | Self::AmbiguousTarget(_) => StatusCode::BAD_REQUEST,
+            Self::DuplicateId => StatusCode::CONFLICT,
+            Self::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            Self::UnknownTarget => StatusCode::NOT_FOUND,
+            Self::MethodNotAllowed(_) => StatusCode::METHOD_NOT_ALLOWED,
             Self::NotImplemented => StatusCode::NOT_IMPLEMENTED,
-            Self::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::Own(status) => *status,
+            Self::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::LocalResponse(status) => *status,
         }
     }
 
     /// Whether where the request ends is not known, or not worth reading on for.
-    pub fn ends_connection(&self) -> bool {
-        matches!(self, Self::TooLong | Self::Broken | Self::Slow | Self::Framing)
+    pub fn closes_connection(&self) -> bool {
+        matches!(self, Self::BodyTooLong | Self::BodyIncomplete | Self::BodyTimeout | Self::AmbiguousFraming)
     }
 }
 
--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -19,22 +19,22 @@
     }
 
     /// The time of its start.
-    pub fn began(&self) -> Nanos {
+    pub fn started_at(&self) -> Nanos {
         self.start_unix
     }
 
     /// The time now.
     pub fn now(&self) -> Nanos {
-        self.at(Instant::now())
+        self.time_of(Instant::now())
     }
 
     /// The time of an instant.
-    pub fn at(&self, instant: Instant) -> Nanos {
+    pub fn time_of(&self, instant: Instant) -> Nanos {
         self.start_unix + instant.saturating_duration_since(self.start).as_nanos() as Nanos
     }
 
     /// The instant of a time.
-    pub fn instant(&self, at: Nanos) -> Instant {
+    pub fn instant_at(&self, at: Nanos) -> Instant {
         // Some bound, or a far time would not fit the clock.
         let span = at.saturating_sub(self.start_unix).min(u64::from(u32::MAX) * SECOND);
         self.start + Duration::from_nanos(span)
--- a/crates/node/src/net/counting_stream.rs
+++ b/crates/node/src/net/counting_stream.rs
@@ -138,7 +138,7 @@
     }
 
     /// The same of this machine's own kind.
-    pub fn unix(stream: UnixStream) -> Self {
+    pub fn from_unix(stream: UnixStream) -> Self {
         Self(Rc::new(StreamState {
             stream: Socket::Unix(stream),
             written: Cell::new(0),
@@ -150,7 +150,7 @@
     }
 
     /// One that requests come in on: their heads can be had as they came.
-    pub fn tapped(stream: TcpStream) -> Self {
+    pub fn capturing_heads(stream: TcpStream) -> Self {
         Self::with(stream, Some(RefCell::default()))
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// So many bytes are the body of the request whose head was taken.
-    pub fn skip(&self, body: u64) {
+    pub fn skip_body(&self, body: u64) {
         let Some(tap) = &self.0.tap else { return };
         let mut tap = tap.borrow_mut();
         let mut came = std::mem::take(&mut tap.head);
@@ -191,12 +191,12 @@
     }
 
     /// Since when part of a head has been here.
-    pub fn begun(&self) -> Option<Instant> {
+    pub fn head_started_at(&self) -> Option<Instant> {
         self.0.tap.as_ref()?.borrow().since
     }
 
     /// Writes what fits at once: a last word on a connection that the HTTP library has no answer on.
-    pub fn last_word(&self, text: &[u8]) {
+    pub fn write_best_effort(&self, text: &[u8]) {
         let _ = self.0.stream.try_write(text);
     }
 
@@ -207,23 +207,23 @@
 
     /// Has the system hold back as little as it can for a client that does not read.
     #[cfg(test)]
-    pub fn shrink(&self) {
+    pub fn shrink_send_buffer(&self) {
         self.0.stream.as_ref().set_send_buffer_size(1).unwrap();
     }
 
     /// Bytes that have been read so far.
-    pub fn came(&self) -> u64 {
+    pub fn bytes_read(&self) -> u64 {
         self.0.came.get()
     }
 
     /// Bytes that the kernel has taken so far.
-    pub fn written(&self) -> u64 {
+    pub fn bytes_written(&self) -> u64 {
         self.0.written.get()
     }
 
     /// Counts one more once `size` bytes from now on are written.
     pub fn count_at(&self, size: u64, counter: &Counter) {
-        *self.0.mark.borrow_mut() = Some((self.written() + size, counter.clone()));
+        *self.0.mark.borrow_mut() = Some((self.bytes_written() + size, counter.clone()));
     }
 
     /// Asks the kernel, not the event loop, which may not have seen the latest yet.
@@ -239,7 +239,7 @@
     /// Waits until the other side has closed, or will send no more. The kernel tells of that whatever lies unread before
     /// it: the HTTP library looks for the end only where it holds no bytes of a next request, and a client that sent some
     /// and left went unnoticed until its answer.
-    pub async fn ended(&self) {
+    pub async fn peer_closed(&self) {
         match self.0.stream.ended().await {
             Ok(ready) if ready.is_read_closed() => {}
             // Not an end: who reads is told of the fault.
@@ -248,8 +248,8 @@
     }
 
     /// Whether the other side's end has come, as far as the event loop has been told.
-    pub fn has_ended(&self) -> bool {
-        std::pin::pin!(self.ended()).poll(&mut Context::from_waker(Waker::noop())).is_ready()
+    pub fn has_peer_closed(&self) -> bool {
+        std::pin::pin!(self.peer_closed()).poll(&mut Context::from_waker(Waker::noop())).is_ready()
     }
 
     /// Tells the other side that nothing more comes.
@@ -259,7 +259,7 @@
 
     /// Reads and drops what the other side still sends until it closes. Closing on unread bytes resets the
     /// connection, and a reset can overtake the answer that was just written.
-    pub async fn linger(&self) {
+    pub async fn drain_until_closed(&self) {
         let (mut scrap, mut dropped) = ([0; 4096], 0);
         while dropped < LINGER_BYTES && self.0.stream.readable().await.is_ok() {
             match self.0.stream.try_read(&mut scrap) {
--- a/crates/node/src/net/discovery/json_stream.rs
+++ b/crates/node/src/net/discovery/json_stream.rs
@@ -15,7 +15,7 @@
     TooLong,
     /// Between two documents there is something that begins none.
     #[error("text outside of an object")]
-    Outside,
+    NotAnObject,
 }
 
 /// Where in a document the stream is.
@@ -44,7 +44,7 @@
 
 impl JsonStream {
     /// Takes a piece: the documents that are whole by now, up to a fault, after which nothing more is to be had.
-    pub fn take(&mut self, piece: &[u8]) -> Vec<Result<BytesMut, JsonStreamError>> {
+    pub fn push(&mut self, piece: &[u8]) -> Vec<Result<BytesMut, JsonStreamError>> {
         self.held.extend_from_slice(piece);
         let mut whole = Vec::new();
         while let Some(document) = self.next() {
@@ -58,7 +58,7 @@
     }
 
     /// Whether one has begun and not ended.
-    pub fn is_inside(&self) -> bool {
+    pub fn is_inside_document(&self) -> bool {
         self.place != Position::Outside
     }
 
@@ -75,7 +75,7 @@
                     self.seen = 0;
                     Position::Outside
                 }
-                (Position::Outside, _) => return Some(Err(JsonStreamError::Outside)),
+                (Position::Outside, _) => return Some(Err(JsonStreamError::NotAnObject)),
                 (Position::Plain, b'"') => Position::Text,
                 (Position::Plain, b'{' | b'[') => {
                     self.depth += 1;
--- a/crates/node/src/net/discovery/mod.rs
+++ b/crates/node/src/net/discovery/mod.rs
@@ -40,35 +40,45 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct EndpointList {
     /// Version.
-    pub seq: u64,
+    #[serde(rename = "seq")]
+    pub version: u64,
     /// All there are; what it does not name is gone.
     #[serde(default)]
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub complete: bool,
     /// The entries.
-    pub hosts: Vec<ListedEndpoint>,
+    #[serde(rename = "hosts")]
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// A backend as listed.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ListedEndpoint {
     /// Its name, the same at every node.
-    pub host: String,
+    #[serde(rename = "host")]
+    pub name: String,
     /// Its address for this node.
     #[serde(deserialize_with = "over_tcp")]
-    pub dial: Address,
+    #[serde(rename = "dial")]
+    pub address: Address,
     /// Its zone.
-    pub site: String,
+    #[serde(rename = "site")]
+    pub zone: String,
     /// Its cell.
     #[serde(default)]
-    pub block: u16,
+    #[serde(rename = "block")]
+    pub cell: u16,
     /// Whether it takes work.
-    pub health: ListedState,
+    #[serde(rename = "health")]
+    pub state: ListedState,
     /// Its weight.
     #[serde(default = "one")]
-    pub share: f32,
+    #[serde(rename = "share")]
+    pub weight: f32,
     /// When it last started, in Unix milliseconds; 0 is long ago.
     #[serde(default)]
-    pub born_ms: u64,
+    #[serde(rename = "born_ms")]
+    pub started_at_ms: u64,
 }
 
 /// Discovery knows of no other addresses.
@@ -82,14 +92,16 @@
 
 /// Whether a backend takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
 pub enum ListedState {
     /// It does.
-    Active,
+    #[serde(rename = "active")]
+    Ready,
     /// It finishes what it has.
-    Leaving,
+    #[serde(rename = "leaving")]
+    Draining,
     /// It is gone.
-    Left,
+    #[serde(rename = "left")]
+    Removed,
 }
 
 /// Why a watch ended.
@@ -106,16 +118,16 @@
     Request(#[from] hyper::http::Error),
     /// Nothing came for too long.
     #[error("silent for too long")]
-    Silent(#[from] Elapsed),
+    Timeout(#[from] Elapsed),
     /// Another answer than 200.
     #[error("answered {0}")]
     Status(StatusCode),
     /// What came is no list.
     #[error("malformed list: {0}")]
-    List(String),
+    MalformedList(String),
     /// A list has begun and does not go on.
     #[error("a list without an end")]
-    Unfinished,
+    IncompleteList,
     /// The stream ended.
     #[error("ended")]
     Ended,
@@ -126,7 +138,7 @@
 
 impl From<JsonStreamError> for WatchError {
     fn from(fault: JsonStreamError) -> Self {
-        Self::List(fault.to_string())
+        Self::MalformedList(fault.to_string())
     }
 }
 
@@ -174,14 +186,17 @@
         let frame = match timeout_at(end, body.frame()).await {
             Ok(Some(frame)) => frame?,
             Ok(None) => return Ok(WatchError::Ended),
-            Err(_) if end < silent => return Err(WatchError::Unfinished),
+            Err(_) if end < silent => return Err(WatchError::IncompleteList),
             Err(silent) => return Err(silent.into()),
         };
         let Ok(data) = frame.into_data() else { continue };
-        for document in documents.take(&data) {
-            take(serde_json::from_slice(&document?).map_err(|error| WatchError::List(error.to_string()))?);
+        for document in documents.push(&data) {
+            take(
+                serde_json::from_slice(&document?)
+                    .map_err(|error| WatchError::MalformedList(error.to_string()))?,
+            );
         }
-        begun = documents.is_inside().then(|| begun.unwrap_or_else(Instant::now));
+        begun = documents.is_inside_document().then(|| begun.unwrap_or_else(Instant::now));
         silent = Instant::now() + silence;
     }
 }
--- a/crates/node/src/net/discovery/watch_task.rs
+++ b/crates/node/src/net/discovery/watch_task.rs
@@ -28,7 +28,7 @@
     }
 
     /// Another address; tells whether that changes anything.
-    pub fn moves(&mut self, address: SocketAddr) -> bool {
+    pub fn set_address(&mut self, address: SocketAddr) -> bool {
         let other = self.address.is_some_and(|old| old != address);
         if other {
             self.address = Some(address);
@@ -37,13 +37,13 @@
     }
 
     /// Begins anew, after a version of the list; what comes is told by messages with the watch's number.
-    pub fn begin(&mut self, after: u64, agent: bool, messages: mpsc::UnboundedSender<PoolMessage>) {
+    pub fn start(&mut self, after: u64, agent: bool, messages: mpsc::UnboundedSender<PoolMessage>) {
         self.stop();
         let Some(address) = self.address else { return };
         self.count += 1;
         let number = self.count;
         let watch = task::spawn_local(async move {
-            let take = |list| drop(messages.send(PoolMessage::List(number, list)));
+            let take = |list| drop(messages.send(PoolMessage::ListReceived(number, list)));
             let error = discovery::watch(address, after, agent, take).await;
             let _ = messages.send(PoolMessage::WatchEnded(number, error));
         });
@@ -51,7 +51,7 @@
     }
 
     /// Whether one is.
-    pub fn is_under_way(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.current.is_some()
     }
 
--- a/crates/node/src/net/downstream/connection.rs
+++ b/crates/node/src/net/downstream/connection.rs
@@ -14,25 +14,25 @@
 /// connect in order to ask ...
 const SILENT: Duration = Duration::from_millis(60);
 /// ... one that has been idle for so long since its last answer ...
-pub const RESTED: Duration = Duration::from_millis(20);
+pub const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(20);
 /// ... and one that has begun a request but not ended its head, or does not read its answer.
 const SLOW: Duration = Duration::from_millis(500);
 
 /// A client's connection.
 pub struct DownstreamConnection {
     /// Its socket.
-    pub link: CountingStream,
+    pub stream: CountingStream,
     stage: Cell<ConnectionStage>,
     used: Cell<bool>,
     /// Connections that ask, over all; this one counts among them or not.
     asking: Rc<Cell<usize>>,
     counted: Cell<bool>,
     /// When it came up, was last answered, or was closed.
-    pub since: Cell<Instant>,
+    pub last_activity: Cell<Instant>,
     /// Where it is among all connections; [`crate::net::downstream::connection_budget::RetryBudgetSpent`] alone changes it.
-    pub place: Cell<usize>,
+    pub index: Cell<usize>,
     /// Over the budget: told so and closed.
-    pub extra: bool,
+    pub over_limit: bool,
     /// The bounds of its front.
     pub options: Rc<Cell<ListenerOptions>>,
     /// To be closed after the request that it has, if any.
@@ -65,12 +65,12 @@
         Rc::new(Self {
             asking,
             counted: Cell::new(false),
-            link,
+            stream: link,
             stage: Cell::new(ConnectionStage::Waiting),
             used: Cell::new(false),
-            since: Cell::new(Instant::now()),
-            place: Cell::new(0),
-            extra,
+            last_activity: Cell::new(Instant::now()),
+            index: Cell::new(0),
+            over_limit: extra,
             options,
             close: Notify::new(),
             cut: Notify::new(),
@@ -88,7 +88,7 @@
     }
 
     /// It is about something else now; `used` once it has had an answer.
-    pub fn set(&self, stage: ConnectionStage, used: bool) {
+    pub fn set_stage(&self, stage: ConnectionStage, used: bool) {
         self.stage.set(stage);
         self.used.set(used);
         let asks = match stage {
@@ -105,49 +105,54 @@
     /// Nothing is asked or half asked, as far as can be seen.
     pub fn is_idle(&self) -> bool {
         self.stage.get() == ConnectionStage::Waiting
-            && self.link.begun().is_none()
-            && !self.link.is_blocked()
-            && self.link.unread() != UnreadState::Bytes
+            && self.stream.head_started_at().is_none()
+            && !self.stream.is_blocked()
+            && self.stream.unread() != UnreadState::Bytes
     }
 
     /// A request on it has come, as far as can be seen, and its answer has not gone, or only just.
-    pub fn is_owing(&self) -> bool {
+    pub fn owes_response(&self) -> bool {
         match self.stage.get() {
             ConnectionStage::Busy => true,
-            ConnectionStage::Waiting => self.link.is_blocked() || self.link.unread() == UnreadState::Bytes,
-            ConnectionStage::Lingering => self.since.get().elapsed() < RESTED,
+            ConnectionStage::Waiting => {
+                self.stream.is_blocked() || self.stream.unread() == UnreadState::Bytes
+            }
+            ConnectionStage::Lingering => self.last_activity.get().elapsed() < MIN_IDLE_BEFORE_EVICTION,
             ConnectionStage::Ending => false,
         }
     }
 
     /// How willingly it makes way, lower first; `None` where it must not.
-    pub fn dispensable(&self, now: Instant) -> Option<u8> {
-        let rested = |span| now.saturating_duration_since(self.since.get()) >= span;
-        match (self.stage.get(), self.link.begun()) {
-            (ConnectionStage::Lingering, _) => rested(RESTED).then_some(0),
+    pub fn eviction_rank(&self, now: Instant) -> Option<u8> {
+        let rested = |span| now.saturating_duration_since(self.last_activity.get()) >= span;
+        match (self.stage.get(), self.stream.head_started_at()) {
+            (ConnectionStage::Lingering, _) => rested(MIN_IDLE_BEFORE_EVICTION).then_some(0),
             // Its last answer still waits for the client to read: an end now would cut it.
-            (ConnectionStage::Waiting, _) if self.link.is_blocked() => rested(SLOW).then_some(3),
+            (ConnectionStage::Waiting, _) if self.stream.is_blocked() => rested(SLOW).then_some(3),
             (ConnectionStage::Waiting, None) if !self.used.get() => rested(SILENT).then_some(1),
-            (ConnectionStage::Waiting, None) => rested(RESTED).then_some(2),
+            (ConnectionStage::Waiting, None) => rested(MIN_IDLE_BEFORE_EVICTION).then_some(2),
             (ConnectionStage::Waiting, Some(begun)) => (now >= begun + SLOW).then_some(3),
             _ => None,
         }
     }
 
     /// Has taken too long over a request, or has been idle for long.
-    pub fn is_stale(&self, now: Instant) -> bool {
-        let ListenerOptions { patience, keep, .. } = self.options.get();
+    pub fn has_timed_out(&self, now: Instant) -> bool {
+        let ListenerOptions { request_timeout, idle_timeout, .. } = self.options.get();
         self.stage.get() == ConnectionStage::Waiting
-            && match self.link.begun() {
-                _ if !self.used.get() => now >= self.since.get() + patience,
-                Some(begun) => now >= begun + patience,
-                None => now >= self.since.get() + keep && self.link.unread() == UnreadState::Nothing,
+            && match self.stream.head_started_at() {
+                _ if !self.used.get() => now >= self.last_activity.get() + request_timeout,
+                Some(begun) => now >= begun + request_timeout,
+                None => {
+                    now >= self.last_activity.get() + idle_timeout
+                        && self.stream.unread() == UnreadState::Nothing
+                }
             }
     }
 
     /// Closes it now.
-    pub fn cut(&self) {
-        self.set(ConnectionStage::Ending, self.used());
+    pub fn close_now(&self) {
+        self.set_stage(ConnectionStage::Ending, self.used());
         self.cut.notify_one();
     }
 }
--- a/crates/node/src/net/downstream/connection_budget.rs
+++ b/crates/node/src/net/downstream/connection_budget.rs
@@ -35,7 +35,7 @@
     }
 
     /// How many there may be.
-    pub fn places(&self) -> usize {
+    pub fn limit(&self) -> usize {
         self.places
     }
 
@@ -62,7 +62,7 @@
     /// Takes one in.
     pub fn add(&self, conn: &Rc<DownstreamConnection>) {
         let mut conns = self.conns.borrow_mut();
-        conn.place.set(conns.len());
+        conn.index.set(conns.len());
         conns.push(conn.clone());
     }
 
@@ -70,17 +70,17 @@
     pub fn remove(&self, conn: &Rc<DownstreamConnection>) {
         // At every end of thousands: the last one takes its place, where a search would cost more than the rest.
         let mut conns = self.conns.borrow_mut();
-        let place = conn.place.get();
+        let place = conn.index.get();
         if conns.get(place).is_some_and(|found| Rc::ptr_eq(found, conn)) {
             conns.swap_remove(place);
             if let Some(moved) = conns.get(place) {
-                moved.place.set(place);
+                moved.index.set(place);
             }
         }
     }
 
     /// Those of one front.
-    pub fn each_of(
+    pub fn for_each_of(
         &self,
         owner: &crate::net::downstream::DownstreamListener,
         mut take: impl FnMut(&DownstreamConnection),
@@ -91,16 +91,17 @@
 
     /// Closes the connection that can best be done without, of its kind the oldest; tells whether there was one.
     /// Only the chosen one's socket is asked whether a request has just come.
-    pub fn shed(&self) -> bool {
+    pub fn evict_one(&self) -> bool {
         let (conns, now) = (self.conns.borrow(), Instant::now());
-        let rank = |conn: &Rc<DownstreamConnection>| Some((conn.dispensable(now)?, conn.since.get()));
+        let rank =
+            |conn: &Rc<DownstreamConnection>| Some((conn.eviction_rank(now)?, conn.last_activity.get()));
         let ranked = conns.iter().filter_map(|conn| Some((rank(conn)?, conn)));
         let Some((_, conn)) = ranked.min_by_key(|(rank, _)| *rank) else { return false };
-        if conn.stage() == ConnectionStage::Waiting && conn.link.unread() == UnreadState::Bytes {
+        if conn.stage() == ConnectionStage::Waiting && conn.stream.unread() == UnreadState::Bytes {
             // It is asking after all: the event loop has not come to it yet.
             return false;
         }
-        conn.cut();
+        conn.close_now();
         true
     }
 
--- a/crates/node/src/net/downstream/drain.rs
+++ b/crates/node/src/net/downstream/drain.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use crate::net::downstream::connection::RESTED;
+use crate::net::downstream::connection::MIN_IDLE_BEFORE_EVICTION;
 use crate::net::downstream::{ACCEPT_PAUSE, DownstreamListener};
 
 /// After SIGTERM new connections go on coming for up to 0.4 s: accepting ends after this ...
@@ -42,7 +42,7 @@
     pub(super) async fn drain(self: Rc<Self>, listener: TcpListener, ending: DrainReason) {
         self.draining.set(true);
         let start = Instant::now();
-        let end = start + self.options.get().last_deadline + LAST_MARGIN;
+        let end = start + self.options.get().max_request_deadline + LAST_MARGIN;
         if self.shared.get() {
             // Who connects from now on is another process's, also those that wait in the socket.
             drop(listener);
@@ -52,10 +52,10 @@
         while self.open() > 0 {
             let now = Instant::now();
             if !self.shared.get() {
-                self.close_idle(RESTED, FRESH);
+                self.close_idle(MIN_IDLE_BEFORE_EVICTION, FRESH);
             } else if now >= start + LEFT_ALONE {
                 // A request that crosses a close was turned back unheard: those that have long said nothing first.
-                let quiet = if now >= start + LAST_CALL { RESTED } else { LEFT_ALONE };
+                let quiet = if now >= start + LAST_CALL { MIN_IDLE_BEFORE_EVICTION } else { LEFT_ALONE };
                 self.close_idle(quiet, quiet);
             }
             // A front that ends alone has no say over the requests of others; its own end by their deadlines.
@@ -77,7 +77,7 @@
     async fn accept_last(self: &Rc<Self>, listener: TcpListener, start: Instant, end: Instant) {
         let mut last = start;
         loop {
-            self.close_idle(RESTED, FRESH);
+            self.close_idle(MIN_IDLE_BEFORE_EVICTION, FRESH);
             let until = (start + ACCEPT_ON).max(last + ACCEPT_QUIET).min(start + ACCEPT_MOST).min(end);
             let soon = (Instant::now() + ACCEPT_PAUSE).min(until);
             match timeout_at(soon, self.accept(&listener)).await {
@@ -94,24 +94,24 @@
     /// Whether a request that has come is without its whole answer, or one has just been written.
     fn is_owing(&self) -> bool {
         let mut owing = false;
-        self.budget.each_of(self, |conn| owing |= conn.is_owing());
+        self.budget.for_each_of(self, |conn| owing |= conn.owes_response());
         owing
     }
 
     /// Its connections.
     fn open(&self) -> usize {
         let mut count = 0;
-        self.budget.each_of(self, |_| count += 1);
+        self.budget.for_each_of(self, |_| count += 1);
         count
     }
 
     /// Closes connections on which nothing is asked, `rested` after their last answer or `fresh` after they came up.
     pub(super) fn close_idle(&self, rested: Duration, fresh: Duration) {
-        self.budget.each_of(self, |conn| {
+        self.budget.for_each_of(self, |conn| {
             // The last answer must have arrived by now.
             let rested = if conn.used() { rested } else { fresh };
-            if conn.is_idle() && conn.since.get().elapsed() > rested {
-                conn.cut();
+            if conn.is_idle() && conn.last_activity.get().elapsed() > rested {
+                conn.close_now();
             }
         });
     }
--- a/crates/node/src/net/downstream/fastcgi.rs
+++ b/crates/node/src/net/downstream/fastcgi.rs
@@ -52,15 +52,15 @@
     pub(super) async fn serve_fastcgi(self: &Rc<Self>, conn: &Rc<DownstreamConnection>, peer: IpAddr) {
         let options = self.options.get();
         let mut server = Server::new(Bounds {
-            connections: u32::try_from(self.budget.places()).unwrap_or(u32::MAX),
+            connections: u32::try_from(self.budget.limit()).unwrap_or(u32::MAX),
             requests: MOST_REQUESTS,
             params: PARAMS.0,
             pairs: PARAMS.1,
-            body: options.longest_body,
+            body: options.max_buffered_body,
             coming: MOST_COMING,
             waiting: MOST_WAITING,
         });
-        if conn.extra {
+        if conn.over_limit {
             server.stop();
         }
         let (answers, mut answered) = mpsc::unbounded_channel();
@@ -72,7 +72,7 @@
             tasks: JoinSet::new(),
             answers,
         };
-        let (mut reader, mut writer) = split(conn.link.clone());
+        let (mut reader, mut writer) = split(conn.stream.clone());
         let (mut input, mut out) = (vec![0; CHUNK], BytesMut::new());
         let mut progress = Instant::now();
         loop {
@@ -82,16 +82,16 @@
             }
             let idle = out.is_empty() && exchange.server.is_idle();
             if idle != (conn.stage() == ConnectionStage::Waiting) {
-                conn.since.set(Instant::now());
-                conn.set(if idle { ConnectionStage::Waiting } else { ConnectionStage::Busy }, true);
+                conn.last_activity.set(Instant::now());
+                conn.set_stage(if idle { ConnectionStage::Waiting } else { ConnectionStage::Busy }, true);
             }
             if out.is_empty() && exchange.server.is_over()
-                || idle && (self.draining.get() || conn.extra && conn.used())
+                || idle && (self.draining.get() || conn.over_limit && conn.used())
             {
                 return;
             }
             let slow = exchange.coming.values().min().copied();
-            let stalled = progress + options.keep;
+            let stalled = progress + options.idle_timeout;
             tokio::select! {
                 // What has come is looked at before a close of this side's own, and answers go out before more is read.
                 biased;
@@ -133,7 +133,7 @@
             // What begins now is turned away unseen; what has begun is still answered.
             exchange.server.stop();
         }
-        let until = Instant::now() + self.options.get().patience;
+        let until = Instant::now() + self.options.get().request_timeout;
         let mut events = Vec::new();
         let sound = exchange.server.receive(input, &mut events);
         for event in events {
@@ -154,8 +154,8 @@
                 Event::Bad(id, why) => {
                     exchange.coming.remove(&id);
                     let bad = match why {
-                        BadRequest::BodyTooLong(_) => RequestError::TooLong,
-                        BadRequest::Params(fault) => RequestError::Target(fault.to_string()),
+                        BadRequest::BodyTooLong(_) => RequestError::BodyTooLong,
+                        BadRequest::Params(fault) => RequestError::AmbiguousTarget(fault.to_string()),
                     };
                     // Made on a task as any other, so that there is one way out.
                     let answers = exchange.answers.clone();
@@ -191,7 +191,8 @@
         let read = match request(params) {
             Ok(read) => read,
             Err(fault) => {
-                return parts(&Method::GET, response::bad(&RequestError::Target(fault.to_string()))).await;
+                return parts(&Method::GET, response::bad(&RequestError::AmbiguousTarget(fault.to_string())))
+                    .await;
             }
         };
         let head = RequestHead {
@@ -203,9 +204,9 @@
         };
         let whole = read.length.is_none_or(|length| length == body.len() as u64);
         let admitted = self.admission.admit(head);
-        let admitted =
-            admitted.and_then(|admitted| if whole { Ok(admitted) } else { Err(RequestError::Broken) });
-        let response = self.decide(admitted, ReceivedBody::Whole(body), conn.extra).await;
+        let admitted = admitted
+            .and_then(|admitted| if whole { Ok(admitted) } else { Err(RequestError::BodyIncomplete) });
+        let response = self.decide(admitted, ReceivedBody::Full(body), conn.over_limit).await;
         parts(&read.method, response).await
     }
 }
@@ -231,7 +232,7 @@
             self.coming.iter().filter(|(_, until)| **until <= now).map(|(id, _)| *id).collect();
         for id in slow {
             self.coming.remove(&id);
-            self.server.end(id, parts(&Method::GET, response::bad(&RequestError::Slow)).await, 0);
+            self.server.end(id, parts(&Method::GET, response::bad(&RequestError::BodyTimeout)).await, 0);
         }
     }
 }
--- a/crates/node/src/net/downstream/mod.rs
+++ b/crates/node/src/net/downstream/mod.rs
@@ -40,11 +40,11 @@
 use crate::net::recorder_sink::RecorderSink;
 use crate::net::response_body::{ResponseBody, StreamEnd};
 use crate::net::upstream::http::transport::LONGEST_HEAD;
-use connection::{ConnectionStage, DownstreamConnection, RESTED};
+use connection::{ConnectionStage, DownstreamConnection, MIN_IDLE_BEFORE_EVICTION};
 use connection_budget::ConnectionBudget;
 pub use drain::DrainReason;
 use drain::FRESH;
-use request_body::{BodyFraming, ReceivedBody, collect, hold};
+use request_body::{BodyFraming, ReceivedBody, read_buffered, read_full};
 
 /// Connections that wait in the kernel are already taken, so it should never have to turn one away.
 const BACKLOG: u32 = 4096;
@@ -69,21 +69,21 @@
 pub struct ListenerOptions {
     /// Longest that a client may take from connecting, or from the first byte of a later request, to the last byte
     /// of its request.
-    pub patience: Duration,
+    pub request_timeout: Duration,
     /// An idle connection that has been used is closed after this.
-    pub keep: Duration,
+    pub idle_timeout: Duration,
     /// Longest body of a request.
-    pub longest_body: usize,
+    pub max_buffered_body: usize,
     /// Longer ones than that pass through, up to so many bytes.
-    pub passes: Option<u64>,
+    pub max_streamed_body: Option<u64>,
     /// Requests without an answer that the node may hold.
-    pub most_held: usize,
+    pub max_active_requests: usize,
     /// At the process's end, what has no answer after this fails.
-    pub last_deadline: Duration,
+    pub max_request_deadline: Duration,
     /// Where `GET /healthz` is the node's own.
-    pub healthz: bool,
+    pub serves_health_check: bool,
     /// Advice with a refusal that is the node's own, where any is allowed.
-    pub advice: Option<Nanos>,
+    pub retry_after: Option<Nanos>,
 }
 
 /// The front's state.
@@ -160,7 +160,7 @@
     }
 
     /// Tells a recorder what no pool sees; the first one that is given stays.
-    pub fn set_tap(&self, tap: RecorderSink) {
+    pub fn set_recorder(&self, tap: RecorderSink) {
         let _ = self.tap.set(tap);
     }
 
@@ -175,12 +175,12 @@
     }
 
     /// Empties the node, or takes it back to work. Requests are served all along: it is the way to it that is to end.
-    pub fn set_lame(&self, lame: bool) {
+    pub fn set_lame_duck(&self, lame: bool) {
         self.lame.set(lame.then(|| self.lame.get().unwrap_or_else(Instant::now)));
     }
 
     /// Whether staff have it empty.
-    pub fn is_lame(&self) -> bool {
+    pub fn is_lame_duck(&self) -> bool {
         self.lame.get().is_some()
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Other processes accept from the same socket: what waits there at its end is theirs.
-    pub fn set_shared(&self) {
+    pub fn set_socket_shared(&self) {
         self.shared.set(true);
     }
 
@@ -220,13 +220,13 @@
     /// Closes what has taken too long: a bad client is owed an end, and holds a place that others need.
     fn look_over(&self) {
         let now = Instant::now();
-        self.budget.each_of(self, |conn| {
-            if conn.is_stale(now) {
-                conn.cut();
+        self.budget.for_each_of(self, |conn| {
+            if conn.has_timed_out(now) {
+                conn.close_now();
             }
         });
         if self.lame.get().is_some_and(|since| now >= since + LAME) {
-            self.close_idle(RESTED, FRESH);
+            self.close_idle(MIN_IDLE_BEFORE_EVICTION, FRESH);
         }
     }
 
@@ -234,7 +234,7 @@
     async fn accept(&self, listener: &TcpListener) -> (TcpStream, IpAddr) {
         loop {
             if self.budget.is_overfull() {
-                self.budget.shed();
+                self.budget.evict_one();
                 sleep(FULL_PAUSE).await;
                 continue;
             }
@@ -246,7 +246,7 @@
                     if let Some(tap) = self.tap.get() {
                         tap.record(&Event::Short(Short::Accept));
                     }
-                    self.budget.shed();
+                    self.budget.evict_one();
                     sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -254,10 +254,10 @@
     }
 
     fn take(self: Rc<Self>, stream: TcpStream, peer: IpAddr) {
-        let extra = self.budget.is_full() && !self.budget.shed();
+        let extra = self.budget.is_full() && !self.budget.evict_one();
         let protocol = self.protocol.get();
         let link = match protocol {
-            Protocol::Http => CountingStream::tapped(stream),
+            Protocol::Http => CountingStream::capturing_heads(stream),
             Protocol::FastCgi => CountingStream::new(stream),
         };
         let conn = DownstreamConnection::new(link, extra, self.options.clone(), self.budget.asking());
@@ -267,7 +267,7 @@
                 Protocol::Http => self.serve(&conn, peer).await,
                 Protocol::FastCgi => {
                     self.serve_fastcgi(&conn, peer).await;
-                    conn.link.close_writing();
+                    conn.stream.close_writing();
                     self.linger(&conn).await;
                 }
             }
@@ -278,22 +278,22 @@
     async fn serve(&self, conn: &Rc<DownstreamConnection>, peer: IpAddr) {
         let (streams, waits) = (Cell::new(false), Cell::new(false));
         let service = service_fn(|request| async {
-            conn.set(ConnectionStage::Busy, conn.used());
+            conn.set_stage(ConnectionStage::Busy, conn.used());
             waits.set(true);
             let mut response = self.respond(conn, peer, request).await;
             waits.set(false);
             let answered = |conn: &DownstreamConnection| {
-                conn.since.set(Instant::now());
+                conn.last_activity.set(Instant::now());
                 if conn.stage() == ConnectionStage::Busy {
-                    conn.set(ConnectionStage::Waiting, true);
+                    conn.set_stage(ConnectionStage::Waiting, true);
                 }
             };
             let body = response.body_mut();
             streams.set(body.is_stream());
             if body.is_stream() {
                 let (conn, cut) = (conn.clone(), conn.clone());
-                body.cut_by(move || cut.cut());
-                body.at_end(move |_| answered(&conn));
+                body.set_abort(move || cut.close_now());
+                body.on_end(move |_| answered(&conn));
             } else {
                 answered(conn);
             }
@@ -301,8 +301,8 @@
         });
         let mut builder = http1::Builder::new();
         builder.max_buf_size(LONGEST_HEAD);
-        let mut served = pin!(builder.serve_connection(TokioIo::new(conn.link.clone()), service));
-        let (mut left, mut gone) = (pin!(conn.link.ended()), false);
+        let mut served = pin!(builder.serve_connection(TokioIo::new(conn.stream.clone()), service));
+        let (mut left, mut gone) = (pin!(conn.stream.peer_closed()), false);
         loop {
             tokio::select! {
                 // What has come is looked at before a close of this side's own.
@@ -325,8 +325,8 @@
                         continue;
                     }
                     // Never into an answer that is on its way.
-                    if conn.link.begun().is_some() && !streams.get() {
-                        conn.link.last_word(TOO_SLOW);
+                    if conn.stream.head_started_at().is_some() && !streams.get() {
+                        conn.stream.write_best_effort(TOO_SLOW);
                     }
                     return;
                 }
@@ -337,10 +337,10 @@
 
     /// Reads on after the last answer for as long as that may take to arrive.
     async fn linger(&self, conn: &DownstreamConnection) {
-        conn.set(ConnectionStage::Lingering, conn.used());
-        conn.since.set(Instant::now());
+        conn.set_stage(ConnectionStage::Lingering, conn.used());
+        conn.last_activity.set(Instant::now());
         tokio::select! {
-            _ = timeout(LINGER, conn.link.linger()) => {}
+            _ = timeout(LINGER, conn.stream.drain_until_closed()) => {}
             () = conn.cut.notified() => {}
         }
     }
@@ -351,38 +351,38 @@
         peer: IpAddr,
         request: Request<Incoming>,
     ) -> Response<ResponseBody> {
-        let begun = if conn.used() { Instant::now() } else { conn.since.get() };
-        let framing = BodyFraming::of(&conn.link.take_head());
-        conn.link.skip(framing.body());
+        let begun = if conn.used() { Instant::now() } else { conn.last_activity.get() };
+        let framing = BodyFraming::of(&conn.stream.take_head());
+        conn.stream.skip_body(framing.body());
         let expects = request.headers().contains_key(header::EXPECT);
         // Where the rest of the body still comes, nobody will read it.
         let mut unsent = false;
-        let mut response = if self.options.get().healthz && request.uri().path() == "/healthz" {
-            let away = self.draining.get() || self.is_lame();
+        let mut response = if self.options.get().serves_health_check && request.uri().path() == "/healthz" {
+            let away = self.draining.get() || self.is_lame_duck();
             let status = if away { hyper::StatusCode::SERVICE_UNAVAILABLE } else { hyper::StatusCode::OK };
             response::plain(status, "")
-        } else if conn.link.has_ended() {
+        } else if conn.stream.has_peer_closed() {
             // It came ahead of its client's end, behind a request that took longer: nobody waits for it.
             response::refusal(&ResponseStyle::Platform, None)
         } else {
-            let until = begun + self.options.get().patience;
+            let until = begun + self.options.get().request_timeout;
             let head = Instant::now();
             match self.read(request, peer, framing, until).await {
                 Err(bad) => response::bad(&bad),
                 Ok((mut admitted, came)) => {
-                    admitted.ask.sending = head.elapsed();
-                    let rest = came.rest();
-                    let response = self.decide(Ok(admitted), came, conn.extra).await;
-                    unsent = rest.is_some_and(|rest| rest.done().is_none());
+                    admitted.request.body_read_time = head.elapsed();
+                    let rest = came.upload();
+                    let response = self.decide(Ok(admitted), came, conn.over_limit).await;
+                    unsent = rest.is_some_and(|rest| rest.completed_at().is_none());
                     response
                 }
             }
         };
-        let crowded = conn.extra || self.budget.is_crowded();
+        let crowded = conn.over_limit || self.budget.is_crowded();
         // A client that was told before it wrote its body may write it all the same, or the next request.
         let unread = expects && response.status().as_u16() >= 400;
         if self.draining.get()
-            || self.is_lame()
+            || self.is_lame_duck()
             || crowded
             || unread
             || unsent
@@ -400,41 +400,41 @@
         came: ReceivedBody,
         extra: bool,
     ) -> Response<ResponseBody> {
-        let AdmittedRequest { core, mut ask, manner, bodiless } = match admitted {
+        let AdmittedRequest { pool, mut request, style, must_be_empty } = match admitted {
             Ok(admitted) => admitted,
             Err(bad) => return response::bad(&bad),
         };
-        let class = ask.class;
-        if bodiless && !came.is_empty() {
-            return response::bad(&RequestError::Method(Vec::new()));
+        let class = request.class;
+        if must_be_empty && !came.is_empty() {
+            return response::bad(&RequestError::MethodNotAllowed(Vec::new()));
         }
         if extra || self.over.get() || self.is_full() {
-            core.turned(class, if extra { Turned::Connections } else { Turned::Held });
+            pool.record_local_rejection(class, if extra { Turned::Connections } else { Turned::Held });
             self.figures.ended(class, Outcome::Rejected);
-            return response::refusal(&manner, self.options.get().advice);
+            return response::refusal(&style, self.options.get().retry_after);
         }
-        (ask.call.body, ask.call.rest) = came.into_parts();
-        match core.ask(ask).await {
+        (request.upstream.body, request.upstream.upload) = came.into_parts();
+        match pool.proxy(request).await {
             Some(mut given) => {
                 match &mut given {
-                    FinalResponse::Served(served) if served.body.is_stream() => {
+                    FinalResponse::Upstream(served) if served.body.is_stream() => {
                         let figures = self.figures.clone();
-                        served.body.at_end(move |ended| match ended {
-                            StreamEnd::Whole => figures.ended(class, Outcome::Completed),
-                            StreamEnd::Broken => figures.ended(class, Outcome::Failed),
-                            StreamEnd::Left => {}
+                        served.body.on_end(move |ended| match ended {
+                            StreamEnd::Complete => figures.ended(class, Outcome::Completed),
+                            StreamEnd::UpstreamFailed => figures.ended(class, Outcome::Failed),
+                            StreamEnd::ClientDisconnected => {}
                         });
                     }
                     given => self.figures.ended(class, given.outcome()),
                 }
-                response::response(&manner, given)
+                response::response(&style, given)
             }
-            None => response::bad(&RequestError::Twice),
+            None => response::bad(&RequestError::DuplicateId),
         }
     }
 
     fn is_full(&self) -> bool {
-        self.held.count() >= self.options.get().most_held
+        self.held.count() >= self.options.get().max_active_requests
     }
 
     /// Reads and checks a request.
@@ -445,8 +445,8 @@
         framing: BodyFraming,
         until: Instant,
     ) -> Result<(AdmittedRequest, ReceivedBody), RequestError> {
-        if framing == BodyFraming::Doubtful {
-            return Err(RequestError::Framing);
+        if framing == BodyFraming::Ambiguous {
+            return Err(RequestError::AmbiguousFraming);
         }
         let (parts, body) = request.into_parts();
         let head = RequestHead {
@@ -460,17 +460,17 @@
         let admitted = self.admission.admit(head);
         if admitted.is_err() && expects {
             // The client has not begun to write its body, and now needs not (RFC 9110 section 10.1.1).
-            return admitted.map(|admitted| (admitted, ReceivedBody::Whole(Bytes::new())));
+            return admitted.map(|admitted| (admitted, ReceivedBody::Full(Bytes::new())));
         }
         // The body first, whatever the head says: the answer then meets no client that is still writing.
-        let ListenerOptions { longest_body, passes, .. } = self.options.get();
-        let came = match (passes, &admitted) {
-            (Some(most), Ok(AdmittedRequest { ask, .. })) => {
-                hold(body, longest_body, most, ask.left, &self.room).await?
+        let ListenerOptions { max_buffered_body, max_streamed_body, .. } = self.options.get();
+        let came = match (max_streamed_body, &admitted) {
+            (Some(most), Ok(AdmittedRequest { request, .. })) => {
+                read_buffered(body, max_buffered_body, most, request.time_left, &self.room).await?
             }
             _ => {
-                let body = collect(body, longest_body);
-                ReceivedBody::Whole(timeout_at(until, body).await.unwrap_or(Err(RequestError::Slow))?)
+                let body = read_full(body, max_buffered_body);
+                ReceivedBody::Full(timeout_at(until, body).await.unwrap_or(Err(RequestError::BodyTimeout))?)
             }
         };
         Ok((admitted?, came))
--- a/crates/node/src/net/downstream/request_body.rs
+++ b/crates/node/src/net/downstream/request_body.rs
@@ -23,7 +23,7 @@
     /// In chunks.
     Chunked,
     /// In more than one way.
-    Doubtful,
+    Ambiguous,
 }
 
 impl BodyFraming {
@@ -46,8 +46,8 @@
         match (lengths, chunked) {
             (0, false) => Self::Length(0),
             (0, true) => Self::Chunked,
-            (1, false) => length.map_or(Self::Doubtful, Self::Length),
-            _ => Self::Doubtful,
+            (1, false) => length.map_or(Self::Ambiguous, Self::Length),
+            _ => Self::Ambiguous,
         }
     }
 
@@ -61,15 +61,15 @@
 ///
 /// # Errors
 /// One that is longer or breaks off.
-pub async fn collect(mut body: Incoming, longest: usize) -> Result<Bytes, RequestError> {
+pub async fn read_full(mut body: Incoming, longest: usize) -> Result<Bytes, RequestError> {
     if body.size_hint().lower() > longest as u64 {
-        return Err(RequestError::TooLong);
+        return Err(RequestError::BodyTooLong);
     }
     let mut whole = Vec::new();
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(|_| RequestError::Broken)?.into_data() else { continue };
+        let Ok(data) = frame.map_err(|_| RequestError::BodyIncomplete)?.into_data() else { continue };
         if whole.len() + data.len() > longest {
-            return Err(RequestError::TooLong);
+            return Err(RequestError::BodyTooLong);
         }
         whole.extend_from_slice(&data);
     }
@@ -84,27 +84,27 @@
 /// A body as far as it has come.
 pub enum ReceivedBody {
     /// All of it.
-    Whole(Bytes),
+    Full(Bytes),
     /// It is longer than what is held of it.
-    Long(Bytes, Rc<Upload>),
+    Partial(Bytes, Rc<Upload>),
 }
 
 impl ReceivedBody {
     /// Whether there is none.
     pub fn is_empty(&self) -> bool {
-        matches!(self, Self::Whole(body) if body.is_empty())
+        matches!(self, Self::Full(body) if body.is_empty())
     }
 
     /// What is still to come.
-    pub fn rest(&self) -> Option<Rc<Upload>> {
-        if let Self::Long(_, rest) = self { Some(rest.clone()) } else { None }
+    pub fn upload(&self) -> Option<Rc<Upload>> {
+        if let Self::Partial(_, rest) = self { Some(rest.clone()) } else { None }
     }
 
     /// What is held, and the rest.
     pub fn into_parts(self) -> (Bytes, Option<Rc<Upload>>) {
         match self {
-            Self::Whole(body) => (body, None),
-            Self::Long(held, rest) => (held, Some(rest)),
+            Self::Full(body) => (body, None),
+            Self::Partial(held, rest) => (held, Some(rest)),
         }
     }
 }
@@ -113,7 +113,7 @@
 ///
 /// # Errors
 /// One that is longer, breaks off, or is too slow.
-pub async fn hold(
+pub async fn read_buffered(
     mut body: Incoming,
     least: usize,
     most: u64,
@@ -122,32 +122,32 @@
 ) -> Result<ReceivedBody, RequestError> {
     let length = body.size_hint().exact();
     if length.is_some_and(|length| length > most) {
-        return Err(RequestError::TooLong);
+        return Err(RequestError::BodyTooLong);
     }
-    let mut part = room.part();
+    let mut part = room.reservation();
     // Room for what is stated is taken at once: taken by pieces, many would have some and none enough.
     let wanted = length.map_or(least, |length| usize::try_from(length).unwrap_or(HELD).min(HELD));
-    let held = if wanted > least && part.grow(wanted) { wanted } else { least };
+    let held = if wanted > least && part.try_grow(wanted) { wanted } else { least };
     let mut whole = BytesMut::new();
     let mut pace = Pace::new(RULES, Instant::now());
     loop {
         pace.wants_more(Instant::now());
         let frame = match timeout(LOOK, body.frame()).await {
             Err(_) => {
-                pace.look(Instant::now()).map_err(|_| RequestError::Slow)?;
+                pace.look(Instant::now()).map_err(|_| RequestError::BodyTimeout)?;
                 continue;
             }
-            Ok(None) => return Ok(ReceivedBody::Whole(part.keep(whole.freeze()))),
-            Ok(Some(frame)) => frame.map_err(|_| RequestError::Broken)?,
+            Ok(None) => return Ok(ReceivedBody::Full(part.attach_to(whole.freeze()))),
+            Ok(Some(frame)) => frame.map_err(|_| RequestError::BodyIncomplete)?,
         };
         let Ok(data) = frame.into_data() else { continue };
         pace.moved(data.len() as u64, Instant::now());
-        pace.look(Instant::now()).map_err(|_| RequestError::Slow)?;
+        pace.look(Instant::now()).map_err(|_| RequestError::BodyTimeout)?;
         whole.extend_from_slice(&data);
         if whole.len() > held || whole.len() == held && !body.is_end_stream() {
-            let allowed = most.checked_sub(whole.len() as u64).ok_or(RequestError::TooLong)?;
+            let allowed = most.checked_sub(whole.len() as u64).ok_or(RequestError::BodyTooLong)?;
             let rest = Upload::new(body, length, allowed, left);
-            return Ok(ReceivedBody::Long(part.keep(whole.freeze()), rest));
+            return Ok(ReceivedBody::Partial(part.attach_to(whole.freeze()), rest));
         }
     }
 }
--- a/crates/node/src/net/downstream/response.rs
+++ b/crates/node/src/net/downstream/response.rs
@@ -12,38 +12,41 @@
 /// An answer's message.
 pub fn response(manner: &ResponseStyle, answer: FinalResponse) -> Response<ResponseBody> {
     match (answer, manner) {
-        (FinalResponse::Served(served), ResponseStyle::Platform) => {
+        (FinalResponse::Upstream(served), ResponseStyle::Platform) => {
             let mut response = Response::new(served.body);
             if let Some(content_type) = served.headers.get(header::CONTENT_TYPE) {
                 response.headers_mut().insert(header::CONTENT_TYPE, content_type.clone());
             }
             response
         }
-        (FinalResponse::Served(UpstreamResponse { status, headers, body }), ResponseStyle::Gateway(via)) => {
+        (
+            FinalResponse::Upstream(UpstreamResponse { status, headers, body }),
+            ResponseStyle::Gateway(via),
+        ) => {
             let mut response = Response::new(body);
             *response.status_mut() = status;
             *response.headers_mut() = headers;
             response.headers_mut().append(header::VIA, via.clone());
             response
         }
-        (FinalResponse::Refused(retry_after), _) => refusal(manner, retry_after),
-        (FinalResponse::Failed | FinalResponse::Left, _) => plain(StatusCode::BAD_GATEWAY, ""),
-        (FinalResponse::Late, _) => plain(StatusCode::GATEWAY_TIMEOUT, ""),
-        (FinalResponse::Broken, _) => bad(&RequestError::Slow),
-        (FinalResponse::TooLong, _) => bad(&RequestError::TooLong),
+        (FinalResponse::Rejected(retry_after), _) => refusal(manner, retry_after),
+        (FinalResponse::Failed | FinalResponse::ClientDisconnected, _) => plain(StatusCode::BAD_GATEWAY, ""),
+        (FinalResponse::DeadlineExceeded, _) => plain(StatusCode::GATEWAY_TIMEOUT, ""),
+        (FinalResponse::BodyIncomplete, _) => bad(&RequestError::BodyTimeout),
+        (FinalResponse::BodyTooLong, _) => bad(&RequestError::BodyTooLong),
     }
 }
 
 /// The answer to what is no request.
 pub fn bad(bad: &RequestError) -> Response<ResponseBody> {
     let mut response = plain(bad.status(), &bad.to_string());
-    if let RequestError::Method(allowed) = bad
+    if let RequestError::MethodNotAllowed(allowed) = bad
         && !allowed.is_empty()
     {
         let names: Vec<_> = allowed.iter().map(hyper::Method::as_str).collect();
         insert(response.headers_mut(), header::ALLOW, &names.join(", "));
     }
-    if bad.ends_connection() {
+    if bad.closes_connection() {
         close(&mut response);
     }
     response
--- a/crates/node/src/net/endpoint_directory.rs
+++ b/crates/node/src/net/endpoint_directory.rs
@@ -69,10 +69,10 @@
     /// A listed server as staff have it.
     fn by_hand(&self, listed: &ListedEndpoint) -> ListedEndpoint {
         let mut host = listed.clone();
-        match self.hands.book.borrow().stand(&host.host, host.born_ms) {
-            Stand::Out if host.health == ListedState::Active => host.health = ListedState::Leaving,
+        match self.hands.book.borrow().stand(&host.name, host.started_at_ms) {
+            Stand::Out if host.state == ListedState::Ready => host.state = ListedState::Draining,
             Stand::Out => {}
-            Stand::In { born_ms } => host.born_ms = born_ms,
+            Stand::In { born_ms } => host.started_at_ms = born_ms,
         }
         host
     }
@@ -98,21 +98,21 @@
     /// A zone that does not exist; then nothing is changed.
     pub fn apply(&mut self, list: EndpointList, cached: bool) -> Result<EndpointUpdate, UnknownZoneError> {
         let zone = |host: &ListedEndpoint| {
-            let place = self.zones.iter().position(|zone| *zone == host.site);
-            place.map(|place| ZoneId(place as u16)).ok_or_else(|| UnknownZoneError(host.site.clone()))
+            let place = self.zones.iter().position(|zone| *zone == host.zone);
+            place.map(|place| ZoneId(place as u16)).ok_or_else(|| UnknownZoneError(host.zone.clone()))
         };
         // All or nothing: a list that is half understood must not be half believed.
-        let zones = list.hosts.iter().map(zone).collect::<Result<Vec<_>, _>>()?;
-        let whole = list.whole || cached;
+        let zones = list.endpoints.iter().map(zone).collect::<Result<Vec<_>, _>>()?;
+        let whole = list.complete || cached;
         if whole {
-            let named: FxHashSet<_> = list.hosts.iter().map(|host| host.host.as_str()).collect();
+            let named: FxHashSet<_> = list.endpoints.iter().map(|host| host.name.as_str()).collect();
             let missing = self.ids.keys().filter(|name| !named.contains(name.as_str()));
             let missing: Vec<_> = missing.cloned().collect();
             missing.iter().for_each(|name| self.forget(name));
         }
         let infos: Arc<[EndpointInfo]> =
-            list.hosts.into_iter().zip(zones).map(|(host, zone)| self.learn(host, zone)).collect();
-        self.seq = list.seq;
+            list.endpoints.into_iter().zip(zones).map(|(host, zone)| self.learn(host, zone)).collect();
+        self.seq = list.version;
         Ok(match (cached, whole) {
             (true, _) => EndpointUpdate::Restored(infos),
             (_, true) => EndpointUpdate::Snapshot(infos),
@@ -123,10 +123,10 @@
     /// Gives the servers of a file their births: one that is known under its name and address has not restarted, and
     /// any other may just have been started for the new file.
     pub fn date(&self, list: &mut EndpointList, now_ms: u64) {
-        for host in &mut list.hosts {
-            let known = self.ids.get(&host.host).and_then(|id| self.servers.get(id));
-            let known = known.filter(|known| *known.server.dial() == host.dial);
-            host.born_ms = known.map_or(now_ms, |known| known.born_ms);
+        for host in &mut list.endpoints {
+            let known = self.ids.get(&host.name).and_then(|id| self.servers.get(id));
+            let known = known.filter(|known| *known.server.address() == host.address);
+            host.started_at_ms = known.map_or(now_ms, |known| known.born_ms);
         }
     }
 
@@ -148,50 +148,53 @@
             return None;
         }
         known.born_ms = now_ms;
-        known.listed.born_ms = now_ms;
+        known.listed.started_at_ms = now_ms;
         known.info.started_at = millis(now_ms);
         Some(EndpointUpdate::Delta(Arc::from([known.info.clone()])))
     }
 
     fn learn(&mut self, listed: ListedEndpoint, zone: ZoneId) -> EndpointInfo {
-        self.hands.listed.borrow_mut().add(&listed.host);
+        self.hands.listed.borrow_mut().add(&listed.name);
         let host = self.by_hand(&listed);
-        let id = self.id(&host.host);
+        let id = self.id(&host.name);
         let info = EndpointInfo {
             id,
             zone,
-            cell: CellId(host.block),
-            state: match host.health {
-                ListedState::Active => EndpointState::Ready,
-                ListedState::Leaving => EndpointState::Draining,
-                ListedState::Left => EndpointState::Removed,
+            cell: CellId(host.cell),
+            state: match host.state {
+                ListedState::Ready => EndpointState::Ready,
+                ListedState::Draining => EndpointState::Draining,
+                ListedState::Removed => EndpointState::Removed,
             },
-            weight: host.share,
-            started_at: millis(host.born_ms),
+            weight: host.weight,
+            started_at: millis(host.started_at_ms),
         };
         let transport = &self.transport;
         let fresh = || EndpointEntry {
-            name: host.host.clone(),
+            name: host.name.clone(),
             listed: listed.clone(),
-            born_ms: host.born_ms,
-            server: transport.server(&host.dial),
+            born_ms: host.started_at_ms,
+            server: transport.connector(&host.address),
             info: info.clone(),
             down: false,
         };
         let known = self.servers.entry(id).or_insert_with(fresh);
-        if known.born_ms != host.born_ms || *known.server.dial() != host.dial || !known.server.is_usable() {
+        if known.born_ms != host.started_at_ms
+            || *known.server.address() != host.address
+            || !known.server.is_usable()
+        {
             // Another process: what is still on its way to the old one must not reach the cold new one.
             known.server.retire();
             *known = fresh();
         }
         known.info = info.clone();
         known.listed = listed.clone();
-        self.ids.insert(host.host.clone(), id);
-        if host.health != ListedState::Active {
+        self.ids.insert(host.name.clone(), id);
+        if host.state != ListedState::Ready {
             known.server.retire();
         }
-        if host.health == ListedState::Left {
-            self.forget(&host.host);
+        if host.state == ListedState::Removed {
+            self.forget(&host.name);
         }
         info
     }
--- a/crates/node/src/net/exchange.rs
+++ b/crates/node/src/net/exchange.rs
@@ -26,34 +26,34 @@
     /// Body, or as much of it as is held.
     pub body: Bytes,
     /// The rest of it.
-    pub rest: Option<Rc<Upload>>,
+    pub upload: Option<Rc<Upload>>,
     /// Where the client is, for protocols that tell servers.
-    pub peer: Option<IpAddr>,
+    pub client_ip: Option<IpAddr>,
     /// The client has its final answer or has left: what is not written yet stays unwritten, whatever the settings say of
     /// calling attempts back. The event loop alone sets it.
-    pub over: Cell<bool>,
+    pub finished: Cell<bool>,
 }
 
 /// A client's request with what the module wants to know of it.
 pub struct ProxyRequest {
     /// A name for it that no other open request has.
-    pub correlation: Box<str>,
+    pub correlation_id: Box<str>,
     /// Class.
     pub class: usize,
     /// Tenant, where there are tenants.
     pub tenant: Option<TenantId>,
     /// Expected work.
-    pub hint: Option<Nanos>,
+    pub cost_hint: Option<Nanos>,
     /// What it is about.
-    pub key: Option<Vec<u8>>,
+    pub ordering_key: Option<Vec<u8>>,
     /// The revision of the configuration that it was admitted under, where there are several.
     pub revision: Option<u64>,
     /// How long the client waits from now on.
-    pub left: Duration,
+    pub time_left: Duration,
     /// How long its body took to come.
-    pub sending: Duration,
+    pub body_read_time: Duration,
     /// What goes on to a server.
-    pub call: UpstreamRequest,
+    pub upstream: UpstreamRequest,
 }
 
 /// A server's whole answer.
@@ -69,29 +69,33 @@
 /// A final answer.
 pub enum FinalResponse {
     /// A server's.
-    Served(UpstreamResponse),
+    Upstream(UpstreamResponse),
     /// Come back later; nothing happened.
-    Refused(Option<Nanos>),
+    Rejected(Option<Nanos>),
     /// It failed, with no promise.
     Failed,
     /// It failed since its time is up.
-    Late,
+    DeadlineExceeded,
     /// Its body was too slow or broke off on its way to a server.
-    Broken,
+    BodyIncomplete,
     /// Its body proved too long on its way to a server.
-    TooLong,
+    BodyTooLong,
     /// Its client has left: nobody hears this.
-    Left,
+    ClientDisconnected,
 }
 
 impl FinalResponse {
     /// What it counts as.
     pub fn outcome(&self) -> Outcome {
         match self {
-            Self::Served(served) if served.status.is_server_error() => Outcome::Failed,
-            Self::Served(_) => Outcome::Completed,
-            Self::Refused(_) => Outcome::Rejected,
-            Self::Failed | Self::Late | Self::Broken | Self::TooLong | Self::Left => Outcome::Failed,
+            Self::Upstream(served) if served.status.is_server_error() => Outcome::Failed,
+            Self::Upstream(_) => Outcome::Completed,
+            Self::Rejected(_) => Outcome::Rejected,
+            Self::Failed
+            | Self::DeadlineExceeded
+            | Self::BodyIncomplete
+            | Self::BodyTooLong
+            | Self::ClientDisconnected => Outcome::Failed,
         }
     }
 }
--- a/crates/node/src/net/memory_budget.rs
+++ b/crates/node/src/net/memory_budget.rs
@@ -25,7 +25,7 @@
     }
 
     /// A part of it that is empty yet.
-    pub fn part(self: &Arc<Self>) -> Reservation {
+    pub fn reservation(self: &Arc<Self>) -> Reservation {
         Reservation { room: self.clone(), size: 0 }
     }
 }
@@ -37,12 +37,12 @@
     }
 
     /// A body that holds this part until it is written.
-    pub fn keep(self, body: Bytes) -> Bytes {
+    pub fn attach_to(self, body: Bytes) -> Bytes {
         if self.size > 0 { Bytes::from_owner(ReservedBytes { body, _part: self }) } else { body }
     }
 
     /// Grows to a size; tells whether there was room.
-    pub fn grow(&mut self, size: usize) -> bool {
+    pub fn try_grow(&mut self, size: usize) -> bool {
         let more = size.saturating_sub(self.size);
         let Some(left) = self.room.0.load(Ordering::Relaxed).checked_sub(more) else { return false };
         self.room.0.store(left, Ordering::Relaxed);
--- a/crates/node/src/net/pool_handle.rs
+++ b/crates/node/src/net/pool_handle.rs
@@ -85,7 +85,7 @@
 impl Drop for DisconnectNotifier<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            let _ = self.handle.messages.send(PoolMessage::ClientGone(self.id));
+            let _ = self.handle.messages.send(PoolMessage::ClientDisconnected(self.id));
         }
     }
 }
@@ -102,7 +102,7 @@
     }
 
     /// A front answers a request of a class by itself.
-    pub fn turned(&self, class: usize, why: Turned) {
+    pub fn record_local_rejection(&self, class: usize, why: Turned) {
         if let Some(tap) = &self.tap {
             tap.record(&Event::Turned { class: class as u16, why });
         }
@@ -110,8 +110,8 @@
 
     /// Waits for the final answer; dropped before, the client is gone. `None`: a request of this name is open,
     /// and this one goes nowhere.
-    pub async fn ask(&self, ask: ProxyRequest) -> Option<FinalResponse> {
-        let name = self.held.take(&ask.correlation)?;
+    pub async fn proxy(&self, ask: ProxyRequest) -> Option<FinalResponse> {
+        let name = self.held.take(&ask.correlation_id)?;
         let counted = self.held.one_more();
         let id = RequestId(self.next.get());
         self.next.set(id.0.wrapping_add(1));
@@ -123,30 +123,30 @@
         let answer = answer.await;
         waiting.answered = true;
         let mut answer = answer.unwrap_or(FinalResponse::Failed);
-        if let FinalResponse::Served(served) = &mut answer {
-            served.body.at_end(move |_| drop((name, counted)));
+        if let FinalResponse::Upstream(served) = &mut answer {
+            served.body.on_end(move |_| drop((name, counted)));
         }
         Some(answer)
     }
 
     /// Discovery is at this address from now on.
     pub fn move_discovery(&self, address: SocketAddr) {
-        let _ = self.messages.send(PoolMessage::Moved(address));
+        let _ = self.messages.send(PoolMessage::DiscoveryMoved(address));
     }
 
     /// The servers are these from now on.
-    pub fn set_servers(&self, list: EndpointList) {
-        let _ = self.messages.send(PoolMessage::Servers(list));
+    pub fn set_endpoints(&self, list: EndpointList) {
+        let _ = self.messages.send(PoolMessage::SetEndpoints(list));
     }
 
     /// The module goes on with these settings; [`Settings::can_update_to`] must allow it.
-    pub fn retune(&self, settings: Box<Settings>) {
-        let _ = self.messages.send(PoolMessage::Retune(settings));
+    pub fn update_settings(&self, settings: Box<Settings>) {
+        let _ = self.messages.send(PoolMessage::UpdateSettings(settings));
     }
 
     /// So many nodes share the servers from now on.
-    pub fn share(&self, sharing: NodeShare) {
-        let _ = self.messages.send(PoolMessage::Sharing(sharing));
+    pub fn set_node_share(&self, sharing: NodeShare) {
+        let _ = self.messages.send(PoolMessage::SetNodeShare(sharing));
     }
 
     /// No more requests come. The loop ends with the last that it has; where the servers are `gone`, nothing new
@@ -156,26 +156,26 @@
     }
 
     /// The book of servers taken out has changed for these names.
-    pub fn restate(&self, names: Vec<String>) {
-        let _ = self.messages.send(PoolMessage::Restate(names));
+    pub fn refresh_overrides(&self, names: Vec<String>) {
+        let _ = self.messages.send(PoolMessage::RefreshOverrides(names));
     }
 
     /// The servers as the loop sees them now; none where it has ended.
-    pub async fn look(&self) -> EndpointCounts {
+    pub async fn endpoint_counts(&self) -> EndpointCounts {
         let (reply, members) = oneshot::channel();
-        let _ = self.messages.send(PoolMessage::Look(reply));
+        let _ = self.messages.send(PoolMessage::CountEndpoints(reply));
         members.await.unwrap_or_default()
     }
 
     /// What the module has learned; none where the loop has ended.
-    pub async fn knowledge(&self) -> Option<WarmState> {
+    pub async fn warm_state(&self) -> Option<WarmState> {
         let (reply, learned) = oneshot::channel();
-        let _ = self.messages.send(PoolMessage::Learned(reply));
+        let _ = self.messages.send(PoolMessage::GetWarmState(reply));
         learned.await.ok()
     }
 
     /// Has all that is still open fail now: the process is about to end.
-    pub fn give_up(&self) {
-        let _ = self.messages.send(PoolMessage::GiveUp);
+    pub fn fail_all(&self) {
+        let _ = self.messages.send(PoolMessage::FailAll);
     }
 }
--- a/crates/node/src/net/pool_loop/actions.rs
+++ b/crates/node/src/net/pool_loop/actions.rs
@@ -21,16 +21,20 @@
             Action::Reject { id, retry_after } => {
                 // A server's own words tell more than that it may be tried again.
                 let error = self.open.get_mut(&id).and_then(|open| open.error.take());
-                self.answer(id, error.map_or(FinalResponse::Refused(retry_after), FinalResponse::Served));
+                self.answer(id, error.map_or(FinalResponse::Rejected(retry_after), FinalResponse::Upstream));
             }
             Action::Fail(id) => {
                 let now = self.now();
                 let Some(open) = self.open.get_mut(&id) else { return };
                 let late = now >= open.deadline;
-                let error = open.error.take().map(FinalResponse::Served);
+                let error = open.error.take().map(FinalResponse::Upstream);
                 self.answer(
                     id,
-                    error.unwrap_or(if late { FinalResponse::Late } else { FinalResponse::Failed }),
+                    error.unwrap_or(if late {
+                        FinalResponse::DeadlineExceeded
+                    } else {
+                        FinalResponse::Failed
+                    }),
                 );
             }
             Action::CancelAttempt { id, attempt } => {
@@ -45,7 +49,7 @@
             Action::ArmTimer { at, token } => self.arm(at, token),
             Action::CloseIdleConnections(server) => {
                 if let Some(server) = self.roster.server(server) {
-                    server.hang_up();
+                    server.close_idle();
                 }
             }
             Action::Subscribe => self.ask_for_list(),
@@ -63,7 +67,7 @@
             tap.record(&told);
         }
         let end = timeout.map_or(open.deadline, |timeout| open.deadline.min(now + timeout));
-        let bound = open.call.rest.as_ref().is_some_and(|upload| upload.is_bound());
+        let bound = open.call.upload.as_ref().is_some_and(|upload| upload.has_started());
         let known = self.roster.server(server).filter(|_| open.answer.is_some() && now < end && !bound);
         let Some(known) = known.cloned() else {
             open.attempts.push(None);
@@ -90,14 +94,15 @@
         let (cancel, cancelled) = oneshot::channel();
         open.attempts.push(Some(cancel));
         let call = open.call.clone();
-        let instant = |at| self.clock.instant(at);
-        let times = AttemptDeadlines { deadline: instant(end), by: instant(by.unwrap_or(Nanos::MAX)) };
+        let instant = |at| self.clock.instant_at(at);
+        let times =
+            AttemptDeadlines { deadline: instant(end), start_before: instant(by.unwrap_or(Nanos::MAX)) };
         let messages = self.to_self.clone();
         task::spawn_local(async move {
             let to_core = messages.clone();
-            let begin = move |served| drop(to_core.send(PoolMessage::Began(id, attempt, served)));
+            let begin = move |served| drop(to_core.send(PoolMessage::ResponseStarted(id, attempt, served)));
             let end = known.attempt(call, times, cancelled, Box::new(begin)).await;
-            let _ = messages.send(PoolMessage::Ended { id, attempt, server, sent: now, end });
+            let _ = messages.send(PoolMessage::AttemptEnded { id, attempt, server, sent: now, end });
         });
     }
 }
--- a/crates/node/src/net/pool_loop/in_flight.rs
+++ b/crates/node/src/net/pool_loop/in_flight.rs
@@ -11,11 +11,11 @@
 /// What a loop waits for.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
-    Timer(u64),
-    Overdue(u32),
-    Sweep,
-    Subscribe,
-    Empty,
+    Policy(u64),
+    RequestOverdue(u32),
+    SweepIdleConnections,
+    RetryWatch,
+    ClearEndpoints,
 }
 
 /// A request in hand.
--- a/crates/node/src/net/pool_loop/mod.rs
+++ b/crates/node/src/net/pool_loop/mod.rs
@@ -55,12 +55,12 @@
     /// A service is watched, after the list that was known last.
     Watch {
         /// Its address.
-        discovery: SocketAddr,
+        address: SocketAddr,
         /// The list as it was known last; where there is none, the service is asked at once.
-        known: Option<EndpointList>,
+        last_list: Option<EndpointList>,
         /// It is asked at once all the same, and not when the module thinks best: this process takes over from another,
         /// whose news bind it.
-        at_once: bool,
+        poll_at_start: bool,
     },
     /// The configuration has it.
     Fixed(EndpointList),
@@ -75,17 +75,17 @@
     /// The zones, by name.
     pub zones: Vec<String>,
     /// Its servers.
-    pub source: EndpointSource,
+    pub endpoints: EndpointSource,
     /// How attempts travel.
     pub transport: Rc<dyn Transport>,
     /// Servers taken out by hand.
-    pub hands: Rc<AdminOverrides>,
+    pub overrides: Rc<AdminOverrides>,
     /// What an earlier process of this node has learned.
-    pub learned: Option<WarmState>,
+    pub warm_state: Option<WarmState>,
     /// The node's clock.
     pub clock: Clock,
     /// The way to the recorder, where there is one.
-    pub tap: Option<RecorderSink>,
+    pub recorder: Option<RecorderSink>,
 }
 
 /// The event loop's state.
@@ -117,9 +117,11 @@
     /// An event loop that has not begun, and the way to it.
     pub fn new(setup: PoolConfig, held: ActiveRequestIds) -> (Self, PoolHandle) {
         let (to_self, messages) = mpsc::unbounded_channel();
-        let (handle, handles) = PoolHandle::new(to_self.clone(), held, setup.tap.clone());
-        let (discovery, known, at_once, fixed) = match setup.source {
-            EndpointSource::Watch { discovery, known, at_once } => (Some(discovery), known, at_once, None),
+        let (handle, handles) = PoolHandle::new(to_self.clone(), held, setup.recorder.clone());
+        let (discovery, known, at_once, fixed) = match setup.endpoints {
+            EndpointSource::Watch { address, last_list, poll_at_start } => {
+                (Some(address), last_list, poll_at_start, None)
+            }
             EndpointSource::Fixed(list) => (None, None, false, Some(list)),
         };
         let mut core = Self {
@@ -127,21 +129,21 @@
             full_unproven: setup.settings.rejection_may_execute,
             advice: setup.settings.retry_after_hint(),
             balancer: Balancer::new(setup.settings, setup.seed),
-            roster: EndpointDirectory::new(setup.zones, setup.transport, setup.hands),
+            roster: EndpointDirectory::new(setup.zones, setup.transport, setup.overrides),
             messages,
             to_self,
             clock: setup.clock,
-            tap: setup.tap,
+            tap: setup.recorder,
             timers: BTreeSet::new(),
             events: VecDeque::new(),
             open: FxHashMap::default(),
             watch: WatchTask::new(discovery),
             handles,
             retired: false,
-            learned: setup.learned,
+            learned: setup.warm_state,
             stalls: StallDetector::default(),
         };
-        core.timers.insert((core.now() + SWEEP, TimerKind::Sweep));
+        core.timers.insert((core.now() + SWEEP, TimerKind::SweepIdleConnections));
         if let Some(list) = fixed {
             core.set_servers(list);
             return (core, handle);
@@ -175,7 +177,7 @@
                 return;
             }
             let next = self.timers.first().map_or(Nanos::MAX, |(at, _)| *at);
-            let wake = self.clock.instant(next);
+            let wake = self.clock.instant_at(next);
             tokio::select! {
                 message = self.messages.recv() => match message {
                     Some(message) => self.on_message(message),
@@ -213,13 +215,13 @@
         while let Some(event) = self.events.pop_front() {
             let listed = matches!(event, Event::EndpointsUpdated(_));
             let now = self.now();
-            self.balancer.record_every_decision(self.tap.as_ref().is_some_and(RecorderSink::is_on));
+            self.balancer.record_every_decision(self.tap.as_ref().is_some_and(RecorderSink::is_recording));
             self.balancer.handle(now, event, &mut actions);
             for note in self.balancer.decision_events() {
                 if note.is_logged() {
                     info!(target: "decisions", "{}", self.worded(note));
                 }
-                if let Some(tap) = self.tap.as_ref().filter(|tap| tap.is_on()) {
+                if let Some(tap) = self.tap.as_ref().filter(|tap| tap.is_recording()) {
                     tap.record_at(now, &Told::Note(*note));
                 }
             }
@@ -257,22 +259,24 @@
             }
             self.timers.pop_first();
             match due {
-                TimerKind::Timer(token) => self.events.push_back(Event::TimerFired(TimerToken(token))),
-                TimerKind::Overdue(_) if !self.messages.is_empty() => {
+                TimerKind::Policy(token) => self.events.push_back(Event::TimerFired(TimerToken(token))),
+                TimerKind::RequestOverdue(_) if !self.messages.is_empty() => {
                     // Its answer may be among what was told before: a loop that is late must not throw that away.
                     self.timers.insert((at, due));
                     self.hear();
                 }
-                TimerKind::Overdue(id) => match self.later(RequestId(id)) {
+                TimerKind::RequestOverdue(id) => match self.later(RequestId(id)) {
                     Some(later) => drop(self.timers.insert((later, due))),
                     None => self.on_overdue(RequestId(id)),
                 },
-                TimerKind::Sweep => {
+                TimerKind::SweepIdleConnections => {
                     self.roster.transport().sweep();
-                    self.timers.insert((self.now() + SWEEP, TimerKind::Sweep));
+                    self.timers.insert((self.now() + SWEEP, TimerKind::SweepIdleConnections));
+                }
+                TimerKind::RetryWatch => self.ask_for_list(),
+                TimerKind::ClearEndpoints => {
+                    self.set_servers(EndpointList { complete: true, ..EndpointList::default() })
                 }
-                TimerKind::Subscribe => self.ask_for_list(),
-                TimerKind::Empty => self.set_servers(EndpointList { whole: true, ..EndpointList::default() }),
             }
             self.feed();
         }
@@ -292,43 +296,43 @@
             PoolMessage::Request(id, ask, arrived, answer, name) => {
                 self.on_request(id, *ask, arrived, answer, name);
             }
-            PoolMessage::ClientGone(id) => self.on_client_gone(id),
-            PoolMessage::Ended { id, attempt, server, sent, end } => {
+            PoolMessage::ClientDisconnected(id) => self.on_client_gone(id),
+            PoolMessage::AttemptEnded { id, attempt, server, sent, end } => {
                 self.on_ended(id, attempt, server, sent, end)
             }
-            PoolMessage::Began(id, attempt, served) => {
+            PoolMessage::ResponseStarted(id, attempt, served) => {
                 // Another copy may have been faster; this one is then dropped, which ends it.
                 self.tell(&Told::Began { id, attempt });
-                if self.answer(id, FinalResponse::Served(served)) {
+                if self.answer(id, FinalResponse::Upstream(served)) {
                     self.events.push_back(Event::ResponseStarted { id, attempt });
                 }
             }
-            PoolMessage::List(watch, list) => {
+            PoolMessage::ListReceived(watch, list) => {
                 // What an earlier watch said last is old news.
                 if self.watch.is_current(watch)
                     && let Err(error) = self.on_list(list, false)
                 {
-                    self.on_watch_ended(watch, &WatchError::List(error.to_string()));
+                    self.on_watch_ended(watch, &WatchError::MalformedList(error.to_string()));
                 }
             }
             PoolMessage::WatchEnded(watch, error) => self.on_watch_ended(watch, &error),
-            PoolMessage::Moved(address) => {
-                if self.watch.moves(address) {
+            PoolMessage::DiscoveryMoved(address) => {
+                if self.watch.set_address(address) {
                     // Another service's versions mean nothing to this one: the whole list is asked for.
                     self.roster.seq = 0;
                     self.subscribe();
                 }
             }
-            PoolMessage::Servers(mut list) => {
+            PoolMessage::SetEndpoints(mut list) => {
                 self.roster.date(&mut list, self.now() / 1_000_000);
                 self.set_servers(list);
             }
-            PoolMessage::Retune(settings) => {
+            PoolMessage::UpdateSettings(settings) => {
                 if !self.balancer.update_settings(*settings) {
                     warn!(target: "settings", "settings that can't be changed in place are not used");
                 }
             }
-            PoolMessage::Sharing(sharing) => {
+            PoolMessage::SetNodeShare(sharing) => {
                 self.tell(&Told::Sharing { nodes: sharing.node_count, number: sharing.node_index });
                 self.events.push_back(Event::NodeShare(sharing));
             }
@@ -336,15 +340,15 @@
                 self.retired = true;
                 self.watch.stop();
                 if gone {
-                    self.timers.insert((self.now() + GRACE, TimerKind::Empty));
+                    self.timers.insert((self.now() + GRACE, TimerKind::ClearEndpoints));
                 }
             }
-            PoolMessage::Restate(names) => {
+            PoolMessage::RefreshOverrides(names) => {
                 if let Some(change) = self.roster.restate(&names) {
                     self.list(change);
                 }
             }
-            PoolMessage::Look(reply) => {
+            PoolMessage::CountEndpoints(reply) => {
                 let ids = self.roster.ids();
                 let listed = ids.clone().count();
                 let unavailable =
@@ -352,8 +356,8 @@
                 // Whoever asked may have gone.
                 let _ = reply.send(EndpointCounts { listed, unavailable });
             }
-            PoolMessage::Learned(reply) => drop(reply.send(self.balancer.warm_state(self.now()))),
-            PoolMessage::GiveUp => {
+            PoolMessage::GetWarmState(reply) => drop(reply.send(self.balancer.warm_state(self.now()))),
+            PoolMessage::FailAll => {
                 let open: Vec<_> = self.open.keys().copied().collect();
                 for id in open {
                     self.on_overdue(id);
@@ -369,14 +373,14 @@
     /// Begins a watch, in place of any that is under way.
     fn subscribe(&mut self) {
         if !self.retired {
-            self.watch.begin(self.roster.seq, self.pushed, self.to_self.clone());
+            self.watch.start(self.roster.seq, self.pushed, self.to_self.clone());
         }
     }
 
     /// A timer wants the list. It may have been armed before the service moved, or before the watch that is under way
     /// began: one that has not spoken yet is as good as any new one, which would wait behind it. Its end asks again.
     fn ask_for_list(&mut self) {
-        if !self.watch.is_under_way() {
+        if !self.watch.is_running() {
             self.subscribe();
         }
     }
@@ -389,7 +393,7 @@
         warn!(target: "discovery", "watch lost: {error}");
         if self.pushed {
             let pause = AGENT_RETRY_DELAY.as_nanos() as Nanos;
-            self.timers.insert((self.now() + pause, TimerKind::Subscribe));
+            self.timers.insert((self.now() + pause, TimerKind::RetryWatch));
         } else {
             self.events.push_back(Event::EndpointsUpdated(EndpointUpdate::WatchFailed));
         }
@@ -398,7 +402,7 @@
     /// The module hears of the servers, and so does the recorder.
     fn list(&mut self, change: EndpointUpdate) {
         if let Some(tap) = &self.tap {
-            tap.list(&change, |id| self.roster.name(id));
+            tap.record_endpoints(&change, |id| self.roster.name(id));
         }
         self.events.push_back(Event::EndpointsUpdated(change));
     }
--- a/crates/node/src/net/pool_loop/requests.rs
+++ b/crates/node/src/net/pool_loop/requests.rs
@@ -27,22 +27,22 @@
         answer: oneshot::Sender<FinalResponse>,
         name: Rc<RequestIdGuard>,
     ) {
-        let deadline = self.clock.at(arrived) + ask.left.as_nanos() as Nanos;
-        if let Some(tap) = self.tap.as_ref().filter(|tap| tap.is_on()) {
+        let deadline = self.clock.time_of(arrived) + ask.time_left.as_nanos() as Nanos;
+        if let Some(tap) = self.tap.as_ref().filter(|tap| tap.is_recording()) {
             tap.record(&Told::Asked {
                 id,
                 class: ask.class as u16,
                 tenant: ask.tenant.map(|tenant| tenant.0),
-                left: ask.left.as_nanos() as Nanos,
-                sending: ask.sending.as_nanos() as Nanos,
-                name: text::Name::new(&ask.correlation),
+                left: ask.time_left.as_nanos() as Nanos,
+                sending: ask.body_read_time.as_nanos() as Nanos,
+                name: text::Name::new(&ask.correlation_id),
                 revision: ask.revision,
             });
         }
-        let overdue = (deadline + OVERDUE, TimerKind::Overdue(id.0));
+        let overdue = (deadline + OVERDUE, TimerKind::RequestOverdue(id.0));
         self.timers.insert(overdue);
         let open = InFlightRequest {
-            call: Rc::new(ask.call),
+            call: Rc::new(ask.upstream),
             answer: Some(answer),
             deadline,
             error: None,
@@ -55,8 +55,8 @@
             id,
             class: ClassId(ask.class as u16),
             tenant: ask.tenant,
-            cost_hint: ask.hint.filter(|&hint| hint > 0),
-            key: ask.key.map(|key| unseeded_hash(&key)),
+            cost_hint: ask.cost_hint.filter(|&hint| hint > 0),
+            key: ask.ordering_key.map(|key| unseeded_hash(&key)),
             deadline,
         }));
     }
@@ -65,7 +65,7 @@
     pub(super) fn answer(&mut self, id: RequestId, answer: FinalResponse) -> bool {
         let Some(open) = self.open.get_mut(&id) else { return false };
         let Some(sender) = open.answer.take() else { return false };
-        open.call.over.set(true);
+        open.call.finished.set(true);
         self.tell(&Told::Over { id, how: how(&answer) });
         // A client that has left by now gets no answer, and needs none.
         let _ = sender.send(answer);
@@ -83,7 +83,7 @@
     }
 
     pub(super) fn arm(&mut self, at: Nanos, token: TimerToken) {
-        let timer = (at, TimerKind::Timer(token.0));
+        let timer = (at, TimerKind::Policy(token.0));
         if let Some(id) = token.request() {
             // Of one that is over it would do nothing.
             let Some(open) = self.open.get_mut(&id) else { return };
@@ -93,17 +93,17 @@
     }
 
     pub(super) fn on_client_gone(&mut self, id: RequestId) {
-        if self.answer(id, FinalResponse::Left) {
+        if self.answer(id, FinalResponse::ClientDisconnected) {
             self.events.push_back(Event::ClientDisconnected(id));
         }
     }
 
     /// When a request is due whose body still passes through, or has only just: its time counts from its last byte.
     pub(super) fn later(&self, id: RequestId) -> Option<Nanos> {
-        let upload = self.open.get(&id)?.call.rest.as_ref()?;
-        let due = match upload.done() {
-            Some(done) => self.clock.at(Instant::from_std(done) + upload.left) + OVERDUE,
-            None if upload.is_going() => self.now() + SECOND / 10,
+        let upload = self.open.get(&id)?.call.upload.as_ref()?;
+        let due = match upload.completed_at() {
+            Some(done) => self.clock.time_of(Instant::from_std(done) + upload.time_left) + OVERDUE,
+            None if upload.is_in_progress() => self.now() + SECOND / 10,
             None => return None,
         };
         (due > self.now()).then_some(due)
@@ -112,15 +112,15 @@
     /// A body that has gone to one server in part can go to no other: what becomes of its request is no longer a choice.
     fn end_bound(&mut self, id: RequestId, outcome: AttemptOutcome) {
         let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(upload) = open.call.rest.as_ref().filter(|upload| upload.is_bound()) else { return };
-        let (again, broken) = (outcome.never_executed(self.full_unproven), upload.is_broken());
+        let Some(upload) = open.call.upload.as_ref().filter(|upload| upload.has_started()) else { return };
+        let (again, broken) = (outcome.never_executed(self.full_unproven), upload.is_client_fault());
         let too_long = upload.is_too_long();
-        let error = open.error.take().map(FinalResponse::Served);
+        let error = open.error.take().map(FinalResponse::Upstream);
         let given = error.unwrap_or(match outcome {
-            _ if too_long => FinalResponse::TooLong,
-            _ if broken => FinalResponse::Broken,
-            _ if again => FinalResponse::Refused(self.advice),
-            AttemptOutcome::TimedOut => FinalResponse::Late,
+            _ if too_long => FinalResponse::BodyTooLong,
+            _ if broken => FinalResponse::BodyIncomplete,
+            _ if again => FinalResponse::Rejected(self.advice),
+            AttemptOutcome::TimedOut => FinalResponse::DeadlineExceeded,
             _ => FinalResponse::Failed,
         });
         self.answer(id, given);
@@ -128,7 +128,7 @@
 
     /// The answer is past due, or the process is about to end.
     pub(super) fn on_overdue(&mut self, id: RequestId) {
-        if self.answer(id, FinalResponse::Late) {
+        if self.answer(id, FinalResponse::DeadlineExceeded) {
             self.events.push_back(Event::ClientDisconnected(id));
         }
     }
@@ -139,13 +139,22 @@
         attempt: AttemptNo,
         server: EndpointId,
         sent: Nanos,
-        AttemptResult { outcome, answer, refused, took, dial, idle, short }: AttemptResult,
+        AttemptResult {
+            outcome,
+            response,
+            connection_refused,
+            server_time,
+            connect_time,
+            idle_time,
+            connection_limit_reached,
+        }: AttemptResult,
     ) {
-        let took = took.map_or_else(|| self.now().saturating_sub(sent), |took| took.as_nanos() as Nanos);
-        let dial = dial.as_nanos() as Nanos;
-        let idle = idle.map(|idle| idle.as_nanos() as Nanos);
+        let took =
+            server_time.map_or_else(|| self.now().saturating_sub(sent), |took| took.as_nanos() as Nanos);
+        let dial = connect_time.as_nanos() as Nanos;
+        let idle = idle_time.map(|idle| idle.as_nanos() as Nanos);
         self.tell(&Told::Ended { id, attempt, server, outcome, took, dial, idle });
-        if short {
+        if connection_limit_reached {
             self.tell(&Told::Short(Short::Dial));
         }
         if let Some(open) = self.open.get_mut(&id)
@@ -153,9 +162,9 @@
         {
             *out = None;
         }
-        match answer {
+        match response {
             Some(served) if outcome == AttemptOutcome::Success => {
-                self.answer(id, FinalResponse::Served(served));
+                self.answer(id, FinalResponse::Upstream(served));
             }
             Some(error) => {
                 if let Some(open) = self.open.get_mut(&id) {
@@ -174,7 +183,7 @@
                     | AttemptOutcome::TimedOut
             );
             let now_ms = self.now() / 1_000_000;
-            if let Some(change) = self.roster.heard(server, refused, connected, now_ms) {
+            if let Some(change) = self.roster.heard(server, connection_refused, connected, now_ms) {
                 self.list(change);
             }
         }
@@ -194,12 +203,12 @@
 /// How an answer ends a request.
 fn how(answer: &FinalResponse) -> How {
     match answer {
-        FinalResponse::Served(served) if served.status.is_server_error() => How::ServedFault,
-        FinalResponse::Served(_) => How::Served,
-        FinalResponse::Refused(_) => How::Refused,
+        FinalResponse::Upstream(served) if served.status.is_server_error() => How::ServedFault,
+        FinalResponse::Upstream(_) => How::Served,
+        FinalResponse::Rejected(_) => How::Refused,
         FinalResponse::Failed => How::Failed,
-        FinalResponse::Late => How::Late,
-        FinalResponse::Broken | FinalResponse::TooLong => How::Body,
-        FinalResponse::Left => How::Left,
+        FinalResponse::DeadlineExceeded => How::Late,
+        FinalResponse::BodyIncomplete | FinalResponse::BodyTooLong => How::Body,
+        FinalResponse::ClientDisconnected => How::Left,
     }
 }
--- a/crates/node/src/net/pool_message.rs
+++ b/crates/node/src/net/pool_message.rs
@@ -25,29 +25,29 @@
 /// What a loop is told.
 pub(in crate::net) enum PoolMessage {
     Request(RequestId, Box<ProxyRequest>, Instant, oneshot::Sender<FinalResponse>, Rc<RequestIdGuard>),
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// An answer begins to pass through.
-    Began(RequestId, AttemptNo, UpstreamResponse),
-    Ended {
+    ResponseStarted(RequestId, AttemptNo, UpstreamResponse),
+    AttemptEnded {
         id: RequestId,
         attempt: AttemptNo,
         server: EndpointId,
         sent: Nanos,
         end: AttemptResult,
     },
-    List(u64, EndpointList),
+    ListReceived(u64, EndpointList),
     WatchEnded(u64, WatchError),
-    Moved(SocketAddr),
-    Servers(EndpointList),
-    Retune(Box<Settings>),
+    DiscoveryMoved(SocketAddr),
+    SetEndpoints(EndpointList),
+    UpdateSettings(Box<Settings>),
     /// So many nodes share the servers.
-    Sharing(NodeShare),
+    SetNodeShare(NodeShare),
     Retire {
         gone: bool,
     },
-    GiveUp,
+    FailAll,
     /// The book of servers taken out has changed for these.
-    Restate(Vec<String>),
-    Look(oneshot::Sender<EndpointCounts>),
-    Learned(oneshot::Sender<WarmState>),
+    RefreshOverrides(Vec<String>),
+    CountEndpoints(oneshot::Sender<EndpointCounts>),
+    GetWarmState(oneshot::Sender<WarmState>),
 }
--- a/crates/node/src/net/recorder_sink.rs
+++ b/crates/node/src/net/recorder_sink.rs
@@ -58,13 +58,13 @@
     }
 
     /// Whether anything is recorded.
-    pub fn is_on(&self) -> bool {
+    pub fn is_recording(&self) -> bool {
         self.shared.0.level.get() != Level::Off
     }
 
     /// Records an event now.
     pub fn record(&self, event: &Event) {
-        if self.is_on() {
+        if self.is_recording() {
             self.record_at(self.clock.now(), event);
         }
     }
@@ -75,7 +75,11 @@
     }
 
     /// Records what is new in a list.
-    pub fn list<'a>(&self, change: &EndpointUpdate, name: impl Fn(EndpointId) -> Option<&'a str>) {
+    pub fn record_endpoints<'a>(
+        &self,
+        change: &EndpointUpdate,
+        name: impl Fn(EndpointId) -> Option<&'a str>,
+    ) {
         let (EndpointUpdate::Snapshot(infos)
         | EndpointUpdate::Restored(infos)
         | EndpointUpdate::Delta(infos)) = change
--- a/crates/node/src/net/response_body.rs
+++ b/crates/node/src/net/response_body.rs
@@ -38,24 +38,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
     /// All of it has been passed on.
-    Whole,
+    Complete,
     /// The server broke off or was given up.
-    Broken,
+    UpstreamFailed,
     /// The client left or was given up.
-    Left,
+    ClientDisconnected,
 }
 
 /// A body.
 pub enum ResponseBody {
     /// All of it.
-    Whole(Bytes),
+    Full(Bytes),
     /// As it comes.
     Stream(Box<StreamedBody>),
 }
 
 impl ResponseBody {
     /// What to do at the end of one that passes through; nothing for a whole one.
-    pub fn at_end(&mut self, hook: impl FnOnce(StreamEnd) + 'static) {
+    pub fn on_end(&mut self, hook: impl FnOnce(StreamEnd) + 'static) {
         if let Self::Stream(stream) = self {
             stream.hooks.push(Box::new(hook));
         }
@@ -67,7 +67,7 @@
     }
 
     /// How one that passes through is cut from the client's side.
-    pub fn cut_by(&self, cut: impl Fn() + 'static) {
+    pub fn set_abort(&self, cut: impl Fn() + 'static) {
         if let Self::Stream(stream) = self {
             *stream.passing.cut.borrow_mut() = Some(Box::new(cut));
         }
@@ -76,7 +76,7 @@
 
 impl From<Bytes> for ResponseBody {
     fn from(bytes: Bytes) -> Self {
-        Self::Whole(bytes)
+        Self::Full(bytes)
     }
 }
 
@@ -137,13 +137,13 @@
 impl Drop for StreamedBody {
     fn drop(&mut self) {
         let whole = self.rest.is_end_stream() && self.first.is_none();
-        self.finish(if whole { StreamEnd::Whole } else { StreamEnd::Left });
+        self.finish(if whole { StreamEnd::Complete } else { StreamEnd::ClientDisconnected });
     }
 }
 
 impl StreamProgress {
     /// Waits until the server's part is done; how the stream ended, if it has.
-    pub async fn server_done(&self) -> Option<StreamEnd> {
+    pub async fn upstream_done(&self) -> Option<StreamEnd> {
         self.free.notified().await;
         self.ended.get()
     }
@@ -185,22 +185,22 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.get_mut() {
-            Self::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Self::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            Self::Full(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Self::Full(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
             Self::Stream(stream) => stream.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.is_empty(),
+            Self::Full(bytes) => bytes.is_empty(),
             Self::Stream(stream) => stream.first.is_none() && stream.rest.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Full(bytes) => SizeHint::with_exact(bytes.len() as u64),
             Self::Stream(stream) => stream.length.map_or_else(SizeHint::default, |length| {
                 SizeHint::with_exact(length.saturating_sub(stream.passing.pace.borrow().bytes()))
             }),
@@ -211,7 +211,7 @@
 impl StreamedBody {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         if self.passing.given_up.get() {
-            self.finish(StreamEnd::Broken);
+            self.finish(StreamEnd::UpstreamFailed);
             return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
         }
         if let Some(first) = self.first.take() {
@@ -227,11 +227,11 @@
                     Poll::Pending
                 }
                 Poll::Ready(None) => {
-                    self.finish(StreamEnd::Whole);
+                    self.finish(StreamEnd::Complete);
                     Poll::Ready(None)
                 }
                 Poll::Ready(Some(Err(error))) => {
-                    self.finish(StreamEnd::Broken);
+                    self.finish(StreamEnd::UpstreamFailed);
                     Poll::Ready(Some(Err(io::Error::other(error))))
                 }
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
--- a/crates/node/src/net/upload.rs
+++ b/crates/node/src/net/upload.rs
@@ -49,7 +49,7 @@
     /// Bytes that are still allowed, where none is stated.
     allowed: Cell<u64>,
     /// How long the client waits from the last byte on.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 impl Upload {
@@ -61,22 +61,22 @@
             stage: Cell::new(Stage::Held),
             length,
             allowed: Cell::new(allowed),
-            left,
+            time_left: left,
         })
     }
 
     /// Whether it can't be sent again: some of it has gone.
-    pub fn is_bound(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.stage.get() != Stage::Held
     }
 
     /// When its last byte had gone.
-    pub fn done(&self) -> Option<Instant> {
+    pub fn completed_at(&self) -> Option<Instant> {
         if let Stage::Done(at) = self.stage.get() { Some(at) } else { None }
     }
 
     /// Whether the client is to blame for its end.
-    pub fn is_broken(&self) -> bool {
+    pub fn is_client_fault(&self) -> bool {
         matches!(self.stage.get(), Stage::Broken | Stage::TooLong)
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Whether it goes on: has begun, and has no end yet.
-    pub fn is_going(&self) -> bool {
+    pub fn is_in_progress(&self) -> bool {
         self.stage.get() == Stage::Going
     }
 
@@ -94,8 +94,8 @@
     ///
     /// # Errors
     /// Who is to be given up: the source is the client.
-    pub fn look(&self) -> Result<(), GiveUp> {
-        if !self.is_going() {
+    pub fn check_pace(&self) -> Result<(), GiveUp> {
+        if !self.is_in_progress() {
             return Ok(());
         }
         let looked = self.pace.borrow_mut().look(Instant::now());
@@ -155,20 +155,20 @@
 }
 
 /// A body as it is written to a server.
-pub struct Outgoing {
+pub struct OutgoingBody {
     held: Bytes,
     rest: Option<Rc<Upload>>,
     written: u64,
 }
 
-impl Outgoing {
+impl OutgoingBody {
     /// What is held, then what comes.
     pub fn new(held: Bytes, rest: Option<Rc<Upload>>) -> Self {
         Self { held, rest, written: 0 }
     }
 }
 
-impl Body for Outgoing {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = io::Error;
 
--- a/crates/node/src/net/upstream/connection_registry.rs
+++ b/crates/node/src/net/upstream/connection_registry.rs
@@ -29,10 +29,10 @@
     fn registered(&self) -> &Cell<bool>;
 
     /// Since when the longest idle one is so; `None` where there is none.
-    fn longest(&self) -> Option<Instant>;
+    fn oldest_idle_since(&self) -> Option<Instant>;
 
     /// Closes that one.
-    fn shed(&self);
+    fn close_oldest(&self);
 
     /// Closes what has been idle for too long or has ended; tells whether any are left.
     fn sweep(&self, now: Instant) -> bool;
@@ -59,11 +59,11 @@
     }
 
     /// A place for one more. Where there is none, the longest idle one makes way.
-    pub fn place(&self) -> Option<ConnectionPermit> {
+    pub fn acquire(&self) -> Option<ConnectionPermit> {
         if self.used.get() >= self.places {
             let servers = self.servers.borrow();
-            let idle = servers.iter().filter_map(|server| Some((server.longest()?, server)));
-            idle.min_by_key(|(since, _)| *since)?.1.shed();
+            let idle = servers.iter().filter_map(|server| Some((server.oldest_idle_since()?, server)));
+            idle.min_by_key(|(since, _)| *since)?.1.close_oldest();
         }
         self.used.set(self.used.get() + 1);
         Some(ConnectionPermit(self.used.clone()))
--- a/crates/node/src/net/upstream/fastcgi/connection.rs
+++ b/crates/node/src/net/upstream/fastcgi/connection.rs
@@ -270,7 +270,7 @@
         }
         let mut out = BytesMut::with_capacity(job.body.len() + 1_024);
         let Some(id) = self.client.begin(&mut out, true) else {
-            let _ = job.end.send(transport::AttemptResult::of(AttemptOutcome::Rejected));
+            let _ = job.end.send(transport::AttemptResult::without_response(AttemptOutcome::Rejected));
             return self.less();
         };
         self.client.params(&mut out, id, job.params.iter().map(|(name, value)| (&name[..], &value[..])));
@@ -375,9 +375,9 @@
         self.shared.link.take();
         for (_, sent) in std::mem::take(&mut self.sent) {
             // What was put out and not written never arrived.
-            let broken = FastCgiEnding::Broken { sent: self.written >= sent.whole_at };
+            let broken = FastCgiEnding::ConnectionLost { request_written: self.written >= sent.whole_at };
             self.less();
-            let _ = sent.job.end.send(transport::AttemptResult::of(broken.verdict().outcome));
+            let _ = sent.job.end.send(transport::AttemptResult::without_response(broken.classify().outcome));
         }
     }
 }
@@ -418,7 +418,7 @@
         }
         let size = self.body.len() + part.len();
         let room = size <= SMALL_BODY_BYTES.max(self.job.part.size())
-            || self.job.part.grow(size.next_multiple_of(SMALL_BODY_BYTES));
+            || self.job.part.try_grow(size.next_multiple_of(SMALL_BODY_BYTES));
         if size as u64 > self.job.longest || !room {
             self.spoilt = true;
             self.body = BytesMut::new();
@@ -430,9 +430,9 @@
     fn finish(mut self, end: End) {
         let mut stated = None;
         let got = match &self.answer {
-            _ if self.nothing => ResponseProgress::Nothing,
-            None => ResponseProgress::Spoilt,
-            Some(_) if self.spoilt => ResponseProgress::Spoilt,
+            _ if self.nothing => ResponseProgress::Empty,
+            None => ResponseProgress::Malformed,
+            Some(_) if self.spoilt => ResponseProgress::Malformed,
             Some(head) => {
                 stated = head.headers.get(header::CONTENT_LENGTH).cloned();
                 let length =
@@ -442,25 +442,26 @@
                 let seen = crate::net::upstream::response_classification::ResponseHead {
                     status: head.status,
                     unprocessed,
-                    framed: true,
+                    delimited: true,
                 };
-                if fits { ResponseProgress::Whole(seen) } else { ResponseProgress::Spoilt }
+                if fits { ResponseProgress::Complete(seen) } else { ResponseProgress::Malformed }
             }
         };
-        let verdict = FastCgiEnding::Ended(end, got).verdict();
+        let verdict = FastCgiEnding::Completed(end, got).classify();
         let bodiless = self.is_bodiless();
-        let answer = self.answer.take().filter(|_| verdict.pass).map(|AnswerHead { status, mut headers }| {
-            header_fields::strip_hop_by_hop(&mut headers);
-            // Of an answer without a body it tells what there would be.
-            if let Some(length) = stated.filter(|_| bodiless && status != StatusCode::NO_CONTENT) {
-                headers.insert(header::CONTENT_LENGTH, length);
-            }
-            UpstreamResponse { status, headers, body: self.job.part.keep(self.body.freeze()).into() }
+        let answer =
+            self.answer.take().filter(|_| verdict.forward).map(|AnswerHead { status, mut headers }| {
+                header_fields::strip_hop_by_hop(&mut headers);
+                // Of an answer without a body it tells what there would be.
+                if let Some(length) = stated.filter(|_| bodiless && status != StatusCode::NO_CONTENT) {
+                    headers.insert(header::CONTENT_LENGTH, length);
+                }
+                UpstreamResponse { status, headers, body: self.job.part.attach_to(self.body.freeze()).into() }
+            });
+        let _ = self.job.end.send(transport::AttemptResult {
+            response: answer,
+            ..transport::AttemptResult::without_response(verdict.outcome)
         });
-        let _ = self
-            .job
-            .end
-            .send(transport::AttemptResult { answer, ..transport::AttemptResult::of(verdict.outcome) });
     }
 }
 
--- a/crates/node/src/net/upstream/fastcgi/outcome.rs
+++ b/crates/node/src/net/upstream/fastcgi/outcome.rs
@@ -11,50 +11,50 @@
 #[derive(Clone, Copy, Debug)]
 pub enum ResponseProgress {
     /// Nothing.
-    Nothing,
+    Empty,
     /// Something that is no whole answer: part of a head, a head that is none, another length than is stated, or more
     /// than there is room for.
-    Spoilt,
+    Malformed,
     /// A head, and a body of the stated length, if one is.
-    Whole(ResponseHead),
+    Complete(ResponseHead),
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub enum FastCgiEnding {
     /// No connection came up.
-    NoConnection,
+    ConnectFailed,
     /// The application takes no more connections or requests, by its own word; nothing was sent.
-    NoRoom,
+    AtCapacity,
     /// The connection broke, or what came on it was no FastCGI.
-    Broken {
+    ConnectionLost {
         /// The last record of the request had been written.
-        sent: bool,
+        request_written: bool,
     },
     /// The request ended.
-    Ended(End, ResponseProgress),
+    Completed(End, ResponseProgress),
 }
 
 impl FastCgiEnding {
     /// What it means. When in doubt, it may have run.
-    pub fn verdict(&self) -> ResponseClass {
-        let without = |outcome| ResponseClass { outcome, pass: false };
+    pub fn classify(&self) -> ResponseClass {
+        let without = |outcome| ResponseClass { outcome, forward: false };
         match self {
-            Self::NoConnection => without(AttemptOutcome::ConnectFailed),
-            Self::NoRoom => without(AttemptOutcome::Rejected),
+            Self::ConnectFailed => without(AttemptOutcome::ConnectFailed),
+            Self::AtCapacity => without(AttemptOutcome::Rejected),
             // A request is whole with the empty record that ends its body (section 3.3), and runs no sooner.
-            Self::Broken { sent: false } => without(AttemptOutcome::ConnectFailed),
-            Self::Broken { sent: true } => without(AttemptOutcome::Reset),
-            Self::Ended(end, ResponseProgress::Nothing) if never_ran(end) => {
+            Self::ConnectionLost { request_written: false } => without(AttemptOutcome::ConnectFailed),
+            Self::ConnectionLost { request_written: true } => without(AttemptOutcome::Reset),
+            Self::Completed(end, ResponseProgress::Empty) if never_ran(end) => {
                 without(AttemptOutcome::Rejected)
             }
             // Turned away, but with output: one of the two is wrong.
-            Self::Ended(end, _) if never_ran(end) => without(AttemptOutcome::Reset),
+            Self::Completed(end, _) if never_ran(end) => without(AttemptOutcome::Reset),
             // Done, by its own word, with nothing to show: as an error without words.
-            Self::Ended(_, ResponseProgress::Nothing) => without(AttemptOutcome::Error),
-            Self::Ended(_, ResponseProgress::Spoilt) => without(AttemptOutcome::Reset),
+            Self::Completed(_, ResponseProgress::Empty) => without(AttemptOutcome::Error),
+            Self::Completed(_, ResponseProgress::Malformed) => without(AttemptOutcome::Reset),
             // The status of the application is of its process; the answer is whole whatever it says.
-            Self::Ended(_, ResponseProgress::Whole(seen)) => StatusPolicy::Gateway.whole(seen),
+            Self::Completed(_, ResponseProgress::Complete(seen)) => StatusPolicy::Gateway.classify(seen),
         }
     }
 }
--- a/crates/node/src/net/upstream/fastcgi/transport.rs
+++ b/crates/node/src/net/upstream/fastcgi/transport.rs
@@ -38,13 +38,13 @@
 /// What a pool's servers share.
 pub struct FastCgiSettings {
     /// A connection that is not up by then has failed.
-    pub dial_timeout: Duration,
+    pub connect_timeout: Duration,
     /// Servers close idle connections after this.
-    pub conn_idle: Duration,
+    pub server_idle_timeout: Duration,
     /// Longest body of an answer.
-    pub longest: u64,
+    pub max_body: u64,
     /// Memory for long answers.
-    pub room: Arc<MemoryBudget>,
+    pub memory: Arc<MemoryBudget>,
     /// The part of paths that names the application.
     pub script: String,
     /// The folder of its files.
@@ -65,7 +65,7 @@
 }
 
 impl Transport for FastCgiTransport {
-    fn server(&self, dial: &Address) -> Rc<dyn EndpointConnector> {
+    fn connector(&self, dial: &Address) -> Rc<dyn EndpointConnector> {
         Rc::new(FastCgiConnector {
             connections: self.connections.clone(),
             settings: self.settings.clone(),
@@ -73,7 +73,7 @@
                 dial: dial.clone(),
                 usable: Cell::new(true),
                 pool: Pool::default(),
-                idle_for: self.settings.conn_idle.mul_f64(IDLE_SHARE),
+                idle_for: self.settings.server_idle_timeout.mul_f64(IDLE_SHARE),
                 registered: Cell::new(false),
             }),
             said: Cell::new(ServerValues::NotAsked),
@@ -124,7 +124,7 @@
         &self.registered
     }
 
-    fn longest(&self) -> Option<Instant> {
+    fn oldest_idle_since(&self) -> Option<Instant> {
         let pool = self.pool.borrow();
         pool.iter()
             .filter(|conn| conn.open.get() == 0 && !conn.closed.get())
@@ -132,7 +132,7 @@
             .min()
     }
 
-    fn shed(&self) {
+    fn close_oldest(&self) {
         let mut pool = self.pool.borrow_mut();
         let idle = pool.iter().enumerate().filter(|(_, conn)| conn.open.get() == 0);
         if let Some((place, _)) = idle.min_by_key(|(_, conn)| conn.idle_since.get()) {
@@ -154,7 +154,7 @@
 }
 
 impl EndpointConnector for FastCgiConnector {
-    fn dial(&self) -> &Address {
+    fn address(&self) -> &Address {
         &self.life.dial
     }
 
@@ -164,10 +164,10 @@
 
     fn retire(&self) {
         self.life.usable.set(false);
-        self.hang_up();
+        self.close_idle();
     }
 
-    fn hang_up(&self) {
+    fn close_idle(&self) {
         // Those with requests end with these; the others now.
         let usable = self.life.usable.get();
         self.life.pool.borrow_mut().retain(|conn| {
@@ -192,10 +192,10 @@
                 biased;
                 done = self.exchange(&call, times, begun.clone()) => done,
                 // The sender is kept as long as the attempt is out; were it lost, nobody would wait.
-                _ = cancel => AttemptResult::of(AttemptOutcome::Cancelled),
+                _ = cancel => AttemptResult::without_response(AttemptOutcome::Cancelled),
                 // A time-out before anything was written proves that nothing ran.
                 () = sleep_until(times.deadline) => {
-                    AttemptResult::of(if begun.get() { AttemptOutcome::TimedOut } else { AttemptOutcome::NotSent })
+                    AttemptResult::without_response(if begun.get() { AttemptOutcome::TimedOut } else { AttemptOutcome::NotSent })
                 }
             }
         })
@@ -214,21 +214,21 @@
             Err(end) => return end,
         };
         // Dialling takes time: what was true when the attempt was decided need not be so now.
-        let left = times.left(Instant::now());
-        if left.is_zero() || !self.life.usable.get() || call.over.get() {
-            return AttemptResult::of(AttemptOutcome::NotSent);
+        let left = times.time_left(Instant::now());
+        if left.is_zero() || !self.life.usable.get() || call.finished.get() {
+            return AttemptResult::without_response(AttemptOutcome::NotSent);
         }
         let Some(params) = self.params(call, left) else {
             // Such a path is refused before it is sent here.
-            return AttemptResult::of(AttemptOutcome::NotSent);
+            return AttemptResult::without_response(AttemptOutcome::NotSent);
         };
         let (end, ended) = oneshot::channel();
         let job = FastCgiRequest {
             params,
             body: call.body.clone(),
             method: call.method.clone(),
-            longest: self.settings.longest,
-            part: self.settings.room.part(),
+            longest: self.settings.max_body,
+            part: self.settings.memory.reservation(),
             end,
             begun: begun.clone(),
         };
@@ -241,7 +241,9 @@
             // The connection ended as the request came to it: nothing of it was written.
             Err(_) => {
                 ticket.done();
-                AttemptResult::of(FastCgiEnding::Broken { sent: false }.verdict().outcome)
+                AttemptResult::without_response(
+                    FastCgiEnding::ConnectionLost { request_written: false }.classify().outcome,
+                )
             }
         }
     }
@@ -250,7 +252,7 @@
         let mut headers = call.headers.clone();
         headers.insert("x-time-left", format!("{}u", left.as_micros()).parse().ok()?);
         let around = Around {
-            peer: call.peer,
+            peer: call.client_ip,
             script: &self.settings.script,
             root: &self.settings.root,
             length: call.body.len(),
@@ -294,7 +296,7 @@
             let connections = self.life.pool.borrow().len();
             let over = |bound: Option<u32>, count: usize| bound.is_some_and(|most| count >= most as usize);
             if over(values.requests, open) || found.is_none() && over(values.connections, connections) {
-                return Err(AttemptResult::of(FastCgiEnding::NoRoom.verdict().outcome));
+                return Err(AttemptResult::without_response(FastCgiEnding::AtCapacity.classify().outcome));
             }
         }
         match found {
@@ -329,10 +331,10 @@
         values: Option<oneshot::Sender<Values>>,
     ) -> Result<Rc<FastCgiConnection>, AttemptResult> {
         // The node's own lack of descriptors is no fault of the server's.
-        let place = self
-            .connections
-            .place()
-            .ok_or_else(|| AttemptResult { short: true, ..AttemptResult::of(AttemptOutcome::NotSent) })?;
+        let place = self.connections.acquire().ok_or_else(|| AttemptResult {
+            connection_limit_reached: true,
+            ..AttemptResult::without_response(AttemptOutcome::NotSent)
+        })?;
         let conn = match &self.life.dial {
             Address::Tcp(address) => {
                 let stream = self.dialled(TcpStream::connect(address)).await?;
@@ -340,7 +342,7 @@
             }
             Address::Unix(path) => {
                 let stream = self.dialled(UnixStream::connect(path)).await?;
-                self.drive(CountingStream::unix(stream), place, values)
+                self.drive(CountingStream::from_unix(stream), place, values)
             }
         };
         self.life.pool.borrow_mut().push(conn.clone());
@@ -350,10 +352,10 @@
 
     async fn dialled<S>(&self, dial: impl Future<Output = io::Result<S>>) -> Result<S, AttemptResult> {
         let failed = |refused| AttemptResult {
-            refused,
-            ..AttemptResult::of(FastCgiEnding::NoConnection.verdict().outcome)
+            connection_refused: refused,
+            ..AttemptResult::without_response(FastCgiEnding::ConnectFailed.classify().outcome)
         };
-        match timeout(self.settings.dial_timeout, dial).await {
+        match timeout(self.settings.connect_timeout, dial).await {
             Ok(Ok(stream)) => Ok(stream),
             Ok(Err(error)) => {
                 // A socket of this machine that is not there has no process either.
--- a/crates/node/src/net/upstream/http/response_reader.rs
+++ b/crates/node/src/net/upstream/http/response_reader.rs
@@ -20,23 +20,23 @@
 #[derive(Clone)]
 pub struct ResponseReader {
     /// What they mean.
-    pub reading: StatusPolicy,
+    pub status_policy: StatusPolicy,
     /// Longest body; what is stated longer fails at once.
-    pub longest: u64,
+    pub max_body: u64,
     /// Longest one whose length is not stated.
-    pub longest_unstated: u64,
+    pub max_unsized_body: u64,
     /// Memory for long ones.
-    pub room: Arc<MemoryBudget>,
+    pub memory: Arc<MemoryBudget>,
     /// Long ones pass through as they come; else all are read whole.
-    pub passes: bool,
+    pub streaming: bool,
 }
 
 /// What becomes of an answer.
 pub enum ReadResponse {
     /// It is over.
-    Whole(AttemptResult),
+    Complete(AttemptResult),
     /// It passes through: what is there of it, and how to follow it.
-    Begun(UpstreamResponse, Rc<StreamProgress>),
+    Streaming(UpstreamResponse, Rc<StreamProgress>),
 }
 
 /// What a stream takes of the room for long answers: the buffers of its two connections at their fullest.
@@ -50,22 +50,23 @@
         let seen = ResponseHead {
             status: parts.status,
             unprocessed: parts.headers.get("x-unprocessed").is_some_and(|value| value == "1"),
-            framed: length.is_some()
+            delimited: length.is_some()
                 || parts.headers.contains_key(header::TRANSFER_ENCODING)
                 || says_close(&parts.headers),
         };
-        if self.reading.turned_away(&seen) {
+        if self.status_policy.is_unprocessed_rejection(&seen) {
             // Whatever becomes of the body.
             let _ = Limited::new(body, SMALL_BODY_BYTES).collect().await;
-            return ReadResponse::Whole(AttemptResult::of(AttemptOutcome::Rejected));
+            return ReadResponse::Complete(AttemptResult::without_response(AttemptOutcome::Rejected));
         }
-        let reset = || ReadResponse::Whole(AttemptResult::of(AttemptOutcome::Reset));
-        let most = length.unwrap_or(self.longest_unstated);
-        if most > self.longest {
+        let reset = || ReadResponse::Complete(AttemptResult::without_response(AttemptOutcome::Reset));
+        let most = length.unwrap_or(self.max_unsized_body);
+        if most > self.max_body {
             return reset();
         }
-        let verdict = self.reading.whole(&seen);
-        let passes = self.passes && verdict == ResponseClass { outcome: AttemptOutcome::Success, pass: true };
+        let verdict = self.status_policy.classify(&seen);
+        let passes =
+            self.streaming && verdict == ResponseClass { outcome: AttemptOutcome::Success, forward: true };
         let head = |headers, body| UpstreamResponse {
             status: parts.status,
             headers: self.fields(headers, parts.status, method),
@@ -76,27 +77,36 @@
             let Some((start, ended)) = start(&mut body, least).await else { return reset() };
             if ended {
                 let answer = Some(head(parts.headers, start.into()));
-                return ReadResponse::Whole(AttemptResult { answer, ..AttemptResult::of(verdict.outcome) });
+                return ReadResponse::Complete(AttemptResult {
+                    response: answer,
+                    ..AttemptResult::without_response(verdict.outcome)
+                });
             }
-            let mut part = self.room.part();
-            if !part.grow(STREAM) {
+            let mut part = self.memory.reservation();
+            if !part.try_grow(STREAM) {
                 return reset();
             }
             let (stream, passing) = StreamedBody::new(start, body, length, part);
-            return ReadResponse::Begun(head(parts.headers, ResponseBody::Stream(Box::new(stream))), passing);
+            return ReadResponse::Streaming(
+                head(parts.headers, ResponseBody::Stream(Box::new(stream))),
+                passing,
+            );
         }
         // Room for what is stated is taken before any of it has come, so that it can't run out on the way.
-        let mut part = self.room.part();
-        if length.is_some_and(|length| length > SMALL_BODY_BYTES as u64) && !part.grow(most as usize) {
+        let mut part = self.memory.reservation();
+        if length.is_some_and(|length| length > SMALL_BODY_BYTES as u64) && !part.try_grow(most as usize) {
             return reset();
         }
         let Some(body) = collect(body, most, &mut part).await else { return reset() };
-        let answer = verdict.pass.then(|| head(parts.headers, part.keep(body).into()));
-        ReadResponse::Whole(AttemptResult { answer, ..AttemptResult::of(verdict.outcome) })
+        let answer = verdict.forward.then(|| head(parts.headers, part.attach_to(body).into()));
+        ReadResponse::Complete(AttemptResult {
+            response: answer,
+            ..AttemptResult::without_response(verdict.outcome)
+        })
     }
 
     fn fields(&self, mut headers: HeaderMap, status: StatusCode, method: &Method) -> HeaderMap {
-        if self.reading == StatusPolicy::Gateway {
+        if self.status_policy == StatusPolicy::Gateway {
             // Of an answer without a body it tells what there would be (RFC 9110 section 8.6).
             let bodiless = *method == Method::HEAD || status == StatusCode::NOT_MODIFIED;
             let length = headers.remove(header::CONTENT_LENGTH).filter(|_| bodiless);
@@ -141,7 +151,8 @@
         let Ok(data) = frame.ok()?.into_data() else { continue };
         size += data.len();
         if size as u64 > most
-            || size > SMALL_BODY_BYTES.max(part.size()) && !part.grow(size.next_multiple_of(SMALL_BODY_BYTES))
+            || size > SMALL_BODY_BYTES.max(part.size())
+                && !part.try_grow(size.next_multiple_of(SMALL_BODY_BYTES))
         {
             return None;
         }
--- a/crates/node/src/net/upstream/http/transport.rs
+++ b/crates/node/src/net/upstream/http/transport.rs
@@ -23,7 +23,7 @@
 use crate::net::counting_stream::{Counter, CountingStream, UnreadState};
 use crate::net::exchange::UpstreamRequest;
 use crate::net::response_body::StreamEnd;
-use crate::net::upload::Outgoing;
+use crate::net::upload::OutgoingBody;
 use crate::net::upstream::connection_registry::{
     ConnectionPermit, ConnectionRegistry, IDLE_SHARE, IdleConnections,
 };
@@ -59,7 +59,7 @@
 
 /// A connection; dropping it closes the socket.
 struct HttpConnection {
-    sender: http1::SendRequest<Outgoing>,
+    sender: http1::SendRequest<OutgoingBody>,
     link: CountingStream,
     /// What had come on it when it was put aside.
     came: u64,
@@ -108,7 +108,7 @@
 }
 
 impl Transport for HttpTransport {
-    fn server(&self, dial: &Address) -> Rc<dyn EndpointConnector> {
+    fn connector(&self, dial: &Address) -> Rc<dyn EndpointConnector> {
         let shared = self.0.clone();
         let backend = EndpointConnections {
             dial: dial.clone(),
@@ -128,7 +128,7 @@
 
 impl EndpointConnections {
     fn keep(self: &Rc<Self>, connections: &ConnectionRegistry, mut conn: HttpConnection) {
-        conn.came = conn.link.came();
+        conn.came = conn.link.bytes_read();
         // Whether the socket has ended is asked when it is wanted again.
         if self.usable.get() && !conn.sender.is_closed() {
             self.idle.borrow_mut().push_back((Instant::now(), conn));
@@ -140,7 +140,7 @@
 impl EndpointConnections {
     /// Whether anything came on an idle connection.
     fn look(&self, conn: &HttpConnection, now: Instant) {
-        if conn.link.came() != conn.came || conn.link.unread() == UnreadState::Bytes {
+        if conn.link.bytes_read() != conn.came || conn.link.unread() == UnreadState::Bytes {
             self.surplus.set(Some(now));
         }
     }
@@ -151,11 +151,11 @@
         &self.registered
     }
 
-    fn longest(&self) -> Option<Instant> {
+    fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.borrow().front().map(|(since, _)| *since)
     }
 
-    fn shed(&self) {
+    fn close_oldest(&self) {
         drop(self.idle.borrow_mut().pop_front());
     }
 
@@ -175,7 +175,7 @@
 }
 
 impl EndpointConnector for HttpConnector {
-    fn dial(&self) -> &Address {
+    fn address(&self) -> &Address {
         &self.backend.dial
     }
 
@@ -185,10 +185,10 @@
 
     fn retire(&self) {
         self.backend.usable.set(false);
-        self.hang_up();
+        self.close_idle();
     }
 
-    fn hang_up(&self) {
+    fn close_idle(&self) {
         self.backend.idle.borrow_mut().clear();
     }
 
@@ -206,8 +206,8 @@
                 biased;
                 done = self.shared.exchange(&self.backend, &call, times, (&stage, &way), begin) => done,
                 // The sender is kept as long as the attempt is out; were it lost, nobody would wait.
-                _ = cancel => (AttemptResult::of(AttemptOutcome::Cancelled), None),
-                outcome = expiry(&call, deadline, &stage) => (AttemptResult::of(outcome), None),
+                _ = cancel => (AttemptResult::without_response(AttemptOutcome::Cancelled), None),
+                outcome = expiry(&call, deadline, &stage) => (AttemptResult::without_response(outcome), None),
             };
             // Kept before the outcome is told, so that what is sent next finds it. Nothing crosses it here: an answer that
             // has been read is the outcome, whoever calls the attempt back or whatever is up meanwhile.
@@ -215,7 +215,7 @@
                 self.shared.settle(&self.backend, conn, deadline).await;
             }
             let ConnectionTiming { dial, idle } = way.get();
-            AttemptResult { dial, idle, ..end }
+            AttemptResult { connect_time: dial, idle_time: idle, ..end }
         })
     }
 }
@@ -241,7 +241,7 @@
 /// The end of an attempt that takes too long, by its stage: a time-out before anything was written proves that nothing
 /// ran. Of a body that passes through, the time counts from its last byte.
 async fn expiry(call: &UpstreamRequest, deadline: Instant, stage: &Cell<AttemptStage>) -> AttemptOutcome {
-    if call.rest.is_none() {
+    if call.upload.is_none() {
         // Its time means the same all along: it is looked at once, when it is up.
         sleep_until(deadline).await;
     }
@@ -250,7 +250,7 @@
         if stage.get() == AttemptStage::Begun {
             return pending().await;
         }
-        let Some(upload) = call.rest.as_ref().filter(|upload| upload.is_bound()) else {
+        let Some(upload) = call.upload.as_ref().filter(|upload| upload.has_started()) else {
             if Instant::now() >= deadline {
                 return if stage.get() == AttemptStage::Written {
                     AttemptOutcome::TimedOut
@@ -262,9 +262,9 @@
             wait(deadline).await;
             continue;
         };
-        match (upload.done(), upload.look()) {
+        match (upload.completed_at(), upload.check_pace()) {
             (Some(done), _) => {
-                let until = Instant::from_std(done) + upload.left;
+                let until = Instant::from_std(done) + upload.time_left;
                 if Instant::now() >= until {
                     return AttemptOutcome::TimedOut;
                 }
@@ -306,11 +306,14 @@
     /// A new connection, or why there is none.
     async fn dial(&self, backend: &EndpointConnections) -> Result<HttpConnection, AttemptResult> {
         // The node's own lack of descriptors is no fault of the server's.
-        let place = self
-            .connections
-            .place()
-            .ok_or_else(|| AttemptResult { short: true, ..AttemptResult::of(AttemptOutcome::NotSent) })?;
-        let failed = |refused| AttemptResult { refused, ..AttemptResult::of(AttemptOutcome::ConnectFailed) };
+        let place = self.connections.acquire().ok_or_else(|| AttemptResult {
+            connection_limit_reached: true,
+            ..AttemptResult::without_response(AttemptOutcome::NotSent)
+        })?;
+        let failed = |refused| AttemptResult {
+            connection_refused: refused,
+            ..AttemptResult::without_response(AttemptOutcome::ConnectFailed)
+        };
         let Address::Tcp(address) = backend.dial else {
             // The checker lets no such address through to this protocol.
             return Err(failed(false));
@@ -360,53 +363,54 @@
             Err(end) => return alone(end),
         };
         if conn.sender.ready().await.is_err() {
-            return alone(AttemptResult::of(AttemptOutcome::ConnectFailed));
+            return alone(AttemptResult::without_response(AttemptOutcome::ConnectFailed));
         }
         // Getting here takes time: what was true when the attempt was decided need not be so now. The last look at the times,
         // the server and the client is this one, right before the first byte: nothing is waited for in between.
-        let left = times.left(Instant::now());
-        if left.is_zero() || !backend.usable.get() || call.over.get() {
-            return alone(AttemptResult::of(AttemptOutcome::NotSent));
+        let left = times.time_left(Instant::now());
+        if left.is_zero() || !backend.usable.get() || call.finished.get() {
+            return alone(AttemptResult::without_response(AttemptOutcome::NotSent));
         }
-        let upload = call.rest.as_ref();
-        let (request, size) = call.request(upload.map_or(left, |upload| upload.left));
-        let before = conn.link.written();
+        let upload = call.upload.as_ref();
+        let (request, size) = call.request(upload.map_or(left, |upload| upload.time_left));
+        let before = conn.link.bytes_written();
         conn.link.count_at(size, &self.written);
         stage.set(AttemptStage::Written);
         let answer = conn.sender.send_request(request).await;
         let response = match answer {
             Ok(response) => response,
             // The client broke it off, or is too slow.
-            Err(_) if upload.is_some_and(|upload| upload.is_broken()) => {
-                return alone(AttemptResult::of(AttemptOutcome::NotSent));
+            Err(_) if upload.is_some_and(|upload| upload.is_client_fault()) => {
+                return alone(AttemptResult::without_response(AttemptOutcome::NotSent));
             }
-            Err(_) if upload.is_some_and(|upload| upload.is_going()) => {
-                return alone(AttemptResult::of(AttemptOutcome::ConnectFailed));
+            Err(_) if upload.is_some_and(|upload| upload.is_in_progress()) => {
+                return alone(AttemptResult::without_response(AttemptOutcome::ConnectFailed));
             }
             // `size` is never above the true size: less than that was surely not the whole request.
-            Err(_) if conn.link.written() - before < size => {
-                return alone(AttemptResult::of(AttemptOutcome::ConnectFailed));
+            Err(_) if conn.link.bytes_written() - before < size => {
+                return alone(AttemptResult::without_response(AttemptOutcome::ConnectFailed));
             }
-            Err(_) => return alone(AttemptResult::of(AttemptOutcome::Reset)),
+            Err(_) => return alone(AttemptResult::without_response(AttemptOutcome::Reset)),
+        };
+        let took = || {
+            Some(upload.and_then(|upload| upload.completed_at()).map_or(started, Instant::from_std).elapsed())
         };
-        let took =
-            || Some(upload.and_then(|upload| upload.done()).map_or(started, Instant::from_std).elapsed());
         let mut served = match self.reader.read(response, &call.method).await {
-            ReadResponse::Whole(mut end) => {
+            ReadResponse::Complete(mut end) => {
                 if upload.is_some() {
-                    end.took = took();
+                    end.server_time = took();
                 }
                 let conn = (end.outcome != AttemptOutcome::Reset).then_some(conn);
                 return (end, conn);
             }
-            ReadResponse::Begun(served, passing) => (served, passing),
+            ReadResponse::Streaming(served, passing) => (served, passing),
         };
         stage.set(AttemptStage::Begun);
         let took = took();
         let (shared, backend) = (self.clone(), backend.clone());
         // The connection is the stream's until that has ended, which may be long after the attempt has.
-        served.0.body.at_end(move |ended| {
-            if ended != StreamEnd::Whole {
+        served.0.body.on_end(move |ended| {
+            if ended != StreamEnd::Complete {
                 return;
             }
             if conn.sender.is_ready() {
@@ -418,12 +422,12 @@
             }
         });
         begin(served.0);
-        let outcome = match served.1.server_done().await {
-            None | Some(StreamEnd::Whole) => AttemptOutcome::Success,
-            Some(StreamEnd::Broken) => AttemptOutcome::Reset,
-            Some(StreamEnd::Left) => AttemptOutcome::Cancelled,
+        let outcome = match served.1.upstream_done().await {
+            None | Some(StreamEnd::Complete) => AttemptOutcome::Success,
+            Some(StreamEnd::UpstreamFailed) => AttemptOutcome::Reset,
+            Some(StreamEnd::ClientDisconnected) => AttemptOutcome::Cancelled,
         };
-        alone(AttemptResult { took, ..AttemptResult::of(outcome) })
+        alone(AttemptResult { server_time: took, ..AttemptResult::without_response(outcome) })
     }
 
     /// Keeps a connection that is of further use, if that shows by a time.
@@ -443,8 +447,8 @@
 
 impl UpstreamRequest {
     /// The request to write, and a size that its bytes on the wire don't fall short of.
-    fn request(&self, left: Duration) -> (Request<Outgoing>, u64) {
-        let mut request = Request::new(Outgoing::new(self.body.clone(), self.rest.clone()));
+    fn request(&self, left: Duration) -> (Request<OutgoingBody>, u64) {
+        let mut request = Request::new(OutgoingBody::new(self.body.clone(), self.upload.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
@@ -454,7 +458,7 @@
         let line = self.method.as_str().len() + self.uri.path().len() + " HTTP/1.1\r\n".len();
         let fields = request.headers().iter().map(|(name, value)| name.as_str().len() + value.len() + 4);
         let head = line + fields.sum::<usize>();
-        let body = self.rest.as_ref().and_then(|rest| rest.length()).unwrap_or(self.body.len() as u64);
+        let body = self.upload.as_ref().and_then(|rest| rest.length()).unwrap_or(self.body.len() as u64);
         (request, head as u64 + body)
     }
 }
--- a/crates/node/src/net/upstream/response_classification.rs
+++ b/crates/node/src/net/upstream/response_classification.rs
@@ -21,7 +21,7 @@
     /// It says `X-Unprocessed: 1`: the request never ran.
     pub unprocessed: bool,
     /// Its end can be told from a connection that broke.
-    pub framed: bool,
+    pub delimited: bool,
 }
 
 /// What an answer means once all of it is there.
@@ -30,12 +30,12 @@
     /// For the module.
     pub outcome: AttemptOutcome,
     /// It may be passed on.
-    pub pass: bool,
+    pub forward: bool,
 }
 
 impl StatusPolicy {
     /// Whether the request was turned away unseen, whatever becomes of the rest of the answer.
-    pub fn turned_away(self, seen: &ResponseHead) -> bool {
+    pub fn is_unprocessed_rejection(self, seen: &ResponseHead) -> bool {
         let status = match self {
             Self::Platform => matches!(seen.status.as_u16(), 503 | 504),
             Self::Gateway => matches!(seen.status.as_u16(), 429 | 503 | 504),
@@ -45,17 +45,17 @@
     }
 
     /// A whole answer's meaning.
-    pub fn whole(self, seen: &ResponseHead) -> ResponseClass {
-        if self.turned_away(seen) {
-            return ResponseClass { outcome: AttemptOutcome::Rejected, pass: false };
+    pub fn classify(self, seen: &ResponseHead) -> ResponseClass {
+        if self.is_unprocessed_rejection(seen) {
+            return ResponseClass { outcome: AttemptOutcome::Rejected, forward: false };
         }
-        let reset = ResponseClass { outcome: AttemptOutcome::Reset, pass: false };
+        let reset = ResponseClass { outcome: AttemptOutcome::Reset, forward: false };
         match self {
             Self::Platform if seen.status != StatusCode::OK => {
-                ResponseClass { outcome: AttemptOutcome::Error, pass: false }
+                ResponseClass { outcome: AttemptOutcome::Error, forward: false }
             }
-            _ if !seen.framed => reset,
-            Self::Platform => ResponseClass { outcome: AttemptOutcome::Success, pass: true },
+            _ if !seen.delimited => reset,
+            Self::Platform => ResponseClass { outcome: AttemptOutcome::Success, forward: true },
             // Nobody asked for another protocol: what follows is no answer.
             Self::Gateway if seen.status == StatusCode::SWITCHING_PROTOCOLS => reset,
             Self::Gateway => {
@@ -64,7 +64,7 @@
                 } else {
                     AttemptOutcome::Success
                 };
-                ResponseClass { outcome, pass: true }
+                ResponseClass { outcome, forward: true }
             }
         }
     }
--- a/crates/node/src/net/upstream/transport.rs
+++ b/crates/node/src/net/upstream/transport.rs
@@ -18,31 +18,31 @@
     pub outcome: AttemptOutcome,
     /// The whole answer, where it may be passed on: with [`AttemptOutcome::Success`] it is the final one, with
     /// [`AttemptOutcome::Error`] it is what the client gets if nothing better comes.
-    pub answer: Option<UpstreamResponse>,
+    pub response: Option<UpstreamResponse>,
     /// The address refused the connection: no process listens there.
-    pub refused: bool,
+    pub connection_refused: bool,
     /// How long the server took, where that is not the time of the attempt: to the first bytes of an answer that passes
     /// through, or from the last byte of a request that did.
-    pub took: Option<Duration>,
+    pub server_time: Option<Duration>,
     /// How long it took to get a connection; nothing where one was kept.
-    pub dial: Duration,
+    pub connect_time: Duration,
     /// How long a kept connection had been idle before.
-    pub idle: Option<Duration>,
+    pub idle_time: Option<Duration>,
     /// There was no place for another connection.
-    pub short: bool,
+    pub connection_limit_reached: bool,
 }
 
 impl AttemptResult {
     /// Without an answer.
-    pub fn of(outcome: AttemptOutcome) -> Self {
+    pub fn without_response(outcome: AttemptOutcome) -> Self {
         Self {
             outcome,
-            answer: None,
-            refused: false,
-            took: None,
-            dial: Duration::ZERO,
-            idle: None,
-            short: false,
+            response: None,
+            connection_refused: false,
+            server_time: None,
+            connect_time: Duration::ZERO,
+            idle_time: None,
+            connection_limit_reached: false,
         }
     }
 }
@@ -56,7 +56,7 @@
 /// Makes servers of addresses.
 pub trait Transport {
     /// The life of one server process: a restart, another address or its end needs another one.
-    fn server(&self, dial: &Address) -> Rc<dyn EndpointConnector>;
+    fn connector(&self, dial: &Address) -> Rc<dyn EndpointConnector>;
 
     /// Closes what has been idle for too long. Called about once a second.
     fn sweep(&self);
@@ -68,21 +68,21 @@
     /// It ends then, if it has not before.
     pub deadline: Instant,
     /// What is not written by then must not be: the attempt repeats one that may have run.
-    pub by: Instant,
+    pub start_before: Instant,
 }
 
 impl AttemptDeadlines {
     /// How long an attempt has that sets out now; nothing where it must not.
     #[must_use]
-    pub fn left(&self, now: Instant) -> Duration {
-        if now < self.by { self.deadline.saturating_duration_since(now) } else { Duration::ZERO }
+    pub fn time_left(&self, now: Instant) -> Duration {
+        if now < self.start_before { self.deadline.saturating_duration_since(now) } else { Duration::ZERO }
     }
 }
 
 /// The life of one server process.
 pub trait EndpointConnector {
     /// Its address.
-    fn dial(&self) -> &Address;
+    fn address(&self) -> &Address;
 
     /// Whether requests may be written to it.
     fn is_usable(&self) -> bool;
@@ -92,7 +92,7 @@
     fn retire(&self);
 
     /// Closes its idle connections.
-    fn hang_up(&self);
+    fn close_idle(&self);
 
     /// One attempt, until its deadline or a word on `cancel`. It is never sent a second time from here. Once `begin` has
     /// been called, neither counts any more, and the attempt ends when the server's part is done.
--- a/crates/node/src/platform/admin.rs
+++ b/crates/node/src/platform/admin.rs
@@ -74,15 +74,15 @@
     }
 
     async fn leave(&self, handover: &Handover) -> io::Result<()> {
-        let Some(knowledge) = self.core.knowledge().await else { return Ok(()) };
+        let Some(knowledge) = self.core.warm_state().await else { return Ok(()) };
         let listed = self.hands.listed.borrow().names().map(str::to_owned).collect();
-        handover.write(&Left { listed, knowledge, lame: self.front.is_lame() })
+        handover.write(&Left { listed, knowledge, lame: self.front.is_lame_duck() })
     }
 
     /// Empties the node or takes it back to work. The next process must know before the caller does: it may start at
     /// any time from then on.
     async fn set_lame(&self, lame: bool) -> String {
-        self.front.set_lame(lame);
+        self.front.set_lame_duck(lame);
         let left = match &self.handover {
             Some(handover) => self.leave(handover).await,
             None => Ok(()),
@@ -96,11 +96,11 @@
     async fn text(&self, call: Call) -> String {
         match call {
             Call::Ping if self.front.is_draining() => no("this process ends"),
-            Call::Ping if self.core.look().await.listed == 0 => no("no server is known yet"),
-            Call::Ping if self.front.is_lame() => yes("serves what comes, and is emptied"),
+            Call::Ping if self.core.endpoint_counts().await.listed == 0 => no("no server is known yet"),
+            Call::Ping if self.front.is_lame_duck() => yes("serves what comes, and is emptied"),
             Call::Ping => yes(""),
             Call::Info => {
-                let members = self.core.look().await;
+                let members = self.core.endpoint_counts().await;
                 let now = Now {
                     pending: self.held.count(),
                     members: members.listed,
@@ -121,7 +121,7 @@
 
     /// What is in hand now.
     async fn gauges(&self) -> [(&'static str, f64); 3] {
-        let members = self.core.look().await;
+        let members = self.core.endpoint_counts().await;
         [
             ("pumicehead_requests_open", self.held.count() as f64),
             ("pumicehead_servers", members.listed as f64),
@@ -164,7 +164,7 @@
         let names = self.hands.book.borrow().changed(&book);
         *self.hands.book.borrow_mut() = book;
         if !names.is_empty() {
-            self.core.restate(names.into_iter().collect());
+            self.core.refresh_overrides(names.into_iter().collect());
         }
     }
 }
--- a/crates/node/src/platform/admission.rs
+++ b/crates/node/src/platform/admission.rs
@@ -72,23 +72,24 @@
         if let Some(authority) = head.uri.authority() {
             let host = headers.get(header::HOST).map(HeaderValue::as_bytes);
             if host.is_none_or(|host| !host.eq_ignore_ascii_case(authority.as_str().as_bytes())) {
-                return Err(RequestError::Unknown);
+                return Err(RequestError::UnknownTarget);
             }
         }
-        let target = head.uri.path_and_query().cloned().ok_or(RequestError::Unknown)?;
-        let mut path = head.uri.path().strip_prefix('/').ok_or(RequestError::Unknown)?.split('/');
-        let class = path.next().ok_or(RequestError::Unknown)?;
-        let class = self.classes.iter().position(|rule| rule.name == class).ok_or(RequestError::Unknown)?;
+        let target = head.uri.path_and_query().cloned().ok_or(RequestError::UnknownTarget)?;
+        let mut path = head.uri.path().strip_prefix('/').ok_or(RequestError::UnknownTarget)?.split('/');
+        let class = path.next().ok_or(RequestError::UnknownTarget)?;
+        let class =
+            self.classes.iter().position(|rule| rule.name == class).ok_or(RequestError::UnknownTarget)?;
         let rule = &self.classes[class];
         let named = required(headers, "x-service-class")?;
         if !self.classes.iter().any(|other| other.name == named) {
-            return Err(RequestError::Unknown);
+            return Err(RequestError::UnknownTarget);
         }
         if named != rule.name {
-            return Err(RequestError::Header("x-service-class".into()));
+            return Err(RequestError::InvalidHeader("x-service-class".into()));
         }
         if *head.method != rule.method {
-            return Err(RequestError::Method(vec![rule.method.clone()]));
+            return Err(RequestError::MethodNotAllowed(vec![rule.method.clone()]));
         }
         let correlation = required(headers, "x-correlation-id")?;
         if rule.keyed {
@@ -99,15 +100,15 @@
         } else {
             let account = required(headers, "x-account")?;
             let known = self.tenants.get(account).copied();
-            Some(known.ok_or(RequestError::Header("x-account".into()))?)
+            Some(known.ok_or(RequestError::InvalidHeader("x-account".into()))?)
         };
         let left = required(headers, "x-time-left")?;
-        let left = span(left).ok_or(RequestError::Header("x-time-left".into()))?;
+        let left = span(left).ok_or(RequestError::InvalidHeader("x-time-left".into()))?;
         let hint = match headers.get("x-weight-hint") {
             None => None,
             Some(value) => {
                 let hint = value.to_str().ok().and_then(|text| micros(text, 1.0));
-                Some(hint.ok_or(RequestError::Header("x-weight-hint".into()))?.as_nanos() as Nanos)
+                Some(hint.ok_or(RequestError::InvalidHeader("x-weight-hint".into()))?.as_nanos() as Nanos)
             }
         };
         let call = UpstreamRequest {
@@ -117,19 +118,24 @@
             ..UpstreamRequest::default()
         };
         let ask = ProxyRequest {
-            correlation: correlation.into(),
+            correlation_id: correlation.into(),
             class,
             tenant,
-            hint,
-            key: path.next_back().filter(|key| !key.is_empty()).map(Into::into),
+            cost_hint: hint,
+            ordering_key: path.next_back().filter(|key| !key.is_empty()).map(Into::into),
             // Whatever the client says, nobody waits longer than its class does.
             revision: None,
-            left: left.min(rule.deadline),
-            sending: Duration::ZERO,
-            call,
+            time_left: left.min(rule.deadline),
+            body_read_time: Duration::ZERO,
+            upstream: call,
         };
         let bodiless = *head.method == Method::GET;
-        Ok(AdmittedRequest { core: self.core.clone(), ask, manner: ResponseStyle::Platform, bodiless })
+        Ok(AdmittedRequest {
+            pool: self.core.clone(),
+            request: ask,
+            style: ResponseStyle::Platform,
+            must_be_empty: bodiless,
+        })
     }
 }
 
@@ -137,10 +143,10 @@
     let mut values = headers.get_all(name).iter();
     // A second one is as bad as none: who reads on may take the other.
     let (Some(value), None) = (values.next(), values.next()) else {
-        return Err(RequestError::Header(name.into()));
+        return Err(RequestError::InvalidHeader(name.into()));
     };
     let value = value.to_str().ok().map(str::trim);
-    value.filter(|text| !text.is_empty()).ok_or(RequestError::Header(name.into()))
+    value.filter(|text| !text.is_empty()).ok_or(RequestError::InvalidHeader(name.into()))
 }
 
 /// A number and a unit: `m` milliseconds, `u` microseconds.
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -111,11 +111,11 @@
     let span = Duration::from_nanos;
     let room = MemoryBudget::new(config.memory / LONG_SHARE);
     let reader = ResponseReader {
-        reading: StatusPolicy::Platform,
-        longest: LONGEST,
-        longest_unstated: LONGEST,
-        room: room.clone(),
-        passes: true,
+        status_policy: StatusPolicy::Platform,
+        max_body: LONGEST,
+        max_unsized_body: LONGEST,
+        memory: room.clone(),
+        streaming: true,
     };
     let connections = ConnectionRegistry::new(places.servers);
     let (dial, idle) = (span(ceilings.dial_timeout_ns), span(ceilings.conn_idle_ns));
@@ -123,29 +123,29 @@
         settings: config.settings.clone(),
         seed: config.seed,
         zones: config.boot.zones.clone(),
-        source: EndpointSource::Watch {
-            discovery: config.discovery,
-            known: Some(config.known.clone()),
-            at_once: shared,
+        endpoints: EndpointSource::Watch {
+            address: config.discovery,
+            last_list: Some(config.known.clone()),
+            poll_at_start: shared,
         },
         transport: HttpTransport::new(connections, dial, idle, reader, figures.upstream_requests.clone()),
-        hands: hands.clone(),
-        learned: left.map(|left| left.knowledge),
+        overrides: hands.clone(),
+        warm_state: left.map(|left| left.knowledge),
         clock: eyes.clock(),
-        tap: Some(tap.clone()),
+        recorder: Some(tap.clone()),
     };
     let held = ActiveRequestIds::default();
     let (core, handle) = PoolLoop::new(setup, held.clone());
     let longest = config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
     let options = ListenerOptions {
-        patience: PATIENCE,
-        keep: KEEP,
-        longest_body: LONGEST_BODY,
-        passes: Some(LONGEST),
-        most_held: ceilings.most_held,
-        last_deadline: span(longest).min(LAST_DEADLINE),
-        healthz: true,
-        advice: config.settings.retry_after_hint(),
+        request_timeout: PATIENCE,
+        idle_timeout: KEEP,
+        max_buffered_body: LONGEST_BODY,
+        max_streamed_body: Some(LONGEST),
+        max_active_requests: ceilings.most_held,
+        max_request_deadline: span(longest).min(LAST_DEADLINE),
+        serves_health_check: true,
+        retry_after: config.settings.retry_after_hint(),
     };
     let admission = Rc::new(Platform::new(&config, handle.clone()));
     let budget = ConnectionBudget::new(places.clients, config.sockets);
@@ -155,14 +155,14 @@
         held.clone(),
         options,
         budget,
-        move || to_core.give_up(),
+        move || to_core.fail_all(),
         figures.clone(),
         room,
     );
-    front.set_tap(tap);
+    front.set_recorder(tap);
     if shared {
-        front.set_shared();
-        front.set_lame(lame);
+        front.set_socket_shared();
+        front.set_lame_duck(lame);
     }
     let core = task::spawn_local(core.run());
     if let Some(staff) = staff {
--- a/crates/node/src/standalone/admission.rs
+++ b/crates/node/src/standalone/admission.rs
@@ -160,22 +160,22 @@
             return Err(RequestError::NotImplemented);
         }
         if *head.method == Method::OPTIONS && ends_here(&mut head)? {
-            return Err(RequestError::Own(StatusCode::NO_CONTENT));
+            return Err(RequestError::LocalResponse(StatusCode::NO_CONTENT));
         }
         let authority = authority(&head)?;
-        let target = |text: String| RequestError::Target(text);
+        let target = |text: String| RequestError::AmbiguousTarget(text);
         let host = request_host(&authority).map_err(|fault| target(format!("the host is {fault}")))?;
         let path = RequestPath::parse(head.uri.path()).map_err(|fault| target(fault.to_string()))?;
         let query = Query { host: &host, path: &path, method: head.method, headers: &head.headers };
         let table = &live.table;
         let place = match table.routes.matcher().find(&query) {
             Found::Route(place) => place,
-            Found::Method(allowed) => return Err(RequestError::Method(allowed)),
-            Found::Nothing => return Err(RequestError::Unknown),
+            Found::Method(allowed) => return Err(RequestError::MethodNotAllowed(allowed)),
+            Found::Nothing => return Err(RequestError::UnknownTarget),
         };
         let service = table.service(place);
         if service.decoded && path.holds_slash() {
-            return Err(RequestError::Unknown);
+            return Err(RequestError::UnknownTarget);
         }
         if let Some(name) = &service.keyed {
             one(&head.headers, name)?;
@@ -184,7 +184,7 @@
             TenantOf::None => None,
             TenantOf::Fixed(place) => table.tenants[*place],
             TenantOf::Header(name) => {
-                let missing = || RequestError::Header(name.clone().into());
+                let missing = || RequestError::InvalidHeader(name.clone().into());
                 let field = HeaderName::from_bytes(name.as_bytes()).map_err(|_| missing())?;
                 let value = std::str::from_utf8(one(&head.headers, &field)?).ok();
                 let known = value.and_then(|value| table.tenants_by_name.get(value)).copied();
@@ -196,7 +196,7 @@
         let mut headers = head.headers;
         headers.insert(
             header::HOST,
-            HeaderValue::from_str(&authority).map_err(|_| RequestError::Header("host".into()))?,
+            HeaderValue::from_str(&authority).map_err(|_| RequestError::InvalidHeader("host".into()))?,
         );
         header_fields::strip_hop_by_hop(&mut headers);
         append(&mut headers, header::VIA, table.via[usize::from(head.version != Version::HTTP_10)].clone());
@@ -211,20 +211,25 @@
             ..UpstreamRequest::default()
         };
         let ask = ProxyRequest {
-            correlation: correlation.into(),
+            correlation_id: correlation.into(),
             class: service.class,
             tenant,
-            hint: None,
-            key,
+            cost_hint: None,
+            ordering_key: key,
             revision: Some(table.revision.0),
-            left: service.deadline,
-            sending: Duration::ZERO,
-            call,
+            time_left: service.deadline,
+            body_read_time: Duration::ZERO,
+            upstream: call,
         };
         // The server's answer is one of HTTP/1.1 whatever it speaks: the node has taken it whole.
         let via = table.via[1].clone().unwrap_or(HeaderValue::from_static("1.1 pumicehead"));
         let core = live.pools[service.pool].clone();
-        Ok(AdmittedRequest { core, ask, manner: ResponseStyle::Gateway(via), bodiless: false })
+        Ok(AdmittedRequest {
+            pool: core,
+            request: ask,
+            style: ResponseStyle::Gateway(via),
+            must_be_empty: false,
+        })
     }
 }
 
@@ -233,9 +238,9 @@
 fn authority(head: &RequestHead<'_>) -> Result<String, RequestError> {
     let mut hosts = head.headers.get_all(header::HOST).iter();
     let field = match (hosts.next(), hosts.next()) {
-        (Some(host), None) => host.to_str().map_err(|_| RequestError::Header("host".into()))?,
+        (Some(host), None) => host.to_str().map_err(|_| RequestError::InvalidHeader("host".into()))?,
         (None, _) if head.version == Version::HTTP_10 => "",
-        _ => return Err(RequestError::Header("host".into())),
+        _ => return Err(RequestError::InvalidHeader("host".into())),
     };
     Ok(head.uri.authority().map_or(field, |authority| authority.as_str()).to_owned())
 }
@@ -245,7 +250,7 @@
         return Ok(uri.clone());
     }
     let path = uri.path_and_query().cloned();
-    let fault = |_| RequestError::Target("the target can't be read".into());
+    let fault = |_| RequestError::AmbiguousTarget("the target can't be read".into());
     path.map_or_else(
         || Ok(Uri::from_static("/")),
         |path| Uri::builder().path_and_query(path).build().map_err(fault),
@@ -260,7 +265,7 @@
     }
     let Some(hops) = head.headers.get(header::MAX_FORWARDS) else { return Ok(false) };
     let hops: Option<u32> = hops.to_str().ok().and_then(|hops| hops.trim().parse().ok());
-    let hops = hops.ok_or(RequestError::Header("max-forwards".into()))?;
+    let hops = hops.ok_or(RequestError::InvalidHeader("max-forwards".into()))?;
     if let Some(left) = hops.checked_sub(1) {
         head.headers.insert(header::MAX_FORWARDS, left.into());
     }
@@ -272,7 +277,7 @@
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (Some(value), None) if !value.as_bytes().trim_ascii().is_empty() => Ok(value.as_bytes().trim_ascii()),
-        _ => Err(RequestError::Header(name.as_str().to_owned().into())),
+        _ => Err(RequestError::InvalidHeader(name.as_str().to_owned().into())),
     }
 }
 
--- a/crates/node/src/standalone/listeners.rs
+++ b/crates/node/src/standalone/listeners.rs
@@ -72,15 +72,15 @@
     let Limits { request_time, idle, request_body, held, .. } = config.limits;
     let longest = config.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
     ListenerOptions {
-        patience: Duration::from_nanos(request_time),
-        keep: Duration::from_nanos(idle),
-        longest_body: request_body as usize,
-        passes: None,
-        most_held: held,
+        request_timeout: Duration::from_nanos(request_time),
+        idle_timeout: Duration::from_nanos(idle),
+        max_buffered_body: request_body as usize,
+        max_streamed_body: None,
+        max_active_requests: held,
         // A request may come in as slowly as it may, and then wait for its deadline.
-        last_deadline: Duration::from_nanos(longest.saturating_add(request_time)),
-        healthz: false,
+        max_request_deadline: Duration::from_nanos(longest.saturating_add(request_time)),
+        serves_health_check: false,
         // A front has pools of its own settings each; these advise half a second.
-        advice: Some(SECOND / 2),
+        retry_after: Some(SECOND / 2),
     }
 }
--- a/crates/node/src/standalone/pools.rs
+++ b/crates/node/src/standalone/pools.rs
@@ -130,15 +130,15 @@
             Members::Static(servers) => servers,
         };
         let hosts = servers.iter().map(|server| ListedEndpoint {
-            host: server.name.clone(),
-            dial: server.address.clone(),
-            site: config.node.zones[server.zone].clone(),
-            block: server.cell,
-            health: ListedState::Active,
-            share: server.weight as f32,
-            born_ms: 0,
+            name: server.name.clone(),
+            address: server.address.clone(),
+            zone: config.node.zones[server.zone].clone(),
+            cell: server.cell,
+            state: ListedState::Ready,
+            weight: server.weight as f32,
+            started_at_ms: 0,
         });
-        Self::Fixed(EndpointList { seq: 0, whole: true, hosts: hosts.collect() })
+        Self::Fixed(EndpointList { version: 0, complete: true, endpoints: hosts.collect() })
     }
 }
 
@@ -169,17 +169,17 @@
             settings: identity.settings.clone(),
             seed: self.seed.wrapping_add(place as u64),
             zones: identity.connection.zones.clone(),
-            source: match endpoints {
+            endpoints: match endpoints {
                 Endpoints::Fixed(list) => EndpointSource::Fixed(list),
                 Endpoints::Discovery(discovery) => {
-                    EndpointSource::Watch { discovery, known: None, at_once: false }
+                    EndpointSource::Watch { address: discovery, last_list: None, poll_at_start: false }
                 }
             },
             transport: self.transport(&identity.connection),
-            hands: Rc::default(),
-            learned: None,
+            overrides: Rc::default(),
+            warm_state: None,
             clock: self.eyes.clock(),
-            tap: Some(self.eyes.tap(name, &identity.settings, &identity.classes)),
+            recorder: Some(self.eyes.tap(name, &identity.settings, &identity.classes)),
         };
         let (core, handle) = PoolLoop::new(setup, self.held.clone());
         task::spawn_local(core.run());
@@ -193,11 +193,11 @@
         match settings.protocol {
             Protocol::Http => {
                 let reader = ResponseReader {
-                    reading: StatusPolicy::Gateway,
-                    longest: settings.answer_body,
-                    longest_unstated: settings.answer_body,
-                    passes: false,
-                    room,
+                    status_policy: StatusPolicy::Gateway,
+                    max_body: settings.answer_body,
+                    max_unsized_body: settings.answer_body,
+                    streaming: false,
+                    memory: room,
                 };
                 http::transport::HttpTransport::new(
                     connections,
@@ -209,10 +209,10 @@
             }
             Protocol::FastCgi => {
                 let settings = fastcgi::transport::FastCgiSettings {
-                    dial_timeout,
-                    conn_idle,
-                    longest: settings.answer_body,
-                    room,
+                    connect_timeout: dial_timeout,
+                    server_idle_timeout: conn_idle,
+                    max_body: settings.answer_body,
+                    memory: room,
                     script: settings.script.clone(),
                     root: settings.root.clone(),
                 };
--- a/crates/node/src/standalone/site.rs
+++ b/crates/node/src/standalone/site.rs
@@ -194,7 +194,7 @@
     fn start_shared_pool(&self, next: &NodeConfig, place: usize, endpoints: Endpoints) -> PoolHandle {
         let handle = start_pool(&self.pools, next, place, endpoints);
         if let Some(sharing) = self.sharing.get() {
-            handle.share(sharing);
+            handle.set_node_share(sharing);
         }
         handle
     }
@@ -214,7 +214,7 @@
         let site = Rc::downgrade(self);
         let give_up = move || {
             if let Some(site) = site.upgrade() {
-                site.running.borrow().pools.values().for_each(PoolHandle::give_up);
+                site.running.borrow().pools.values().for_each(PoolHandle::fail_all);
             }
         };
         let front = DownstreamListener::new(
@@ -226,8 +226,8 @@
             Rc::default(),
             self.pools.room.clone(),
         );
-        front.set_tap(self.pools.eyes.front_tap());
-        front.set_lame(self.draining.get());
+        front.set_recorder(self.pools.eyes.front_tap());
+        front.set_lame_duck(self.draining.get());
         front
     }
 
@@ -254,13 +254,13 @@
     /// So many nodes share the servers of all pools from now on.
     pub fn share(&self, sharing: NodeShare) {
         self.sharing.set(Some(sharing));
-        self.running.borrow().pools.values().for_each(|pool| pool.share(sharing));
+        self.running.borrow().pools.values().for_each(|pool| pool.set_node_share(sharing));
     }
 
     /// Staff empty this node, or have it back at work: connections of clients end with their next answers.
     pub fn set_draining(&self, draining: bool) {
         self.draining.set(draining);
-        self.running.borrow().listeners.iter().for_each(|listener| listener.front.set_lame(draining));
+        self.running.borrow().listeners.iter().for_each(|listener| listener.front.set_lame_duck(draining));
     }
 
     /// Whether staff empty it.
@@ -285,7 +285,7 @@
         let active = self.active();
         let (mut listed, mut unavailable) = (0, 0);
         for handle in handles {
-            let members = handle.look().await;
+            let members = handle.endpoint_counts().await;
             listed += members.listed;
             unavailable += members.unavailable;
         }
@@ -317,10 +317,10 @@
 
 fn update_pool(pool: &PoolHandle, settings: Option<Box<Settings>>, endpoints: Option<Endpoints>) {
     if let Some(settings) = settings {
-        pool.retune(settings);
+        pool.update_settings(settings);
     }
     match endpoints {
-        Some(Endpoints::Fixed(list)) => pool.set_servers(list),
+        Some(Endpoints::Fixed(list)) => pool.set_endpoints(list),
         Some(Endpoints::Discovery(address)) => pool.move_discovery(address),
         None => {}
     }
--- a/crates/node/tests/unit/connection_registry.rs
+++ b/crates/node/tests/unit/connection_registry.rs
@@ -12,11 +12,11 @@
         &self.registered
     }
 
-    fn longest(&self) -> Option<Instant> {
+    fn oldest_idle_since(&self) -> Option<Instant> {
         None
     }
 
-    fn shed(&self) {}
+    fn close_oldest(&self) {}
 
     fn sweep(&self, _: Instant) -> bool {
         self.sweeps.set(self.sweeps.get() + 1);
--- a/crates/node/tests/unit/discovery.rs
+++ b/crates/node/tests/unit/discovery.rs
@@ -56,7 +56,7 @@
         } else {
             fell_silent(&last);
         }
-        assert!(matches!(watch.await.unwrap(), WatchError::Silent(_)));
+        assert!(matches!(watch.await.unwrap(), WatchError::Timeout(_)));
         last.get().expect("it fell silent").elapsed()
     })
 }
--- a/crates/node/tests/unit/downstream.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -25,7 +25,7 @@
 struct Quick(Rc<Cell<usize>>, Bytes);
 
 impl Transport for Quick {
-    fn server(&self, _: &Address) -> Rc<dyn EndpointConnector> {
+    fn connector(&self, _: &Address) -> Rc<dyn EndpointConnector> {
         Rc::new(self.clone())
     }
 
@@ -33,7 +33,7 @@
 }
 
 impl EndpointConnector for Quick {
-    fn dial(&self) -> &Address {
+    fn address(&self) -> &Address {
         const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
         &Address::Tcp(NOWHERE)
     }
@@ -44,7 +44,7 @@
 
     fn retire(&self) {}
 
-    fn hang_up(&self) {}
+    fn close_idle(&self) {}
 
     fn attempt(
         self: Rc<Self>,
@@ -59,8 +59,8 @@
             let answer =
                 UpstreamResponse { status: hyper::StatusCode::OK, headers, body: self.1.clone().into() };
             AttemptResult {
-                answer: Some(answer),
-                ..AttemptResult::of(pumicehead_policy::AttemptOutcome::Success)
+                response: Some(answer),
+                ..AttemptResult::without_response(pumicehead_policy::AttemptOutcome::Success)
             }
         })
     }
@@ -73,22 +73,22 @@
     fn admit(&self, _: RequestHead<'_>) -> Result<AdmittedRequest, RequestError> {
         self.1.set(self.1.get() + 1);
         let ask = ProxyRequest {
-            correlation: self.1.get().to_string().into(),
+            correlation_id: self.1.get().to_string().into(),
             class: 0,
             tenant: None,
-            hint: None,
-            key: None,
+            cost_hint: None,
+            ordering_key: None,
             revision: None,
-            left: Duration::from_secs(60),
-            sending: Duration::ZERO,
-            call: UpstreamRequest {
+            time_left: Duration::from_secs(60),
+            body_read_time: Duration::ZERO,
+            upstream: UpstreamRequest {
                 method: Method::GET,
                 uri: Uri::from_static("/"),
                 ..UpstreamRequest::default()
             },
         };
         let manner = ResponseStyle::Gateway(HeaderValue::from_static("1.1 a"));
-        Ok(AdmittedRequest { core: self.0.clone(), ask, manner, bodiless: false })
+        Ok(AdmittedRequest { pool: self.0.clone(), request: ask, style: manner, must_be_empty: false })
     }
 }
 
@@ -104,25 +104,25 @@
         settings: boot.settings().unwrap(),
         seed: 1,
         zones: vec!["a".into()],
-        source: EndpointSource::Fixed(serde_json::from_str(list).unwrap()),
+        endpoints: EndpointSource::Fixed(serde_json::from_str(list).unwrap()),
         transport: Rc::new(server.clone()),
-        hands: Rc::default(),
-        learned: None,
+        overrides: Rc::default(),
+        warm_state: None,
         clock: Clock::start(),
-        tap: None,
+        recorder: None,
     };
     let held = ActiveRequestIds::default();
     let (core, handle) = PoolLoop::new(setup, held.clone());
     task::spawn_local(core.run());
     let options = ListenerOptions {
-        patience: Duration::from_secs(60),
-        keep: Duration::from_secs(60),
-        longest_body: 1 << 10,
-        passes: None,
-        most_held: 100,
-        last_deadline: Duration::from_secs(60),
-        healthz: false,
-        advice: None,
+        request_timeout: Duration::from_secs(60),
+        idle_timeout: Duration::from_secs(60),
+        max_buffered_body: 1 << 10,
+        max_streamed_body: None,
+        max_active_requests: 100,
+        max_request_deadline: Duration::from_secs(60),
+        serves_health_check: false,
+        retry_after: None,
     };
     let figures = Rc::new(Figures::new(["submit".to_owned()]));
     let admission = Rc::new(Open(handle, Cell::new(0)));
@@ -187,11 +187,11 @@
             let mut closed = false;
             while !closed {
                 task::yield_now().await;
-                front.budget.each_of(&front, |conn| {
+                front.budget.for_each_of(&front, |conn| {
                     if conn.used() && conn.is_idle() {
                         // Runs before the connection's task.
                         task::spawn_local(async {});
-                        conn.cut();
+                        conn.close_now();
                         closed = true;
                     }
                 });
@@ -218,20 +218,20 @@
         let mut client = Client::connect(listener.local_addr().unwrap()).unwrap();
         let (stream, peer) = listener.accept().await.unwrap();
         front.clone().take(stream, peer.ip());
-        front.budget.each_of(&front, |conn| conn.link.shrink());
+        front.budget.for_each_of(&front, |conn| conn.stream.shrink_send_buffer());
         tokio::time::pause();
         client.write_all(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
         let mut blocked = false;
         while !blocked {
             task::yield_now().await;
-            front.budget.each_of(&front, |conn| blocked = conn.used() && conn.link.is_blocked());
+            front.budget.for_each_of(&front, |conn| blocked = conn.used() && conn.stream.is_blocked());
         }
-        tokio::time::advance(2 * RESTED).await;
-        let shed = front.budget.shed();
+        tokio::time::advance(2 * MIN_IDLE_BEFORE_EVICTION).await;
+        let shed = front.budget.evict_one();
         client.set_nonblocking(true).unwrap();
         let told = read(&mut client).await;
         // Nothing waits any more: it may make way.
-        let late = front.budget.shed();
+        let late = front.budget.evict_one();
         (shed, late, told)
     });
     assert!(!shed && late && told.ends_with("done"), "{shed} {late} {}", told.len());
--- a/crates/node/tests/unit/http_transport.rs
+++ b/crates/node/tests/unit/http_transport.rs
@@ -26,11 +26,11 @@
 
 fn upstream() -> Rc<HttpTransport> {
     let reader = ResponseReader {
-        reading: StatusPolicy::Platform,
-        longest: 1 << 20,
-        longest_unstated: 1 << 20,
-        room: MemoryBudget::new(1 << 20),
-        passes: false,
+        status_policy: StatusPolicy::Platform,
+        max_body: 1 << 20,
+        max_unsized_body: 1 << 20,
+        memory: MemoryBudget::new(1 << 20),
+        streaming: false,
     };
     let second = Duration::from_secs(1);
     HttpTransport::new(ConnectionRegistry::new(8), second, 60 * second, reader, Counter::default())
@@ -88,7 +88,7 @@
     let told = local.run_until(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (upstream, second) = (upstream(), Duration::from_secs(1));
-        let server = upstream.server(&Address::Tcp(listener.local_addr().unwrap()));
+        let server = upstream.connector(&Address::Tcp(listener.local_addr().unwrap()));
         let call = UpstreamRequest {
             method: Method::POST,
             body: Bytes::from(vec![0; 64 << 20]),
@@ -96,7 +96,7 @@
         };
         let (cancel, cancelled) = oneshot::channel();
         let by = Instant::now() + 60 * second;
-        let times = AttemptDeadlines { deadline: by, by };
+        let times = AttemptDeadlines { deadline: by, start_before: by };
         let attempt = server.attempt(Rc::new(call), times, cancelled, Box::new(|_| ()));
         let peer = async {
             let (mut stream, _) = listener.accept().await.unwrap();
@@ -111,7 +111,7 @@
             stream
         };
         let (end, _stream) = tokio::join!(attempt, peer);
-        (end.outcome, end.answer.is_some())
+        (end.outcome, end.response.is_some())
     });
     assert_eq!(told.await, (AttemptOutcome::Success, true));
 }
--- a/crates/node/tests/unit/json_stream.rs
+++ b/crates/node/tests/unit/json_stream.rs
@@ -4,9 +4,9 @@
 
 fn all(pieces: &[&[u8]]) -> Vec<Vec<u8>> {
     let mut documents = JsonStream::default();
-    let whole = pieces.iter().flat_map(|piece| documents.take(piece));
+    let whole = pieces.iter().flat_map(|piece| documents.push(piece));
     let whole = whole.map(|document| document.unwrap().to_vec()).collect();
-    assert!(!documents.is_inside());
+    assert!(!documents.is_inside_document());
     whole
 }
 
@@ -27,12 +27,12 @@
 #[test]
 fn what_is_no_document_is_a_fault() {
     let mut documents = JsonStream::default();
-    let taken = documents.take(b"{} nonsense {}");
+    let taken = documents.push(b"{} nonsense {}");
     assert_eq!(taken.len(), 2);
-    assert_eq!(taken[1], Err(JsonStreamError::Outside));
+    assert_eq!(taken[1], Err(JsonStreamError::NotAnObject));
     let mut documents = JsonStream::default();
-    assert!(documents.take(b"{\"hosts\":[").is_empty() && documents.is_inside());
+    assert!(documents.push(b"{\"hosts\":[").is_empty() && documents.is_inside_document());
     let piece = vec![b' '; 1 << 20];
-    let fault = (0..5).find_map(|_| documents.take(&piece).pop());
+    let fault = (0..5).find_map(|_| documents.push(&piece).pop());
     assert_eq!(fault, Some(Err(JsonStreamError::TooLong)));
 }
--- a/crates/node/tests/unit/pool_loop.rs
+++ b/crates/node/tests/unit/pool_loop.rs
@@ -19,7 +19,7 @@
 struct Nowhere;
 
 impl Transport for Nowhere {
-    fn server(&self, dial: &Address) -> Rc<dyn EndpointConnector> {
+    fn connector(&self, dial: &Address) -> Rc<dyn EndpointConnector> {
         Rc::new(Silent(dial.clone()))
     }
 
@@ -29,7 +29,7 @@
 struct Silent(Address);
 
 impl EndpointConnector for Silent {
-    fn dial(&self) -> &Address {
+    fn address(&self) -> &Address {
         &self.0
     }
 
@@ -39,7 +39,7 @@
 
     fn retire(&self) {}
 
-    fn hang_up(&self) {}
+    fn close_idle(&self) {}
 
     fn attempt(
         self: Rc<Self>,
@@ -66,44 +66,47 @@
         settings: boot.settings().unwrap(),
         seed: 1,
         zones: vec!["a".into()],
-        source: EndpointSource::Fixed(serde_json::from_str(list).unwrap()),
+        endpoints: EndpointSource::Fixed(serde_json::from_str(list).unwrap()),
         transport: Rc::new(Nowhere),
-        hands: Rc::default(),
-        learned: None,
+        overrides: Rc::default(),
+        warm_state: None,
         clock: Clock::start(),
-        tap: None,
+        recorder: None,
     };
     let local = LocalSet::new();
     let told = local.run_until(async {
         let (mut core, handle) = PoolLoop::new(setup, ActiveRequestIds::default());
         let ask = ProxyRequest {
-            correlation: "one".into(),
+            correlation_id: "one".into(),
             class: 0,
             tenant: None,
-            hint: None,
-            key: None,
+            cost_hint: None,
+            ordering_key: None,
             revision: None,
-            left: Duration::from_millis(100),
-            sending: Duration::ZERO,
-            call: UpstreamRequest::default(),
+            time_left: Duration::from_millis(100),
+            body_read_time: Duration::ZERO,
+            upstream: UpstreamRequest::default(),
         };
-        let asked = tokio::task::spawn_local(async move { handle.ask(ask).await });
+        let asked = tokio::task::spawn_local(async move { handle.proxy(ask).await });
         tokio::task::yield_now().await;
         core.feed();
         core.hear();
         let server = core.roster.ids().next().unwrap();
         let answer =
             UpstreamResponse { status: StatusCode::OK, headers: HeaderMap::new(), body: Bytes::new().into() };
-        let end = AttemptResult { answer: Some(answer), ..AttemptResult::of(AttemptOutcome::Success) };
+        let end = AttemptResult {
+            response: Some(answer),
+            ..AttemptResult::without_response(AttemptOutcome::Success)
+        };
         let sent = core.now();
         let (id, attempt) = (RequestId(0), AttemptNo(0));
         assert!(core.open.get(&id).is_some_and(|open| open.attempts.len() == 1), "it is sent");
-        core.to_self.send(PoolMessage::Ended { id, attempt, server, sent, end }).unwrap();
+        core.to_self.send(PoolMessage::AttemptEnded { id, attempt, server, sent, end }).unwrap();
         tokio::time::advance(Duration::from_millis(400)).await;
         core.fire();
         asked.await.unwrap()
     });
-    assert!(matches!(told.await, Some(FinalResponse::Served(_))));
+    assert!(matches!(told.await, Some(FinalResponse::Upstream(_))));
 }
 
 /// Guards that a process which takes over from another asks for the list as it begins, and others after the module's pause.
@@ -117,24 +120,24 @@
     for at_once in [true, false] {
         let discovery = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let source = EndpointSource::Watch {
-            discovery: discovery.local_addr().unwrap(),
-            known: Some(EndpointList::default()),
-            at_once,
+            address: discovery.local_addr().unwrap(),
+            last_list: Some(EndpointList::default()),
+            poll_at_start: at_once,
         };
         let setup = PoolConfig {
             settings: boot.settings().unwrap(),
             seed: 1,
             zones: vec!["a".into()],
-            source,
+            endpoints: source,
             transport: Rc::new(Nowhere),
-            hands: Rc::default(),
-            learned: None,
+            overrides: Rc::default(),
+            warm_state: None,
             clock: Clock::start(),
-            tap: None,
+            recorder: None,
         };
         let local = LocalSet::new();
         let asks = local
-            .run_until(async { PoolLoop::new(setup, ActiveRequestIds::default()).0.watch.is_under_way() })
+            .run_until(async { PoolLoop::new(setup, ActiveRequestIds::default()).0.watch.is_running() })
             .await;
         assert_eq!(asks, at_once);
     }
--- a/crates/node/tests/unit/response_classification.rs
+++ b/crates/node/tests/unit/response_classification.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 fn whole(reading: StatusPolicy, status: u16, unprocessed: bool, framed: bool) -> (AttemptOutcome, bool) {
-    let seen = ResponseHead { status: StatusCode::from_u16(status).unwrap(), unprocessed, framed };
-    let verdict = reading.whole(&seen);
-    (verdict.outcome, verdict.pass)
+    let seen = ResponseHead { status: StatusCode::from_u16(status).unwrap(), unprocessed, delimited: framed };
+    let verdict = reading.classify(&seen);
+    (verdict.outcome, verdict.forward)
 }
 
 #[test]
