--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -67,7 +67,7 @@
 pub enum Discovery {
     /// Updates arrive by themselves.
     Push,
-    /// Updates arrive after [`Action::RetryWatch`](crate::Action::RetryWatch).
+    /// Updates arrive after [`Action::Subscribe`](crate::Action::Subscribe).
     Poll,
 }
 
