--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::eyes::Eyes;
 use crate::net::clock::Clock;
-use crate::net::tap::Tap;
+use crate::net::recorder_sink::RecorderSink;
 
 /// How often the number of nodes is looked at, and the node's load told: both change slowly.
 const LOOK: Nanos = SECOND;
@@ -58,7 +58,7 @@
     name: String,
     member: RefCell<Membership>,
     clock: Clock,
-    tap: Tap,
+    tap: RecorderSink,
     datagrams: UdpSocket,
     /// Something was put into the machine from outside of its own loop.
     touched: Notify,
@@ -81,7 +81,7 @@
         let card = MemberRecord {
             name: node.name.clone(),
             // Later starts have later epochs, on one machine; where its clock went back, the fleet says so at the join.
-            epoch: clock.began() / 1_000_000,
+            epoch: clock.started_at() / 1_000_000,
             address: block.told_as.unwrap_or(address).to_string(),
             zone: node.zones[node.zone].clone(),
             program_version: env!("CARGO_PKG_VERSION").into(),
@@ -191,7 +191,7 @@
                     // Somebody refused an earlier one: that is no news here, a question without an answer is.
                     Err(error) => debug!(target: "fleet", "datagrams: {error}"),
                 },
-                () = sleep_until(self.clock.instant(next)) => {
+                () = sleep_until(self.clock.instant_at(next)) => {
                     let now = self.clock.now();
                     if self.member.borrow().next_timer() <= now {
                         self.member.borrow_mut().on_timer(now);
--- a/crates/node/src/net/discovery.rs
+++ b/crates/node/src/net/discovery/mod.rs
@@ -1,5 +1,8 @@
 //! The list of backends: its form, and the watch that brings its changes line by line.
 
+mod json_stream;
+pub(super) mod watch_task;
+
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -16,8 +19,8 @@
 use tokio::task::{self, JoinError};
 use tokio::time::{Instant, error::Elapsed, timeout_at};
 
-use super::documents::{Documents, Fault};
-use super::link::Link;
+use crate::net::counting_stream::CountingStream;
+use crate::net::discovery::json_stream::{JsonStream, JsonStreamError};
 
 /// While nothing changes, a watch says something so often (the protocol's page).
 const HEARTBEAT: Duration = Duration::from_secs(2);
@@ -35,37 +38,47 @@
 
 /// Backends, all or those that changed.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     /// Version.
-    pub seq: u64,
+    #[serde(rename = "seq")]
+    pub version: u64,
     /// All there are; what it does not name is gone.
     #[serde(default)]
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub complete: bool,
     /// The entries.
-    pub hosts: Vec<Host>,
+    #[serde(rename = "hosts")]
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// A backend as listed.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Host {
+pub struct ListedEndpoint {
     /// Its name, the same at every node.
-    pub host: String,
+    #[serde(rename = "host")]
+    pub name: String,
     /// Its address for this node.
     #[serde(deserialize_with = "over_tcp")]
-    pub dial: Address,
+    #[serde(rename = "dial")]
+    pub address: Address,
     /// Its zone.
-    pub site: String,
+    #[serde(rename = "site")]
+    pub zone: String,
     /// Its cell.
     #[serde(default)]
-    pub block: u16,
+    #[serde(rename = "block")]
+    pub cell: u16,
     /// Whether it takes work.
-    pub health: Health,
+    #[serde(rename = "health")]
+    pub state: ListedState,
     /// Its weight.
     #[serde(default = "one")]
-    pub share: f32,
+    #[serde(rename = "share")]
+    pub weight: f32,
     /// When it last started, in Unix milliseconds; 0 is long ago.
     #[serde(default)]
-    pub born_ms: u64,
+    #[serde(rename = "born_ms")]
+    pub started_at_ms: u64,
 }
 
 /// Discovery knows of no other addresses.
@@ -79,14 +92,16 @@
 
 /// Whether a backend takes work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Health {
+pub enum ListedState {
     /// It does.
-    Active,
+    #[serde(rename = "active")]
+    Ready,
     /// It finishes what it has.
-    Leaving,
+    #[serde(rename = "leaving")]
+    Draining,
     /// It is gone.
-    Left,
+    #[serde(rename = "left")]
+    Removed,
 }
 
 /// Why a watch ended.
@@ -103,16 +118,16 @@
     Request(#[from] hyper::http::Error),
     /// Nothing came for too long.
     #[error("silent for too long")]
-    Silent(#[from] Elapsed),
+    Timeout(#[from] Elapsed),
     /// Another answer than 200.
     #[error("answered {0}")]
     Status(StatusCode),
     /// What came is no list.
     #[error("malformed list: {0}")]
-    List(String),
+    MalformedList(String),
     /// A list has begun and does not go on.
     #[error("a list without an end")]
-    Unfinished,
+    IncompleteList,
     /// The stream ended.
     #[error("ended")]
     Ended,
@@ -121,15 +136,20 @@
     Task(#[from] JoinError),
 }
 
-impl From<Fault> for WatchError {
-    fn from(fault: Fault) -> Self {
-        Self::List(fault.to_string())
+impl From<JsonStreamError> for WatchError {
+    fn from(fault: JsonStreamError) -> Self {
+        Self::MalformedList(fault.to_string())
     }
 }
 
 /// Watches from a version on and hands over each list until the watch ends, which it always does by an error. An `agent` is
 /// on the node's own machine.
-pub async fn watch(address: SocketAddr, after: u64, agent: bool, mut take: impl FnMut(List)) -> WatchError {
+pub async fn watch(
+    address: SocketAddr,
+    after: u64,
+    agent: bool,
+    mut take: impl FnMut(EndpointList),
+) -> WatchError {
     match follow(address, after, agent, &mut take).await {
         Ok(never) => never,
         Err(error) => error,
@@ -140,11 +160,11 @@
     address: SocketAddr,
     after: u64,
     agent: bool,
-    take: &mut impl FnMut(List),
+    take: &mut impl FnMut(EndpointList),
 ) -> Result<WatchError, WatchError> {
     let (call, silence) = if agent { (AGENT_SILENCE, HEARTBEAT + AGENT_SILENCE) } else { (CALL, SILENCE) };
     let by = Instant::now() + call;
-    let link = Link::new(timeout_at(by, TcpStream::connect(address)).await??);
+    let link = CountingStream::new(timeout_at(by, TcpStream::connect(address)).await??);
     let (mut sender, connection) = http1::handshake(TokioIo::new(link)).await?;
     let mut driver = task::JoinSet::new();
     driver.spawn_local(connection);
@@ -156,7 +176,7 @@
         return Err(WatchError::Status(response.status()));
     }
     let mut body = response.into_body();
-    let mut documents = Documents::default();
+    let mut documents = JsonStream::default();
     let mut begun: Option<Instant> = None;
     // An agent has its list at hand. A service that has nothing new to tell may say so with its first heartbeat.
     let mut silent = if agent { by } else { Instant::now() + silence };
@@ -166,18 +186,21 @@
         let frame = match timeout_at(end, body.frame()).await {
             Ok(Some(frame)) => frame?,
             Ok(None) => return Ok(WatchError::Ended),
-            Err(_) if end < silent => return Err(WatchError::Unfinished),
+            Err(_) if end < silent => return Err(WatchError::IncompleteList),
             Err(silent) => return Err(silent.into()),
         };
         let Ok(data) = frame.into_data() else { continue };
-        for document in documents.take(&data) {
-            take(serde_json::from_slice(&document?).map_err(|error| WatchError::List(error.to_string()))?);
+        for document in documents.push(&data) {
+            take(
+                serde_json::from_slice(&document?)
+                    .map_err(|error| WatchError::MalformedList(error.to_string()))?,
+            );
         }
-        begun = documents.is_inside().then(|| begun.unwrap_or_else(Instant::now));
+        begun = documents.is_inside_document().then(|| begun.unwrap_or_else(Instant::now));
         silent = Instant::now() + silence;
     }
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/discovery.rs"]
+#[path = "../../../tests/unit/discovery.rs"]
 mod tests;
