--- /dev/null
+++ b/crates/chaos/tests/stored_forms.rs
@@ -0,0 +1,214 @@
+//! Files, messages and command lines keep the forms that earlier versions wrote and took: full text, both ways.
+
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+use pumicehead_chaos::check::{Find, Summary, Views};
+use pumicehead_chaos::cost::Cost;
+use pumicehead_chaos::faults::Manner;
+use pumicehead_chaos::history::{Event, History, Holds, What};
+use pumicehead_chaos::scenario::Scenario;
+use pumicehead_chaos::stand::{Change, Hello};
+use pumicehead_testbed::program::temporary;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+/// Seeds of the drawn scenarios in `drawn.toml`.
+const DRAWN_SEEDS: std::ops::RangeInclusive<u64> = 1..=60;
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+fn fixture_text(name: &str) -> String {
+    fs::read_to_string(fixture(name)).expect("a fixture is there")
+}
+
+/// Reads JSON and writes it again: the text is the same.
+fn assert_json_is_kept<T: Serialize + DeserializeOwned>(text: &str) {
+    let value: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"));
+    assert_eq!(serde_json::to_string(&value).expect("it was read"), text);
+}
+
+/// What the program prints on standard output for these arguments.
+fn printed(arguments: &[&str]) -> String {
+    let done = Command::new(env!("CARGO_BIN_EXE_pumicehead-chaos"))
+        .args(arguments)
+        .output()
+        .expect("the program starts");
+    String::from_utf8(done.stdout).expect("output is UTF-8")
+}
+
+#[test]
+fn a_history_file_is_written_as_it_was_read() {
+    let text = fixture_text("run/history.jsonl");
+    let history = History::read(text.as_bytes()).expect("a history");
+    let mut written = Vec::new();
+    history.write(&mut written).expect("written to memory");
+    assert_eq!(String::from_utf8(written).expect("UTF-8"), text);
+}
+
+#[test]
+fn a_history_event_without_liars_is_read() {
+    let line = r#"{"at":1,"what":"fault","number":0,"text":"x","begins":true,"nodes":[],"clients":false}"#;
+    let history = History::read(line.as_bytes()).expect("a history");
+    let mut written = Vec::new();
+    history.write(&mut written).expect("written to memory");
+    let expected = line.replace("false}", "false,\"liars\":[]}\n");
+    assert_eq!(String::from_utf8(written).expect("UTF-8"), expected);
+}
+
+/// Guards the written form alone: `History::read` does not take the node numbers that are keys of a view's map.
+#[test]
+fn views_are_written_with_node_numbers_as_keys() {
+    let view = |at, node, fingerprint: &str, holds: [Holds; 3]| Event {
+        at,
+        what: What::View {
+            node,
+            fingerprint: fingerprint.into(),
+            holds: holds.into_iter().enumerate().collect(),
+        },
+    };
+    let history = History::of(vec![
+        view(5_000_000_000, 0, "b", [Holds::Alive, Holds::Suspect, Holds::Dead]),
+        view(5_500_000_000, 1, "b", [Holds::Stalled, Holds::Alive, Holds::Dead]),
+        view(10_000_000_000, 2, "c", [Holds::Left, Holds::Alive, Holds::Alive]),
+    ]);
+    let mut written = Vec::new();
+    history.write(&mut written).expect("written to memory");
+    assert_eq!(String::from_utf8(written).expect("UTF-8"), fixture_text("views.jsonl"));
+}
+
+#[test]
+fn a_scenario_file_is_written_as_it_was_read() {
+    let text = fixture_text("run/scenario.toml");
+    let scenario = Scenario::parse(&text).expect("a scenario");
+    assert_eq!(toml::to_string(&scenario).expect("it was read"), text);
+}
+
+/// Guards the order of random draws as well: a seed that was found before still means the same scenario.
+#[test]
+fn seeds_draw_the_scenarios_that_they_drew_before() {
+    let drawn: String = DRAWN_SEEDS
+        .map(|seed| toml::to_string(&Scenario::drawn(seed, 5, 4)).expect("a scenario is TOML"))
+        .collect();
+    assert_eq!(drawn, fixture_text("drawn.toml"));
+}
+
+#[test]
+fn results_keep_their_json() {
+    assert_json_is_kept::<Summary>(concat!(
+        r#"{"asked":4,"served":[1.0,0.5,0.25],"worst":[0.1,0.2,0.3],"recovered_s":2.0,"refused":1,"failed":2,"#,
+        r#""unanswered":3,"lag_us":900,"views":{"found_s":[1.5,2.5],"settled_s":3.5,"wronged":1},"#,
+        r#""by_second":[[11.0,10.0],[1.0,0.0]]}"#
+    ));
+    assert_json_is_kept::<Summary>(concat!(
+        r#"{"asked":0,"served":[1.0,1.0,1.0],"worst":[1.0,1.0,1.0],"recovered_s":null,"refused":0,"failed":0,"#,
+        r#""unanswered":0,"lag_us":0,"views":null,"by_second":[]}"#
+    ));
+    assert_json_is_kept::<Views>(r#"{"found_s":null,"settled_s":null,"wronged":0}"#);
+    assert_json_is_kept::<Find>(r#"{"checker":"none lost","at":5,"text":"request 9 at node 0 has no end"}"#);
+    assert_json_is_kept::<Cost>(r#"{"direct_us":20.5,"through_us":60.25}"#);
+}
+
+#[test]
+fn messages_to_and_from_stand_ins_keep_their_json() {
+    assert_json_is_kept::<Manner>(r#"{"slow":1.0,"lie":null}"#);
+    for lie in ["denies", "swaps", "garbles"] {
+        assert_json_is_kept::<Manner>(&format!(r#"{{"slow":5.0,"lie":"{lie}"}}"#));
+    }
+    for listed in ["active", "leaving"] {
+        assert_json_is_kept::<Change>(&format!(
+            r#"{{"server":1,"listed":"{listed}","dials":["127.0.0.1:80"],"born_ms":5}}"#
+        ));
+    }
+    assert_json_is_kept::<Hello>(r#"{"listens":["127.0.0.1:80","127.0.0.1:81"]}"#);
+}
+
+#[test]
+fn a_kept_run_is_checked_as_before() {
+    let folder = fixture("run");
+    assert_eq!(printed(&["check", folder.to_str().expect("UTF-8")]), fixture_text("check.txt"));
+}
+
+#[test]
+fn a_kept_run_is_reported_as_before() {
+    let (folder, page) = (fixture("run"), temporary(".html"));
+    let path = page.to_str().expect("UTF-8");
+    assert_eq!(printed(&["report", folder.to_str().expect("UTF-8"), "--out", path]), format!("{path}\n"));
+    assert_eq!(fs::read_to_string(&page).expect("the page is written"), fixture_text("report.html"));
+    let _ = fs::remove_file(page);
+}
+
+#[test]
+fn builtin_scenarios_are_listed_as_before() {
+    assert_eq!(printed(&["list"]), fixture_text("list.txt"));
+}
+
+#[test]
+fn a_run_prints_its_json_fields_in_order() {
+    let file = temporary(".toml");
+    let text = "name = \"tiny\"\nfleet = { nodes = 1, servers = 1 }\nload = { rate = 5 }\ncalm_s = [1, 1]\n";
+    fs::write(&file, text).expect("a scenario");
+    let json = printed(&["run", file.to_str().expect("UTF-8"), "--json", "--seed", "3"]);
+    assert!(json.starts_with(r#"{"scenario":"tiny","seed":3,"asked":"#), "{json}");
+    let fields = [
+        "scenario",
+        "seed",
+        "asked",
+        "served",
+        "worst",
+        "recovered_s",
+        "refused",
+        "failed",
+        "unanswered",
+        "lag_us",
+        "views",
+        "by_second",
+        "finds",
+    ];
+    let places: Vec<_> = fields.map(|field| json.find(&format!("\"{field}\":"))).into();
+    assert!(places.iter().all(Option::is_some) && places.is_sorted(), "{json}");
+    let parsed: serde_json::Value = serde_json::from_str(&json).expect("JSON");
+    assert_eq!(parsed.as_object().expect("an object").len(), fields.len(), "{json}");
+    let _ = fs::remove_file(file);
+}
+
+#[test]
+fn commands_take_the_flags_that_they_took() {
+    let commands: [(&str, &[&str]); 11] = [
+        ("run", &["<SCENARIO>", "--seed", "--keep", "--node", "--json", "--log"]),
+        ("list", &["--log"]),
+        ("check", &["<FOLDER>"]),
+        ("hunt", &["--seconds", "--seed", "--nodes", "--servers", "--keep"]),
+        ("shrink", &["<FILE>", "--node", "--plays", "--seconds"]),
+        ("report", &["<FOLDER>", "--out"]),
+        ("cost", &["--json"]),
+        ("server", &["--number", "--epoch", "--places", "--takes-ms", "--cold-s", "--cold-from"]),
+        ("discover", &["<NODES>"]),
+        ("begin", &["<PROGRAM>", "[ARGUMENTS]..."]),
+        ("keeper", &[]),
+    ];
+    for (command, flags) in commands {
+        let help = printed(&[command, "--help"]);
+        assert!(help.contains(&format!("Usage: pumicehead-chaos {command}")), "{help}");
+        for flag in flags {
+            assert!(help.contains(flag), "{command} {flag}: {help}");
+        }
+    }
+    for (command, default) in [
+        ("hunt", "[default: 600]"),
+        ("hunt", "[default: 1]"),
+        ("hunt", "[default: 5]"),
+        ("hunt", "[default: 4]"),
+        ("hunt", "[default: storms]"),
+        ("shrink", "[default: 3]"),
+        ("shrink", "[default: 1200]"),
+        ("report", "[default: storm.html]"),
+        ("list", "[default: WARN]"),
+    ] {
+        let help = printed(&[command, "--help"]);
+        assert!(help.contains(default), "{command} {default}: {help}");
+    }
+}
