--- a/crates/chaos/src/check/mod.rs
+++ b/crates/chaos/src/check/mod.rs
@@ -11,7 +11,7 @@
 pub use views::{Views, ViewsSettle, views};
 
 use crate::Nanos;
-use crate::history::{Class, End, History, Listed, State, What};
+use crate::history::{ClientOutcome, EventKind, History, ListedHealth, ProcessState, RequestClass};
 use crate::scenario::Scenario;
 
 /// Something that should not be.
@@ -64,23 +64,23 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Asked {
     pub id: u64,
-    pub class: Class,
+    pub class: RequestClass,
     pub node: usize,
     pub at: Nanos,
     pub patience: Nanos,
-    pub end: Option<(Nanos, End)>,
+    pub end: Option<(Nanos, ClientOutcome)>,
 }
 
 /// All requests, by id.
 pub(crate) fn requests(history: &History) -> Vec<Asked> {
     let mut all = std::collections::BTreeMap::new();
     for event in &history.events {
-        match event.what {
-            What::Asked { id, class, node, patience_ms } => {
+        match event.kind {
+            EventKind::RequestStarted { id, class, node, patience_ms } => {
                 let patience = patience_ms * crate::MS;
                 all.insert(id, Asked { id, class, node, at: event.at, patience, end: None });
             }
-            What::Ended { id, end } => {
+            EventKind::RequestEnded { id, end } => {
                 if let Some(asked) = all.get_mut(&id) {
                     // A second end is no end of ours: the first counts, and `NoneLost` names the second.
                     asked.end = asked.end.or(Some((event.at, end)));
@@ -99,12 +99,16 @@
     let mut open: std::collections::BTreeMap<usize, Nanos> = std::collections::BTreeMap::new();
     let mut down: Option<Nanos> = Some(0);
     for event in &history.events {
-        match &event.what {
-            What::Node { node: of, state } if *of == node => match state {
-                State::Up | State::Resumed => spans.extend(down.take().map(|from| (from, event.at))),
-                State::Down | State::Stalled | State::Ending => drop(down.get_or_insert(event.at)),
+        match &event.kind {
+            EventKind::NodeState { node: of, state } if *of == node => match state {
+                ProcessState::Running | ProcessState::Resumed => {
+                    spans.extend(down.take().map(|from| (from, event.at)))
+                }
+                ProcessState::Down | ProcessState::Paused | ProcessState::Stopping => {
+                    drop(down.get_or_insert(event.at))
+                }
             },
-            What::Fault { number, begins, nodes, clients, .. }
+            EventKind::Fault { number, begins, nodes, clients, .. }
                 if nodes.contains(&node) && (*clients || !from_clients) =>
             {
                 if *begins {
@@ -124,7 +128,7 @@
 pub(crate) fn lied_to(history: &History) -> std::collections::BTreeSet<u64> {
     let mut lies: Vec<(usize, Nanos, Nanos)> = Vec::new();
     for event in &history.events {
-        let What::Fault { begins, liars, .. } = &event.what else { continue };
+        let EventKind::Fault { begins, liars, .. } = &event.kind else { continue };
         for &server in liars {
             if *begins {
                 // What it had before, it answers now; what it has at the end, a little later.
@@ -134,8 +138,8 @@
             }
         }
     }
-    let had = history.events.iter().filter_map(|event| match event.what {
-        What::Effect { id, server, .. } => Some((id, server, event.at)),
+    let had = history.events.iter().filter_map(|event| match event.kind {
+        EventKind::RequestExecuted { id, server, .. } => Some((id, server, event.at)),
         _ => None,
     });
     had.filter(|(_, server, at)| lies.iter().any(|(of, from, to)| of == server && from <= at && at <= to))
@@ -152,10 +156,10 @@
     let mut open = std::collections::BTreeMap::new();
     let mut all = Vec::new();
     for event in &history.events {
-        if let What::Told { node, server, listed } = event.what {
+        if let EventKind::DiscoveryUpdate { node, server, listed } = event.kind {
             match listed {
-                Listed::Leaving => drop(open.entry((node, server)).or_insert(event.at)),
-                Listed::Active => {
+                ListedHealth::Draining => drop(open.entry((node, server)).or_insert(event.at)),
+                ListedHealth::Active => {
                     all.extend(open.remove(&(node, server)).map(|from| (node, server, from, event.at)));
                 }
             }
--- a/crates/chaos/src/check/rules.rs
+++ b/crates/chaos/src/check/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Asked, Checker, Find, drains, excused, lied_to, requests, touches};
-use crate::history::{Class, End, Event, History, State, Unread, What};
+use crate::history::{ClientOutcome, Event, EventKind, History, ProcessState, ReadFailure, RequestClass};
 use crate::scenario::Scenario;
 use crate::{MS, Nanos, SECOND};
 
@@ -35,7 +35,7 @@
         let mut finds = Vec::new();
         let mut ended = BTreeSet::new();
         for event in &history.events {
-            if let What::Ended { id, .. } = event.what
+            if let EventKind::RequestEnded { id, .. } = event.kind
                 && !ended.insert(id)
             {
                 finds.push(find(self.name(), event.at, format!("request {id:x} ended twice")));
@@ -52,7 +52,7 @@
                 finds.push(find(self.name(), at, format!("request {id:x} at node {node} has no end")));
                 continue;
             };
-            if let End::Answered { own: false, status: 200 } = end
+            if let ClientOutcome::Answered { matches_request: false, status: 200 } = end
                 && !lied_to.contains(&id)
             {
                 finds.push(find(self.name(), when, format!("request {id:x} got an answer made for another")));
@@ -60,15 +60,17 @@
             // On a connection that was opened before a fault the end of it may come a little after.
             let free = touches(&excused[&node], at.saturating_sub(SECOND), when.max(due));
             let lost = match end {
-                End::Answered { .. } => when > due,
-                End::Broken | End::NoConnection | End::Silent => true,
+                ClientOutcome::Answered { .. } => when > due,
+                ClientOutcome::ConnectionBroken | ClientOutcome::ConnectFailed | ClientOutcome::TimedOut => {
+                    true
+                }
             };
             if lost && !free {
                 let took = (when - at) / MS;
                 finds.push(find(
                     self.name(),
                     when,
-                    format!("request {id:x} at node {node}: {end:?} after {took} ms"),
+                    format!("request {id:x} at node {node}: {end} after {took} ms"),
                 ));
             }
         }
@@ -88,14 +90,14 @@
     fn check(&self, _: &Scenario, history: &History) -> Vec<Find> {
         let submits: BTreeMap<_, _> = requests(history)
             .into_iter()
-            .filter(|asked| asked.class == Class::Submit)
+            .filter(|asked| asked.class == RequestClass::Submit)
             .map(|asked| (asked.id, asked))
             .collect();
         let lied_to = lied_to(history);
         let mut seen: BTreeMap<u64, (usize, u32)> = BTreeMap::new();
         let mut finds = Vec::new();
         for event in &history.events {
-            let What::Effect { id, server, epoch, .. } = event.what else { continue };
+            let EventKind::RequestExecuted { id, server, epoch, .. } = event.kind else { continue };
             let Some(asked) = submits.get(&id).filter(|_| !lied_to.contains(&id)) else { continue };
             if let Some((first, first_epoch)) = seen.insert(id, (server, epoch)) {
                 let text = format!(
@@ -103,7 +105,7 @@
                 );
                 finds.push(find(self.name(), event.at, text));
             }
-            if asked.end.is_some_and(|(_, end)| end.is_refused()) {
+            if asked.end.is_some_and(|(_, end)| end.is_rejected()) {
                 let text = format!(
                     "submit {id:x} was refused as harmless to repeat, and took effect at server {server}"
                 );
@@ -128,8 +130,8 @@
         let longest = scenario.fleet.links.delay_ms + 8.0 * scenario.fleet.links.jitter_ms;
         let way = ON_THE_WAY + (longest * MS as f64) as Nanos;
         let mut finds = Vec::new();
-        for Event { at, what } in &history.events {
-            let What::Effect { id, server, via, .. } = what else { continue };
+        for Event { at, kind } in &history.events {
+            let EventKind::RequestExecuted { id, server, via, .. } = kind else { continue };
             let Some(node) = node_of(via) else { continue };
             let broken = drains
                 .iter()
@@ -162,8 +164,8 @@
     }
 
     fn check(&self, _: &Scenario, history: &History) -> Vec<Find> {
-        let crash = |event: &Event| match &event.what {
-            What::Crashed { node, text } => {
+        let crash = |event: &Event| match &event.kind {
+            EventKind::NodeCrashed { node, text } => {
                 Some(find(self.name(), event.at, format!("node {node} ended: {text}")))
             }
             _ => None,
@@ -183,10 +185,10 @@
     fn check(&self, _: &Scenario, history: &History) -> Vec<Find> {
         let mut finds = Vec::new();
         for event in &history.events {
-            let What::Recording { node, file, harmed, failed } = &event.what else { continue };
+            let EventKind::RecordingRead { node, file, harmed, failed } = &event.kind else { continue };
             let bad = match failed {
-                Some(Unread::Broke) => "breaks its reader",
-                Some(Unread::Refused) if !harmed => "can't be read, and nobody harmed it",
+                Some(ReadFailure::ReaderCrashed) => "breaks its reader",
+                Some(ReadFailure::Rejected) if !harmed => "can't be read, and nobody harmed it",
                 _ => continue,
             };
             finds.push(find(self.name(), event.at, format!("recording {file} of node {node} {bad}")));
@@ -211,7 +213,7 @@
         let mut finds = Vec::new();
         let mut born: BTreeMap<(usize, u32), Nanos> = BTreeMap::new();
         for event in &history.events {
-            if let What::Server { server, epoch, state: State::Up } = event.what
+            if let EventKind::EndpointState { server, epoch, state: ProcessState::Running } = event.kind
                 && epoch > 0
             {
                 born.insert((server, epoch), event.at);
@@ -221,7 +223,7 @@
             let came: Vec<_> = history
                 .events
                 .iter()
-                .filter(|event| matches!(event.what, What::Effect { server: s, epoch: e, .. } if s == server && e == epoch))
+                .filter(|event| matches!(event.kind, EventKind::RequestExecuted { server: s, epoch: e, .. } if s == server && e == epoch))
                 .map(|event| event.at)
                 .take_while(|at| *at < start + span)
                 .collect();
--- a/crates/chaos/src/check/service.rs
+++ b/crates/chaos/src/check/service.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Checker, Find, requests};
-use crate::history::{History, What};
+use crate::history::{EventKind, History};
 use crate::scenario::Scenario;
 use crate::{MS, Nanos, SECOND};
 
@@ -52,13 +52,13 @@
         let start = history
             .events
             .iter()
-            .find(|event| matches!(event.what, What::Asked { .. }))
+            .find(|event| matches!(event.kind, EventKind::RequestStarted { .. }))
             .map_or(0, |event| event.at);
         let mut summary = Summary::default();
         for asked in requests(history) {
             let worth = match asked.class {
-                crate::history::Class::Submit => 10.0,
-                crate::history::Class::Read => 1.0,
+                crate::history::RequestClass::Submit => 10.0,
+                crate::history::RequestClass::Read => 1.0,
             };
             let second = ((asked.at - start.min(asked.at)) / SECOND) as usize;
             if summary.by_second.len() <= second {
@@ -68,8 +68,8 @@
             summary.by_second[second].0 += worth;
             match asked.end {
                 Some((_, end)) if end.is_served() => summary.by_second[second].1 += worth,
-                Some((_, end)) if end.is_refused() => summary.refused += 1,
-                Some((_, crate::history::End::Answered { .. })) => summary.failed += 1,
+                Some((_, end)) if end.is_rejected() => summary.refused += 1,
+                Some((_, crate::history::ClientOutcome::Answered { .. })) => summary.failed += 1,
                 _ => summary.unanswered += 1,
             }
         }
@@ -97,8 +97,8 @@
 }
 
 fn lags(history: &History) -> impl Iterator<Item = (Nanos, u64)> {
-    history.events.iter().filter_map(|event| match event.what {
-        What::Lag { most_us } => Some((event.at, most_us)),
+    history.events.iter().filter_map(|event| match event.kind {
+        EventKind::HarnessLag { most_us } => Some((event.at, most_us)),
         _ => None,
     })
 }
@@ -117,8 +117,8 @@
             let held: Vec<_> = history
                 .events
                 .iter()
-                .filter_map(|event| match event.what {
-                    What::Held { node: of, descriptors, memory_kib } if of == node => {
+                .filter_map(|event| match event.kind {
+                    EventKind::ResourceUsage { node: of, descriptors, memory_kib } if of == node => {
                         Some((event.at, descriptors, memory_kib))
                     }
                     _ => None,
--- a/crates/chaos/src/check/views.rs
+++ b/crates/chaos/src/check/views.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Checker, Find};
-use crate::history::{History, Holds, State, What};
+use crate::history::{EventKind, History, MemberState, ProcessState};
 use crate::scenario::{Fault, Kind, Scenario, Side};
 use crate::{Nanos, SECOND};
 
@@ -31,10 +31,10 @@
 fn running(history: &History, node: usize) -> Vec<(Nanos, bool)> {
     let mut spans = vec![(0, false)];
     for event in &history.events {
-        if let What::Node { node: of, state } = event.what
+        if let EventKind::NodeState { node: of, state } = event.kind
             && of == node
         {
-            spans.push((event.at, matches!(state, State::Up | State::Resumed)));
+            spans.push((event.at, matches!(state, ProcessState::Running | ProcessState::Resumed)));
         }
     }
     spans
@@ -63,7 +63,7 @@
     let mut open = BTreeMap::new();
     let mut spans = Vec::new();
     for event in &history.events {
-        let What::Fault { number, begins, .. } = event.what else { continue };
+        let EventKind::Fault { number, begins, .. } = event.kind else { continue };
         if !scenario.fault.get(number).is_some_and(|fault| concerns(fault, node)) {
             continue;
         }
@@ -100,13 +100,13 @@
 
     /// Who was newly held dead by whom and when, though neither was concerned by anything.
     fn wronged(&self) -> Vec<(Nanos, usize, usize)> {
-        let mut last: BTreeMap<(usize, usize), Holds> = BTreeMap::new();
+        let mut last: BTreeMap<(usize, usize), MemberState> = BTreeMap::new();
         let mut all = Vec::new();
         for event in &self.history.events {
-            let What::View { node, holds, .. } = &event.what else { continue };
+            let EventKind::MembershipView { node, holds, .. } = &event.kind else { continue };
             for (&of, &held) in holds {
                 let before = last.insert((*node, of), held);
-                let newly = held == Holds::Dead && before != Some(Holds::Dead);
+                let newly = held == MemberState::Dead && before != Some(MemberState::Dead);
                 let known = of < self.running.len() && *node < self.running.len();
                 if newly && known && self.free(of, event.at) && self.free(*node, event.at) {
                     all.push((event.at, *node, of));
@@ -118,19 +118,19 @@
 
     /// When views had settled for good: equal for all who run, and each of those alive in them.
     fn settled(&self) -> Option<Nanos> {
-        let mut views: BTreeMap<usize, (&str, &BTreeMap<usize, Holds>)> = BTreeMap::new();
+        let mut views: BTreeMap<usize, (&str, &BTreeMap<usize, MemberState>)> = BTreeMap::new();
         let mut runs: BTreeMap<usize, bool> = BTreeMap::new();
         let mut since = None;
         for event in &self.history.events {
-            match &event.what {
-                What::Node { node, state } => {
-                    let up = matches!(state, State::Up | State::Resumed);
+            match &event.kind {
+                EventKind::NodeState { node, state } => {
+                    let up = matches!(state, ProcessState::Running | ProcessState::Resumed);
                     runs.insert(*node, up);
-                    if *state == State::Up {
+                    if *state == ProcessState::Running {
                         views.remove(node);
                     }
                 }
-                What::View { node, fingerprint, holds } => {
+                EventKind::MembershipView { node, fingerprint, holds } => {
                     views.insert(*node, (fingerprint, holds));
                 }
                 _ => continue,
@@ -139,7 +139,7 @@
             let first = live.first().and_then(|node| views.get(node)).map(|(print, _)| *print);
             let good = live.iter().all(|node| {
                 views.get(node).is_some_and(|(print, holds)| {
-                    Some(*print) == first && live.iter().all(|of| holds.get(of) == Some(&Holds::Alive))
+                    Some(*print) == first && live.iter().all(|of| holds.get(of) == Some(&MemberState::Alive))
                 })
             });
             since = if good { since.or(Some(event.at)) } else { None };
@@ -154,14 +154,14 @@
             .filter(|(_, fault)| matches!(fault.kind, Kind::Kill { .. }))
             .map(|(number, fault)| (number, fault.kind.nodes().to_vec()))
             .next()?;
-        let begun = self.history.events.iter().find_map(|event| match event.what {
-            What::Fault { number: of, begins: true, .. } if of == number => Some(event.at),
+        let begun = self.history.events.iter().find_map(|event| match event.kind {
+            EventKind::Fault { number: of, begins: true, .. } if of == number => Some(event.at),
             _ => None,
         })?;
         let mut dead: BTreeMap<usize, Nanos> = BTreeMap::new();
         for event in &self.history.events {
-            let What::View { node, holds, .. } = &event.what else { continue };
-            let all = killed.iter().all(|of| holds.get(of) == Some(&Holds::Dead));
+            let EventKind::MembershipView { node, holds, .. } = &event.kind else { continue };
+            let all = killed.iter().all(|of| holds.get(of) == Some(&MemberState::Dead));
             if event.at >= begun && all && !killed.contains(node) {
                 dead.entry(*node).or_insert(event.at);
             }
@@ -190,7 +190,8 @@
 
 /// The end of the last fault.
 fn over(history: &History) -> Nanos {
-    let ends = history.events.iter().filter(|event| matches!(event.what, What::Fault { begins: false, .. }));
+    let ends =
+        history.events.iter().filter(|event| matches!(event.kind, EventKind::Fault { begins: false, .. }));
     ends.map(|event| event.at).max().unwrap_or_default()
 }
 
--- a/crates/chaos/src/history.rs
+++ b/crates/chaos/src/history.rs
@@ -1,6 +1,7 @@
 //! What happened, by one clock: the file that a storm leaves and that checkers read.
 
 use std::collections::BTreeMap;
+use std::fmt;
 use std::io::{self, BufRead, Write};
 
 use serde::{Deserialize, Serialize};
@@ -10,7 +11,7 @@
 /// What may be done with a request again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Class {
+pub enum RequestClass {
     /// A read: as often as one likes.
     Read,
     /// A submit: its effect may happen once.
@@ -20,50 +21,69 @@
 /// What a client saw last of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "end")]
-pub enum End {
+pub enum ClientOutcome {
     /// An answer with this status; whether it was the one made for this request.
     Answered {
         /// The status.
         status: u16,
         /// A 200 whose body names another request is served with what nobody made for it.
-        own: bool,
+        #[serde(rename = "own")]
+        matches_request: bool,
     },
     /// The connection ended or broke before a whole answer.
-    Broken,
+    #[serde(rename = "broken")]
+    ConnectionBroken,
     /// No connection came up.
-    NoConnection,
+    #[serde(rename = "no_connection")]
+    ConnectFailed,
     /// Nothing came in the client's time, which has a margin beyond the deadline.
-    Silent,
+    #[serde(rename = "silent")]
+    TimedOut,
 }
 
-impl End {
+impl ClientOutcome {
     /// Whether it was served.
     #[must_use]
     pub fn is_served(self) -> bool {
-        matches!(self, Self::Answered { status: 200, own: true })
+        matches!(self, Self::Answered { status: 200, matches_request: true })
     }
 
     /// Whether it was told that asking again is harmless.
     #[must_use]
-    pub fn is_refused(self) -> bool {
+    pub fn is_rejected(self) -> bool {
         matches!(self, Self::Answered { status: 429 | 503, .. })
     }
 }
 
+/// The words of violations, which results of runs hold.
+impl fmt::Display for ClientOutcome {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Answered { status, matches_request } => {
+                write!(out, "Answered {{ status: {status}, own: {matches_request} }}")
+            }
+            Self::ConnectionBroken => out.write_str("Broken"),
+            Self::ConnectFailed => out.write_str("NoConnection"),
+            Self::TimedOut => out.write_str("Silent"),
+        }
+    }
+}
+
 /// How a server is listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Listed {
+pub enum ListedHealth {
     /// Takes work.
     Active,
     /// Wants nothing new.
-    Leaving,
+    #[serde(rename = "leaving")]
+    Draining,
 }
 
 /// What a member holds another one for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Holds {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// It stands still.
@@ -79,54 +99,62 @@
 /// How the reading of a file ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Unread {
+pub enum ReadFailure {
     /// The reader said what is wrong with it.
-    Refused,
+    #[serde(rename = "refused")]
+    Rejected,
     /// The reader itself broke.
-    Broke,
+    #[serde(rename = "broke")]
+    ReaderCrashed,
 }
 
 /// What a process is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum ProcessState {
     /// Started, and it listens.
-    Up,
+    #[serde(rename = "up")]
+    Running,
     /// Killed, or ended.
     Down,
     /// Stopped: it stands still and its kernel goes on.
-    Stalled,
+    #[serde(rename = "stalled")]
+    Paused,
     /// Goes on after a stop.
     Resumed,
     /// Told to end in order.
-    Ending,
+    #[serde(rename = "ending")]
+    Stopping,
 }
 
 /// Something that happened.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
-pub enum What {
+pub enum EventKind {
     /// A client begins: the node that it asks, and how long it waits.
-    Asked {
+    #[serde(rename = "asked")]
+    RequestStarted {
         /// The request, new for each.
         id: u64,
         /// Its class.
-        class: Class,
+        class: RequestClass,
         /// The node.
         node: usize,
         /// How long the client waits, in milliseconds.
         patience_ms: u64,
     },
     /// It has its end.
-    Ended {
+    #[serde(rename = "ended")]
+    RequestEnded {
         /// The request.
         id: u64,
         /// How.
         #[serde(flatten)]
-        end: End,
+        end: ClientOutcome,
     },
     /// A server has the whole request and works on it.
-    Effect {
+    #[serde(rename = "effect")]
+    RequestExecuted {
         /// The request.
         id: u64,
         /// The server.
@@ -137,34 +165,38 @@
         via: String,
     },
     /// A server took nothing of a request, and said so.
-    TurnedAway {
+    #[serde(rename = "turned_away")]
+    RequestRejected {
         /// The server.
         server: usize,
     },
     /// Discovery has written a change to a node's watch.
-    Told {
+    #[serde(rename = "told")]
+    DiscoveryUpdate {
         /// The node.
         node: usize,
         /// The server.
         server: usize,
         /// How it is listed now.
-        listed: Listed,
+        listed: ListedHealth,
     },
     /// A node's process.
-    Node {
+    #[serde(rename = "node")]
+    NodeState {
         /// The node.
         node: usize,
         /// What it is now.
-        state: State,
+        state: ProcessState,
     },
     /// A server's process.
-    Server {
+    #[serde(rename = "server")]
+    EndpointState {
         /// The server.
         server: usize,
         /// Its process, by start.
         epoch: u32,
         /// What it is now.
-        state: State,
+        state: ProcessState,
     },
     /// A fault begins or ends.
     Fault {
@@ -183,16 +215,18 @@
         liars: Vec<usize>,
     },
     /// A member's view has changed.
-    View {
+    #[serde(rename = "view")]
+    MembershipView {
         /// Whose.
         node: usize,
         /// The same where two hold the same.
         fingerprint: String,
         /// What each node is held for.
-        holds: BTreeMap<usize, Holds>,
+        holds: BTreeMap<usize, MemberState>,
     },
     /// A recording that a node wrote, read with the shipped program.
-    Recording {
+    #[serde(rename = "recording")]
+    RecordingRead {
         /// The node.
         node: usize,
         /// Its name.
@@ -200,17 +234,19 @@
         /// The storm had changed bytes of it.
         harmed: bool,
         /// How the reading ended; `None`: well.
-        failed: Option<Unread>,
+        failed: Option<ReadFailure>,
     },
     /// A node's process ended, and nobody had told it to.
-    Crashed {
+    #[serde(rename = "crashed")]
+    NodeCrashed {
         /// The node.
         node: usize,
         /// How it ended.
         text: String,
     },
     /// What a node holds.
-    Held {
+    #[serde(rename = "held")]
+    ResourceUsage {
         /// The node.
         node: usize,
         /// Descriptors.
@@ -219,7 +255,8 @@
         memory_kib: u64,
     },
     /// The storm's own lag: how late its relay came to what it had to pass on, at most since the last.
-    Lag {
+    #[serde(rename = "lag")]
+    HarnessLag {
         /// Microseconds.
         most_us: u64,
     },
@@ -232,7 +269,8 @@
     pub at: Nanos,
     /// What.
     #[serde(flatten)]
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: EventKind,
 }
 
 /// All of it, in the order of time.
--- a/crates/chaos/src/report.rs
+++ b/crates/chaos/src/report.rs
@@ -3,7 +3,7 @@
 use plotters::prelude::*;
 
 use crate::check::{Find, Service, requests};
-use crate::history::{Class, History, State, What};
+use crate::history::{EventKind, History, ProcessState, RequestClass};
 use crate::scenario::Scenario;
 use crate::{Nanos, SECOND};
 
@@ -86,7 +86,9 @@
             .map_err(no_plot)?;
         chart.configure_mesh().x_desc("s").draw().map_err(no_plot)?;
         let all = requests(history);
-        for (class, name, colour) in [(Class::Read, "reads", BLUE), (Class::Submit, "submits", RED)] {
+        for (class, name, colour) in
+            [(RequestClass::Read, "reads", BLUE), (RequestClass::Submit, "submits", RED)]
+        {
             let mut seconds = vec![(0u32, 0u32); span as usize + 1];
             for asked in all.iter().filter(|asked| asked.class == class) {
                 if let Some(second) = seconds.get_mut((asked.at / SECOND) as usize) {
@@ -162,10 +164,10 @@
     let mut open: std::collections::BTreeMap<usize, (Nanos, RGBColor)> = std::collections::BTreeMap::new();
     let mut all = Vec::new();
     for event in &history.events {
-        let (row, colour) = match &event.what {
-            What::Node { node, state } => (*node, shown(*state)),
-            What::Server { server, state, .. } => (nodes + server, shown(*state)),
-            What::Fault { number, begins, .. } => {
+        let (row, colour) = match &event.kind {
+            EventKind::NodeState { node, state } => (*node, shown(*state)),
+            EventKind::EndpointState { server, state, .. } => (nodes + server, shown(*state)),
+            EventKind::Fault { number, begins, .. } => {
                 (nodes + servers + number, begins.then_some(RGBColor(120, 160, 220)))
             }
             _ => continue,
@@ -179,11 +181,11 @@
     all
 }
 
-fn shown(state: State) -> Option<RGBColor> {
+fn shown(state: ProcessState) -> Option<RGBColor> {
     match state {
-        State::Up | State::Resumed => None,
-        State::Down => Some(RGBColor(120, 120, 120)),
-        State::Stalled => Some(RGBColor(240, 150, 40)),
-        State::Ending => Some(RGBColor(240, 220, 80)),
+        ProcessState::Running | ProcessState::Resumed => None,
+        ProcessState::Down => Some(RGBColor(120, 120, 120)),
+        ProcessState::Paused => Some(RGBColor(240, 150, 40)),
+        ProcessState::Stopping => Some(RGBColor(240, 220, 80)),
     }
 }
--- a/crates/chaos/src/run.rs
+++ b/crates/chaos/src/run.rs
@@ -24,7 +24,7 @@
 use tracing::{debug, info, warn};
 
 use crate::faults::{self, End, Sign, Step, steps};
-use crate::history::{Event, History, Listed, State, What};
+use crate::history::{Event, EventKind, History, ListedHealth, ProcessState};
 use crate::keeper::Keeper;
 use crate::relay::{self, Lateness, Now, Tell};
 use crate::relay_udp;
@@ -67,12 +67,12 @@
 }
 
 impl Notes {
-    pub(crate) fn note(&self, what: What) {
+    pub(crate) fn note(&self, what: EventKind) {
         self.note_at(clock::now(), what);
     }
 
-    pub(crate) fn note_at(&self, at: Nanos, what: What) {
-        self.events.borrow_mut().push(Event { at: at.saturating_sub(self.start.get()), what });
+    pub(crate) fn note_at(&self, at: Nanos, what: EventKind) {
+        self.events.borrow_mut().push(Event { at: at.saturating_sub(self.start.get()), kind: what });
     }
 }
 
@@ -260,11 +260,11 @@
                 *exit.borrow_mut() = address;
             }
         }
-        self.notes.note(What::Server { server, epoch, state: State::Up });
-        self.list(server, Listed::Active)
+        self.notes.note(EventKind::EndpointState { server, epoch, state: ProcessState::Running });
+        self.list(server, ListedHealth::Active)
     }
 
-    fn list(&mut self, server: usize, listed: Listed) -> io::Result<()> {
+    fn list(&mut self, server: usize, listed: ListedHealth) -> io::Result<()> {
         let dials =
             (0..self.scenario.fleet.nodes).map(|node| self.links[&(End::Node(node), End::Server(server))].0);
         let born = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
@@ -288,7 +288,7 @@
         self.views.started(node, listens.calls);
         self.nodes[node] = Some(process);
         debug!("node {node} listens for clients on {}", listens.clients);
-        self.notes.note(What::Node { node, state: State::Up });
+        self.notes.note(EventKind::NodeState { node, state: ProcessState::Running });
         Ok(())
     }
 
@@ -298,7 +298,7 @@
             Step::Over(number) => self.say(number, false),
             Step::Node(node, sign) => {
                 if let Some(state) = sign_to(&mut self.nodes[node], sign) {
-                    self.notes.note(What::Node { node, state });
+                    self.notes.note(EventKind::NodeState { node, state });
                 }
             }
             Step::Start(node) => {
@@ -307,18 +307,18 @@
                         return Ok(());
                     }
                     process.ended(LIMIT).await;
-                    self.notes.note(What::Node { node, state: State::Down });
+                    self.notes.note(EventKind::NodeState { node, state: ProcessState::Down });
                 }
                 // One that does not come up again is what a storm is there to find.
                 if let Err(error) = self.start_node(node).await {
                     warn!("node {node} does not come up again: {error}");
                     self.nodes[node] = None;
-                    self.notes.note(What::Crashed { node, text: error.to_string() });
+                    self.notes.note(EventKind::NodeCrashed { node, text: error.to_string() });
                 }
             }
             Step::Server(server, sign) => {
                 if let Some(state) = sign_to(&mut self.servers[server], sign) {
-                    self.notes.note(What::Server { server, epoch: self.epochs[server], state });
+                    self.notes.note(EventKind::EndpointState { server, epoch: self.epochs[server], state });
                 }
             }
             Step::StartServer(server) => {
@@ -329,7 +329,7 @@
                 self.start_server(server).await?;
             }
             Step::List(server, leaving) => {
-                self.list(server, if leaving { Listed::Leaving } else { Listed::Active })?;
+                self.list(server, if leaving { ListedHealth::Draining } else { ListedHealth::Active })?;
             }
             Step::Links(number) => self.relink(number),
             Step::Manners(number) => {
@@ -359,7 +359,7 @@
         let (text, nodes, liars) = (fault.words(), fault.kind.nodes().to_vec(), fault.kind.liars().to_vec());
         let clients = fault.kind.is_of_clients();
         info!("{} {text}", if begins { "from now on" } else { "no more:" });
-        self.notes.note(What::Fault { number, text, begins, nodes, clients, liars });
+        self.notes.note(EventKind::Fault { number, text, begins, nodes, clients, liars });
     }
 
     /// Tells a server what it is to do beside its work.
@@ -394,7 +394,7 @@
 
     /// What nodes hold, and whether any has ended by itself.
     fn look(&mut self, late: &Lateness) {
-        self.notes.note(What::Lag { most_us: late.take() });
+        self.notes.note(EventKind::HarnessLag { most_us: late.take() });
         if self.scenario.fleet.members {
             self.views.look(&self.notes);
         }
@@ -402,10 +402,10 @@
             let Some(process) = process else { continue };
             if let Some(text) = process.crashed() {
                 warn!("node {node} ended by itself: {text}");
-                self.notes.note(What::Crashed { node, text });
-                self.notes.note(What::Node { node, state: State::Down });
+                self.notes.note(EventKind::NodeCrashed { node, text });
+                self.notes.note(EventKind::NodeState { node, state: ProcessState::Down });
             } else if let Some((descriptors, memory_kib)) = process.holds() {
-                self.notes.note(What::Held { node, descriptors, memory_kib });
+                self.notes.note(EventKind::ResourceUsage { node, descriptors, memory_kib });
             }
         }
     }
@@ -433,7 +433,7 @@
         self.views.end();
         for (node, process) in self.nodes.iter_mut().enumerate() {
             if let Some(state) = sign_to(process, Sign::End) {
-                self.notes.note(What::Node { node, state });
+                self.notes.note(EventKind::NodeState { node, state });
             }
         }
         for process in self.nodes.iter_mut().flatten() {
@@ -452,13 +452,13 @@
 }
 
 /// Sends a signal to a process that can take it, and tells what it is then.
-fn sign_to(process: &mut Option<Process>, sign: Sign) -> Option<State> {
+fn sign_to(process: &mut Option<Process>, sign: Sign) -> Option<ProcessState> {
     let process = process.as_mut().filter(|process| !process.is_told())?;
     let (signal, state) = match sign {
-        Sign::Stop => (Signal::STOP, State::Stalled),
-        Sign::Continue => (Signal::CONT, State::Resumed),
-        Sign::Kill => (Signal::KILL, State::Down),
-        Sign::End => (Signal::TERM, State::Ending),
+        Sign::Stop => (Signal::STOP, ProcessState::Paused),
+        Sign::Continue => (Signal::CONT, ProcessState::Resumed),
+        Sign::Kill => (Signal::KILL, ProcessState::Down),
+        Sign::End => (Signal::TERM, ProcessState::Stopping),
     };
     process.send(signal).ok()?;
     Some(state)
@@ -474,7 +474,7 @@
     spawn_local(async move {
         while let Some(line) = lines.recv().await {
             if let Ok(event) = serde_json::from_str::<Event>(&line) {
-                notes.note_at(event.at, event.what);
+                notes.note_at(event.at, event.kind);
             }
         }
     });
--- a/crates/chaos/src/run/clients.rs
+++ b/crates/chaos/src/run/clients.rs
@@ -17,7 +17,7 @@
 
 use super::{Notes, rng};
 use crate::faults::factor;
-use crate::history::{Class, End, What};
+use crate::history::{ClientOutcome, EventKind, RequestClass};
 use crate::scenario::Scenario;
 use crate::stand::ID;
 
@@ -30,7 +30,7 @@
 struct Due {
     at: Duration,
     id: u64,
-    class: Class,
+    class: RequestClass,
 }
 
 /// The requests of a node's clients, drawn ahead: the same for a seed whatever the nodes do.
@@ -46,7 +46,11 @@
             return all;
         }
         if rate > 0.0 {
-            let class = if rng.random::<f64>() < scenario.load.submits { Class::Submit } else { Class::Read };
+            let class = if rng.random::<f64>() < scenario.load.submits {
+                RequestClass::Submit
+            } else {
+                RequestClass::Read
+            };
             let id = ((node as u64) << 32) | all.len() as u64;
             all.push(Due { at: Duration::from_secs_f64(at), id, class });
         }
@@ -69,10 +73,11 @@
                 let (idle, notes) = (idle.clone(), notes.clone());
                 open.spawn_local(async move {
                     let patience_ms = patience.as_millis() as u64;
-                    notes.note(What::Asked { id: due.id, class: due.class, node, patience_ms });
+                    notes.note(EventKind::RequestStarted { id: due.id, class: due.class, node, patience_ms });
                     let gives_up = Instant::now() + patience + MARGIN;
-                    let end = timeout_at(gives_up, ask(&idle, door, &due)).await.unwrap_or(End::Silent);
-                    notes.note(What::Ended { id: due.id, end });
+                    let end =
+                        timeout_at(gives_up, ask(&idle, door, &due)).await.unwrap_or(ClientOutcome::TimedOut);
+                    notes.note(EventKind::RequestEnded { id: due.id, end });
                 });
                 while open.try_join_next().is_some() {}
             }
@@ -82,7 +87,7 @@
     all
 }
 
-async fn ask(idle: &Idle, door: SocketAddr, due: &Due) -> End {
+async fn ask(idle: &Idle, door: SocketAddr, due: &Due) -> ClientOutcome {
     // A kept connection may be closed as a request is written to it; the node has not read it then, and it is sent once more.
     loop {
         let kept = idle.borrow_mut().pop();
@@ -92,28 +97,28 @@
             Some((_, sender)) => sender,
             None => match connect(door).await {
                 Some(sender) => sender,
-                None => return End::NoConnection,
+                None => return ClientOutcome::ConnectFailed,
             },
         };
         if sender.ready().await.is_err() {
             if reused {
                 continue;
             }
-            return End::NoConnection;
+            return ClientOutcome::ConnectFailed;
         }
         let answer = match sender.send_request(request(due)).await {
             Ok(answer) => answer,
             Err(error) if reused && error.is_canceled() => continue,
-            Err(_) => return End::Broken,
+            Err(_) => return ClientOutcome::ConnectionBroken,
         };
         let status = answer.status().as_u16();
         let keep = answer.headers().get("connection").is_none_or(|value| value != "close");
-        let Ok(body) = answer.into_body().collect().await else { return End::Broken };
+        let Ok(body) = answer.into_body().collect().await else { return ClientOutcome::ConnectionBroken };
         if keep {
             idle.borrow_mut().push((Instant::now(), sender));
         }
         let own = body.to_bytes().as_ref() == format!("{:x}\n", due.id).as_bytes();
-        return End::Answered { status, own: own || status != 200 };
+        return ClientOutcome::Answered { status, matches_request: own || status != 200 };
     }
 }
 
@@ -129,8 +134,8 @@
 
 fn request(due: &Due) -> Request<Full<Bytes>> {
     let (method, path, body) = match due.class {
-        Class::Read => ("GET", "boards", Bytes::new()),
-        Class::Submit => ("POST", "runs", Bytes::from_static(b"0:01:02.345")),
+        RequestClass::Read => ("GET", "boards", Bytes::new()),
+        RequestClass::Submit => ("POST", "runs", Bytes::from_static(b"0:01:02.345")),
     };
     Request::builder()
         .method(method)
--- a/crates/chaos/src/run/files.rs
+++ b/crates/chaos/src/run/files.rs
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-use crate::history::{Unread, What};
+use crate::history::{EventKind, ReadFailure};
 use crate::scenario;
 
 /// Most bytes of a file that are changed.
@@ -87,7 +87,7 @@
     }
 
     /// Reads all recordings with the shipped program, which tells where worth was lost; what it says goes into `why.txt`.
-    pub fn read(&self, nodes: usize, program: &Path) -> io::Result<Vec<What>> {
+    pub fn read(&self, nodes: usize, program: &Path) -> io::Result<Vec<EventKind>> {
         let mut out = fs::File::create(self.folder.join("why.txt"))?;
         let mut all = Vec::new();
         for (node, path) in self.recordings(nodes)? {
@@ -99,10 +99,10 @@
             writeln!(out)?;
             let failed = match done.status.code() {
                 Some(0) => None,
-                Some(code) if REFUSED.contains(&code) => Some(Unread::Refused),
-                _ => Some(Unread::Broke),
+                Some(code) if REFUSED.contains(&code) => Some(ReadFailure::Rejected),
+                _ => Some(ReadFailure::ReaderCrashed),
             };
-            all.push(What::Recording { node, file, harmed: self.harmed.contains(&path), failed });
+            all.push(EventKind::RecordingRead { node, file, harmed: self.harmed.contains(&path), failed });
         }
         Ok(all)
     }
--- a/crates/chaos/src/run/views.rs
+++ b/crates/chaos/src/run/views.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 
 use super::Notes;
-use crate::history::{Holds, What};
+use crate::history::{EventKind, MemberState};
 
 /// A node that does not answer by then stands still, or is gone.
 const PATIENCE: Duration = Duration::from_secs(1);
@@ -24,7 +24,7 @@
     calls: Cell<Option<SocketAddr>>,
     /// A question is out.
     asked: Cell<bool>,
-    last: RefCell<Option<(String, BTreeMap<usize, Holds>)>>,
+    last: RefCell<Option<(String, BTreeMap<usize, MemberState>)>>,
 }
 
 /// The views of all nodes.
@@ -43,7 +43,7 @@
 #[derive(Deserialize)]
 struct Entry {
     name: String,
-    state: Holds,
+    state: MemberState,
 }
 
 impl Views {
@@ -77,7 +77,7 @@
                     if *seen.last.borrow() != now && !over.get() {
                         if let Some((fingerprint, holds)) = &now {
                             let (fingerprint, holds) = (fingerprint.clone(), holds.clone());
-                            notes.note(What::View { node, fingerprint, holds });
+                            notes.note(EventKind::MembershipView { node, fingerprint, holds });
                         }
                         *seen.last.borrow_mut() = now;
                     }
--- a/crates/chaos/src/stand.rs
+++ b/crates/chaos/src/stand.rs
@@ -25,7 +25,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::faults::Manner;
-use crate::history::{Event, Listed, What};
+use crate::history::{Event, EventKind, ListedHealth};
 use crate::scenario::Lie;
 use crate::{Nanos, clock};
 
@@ -59,8 +59,8 @@
     pub cold_from: f64,
 }
 
-fn tell(what: What) {
-    let line = serde_json::to_string(&Event { at: clock::now(), what }).unwrap_or_default();
+fn tell(what: EventKind) {
+    let line = serde_json::to_string(&Event { at: clock::now(), kind: what }).unwrap_or_default();
     // Nobody reads any more: the storm is over, and this process soon is.
     let _ = writeln!(io::stdout().lock(), "{line}");
 }
@@ -106,11 +106,11 @@
     async fn work(self: Rc<Self>, id: u64, via: String) -> Reply {
         let of = self.server.number;
         if self.out.get() >= self.places() && self.waiting.get() >= WAITING * self.places() {
-            tell(What::TurnedAway { server: of });
+            tell(EventKind::RequestRejected { server: of });
             return Reply::Answer(unprocessed());
         }
         // It has been taken: whatever becomes of the connection, this may take effect.
-        tell(What::Effect { id, server: of, epoch: self.server.epoch, via });
+        tell(EventKind::RequestExecuted { id, server: of, epoch: self.server.epoch, via });
         self.waiting.set(self.waiting.get() + 1);
         while self.out.get() >= self.places() {
             // Places come with age as well as with ends.
@@ -173,7 +173,7 @@
     };
     let id = u64::from_str_radix(&field(ID)?, 16).ok()?;
     let (server, epoch) = (works.server.number, works.server.epoch);
-    tell(What::Effect { id, server, epoch, via: field("via").unwrap_or_default() });
+    tell(EventKind::RequestExecuted { id, server, epoch, via: field("via").unwrap_or_default() });
     let said: &[u8] = match id % 3 {
         0 => b"\x16\x03\x01 what is this\r\n\r\n",
         1 => b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nhalf",
@@ -266,7 +266,7 @@
     /// The server.
     pub server: usize,
     /// How it is listed.
-    pub listed: Listed,
+    pub listed: ListedHealth,
     /// Where each node reaches it.
     pub dials: Vec<SocketAddr>,
     /// When it last started, in Unix milliseconds; 0 is long ago.
@@ -281,14 +281,14 @@
 
 impl Book {
     /// The line for a node of what changed after a version, and who is in it.
-    fn line(&self, node: usize, after: u64, whole: bool) -> (String, Vec<(usize, Listed)>) {
+    fn line(&self, node: usize, after: u64, whole: bool) -> (String, Vec<(usize, ListedHealth)>) {
         let changed = self.servers.values().filter(|(version, _)| whole || *version > after);
         let (mut hosts, mut told) = (Vec::new(), Vec::new());
         for (_, change) in changed {
             let Some(dial) = change.dials.get(node) else { continue };
             let health = match change.listed {
-                Listed::Active => "active",
-                Listed::Leaving => "leaving",
+                ListedHealth::Active => "active",
+                ListedHealth::Draining => "leaving",
             };
             hosts.push(format!(
                 r#"{{"host":"s{}","dial":"{dial}","site":"a","class":"m","block":0,"health":"{health}","share":1.0,"born_ms":{}}}"#,
@@ -371,6 +371,6 @@
     }
 }
 
-fn say(node: usize, told: Vec<(usize, Listed)>) {
-    told.into_iter().for_each(|(server, listed)| tell(What::Told { node, server, listed }));
+fn say(node: usize, told: Vec<(usize, ListedHealth)>) {
+    told.into_iter().for_each(|(server, listed)| tell(EventKind::DiscoveryUpdate { node, server, listed }));
 }
--- a/crates/chaos/tests/stored_forms.rs
+++ b/crates/chaos/tests/stored_forms.rs
@@ -7,7 +7,7 @@
 use pumicehead_chaos::check::{Find, Summary, Views};
 use pumicehead_chaos::cost::Cost;
 use pumicehead_chaos::faults::Manner;
-use pumicehead_chaos::history::{Event, History, Holds, What};
+use pumicehead_chaos::history::{ClientOutcome, Event, EventKind, History, MemberState};
 use pumicehead_chaos::scenario::Scenario;
 use pumicehead_chaos::stand::{Change, Hello};
 use pumicehead_testbed::program::temporary;
@@ -62,18 +62,18 @@
 /// Guards the written form alone: `History::read` does not take the node numbers that are keys of a view's map.
 #[test]
 fn views_are_written_with_node_numbers_as_keys() {
-    let view = |at, node, fingerprint: &str, holds: [Holds; 3]| Event {
+    let view = |at, node, fingerprint: &str, holds: [MemberState; 3]| Event {
         at,
-        what: What::View {
+        kind: EventKind::MembershipView {
             node,
             fingerprint: fingerprint.into(),
             holds: holds.into_iter().enumerate().collect(),
         },
     };
     let history = History::of(vec![
-        view(5_000_000_000, 0, "b", [Holds::Alive, Holds::Suspect, Holds::Dead]),
-        view(5_500_000_000, 1, "b", [Holds::Stalled, Holds::Alive, Holds::Dead]),
-        view(10_000_000_000, 2, "c", [Holds::Left, Holds::Alive, Holds::Alive]),
+        view(5_000_000_000, 0, "b", [MemberState::Alive, MemberState::Suspect, MemberState::Dead]),
+        view(5_500_000_000, 1, "b", [MemberState::Stalled, MemberState::Alive, MemberState::Dead]),
+        view(10_000_000_000, 2, "c", [MemberState::Left, MemberState::Alive, MemberState::Alive]),
     ]);
     let mut written = Vec::new();
     history.write(&mut written).expect("written to memory");
@@ -212,3 +212,19 @@
         assert!(help.contains(default), "{command} {default}: {help}");
     }
 }
+
+#[test]
+fn outcomes_keep_the_words_that_violations_hold() {
+    let words = [
+        (
+            ClientOutcome::Answered { status: 504, matches_request: true },
+            "Answered { status: 504, own: true }",
+        ),
+        (ClientOutcome::ConnectionBroken, "Broken"),
+        (ClientOutcome::ConnectFailed, "NoConnection"),
+        (ClientOutcome::TimedOut, "Silent"),
+    ];
+    for (outcome, text) in words {
+        assert_eq!(outcome.to_string(), text);
+    }
+}
