--- /dev/null
+++ b/crates/chaos/src/check/execution.rs
@@ -0,0 +1,53 @@
+//! Requests that are not idempotent are executed at most once.
+
+use std::collections::BTreeMap;
+
+use super::exemptions::requests_at_misbehaving_endpoints;
+use super::{Checker, Violation, client_requests};
+use crate::history::{ClientOutcome, EventKind, History, RequestClass};
+use crate::scenario::Scenario;
+
+/// A submit is executed at most once, and not at all where its client was told that it may be repeated. Requests at
+/// misbehaving endpoints are exempt: a node that is told that nothing was executed may retry.
+pub struct AtMostOnceExecution;
+
+/// Where a submit was executed.
+struct Execution {
+    endpoint: usize,
+    incarnation: u32,
+}
+
+impl Checker for AtMostOnceExecution {
+    fn name(&self) -> &'static str {
+        "effects once"
+    }
+
+    fn check(&self, _: &Scenario, history: &History) -> Vec<Violation> {
+        let submits: BTreeMap<_, _> = client_requests(history)
+            .into_iter()
+            .filter(|request| request.class == RequestClass::Submit)
+            .map(|request| (request.id, request))
+            .collect();
+        let misled = requests_at_misbehaving_endpoints(history);
+        let mut executions: BTreeMap<u64, Execution> = BTreeMap::new();
+        let mut violations = Vec::new();
+        for event in &history.events {
+            let EventKind::RequestExecuted { id, endpoint, incarnation, .. } = event.kind else { continue };
+            let Some(submit) = submits.get(&id).filter(|_| !misled.contains(&id)) else { continue };
+            if let Some(first) = executions.insert(id, Execution { endpoint, incarnation }) {
+                let text = format!(
+                    "submit {id:x} took effect at server {} (start {}) and at server {endpoint} (start {incarnation})",
+                    first.endpoint, first.incarnation
+                );
+                violations.push(self.violation(event.at, text));
+            }
+            if submit.outcome().is_some_and(ClientOutcome::is_rejected) {
+                let text = format!(
+                    "submit {id:x} was refused as harmless to repeat, and took effect at server {endpoint}"
+                );
+                violations.push(self.violation(event.at, text));
+            }
+        }
+        violations
+    }
+}
--- /dev/null
+++ b/crates/chaos/src/check/membership.rs
@@ -0,0 +1,89 @@
+//! Nodes that run and can be reached are not considered dead, and the views of all nodes converge.
+
+use serde::{Deserialize, Serialize};
+
+use super::membership_history::{DetectionTimes, FAULT_AFTERMATH, MembershipHistory};
+use super::{Checker, Violation};
+use crate::history::History;
+use crate::scenario::Scenario;
+use crate::{Nanos, SECOND};
+
+/// Time after the last fault within which views converge. Runs with a shorter calm at the end are not checked.
+pub const CONVERGENCE_LIMIT: Nanos = FAULT_AFTERMATH;
+/// How long after a change of a view the run may read it.
+const POLL_DELAY: Nanos = SECOND;
+
+/// How the nodes' views of their membership changed.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct MembershipSummary {
+    /// Seconds from the first kill until the first other node considers the killed dead, and until all do.
+    #[serde(rename = "found_s")]
+    pub detected_s: Option<(f64, f64)>,
+    /// Seconds from the end of the last fault until all views are equal for good, with all running nodes alive.
+    #[serde(rename = "settled_s")]
+    pub converged_s: Option<f64>,
+    /// How often a node was newly considered dead that ran and that no fault affected.
+    #[serde(rename = "wronged")]
+    pub false_positives: u64,
+}
+
+/// Summarizes the views of a run; `None` without membership.
+#[must_use]
+pub fn membership_summary(scenario: &Scenario, history: &History) -> Option<MembershipSummary> {
+    if !scenario.fleet.membership {
+        return None;
+    }
+    let membership = MembershipHistory::new(scenario, history);
+    let seconds = |span: Nanos| span as f64 / SECOND as f64;
+    let detected = |times: DetectionTimes| (seconds(times.first), seconds(times.last));
+    let faults_end = membership.faults_end();
+    Some(MembershipSummary {
+        detected_s: membership.detection_times(scenario).map(detected),
+        converged_s: membership.converged_since().map(|at| seconds(at.saturating_sub(faults_end))),
+        false_positives: membership.false_positives().len() as u64,
+    })
+}
+
+/// No node is wrongly considered dead, and views converge after the last fault.
+pub struct MembershipConverges;
+
+impl Checker for MembershipConverges {
+    fn name(&self) -> &'static str {
+        "views"
+    }
+
+    fn check(&self, scenario: &Scenario, history: &History) -> Vec<Violation> {
+        if !scenario.fleet.membership {
+            return Vec::new();
+        }
+        let membership = MembershipHistory::new(scenario, history);
+        let mut violations: Vec<_> = membership
+            .false_positives()
+            .into_iter()
+            .map(|found| {
+                let text = format!(
+                    "node {} holds node {} dead, which runs and no fault concerns",
+                    found.observer, found.subject
+                );
+                self.violation(found.at, text)
+            })
+            .collect();
+        let calm = (scenario.calm_s[1] * SECOND as f64) as Nanos;
+        if calm >= CONVERGENCE_LIMIT + POLL_DELAY {
+            violations.extend(self.late_convergence(&membership));
+        }
+        violations
+    }
+}
+
+impl MembershipConverges {
+    fn late_convergence(&self, membership: &MembershipHistory) -> Option<Violation> {
+        let faults_end = membership.faults_end();
+        let late = match membership.converged_since() {
+            Some(at) if at <= faults_end + CONVERGENCE_LIMIT + POLL_DELAY => return None,
+            Some(at) => format!("only {} s later", (at - faults_end) / SECOND),
+            None => "not".to_owned(),
+        };
+        Some(self.violation(faults_end, format!("views have settled {late} after the last fault")))
+    }
+}
--- /dev/null
+++ b/crates/chaos/src/check/requests.rs
@@ -0,0 +1,61 @@
+//! Requests as their clients saw them.
+
+use std::collections::BTreeMap;
+
+use crate::history::{ClientOutcome, EventKind, History, RequestClass};
+use crate::{MS, Nanos};
+
+/// The end of a request.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct RequestEnd {
+    /// When it ended.
+    pub at: Nanos,
+    /// How it ended.
+    pub outcome: ClientOutcome,
+}
+
+/// A request as its client saw it.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ClientRequest {
+    /// Its id.
+    pub id: u64,
+    /// Its class.
+    pub class: RequestClass,
+    /// The node that it was sent to.
+    pub node: usize,
+    /// When it was sent.
+    pub started: Nanos,
+    /// When its deadline is.
+    pub deadline: Nanos,
+    /// Its first end, if it has any.
+    pub end: Option<RequestEnd>,
+}
+
+impl ClientRequest {
+    /// Returns how the request ended, if it did.
+    pub fn outcome(&self) -> Option<ClientOutcome> {
+        self.end.map(|end| end.outcome)
+    }
+}
+
+/// Returns all requests, ascending by id.
+pub(crate) fn client_requests(history: &History) -> Vec<ClientRequest> {
+    let mut requests = BTreeMap::new();
+    for event in &history.events {
+        match event.kind {
+            EventKind::RequestStarted { id, class, node, deadline_ms } => {
+                let deadline = event.at + deadline_ms * MS;
+                let request = ClientRequest { id, class, node, started: event.at, deadline, end: None };
+                requests.insert(id, request);
+            }
+            EventKind::RequestEnded { id, outcome } => {
+                if let Some(request) = requests.get_mut(&id) {
+                    // The first end counts; `EveryRequestAnswered` reports a second one.
+                    request.end.get_or_insert(RequestEnd { at: event.at, outcome });
+                }
+            }
+            _ => {}
+        }
+    }
+    requests.into_values().collect()
+}
--- a/crates/chaos/src/check/service.rs
+++ b/crates/chaos/src/check/service.rs
@@ -1,157 +1,137 @@
-//! How well it went: service by second, time to recover, what is held, and the storm's own lag.
+//! Summary of the service that clients got.
 
 use serde::{Deserialize, Serialize};
 
-use super::{Checker, Find, requests};
-use crate::history::{EventKind, History};
+use super::harness_lag::max_lag_us;
+use super::{MembershipSummary, client_requests, membership_summary};
+use crate::SECOND;
+use crate::history::{ClientOutcome, EventKind, History, RequestClass};
 use crate::scenario::Scenario;
-use crate::{MS, Nanos, SECOND};
 
-/// Service counts as recovered from the first second on after which it stays at this share of the calm's.
-const RECOVERED: f64 = 0.95;
-/// Descriptors over the calm's that a node may hold at the end: connections that the pool keeps for a while.
-const MORE_DESCRIPTORS: u64 = 64;
-/// Memory over the calm's that a node may hold at the end.
-const MORE_MEMORY_KIB: u64 = 24 << 10;
-/// A relay that is later than this is itself what is slow, and the run says nothing.
-pub const MOST_LAG: Nanos = 250 * MS;
+/// Service has recovered when it stays at this share of the service before the first fault.
+const RECOVERED_SHARE: f64 = 0.95;
+/// Worth of a submit; a read's is 1.
+const SUBMIT_WORTH: f64 = 10.0;
+/// Seconds over which recovery is judged: a single one has few requests.
+const RECOVERY_WINDOW_S: usize = 2;
 
-/// How well it went.
+/// Service in one second, by the time at which requests were sent. Stored as `[requested, served]`.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(f64, f64)", into = "(f64, f64)")]
+pub struct SecondOfService {
+    /// Worth of all requests.
+    pub requested: f64,
+    /// Worth of the successful ones.
+    pub served: f64,
+}
+
+impl From<(f64, f64)> for SecondOfService {
+    fn from((requested, served): (f64, f64)) -> Self {
+        Self { requested, served }
+    }
+}
+
+impl From<SecondOfService> for (f64, f64) {
+    fn from(second: SecondOfService) -> Self {
+        (second.requested, second.served)
+    }
+}
+
+/// Summary of the service of a run. Shares are of the requests' worth, between 0 and 1; a submit is worth ten reads.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Summary {
-    /// Requests.
-    pub asked: u64,
-    /// Share of worth served (a submit is worth ten reads): in the calm before, while faults last, after.
-    pub served: [f64; 3],
-    /// The least share of worth served over 1 s, 5 s and 10 s.
-    pub worst: [f64; 3],
-    /// Seconds from the end of the last fault until service is back for good; `None`: it is not.
+pub struct ServiceSummary {
+    /// Number of requests.
+    #[serde(rename = "asked")]
+    pub requests: u64,
+    /// Share served before the first fault, while faults last, and after the last one.
+    #[serde(rename = "served")]
+    pub served_share: [f64; 3],
+    /// Smallest share served over 1 s, 5 s and 10 s.
+    #[serde(rename = "worst")]
+    pub worst_share: [f64; 3],
+    /// Seconds from the end of the last fault until service has recovered for good; `None` if it has not.
     pub recovered_s: Option<f64>,
-    /// Refused, failed, and without an answer.
-    pub refused: u64,
-    /// Answered with another status than a refusal's.
+    /// Number of requests with a response that allows to repeat them.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+    /// Number of requests with any other response that is not a success.
     pub failed: u64,
-    /// Broken, silent or no connection.
+    /// Number of requests without a response.
     pub unanswered: u64,
-    /// Most lag of the storm's own relay, in microseconds.
-    pub lag_us: u64,
-    /// How the members' views of each other went, where they have any.
-    #[serde(default)]
-    pub views: Option<super::Views>,
-    /// By second: worth asked and worth served.
-    pub by_second: Vec<(f64, f64)>,
+    /// Largest lateness of the run itself, in microseconds.
+    #[serde(rename = "lag_us")]
+    pub harness_lag_us: u64,
+    /// How the nodes' views of their membership changed; `None` without membership.
+    #[serde(default, rename = "views")]
+    pub membership: Option<MembershipSummary>,
+    /// Service by second since the first request.
+    pub by_second: Vec<SecondOfService>,
 }
 
-/// Sums up service.
-pub struct Service;
-
-impl Service {
-    /// Of a history.
+impl ServiceSummary {
+    /// Summarizes a run.
     #[must_use]
-    pub fn of(scenario: &Scenario, history: &History) -> Summary {
+    pub fn new(scenario: &Scenario, history: &History) -> Self {
+        let mut summary = Self::default();
+        summary.count_requests(history);
+        let seconds = summary.by_second.len();
+        let (calm, faults_end) = (scenario.calm_s[0] as usize, scenario.faults_end_s().ceil() as usize);
+        summary.served_share =
+            [summary.share(0, calm), summary.share(calm, faults_end), summary.share(faults_end, seconds)];
+        summary.worst_share = [1, 5, 10].map(|width| summary.smallest_share(width));
+        summary.recovered_s = summary.recovery_s(faults_end);
+        summary.membership = membership_summary(scenario, history);
+        summary.harness_lag_us = max_lag_us(history);
+        summary
+    }
+
+    fn count_requests(&mut self, history: &History) {
         let start = history
             .events
             .iter()
             .find(|event| matches!(event.kind, EventKind::RequestStarted { .. }))
             .map_or(0, |event| event.at);
-        let mut summary = Summary::default();
-        for asked in requests(history) {
-            let worth = match asked.class {
-                crate::history::RequestClass::Submit => 10.0,
-                crate::history::RequestClass::Read => 1.0,
+        for request in client_requests(history) {
+            let worth = match request.class {
+                RequestClass::Submit => SUBMIT_WORTH,
+                RequestClass::Read => 1.0,
             };
-            let second = ((asked.at - start.min(asked.at)) / SECOND) as usize;
-            if summary.by_second.len() <= second {
-                summary.by_second.resize(second + 1, (0.0, 0.0));
+            let second = ((request.started - start.min(request.started)) / SECOND) as usize;
+            if self.by_second.len() <= second {
+                self.by_second.resize(second + 1, SecondOfService::default());
             }
-            summary.asked += 1;
-            summary.by_second[second].0 += worth;
-            match asked.end {
-                Some((_, end)) if end.is_served() => summary.by_second[second].1 += worth,
-                Some((_, end)) if end.is_rejected() => summary.refused += 1,
-                Some((_, crate::history::ClientOutcome::Answered { .. })) => summary.failed += 1,
-                _ => summary.unanswered += 1,
+            self.requests += 1;
+            self.by_second[second].requested += worth;
+            match request.outcome() {
+                Some(outcome) if outcome.is_success() => self.by_second[second].served += worth,
+                Some(outcome) if outcome.is_rejected() => self.rejected += 1,
+                Some(ClientOutcome::Answered { .. }) => self.failed += 1,
+                _ => self.unanswered += 1,
             }
         }
-        let last = summary.by_second.len();
-        let seconds = &summary.by_second;
-        let share = |from: usize, to: usize| {
-            let part = &seconds[from.min(last)..to.min(last)];
-            let asked: f64 = part.iter().map(|(asked, _)| asked).sum();
-            if asked > 0.0 { part.iter().map(|(_, served)| served).sum::<f64>() / asked } else { 1.0 }
-        };
-        let (calm, over) = (scenario.calm_s[0] as usize, scenario.faults_end_s().ceil() as usize);
-        let served = [share(0, calm), share(calm, over), share(over, last)];
-        let worst = [1, 5, 10].map(|width| {
-            (0..=last.saturating_sub(width)).map(|from| share(from, from + width)).fold(1.0, f64::min)
-        });
-        // Back for good: two seconds and all that come after are as good as the calm, by pairs since one is few requests.
-        let back =
-            (over..last).rfind(|&at| share(at, at + 2) < RECOVERED * served[0]).map_or(over, |at| at + 1);
-        summary.recovered_s = (back + 2 <= last).then(|| (back - over) as f64);
-        (summary.served, summary.worst) = (served, worst);
-        summary.views = super::views(scenario, history);
-        summary.lag_us = lags(history).map(|(_, lag)| lag).max().unwrap_or_default();
-        summary
     }
-}
-
-fn lags(history: &History) -> impl Iterator<Item = (Nanos, u64)> {
-    history.events.iter().filter_map(|event| match event.kind {
-        EventKind::HarnessLag { most_us } => Some((event.at, most_us)),
-        _ => None,
-    })
-}
-
-/// What nodes hold goes back to where it was.
-pub struct Resources;
 
-impl Checker for Resources {
-    fn name(&self) -> &'static str {
-        "resources"
-    }
-
-    fn check(&self, scenario: &Scenario, history: &History) -> Vec<Find> {
-        let mut finds = Vec::new();
-        for node in 0..scenario.fleet.nodes {
-            let held: Vec<_> = history
-                .events
-                .iter()
-                .filter_map(|event| match event.kind {
-                    EventKind::ResourceUsage { node: of, descriptors, memory_kib } if of == node => {
-                        Some((event.at, descriptors, memory_kib))
-                    }
-                    _ => None,
-                })
-                .collect();
-            let start = held.first().map_or(0, |first| first.0);
-            let calm = start + (scenario.calm_s[0] * SECOND as f64) as Nanos;
-            let before = held.iter().take_while(|(at, ..)| *at <= calm);
-            let most = before.fold((0, 0), |most: (u64, u64), held| (most.0.max(held.1), most.1.max(held.2)));
-            let Some(&(at, descriptors, memory)) = held.last() else { continue };
-            if descriptors > most.0 + MORE_DESCRIPTORS || memory > most.1 + MORE_MEMORY_KIB {
-                let text = format!(
-                    "node {node} holds {descriptors} descriptors and {memory} KiB at the end, at most {} and {} in the calm",
-                    most.0, most.1
-                );
-                finds.push(Find { checker: self.name().into(), at, text });
-            }
+    /// Returns the share served from one second to another; 1 if there were no requests.
+    fn share(&self, from: usize, to: usize) -> f64 {
+        let last = self.by_second.len();
+        let seconds = &self.by_second[from.min(last)..to.min(last)];
+        let requested: f64 = seconds.iter().map(|second| second.requested).sum();
+        if requested <= 0.0 {
+            return 1.0;
         }
-        finds
+        seconds.iter().map(|second| second.served).sum::<f64>() / requested
     }
-}
-
-/// The storm's own relay was never what was slow.
-pub struct Lag;
 
-impl Checker for Lag {
-    fn name(&self) -> &'static str {
-        "lag"
+    fn smallest_share(&self, width: usize) -> f64 {
+        let starts = 0..=self.by_second.len().saturating_sub(width);
+        starts.map(|from| self.share(from, from + width)).fold(1.0, f64::min)
     }
 
-    fn check(&self, _: &Scenario, history: &History) -> Vec<Find> {
-        let over = lags(history).filter(|(_, lag)| lag * 1_000 > MOST_LAG);
-        let text = |lag: u64| format!("VOID: the storm's own relay was {} ms late", lag / 1_000);
-        over.map(|(at, lag)| Find { checker: self.name().into(), at, text: text(lag) }).collect()
+    fn recovery_s(&self, faults_end: usize) -> Option<f64> {
+        let seconds = self.by_second.len();
+        let required = RECOVERED_SHARE * self.served_share[0];
+        let last_bad = (faults_end..seconds).rfind(|&at| self.share(at, at + RECOVERY_WINDOW_S) < required);
+        let recovered = last_bad.map_or(faults_end, |at| at + 1);
+        (recovered + RECOVERY_WINDOW_S <= seconds).then(|| (recovered - faults_end) as f64)
     }
 }
--- /dev/null
+++ b/crates/chaos/src/fault_effects.rs
@@ -0,0 +1,106 @@
+//! What the faults that are active at the same time make of links, endpoints and load. No I/O.
+
+use serde::{Deserialize, Serialize};
+
+use crate::fault_kind::{Fault, FaultKind, LinkSide, Misbehavior};
+use crate::link::{ConnectPolicy, LinkConditions, LinkEnd, LinkPath, LinkState};
+use crate::scenario::Scenario;
+
+/// Returns the factor on the request rate at a time in seconds after the start of the load.
+#[must_use]
+pub fn load_factor(scenario: &Scenario, at_s: f64) -> f64 {
+    let bursts = scenario.faults.iter().filter_map(|fault| match fault.kind {
+        FaultKind::LoadBurst { factor } => {
+            let start_s = scenario.calm_s[0] + fault.start_s;
+            (start_s..start_s + fault.duration_s).contains(&at_s).then_some(factor)
+        }
+        _ => None,
+    });
+    bursts.product()
+}
+
+/// How an endpoint responds. Sent to its process as JSON.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct EndpointBehavior {
+    /// Factor on the service time.
+    #[serde(rename = "slow")]
+    pub slowdown: f64,
+    /// How it responds wrongly, if it does.
+    #[serde(rename = "lie")]
+    pub misbehavior: Option<Misbehavior>,
+}
+
+impl Default for EndpointBehavior {
+    fn default() -> Self {
+        Self { slowdown: 1.0, misbehavior: None }
+    }
+}
+
+/// Returns how an endpoint responds under the active faults: slowdowns multiply, the last misbehavior prevails.
+#[must_use]
+pub fn endpoint_behavior(active_faults: &[&Fault], endpoint: usize) -> EndpointBehavior {
+    let mut behavior = EndpointBehavior::default();
+    for fault in active_faults {
+        match &fault.kind {
+            FaultKind::EndpointSlow { endpoints, factor } if endpoints.contains(&endpoint) => {
+                behavior.slowdown *= factor;
+            }
+            FaultKind::EndpointMisbehave { endpoints, misbehavior } if endpoints.contains(&endpoint) => {
+                behavior.misbehavior = Some(*misbehavior);
+            }
+            _ => {}
+        }
+    }
+    behavior
+}
+
+/// Returns the state of a link under the active faults: conditions combine, the strictest connect policy prevails.
+#[must_use]
+pub fn link_state(usual: &LinkConditions, active_faults: &[&Fault], path: LinkPath) -> LinkState {
+    let mut state =
+        LinkState { connect_policy: ConnectPolicy::Accept, forward: usual.clone(), reverse: usual.clone() };
+    for fault in active_faults {
+        match &fault.kind {
+            FaultKind::Partition { groups } if is_partitioned(groups, path) => {
+                state.forward.partitioned = true;
+                state.reverse.partitioned = true;
+            }
+            FaultKind::Link { from, to, connect_policy, forward, reverse, .. }
+                if from.contains(path.from) && to.contains(path.to) =>
+            {
+                state.connect_policy = state.connect_policy.stricter(*connect_policy);
+                state.forward = state.forward.combine(forward);
+                state.reverse = state.reverse.combine(reverse);
+            }
+            _ => {}
+        }
+    }
+    // A handshake needs both directions.
+    if state.forward.partitioned || state.reverse.partitioned {
+        state.connect_policy = ConnectPolicy::Blackhole;
+    }
+    state
+}
+
+/// Returns whether a partition separates both ends.
+fn is_partitioned(groups: &[Vec<usize>], path: LinkPath) -> bool {
+    let (LinkEnd::Node(from), LinkEnd::Node(to)) = (path.from, path.to) else { return false };
+    let group_of = |node: usize| groups.iter().position(|group| group.contains(&node));
+    match (group_of(from), group_of(to)) {
+        (Some(a), Some(b)) => a != b,
+        _ => false,
+    }
+}
+
+impl LinkSide {
+    /// Returns whether an end of a link is on this side.
+    #[must_use]
+    pub fn contains(&self, end: LinkEnd) -> bool {
+        match (self, end) {
+            (Self::Clients, LinkEnd::Clients) | (Self::Discovery, LinkEnd::Discovery) => true,
+            (Self::Nodes(nodes), LinkEnd::Node(node)) => nodes.contains(&node),
+            (Self::Endpoints(endpoints), LinkEnd::Endpoint(endpoint)) => endpoints.contains(&endpoint),
+            _ => false,
+        }
+    }
+}
--- /dev/null
+++ b/crates/chaos/src/history/event.rs
@@ -0,0 +1,167 @@
+//! Events of a history. The stored names are in the serde attributes.
+
+use std::collections::BTreeMap;
+
+use serde::{Deserialize, Serialize};
+
+use super::{ClientOutcome, ListedHealth, MemberState, ProcessState, ReadFailure, RequestClass};
+use crate::Nanos;
+
+/// An event with its time.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Event {
+    /// Nanoseconds since the start of the run.
+    pub at: Nanos,
+    /// What happened.
+    #[serde(flatten)]
+    pub kind: EventKind,
+}
+
+/// What happened. Nodes and endpoints are numbered from 0 on.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case", tag = "what")]
+pub enum EventKind {
+    /// A client sent a request.
+    #[serde(rename = "asked")]
+    RequestStarted {
+        /// Id of the request, unique in the run.
+        id: u64,
+        /// Its class.
+        class: RequestClass,
+        /// The node that it was sent to.
+        node: usize,
+        /// The request's deadline, in milliseconds from now.
+        #[serde(rename = "patience_ms")]
+        deadline_ms: u64,
+    },
+    /// A request ended for its client.
+    #[serde(rename = "ended")]
+    RequestEnded {
+        /// Id of the request.
+        id: u64,
+        /// How it ended.
+        #[serde(flatten)]
+        outcome: ClientOutcome,
+    },
+    /// An endpoint received a whole request and executes it.
+    #[serde(rename = "effect")]
+    RequestExecuted {
+        /// Id of the request.
+        id: u64,
+        /// The endpoint.
+        #[serde(rename = "server")]
+        endpoint: usize,
+        /// How often the endpoint's process was started before.
+        #[serde(rename = "epoch")]
+        incarnation: u32,
+        /// The `Via` header, which names the node.
+        via: String,
+    },
+    /// An endpoint rejected a request without executing it.
+    #[serde(rename = "turned_away")]
+    RequestRejected {
+        /// The endpoint.
+        #[serde(rename = "server")]
+        endpoint: usize,
+    },
+    /// Discovery wrote a change to a node's watch.
+    #[serde(rename = "told")]
+    DiscoveryUpdate {
+        /// The node.
+        node: usize,
+        /// The endpoint.
+        #[serde(rename = "server")]
+        endpoint: usize,
+        /// Its health in the list from now on.
+        #[serde(rename = "listed")]
+        health: ListedHealth,
+    },
+    /// The process of a node changed its state.
+    #[serde(rename = "node")]
+    NodeState {
+        /// The node.
+        node: usize,
+        /// Its new state.
+        state: ProcessState,
+    },
+    /// The process of an endpoint changed its state.
+    #[serde(rename = "server")]
+    EndpointState {
+        /// The endpoint.
+        #[serde(rename = "server")]
+        endpoint: usize,
+        /// How often its process was started before.
+        #[serde(rename = "epoch")]
+        incarnation: u32,
+        /// Its new state.
+        state: ProcessState,
+    },
+    /// A fault begins or ends.
+    Fault {
+        /// Index of the fault in the scenario.
+        #[serde(rename = "number")]
+        index: usize,
+        /// Description of the fault.
+        text: String,
+        /// Whether it begins.
+        begins: bool,
+        /// Nodes whose processes or links it affects.
+        nodes: Vec<usize>,
+        /// Whether the affected links are those from clients.
+        #[serde(rename = "clients")]
+        affects_clients: bool,
+        /// Endpoints that give wrong responses while it lasts.
+        #[serde(default, rename = "liars")]
+        misbehaving: Vec<usize>,
+    },
+    /// A node's view of the membership changed.
+    #[serde(rename = "view")]
+    MembershipView {
+        /// The node.
+        node: usize,
+        /// Fingerprint of the view: equal views have equal fingerprints.
+        fingerprint: String,
+        /// State of each node in the view.
+        #[serde(rename = "holds")]
+        members: BTreeMap<usize, MemberState>,
+    },
+    /// A recording that a node wrote was read with the proxy program.
+    #[serde(rename = "recording")]
+    RecordingRead {
+        /// The node.
+        node: usize,
+        /// File name of the recording.
+        file: String,
+        /// Whether a fault changed the file.
+        #[serde(rename = "harmed")]
+        damaged: bool,
+        /// Why it could not be read; `None` if it could.
+        #[serde(rename = "failed")]
+        failure: Option<ReadFailure>,
+    },
+    /// A node's process exited without a signal of the run, or did not start again.
+    #[serde(rename = "crashed")]
+    NodeCrashed {
+        /// The node.
+        node: usize,
+        /// Its exit status, or why it did not start.
+        text: String,
+    },
+    /// Resources that a node holds.
+    #[serde(rename = "held")]
+    ResourceUsage {
+        /// The node.
+        node: usize,
+        /// Open file descriptors.
+        descriptors: u64,
+        /// Resident memory, in KiB.
+        memory_kib: u64,
+    },
+    /// Largest lateness of the run's own event loop since the last such event.
+    #[serde(rename = "lag")]
+    HarnessLag {
+        /// Lateness in microseconds.
+        #[serde(rename = "most_us")]
+        max_us: u64,
+    },
+}
--- a/crates/chaos/src/lib.rs
+++ b/crates/chaos/src/lib.rs
@@ -1,31 +1,32 @@
-//! Storms over a fleet: processes of the shipped program with crashes, stalls and bad links between them, a history of
-//! what clients and servers saw, and checkers that read it.
+//! Fault injection on a fleet of real processes: the proxy is started several times over on loopback, faults are injected into
+//! its processes, files and links, and checkers read the history of what clients and endpoints saw.
 //!
-//! Nothing in the program knows of the storm. What decides (scenarios, conditions of links, checkers) is free of I/O and
-//! is handed its random numbers and times; `relay`, `keeper`, `stand` and `run` do the rest.
+//! Scenarios, schedules, link directions and checkers do no I/O and take times and random numbers as arguments. The proxy
+//! has no code for any of it.
 
+pub mod builtin_scenarios;
 pub mod check;
 pub mod cli;
 pub mod clock;
-pub mod cost;
-mod draw;
-pub mod faults;
+mod fault_description;
+pub mod fault_effects;
+pub mod fault_kind;
+pub mod fault_schedule;
 pub mod history;
-pub mod keeper;
-mod kind;
 pub mod link;
-pub mod relay;
-pub mod relay_udp;
+pub mod link_overhead;
 pub mod report;
 pub mod run;
 pub mod scenario;
+mod scenario_generator;
 pub mod shrink;
-pub mod stand;
-pub mod standing;
+pub mod stand_ins;
+pub mod supervisor;
+mod task;
 
-/// Nanoseconds on the machine's monotonic clock, which all processes here share.
+/// Nanoseconds on the machine's monotonic clock, which all processes share.
 pub type Nanos = u64;
-/// A millisecond.
+/// Nanoseconds in a millisecond.
 pub const MS: Nanos = 1_000_000;
-/// A second.
+/// Nanoseconds in a second.
 pub const SECOND: Nanos = 1_000_000_000;
--- /dev/null
+++ b/crates/chaos/src/link/pump.rs
@@ -0,0 +1,132 @@
+//! Carries the bytes of one direction of a connection, at the times that [`LinkDirection`] gives.
+
+use std::collections::VecDeque;
+use std::io;
+use std::time::Duration;
+
+use rand::rngs::StdRng;
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
+use tokio::sync::watch;
+use tokio::time::{Instant, sleep_until};
+
+use super::{LatenessGauge, LinkConditions, LinkDirection, LinkSettings, LinkState};
+use crate::{Nanos, clock};
+
+/// Bytes that are read at once.
+const READ_BYTES: usize = 16 << 10;
+/// Segments in flight in a direction; a sender waits beyond, as behind a full TCP window.
+const MAX_SEGMENTS_IN_FLIGHT: usize = 64;
+
+/// Bytes in flight.
+struct Segment {
+    /// When it arrives; `None` while the link is partitioned.
+    due: Option<Nanos>,
+    /// The bytes; none at the end of the stream.
+    bytes: Vec<u8>,
+}
+
+/// What a direction of a connection goes by.
+pub(super) struct PumpOptions {
+    /// Settings of the link.
+    pub settings: watch::Receiver<LinkSettings>,
+    /// Which conditions of the link hold for this direction.
+    pub conditions: fn(&LinkState) -> &LinkConditions,
+    /// Random numbers of this direction.
+    pub rng: StdRng,
+    /// Where its lateness is recorded.
+    pub lateness: LatenessGauge,
+}
+
+/// One direction of a connection.
+pub(super) struct Pump<R, W> {
+    reader: R,
+    writer: W,
+    options: PumpOptions,
+    direction: LinkDirection,
+    in_flight: VecDeque<Segment>,
+    reader_ended: bool,
+}
+
+impl<R: AsyncRead + Unpin, W: AsyncWrite + Unpin> Pump<R, W> {
+    pub fn new(reader: R, writer: W, options: PumpOptions) -> Self {
+        Self {
+            reader,
+            writer,
+            options,
+            direction: LinkDirection::default(),
+            in_flight: VecDeque::new(),
+            reader_ended: false,
+        }
+    }
+
+    /// Carries bytes until the end of the stream has arrived, or the link is closed.
+    pub async fn run(mut self) -> io::Result<()> {
+        let mut buffer = vec![0; READ_BYTES];
+        loop {
+            let partitioned = self.schedule_held_segments();
+            let next_due = self.in_flight.front().and_then(|segment| segment.due);
+            tokio::select! {
+                biased;
+                // What is in flight when a link is partitioned arrives once it is not.
+                () = wait_until(next_due), if !partitioned => {
+                    if self.deliver_next().await? {
+                        return Ok(());
+                    }
+                }
+                changed = self.options.settings.changed() => if changed.is_err() {
+                    return Ok(());
+                },
+                read = self.reader.read(&mut buffer),
+                    if !self.reader_ended && self.in_flight.len() < MAX_SEGMENTS_IN_FLIGHT =>
+                {
+                    self.send(&buffer[..read?]);
+                }
+            }
+        }
+    }
+
+    /// Schedules segments that a partition held back; returns whether the link is partitioned.
+    fn schedule_held_segments(&mut self) -> bool {
+        let settings = self.options.settings.borrow_and_update();
+        let conditions = (self.options.conditions)(&settings.state);
+        for segment in self.in_flight.iter_mut().filter(|segment| segment.due.is_none()) {
+            segment.due = self.direction.segment_arrival(
+                clock::now(),
+                segment.bytes.len(),
+                conditions,
+                &mut self.options.rng,
+            );
+        }
+        conditions.partitioned
+    }
+
+    fn send(&mut self, bytes: &[u8]) {
+        self.reader_ended = bytes.is_empty();
+        let settings = self.options.settings.borrow();
+        let conditions = (self.options.conditions)(&settings.state);
+        let due =
+            self.direction.segment_arrival(clock::now(), bytes.len(), conditions, &mut self.options.rng);
+        self.in_flight.push_back(Segment { due, bytes: bytes.to_vec() });
+    }
+
+    /// Delivers the first segment; returns whether it was the end of the stream.
+    async fn deliver_next(&mut self) -> io::Result<bool> {
+        let Some(Segment { due: Some(due), bytes }) = self.in_flight.pop_front() else { return Ok(false) };
+        self.options.lateness.record(due);
+        if bytes.is_empty() {
+            self.writer.shutdown().await?;
+            return Ok(true);
+        }
+        self.writer.write_all(&bytes).await?;
+        Ok(false)
+    }
+}
+
+/// Waits until a time; forever where there is none.
+async fn wait_until(due: Option<Nanos>) {
+    let Some(due) = due else { return std::future::pending().await };
+    let left = Duration::from_nanos(due.saturating_sub(clock::now()));
+    if !left.is_zero() {
+        sleep_until(Instant::now() + left).await;
+    }
+}
--- a/crates/chaos/src/run/clients.rs
+++ b/crates/chaos/src/run/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: each node's come as of many that know nothing of each other, wait for their time and note what they saw.
+//! Clients: those of each node send requests as many independent users would, and record how each one ended.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -10,138 +10,178 @@
 use hyper::Request;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
-use rand::Rng;
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
 use tokio::net::TcpStream;
 use tokio::task::{JoinSet, spawn_local};
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use super::{Notes, rng};
-use crate::faults::factor;
+use super::event_log::EventLog;
+use crate::fault_effects::load_factor;
 use crate::history::{ClientOutcome, EventKind, RequestClass};
 use crate::scenario::Scenario;
-use crate::stand::ID;
+use crate::stand_ins::REQUEST_ID_HEADER;
+use crate::task::AbortOnDrop;
 
-/// Clients wait this much longer than they say, so that a late answer is told from none.
-const MARGIN: Duration = Duration::from_secs(2);
-/// Kept connections that have been idle for longer are closed by the client: well under what nodes allow.
-const IDLE: Duration = Duration::from_secs(5);
+/// Time that clients wait beyond the deadline, so that a late response is told from none.
+const TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
+/// Clients close connections that were idle for longer; nodes keep idle connections longer than that.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(5);
+/// Step, in seconds, at which a pause in the load is looked at again.
+const PAUSE_STEP_S: f64 = 0.1;
 
-/// A request that is due.
-struct Due {
+/// A request at its time.
+struct ScheduledRequest {
+    /// Time since the start of the load.
     at: Duration,
     id: u64,
     class: RequestClass,
 }
 
-/// The requests of a node's clients, drawn ahead: the same for a seed whatever the nodes do.
-fn draw(scenario: &Scenario, node: usize) -> Vec<Due> {
-    let mut rng = rng(scenario, node as u64);
-    let (mut at, mut all) = (0.0, Vec::new());
+/// An idle connection to a node.
+struct PooledConnection {
+    idle_since: Instant,
+    connection: Connection,
+}
+
+/// A connection to a node, with the task that drives it.
+struct Connection {
+    sender: SendRequest<Full<Bytes>>,
+    _driver: AbortOnDrop,
+}
+
+type ConnectionPool = Rc<RefCell<Vec<PooledConnection>>>;
+
+/// Generates the requests of a node's clients: the same for a seed, whatever the nodes do.
+fn generate_requests(scenario: &Scenario, node: usize) -> Vec<ScheduledRequest> {
+    let seed = scenario.seed.wrapping_mul(1_000_003).wrapping_add(node as u64);
+    let mut rng = StdRng::seed_from_u64(seed);
+    let (mut at_s, mut requests) = (0.0, Vec::new());
     loop {
-        // A burst of nothing is a pause; it is stepped through.
-        let rate = scenario.load.rate * factor(scenario, at);
-        let gap = if rate > 0.0 { -(1.0 - rng.random::<f64>()).ln() / rate } else { 0.1 };
-        at += gap;
-        if at >= scenario.span_s() {
-            return all;
+        let rate = scenario.load.requests_per_s * load_factor(scenario, at_s);
+        at_s += if rate > 0.0 { -(1.0 - rng.random::<f64>()).ln() / rate } else { PAUSE_STEP_S };
+        if at_s >= scenario.duration_s() {
+            return requests;
         }
         if rate > 0.0 {
-            let class = if rng.random::<f64>() < scenario.load.submits {
-                RequestClass::Submit
-            } else {
-                RequestClass::Read
-            };
-            let id = ((node as u64) << 32) | all.len() as u64;
-            all.push(Due { at: Duration::from_secs_f64(at), id, class });
+            let is_submit = rng.random::<f64>() < scenario.load.submit_share;
+            let class = if is_submit { RequestClass::Submit } else { RequestClass::Read };
+            let id = ((node as u64) << 32) | requests.len() as u64;
+            requests.push(ScheduledRequest { at: Duration::from_secs_f64(at_s), id, class });
         }
     }
 }
 
-type Idle = Rc<RefCell<Vec<(Instant, SendRequest<Full<Bytes>>)>>>;
-
-/// Starts the clients of all nodes.
-pub(crate) fn start(scenario: &Scenario, doors: &[SocketAddr], start: Instant, notes: &Notes) -> JoinSet<()> {
-    let mut all = JoinSet::new();
-    let patience = Duration::from_millis(scenario.load.patience_ms);
-    for (node, &door) in doors.iter().enumerate() {
-        let (todo, notes) = (draw(scenario, node), notes.clone());
-        all.spawn_local(async move {
-            let idle = Idle::default();
-            let mut open = JoinSet::new();
-            for due in todo {
-                sleep_until(start + due.at).await;
-                let (idle, notes) = (idle.clone(), notes.clone());
-                open.spawn_local(async move {
-                    let patience_ms = patience.as_millis() as u64;
-                    notes.note(EventKind::RequestStarted { id: due.id, class: due.class, node, patience_ms });
-                    let gives_up = Instant::now() + patience + MARGIN;
-                    let end =
-                        timeout_at(gives_up, ask(&idle, door, &due)).await.unwrap_or(ClientOutcome::TimedOut);
-                    notes.note(EventKind::RequestEnded { id: due.id, end });
-                });
-                while open.try_join_next().is_some() {}
-            }
-            while open.join_next().await.is_some() {}
+/// Starts the clients of all nodes, with an address for each. The tasks end after the last request.
+pub(crate) fn start(
+    scenario: &Scenario,
+    addresses: &[SocketAddr],
+    start: Instant,
+    log: &EventLog,
+) -> JoinSet<()> {
+    let mut clients = JoinSet::new();
+    for (node, &address) in addresses.iter().enumerate() {
+        let node_clients = Rc::new(NodeClients {
+            node,
+            address,
+            deadline_ms: scenario.load.deadline_ms,
+            pool: ConnectionPool::default(),
+            log: log.clone(),
         });
+        clients.spawn_local(node_clients.run(generate_requests(scenario, node), start));
     }
-    all
+    clients
 }
 
-async fn ask(idle: &Idle, door: SocketAddr, due: &Due) -> ClientOutcome {
-    // A kept connection may be closed as a request is written to it; the node has not read it then, and it is sent once more.
-    loop {
-        let kept = idle.borrow_mut().pop();
-        let reused = kept.is_some();
-        let mut sender = match kept {
-            Some((since, _)) if since.elapsed() > IDLE => continue,
-            Some((_, sender)) => sender,
-            None => match connect(door).await {
-                Some(sender) => sender,
-                None => return ClientOutcome::ConnectFailed,
-            },
-        };
-        if sender.ready().await.is_err() {
-            if reused {
-                continue;
-            }
-            return ClientOutcome::ConnectFailed;
+/// The clients of a node.
+struct NodeClients {
+    node: usize,
+    address: SocketAddr,
+    deadline_ms: u64,
+    pool: ConnectionPool,
+    log: EventLog,
+}
+
+impl NodeClients {
+    async fn run(self: Rc<Self>, requests: Vec<ScheduledRequest>, start: Instant) {
+        let mut in_flight = JoinSet::new();
+        for request in requests {
+            sleep_until(start + request.at).await;
+            let clients = self.clone();
+            in_flight.spawn_local(async move { clients.send_and_record(&request).await });
+            while in_flight.try_join_next().is_some() {}
         }
-        let answer = match sender.send_request(request(due)).await {
-            Ok(answer) => answer,
-            Err(error) if reused && error.is_canceled() => continue,
-            Err(_) => return ClientOutcome::ConnectionBroken,
-        };
-        let status = answer.status().as_u16();
-        let keep = answer.headers().get("connection").is_none_or(|value| value != "close");
-        let Ok(body) = answer.into_body().collect().await else { return ClientOutcome::ConnectionBroken };
-        if keep {
-            idle.borrow_mut().push((Instant::now(), sender));
+        while in_flight.join_next().await.is_some() {}
+    }
+
+    async fn send_and_record(&self, request: &ScheduledRequest) {
+        let (id, class, node, deadline_ms) = (request.id, request.class, self.node, self.deadline_ms);
+        self.log.record(EventKind::RequestStarted { id, class, node, deadline_ms });
+        let timeout = Instant::now() + Duration::from_millis(deadline_ms) + TIMEOUT_MARGIN;
+        let outcome = timeout_at(timeout, self.send(request)).await.unwrap_or(ClientOutcome::TimedOut);
+        self.log.record(EventKind::RequestEnded { id, outcome });
+    }
+
+    /// Sends a request. The node may close an idle connection at the same time without reading it: then it is sent again.
+    async fn send(&self, request: &ScheduledRequest) -> ClientOutcome {
+        loop {
+            let pooled = self.pool.borrow_mut().pop();
+            let is_reused = pooled.is_some();
+            let mut connection = match pooled {
+                Some(pooled) if pooled.idle_since.elapsed() > MAX_IDLE_TIME => continue,
+                Some(pooled) => pooled.connection,
+                None => match Connection::open(self.address).await {
+                    Some(connection) => connection,
+                    None => return ClientOutcome::ConnectFailed,
+                },
+            };
+            if connection.sender.ready().await.is_err() {
+                if is_reused {
+                    continue;
+                }
+                return ClientOutcome::ConnectFailed;
+            }
+            let response = match connection.sender.send_request(http_request(request)).await {
+                Ok(response) => response,
+                Err(error) if is_reused && error.is_canceled() => continue,
+                Err(_) => return ClientOutcome::ConnectionBroken,
+            };
+            let status = response.status().as_u16();
+            let keep = response.headers().get("connection").is_none_or(|value| value != "close");
+            let Ok(body) = response.into_body().collect().await else {
+                return ClientOutcome::ConnectionBroken;
+            };
+            if keep {
+                self.pool.borrow_mut().push(PooledConnection { idle_since: Instant::now(), connection });
+            }
+            let is_own_body = body.to_bytes().as_ref() == format!("{:x}\n", request.id).as_bytes();
+            return ClientOutcome::Answered { status, matches_request: is_own_body || status != 200 };
         }
-        let own = body.to_bytes().as_ref() == format!("{:x}\n", due.id).as_bytes();
-        return ClientOutcome::Answered { status, matches_request: own || status != 200 };
     }
 }
 
-async fn connect(door: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-    let stream = TcpStream::connect(door).await.ok()?;
-    let _ = stream.set_nodelay(true);
-    let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-    spawn_local(async move {
-        let _ = connection.await;
-    });
-    Some(sender)
+impl Connection {
+    async fn open(address: SocketAddr) -> Option<Self> {
+        let stream = TcpStream::connect(address).await.ok()?;
+        let _ = stream.set_nodelay(true);
+        let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
+        let driver = spawn_local(async move {
+            let _ = connection.await;
+        });
+        Some(Self { sender, _driver: AbortOnDrop::new(driver) })
+    }
 }
 
-fn request(due: &Due) -> Request<Full<Bytes>> {
-    let (method, path, body) = match due.class {
+fn http_request(request: &ScheduledRequest) -> Request<Full<Bytes>> {
+    let (method, collection, body) = match request.class {
         RequestClass::Read => ("GET", "boards", Bytes::new()),
         RequestClass::Submit => ("POST", "runs", Bytes::from_static(b"0:01:02.345")),
     };
     Request::builder()
         .method(method)
-        .uri(format!("/{path}/{:x}", due.id))
+        .uri(format!("/{collection}/{:x}", request.id))
         .header("host", "storm.test")
-        .header(ID, format!("{:x}", due.id))
+        .header(REQUEST_ID_HEADER, format!("{:x}", request.id))
         .body(Full::new(body))
         .unwrap_or_default()
 }
--- /dev/null
+++ b/crates/chaos/src/run/error.rs
@@ -0,0 +1,26 @@
+//! Why a scenario could not be run to its end.
+
+use std::io;
+use std::path::PathBuf;
+
+/// Why a scenario could not be run to its end.
+#[derive(Debug, thiserror::Error)]
+pub enum RunError {
+    /// A file, socket or process failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// A message to a stand-in could not be encoded.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// A node did not start to listen in time.
+    #[error("node {node} does not start: see {}", work_dir.display())]
+    NodeDidNotStart {
+        /// The node.
+        node: usize,
+        /// Directory with its log.
+        work_dir: PathBuf,
+    },
+    /// The run was interrupted from the terminal.
+    #[error("interrupted")]
+    Interrupted,
+}
--- /dev/null
+++ b/crates/chaos/src/run/node_process.rs
@@ -0,0 +1,80 @@
+//! Starts processes of nodes.
+
+use std::fs;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::process::Command;
+
+use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::time::timeout;
+
+use super::process::ManagedProcess;
+use super::{PROCESS_TIMEOUT, RunError, RunOptions};
+use crate::supervisor::Supervisor;
+
+/// Runs a node with SIGXFSZ ignored: a file that can't grow is an error to the node then, as on a full disk, and no signal.
+const NODE_SCRIPT: &str = "trap '' XFSZ; exec \"$0\" run \"$1\"";
+
+/// Words of the node's log before the address of each of its listeners.
+const MEMBERSHIP_LISTENER_WORDS: &str = " speaks on ";
+const CLIENT_LISTENER_WORDS: &str = " listens on ";
+const ADMIN_LISTENER_WORDS: &str = " takes calls on ";
+
+/// Where a node listens.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct NodeAddresses {
+    /// For clients.
+    pub clients: SocketAddr,
+    /// For admin commands.
+    pub admin: SocketAddr,
+    /// For other members, if the node is a member.
+    pub membership: Option<SocketAddr>,
+}
+
+/// A node that listens.
+pub(super) struct StartedNode {
+    /// Its process.
+    pub process: ManagedProcess,
+    /// Where it listens.
+    pub addresses: NodeAddresses,
+}
+
+/// Starts a node with a configuration file, and waits until it listens. Its log goes to a file in the work directory.
+pub(super) async fn start_node(
+    options: &RunOptions,
+    node: usize,
+    config: &Path,
+    supervisor: &mut Supervisor,
+) -> Result<StartedNode, RunError> {
+    let mut program = Command::new("/bin/sh");
+    program.args(["-c", NODE_SCRIPT]).arg(&options.node_program).arg(config);
+    let mut process = ManagedProcess::start(options, &program, supervisor)?;
+    let log_path = options.work_dir.join(format!("n{node}.log"));
+    let log = fs::File::options().create(true).append(true).open(log_path)?;
+    let lines = process.stderr_lines(log)?;
+    match timeout(PROCESS_TIMEOUT, read_addresses(lines)).await {
+        Ok(Some(addresses)) => Ok(StartedNode { process, addresses }),
+        _ => {
+            process.expect_exit();
+            Err(RunError::NodeDidNotStart { node, work_dir: options.work_dir.clone() })
+        }
+    }
+}
+
+/// Reads a node's addresses from its log; `None` if it ends before. The admin listener is the last that a node opens.
+async fn read_addresses(mut lines: UnboundedReceiver<String>) -> Option<NodeAddresses> {
+    let (mut membership, mut clients) = (None, None);
+    while let Some(line) = lines.recv().await {
+        membership = membership.or(address_after(&line, MEMBERSHIP_LISTENER_WORDS));
+        clients = clients.or(address_after(&line, CLIENT_LISTENER_WORDS));
+        if let (Some(clients), Some(admin)) = (clients, address_after(&line, ADMIN_LISTENER_WORDS)) {
+            return Some(NodeAddresses { clients, admin, membership });
+        }
+    }
+    None
+}
+
+fn address_after(line: &str, words: &str) -> Option<SocketAddr> {
+    let (_, address) = line.split_once(words)?;
+    address.trim().parse().ok()
+}
--- a/crates/chaos/src/run/process.rs
+++ b/crates/chaos/src/run/process.rs
@@ -1,228 +1,169 @@
-//! Processes that a storm starts: ended by their own ids, also where it fails.
+//! Processes that a run starts. They are ended by their process ids, also when the run fails.
 
-use std::cell::RefCell;
 use std::fs;
 use std::io::{self, BufRead, BufReader, Read, Write};
-use std::net::SocketAddr;
 use std::os::unix::process::CommandExt;
-use std::path::Path;
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::time::Duration;
 
 use rustix::process::{Pid, Resource, Rlimit, Signal, getrlimit, prlimit};
-use tokio::sync::mpsc;
+use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::time::{sleep, timeout};
 
-use super::{Notes, Tools, gather};
-use crate::keeper::{GO, Keeper, signal};
-use crate::stand::Hello;
+use super::RunOptions;
+use crate::supervisor::{START_TOKEN, Supervisor, send_signal};
 
-/// Lines that a process writes.
-pub(crate) type Lines = mpsc::UnboundedReceiver<String>;
+/// Interval at which a stopping process is checked for its exit.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Between two looks at whether a process has ended.
-const LOOK: Duration = Duration::from_millis(10);
-
-/// Where a node listens.
+/// Resources that a process holds.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Listens {
-    /// For clients.
-    pub clients: SocketAddr,
-    /// For calls of staff.
-    pub calls: SocketAddr,
-    /// For other members.
-    pub fleet: Option<SocketAddr>,
+pub(super) struct ProcessResources {
+    /// Open file descriptors.
+    pub descriptors: u64,
+    /// Resident memory, in KiB.
+    pub memory_kib: u64,
 }
 
-/// A process; killed when dropped.
-pub(crate) struct Process {
+/// A process of a run; killed when dropped.
+pub(super) struct ManagedProcess {
     child: Child,
-    to: Option<ChildStdin>,
-    lines: RefCell<Option<Lines>>,
-    /// It was told to end, or killed: its end is no surprise.
-    told: bool,
-    over: bool,
+    input: Option<ChildStdin>,
+    /// SIGTERM or SIGKILL was sent: its exit is expected.
+    stop_requested: bool,
+    /// It has been waited for: its process id may be another's by now.
+    exited: bool,
 }
 
-impl Process {
-    /// Starts a program behind this one's `begin`, which goes on only once the keeper knows of it: however a storm ends,
-    /// there is no moment at which something runs that nobody would end.
-    fn start(tools: &Tools, command: &mut Command, keeper: &mut Keeper) -> io::Result<(Child, ChildStdin)> {
-        let mut begin = Command::new(&tools.storm);
-        begin.arg("begin").arg(command.get_program()).args(command.get_args()).env_remove("EDGE_CONFIG");
-        // A group of its own: what ends the storm from a terminal leaves it to the storm to end this.
-        begin.process_group(0).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
-        let mut child = begin.spawn()?;
-        let told = keeper.watch(child.id()).and_then(|()| {
-            let mut to = child.stdin.take().ok_or(io::ErrorKind::BrokenPipe)?;
-            to.write_all(GO)?;
-            Ok(to)
-        });
-        match told {
-            Ok(to) => Ok((child, to)),
-            Err(error) => {
-                let _ = child.kill();
-                let _ = child.wait();
-                Err(error)
-            }
-        }
+impl ManagedProcess {
+    /// Starts a program. It executes only once the supervisor watches it, so that no process can outlive the run.
+    pub fn start(options: &RunOptions, program: &Command, supervisor: &mut Supervisor) -> io::Result<Self> {
+        let mut command = Command::new(&options.chaos_program);
+        command.arg("begin").arg(program.get_program()).args(program.get_args()).env_remove("EDGE_CONFIG");
+        // A process group of its own: an interrupt from the terminal reaches the run alone, which ends this process.
+        command.process_group(0).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
+        let mut child = command.spawn()?;
+        let input = child.stdin.take();
+        let mut process = Self { child, input, stop_requested: false, exited: false };
+        supervisor.watch(process.child.id())?;
+        process.input()?.write_all(START_TOKEN)?;
+        Ok(process)
     }
 
-    /// Starts a stand-in: this program with another command.
-    pub fn stand_in(tools: &Tools, arguments: &[&str], keeper: &mut Keeper) -> io::Result<Self> {
-        let (mut child, to) = Self::start(tools, Command::new(&tools.storm).args(arguments), keeper)?;
-        let lines = read(child.stdout.take(), None)?;
-        Ok(Self { child, to: Some(to), lines: RefCell::new(Some(lines)), told: false, over: false })
+    fn input(&mut self) -> io::Result<&mut ChildStdin> {
+        self.input.as_mut().ok_or_else(|| io::ErrorKind::BrokenPipe.into())
     }
 
-    /// Starts a node, and waits until it listens where it is to. Its log goes to a file.
-    pub async fn node(
-        tools: &Tools,
-        number: usize,
-        file: &Path,
-        keeper: &mut Keeper,
-        limit: Duration,
-    ) -> io::Result<(Self, Listens)> {
-        // The shell steps aside: a file that can't grow is to be an error to the node, as a full disk is, and no signal.
-        let mut command = Command::new("/bin/sh");
-        command.args(["-c", "trap '' XFSZ; exec \"$0\" run \"$1\""]).arg(&tools.node).arg(file);
-        let (mut child, to) = Self::start(tools, &mut command, keeper)?;
-        let log = fs::File::options()
-            .create(true)
-            .append(true)
-            .open(tools.folder.join(format!("n{number}.log")))?;
-        let mut lines = read(child.stderr.take(), Some(log))?;
-        let mut process = Self { child, to: Some(to), lines: RefCell::new(None), told: false, over: false };
-        let said = async {
-            let (mut fleet, mut clients) = (None, None);
-            while let Some(line) = lines.recv().await {
-                let after =
-                    |words: &str| line.split_once(words).and_then(|(_, address)| address.trim().parse().ok());
-                fleet = fleet.or(after(" speaks on "));
-                clients = clients.or(after(" listens on "));
-                // The last of what it says of addresses.
-                if let (Some(clients), Some(calls)) = (clients, after(" takes calls on ")) {
-                    return Some(Listens { clients, calls, fleet });
-                }
-            }
-            None
-        };
-        match timeout(limit, said).await {
-            Ok(Some(listens)) => Ok((process, listens)),
-            _ => {
-                process.told = true;
-                Err(io::Error::other(format!("node {number} does not start: see {}", tools.folder.display())))
-            }
-        }
+    /// Reads the lines of standard output.
+    pub fn stdout_lines(&mut self) -> io::Result<UnboundedReceiver<String>> {
+        read_lines(self.child.stdout.take(), None)
     }
 
-    /// Waits until a stand-in says where it listens.
-    pub async fn hello(&self, limit: Duration) -> io::Result<Vec<SocketAddr>> {
-        let mut lines = self.lines.borrow_mut().take().ok_or(io::ErrorKind::BrokenPipe)?;
-        let line = timeout(limit, lines.recv()).await?.ok_or(io::ErrorKind::UnexpectedEof)?;
-        let hello: Hello = serde_json::from_str(&line)?;
-        *self.lines.borrow_mut() = Some(lines);
-        Ok(hello.listens)
+    /// Reads the lines of standard error, and copies them to a file.
+    pub fn stderr_lines(&mut self, copy: fs::File) -> io::Result<UnboundedReceiver<String>> {
+        read_lines(self.child.stderr.take(), Some(copy))
     }
 
-    /// Gathers what it writes from now on.
-    pub fn lines(&self, notes: Notes) {
-        if let Some(lines) = self.lines.borrow_mut().take() {
-            gather(lines, notes);
-        }
+    /// Writes a line to standard input.
+    pub fn write_line(&mut self, line: &str) -> io::Result<()> {
+        let input = self.input()?;
+        writeln!(input, "{line}")?;
+        input.flush()
     }
 
-    /// Writes it a line.
-    pub fn write(&mut self, line: &str) -> io::Result<()> {
-        let to = self.to.as_mut().ok_or(io::ErrorKind::BrokenPipe)?;
-        writeln!(to, "{line}")?;
-        to.flush()
+    /// Returns whether the run has stopped the process.
+    pub fn is_stop_requested(&self) -> bool {
+        self.stop_requested
     }
 
-    /// Whether it was told to end.
-    pub fn is_told(&self) -> bool {
-        self.told
+    /// Makes the process's exit expected.
+    pub fn expect_exit(&mut self) {
+        self.stop_requested = true;
     }
 
-    /// Sends it a signal.
-    pub fn send(&mut self, sign: Signal) -> io::Result<()> {
-        if self.over {
-            return Err(io::ErrorKind::NotFound.into());
-        }
-        signal(self.child.id(), sign)?;
-        self.told |= sign == Signal::KILL || sign == Signal::TERM;
+    /// Sends a signal.
+    pub fn send(&mut self, signal: Signal) -> io::Result<()> {
+        self.check_not_exited()?;
+        send_signal(self.child.id(), signal)?;
+        self.stop_requested |= signal == Signal::KILL || signal == Signal::TERM;
         Ok(())
     }
 
-    /// Lets none of its files grow, or all again.
-    pub fn full(&self, full: bool) -> io::Result<()> {
-        if self.over {
-            return Err(io::ErrorKind::NotFound.into());
-        }
+    /// Lets none of its files grow, or lets them grow again.
+    pub fn set_disk_full(&self, full: bool) -> io::Result<()> {
+        self.check_not_exited()?;
         let pid = Pid::from_raw(i32::try_from(self.child.id()).map_err(io::Error::other)?);
-        let most = getrlimit(Resource::Fsize).maximum;
-        let limit = Rlimit { current: if full { Some(0) } else { most }, maximum: most };
-        prlimit(pid, Resource::Fsize, limit)?;
+        let maximum = getrlimit(Resource::Fsize).maximum;
+        let current = if full { Some(0) } else { maximum };
+        prlimit(pid, Resource::Fsize, Rlimit { current, maximum })?;
         Ok(())
     }
 
-    /// Waits for its end; one that does not end, or stands still, is killed.
-    pub async fn ended(&mut self, limit: Duration) {
-        // Its number may be another's by now.
-        if self.over {
+    fn check_not_exited(&self) -> io::Result<()> {
+        if self.exited { Err(io::ErrorKind::NotFound.into()) } else { Ok(()) }
+    }
+
+    /// Waits for the exit; a process that does not exit within the limit is killed.
+    pub async fn wait_for_exit(&mut self, limit: Duration) {
+        if self.exited {
             return;
         }
-        let _ = signal(self.child.id(), Signal::CONT);
-        let end = async {
+        // A paused process does not handle SIGTERM.
+        let _ = send_signal(self.child.id(), Signal::CONT);
+        let exit = async {
             while !matches!(self.child.try_wait(), Ok(Some(_)) | Err(_)) {
-                sleep(LOOK).await;
+                sleep(EXIT_POLL_INTERVAL).await;
             }
         };
-        if timeout(limit, end).await.is_err() {
+        if timeout(limit, exit).await.is_err() {
             let _ = self.child.kill();
             let _ = self.child.wait();
         }
-        self.over = true;
+        self.exited = true;
     }
 
-    /// How it ended, where nobody had told it to; told once.
-    pub fn crashed(&mut self) -> Option<String> {
-        if self.told || self.over {
+    /// Returns the exit status, once, if the process exited and the run had not stopped it.
+    pub fn take_unexpected_exit(&mut self) -> Option<String> {
+        if self.stop_requested || self.exited {
             return None;
         }
         let status = self.child.try_wait().ok()??;
-        (self.over, self.told) = (true, true);
+        self.exited = true;
+        self.stop_requested = true;
         Some(status.to_string())
     }
 
-    /// Descriptors, and memory in KiB; `None` where it is not there.
-    pub fn holds(&self) -> Option<(u64, u64)> {
+    /// Returns the resources that the process holds; `None` if it is gone.
+    pub fn resources(&self) -> Option<ProcessResources> {
         let pid = self.child.id();
         let descriptors = fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count() as u64;
-        let memory = pumicehead_testbed::program::memory(pid) >> 10;
-        (!self.over && memory > 0).then_some((descriptors, memory))
+        let memory_kib = pumicehead_testbed::program::memory(pid) >> 10;
+        (!self.exited && memory_kib > 0).then_some(ProcessResources { descriptors, memory_kib })
     }
 }
 
-impl Drop for Process {
+impl Drop for ManagedProcess {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.exited {
             let _ = self.child.kill();
             let _ = self.child.wait();
         }
     }
 }
 
-/// Lines of an output, on a thread that ends with it.
-fn read(from: Option<impl Read + Send + 'static>, mut copy: Option<fs::File>) -> io::Result<Lines> {
-    let from = from.ok_or(io::ErrorKind::BrokenPipe)?;
-    let (sender, lines) = mpsc::unbounded_channel();
+/// Reads lines on a thread, which ends with the output.
+fn read_lines(
+    output: Option<impl Read + Send + 'static>,
+    mut copy: Option<fs::File>,
+) -> io::Result<UnboundedReceiver<String>> {
+    let output = output.ok_or(io::ErrorKind::BrokenPipe)?;
+    let (sender, lines) = unbounded_channel();
     std::thread::Builder::new().spawn(move || {
-        for line in BufReader::new(from).lines().map_while(Result::ok) {
+        for line in BufReader::new(output).lines().map_while(Result::ok) {
             if let Some(copy) = &mut copy {
                 let _ = writeln!(copy, "{line}");
             }
-            // Who waits for no more lines still wants them in the file.
+            // The copy goes on when nobody receives the lines.
             let _ = sender.send(line);
         }
     })?;
--- /dev/null
+++ b/crates/chaos/src/scenario_generator.rs
@@ -0,0 +1,109 @@
+//! Random scenarios. The order of draws is part of the interface: a seed always means the same scenario.
+
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+
+use crate::fault_kind::{Fault, FaultKind, FileFault, LinkSide, Misbehavior};
+use crate::link::{ConnectPolicy, LinkConditions};
+use crate::scenario::{
+    Fleet, Load, Scenario, SlowStart, default_concurrency, default_deadline_ms, default_service_time_ms,
+    default_submit_share,
+};
+
+const FILE_FAULTS: [FileFault; 4] =
+    [FileFault::Intact, FileFault::Removed, FileFault::Truncated, FileFault::BytesFlipped];
+const MISBEHAVIORS: [Misbehavior; 3] =
+    [Misbehavior::DeniesExecution, Misbehavior::WrongResponse, Misbehavior::MalformedResponse];
+const CONNECT_POLICIES: [ConnectPolicy; 3] =
+    [ConnectPolicy::Accept, ConnectPolicy::Refuse, ConnectPolicy::Blackhole];
+
+impl Scenario {
+    /// Generates a scenario with two to five faults that overlap, over a fleet of the given size.
+    #[must_use]
+    pub fn generate(seed: u64, nodes: usize, endpoints: usize) -> Self {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let count = rng.random_range(2..=5);
+        let faults = (0..count).map(|_| random_fault(&mut rng, nodes, endpoints)).collect();
+        Self {
+            name: format!("drawn-{seed}"),
+            seed,
+            fleet: Fleet {
+                nodes,
+                endpoints,
+                concurrency: default_concurrency(),
+                service_time_ms: default_service_time_ms(),
+                slow_start: SlowStart::default(),
+                links: LinkConditions::default(),
+                membership: false,
+            },
+            load: Load {
+                requests_per_s: 30.0,
+                submit_share: default_submit_share(),
+                deadline_ms: default_deadline_ms(),
+            },
+            calm_s: [4.0, 8.0],
+            faults,
+        }
+    }
+}
+
+/// Chooses at least one and at most half of `count` numbers, in ascending order.
+fn random_subset(rng: &mut StdRng, count: usize) -> Vec<usize> {
+    let size = rng.random_range(1..=(count / 2).max(1));
+    let mut numbers: Vec<_> = (0..count).collect();
+    for place in 0..size {
+        let other = rng.random_range(place..count);
+        numbers.swap(place, other);
+    }
+    numbers.truncate(size);
+    numbers.sort_unstable();
+    numbers
+}
+
+fn random_fault(rng: &mut StdRng, node_count: usize, endpoint_count: usize) -> Fault {
+    let nodes = random_subset(rng, node_count);
+    let endpoints = random_subset(rng, endpoint_count);
+    let forward = random_conditions(rng);
+    let connect_policy = CONNECT_POLICIES[rng.random_range(0..3)];
+    let reverse = if rng.random::<bool>() { forward.clone() } else { LinkConditions::default() };
+    let kind = match rng.random_range(0..13) {
+        0 => FaultKind::Kill { nodes, file_fault: FILE_FAULTS[rng.random_range(0..FILE_FAULTS.len())] },
+        1 => FaultKind::RollingRestart { nodes },
+        2 => FaultKind::CrashLoop { nodes, interval_s: 1.0 },
+        3 => FaultKind::Pause { nodes },
+        4 => FaultKind::Throttle { nodes, paused_share: 0.6 },
+        link @ (5 | 6) => FaultKind::Link {
+            from: LinkSide::Nodes(nodes),
+            to: if link == 5 { LinkSide::Endpoints(endpoints) } else { LinkSide::Discovery },
+            connect_policy,
+            forward,
+            reverse,
+            reset_at_end: rng.random(),
+        },
+        7 => FaultKind::EndpointPause { endpoints },
+        8 => FaultKind::EndpointKill { endpoints },
+        9 => FaultKind::DiskFull { nodes },
+        10 => FaultKind::EndpointSlow { endpoints, factor: 5.0 },
+        11 => FaultKind::EndpointMisbehave {
+            endpoints,
+            misbehavior: MISBEHAVIORS[rng.random_range(0..MISBEHAVIORS.len())],
+        },
+        _ => FaultKind::EndpointDrain { endpoints },
+    };
+    let start_s = random_tenths_s(rng, 6.0);
+    Fault { start_s, duration_s: 1.0 + random_tenths_s(rng, 5.0), kind }
+}
+
+fn random_conditions(rng: &mut StdRng) -> LinkConditions {
+    LinkConditions {
+        latency_ms: rng.random_range(0.0..200.0_f64).round(),
+        loss: (rng.random_range(0.0..0.3_f64) * 100.0).round() / 100.0,
+        partitioned: rng.random::<f64>() < 0.4,
+        ..LinkConditions::default()
+    }
+}
+
+/// Returns a random time under `max_s`, rounded to tenths of a second.
+fn random_tenths_s(rng: &mut StdRng, max_s: f64) -> f64 {
+    (rng.random_range(0.0..max_s) * 10.0).round() / 10.0
+}
--- a/crates/chaos/src/shrink.rs
+++ b/crates/chaos/src/shrink.rs
@@ -1,145 +1,140 @@
-//! The least of a storm that still fails: faults are dropped, then weakened, while the failure still shows. Processes are not
-//! deterministic, so each candidate is played several times by whoever asks; this decides what to try next. No I/O.
+//! Shrinks a failing scenario: faults are dropped, then weakened, while the failure still shows. Runs are not deterministic, so
+//! the caller runs each candidate several times; this decides what to try next and does no I/O.
 
-use crate::scenario::{Fault, Kind, Scenario};
+use crate::fault_kind::{Fault, FaultKind};
+use crate::link::LinkConditions;
+use crate::scenario::Scenario;
 
-/// Faults are not made shorter than this, in seconds: below it they come and go within one look.
-const SHORTEST_S: f64 = 0.5;
+/// Shortest duration of a fault, in seconds: a shorter one falls between two samples of the run.
+const MIN_FAULT_DURATION_S: f64 = 0.5;
+/// Latencies under this many milliseconds are dropped in place of halved.
+const MIN_LATENCY_MS: f64 = 1.0;
+/// Losses under this share are dropped in place of halved.
+const MIN_LOSS: f64 = 0.01;
+/// Factors of load bursts are not weakened to less than this.
+const MIN_BURST_FACTOR: f64 = 1.1;
 
-/// The way from a storm to a smaller one.
+/// The search for the smallest scenario that still fails.
 #[derive(Clone, Debug)]
-pub struct Shrink {
-    best: Scenario,
-    /// Candidates of the best that are still to be tried, the boldest last.
-    todo: Vec<Scenario>,
+pub struct Shrinker {
+    smallest: Scenario,
+    /// Candidates that are smaller than the smallest one so far and not tried yet; the last one is tried next.
+    candidates: Vec<Scenario>,
     tried: usize,
 }
 
-impl Shrink {
-    /// Begins with a storm that fails.
+impl Shrinker {
+    /// Starts with a scenario that fails.
     #[must_use]
-    pub fn of(failing: Scenario) -> Self {
-        let todo = candidates(&failing);
-        Self { best: failing, todo, tried: 0 }
+    pub fn new(failing: Scenario) -> Self {
+        let candidates = smaller_scenarios(&failing);
+        Self { smallest: failing, candidates, tried: 0 }
     }
 
-    /// What is to be played next; `None`: nothing smaller is left.
-    pub fn candidate(&mut self) -> Option<Scenario> {
-        let next = self.todo.last().cloned();
-        self.tried += usize::from(next.is_some());
-        next
+    /// Returns the scenario to run next; `None` if there is no smaller one.
+    pub fn next_candidate(&mut self) -> Option<Scenario> {
+        let candidate = self.candidates.last().cloned();
+        self.tried += usize::from(candidate.is_some());
+        candidate
     }
 
-    /// Whether what [`Shrink::candidate`] gave last still fails.
-    pub fn tell(&mut self, fails: bool) {
-        let Some(tried) = self.todo.pop() else { return };
+    /// Records whether the last candidate still fails.
+    pub fn record_result(&mut self, fails: bool) {
+        let Some(candidate) = self.candidates.pop() else { return };
         if fails {
-            self.todo = candidates(&tried);
-            self.best = tried;
+            self.candidates = smaller_scenarios(&candidate);
+            self.smallest = candidate;
         }
     }
 
-    /// The smallest that is known to fail.
+    /// Returns the smallest scenario that is known to fail.
     #[must_use]
-    pub fn best(&self) -> &Scenario {
-        &self.best
+    pub fn smallest(&self) -> &Scenario {
+        &self.smallest
     }
 
-    /// Candidates so far.
+    /// Returns the number of candidates so far.
     #[must_use]
     pub fn tried(&self) -> usize {
         self.tried
     }
 }
 
-fn candidates(of: &Scenario) -> Vec<Scenario> {
-    let mut all = Vec::new();
-    for number in 0..of.fault.len() {
-        for weaker in weaker(&of.fault[number]) {
-            let mut one = of.clone();
-            one.fault[number] = weaker;
-            all.push(one);
+/// Returns smaller scenarios; those without one of the faults come last, and are tried first.
+fn smaller_scenarios(scenario: &Scenario) -> Vec<Scenario> {
+    let mut smaller = Vec::new();
+    for (index, fault) in scenario.faults.iter().enumerate() {
+        for weaker in weaker_faults(fault) {
+            let mut candidate = scenario.clone();
+            candidate.faults[index] = weaker;
+            smaller.push(candidate);
         }
     }
-    // Tried first, from the end: without one of the faults.
-    if of.fault.len() > 1 {
-        all.extend((0..of.fault.len()).map(|number| {
-            let mut one = of.clone();
-            one.fault.remove(number);
-            one
+    if scenario.faults.len() > 1 {
+        smaller.extend((0..scenario.faults.len()).map(|index| {
+            let mut candidate = scenario.clone();
+            candidate.faults.remove(index);
+            candidate
         }));
     }
-    all.retain(|one| one.check().is_ok() && one != of);
-    all
+    smaller.retain(|candidate| candidate.validate().is_ok() && candidate != scenario);
+    smaller
 }
 
-/// The same fault with less of it, the least changed first.
-fn weaker(fault: &Fault) -> Vec<Fault> {
-    let mut all = Vec::new();
-    if fault.for_s / 2.0 >= SHORTEST_S {
-        all.push(Fault { for_s: fault.for_s / 2.0, ..fault.clone() });
+/// Returns weaker forms of a fault, the least changed first.
+fn weaker_faults(fault: &Fault) -> Vec<Fault> {
+    let mut weaker = Vec::new();
+    if fault.duration_s / 2.0 >= MIN_FAULT_DURATION_S {
+        weaker.push(Fault { duration_s: fault.duration_s / 2.0, ..fault.clone() });
     }
     let mut kind = fault.kind.clone();
-    let halved = match &mut kind {
-        Kind::Kill { nodes, .. }
-        | Kind::Full { nodes }
-        | Kind::Record { nodes }
-        | Kind::Roll { nodes }
-        | Kind::Loop { nodes, .. }
-        | Kind::Stall { nodes }
-        | Kind::Slow { nodes, .. } => halve(nodes),
-        Kind::ServerStall { servers }
-        | Kind::ServerKill { servers }
-        | Kind::ServerSlow { servers, .. }
-        | Kind::ServerLie { servers, .. }
-        | Kind::Drain { servers } => halve(servers),
-        Kind::Link { there, back, .. } => {
-            let before = (there.clone(), back.clone());
-            for way in [&mut *there, &mut *back] {
-                way.delay_ms = if way.delay_ms < 1.0 { 0.0 } else { way.delay_ms / 2.0 };
-                way.loss = if way.loss < 0.01 { 0.0 } else { way.loss / 2.0 };
-            }
-            (&before.0, &before.1) != (&*there, &*back)
+    if weaken(&mut kind) {
+        weaker.push(Fault { kind, ..fault.clone() });
+    }
+    weaker
+}
+
+/// Weakens a fault; returns whether that was possible.
+fn weaken(kind: &mut FaultKind) -> bool {
+    match kind {
+        FaultKind::Kill { nodes: targets, .. }
+        | FaultKind::DiskFull { nodes: targets }
+        | FaultKind::WriteRecording { nodes: targets }
+        | FaultKind::RollingRestart { nodes: targets }
+        | FaultKind::CrashLoop { nodes: targets, .. }
+        | FaultKind::Pause { nodes: targets }
+        | FaultKind::Throttle { nodes: targets, .. }
+        | FaultKind::EndpointPause { endpoints: targets }
+        | FaultKind::EndpointKill { endpoints: targets }
+        | FaultKind::EndpointSlow { endpoints: targets, .. }
+        | FaultKind::EndpointMisbehave { endpoints: targets, .. }
+        | FaultKind::EndpointDrain { endpoints: targets } => halve_targets(targets),
+        FaultKind::Link { forward, reverse, .. } => {
+            let forward_changed = weaken_conditions(forward);
+            let reverse_changed = weaken_conditions(reverse);
+            forward_changed || reverse_changed
         }
-        Kind::Partition { groups } => groups.len() > 2 && groups.pop().is_some(),
-        Kind::Burst { factor } => {
+        FaultKind::Partition { groups } => groups.len() > 2 && groups.pop().is_some(),
+        FaultKind::LoadBurst { factor } => {
             *factor = 1.0 + (*factor - 1.0) / 2.0;
-            *factor > 1.1
+            *factor > MIN_BURST_FACTOR
         }
-    };
-    if halved {
-        all.push(Fault { kind, ..fault.clone() });
     }
-    all
 }
 
-fn halve(of: &mut Vec<usize>) -> bool {
-    let most = of.len();
-    of.truncate(most.div_ceil(2));
-    of.len() < most
+fn weaken_conditions(conditions: &mut LinkConditions) -> bool {
+    let before = conditions.clone();
+    conditions.latency_ms = halve_or_drop(conditions.latency_ms, MIN_LATENCY_MS);
+    conditions.loss = halve_or_drop(conditions.loss, MIN_LOSS);
+    *conditions != before
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+fn halve_or_drop(value: f64, min: f64) -> f64 {
+    if value < min { 0.0 } else { value / 2.0 }
+}
 
-    /// Guards that shrinking ends, never grows, and finds the one fault that a failure needs, whatever else was drawn.
-    #[test]
-    fn what_matters_is_left() {
-        for seed in 0..200 {
-            let storm = Scenario::drawn(seed, 6, 5);
-            let needs = |one: &Scenario| {
-                one.fault.iter().any(|fault| fault.kind == storm.fault[0].kind && fault.for_s >= 1.0)
-            };
-            let mut shrink = Shrink::of(storm.clone());
-            while let Some(next) = shrink.candidate() {
-                assert!(next.check().is_ok(), "seed {seed}");
-                shrink.tell(needs(&next));
-                assert!(shrink.tried() < 500, "seed {seed} does not end");
-            }
-            let best = shrink.best();
-            assert!(needs(best) && best.fault.len() == 1, "seed {seed}: {best:?}");
-            assert!(best.fault[0].for_s < 2.0, "seed {seed}: {best:?}");
-        }
-    }
+fn halve_targets(targets: &mut Vec<usize>) -> bool {
+    let before = targets.len();
+    targets.truncate(before.div_ceil(2));
+    targets.len() < before
 }
--- /dev/null
+++ b/crates/chaos/src/stand_ins/messages.rs
@@ -0,0 +1,66 @@
+//! Messages between a run and its stand-ins.
+
+use std::io::{self, BufRead, Write};
+use std::net::SocketAddr;
+use std::thread;
+
+use serde::de::DeserializeOwned;
+use serde::{Deserialize, Serialize};
+use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
+
+use crate::clock;
+use crate::history::{Event, EventKind, ListedHealth};
+
+/// The header with the id of a request, in hexadecimal digits.
+pub const REQUEST_ID_HEADER: &str = "x-storm";
+
+/// The first message of a stand-in: where it listens.
+#[derive(Debug, Serialize, Deserialize)]
+pub struct ListenAddresses {
+    /// The addresses; discovery has one for each node.
+    #[serde(rename = "listens")]
+    pub addresses: Vec<SocketAddr>,
+}
+
+/// A change of discovery's list.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub struct DiscoveryChange {
+    /// The endpoint.
+    #[serde(rename = "server")]
+    pub endpoint: usize,
+    /// Its health from now on.
+    #[serde(rename = "listed")]
+    pub health: ListedHealth,
+    /// The address at which each node reaches it.
+    #[serde(rename = "dials")]
+    pub addresses: Vec<SocketAddr>,
+    /// When it was started last, in milliseconds since 1970; 0 is long ago.
+    #[serde(rename = "born_ms")]
+    pub started_unix_ms: u64,
+}
+
+/// Writes the addresses of this process to standard output.
+pub(super) fn announce(addresses: Vec<SocketAddr>) {
+    println!("{}", serde_json::to_string(&ListenAddresses { addresses }).unwrap_or_default());
+}
+
+/// Writes an event to standard output, with the current time.
+pub(super) fn emit(kind: EventKind) {
+    let line = serde_json::to_string(&Event { at: clock::now(), kind }).unwrap_or_default();
+    // A closed output means that the run has ended, and this process is about to be ended.
+    let _ = writeln!(io::stdout().lock(), "{line}");
+}
+
+/// Reads messages from standard input on a thread; lines of another form are skipped.
+pub(super) fn read_messages<T: DeserializeOwned + Send + 'static>() -> UnboundedReceiver<T> {
+    let (sender, receiver) = unbounded_channel();
+    thread::spawn(move || {
+        for line in io::stdin().lock().lines().map_while(Result::ok) {
+            let Ok(message) = serde_json::from_str(&line) else { continue };
+            if sender.send(message).is_err() {
+                return;
+            }
+        }
+    });
+    receiver
+}
--- /dev/null
+++ b/crates/chaos/src/stand_ins/mod.rs
@@ -0,0 +1,12 @@
+//! Processes that stand in for endpoints and discovery. They write events to standard output, one JSON object a line, and take
+//! messages on standard input.
+
+mod discovery;
+mod endpoint;
+mod http_head;
+mod malformed;
+mod messages;
+
+pub use discovery::run_discovery;
+pub use endpoint::{EndpointArgs, run_endpoint};
+pub use messages::{DiscoveryChange, ListenAddresses, REQUEST_ID_HEADER};
--- /dev/null
+++ b/crates/chaos/tests/builtin_scenarios.rs
@@ -0,0 +1,14 @@
+//! The scenarios that are built into the program.
+
+use pumicehead_chaos::builtin_scenarios::BUILTIN_SCENARIOS;
+use pumicehead_chaos::scenario::Scenario;
+
+#[test]
+fn builtin_scenarios_are_valid_and_carry_their_own_names() {
+    for builtin in BUILTIN_SCENARIOS {
+        let scenario =
+            Scenario::parse(builtin.text).unwrap_or_else(|error| panic!("{}: {error}", builtin.name));
+        assert_eq!(scenario.name, builtin.name);
+    }
+    assert!(BUILTIN_SCENARIOS.is_sorted_by_key(|builtin| builtin.name));
+}
--- a/crates/chaos/tests/stored_forms.rs
+++ b/crates/chaos/tests/stored_forms.rs
@@ -4,12 +4,12 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use pumicehead_chaos::check::{Find, Summary, Views};
-use pumicehead_chaos::cost::Cost;
-use pumicehead_chaos::faults::Manner;
+use pumicehead_chaos::check::{MembershipSummary, ServiceSummary, Violation};
+use pumicehead_chaos::fault_effects::EndpointBehavior;
 use pumicehead_chaos::history::{ClientOutcome, Event, EventKind, History, MemberState};
+use pumicehead_chaos::link_overhead::LinkOverhead;
 use pumicehead_chaos::scenario::Scenario;
-use pumicehead_chaos::stand::{Change, Hello};
+use pumicehead_chaos::stand_ins::{DiscoveryChange, ListenAddresses};
 use pumicehead_testbed::program::temporary;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -67,10 +67,10 @@
         kind: EventKind::MembershipView {
             node,
             fingerprint: fingerprint.into(),
-            holds: holds.into_iter().enumerate().collect(),
+            members: holds.into_iter().enumerate().collect(),
         },
     };
-    let history = History::of(vec![
+    let history = History::from_events(vec![
         view(5_000_000_000, 0, "b", [MemberState::Alive, MemberState::Suspect, MemberState::Dead]),
         view(5_500_000_000, 1, "b", [MemberState::Stalled, MemberState::Alive, MemberState::Dead]),
         view(10_000_000_000, 2, "c", [MemberState::Left, MemberState::Alive, MemberState::Alive]),
@@ -91,39 +91,41 @@
 #[test]
 fn seeds_draw_the_scenarios_that_they_drew_before() {
     let drawn: String = DRAWN_SEEDS
-        .map(|seed| toml::to_string(&Scenario::drawn(seed, 5, 4)).expect("a scenario is TOML"))
+        .map(|seed| toml::to_string(&Scenario::generate(seed, 5, 4)).expect("a scenario is TOML"))
         .collect();
     assert_eq!(drawn, fixture_text("drawn.toml"));
 }
 
 #[test]
 fn results_keep_their_json() {
-    assert_json_is_kept::<Summary>(concat!(
+    assert_json_is_kept::<ServiceSummary>(concat!(
         r#"{"asked":4,"served":[1.0,0.5,0.25],"worst":[0.1,0.2,0.3],"recovered_s":2.0,"refused":1,"failed":2,"#,
         r#""unanswered":3,"lag_us":900,"views":{"found_s":[1.5,2.5],"settled_s":3.5,"wronged":1},"#,
         r#""by_second":[[11.0,10.0],[1.0,0.0]]}"#
     ));
-    assert_json_is_kept::<Summary>(concat!(
+    assert_json_is_kept::<ServiceSummary>(concat!(
         r#"{"asked":0,"served":[1.0,1.0,1.0],"worst":[1.0,1.0,1.0],"recovered_s":null,"refused":0,"failed":0,"#,
         r#""unanswered":0,"lag_us":0,"views":null,"by_second":[]}"#
     ));
-    assert_json_is_kept::<Views>(r#"{"found_s":null,"settled_s":null,"wronged":0}"#);
-    assert_json_is_kept::<Find>(r#"{"checker":"none lost","at":5,"text":"request 9 at node 0 has no end"}"#);
-    assert_json_is_kept::<Cost>(r#"{"direct_us":20.5,"through_us":60.25}"#);
+    assert_json_is_kept::<MembershipSummary>(r#"{"found_s":null,"settled_s":null,"wronged":0}"#);
+    assert_json_is_kept::<Violation>(
+        r#"{"checker":"none lost","at":5,"text":"request 9 at node 0 has no end"}"#,
+    );
+    assert_json_is_kept::<LinkOverhead>(r#"{"direct_us":20.5,"through_us":60.25}"#);
 }
 
 #[test]
 fn messages_to_and_from_stand_ins_keep_their_json() {
-    assert_json_is_kept::<Manner>(r#"{"slow":1.0,"lie":null}"#);
+    assert_json_is_kept::<EndpointBehavior>(r#"{"slow":1.0,"lie":null}"#);
     for lie in ["denies", "swaps", "garbles"] {
-        assert_json_is_kept::<Manner>(&format!(r#"{{"slow":5.0,"lie":"{lie}"}}"#));
+        assert_json_is_kept::<EndpointBehavior>(&format!(r#"{{"slow":5.0,"lie":"{lie}"}}"#));
     }
     for listed in ["active", "leaving"] {
-        assert_json_is_kept::<Change>(&format!(
+        assert_json_is_kept::<DiscoveryChange>(&format!(
             r#"{{"server":1,"listed":"{listed}","dials":["127.0.0.1:80"],"born_ms":5}}"#
         ));
     }
-    assert_json_is_kept::<Hello>(r#"{"listens":["127.0.0.1:80","127.0.0.1:81"]}"#);
+    assert_json_is_kept::<ListenAddresses>(r#"{"listens":["127.0.0.1:80","127.0.0.1:81"]}"#);
 }
 
 #[test]
