--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,10 +1,10 @@
 //! The configuration language of a standalone node.
 //!
-//! [`load`] reads a file with all that it includes through [`FileFault`], [`syntax`] makes trees of them that keep
+//! [`load`] reads a file with all that it includes through [`Files`], [`syntax`] makes trees of them that keep
 //! comments and places, `check` turns these into a [`Config`] or into [`Diagnostic`]s, and [`format`](mod@format)
 //! and [`diff`](mod@diff) work on trees and on meaning. The grammar stands in `docs/grammar.ebnf`.
 //!
-//! Nothing here does I/O but [`disk`], which implements [`FileFault`].
+//! Nothing here does I/O but [`disk`], which implements [`Files`].
 
 mod check;
 pub mod diag;
--- a/crates/fastcgi/src/lib.rs
+++ b/crates/fastcgi/src/lib.rs
@@ -5,7 +5,7 @@
 //! | 3.1 accepting connections, `FCGI_WEB_SERVER_ADDRS` | the host's matter |
 //! | 3.3 records, ids, padding, stream and discrete records | [`record`], [`client`], [`server`] |
 //! | 3.4 name-value pairs | [`pairs`] |
-//! | 3.5 closing connections, `FCGI_KEEP_CONN` | [`client::Client::begin`], [`server::EndpointState::is_over`] |
+//! | 3.5 closing connections, `FCGI_KEEP_CONN` | [`client::Client::begin`], [`server::Server::is_over`] |
 //! | 4.1 `FCGI_GET_VALUES`, 4.2 `FCGI_UNKNOWN_TYPE` | [`client::Client::get_values`], [`server`] |
 //! | 5.1 `FCGI_BEGIN_REQUEST`, 5.2 `FCGI_PARAMS`, 5.3 byte streams, 5.4 abort, 5.5 `FCGI_END_REQUEST` | both roles |
 //! | 6.2 responder | yes |
--- a/crates/fastcgi/src/server.rs
+++ b/crates/fastcgi/src/server.rs
@@ -50,7 +50,7 @@
     },
     /// One that can't be taken. It is still to be answered.
     Bad(u16, BadRequest),
-    /// The front end's client has gone. It needs no answer; [`EndpointState::end`] is called all the same.
+    /// The front end's client has gone. It needs no answer; [`Server::end`] is called all the same.
     Aborted(u16),
 }
 
--- a/crates/load-generator/src/shape.rs
+++ b/crates/load-generator/src/shape.rs
@@ -177,7 +177,7 @@
 /// A rate such as `500`, `500/s` or `6/min`, a second.
 ///
 /// # Errors
-/// No number, below 0, above [`MAX_REQUESTS_PER_S`], or another unit.
+/// No number, below 0, above [`MOST_RATE`], or another unit.
 pub fn parse_rate(text: &str) -> Result<f64, ShapeError> {
     let fault = |fault: &str| ShapeError { text: text.into(), fault: fault.into() };
     let (number, per) = match text.split_once('/') {
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -141,7 +141,7 @@
     pub crossing_price: f64,
     /// Weights tell sizes of servers.
     pub weights_tell_size: bool,
-    /// Nodes may send each other notes ([`Action::LinkControl`]).
+    /// Nodes may send each other notes ([`Action::Tell`]).
     pub peers: bool,
     /// What a note of 256 bytes costs for each peer that gets it, as a share of a request.
     pub peer_price: f64,
@@ -380,7 +380,7 @@
     Note {
         /// Its number.
         from: u32,
-        /// What it sent by [`Action::LinkControl`].
+        /// What it sent by [`Action::Tell`].
         body: Vec<u8>,
     },
 }
--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -1,7 +1,7 @@
 //! A node's configuration as tables of typed resources.
 //!
 //! A [`Snapshot`] is one state of the configuration: a table for each kind of resource, by name, the order of the
-//! routes, and the settings of the node itself. A [`Delta`] is a list of typed [`DiscoveryChange`]s. [`Snapshot::apply`] takes a
+//! routes, and the settings of the node itself. A [`Delta`] is a list of typed [`Change`]s. [`Snapshot::apply`] takes a
 //! delta whole or not at all, and [`Snapshot::difference`] finds the delta that leads from one state to another.
 //! [`Snapshot::digest`] is the same for equal states, however they came about.
 //!
--- a/crates/resources/src/resource.rs
+++ b/crates/resources/src/resource.rs
@@ -263,7 +263,7 @@
 /// A kind of resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// [`NodeState`].
+    /// [`Node`].
     Node,
     /// [`Listener`].
     Listener,
@@ -271,7 +271,7 @@
     Pool,
     /// [`Backend`].
     Backend,
-    /// [`RequestClass`].
+    /// [`Class`].
     Class,
     /// [`Tenant`].
     Tenant,
--- a/crates/route/src/matcher/find.rs
+++ b/crates/route/src/matcher/find.rs
@@ -183,7 +183,7 @@
     }
 
     /// Hands over the leaves whose paths take all that the steps allow, from the step at a depth on. The last step is
-    /// [`FaultAction::ClientOutcome`] or [`FaultAction::Rest`].
+    /// [`Step::End`] or [`Step::Rest`].
     fn each_leaf(&self, at: u32, depth: usize, step: &impl Fn(usize) -> Step, visit: &mut impl FnMut(u32)) {
         let node = &self.nodes[at as usize];
         if node.rest != NONE {
--- a/crates/testbed/src/hollow/counts.rs
+++ b/crates/testbed/src/hollow/counts.rs
@@ -40,7 +40,7 @@
     pub datagrams: [u64; KINDS.len()],
     /// Their bytes, without heads.
     pub datagram_bytes: u64,
-    /// Frames of streams, by [`FaultAction`].
+    /// Frames of streams, by [`Step`].
     pub frames: [u64; STEPS],
     /// Their bytes, without lengths.
     pub frame_bytes: u64,
