--- /dev/null
+++ b/crates/flight-recorder/src/export_names.rs
@@ -0,0 +1,172 @@
+//! The text of a decision event in an exported trace.
+//!
+//! Dashboards match on these names, so they stay as they were first written, whatever the variants are called in code.
+
+use std::fmt::{self, Debug, Formatter};
+
+use pumicehead_policy::EndpointId;
+use pumicehead_policy::decision_event::{
+    DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RejectionReason,
+};
+
+/// Formats a decision event under its exported names.
+pub(crate) struct Exported<'a>(pub &'a DecisionEvent);
+
+/// An id of an endpoint under its exported name.
+struct ExportedServer(EndpointId);
+
+/// Counts of exclusions under their exported name.
+struct ExportedHurdles(ExclusionReasons);
+
+/// A name that is written without quotes.
+struct Bare(&'static str);
+
+/// The reason of a final answer under its exported name.
+struct ExportedRule(RejectionReason);
+
+impl Debug for Bare {
+    fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
+        out.write_str(self.0)
+    }
+}
+
+impl Debug for ExportedServer {
+    fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
+        out.debug_tuple("ServerId").field(&self.0.0).finish()
+    }
+}
+
+impl Debug for ExportedHurdles {
+    fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
+        out.debug_tuple("Hurdles").field(&self.0.0).finish()
+    }
+}
+
+impl Debug for ExportedRule {
+    fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            RejectionReason::QueueTooLong => out.write_str("WaitShare"),
+            RejectionReason::QueueTimeout => out.write_str("NearlyOut"),
+            RejectionReason::KeyOrderTimeout => out.write_str("NoTurn"),
+            RejectionReason::NoRetry(stop) => {
+                out.debug_tuple("NoRetry").field(&Bare(stop_name(stop))).finish()
+            }
+        }
+    }
+}
+
+fn stop_name(stop: NoRetryReason) -> &'static str {
+    match stop {
+        NoRetryReason::AttemptsExhausted => "Attempts",
+        NoRetryReason::NotIdempotent => "Effect",
+        NoRetryReason::NoTimeLeft => "Time",
+        NoRetryReason::RetryBudgetSpent => "Budget",
+    }
+}
+
+fn moved_name(why: LimitChangeReason) -> &'static str {
+    match why {
+        LimitChangeReason::ComparedLatency => "Compared",
+        LimitChangeReason::Failure => "Failure",
+    }
+}
+
+impl Debug for Exported<'_> {
+    fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            DecisionEvent::Classified { .. }
+            | DecisionEvent::Queued { .. }
+            | DecisionEvent::EndpointSelected { .. }
+            | DecisionEvent::NoEndpointAvailable { .. }
+            | DecisionEvent::AnsweredWithoutEndpoint { .. } => write_request_event(self.0, out),
+            DecisionEvent::LimitChanged { .. }
+            | DecisionEvent::AllLimitsChanged { .. }
+            | DecisionEvent::Ejected { .. }
+            | DecisionEvent::Reinstated { .. }
+            | DecisionEvent::OutlierRatio { .. } => write_endpoint_event(self.0, out),
+            DecisionEvent::OverloadStarted { queued } => {
+                out.debug_struct("Overload").field("held", queued).finish()
+            }
+            DecisionEvent::OverloadEnded => out.write_str("Calm"),
+            DecisionEvent::WatchLost => out.write_str("ListLost"),
+            DecisionEvent::WatchRestored => out.write_str("ListRegained"),
+        }
+    }
+}
+
+/// Events about one request.
+fn write_request_event(event: &DecisionEvent, out: &mut Formatter<'_>) -> fmt::Result {
+    match event {
+        DecisionEvent::Classified { id, tier, priority_weight, objective_deadline } => out
+            .debug_struct("Taken")
+            .field("id", id)
+            .field("tier", tier)
+            .field("worth", priority_weight)
+            .field("aim_at", objective_deadline)
+            .finish(),
+        DecisionEvent::Queued { id, queued } => {
+            out.debug_struct("Held").field("id", id).field("held", queued).finish()
+        }
+        DecisionEvent::EndpointSelected {
+            id,
+            endpoint,
+            score,
+            runner_up,
+            in_flight: used,
+            limit,
+            exclusions,
+        } => out
+            .debug_struct("Picked")
+            .field("id", id)
+            .field("server", &ExportedServer(*endpoint))
+            .field("score", score)
+            .field("next", &runner_up.map(|(server, score)| (ExportedServer(server), score)))
+            .field("out", used)
+            .field("limit", limit)
+            .field("hurdles", &ExportedHurdles(*exclusions))
+            .finish(),
+        DecisionEvent::NoEndpointAvailable { id, exclusions } => out
+            .debug_struct("NoneFits")
+            .field("id", id)
+            .field("hurdles", &ExportedHurdles(*exclusions))
+            .finish(),
+        DecisionEvent::AnsweredWithoutEndpoint { id, reason, pressure } => out
+            .debug_struct("Over")
+            .field("id", id)
+            .field("rule", &ExportedRule(*reason))
+            .field("pressure", pressure)
+            .finish(),
+        _ => Ok(()),
+    }
+}
+
+/// Events about endpoints and their limits.
+fn write_endpoint_event(event: &DecisionEvent, out: &mut Formatter<'_>) -> fmt::Result {
+    match event {
+        DecisionEvent::LimitChanged { endpoint, from, to, reason } => out
+            .debug_struct("Limit")
+            .field("server", &ExportedServer(*endpoint))
+            .field("from", from)
+            .field("to", to)
+            .field("why", &Bare(moved_name(*reason)))
+            .finish(),
+        DecisionEvent::AllLimitsChanged { factor, utilization } => {
+            out.debug_struct("Limits").field("factor", factor).field("load", utilization).finish()
+        }
+        DecisionEvent::Ejected { endpoint, duration } => out
+            .debug_struct("Aside")
+            .field("server", &ExportedServer(*endpoint))
+            .field("span", duration)
+            .finish(),
+        DecisionEvent::Reinstated { endpoint } => {
+            out.debug_struct("Back").field("server", &ExportedServer(*endpoint)).finish()
+        }
+        DecisionEvent::OutlierRatio { outliers, total, panic_mode } => out
+            .debug_struct("Doubt")
+            .field("bad", outliers)
+            .field("all", total)
+            .field("most", panic_mode)
+            .finish(),
+        _ => Ok(()),
+    }
+}
--- a/crates/flight-recorder/src/recorder.rs
+++ b/crates/flight-recorder/src/recorder.rs
@@ -1,7 +1,7 @@
 //! The recorder: takes events in, decides whose story stays, and books what was earned and lost.
 
-use pumicehead_policy::interface::{Nanos, Outcome, RequestId, SECOND, ServerId};
-use pumicehead_policy::note::{Hurdles, Note};
+use pumicehead_policy::decision_event::{DecisionEvent, ExclusionReasons};
+use pumicehead_policy::{AttemptOutcome, EndpointId, Nanos, RequestId, SECOND};
 use rustc_hash::FxHashMap;
 
 use crate::account::{Accounts, FlowKey, LossKey, NOBODY, ServerKey};
@@ -61,7 +61,7 @@
     last: Nanos,
     cut: bool,
     verdict: Option<(Verdict, Nanos, How)>,
-    hurdles: Option<Hurdles>,
+    hurdles: Option<ExclusionReasons>,
 }
 
 /// How often a group of class and tenant has come lately.
@@ -84,7 +84,7 @@
     open: FxHashMap<(PoolId, RequestId), Box<Open>>,
     open_size: usize,
     groups: FxHashMap<(PoolId, u16, u32), Group>,
-    limits: FxHashMap<(PoolId, ServerId), f32>,
+    limits: FxHashMap<(PoolId, EndpointId), f32>,
     meters: Meters,
     scratch: Vec<u8>,
     spare: Vec<Vec<u8>>,
@@ -133,7 +133,7 @@
     }
 
     /// What a server is called.
-    pub fn name(&mut self, pool: PoolId, server: ServerId, name: &str) {
+    pub fn name(&mut self, pool: PoolId, server: EndpointId, name: &str) {
         if let Some(pool) = self.head.pools.get_mut(usize::from(pool.0)) {
             pool.name_server(server.0, name);
         }
@@ -169,9 +169,9 @@
             }
             Event::Turned { class, why } => self.book_turned(at, pool, *class, *why),
             Event::Short(what) => self.accounts.short[usize::from(*what == Short::Dial)] += 1,
-            Event::Note(Note::Aside { server, span }) => {
-                let key = ServerKey { pool, server: server.0 };
-                self.accounts.servers.at(at, key).aside += span / 1_000;
+            Event::Note(DecisionEvent::Ejected { endpoint, duration }) => {
+                let key = ServerKey { pool, server: endpoint.0 };
+                self.accounts.servers.at(at, key).aside += duration / 1_000;
             }
             Event::Ended { server, outcome, took, dial, id, .. } => {
                 self.book_attempt(at, pool, *id, *server, *outcome, (*took, *dial));
@@ -187,23 +187,27 @@
     /// Whether it is worth a record: what is said again and again is not.
     fn is_worth(&mut self, at: Nanos, pool: PoolId, event: &Event) -> bool {
         match event {
-            Event::Note(Note::NoneFits { id, hurdles }) => match self.open.get_mut(&(pool, *id)) {
-                Some(open) => open.hurdles.replace(*hurdles) != Some(*hurdles) || self.level == Level::Full,
-                None => false,
-            },
-            Event::Note(Note::Limit { server, from, to, .. }) => {
-                self.accounts.servers.at(at, ServerKey { pool, server: server.0 }).limit = *to;
+            Event::Note(DecisionEvent::NoEndpointAvailable { id, exclusions }) => {
+                match self.open.get_mut(&(pool, *id)) {
+                    Some(open) => {
+                        open.hurdles.replace(*exclusions) != Some(*exclusions) || self.level == Level::Full
+                    }
+                    None => false,
+                }
+            }
+            Event::Note(DecisionEvent::LimitChanged { endpoint, from, to, .. }) => {
+                self.accounts.servers.at(at, ServerKey { pool, server: endpoint.0 }).limit = *to;
                 if self.limits.len() >= LIMITS {
                     self.limits.clear();
                 }
-                let last = self.limits.entry((pool, *server)).or_insert(*from);
+                let last = self.limits.entry((pool, *endpoint)).or_insert(*from);
                 let moved = *to > *last * MOVED || *to * MOVED < *last || self.level == Level::Full;
                 if moved {
                     *last = *to;
                 }
                 moved
             }
-            Event::Note(Note::Limits { factor, .. }) => {
+            Event::Note(DecisionEvent::AllLimitsChanged { factor, .. }) => {
                 self.level == Level::Full || *factor > MOVED || *factor * MOVED < 1.0
             }
             _ => true,
@@ -296,8 +300,8 @@
         at: Nanos,
         pool: PoolId,
         id: RequestId,
-        server: ServerId,
-        outcome: Outcome,
+        server: EndpointId,
+        outcome: AttemptOutcome,
         (took, dial): (Nanos, Nanos),
     ) {
         let micros = took / 1_000;
@@ -305,7 +309,7 @@
         let mut stretch = 0;
         if let Some(class) = class {
             let flow = self.accounts.flows.at(at, FlowKey { pool, class });
-            if outcome == Outcome::Ok {
+            if outcome == AttemptOutcome::Success {
                 flow.answered += 1;
                 flow.took += micros;
                 flow.least = if flow.least == 0 { micros + 1 } else { flow.least.min(micros + 1) };
@@ -319,7 +323,7 @@
         let row = self.accounts.servers.at(at, ServerKey { pool, server: server.0 });
         row.ended[place(outcome)] += 1;
         row.dial += dial / 1_000;
-        if outcome == Outcome::Ok {
+        if outcome == AttemptOutcome::Success {
             row.good += micros;
             row.stretch += stretch;
         } else {
--- a/crates/node/src/platform/config.rs
+++ b/crates/node/src/platform/config.rs
@@ -5,8 +5,8 @@
 use std::io;
 use std::net::SocketAddr;
 
-use pumicehead_policy::boot::Boot;
-use pumicehead_policy::interface::{Settings, SettingsError};
+use pumicehead_policy::deployment_settings::Boot;
+use pumicehead_policy::{Settings, SettingsError};
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -110,7 +110,7 @@
         let file = read()?;
         let mut settings = file.settings.settings()?;
         // Nodes have no way to each other here: with notes off the module does without.
-        settings.peers = false;
+        settings.load_reports = false;
         let seed = file.seed.ok_or_else(|| fault("seed", "missing"))?;
         let sockets = file.limits.sockets;
         if sockets < LEAST_SOCKETS {
