--- a/crates/membership/tests/stored_forms.rs
+++ b/crates/membership/tests/stored_forms.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 
 use prost::Message;
-use pumicehead_membership::card::{Card, Key, Phase, hash};
-use pumicehead_membership::state::State;
-use pumicehead_membership::wire::{Datagram, Entry, Frame, Kind, Step, fleet};
+use pumicehead_membership::record::{MemberId, MemberRecord, Phase, stable_hash};
+use pumicehead_membership::state::MemberState;
+use pumicehead_membership::wire::{Datagram, DatagramKind, FleetId, Frame, FrameKind, WireEntry};
 
 /// Compares a whole text with a stored one.
 fn assert_stored_text(name: &str, text: &str) {
@@ -29,21 +29,21 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n"
 }
 
-fn cards() -> Vec<Card> {
+fn records() -> Vec<MemberRecord> {
     let phases = [Phase::Serving, Phase::Joining, Phase::LameDuck];
     let card = |phase| {
-        let mut card = Card {
+        let mut card = MemberRecord {
             name: "n1".into(),
             epoch: 1_700_000_000_000,
             incarnation: 3,
             address: "127.0.0.1:7001".into(),
             zone: "cdmx".into(),
-            program: "0.2.0".into(),
-            minor: 0,
-            load: 5,
+            program_version: "0.2.0".into(),
+            protocol_minor: 0,
+            load_eighths: 5,
             phase: 0,
-            number: 2,
-            offers: vec!["view".into(), "plan".into()],
+            node_number: 2,
+            capabilities: vec!["view".into(), "plan".into()],
         };
         card.set_phase(phase);
         card
@@ -52,32 +52,44 @@
 }
 
 /// An entry for each state that a member may be held for.
-fn entries() -> Vec<Entry> {
-    let states = [State::Alive, State::Stalled, State::Suspect, State::Dead, State::Left];
-    let entry = |(place, state): (usize, State)| Entry {
-        card: cards()[place % 3].encode_to_vec(),
-        state: state.number(),
-        age: 17 + place as u32,
-        witness: Key::of("n2").0,
-        refused: place % 2 == 1,
+fn entries() -> Vec<WireEntry> {
+    let states = [
+        MemberState::Alive,
+        MemberState::Stalled,
+        MemberState::Suspect,
+        MemberState::Dead,
+        MemberState::Left,
+    ];
+    let entry = |(place, state): (usize, MemberState)| WireEntry {
+        record: records()[place % 3].encode_to_vec(),
+        state: state.code(),
+        age_deciseconds: 17 + place as u32,
+        reporter: MemberId::from_name("n2").0,
+        connection_refused: place % 2 == 1,
     };
     states.into_iter().enumerate().map(entry).collect()
 }
 
 /// A datagram of each kind.
 fn datagrams() -> Vec<Datagram> {
-    let kinds = [Kind::News, Kind::Ping, Kind::PingFor, Kind::Ack, Kind::Nack];
-    let datagram = |(place, kind): (usize, Kind)| Datagram {
-        major: 1,
-        minor: 0,
-        fleet: fleet("tablero"),
-        from: Key::of("n1").0,
-        epoch: 1_700_000_000_000,
+    let kinds = [
+        DatagramKind::Gossip,
+        DatagramKind::Ping,
+        DatagramKind::IndirectPing,
+        DatagramKind::Ack,
+        DatagramKind::Nack,
+    ];
+    let datagram = |(place, kind): (usize, DatagramKind)| Datagram {
+        protocol_major: 1,
+        protocol_minor: 0,
+        fleet_id: FleetId::from_name("tablero").0,
+        sender_id: MemberId::from_name("n1").0,
+        sender_epoch: 1_700_000_000_000,
         kind: kind.into(),
         seq: 40 + place as u32,
-        about: Key::of("n3").0,
-        unknown: place % 2 == 1,
-        news: entries().into_iter().take(place + 1).collect(),
+        target_id: MemberId::from_name("n3").0,
+        record_unknown: place % 2 == 1,
+        updates: entries().into_iter().take(place + 1).collect(),
     };
     kinds.into_iter().enumerate().map(datagram).collect()
 }
@@ -85,26 +97,26 @@
 /// A frame of each step.
 fn frames() -> Vec<Frame> {
     let steps = [
-        Step::Other,
-        Step::Check,
-        Step::Here,
-        Step::Digest,
-        Step::Same,
-        Step::Parts,
-        Step::Entries,
-        Step::Refuse,
+        FrameKind::Unknown,
+        FrameKind::Ping,
+        FrameKind::Ack,
+        FrameKind::Digest,
+        FrameKind::InSync,
+        FrameKind::PartitionDigests,
+        FrameKind::Entries,
+        FrameKind::Reject,
     ];
-    let frame = |(place, step): (usize, Step)| Frame {
-        major: 1,
-        minor: 0,
-        fleet: fleet("tablero"),
-        from: Key::of("n1").0,
-        epoch: 1_700_000_000_000,
-        step: step.into(),
+    let frame = |(place, step): (usize, FrameKind)| Frame {
+        protocol_major: 1,
+        protocol_minor: 0,
+        fleet_id: FleetId::from_name("tablero").0,
+        sender_id: MemberId::from_name("n1").0,
+        sender_epoch: 1_700_000_000_000,
+        kind: step.into(),
         fingerprint: 0x0123_4567_89ab_cdef,
-        parts: (0..place as u64).collect(),
+        partitions: (0..place as u64).collect(),
         entries: entries().into_iter().take(place).collect(),
-        why: if step == Step::Refuse { "of another fleet".into() } else { String::new() },
+        reject_reason: if step == FrameKind::Reject { "of another fleet".into() } else { String::new() },
     };
     steps.into_iter().enumerate().map(frame).collect()
 }
@@ -115,7 +127,7 @@
     assert_stored_text("datagrams.hex", &written);
     let read: Vec<_> = stored_lines("datagrams.hex")
         .iter()
-        .map(|bytes| Datagram::read(bytes, fleet("tablero")).unwrap())
+        .map(|bytes| Datagram::from_bytes(bytes, FleetId::from_name("tablero")).unwrap())
         .collect();
     assert_eq!(read, datagrams());
 }
@@ -126,31 +138,38 @@
     assert_stored_text("frames.hex", &written);
     let read: Vec<_> = stored_lines("frames.hex")
         .iter()
-        .map(|bytes| Frame::read(bytes, fleet("tablero")).unwrap())
+        .map(|bytes| Frame::from_bytes(bytes, FleetId::from_name("tablero")).unwrap())
         .collect();
     assert_eq!(read, frames());
 }
 
 #[test]
-fn cards_travel_as_before() {
-    let written: String = cards().iter().map(|one| hex_line(&one.encode_to_vec())).collect();
+fn records_travel_as_before() {
+    let written: String = records().iter().map(|one| hex_line(&one.encode_to_vec())).collect();
     assert_stored_text("cards.hex", &written);
-    let read: Vec<_> = stored_lines("cards.hex").iter().map(|bytes| Card::read(bytes).unwrap()).collect();
-    assert_eq!(read, cards());
+    let read: Vec<_> =
+        stored_lines("cards.hex").iter().map(|bytes| MemberRecord::from_bytes(bytes).unwrap()).collect();
+    assert_eq!(read, records());
 }
 
 /// Names become numbers that all nodes must agree on; states and phases have words that staff's calls answer with.
 #[test]
 fn hashes_and_words_are_the_same_everywhere() {
-    let states = [State::Alive, State::Stalled, State::Suspect, State::Dead, State::Left];
+    let states = [
+        MemberState::Alive,
+        MemberState::Stalled,
+        MemberState::Suspect,
+        MemberState::Dead,
+        MemberState::Left,
+    ];
     let phases = [Phase::Serving, Phase::Joining, Phase::LameDuck];
     let text = [
-        format!("key of n1 {:016x}\n", Key::of("n1").0),
-        format!("fleet tablero {:016x}\n", fleet("tablero")),
-        format!("hash of a and b {:016x}\n", hash(&[b"a", b"b"])),
-        states.map(|state| format!("state {} {}\n", state.number(), state.word())).concat(),
-        phases.map(|phase| format!("phase {}\n", phase.word())).concat(),
-        format!("stamp {}\n", cards()[0].stamp()),
+        format!("key of n1 {:016x}\n", MemberId::from_name("n1").0),
+        format!("fleet tablero {:016x}\n", FleetId::from_name("tablero").0),
+        format!("hash of a and b {:016x}\n", stable_hash(&[b"a", b"b"])),
+        states.map(|state| format!("state {} {}\n", state.code(), state.as_str())).concat(),
+        phases.map(|phase| format!("phase {}\n", phase.as_str())).concat(),
+        format!("stamp {}\n", records()[0].version()),
     ];
     assert_stored_text("hashes_and_words.txt", &text.concat());
 }
