--- /dev/null
+++ b/crates/sim/tests/stored_forms.rs
@@ -0,0 +1,128 @@
+//! The simulator's wire, record by record. The fixtures were written by version 0.2.0, before its types were renamed, and
+//! must stay readable: the simulator speaks this form and no other.
+
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+
+use pumicehead_policy::interface::*;
+use pumicehead_sim::{Decoder, Input, Reply};
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+/// Compares a whole text with a stored one.
+fn assert_stored_text(name: &str, text: &str) {
+    assert_eq!(text, fs::read_to_string(fixture(name)).unwrap(), "{name}");
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// The frame of a stored file of hexadecimal digits; what is behind `#` on a line is a remark.
+fn stored_frame(name: &str) -> Vec<u8> {
+    let text = fs::read_to_string(fixture(name)).unwrap();
+    let lines = text.lines().map(|line| line.split('#').next().unwrap_or_default());
+    let digits: String = lines.flat_map(str::split_whitespace).collect();
+    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+}
+
+fn server(id: u32, condition: Condition, weight: f32, started_at: Nanos) -> ServerInfo {
+    ServerInfo { id: ServerId(id), zone: ZoneId(0), cell: CellId(2), condition, weight, started_at }
+}
+
+/// What the records of `records.hex` say, in order.
+fn events() -> Vec<Event> {
+    let list: Arc<[ServerInfo]> = vec![
+        server(0x0312_4a07, Condition::Ready, 1.0, 0),
+        server(0x2c90_11f2, Condition::Draining, 1.5, 0x0000_0001_6b96_9d00),
+        server(3, Condition::Gone, 1.0, 5),
+    ]
+    .into();
+    let id = RequestId(0x5d3a_91c4);
+    let request = |hint, key| {
+        let (class, tenant, not_after) = (ClassId(0), None, 0x0000_0002_03b6_db90);
+        Event::Request(NewRequest { id, class, tenant, hint, key, not_after })
+    };
+    let mut all = vec![
+        Event::Members(ListChange::Delta(list.clone())),
+        Event::Members(ListChange::Full(list.clone())),
+        Event::Members(ListChange::Cached(list)),
+        Event::Members(ListChange::Failed),
+        request(Some(12_000_000), Some(0x91f0_3b7c_55d2_0a64)),
+        request(None, None),
+        Event::Streaming { id, attempt: AttemptNo(1) },
+    ];
+    let outcomes = [
+        Outcome::Ok,
+        Outcome::Error,
+        Outcome::Full,
+        Outcome::TimedOut,
+        Outcome::ConnectFailed,
+        Outcome::Reset,
+        Outcome::Cancelled,
+        Outcome::Moot,
+    ];
+    all.extend(outcomes.map(|outcome| {
+        let (server, took) = (ServerId(0x0312_4a07), 18_500_000);
+        let complete = outcome == Outcome::Ok;
+        Event::Ended(Ended { id, attempt: AttemptNo(2), server, outcome, took, complete })
+    }));
+    all.extend([
+        Event::ClientGone(RequestId(0x0e6f_2b19)),
+        Event::Timer(TimerToken(0x4d)),
+        Event::Note { from: 9, body: vec![1, 2, 3] },
+    ]);
+    all
+}
+
+#[test]
+fn records_of_every_kind_are_read_as_before() {
+    let batch = Decoder::default().decode(&stored_frame("records.hex")).unwrap();
+    assert_eq!((batch.now, batch.seq), (8_410_152_848, 12));
+    let (mut begun, mut killed, mut read) = (0, 0, Vec::new());
+    for (instance, input) in batch.input {
+        assert_eq!(instance, 3);
+        match input {
+            Input::Begin { seed, settings } => {
+                assert_eq!((seed, settings.classes.len(), settings.zones), (77, 1, 1));
+                begun += 1;
+            }
+            Input::Killed => killed += 1,
+            Input::Event(event) => read.push(event),
+        }
+    }
+    assert_eq!((begun, killed), (1, 1));
+    assert_eq!(read, events());
+}
+
+#[test]
+fn actions_of_every_kind_are_written_as_before() {
+    let (id, server, attempt) = (RequestId(0x5d3a_91c4), ServerId(0x0312_4a07), AttemptNo(2));
+    let actions = [
+        ("send", Action::Send { id, server, timeout: Some(80_000_000), by: None }),
+        ("send without a timeout", Action::Send { id, server, timeout: None, by: None }),
+        ("refuse", Action::Refuse { id, retry_after: Some(1_000_000) }),
+        ("refuse without a time", Action::Refuse { id, retry_after: None }),
+        ("fail", Action::Fail(id)),
+        ("cancel", Action::Cancel { id, attempt }),
+        ("timer", Action::Timer { at: 8_910_152_848, token: TimerToken(0x4d) }),
+        ("tell", Action::Tell { to: 9, body: vec![1, 2, 3].into() }),
+        ("free links", Action::FreeLinks(server)),
+        ("subscribe", Action::Subscribe),
+    ];
+    let mut text = String::new();
+    for (name, action) in actions {
+        let (mut reply, mut out) = (Reply::default(), Vec::new());
+        reply.push(3, &action);
+        reply.finish(12, &mut out);
+        text += &format!("{}  # {name}\n", hex(&out));
+    }
+    let (mut reply, mut out) = (Reply::default(), Vec::new());
+    reply.log(5, "two servers known");
+    reply.finish(13, &mut out);
+    text += &format!("{}  # log\n", hex(&out));
+    assert_stored_text("actions.hex", &text);
+}
