--- a/crates/node/tests/stored_forms.rs
+++ b/crates/node/tests/stored_forms.rs
@@ -4,10 +4,11 @@
 
 use std::collections::BTreeMap;
 use std::fs;
-use std::io::{Read, Write};
+use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::Command;
+use std::thread;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use pumicehead_rig::program::{LIMIT, Standalone, temporary, wait_for};
@@ -241,3 +242,27 @@
     let config = call(calls, "CONFIG");
     assert!(config.starts_with("OK revision 1 digest ") && config.trim_end().len() == 53, "{config}");
 }
+
+/// Answers one call with a stored text, as a node of the older version did, and says where.
+fn answering_once(answer: String) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    thread::spawn(move || {
+        let (mut caller, _) = listener.accept().unwrap();
+        let mut line = String::new();
+        BufReader::new(caller.try_clone().unwrap()).read_line(&mut line).unwrap();
+        assert!(line.starts_with("FLEET "), "{line}");
+        caller.write_all(answer.as_bytes()).unwrap();
+    });
+    address
+}
+
+#[test]
+fn an_older_nodes_view_of_its_fleet_is_shown_as_before() {
+    let (members, why) = (stored("fleet.members.json"), stored("fleet.why.json"));
+    let shown = run(&["fleet", "members", &answering_once(members.clone())]);
+    assert_stored_text("fleet.members.txt", &shown);
+    assert_eq!(run(&["fleet", "members", &answering_once(members.clone()), "--json"]), members);
+    assert_stored_text("fleet.why.txt", &run(&["fleet", "why", "n2", &answering_once(why.clone())]));
+    assert_eq!(run(&["fleet", "why", "n2", &answering_once(why.clone()), "--json"]), why);
+}
