--- a/crates/policy/tests/stored_forms.rs
+++ b/crates/policy/tests/stored_forms.rs
@@ -6,6 +6,7 @@
 
 use pumicehead_policy::interface::{RequestId, ServerId};
 use pumicehead_policy::note::{Hurdles, Moved, Note, Rule, Stop};
+use pumicehead_policy::peers::{Peers, write};
 use pumicehead_policy::policy::Knowledge;
 
 fn fixture(name: &str) -> PathBuf {
@@ -65,3 +66,14 @@
     }
     assert_eq!(text, expected);
 }
+
+/// What a node tells other nodes of its attempts, as bytes.
+#[test]
+fn notes_between_nodes_travel_as_before() {
+    let out = [(ServerId(0x0312_4a07), 2), (ServerId(9), 0), (ServerId(1), 300)];
+    let bytes = [1, 200, 0x07, 0x4a, 0x12, 0x03, 2, 1, 0, 0, 0, 255];
+    assert_eq!(write(200, out), bytes);
+    let mut peers = Peers::default();
+    peers.hear(7, &bytes, 5);
+    assert_eq!((peers.out(ServerId(0x0312_4a07)), peers.out(ServerId(1)), peers.heard()), (2, 255, 1));
+}
