--- /dev/null
+++ b/crates/membership/tests/stored_forms.rs
@@ -0,0 +1,175 @@
+//! Messages of the membership link as they travel between nodes. The fixtures were written by version 0.2.0, before its
+//! types were renamed, and must stay readable: nodes of both versions speak with each other.
+
+use std::fs;
+use std::path::Path;
+
+use prost::Message;
+use pumicehead_membership::record::{MemberId, MemberRecord, Phase, stable_hash};
+use pumicehead_membership::state::MemberState;
+use pumicehead_membership::wire::{Datagram, DatagramKind, FleetId, Frame, FrameKind, WireEntry};
+
+/// Compares a whole text with a stored one.
+fn assert_stored_text(name: &str, text: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    assert_eq!(text, fs::read_to_string(path).unwrap(), "{name}");
+}
+
+/// The bytes of each line of a stored file of hexadecimal digits.
+fn stored_lines(name: &str) -> Vec<Vec<u8>> {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
+    fs::read_to_string(path).unwrap().lines().map(bytes).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
+}
+
+fn hex_line(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n"
+}
+
+fn records() -> Vec<MemberRecord> {
+    let phases = [Phase::Serving, Phase::Joining, Phase::LameDuck];
+    let card = |phase| {
+        let mut card = MemberRecord {
+            name: "n1".into(),
+            epoch: 1_700_000_000_000,
+            incarnation: 3,
+            address: "127.0.0.1:7001".into(),
+            zone: "cdmx".into(),
+            program_version: "0.2.0".into(),
+            protocol_minor: 0,
+            load_eighths: 5,
+            phase: 0,
+            node_number: 2,
+            capabilities: vec!["view".into(), "plan".into()],
+        };
+        card.set_phase(phase);
+        card
+    };
+    phases.into_iter().map(card).collect()
+}
+
+/// An entry for each state that a member may be held for.
+fn entries() -> Vec<WireEntry> {
+    let states = [
+        MemberState::Alive,
+        MemberState::Stalled,
+        MemberState::Suspect,
+        MemberState::Dead,
+        MemberState::Left,
+    ];
+    let entry = |(place, state): (usize, MemberState)| WireEntry {
+        record: records()[place % 3].encode_to_vec(),
+        state: state.code(),
+        age_deciseconds: 17 + place as u32,
+        reporter: MemberId::from_name("n2").0,
+        connection_refused: place % 2 == 1,
+    };
+    states.into_iter().enumerate().map(entry).collect()
+}
+
+/// A datagram of each kind.
+fn datagrams() -> Vec<Datagram> {
+    let kinds = [
+        DatagramKind::Gossip,
+        DatagramKind::Ping,
+        DatagramKind::IndirectPing,
+        DatagramKind::Ack,
+        DatagramKind::Nack,
+    ];
+    let datagram = |(place, kind): (usize, DatagramKind)| Datagram {
+        protocol_major: 1,
+        protocol_minor: 0,
+        fleet_id: FleetId::from_name("tablero").0,
+        sender_id: MemberId::from_name("n1").0,
+        sender_epoch: 1_700_000_000_000,
+        kind: kind.into(),
+        seq: 40 + place as u32,
+        target_id: MemberId::from_name("n3").0,
+        record_unknown: place % 2 == 1,
+        updates: entries().into_iter().take(place + 1).collect(),
+    };
+    kinds.into_iter().enumerate().map(datagram).collect()
+}
+
+/// A frame of each step.
+fn frames() -> Vec<Frame> {
+    let steps = [
+        FrameKind::Unknown,
+        FrameKind::Ping,
+        FrameKind::Ack,
+        FrameKind::Digest,
+        FrameKind::InSync,
+        FrameKind::PartitionDigests,
+        FrameKind::Entries,
+        FrameKind::Reject,
+    ];
+    let frame = |(place, step): (usize, FrameKind)| Frame {
+        protocol_major: 1,
+        protocol_minor: 0,
+        fleet_id: FleetId::from_name("tablero").0,
+        sender_id: MemberId::from_name("n1").0,
+        sender_epoch: 1_700_000_000_000,
+        kind: step.into(),
+        fingerprint: 0x0123_4567_89ab_cdef,
+        partitions: (0..place as u64).collect(),
+        entries: entries().into_iter().take(place).collect(),
+        reject_reason: if step == FrameKind::Reject { "of another fleet".into() } else { String::new() },
+    };
+    steps.into_iter().enumerate().map(frame).collect()
+}
+
+#[test]
+fn datagrams_travel_as_before() {
+    let written: String = datagrams().iter().map(|one| hex_line(&one.encode_to_vec())).collect();
+    assert_stored_text("datagrams.hex", &written);
+    let read: Vec<_> = stored_lines("datagrams.hex")
+        .iter()
+        .map(|bytes| Datagram::from_bytes(bytes, FleetId::from_name("tablero")).unwrap())
+        .collect();
+    assert_eq!(read, datagrams());
+}
+
+#[test]
+fn stream_frames_travel_as_before() {
+    let written: String = frames().iter().map(|one| hex_line(&one.encode_to_vec())).collect();
+    assert_stored_text("frames.hex", &written);
+    let read: Vec<_> = stored_lines("frames.hex")
+        .iter()
+        .map(|bytes| Frame::from_bytes(bytes, FleetId::from_name("tablero")).unwrap())
+        .collect();
+    assert_eq!(read, frames());
+}
+
+#[test]
+fn records_travel_as_before() {
+    let written: String = records().iter().map(|one| hex_line(&one.encode_to_vec())).collect();
+    assert_stored_text("cards.hex", &written);
+    let read: Vec<_> =
+        stored_lines("cards.hex").iter().map(|bytes| MemberRecord::from_bytes(bytes).unwrap()).collect();
+    assert_eq!(read, records());
+}
+
+/// Names become numbers that all nodes must agree on; states and phases have words that staff's calls answer with.
+#[test]
+fn hashes_and_words_are_the_same_everywhere() {
+    let states = [
+        MemberState::Alive,
+        MemberState::Stalled,
+        MemberState::Suspect,
+        MemberState::Dead,
+        MemberState::Left,
+    ];
+    let phases = [Phase::Serving, Phase::Joining, Phase::LameDuck];
+    let text = [
+        format!("key of n1 {:016x}\n", MemberId::from_name("n1").0),
+        format!("fleet tablero {:016x}\n", FleetId::from_name("tablero").0),
+        format!("hash of a and b {:016x}\n", stable_hash(&[b"a", b"b"])),
+        states.map(|state| format!("state {} {}\n", state.code(), state.as_str())).concat(),
+        phases.map(|phase| format!("phase {}\n", phase.as_str())).concat(),
+        format!("stamp {}\n", records()[0].version()),
+    ];
+    assert_stored_text("hashes_and_words.txt", &text.concat());
+}
--- a/crates/node/src/fleet/event_loop.rs
+++ b/crates/node/src/fleet/event_loop.rs
@@ -38,7 +38,7 @@
                     // An earlier datagram was refused; the missing ack says the same.
                     Err(error) => debug!(target: "fleet", %error, "receiving a datagram failed"),
                 },
-                () = sleep_until(self.clock.instant(next)) => self.run_timers(),
+                () = sleep_until(self.clock.instant_at(next)) => self.run_timers(),
                 () = self.changed.notified() => {}
             }
         }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -27,7 +27,7 @@
 
 use crate::eyes::Eyes;
 use crate::net::clock::Clock;
-use crate::net::tap::Tap;
+use crate::net::recorder_sink::RecorderSink;
 
 /// File descriptors that the member may hold: its two sockets, and streams.
 pub const DESCRIPTORS: usize = 2 + streams::MAX_INBOUND_STREAMS + streams::MAX_OUTBOUND_STREAMS;
@@ -59,7 +59,7 @@
     name: String,
     member: RefCell<Membership>,
     clock: Clock,
-    recorder: Tap,
+    recorder: RecorderSink,
     datagrams: UdpSocket,
     /// Wakes the event loop after a call from outside of it, which may have left outputs or moved a timer.
     changed: Notify,
@@ -86,7 +86,7 @@
         let membership_config = MembershipConfig {
             settings: Settings::default(),
             fleet_name: config.name.clone(),
-            record: own_record(config, node, address, clock.began()),
+            record: own_record(config, node, address, clock.started_at()),
             seeds: config.seeds.clone(),
             address_overrides: config.reach.clone(),
             initial_node_count: node.nodes,
--- a/crates/node/src/net/core/mod.rs
+++ b/crates/node/src/net/pool_loop/mod.rs
@@ -2,6 +2,7 @@
 //! place that knows both requests and the ids of the module. A node has one loop for each pool of servers.
 
 mod actions;
+mod in_flight;
 mod requests;
 mod stall;
 
@@ -23,50 +24,50 @@
 use tokio::time::sleep_until;
 use tracing::{info, warn};
 
-use self::stall::Stalls;
-use crate::net::ask::Answer;
+use self::stall::StallDetector;
+use crate::net::admin_overrides::AdminOverrides;
 use crate::net::clock::Clock;
-use crate::net::discovery::{List, WatchError};
-use crate::net::handle::{Handle, Held};
-use crate::net::hands::Hands;
-use crate::net::message::{Members, Message};
-use crate::net::open::{Due, Open};
-use crate::net::roster::{Roster, UnknownSite};
-use crate::net::tap::Tap;
-use crate::net::transport::Transport;
-use crate::net::watch::Watch;
+use crate::net::discovery::watch_task::WatchTask;
+use crate::net::discovery::{EndpointList, WatchError};
+use crate::net::endpoint_directory::{EndpointDirectory, UnknownZoneError};
+use crate::net::exchange::FinalResponse;
+use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
+use crate::net::pool_loop::in_flight::{InFlightRequest, TimerKind};
+use crate::net::pool_message::{EndpointCounts, PoolMessage};
+use crate::net::recorder_sink::RecorderSink;
+use crate::net::upstream::transport::Transport;
 
 /// A request that has no final answer this long after its deadline gets one from the event loop: the module
 /// answers earlier, by the time-out of its attempts or its own timers.
 const OVERDUE: Nanos = SECOND / 100;
 /// What an earlier process has learned is taken over for so long.
-pub const WORTH: Nanos = 30 * SECOND;
+pub const WARM_STATE_MAX_AGE: Nanos = 30 * SECOND;
 /// How often idle connections are looked over.
 const SWEEP: Nanos = SECOND;
 /// Pause before an agent that pushes the list is asked again.
-pub const AGENT_PAUSE: Duration = Duration::from_millis(250);
+pub const AGENT_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// A pool that is gone from the configuration serves the requests it has for so long; from then on nothing new is
 /// sent, well within the 2 s in which a drain must be kept.
 const GRACE: Nanos = SECOND;
 
 /// Where a loop's list of servers comes from.
-pub enum Source {
+pub enum EndpointSource {
     /// A service is watched, after the list that was known last.
     Watch {
         /// Its address.
-        discovery: SocketAddr,
+        address: SocketAddr,
         /// The list as it was known last; where there is none, the service is asked at once.
-        known: Option<List>,
+        last_list: Option<EndpointList>,
         /// It is asked at once all the same, and not when the module thinks best: this process takes over from another,
         /// whose news bind it.
-        at_once: bool,
+        poll_at_start: bool,
     },
     /// The configuration has it.
-    Fixed(List),
+    Fixed(EndpointList),
 }
 
 /// What a loop is made of.
-pub struct Setup {
+pub struct PoolConfig {
     /// What the module is told.
     pub settings: Settings,
     /// For its random numbers.
@@ -74,73 +75,75 @@
     /// The zones, by name.
     pub zones: Vec<String>,
     /// Its servers.
-    pub source: Source,
+    pub endpoints: EndpointSource,
     /// How attempts travel.
     pub transport: Rc<dyn Transport>,
     /// Servers taken out by hand.
-    pub hands: Rc<Hands>,
+    pub overrides: Rc<AdminOverrides>,
     /// What an earlier process of this node has learned.
-    pub learned: Option<WarmState>,
+    pub warm_state: Option<WarmState>,
     /// The node's clock.
     pub clock: Clock,
     /// The way to the recorder, where there is one.
-    pub tap: Option<Tap>,
+    pub recorder: Option<RecorderSink>,
 }
 
 /// The event loop's state.
-pub struct Core {
+pub struct PoolLoop {
     balancer: Balancer,
-    roster: Roster,
-    messages: mpsc::UnboundedReceiver<Message>,
-    to_self: mpsc::UnboundedSender<Message>,
+    roster: EndpointDirectory,
+    messages: mpsc::UnboundedReceiver<PoolMessage>,
+    to_self: mpsc::UnboundedSender<PoolMessage>,
     clock: Clock,
-    tap: Option<Tap>,
-    timers: BTreeSet<(Nanos, Due)>,
+    tap: Option<RecorderSink>,
+    timers: BTreeSet<(Nanos, TimerKind)>,
     events: VecDeque<Event>,
-    open: FxHashMap<RequestId, Open>,
+    open: FxHashMap<RequestId, InFlightRequest>,
     pushed: bool,
-    /// As [`Settings::full_unproven`].
+    /// As `Settings::rejection_may_execute`.
     full_unproven: bool,
     /// Advice with a refusal of what could not be sent again, where the settings allow any.
     advice: Option<Nanos>,
-    watch: Watch,
+    watch: WatchTask,
     /// Ways to this loop that are left: a request may still be on its way to be asked.
     handles: Weak<Cell<u32>>,
     retired: bool,
     /// Taken over as servers become known, for as long as it is worth anything.
     learned: Option<WarmState>,
-    stalls: Stalls,
+    stalls: StallDetector,
 }
 
-impl Core {
+impl PoolLoop {
     /// An event loop that has not begun, and the way to it.
-    pub fn new(setup: Setup, held: Held) -> (Self, Handle) {
+    pub fn new(setup: PoolConfig, held: ActiveRequestIds) -> (Self, PoolHandle) {
         let (to_self, messages) = mpsc::unbounded_channel();
-        let (handle, handles) = Handle::new(to_self.clone(), held, setup.tap.clone());
-        let (discovery, known, at_once, fixed) = match setup.source {
-            Source::Watch { discovery, known, at_once } => (Some(discovery), known, at_once, None),
-            Source::Fixed(list) => (None, None, false, Some(list)),
+        let (handle, handles) = PoolHandle::new(to_self.clone(), held, setup.recorder.clone());
+        let (discovery, known, at_once, fixed) = match setup.endpoints {
+            EndpointSource::Watch { address, last_list, poll_at_start } => {
+                (Some(address), last_list, poll_at_start, None)
+            }
+            EndpointSource::Fixed(list) => (None, None, false, Some(list)),
         };
         let mut core = Self {
             pushed: setup.settings.discovery == Discovery::Push,
             full_unproven: setup.settings.rejection_may_execute,
             advice: setup.settings.retry_after_hint(),
             balancer: Balancer::new(setup.settings, setup.seed),
-            roster: Roster::new(setup.zones, setup.transport, setup.hands),
+            roster: EndpointDirectory::new(setup.zones, setup.transport, setup.overrides),
             messages,
             to_self,
             clock: setup.clock,
-            tap: setup.tap,
+            tap: setup.recorder,
             timers: BTreeSet::new(),
             events: VecDeque::new(),
             open: FxHashMap::default(),
-            watch: Watch::new(discovery),
+            watch: WatchTask::new(discovery),
             handles,
             retired: false,
-            learned: setup.learned,
-            stalls: Stalls::default(),
+            learned: setup.warm_state,
+            stalls: StallDetector::default(),
         };
-        core.timers.insert((core.now() + SWEEP, Due::Sweep));
+        core.timers.insert((core.now() + SWEEP, TimerKind::SweepIdleConnections));
         if let Some(list) = fixed {
             core.set_servers(list);
             return (core, handle);
@@ -174,7 +177,7 @@
                 return;
             }
             let next = self.timers.first().map_or(Nanos::MAX, |(at, _)| *at);
-            let wake = self.clock.instant(next);
+            let wake = self.clock.instant_at(next);
             tokio::select! {
                 message = self.messages.recv() => match message {
                     Some(message) => self.on_message(message),
@@ -212,19 +215,20 @@
         while let Some(event) = self.events.pop_front() {
             let listed = matches!(event, Event::EndpointsUpdated(_));
             let now = self.now();
-            self.balancer.record_every_decision(self.tap.as_ref().is_some_and(Tap::is_on));
+            self.balancer.record_every_decision(self.tap.as_ref().is_some_and(RecorderSink::is_recording));
             self.balancer.handle(now, event, &mut actions);
             for note in self.balancer.decision_events() {
                 if note.is_logged() {
                     info!(target: "decisions", "{}", self.worded(note));
                 }
-                if let Some(tap) = self.tap.as_ref().filter(|tap| tap.is_on()) {
+                if let Some(tap) = self.tap.as_ref().filter(|tap| tap.is_recording()) {
                     tap.record_at(now, &Told::Note(*note));
                 }
             }
             let now = self.now();
-            if let Some(learned) = self.learned.take_if(|learned| listed || learned.age(now) > WORTH)
-                && learned.age(now) <= WORTH
+            if let Some(learned) =
+                self.learned.take_if(|learned| listed || learned.age(now) > WARM_STATE_MAX_AGE)
+                && learned.age(now) <= WARM_STATE_MAX_AGE
             {
                 self.balancer.restore_warm_state(&learned, now);
                 self.learned = Some(learned);
@@ -255,22 +259,24 @@
             }
             self.timers.pop_first();
             match due {
-                Due::Timer(token) => self.events.push_back(Event::TimerFired(TimerToken(token))),
-                Due::Overdue(_) if !self.messages.is_empty() => {
+                TimerKind::Policy(token) => self.events.push_back(Event::TimerFired(TimerToken(token))),
+                TimerKind::RequestOverdue(_) if !self.messages.is_empty() => {
                     // Its answer may be among what was told before: a loop that is late must not throw that away.
                     self.timers.insert((at, due));
                     self.hear();
                 }
-                Due::Overdue(id) => match self.later(RequestId(id)) {
+                TimerKind::RequestOverdue(id) => match self.later(RequestId(id)) {
                     Some(later) => drop(self.timers.insert((later, due))),
                     None => self.on_overdue(RequestId(id)),
                 },
-                Due::Sweep => {
+                TimerKind::SweepIdleConnections => {
                     self.roster.transport().sweep();
-                    self.timers.insert((self.now() + SWEEP, Due::Sweep));
+                    self.timers.insert((self.now() + SWEEP, TimerKind::SweepIdleConnections));
+                }
+                TimerKind::RetryWatch => self.ask_for_list(),
+                TimerKind::ClearEndpoints => {
+                    self.set_servers(EndpointList { complete: true, ..EndpointList::default() })
                 }
-                Due::Subscribe => self.ask_for_list(),
-                Due::Empty => self.set_servers(List { whole: true, ..List::default() }),
             }
             self.feed();
         }
@@ -285,73 +291,73 @@
         }
     }
 
-    fn on_message(&mut self, message: Message) {
+    fn on_message(&mut self, message: PoolMessage) {
         match message {
-            Message::Request(id, ask, arrived, answer, name) => {
+            PoolMessage::Request(id, ask, arrived, answer, name) => {
                 self.on_request(id, *ask, arrived, answer, name);
             }
-            Message::ClientGone(id) => self.on_client_gone(id),
-            Message::Ended { id, attempt, server, sent, end } => {
+            PoolMessage::ClientDisconnected(id) => self.on_client_gone(id),
+            PoolMessage::AttemptEnded { id, attempt, server, sent, end } => {
                 self.on_ended(id, attempt, server, sent, end)
             }
-            Message::Began(id, attempt, served) => {
+            PoolMessage::ResponseStarted(id, attempt, served) => {
                 // Another copy may have been faster; this one is then dropped, which ends it.
                 self.tell(&Told::Began { id, attempt });
-                if self.answer(id, Answer::Served(served)) {
+                if self.answer(id, FinalResponse::Upstream(served)) {
                     self.events.push_back(Event::ResponseStarted { id, attempt });
                 }
             }
-            Message::List(watch, list) => {
+            PoolMessage::ListReceived(watch, list) => {
                 // What an earlier watch said last is old news.
                 if self.watch.is_current(watch)
                     && let Err(error) = self.on_list(list, false)
                 {
-                    self.on_watch_ended(watch, &WatchError::List(error.to_string()));
+                    self.on_watch_ended(watch, &WatchError::MalformedList(error.to_string()));
                 }
             }
-            Message::WatchEnded(watch, error) => self.on_watch_ended(watch, &error),
-            Message::Moved(address) => {
-                if self.watch.moves(address) {
+            PoolMessage::WatchEnded(watch, error) => self.on_watch_ended(watch, &error),
+            PoolMessage::DiscoveryMoved(address) => {
+                if self.watch.set_address(address) {
                     // Another service's versions mean nothing to this one: the whole list is asked for.
                     self.roster.seq = 0;
                     self.subscribe();
                 }
             }
-            Message::Servers(mut list) => {
+            PoolMessage::SetEndpoints(mut list) => {
                 self.roster.date(&mut list, self.now() / 1_000_000);
                 self.set_servers(list);
             }
-            Message::Retune(settings) => {
+            PoolMessage::UpdateSettings(settings) => {
                 if !self.balancer.update_settings(*settings) {
                     warn!(target: "settings", "settings that can't be changed in place are not used");
                 }
             }
-            Message::Sharing(sharing) => {
+            PoolMessage::SetNodeShare(sharing) => {
                 self.tell(&Told::Sharing { nodes: sharing.node_count, number: sharing.node_index });
                 self.events.push_back(Event::NodeShare(sharing));
             }
-            Message::Retire { gone } => {
+            PoolMessage::Retire { gone } => {
                 self.retired = true;
                 self.watch.stop();
                 if gone {
-                    self.timers.insert((self.now() + GRACE, Due::Empty));
+                    self.timers.insert((self.now() + GRACE, TimerKind::ClearEndpoints));
                 }
             }
-            Message::Restate(names) => {
+            PoolMessage::RefreshOverrides(names) => {
                 if let Some(change) = self.roster.restate(&names) {
                     self.list(change);
                 }
             }
-            Message::Look(reply) => {
+            PoolMessage::CountEndpoints(reply) => {
                 let ids = self.roster.ids();
                 let listed = ids.clone().count();
                 let unavailable =
                     ids.filter(|&id| !self.roster.is_ready(id) || self.balancer.avoids(id)).count();
                 // Whoever asked may have gone.
-                let _ = reply.send(Members { listed, unavailable });
+                let _ = reply.send(EndpointCounts { listed, unavailable });
             }
-            Message::Learned(reply) => drop(reply.send(self.balancer.warm_state(self.now()))),
-            Message::GiveUp => {
+            PoolMessage::GetWarmState(reply) => drop(reply.send(self.balancer.warm_state(self.now()))),
+            PoolMessage::FailAll => {
                 let open: Vec<_> = self.open.keys().copied().collect();
                 for id in open {
                     self.on_overdue(id);
@@ -367,14 +373,14 @@
     /// Begins a watch, in place of any that is under way.
     fn subscribe(&mut self) {
         if !self.retired {
-            self.watch.begin(self.roster.seq, self.pushed, self.to_self.clone());
+            self.watch.start(self.roster.seq, self.pushed, self.to_self.clone());
         }
     }
 
     /// A timer wants the list. It may have been armed before the service moved, or before the watch that is under way
     /// began: one that has not spoken yet is as good as any new one, which would wait behind it. Its end asks again.
     fn ask_for_list(&mut self) {
-        if !self.watch.is_under_way() {
+        if !self.watch.is_running() {
             self.subscribe();
         }
     }
@@ -386,8 +392,8 @@
         self.watch.stop();
         warn!(target: "discovery", "watch lost: {error}");
         if self.pushed {
-            let pause = AGENT_PAUSE.as_nanos() as Nanos;
-            self.timers.insert((self.now() + pause, Due::Subscribe));
+            let pause = AGENT_RETRY_DELAY.as_nanos() as Nanos;
+            self.timers.insert((self.now() + pause, TimerKind::RetryWatch));
         } else {
             self.events.push_back(Event::EndpointsUpdated(EndpointUpdate::WatchFailed));
         }
@@ -396,19 +402,19 @@
     /// The module hears of the servers, and so does the recorder.
     fn list(&mut self, change: EndpointUpdate) {
         if let Some(tap) = &self.tap {
-            tap.list(&change, |id| self.roster.name(id));
+            tap.record_endpoints(&change, |id| self.roster.name(id));
         }
         self.events.push_back(Event::EndpointsUpdated(change));
     }
 
-    fn on_list(&mut self, list: List, cached: bool) -> Result<(), UnknownSite> {
+    fn on_list(&mut self, list: EndpointList, cached: bool) -> Result<(), UnknownZoneError> {
         let change = self.roster.apply(list, cached)?;
         self.list(change);
         Ok(())
     }
 
     /// Takes the servers of the configuration, whose zones are known.
-    fn set_servers(&mut self, list: List) {
+    fn set_servers(&mut self, list: EndpointList) {
         if let Err(error) = self.on_list(list, false) {
             warn!(target: "settings", "the servers of the configuration are not used: {error}");
         }
@@ -416,5 +422,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../../tests/unit/core.rs"]
+#[path = "../../../tests/unit/pool_loop.rs"]
 mod tests;
