--- a/crates/membership/src/entry.rs
+++ b/crates/membership/src/entry.rs
@@ -65,7 +65,7 @@
     pub reachable_from_here: bool,
     /// Probes in a row that only indirect probes got an ack for.
     pub consecutive_indirect_acks: u8,
-    /// State changes of late; see [`crate::settings::FLAP_THRESHOLD`].
+    /// Recent state changes; see [`crate::settings::FLAP_THRESHOLD`].
     pub flap_count: u8,
     /// Since when it is in this state, on the local clock.
     pub state_since: SignedNanos,
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -102,7 +102,7 @@
                 if !helpers_responded {
                     self.awareness.degrade(1);
                 }
-                if !self.is_isolated_from(now, probe.target) {
+                if !self.attribute_to_isolation(now, probe.target) {
                     self.apply_observation(now, probe.target, MemberState::Suspect, false);
                 }
             }
@@ -132,14 +132,15 @@
         let since = *self.unresponsive_since.entry(probe.target).or_insert(probe.started_at);
         if now < since + STALL_CONFIRMATION {
             self.probe_schedule.prioritize(probe.target);
-        } else if !self.is_isolated_from(now, probe.target) {
+        } else if !self.attribute_to_isolation(now, probe.target) {
             self.apply_observation(now, probe.target, MemberState::Stalled, false);
         }
     }
 
-    /// Whether a missing answer is put down to this member's own isolation: most of its probes fail, nobody else suspects the
-    /// target, and it was heard from within the unconfirmed timeout. Such a target counts as unreachable from here.
-    fn is_isolated_from(&mut self, now: Nanos, target: MemberId) -> bool {
+    /// Puts a missing answer down to this member's own isolation where most of its probes fail, the target is not suspected yet,
+    /// and it was heard from within the unconfirmed timeout. The target counts as unreachable from here then. Returns whether
+    /// that is so.
+    fn attribute_to_isolation(&mut self, now: Nanos, target: MemberId) -> bool {
         let Some(entry) = self.table.get(target) else { return true };
         let is_isolated = self.probe_history.is_isolated()
             && elapsed(now, entry.last_heard) < self.settings.unconfirmed_timeout
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -57,12 +57,12 @@
         self.0[timer as usize] = at;
     }
 
-    /// Moves a timer forward to `at` unless it is due before.
+    /// Brings a timer that is due later forward to `at`.
     pub(super) fn set_no_later_than(&mut self, timer: Timer, at: Nanos) {
         self.set(timer, self.at(timer).min(at));
     }
 
-    /// Moves overdue timers to `now`.
+    /// Moves timers that are overdue to `now`.
     pub(super) fn postpone_overdue(&mut self, timers: &[Timer], now: Nanos) {
         for &timer in timers {
             self.set(timer, self.at(timer).max(now));
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -10,8 +10,8 @@
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// Maximum size of a stream frame in bytes: a whole table fits.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
-/// State changes within [`Settings::flap_window`] from which on a member counts as flapping. A restart and a stall in a
-/// minute are fewer.
+/// A member with more than this many cycles of going and coming back, of two state changes each, is flapping: updates about it
+/// are delayed. A restart and a stall in a minute are fewer.
 pub const FLAP_THRESHOLD: u32 = 4;
 /// A timer that fires this late means that the process was stalled.
 pub const STALL_THRESHOLD: Nanos = 300 * MS;
@@ -48,7 +48,7 @@
     pub confirmed_death_grace: Nanos,
     /// The same where it merely does not answer: it may use the servers on the other side of a network partition.
     pub unconfirmed_death_grace: Nanos,
-    /// Window in which state changes count as flapping.
+    /// A member's state changes are counted anew where it was not heard from for this long.
     pub flap_window: Nanos,
 }
 
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -10,6 +10,8 @@
 pub const MAJOR: u32 = 1;
 /// Minor version of the protocol; a later one may add fields and kinds.
 pub const MINOR: u32 = 0;
+/// Bytes before an entry within a message: one of tag, up to three of length.
+const TAG_AND_LENGTH_BYTES: usize = 4;
 
 /// Identifies a fleet: a hash of its name. Members reject messages of other fleets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -46,9 +48,7 @@
 impl WireEntry {
     /// Bytes that the entry takes within a message, with tag and length.
     pub(crate) fn embedded_len(&self) -> usize {
-        /// One byte of tag, three of length.
-        const TAG_AND_LENGTH: usize = 4;
-        self.encoded_len() + TAG_AND_LENGTH
+        self.encoded_len() + TAG_AND_LENGTH_BYTES
     }
 }
 
--- a/crates/node/src/fleet/event_loop.rs
+++ b/crates/node/src/fleet/event_loop.rs
@@ -100,13 +100,21 @@
                 info!(target: "fleet", member = %name, "member reachable from here again");
             }
             Event::ReachabilityChanged { name, reachable: false } => {
-                warn!(target: "fleet", member = %name, "member unreachable from here; others reach it, or this node is isolated");
+                warn!(
+                    target: "fleet",
+                    member = %name,
+                    "member unreachable from here; others reach it, or this node is isolated"
+                );
             }
             Event::ProcessStalled { duration } => {
                 warn!(target: "fleet", duration_ms = duration / MS, "event loop stalled");
             }
             Event::Superseded { address } => {
-                warn!(target: "fleet", %address, "a later process has this node's name; this one is no member any more");
+                warn!(
+                    target: "fleet",
+                    %address,
+                    "a later process has this node's name; this one is no member any more"
+                );
             }
             Event::PeerRejected { address, error } => {
                 self.rejected_peers.set(self.rejected_peers.get() + 1);
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -117,7 +117,7 @@
     }
 
     /// The node's index and the number of nodes that share the servers, as they change; `None` until the fleet is joined.
-    pub fn sharing(&self) -> watch::Receiver<Option<NodeShare>> {
+    pub fn node_share(&self) -> watch::Receiver<Option<NodeShare>> {
         self.node_share.subscribe()
     }
 
--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -82,7 +82,7 @@
     // The node keeps copies: no text and no tree.
     drop(reading);
     if let Some(fleet) = &fleet {
-        task::spawn_local(share(site.clone(), fleet.sharing()));
+        task::spawn_local(share(site.clone(), fleet.node_share()));
         task::spawn_local(tell_load(site.clone(), fleet.clone()));
     }
     if let Some(listener) = listener {
