--- a/crates/config/tests/stored_forms.rs
+++ b/crates/config/tests/stored_forms.rs
@@ -5,10 +5,10 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use pumicehead_lang::diff::{Shown, diff};
-use pumicehead_lang::disk::Disk;
-use pumicehead_lang::explain::{Request, explain};
-use pumicehead_lang::{Checked, check, diag};
+use pumicehead_config::diff::{Shown, diff};
+use pumicehead_config::disk::Disk;
+use pumicehead_config::explain::{Request, explain};
+use pumicehead_config::{Checked, check, diag};
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
@@ -48,7 +48,7 @@
     let changes = diff(old.config.as_ref().unwrap(), new.config.as_ref().unwrap());
     let mut text = String::new();
     for change in &changes {
-        let removed = change.what == pumicehead_lang::diff::What::Removed;
+        let removed = change.what == pumicehead_config::diff::What::Removed;
         let sources = if removed { &old.sources } else { &new.sources };
         text += &format!("{}\n", Shown { change, sources });
     }
--- a/crates/load-generator/tests/stored_forms.rs
+++ b/crates/load-generator/tests/stored_forms.rs
@@ -5,10 +5,10 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use pumicehead_load::mix::Mix;
-use pumicehead_load::outcome::ENDS;
-use pumicehead_load::report::Summary;
-use pumicehead_load::trace::{Format, Replay, format_of, parse, write_csv};
+use pumicehead_load_generator::mix::Mix;
+use pumicehead_load_generator::outcome::ENDS;
+use pumicehead_load_generator::report::Summary;
+use pumicehead_load_generator::trace::{Format, Replay, format_of, parse, write_csv};
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
--- a/crates/policy/tests/stored_forms.rs
+++ b/crates/policy/tests/stored_forms.rs
@@ -8,8 +8,8 @@
 use pumicehead_policy::decision_event::{
     DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RateLimitedLog, RejectionReason,
 };
-use pumicehead_policy::{EndpointId, RequestId, SECOND};
 use pumicehead_policy::load_reports::{Peers, write};
+use pumicehead_policy::{EndpointId, RequestId, SECOND};
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
@@ -102,10 +102,10 @@
 /// What a node tells other nodes of its attempts, as bytes.
 #[test]
 fn notes_between_nodes_travel_as_before() {
-    let out = [(ServerId(0x0312_4a07), 2), (ServerId(9), 0), (ServerId(1), 300)];
+    let out = [(EndpointId(0x0312_4a07), 2), (EndpointId(9), 0), (EndpointId(1), 300)];
     let bytes = [1, 200, 0x07, 0x4a, 0x12, 0x03, 2, 1, 0, 0, 0, 255];
     assert_eq!(write(200, out), bytes);
     let mut peers = Peers::default();
     peers.hear(7, &bytes, 5);
-    assert_eq!((peers.out(ServerId(0x0312_4a07)), peers.out(ServerId(1)), peers.heard()), (2, 255, 1));
+    assert_eq!((peers.out(EndpointId(0x0312_4a07)), peers.out(EndpointId(1)), peers.heard()), (2, 255, 1));
 }
--- a/crates/simulator-adapter/tests/stored_forms.rs
+++ b/crates/simulator-adapter/tests/stored_forms.rs
@@ -5,8 +5,8 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use pumicehead_policy::interface::*;
-use pumicehead_sim::{Decoder, Input, Reply};
+use pumicehead_policy::*;
+use pumicehead_simulator_adapter::{Decoder, Input, Reply};
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
@@ -29,51 +29,65 @@
     (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
 }
 
-fn server(id: u32, condition: Condition, weight: f32, started_at: Nanos) -> ServerInfo {
-    ServerInfo { id: ServerId(id), zone: ZoneId(0), cell: CellId(2), condition, weight, started_at }
+fn server(id: u32, condition: EndpointState, weight: f32, started_at: Nanos) -> EndpointInfo {
+    EndpointInfo {
+        id: EndpointId(id),
+        zone: ZoneId(0),
+        cell: CellId(2),
+        state: condition,
+        weight,
+        started_at,
+    }
 }
 
 /// What the records of `records.hex` say, in order.
 fn events() -> Vec<Event> {
-    let list: Arc<[ServerInfo]> = vec![
-        server(0x0312_4a07, Condition::Ready, 1.0, 0),
-        server(0x2c90_11f2, Condition::Draining, 1.5, 0x0000_0001_6b96_9d00),
-        server(3, Condition::Gone, 1.0, 5),
+    let list: Arc<[EndpointInfo]> = vec![
+        server(0x0312_4a07, EndpointState::Ready, 1.0, 0),
+        server(0x2c90_11f2, EndpointState::Draining, 1.5, 0x0000_0001_6b96_9d00),
+        server(3, EndpointState::Removed, 1.0, 5),
     ]
     .into();
     let id = RequestId(0x5d3a_91c4);
     let request = |hint, key| {
         let (class, tenant, not_after) = (ClassId(0), None, 0x0000_0002_03b6_db90);
-        Event::Request(NewRequest { id, class, tenant, hint, key, not_after })
+        Event::Request(NewRequest { id, class, tenant, cost_hint: hint, key, deadline: not_after })
     };
     let mut all = vec![
-        Event::Members(ListChange::Delta(list.clone())),
-        Event::Members(ListChange::Full(list.clone())),
-        Event::Members(ListChange::Cached(list)),
-        Event::Members(ListChange::Failed),
+        Event::EndpointsUpdated(EndpointUpdate::Delta(list.clone())),
+        Event::EndpointsUpdated(EndpointUpdate::Snapshot(list.clone())),
+        Event::EndpointsUpdated(EndpointUpdate::Restored(list)),
+        Event::EndpointsUpdated(EndpointUpdate::WatchFailed),
         request(Some(12_000_000), Some(0x91f0_3b7c_55d2_0a64)),
         request(None, None),
-        Event::Streaming { id, attempt: AttemptNo(1) },
+        Event::ResponseStarted { id, attempt: AttemptNo(1) },
     ];
     let outcomes = [
-        Outcome::Ok,
-        Outcome::Error,
-        Outcome::Full,
-        Outcome::TimedOut,
-        Outcome::ConnectFailed,
-        Outcome::Reset,
-        Outcome::Cancelled,
-        Outcome::Moot,
+        AttemptOutcome::Success,
+        AttemptOutcome::Error,
+        AttemptOutcome::Rejected,
+        AttemptOutcome::TimedOut,
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::Reset,
+        AttemptOutcome::Cancelled,
+        AttemptOutcome::NotSent,
     ];
     all.extend(outcomes.map(|outcome| {
-        let (server, took) = (ServerId(0x0312_4a07), 18_500_000);
-        let complete = outcome == Outcome::Ok;
-        Event::Ended(Ended { id, attempt: AttemptNo(2), server, outcome, took, complete })
+        let (server, took) = (EndpointId(0x0312_4a07), 18_500_000);
+        let complete = outcome == AttemptOutcome::Success;
+        Event::AttemptEnded(AttemptEnded {
+            id,
+            attempt: AttemptNo(2),
+            endpoint: server,
+            outcome,
+            duration: took,
+            final_answer: complete,
+        })
     }));
     all.extend([
-        Event::ClientGone(RequestId(0x0e6f_2b19)),
-        Event::Timer(TimerToken(0x4d)),
-        Event::Note { from: 9, body: vec![1, 2, 3] },
+        Event::ClientDisconnected(RequestId(0x0e6f_2b19)),
+        Event::TimerFired(TimerToken(0x4d)),
+        Event::LoadReport { from: 9, body: vec![1, 2, 3] },
     ]);
     all
 }
@@ -87,7 +101,7 @@
         assert_eq!(instance, 3);
         match input {
             Input::Begin { seed, settings } => {
-                assert_eq!((seed, settings.classes.len(), settings.zones), (77, 1, 1));
+                assert_eq!((seed, settings.classes.len(), settings.zone_count), (77, 1, 1));
                 begun += 1;
             }
             Input::Killed => killed += 1,
@@ -100,17 +114,23 @@
 
 #[test]
 fn actions_of_every_kind_are_written_as_before() {
-    let (id, server, attempt) = (RequestId(0x5d3a_91c4), ServerId(0x0312_4a07), AttemptNo(2));
+    let (id, server, attempt) = (RequestId(0x5d3a_91c4), EndpointId(0x0312_4a07), AttemptNo(2));
     let actions = [
-        ("send", Action::Send { id, server, timeout: Some(80_000_000), by: None }),
-        ("send without a timeout", Action::Send { id, server, timeout: None, by: None }),
-        ("refuse", Action::Refuse { id, retry_after: Some(1_000_000) }),
-        ("refuse without a time", Action::Refuse { id, retry_after: None }),
+        (
+            "send",
+            Action::StartAttempt { id, endpoint: server, timeout: Some(80_000_000), start_before: None },
+        ),
+        (
+            "send without a timeout",
+            Action::StartAttempt { id, endpoint: server, timeout: None, start_before: None },
+        ),
+        ("refuse", Action::Reject { id, retry_after: Some(1_000_000) }),
+        ("refuse without a time", Action::Reject { id, retry_after: None }),
         ("fail", Action::Fail(id)),
-        ("cancel", Action::Cancel { id, attempt }),
-        ("timer", Action::Timer { at: 8_910_152_848, token: TimerToken(0x4d) }),
-        ("tell", Action::Tell { to: 9, body: vec![1, 2, 3].into() }),
-        ("free links", Action::FreeLinks(server)),
+        ("cancel", Action::CancelAttempt { id, attempt }),
+        ("timer", Action::ArmTimer { at: 8_910_152_848, token: TimerToken(0x4d) }),
+        ("tell", Action::SendLoadReport { to: 9, body: vec![1, 2, 3].into() }),
+        ("free links", Action::CloseIdleConnections(server)),
         ("subscribe", Action::Subscribe),
     ];
     let mut text = String::new();
