--- a/crates/chaos/src/run/node_process.rs
+++ b/crates/chaos/src/run/node_process.rs
@@ -15,10 +15,11 @@
 /// Runs a node with SIGXFSZ ignored: a file that can't grow is an error to the node then, as on a full disk, and no signal.
 const NODE_SCRIPT: &str = "trap '' XFSZ; exec \"$0\" run \"$1\"";
 
-/// Words of the node's log before the address of each of its listeners.
-const MEMBERSHIP_LISTENER_WORDS: &str = " speaks on ";
-const CLIENT_LISTENER_WORDS: &str = " listens on ";
-const ADMIN_LISTENER_WORDS: &str = " takes calls on ";
+/// Words of the node's log before the address of each of its listeners, in this version and in earlier ones: a run may
+/// be played with another build of the node.
+const MEMBERSHIP_LISTENER_WORDS: [&str; 2] = [" fleet_address=", " speaks on "];
+const CLIENT_LISTENER_WORDS: [&str; 1] = [" listens on "];
+const ADMIN_LISTENER_WORDS: [&str; 1] = [" takes calls on "];
 
 /// Where a node listens.
 #[derive(Clone, Copy, Debug)]
@@ -65,16 +66,16 @@
 async fn read_addresses(mut lines: UnboundedReceiver<String>) -> Option<NodeAddresses> {
     let (mut membership, mut clients) = (None, None);
     while let Some(line) = lines.recv().await {
-        membership = membership.or(address_after(&line, MEMBERSHIP_LISTENER_WORDS));
-        clients = clients.or(address_after(&line, CLIENT_LISTENER_WORDS));
-        if let (Some(clients), Some(admin)) = (clients, address_after(&line, ADMIN_LISTENER_WORDS)) {
+        membership = membership.or(address_after(&line, &MEMBERSHIP_LISTENER_WORDS));
+        clients = clients.or(address_after(&line, &CLIENT_LISTENER_WORDS));
+        if let (Some(clients), Some(admin)) = (clients, address_after(&line, &ADMIN_LISTENER_WORDS)) {
             return Some(NodeAddresses { clients, admin, membership });
         }
     }
     None
 }
 
-fn address_after(line: &str, words: &str) -> Option<SocketAddr> {
-    let (_, address) = line.split_once(words)?;
+fn address_after(line: &str, words: &[&str]) -> Option<SocketAddr> {
+    let (_, address) = words.iter().find_map(|words| line.split_once(words))?;
     address.trim().parse().ok()
 }
