--- a/crates/chaos/src/fault_schedule.rs
+++ b/crates/chaos/src/fault_schedule.rs
@@ -161,11 +161,7 @@
                 self.add(start, FaultAction::ToggleBehaviorFault(index));
                 self.add(end, FaultAction::ToggleBehaviorFault(index));
             }
-            FaultKind::EndpointDrain { endpoints } => {
-                for (at, draining) in [(start, true), (end, false)] {
-                    self.add_each(at, endpoints, |endpoint| FaultAction::SetDraining { endpoint, draining });
-                }
-            }
+            FaultKind::EndpointDrain { endpoints } => self.add_drain(endpoints, start, end),
             // Clients draw their requests ahead, with the bursts.
             FaultKind::LoadBurst { .. } => {}
         }
@@ -206,6 +202,12 @@
         }
     }
 
+    fn add_drain(&mut self, endpoints: &[usize], start: Nanos, end: Nanos) {
+        for (at, draining) in [(start, true), (end, false)] {
+            self.add_each(at, endpoints, |endpoint| FaultAction::SetDraining { endpoint, draining });
+        }
+    }
+
     fn add_disk_full(&mut self, nodes: &[usize], start: Nanos, end: Nanos) {
         for &node in nodes {
             for (at, full) in [(start, true), (end, false)] {
--- a/crates/chaos/src/link/tcp.rs
+++ b/crates/chaos/src/link/tcp.rs
@@ -78,12 +78,7 @@
             connection = open_listener.accept() => match connection {
                 Ok((stream, _)) => {
                     accepted += 1;
-                    connections.spawn_local(carry(stream, Connection {
-                        target: *options.target.borrow(),
-                        settings: settings.clone(),
-                        rng: StdRng::seed_from_u64(options.seed.wrapping_add(accepted)),
-                        lateness: options.lateness.clone(),
-                    }));
+                    connections.spawn_local(carry(stream, Connection::new(&options, &settings, accepted)));
                 }
                 Err(_) => sleep(ACCEPT_RETRY).await,
             },
@@ -99,6 +94,18 @@
     lateness: LatenessGauge,
 }
 
+impl Connection {
+    /// Takes what holds now for the connection of this number.
+    fn new(options: &LinkOptions, settings: &watch::Receiver<LinkSettings>, number: u64) -> Self {
+        Self {
+            target: *options.target.borrow(),
+            settings: settings.clone(),
+            rng: StdRng::seed_from_u64(options.seed.wrapping_add(number)),
+            lateness: options.lateness.clone(),
+        }
+    }
+}
+
 /// Carries one connection until its end, or until the link resets it.
 async fn carry(near: TcpStream, connection: Connection) {
     let Connection { target, mut settings, rng, lateness } = connection;
--- a/crates/chaos/src/run/fleet_actions.rs
+++ b/crates/chaos/src/run/fleet_actions.rs
@@ -5,6 +5,7 @@
 
 use super::fleet::{Fleet, signal_process};
 use super::fleet_links::toggle;
+use super::process::ManagedProcess;
 use super::{PROCESS_TIMEOUT, RunError};
 use crate::fault_effects::endpoint_behavior;
 use crate::fault_schedule::FaultAction;
@@ -42,14 +43,12 @@
             }
             FaultAction::DamageFiles { node, file_fault } => self.files.damage(node, file_fault)?,
             FaultAction::SetDiskFull { node, full } => {
-                let process = self.nodes[node].as_ref();
-                if let Some(process) = process.filter(|process| !process.is_stop_requested()) {
+                if let Some(process) = self.running_node(node) {
                     process.set_disk_full(full)?;
                 }
             }
             FaultAction::WriteRecording(node) => {
-                let process = self.nodes[node].as_mut();
-                if let Some(process) = process.filter(|process| !process.is_stop_requested()) {
+                if let Some(process) = self.running_node(node) {
                     process.send(Signal::USR1)?;
                 }
             }
@@ -57,6 +56,11 @@
         Ok(())
     }
 
+    /// Returns the process of a node unless the run has stopped it.
+    fn running_node(&mut self, node: usize) -> Option<&mut ManagedProcess> {
+        self.nodes[node].as_mut().filter(|process| !process.is_stop_requested())
+    }
+
     fn record_fault(&self, index: usize, begins: bool) {
         let fault = &self.scenario.faults[index];
         let text = fault.describe();
