--- a/crates/node/src/net/discovery/json_stream.rs
+++ b/crates/node/src/net/discovery/json_stream.rs
@@ -1,101 +1,102 @@
-//! Cuts a stream into JSON documents, however they are laid out: on a line each, over many lines, several in one piece, or
-//! in pieces cut anywhere. It knows strings and brackets; what a document means, and whether it is sound, its reader says.
+//! Splits a stream of bytes into JSON objects, whatever the layout: one a line, over many lines, several in one piece, or
+//! in pieces cut anywhere. Only strings and brackets are parsed; the reader parses the objects.
 
 use bytes::{Buf, BytesMut};
 use thiserror::Error;
 
-/// Longest document: far above any real list, it keeps a broken stream from exhausting memory.
-const LONGEST: usize = 4 << 20;
+/// Longest object. Far above any real list; it keeps a broken stream from exhausting memory.
+const MAX_OBJECT_BYTES: usize = 4 << 20;
 
-/// Why a stream holds no further documents.
+/// Why a stream holds no further objects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum JsonStreamError {
-    /// It is longer than any list.
+    /// An object is longer than [`MAX_OBJECT_BYTES`].
     #[error("too long")]
     TooLong,
-    /// Between two documents there is something that begins none.
+    /// Something other than an object stands between two objects.
     #[error("text outside of an object")]
     NotAnObject,
 }
 
-/// Where in a document the stream is.
+/// Where in the stream the next byte is.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum Position {
-    /// Between two.
+    /// Between two objects.
     #[default]
     Outside,
-    /// In one, outside of strings.
-    Plain,
+    /// In an object, outside of strings.
+    Object,
     /// In a string.
-    Text,
-    /// In a string, behind a backslash.
-    Escaped,
+    String,
+    /// In a string, after a backslash.
+    Escape,
 }
 
-/// The documents of a stream.
+/// A stream of JSON objects.
 #[derive(Default)]
 pub struct JsonStream {
-    held: BytesMut,
-    /// Bytes of `held` that have been looked at.
-    seen: usize,
+    buffer: BytesMut,
+    /// Number of bytes of the buffer that were parsed.
+    parsed: usize,
+    /// Number of brackets that are open.
     depth: usize,
-    place: Position,
+    position: Position,
 }
 
 impl JsonStream {
-    /// Takes a piece: the documents that are whole by now, up to a fault, after which nothing more is to be had.
+    /// Takes a piece of the stream; returns the objects that are complete now. An error is the last entry.
     pub fn push(&mut self, piece: &[u8]) -> Vec<Result<BytesMut, JsonStreamError>> {
-        self.held.extend_from_slice(piece);
-        let mut whole = Vec::new();
-        while let Some(document) = self.next() {
-            let ends = document.is_err();
-            whole.push(document);
-            if ends {
+        self.buffer.extend_from_slice(piece);
+        let mut objects = Vec::new();
+        while let Some(object) = self.next() {
+            let is_error = object.is_err();
+            objects.push(object);
+            if is_error {
                 break;
             }
         }
-        whole
+        objects
     }
 
-    /// Whether one has begun and not ended.
-    pub fn is_inside_document(&self) -> bool {
-        self.place != Position::Outside
+    /// Whether an object has begun and not ended.
+    pub fn is_inside_object(&self) -> bool {
+        self.position != Position::Outside
     }
 
     fn next(&mut self) -> Option<Result<BytesMut, JsonStreamError>> {
-        while let Some(&byte) = self.held.get(self.seen) {
-            self.seen += 1;
-            self.place = match (self.place, byte) {
+        while let Some(&byte) = self.buffer.get(self.parsed) {
+            self.parsed += 1;
+            self.position = match (self.position, byte) {
                 (Position::Outside, b'{') => {
                     self.depth = 1;
-                    Position::Plain
+                    Position::Object
                 }
                 (Position::Outside, byte) if byte.is_ascii_whitespace() => {
-                    self.held.advance(1);
-                    self.seen = 0;
+                    self.buffer.advance(1);
+                    self.parsed = 0;
                     Position::Outside
                 }
                 (Position::Outside, _) => return Some(Err(JsonStreamError::NotAnObject)),
-                (Position::Plain, b'"') => Position::Text,
-                (Position::Plain, b'{' | b'[') => {
+                (Position::Object, b'"') => Position::String,
+                (Position::Object, b'{' | b'[') => {
                     self.depth += 1;
-                    Position::Plain
+                    Position::Object
                 }
-                (Position::Plain, b'}' | b']') => {
+                (Position::Object, b'}' | b']') => {
                     self.depth -= 1;
                     if self.depth == 0 {
-                        self.place = Position::Outside;
-                        return Some(Ok(self.held.split_to(std::mem::take(&mut self.seen))));
+                        self.position = Position::Outside;
+                        return Some(Ok(self.buffer.split_to(std::mem::take(&mut self.parsed))));
                     }
-                    Position::Plain
+                    Position::Object
                 }
-                (Position::Text, b'"') => Position::Plain,
-                (Position::Text, b'\\') => Position::Escaped,
-                (Position::Escaped, _) => Position::Text,
-                (place, _) => place,
+                (Position::String, b'"') => Position::Object,
+                (Position::String, b'\\') => Position::Escape,
+                (Position::Escape, _) => Position::String,
+                (position, _) => position,
             };
         }
-        (self.held.len() > LONGEST).then_some(Err(JsonStreamError::TooLong))
+        (self.buffer.len() > MAX_OBJECT_BYTES).then_some(Err(JsonStreamError::TooLong))
     }
 }
 
--- a/crates/node/src/net/downstream/mod.rs
+++ b/crates/node/src/net/downstream/mod.rs
@@ -32,11 +32,11 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use tracing::warn;
 
+use crate::net::active_requests::ActiveRequestIds;
 use crate::net::admission::{Admission, AdmittedRequest, RequestError, RequestHead, ResponseStyle};
 use crate::net::counting_stream::CountingStream;
 use crate::net::exchange::FinalResponse;
 use crate::net::memory_budget::MemoryBudget;
-use crate::net::pool_handle::ActiveRequestIds;
 use crate::net::recorder_sink::RecorderSink;
 use crate::net::response_body::{ResponseBody, StreamEnd};
 use crate::net::upstream::http::transport::LONGEST_HEAD;
--- a/crates/node/src/net/endpoint_directory.rs
+++ b/crates/node/src/net/endpoint_directory.rs
@@ -1,4 +1,4 @@
-//! The servers of a loop, by the names of the list and the ids of the module.
+//! The endpoints of a pool, by the names of the list and by the ids of the decision module.
 
 use std::hash::Hasher;
 use std::rc::Rc;
@@ -13,218 +13,251 @@
 use crate::net::discovery::{EndpointList, ListedEndpoint, ListedState};
 use crate::net::upstream::transport::{EndpointConnector, Transport};
 
-/// An entry that can't be used.
+/// Nanoseconds in a millisecond.
+const MILLISECOND: Nanos = 1_000_000;
+
+/// An endpoint's zone is not one of the configuration's.
 #[derive(Debug, Error)]
-#[error("unknown site `{0}`")]
+#[error("unknown zone `{0}`")]
 pub struct UnknownZoneError(String);
 
 struct EndpointEntry {
     name: String,
-    /// As it was listed, whatever staff have said since.
+    /// As it was listed, without overrides.
     listed: ListedEndpoint,
-    born_ms: u64,
-    server: Rc<dyn EndpointConnector>,
-    /// As the module was told last.
+    /// When its process started, in Unix milliseconds.
+    started_at_ms: u64,
+    connector: Rc<dyn EndpointConnector>,
+    /// As the decision module has it.
     info: EndpointInfo,
-    /// Its address refused a connection, and nothing has been heard of it since.
-    down: bool,
+    /// Its address refused the last connection.
+    refused_last: bool,
 }
 
-/// The servers.
+/// The endpoints of a pool.
 pub struct EndpointDirectory {
+    /// Names of the zones, by zone id.
     zones: Vec<String>,
     transport: Rc<dyn Transport>,
-    servers: FxHashMap<EndpointId, EndpointEntry>,
+    entries: FxHashMap<EndpointId, EndpointEntry>,
     ids: FxHashMap<String, EndpointId>,
-    hands: Rc<AdminOverrides>,
-    /// The version of the list.
-    pub seq: u64,
+    overrides: Rc<AdminOverrides>,
+    /// Version of the list that was applied last.
+    pub version: u64,
 }
 
 impl EndpointDirectory {
-    /// No servers yet.
-    pub fn new(zones: Vec<String>, transport: Rc<dyn Transport>, hands: Rc<AdminOverrides>) -> Self {
-        Self { zones, transport, servers: FxHashMap::default(), ids: FxHashMap::default(), hands, seq: 0 }
+    /// Returns an empty directory.
+    pub fn new(zones: Vec<String>, transport: Rc<dyn Transport>, overrides: Rc<AdminOverrides>) -> Self {
+        Self {
+            zones,
+            transport,
+            entries: FxHashMap::default(),
+            ids: FxHashMap::default(),
+            overrides,
+            version: 0,
+        }
     }
 
-    /// All servers.
+    /// Ids of all endpoints.
     pub fn ids(&self) -> impl Iterator<Item = EndpointId> + Clone {
-        self.servers.keys().copied()
+        self.entries.keys().copied()
     }
 
-    /// Whether a server takes work, as far as the list and staff say.
+    /// Whether an endpoint takes requests, by the list and by the admin overrides.
     pub fn is_ready(&self, id: EndpointId) -> bool {
-        self.servers.get(&id).is_some_and(|known| known.info.state == EndpointState::Ready)
-    }
-
-    /// The book has changed for these names: what that means for those that are listed.
-    pub fn restate(&mut self, names: &[String]) -> Option<EndpointUpdate> {
-        let known = names.iter().filter_map(|name| self.servers.get(self.ids.get(name)?));
-        let known: Vec<_> = known.map(|known| (known.listed.clone(), known.info.zone)).collect();
-        let infos: Arc<[EndpointInfo]> =
-            known.into_iter().map(|(host, zone)| self.learn(host, zone)).collect();
-        (!infos.is_empty()).then_some(EndpointUpdate::Delta(infos))
-    }
-
-    /// A listed server as staff have it.
-    fn by_hand(&self, listed: &ListedEndpoint) -> ListedEndpoint {
-        let mut host = listed.clone();
-        match self.hands.book.borrow().stand(&host.name, host.started_at_ms) {
-            Stand::Out if host.state == ListedState::Ready => host.state = ListedState::Draining,
-            Stand::Out => {}
-            Stand::In { born_ms } => host.started_at_ms = born_ms,
-        }
-        host
+        self.entries.get(&id).is_some_and(|entry| entry.info.state == EndpointState::Ready)
     }
 
-    /// How attempts travel to its servers.
+    /// How attempts reach the endpoints.
     pub fn transport(&self) -> &dyn Transport {
         &*self.transport
     }
 
-    /// A server's name.
+    /// An endpoint's name.
     pub fn name(&self, id: EndpointId) -> Option<&str> {
-        self.servers.get(&id).map(|known| known.name.as_str())
+        self.entries.get(&id).map(|entry| entry.name.as_str())
     }
 
-    /// A server by its id.
-    pub fn server(&self, id: EndpointId) -> Option<&Rc<dyn EndpointConnector>> {
-        self.servers.get(&id).map(|known| &known.server)
+    /// An endpoint's connector.
+    pub fn connector(&self, id: EndpointId) -> Option<&Rc<dyn EndpointConnector>> {
+        self.entries.get(&id).map(|entry| &entry.connector)
     }
 
-    /// Takes a list or its changes; `cached` is an old whole one.
+    /// Applies a list, or the changes to one; `is_restored` marks the complete list of an earlier process.
     ///
     /// # Errors
-    /// A zone that does not exist; then nothing is changed.
-    pub fn apply(&mut self, list: EndpointList, cached: bool) -> Result<EndpointUpdate, UnknownZoneError> {
-        let zone = |host: &ListedEndpoint| {
-            let place = self.zones.iter().position(|zone| *zone == host.zone);
-            place.map(|place| ZoneId(place as u16)).ok_or_else(|| UnknownZoneError(host.zone.clone()))
-        };
-        // All or nothing: a list that is half understood must not be half believed.
-        let zones = list.endpoints.iter().map(zone).collect::<Result<Vec<_>, _>>()?;
-        let whole = list.complete || cached;
-        if whole {
-            let named: FxHashSet<_> = list.endpoints.iter().map(|host| host.name.as_str()).collect();
-            let missing = self.ids.keys().filter(|name| !named.contains(name.as_str()));
-            let missing: Vec<_> = missing.cloned().collect();
-            missing.iter().for_each(|name| self.forget(name));
+    /// A zone is unknown; then nothing is changed.
+    pub fn apply(
+        &mut self,
+        list: EndpointList,
+        is_restored: bool,
+    ) -> Result<EndpointUpdate, UnknownZoneError> {
+        let zones = self.zone_ids(&list)?;
+        let is_complete = list.complete || is_restored;
+        if is_complete {
+            self.remove_unlisted(&list);
         }
-        let infos: Arc<[EndpointInfo]> =
-            list.endpoints.into_iter().zip(zones).map(|(host, zone)| self.learn(host, zone)).collect();
-        self.seq = list.version;
-        Ok(match (cached, whole) {
+        let infos: Arc<[EndpointInfo]> = list
+            .endpoints
+            .into_iter()
+            .zip(zones)
+            .map(|(endpoint, zone)| self.upsert(endpoint, zone))
+            .collect();
+        self.version = list.version;
+        Ok(match (is_restored, is_complete) {
             (true, _) => EndpointUpdate::Restored(infos),
             (_, true) => EndpointUpdate::Snapshot(infos),
             _ => EndpointUpdate::Delta(infos),
         })
     }
 
-    /// Gives the servers of a file their births: one that is known under its name and address has not restarted, and
-    /// any other may just have been started for the new file.
-    pub fn date(&self, list: &mut EndpointList, now_ms: u64) {
-        for host in &mut list.endpoints {
-            let known = self.ids.get(&host.name).and_then(|id| self.servers.get(id));
-            let known = known.filter(|known| *known.server.address() == host.address);
-            host.started_at_ms = known.map_or(now_ms, |known| known.born_ms);
+    fn zone_ids(&self, list: &EndpointList) -> Result<Vec<ZoneId>, UnknownZoneError> {
+        let zone_id = |endpoint: &ListedEndpoint| {
+            let index = self.zones.iter().position(|zone| *zone == endpoint.zone);
+            index.map(|index| ZoneId(index as u16)).ok_or_else(|| UnknownZoneError(endpoint.zone.clone()))
+        };
+        list.endpoints.iter().map(zone_id).collect()
+    }
+
+    fn remove_unlisted(&mut self, list: &EndpointList) {
+        let listed: FxHashSet<_> = list.endpoints.iter().map(|endpoint| endpoint.name.as_str()).collect();
+        let unlisted = self.ids.keys().filter(|name| !listed.contains(name.as_str()));
+        let unlisted: Vec<_> = unlisted.cloned().collect();
+        unlisted.iter().for_each(|name| self.remove(name));
+    }
+
+    /// Applies changed admin overrides for endpoints of these names; `None` where none of them is listed.
+    pub fn refresh_overrides(&mut self, names: &[String]) -> Option<EndpointUpdate> {
+        let entries = names.iter().filter_map(|name| self.entries.get(self.ids.get(name)?));
+        let listed: Vec<_> = entries.map(|entry| (entry.listed.clone(), entry.info.zone)).collect();
+        let infos: Arc<[EndpointInfo]> =
+            listed.into_iter().map(|(endpoint, zone)| self.upsert(endpoint, zone)).collect();
+        (!infos.is_empty()).then_some(EndpointUpdate::Delta(infos))
+    }
+
+    /// Sets the start times of endpoints from a configuration: one that is known under its name and address has not
+    /// restarted, any other may just have been started.
+    pub fn assign_start_times(&self, list: &mut EndpointList, now_ms: u64) {
+        for endpoint in &mut list.endpoints {
+            let entry = self.ids.get(&endpoint.name).and_then(|id| self.entries.get(id));
+            let same_process = entry.filter(|entry| *entry.connector.address() == endpoint.address);
+            endpoint.started_at_ms = same_process.map_or(now_ms, |entry| entry.started_at_ms);
         }
     }
 
-    /// What an attempt tells of a server that no discovery tells of: one whose address refused connections and that
-    /// takes them again has restarted, and is cold.
-    pub fn heard(
+    /// Takes what an attempt showed of an endpoint that no discovery service watches: one that accepts connections after
+    /// it refused them has restarted, and gets a new start time.
+    pub fn observe_connect_result(
         &mut self,
         id: EndpointId,
         refused: bool,
         connected: bool,
         now_ms: u64,
     ) -> Option<EndpointUpdate> {
-        let known = self.servers.get_mut(&id)?;
+        let entry = self.entries.get_mut(&id)?;
         if refused {
-            known.down = true;
+            entry.refused_last = true;
             return None;
         }
-        if !connected || !std::mem::take(&mut known.down) {
+        if !connected || !std::mem::take(&mut entry.refused_last) {
             return None;
         }
-        known.born_ms = now_ms;
-        known.listed.started_at_ms = now_ms;
-        known.info.started_at = millis(now_ms);
-        Some(EndpointUpdate::Delta(Arc::from([known.info.clone()])))
-    }
-
-    fn learn(&mut self, listed: ListedEndpoint, zone: ZoneId) -> EndpointInfo {
-        self.hands.listed.borrow_mut().add(&listed.name);
-        let host = self.by_hand(&listed);
-        let id = self.id(&host.name);
-        let info = EndpointInfo {
-            id,
-            zone,
-            cell: CellId(host.cell),
-            state: match host.state {
-                ListedState::Ready => EndpointState::Ready,
-                ListedState::Draining => EndpointState::Draining,
-                ListedState::Removed => EndpointState::Removed,
-            },
-            weight: host.weight,
-            started_at: millis(host.started_at_ms),
-        };
+        entry.started_at_ms = now_ms;
+        entry.listed.started_at_ms = now_ms;
+        entry.info.started_at = nanos(now_ms);
+        Some(EndpointUpdate::Delta(Arc::from([entry.info.clone()])))
+    }
+
+    /// Adds an endpoint or changes it; returns what the decision module needs to know of it. Another start time or
+    /// address means another process, which gets a connector of its own: what is on its way to the old process must not
+    /// reach the new one.
+    fn upsert(&mut self, listed: ListedEndpoint, zone: ZoneId) -> EndpointInfo {
+        self.overrides.listed.borrow_mut().add(&listed.name);
+        let endpoint = self.with_override(&listed);
+        let id = self.id_for(&endpoint.name);
+        let info = endpoint_info(id, zone, &endpoint);
         let transport = &self.transport;
-        let fresh = || EndpointEntry {
-            name: host.name.clone(),
+        let new_entry = || EndpointEntry {
+            name: endpoint.name.clone(),
             listed: listed.clone(),
-            born_ms: host.started_at_ms,
-            server: transport.connector(&host.address),
+            started_at_ms: endpoint.started_at_ms,
+            connector: transport.connector(&endpoint.address),
             info: info.clone(),
-            down: false,
+            refused_last: false,
         };
-        let known = self.servers.entry(id).or_insert_with(fresh);
-        if known.born_ms != host.started_at_ms
-            || *known.server.address() != host.address
-            || !known.server.is_usable()
+        let entry = self.entries.entry(id).or_insert_with(new_entry);
+        if entry.started_at_ms != endpoint.started_at_ms
+            || *entry.connector.address() != endpoint.address
+            || !entry.connector.is_usable()
         {
-            // Another process: what is still on its way to the old one must not reach the cold new one.
-            known.server.retire();
-            *known = fresh();
+            entry.connector.retire();
+            *entry = new_entry();
         }
-        known.info = info.clone();
-        known.listed = listed.clone();
-        self.ids.insert(host.name.clone(), id);
-        if host.state != ListedState::Ready {
-            known.server.retire();
+        entry.info = info.clone();
+        entry.listed = listed.clone();
+        self.ids.insert(endpoint.name.clone(), id);
+        if endpoint.state != ListedState::Ready {
+            entry.connector.retire();
         }
-        if host.state == ListedState::Removed {
-            self.forget(&host.name);
+        if endpoint.state == ListedState::Removed {
+            self.remove(&endpoint.name);
         }
         info
     }
 
-    fn forget(&mut self, name: &str) {
+    /// Returns a listed endpoint with the admin overrides applied.
+    fn with_override(&self, listed: &ListedEndpoint) -> ListedEndpoint {
+        let mut endpoint = listed.clone();
+        match self.overrides.book.borrow().stand(&endpoint.name, endpoint.started_at_ms) {
+            Stand::Out if endpoint.state == ListedState::Ready => endpoint.state = ListedState::Draining,
+            Stand::Out => {}
+            Stand::In { born_ms } => endpoint.started_at_ms = born_ms,
+        }
+        endpoint
+    }
+
+    fn remove(&mut self, name: &str) {
         if let Some(id) = self.ids.remove(name)
-            && let Some(known) = self.servers.remove(&id)
+            && let Some(entry) = self.entries.remove(&id)
         {
-            known.server.retire();
+            entry.connector.retire();
         }
     }
 
-    /// The same at every node, since nodes order servers by id on a ring that they share.
-    fn id(&self, name: &str) -> EndpointId {
+    /// Returns an id that is the same at every node, since nodes order endpoints by id on a ring that they share.
+    fn id_for(&self, name: &str) -> EndpointId {
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
         let mut id = EndpointId(unseeded_hash(name.as_bytes()) as u32);
-        while self.servers.get(&id).is_some_and(|known| known.name != name) {
+        while self.entries.get(&id).is_some_and(|entry| entry.name != name) {
             id.0 = id.0.wrapping_add(1);
         }
         id
     }
 }
 
-fn millis(unix_ms: u64) -> Nanos {
-    unix_ms.saturating_mul(1_000_000)
+fn endpoint_info(id: EndpointId, zone: ZoneId, endpoint: &ListedEndpoint) -> EndpointInfo {
+    EndpointInfo {
+        id,
+        zone,
+        cell: CellId(endpoint.cell),
+        state: match endpoint.state {
+            ListedState::Ready => EndpointState::Ready,
+            ListedState::Draining => EndpointState::Draining,
+            ListedState::Removed => EndpointState::Removed,
+        },
+        weight: endpoint.weight,
+        started_at: nanos(endpoint.started_at_ms),
+    }
+}
+
+fn nanos(unix_ms: u64) -> Nanos {
+    unix_ms.saturating_mul(MILLISECOND)
 }
 
-/// A hash without a seed.
+/// A hash that is the same in every process.
 pub fn unseeded_hash(bytes: &[u8]) -> u64 {
     let mut hasher = FxHasher::default();
     hasher.write(bytes);
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -5,6 +5,7 @@
 //! [`pool_handle::PoolHandle`]. The [`pool_loop`] starts attempts through the [`upstream::transport::Transport`] of
 //! the protocol that the endpoints speak.
 
+pub mod active_requests;
 pub mod admin_overrides;
 pub mod admission;
 pub mod clock;
--- a/crates/node/src/net/pool_loop/actions.rs
+++ b/crates/node/src/net/pool_loop/actions.rs
@@ -1,108 +1,57 @@
-//! What the module wants done.
+//! Actions of the decision module, carried out.
 
-use pumicehead_flight_recorder::event::Event as Told;
-use pumicehead_policy::{
-    Action, AttemptEnded, AttemptNo, AttemptOutcome, EndpointId, Event, Nanos, RequestId,
-};
+use pumicehead_policy::{Action, AttemptNo, EndpointId, Nanos, RequestId};
 use tokio::sync::oneshot;
-use tokio::task;
 
+use super::PoolLoop;
 use crate::net::exchange::FinalResponse;
-use crate::net::pool_loop::PoolLoop;
-use crate::net::pool_message::PoolMessage;
-use crate::net::upstream::transport::AttemptDeadlines;
 
 impl PoolLoop {
-    pub(super) fn act(&mut self, action: Action) {
+    pub(super) fn apply(&mut self, action: Action) {
         match action {
             Action::StartAttempt { id, endpoint, timeout, start_before } => {
-                self.send(id, endpoint, timeout, start_before)
+                self.start_attempt(id, endpoint, timeout, start_before);
             }
-            Action::Reject { id, retry_after } => {
-                // A server's own words tell more than that it may be tried again.
-                let error = self.open.get_mut(&id).and_then(|open| open.error.take());
-                self.answer(id, error.map_or(FinalResponse::Rejected(retry_after), FinalResponse::Upstream));
-            }
-            Action::Fail(id) => {
-                let now = self.now();
-                let Some(open) = self.open.get_mut(&id) else { return };
-                let late = now >= open.deadline;
-                let error = open.error.take().map(FinalResponse::Upstream);
-                self.answer(
-                    id,
-                    error.unwrap_or(if late {
-                        FinalResponse::DeadlineExceeded
-                    } else {
-                        FinalResponse::Failed
-                    }),
-                );
-            }
-            Action::CancelAttempt { id, attempt } => {
-                let open = self.open.get_mut(&id);
-                let out = open.and_then(|open| open.attempts.get_mut(usize::from(attempt.0)));
-                if let Some(Some(cancel)) = out {
-                    // The attempt stays out until its own end is told.
-                    let (spent, _) = oneshot::channel();
-                    let _ = std::mem::replace(cancel, spent).send(());
-                }
-            }
-            Action::ArmTimer { at, token } => self.arm(at, token),
-            Action::CloseIdleConnections(server) => {
-                if let Some(server) = self.roster.server(server) {
-                    server.close_idle();
-                }
-            }
-            Action::Subscribe => self.ask_for_list(),
-            // There is no way to other nodes here; the configuration keeps notes off.
+            Action::Reject { id, retry_after } => self.reject(id, retry_after),
+            Action::Fail(id) => self.fail(id),
+            Action::CancelAttempt { id, attempt } => self.cancel_attempt(id, attempt),
+            Action::ArmTimer { at, token } => self.arm_policy_timer(at, token),
+            Action::CloseIdleConnections(endpoint) => self.close_idle_connections(endpoint),
+            Action::Subscribe => self.ensure_watch(),
+            // Load reports need a connection to other nodes, which there is none of here; the configuration keeps them off.
             Action::SendLoadReport { .. } => {}
         }
     }
 
-    fn send(&mut self, id: RequestId, server: EndpointId, timeout: Option<Nanos>, by: Option<Nanos>) {
+    /// Rejects a request. An endpoint's error response goes first: it says more than that a retry is possible.
+    fn reject(&mut self, id: RequestId, retry_after: Option<Nanos>) {
+        let error = self.in_flight.get_mut(&id).and_then(|in_flight| in_flight.error_response.take());
+        self.respond(id, error.map_or(FinalResponse::Rejected(retry_after), FinalResponse::Upstream));
+    }
+
+    /// Fails a request, with an endpoint's error response where there is one.
+    fn fail(&mut self, id: RequestId) {
         let now = self.now();
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let attempt = AttemptNo(open.attempts.len() as u8);
-        let told = Told::Sent { id, attempt, server, timeout };
-        if let Some(tap) = &self.tap {
-            tap.record(&told);
+        let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
+        let without_error =
+            if now >= in_flight.deadline { FinalResponse::DeadlineExceeded } else { FinalResponse::Failed };
+        let error = in_flight.error_response.take().map(FinalResponse::Upstream);
+        self.respond(id, error.unwrap_or(without_error));
+    }
+
+    /// Cancels an attempt. It stays in flight until it reports its end.
+    fn cancel_attempt(&mut self, id: RequestId, attempt: AttemptNo) {
+        let in_flight = self.in_flight.get_mut(&id);
+        let cancel = in_flight.and_then(|in_flight| in_flight.attempts.get_mut(usize::from(attempt.0)));
+        if let Some(Some(cancel)) = cancel {
+            let (spent, _) = oneshot::channel();
+            let _ = std::mem::replace(cancel, spent).send(());
+        }
+    }
+
+    fn close_idle_connections(&self, endpoint: EndpointId) {
+        if let Some(connector) = self.directory.connector(endpoint) {
+            connector.close_idle();
         }
-        let end = timeout.map_or(open.deadline, |timeout| open.deadline.min(now + timeout));
-        let bound = open.call.upload.as_ref().is_some_and(|upload| upload.has_started());
-        let known = self.roster.server(server).filter(|_| open.answer.is_some() && now < end && !bound);
-        let Some(known) = known.cloned() else {
-            open.attempts.push(None);
-            if let Some(tap) = &self.tap {
-                tap.record(&Told::Ended {
-                    id,
-                    attempt,
-                    server,
-                    outcome: AttemptOutcome::NotSent,
-                    took: 0,
-                    dial: 0,
-                    idle: None,
-                });
-            }
-            return self.events.push_back(Event::AttemptEnded(AttemptEnded {
-                id,
-                attempt,
-                endpoint: server,
-                outcome: AttemptOutcome::NotSent,
-                duration: 0,
-                final_answer: open.answer.is_none(),
-            }));
-        };
-        let (cancel, cancelled) = oneshot::channel();
-        open.attempts.push(Some(cancel));
-        let call = open.call.clone();
-        let instant = |at| self.clock.instant_at(at);
-        let times =
-            AttemptDeadlines { deadline: instant(end), start_before: instant(by.unwrap_or(Nanos::MAX)) };
-        let messages = self.to_self.clone();
-        task::spawn_local(async move {
-            let to_core = messages.clone();
-            let begin = move |served| drop(to_core.send(PoolMessage::ResponseStarted(id, attempt, served)));
-            let end = known.attempt(call, times, cancelled, Box::new(begin)).await;
-            let _ = messages.send(PoolMessage::AttemptEnded { id, attempt, server, sent: now, end });
-        });
     }
 }
--- /dev/null
+++ b/crates/node/src/net/pool_loop/attempts.rs
@@ -0,0 +1,202 @@
+//! Attempts of a pool's requests: started, and what their ends mean for the request.
+
+use std::rc::Rc;
+
+use pumicehead_flight_recorder::event::{Event as RecordedEvent, Short};
+use pumicehead_policy::{AttemptEnded, AttemptNo, AttemptOutcome, EndpointId, Event, Nanos, RequestId};
+use tokio::sync::oneshot;
+use tokio::task;
+
+use super::{MILLISECOND, PoolLoop};
+use crate::net::exchange::{FinalResponse, UpstreamResponse};
+use crate::net::pool_message::{EndedAttempt, PoolMessage};
+use crate::net::upstream::transport::{AttemptDeadlines, AttemptResult, EndpointConnector};
+
+/// The outcomes that prove a connection to the endpoint.
+const CONNECTED: [AttemptOutcome; 4] =
+    [AttemptOutcome::Success, AttemptOutcome::Error, AttemptOutcome::Rejected, AttemptOutcome::TimedOut];
+
+impl PoolLoop {
+    /// Starts an attempt, which times out after `timeout` and must not be written after `start_before`. It ends at once
+    /// where the endpoint or the request is gone, or part of the body went to another endpoint.
+    pub(super) fn start_attempt(
+        &mut self,
+        id: RequestId,
+        endpoint: EndpointId,
+        timeout: Option<Nanos>,
+        start_before: Option<Nanos>,
+    ) {
+        let now = self.now();
+        let Some(in_flight) = self.in_flight.get(&id) else { return };
+        let attempt = AttemptNo(in_flight.attempts.len() as u8);
+        self.record(&RecordedEvent::Sent { id, attempt, server: endpoint, timeout });
+        let end = timeout.map_or(in_flight.deadline, |timeout| in_flight.deadline.min(now + timeout));
+        let may_start = in_flight.responder.is_some() && now < end && !in_flight.upload_has_started();
+        let Some(connector) = self.directory.connector(endpoint).filter(|_| may_start).cloned() else {
+            return self.end_unsent(id, attempt, endpoint);
+        };
+        let deadlines = AttemptDeadlines {
+            deadline: self.clock.instant_at(end),
+            start_before: self.clock.instant_at(start_before.unwrap_or(Nanos::MAX)),
+        };
+        self.spawn_attempt(id, attempt, endpoint, now, connector, deadlines);
+    }
+
+    /// Runs an attempt in a task of its own, which reports its end to this loop and ends at its deadline or when it is
+    /// cancelled.
+    fn spawn_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNo,
+        endpoint: EndpointId,
+        started_at: Nanos,
+        connector: Rc<dyn EndpointConnector>,
+        deadlines: AttemptDeadlines,
+    ) {
+        let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
+        let (cancel, cancelled) = oneshot::channel();
+        in_flight.attempts.push(Some(cancel));
+        let request = in_flight.request.clone();
+        let sender = self.sender.clone();
+        task::spawn_local(async move {
+            let to_loop = sender.clone();
+            let on_started = move |response| {
+                drop(to_loop.send(PoolMessage::ResponseStarted { id, attempt, response }));
+            };
+            let result = connector.attempt(request, deadlines, cancelled, Box::new(on_started)).await;
+            let ended = EndedAttempt { id, attempt, endpoint, started_at, result };
+            let _ = sender.send(PoolMessage::AttemptEnded(ended));
+        });
+    }
+
+    /// Ends an attempt that was never written.
+    fn end_unsent(&mut self, id: RequestId, attempt: AttemptNo, endpoint: EndpointId) {
+        let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
+        in_flight.attempts.push(None);
+        let outcome = AttemptOutcome::NotSent;
+        let final_answer = in_flight.responder.is_none();
+        self.record(&RecordedEvent::Ended {
+            id,
+            attempt,
+            server: endpoint,
+            outcome,
+            took: 0,
+            dial: 0,
+            idle: None,
+        });
+        self.events.push_back(Event::AttemptEnded(AttemptEnded {
+            id,
+            attempt,
+            endpoint,
+            outcome,
+            duration: 0,
+            final_answer,
+        }));
+    }
+
+    /// Passes a streamed response on. Another attempt may have been faster; this response is then dropped, which ends
+    /// its attempt.
+    pub(super) fn on_response_started(
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNo,
+        response: UpstreamResponse,
+    ) {
+        self.record(&RecordedEvent::Began { id, attempt });
+        if self.respond(id, FinalResponse::Upstream(response)) {
+            self.events.push_back(Event::ResponseStarted { id, attempt });
+        }
+    }
+
+    pub(super) fn on_attempt_ended(&mut self, ended: EndedAttempt) {
+        let EndedAttempt { id, attempt, endpoint, started_at, result } = ended;
+        let outcome = result.outcome;
+        let duration = result
+            .server_time
+            .map_or_else(|| self.now().saturating_sub(started_at), |time| time.as_nanos() as Nanos);
+        self.record_end(id, attempt, endpoint, duration, &result);
+        if let Some(in_flight) = self.in_flight.get_mut(&id)
+            && let Some(cancel) = in_flight.attempts.get_mut(usize::from(attempt.0))
+        {
+            *cancel = None;
+        }
+        if let Some(response) = result.response {
+            self.take_response(id, outcome, response);
+        }
+        self.finish_partly_sent(id, outcome);
+        self.observe_connect_result(endpoint, outcome, result.connection_refused);
+        let final_answer = self.in_flight.get(&id).is_none_or(|in_flight| in_flight.responder.is_none());
+        self.events.push_back(Event::AttemptEnded(AttemptEnded {
+            id,
+            attempt,
+            endpoint,
+            outcome,
+            duration,
+            final_answer,
+        }));
+        self.release_if_done(id);
+    }
+
+    fn record_end(
+        &self,
+        id: RequestId,
+        attempt: AttemptNo,
+        endpoint: EndpointId,
+        duration: Nanos,
+        result: &AttemptResult,
+    ) {
+        self.record(&RecordedEvent::Ended {
+            id,
+            attempt,
+            server: endpoint,
+            outcome: result.outcome,
+            took: duration,
+            dial: result.connect_time.as_nanos() as Nanos,
+            idle: result.idle_time.map(|idle| idle.as_nanos() as Nanos),
+        });
+        if result.connection_limit_reached {
+            self.record(&RecordedEvent::Short(Short::Dial));
+        }
+    }
+
+    /// A successful response is the final one; an error response is kept for the case that nothing better comes.
+    fn take_response(&mut self, id: RequestId, outcome: AttemptOutcome, response: UpstreamResponse) {
+        if outcome == AttemptOutcome::Success {
+            self.respond(id, FinalResponse::Upstream(response));
+        } else if let Some(in_flight) = self.in_flight.get_mut(&id) {
+            in_flight.error_response = Some(response);
+        }
+    }
+
+    /// Responds to a request of whose body part was sent to the endpoint: no retry is possible, so the end of this
+    /// attempt decides.
+    fn finish_partly_sent(&mut self, id: RequestId, outcome: AttemptOutcome) {
+        let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
+        let Some(upload) = in_flight.request.upload.as_ref().filter(|upload| upload.has_started()) else {
+            return;
+        };
+        let without_error = match outcome {
+            _ if upload.is_too_long() => FinalResponse::BodyTooLong,
+            _ if upload.is_client_fault() => FinalResponse::BodyIncomplete,
+            _ if outcome.never_executed(self.rejection_may_execute) => {
+                FinalResponse::Rejected(self.retry_after)
+            }
+            AttemptOutcome::TimedOut => FinalResponse::DeadlineExceeded,
+            _ => FinalResponse::Failed,
+        };
+        let error = in_flight.error_response.take().map(FinalResponse::Upstream);
+        self.respond(id, error.unwrap_or(without_error));
+    }
+
+    /// Without a discovery service, an endpoint that accepts connections again after it refused them has restarted.
+    fn observe_connect_result(&mut self, endpoint: EndpointId, outcome: AttemptOutcome, refused: bool) {
+        if self.watch.has_service() {
+            return;
+        }
+        let connected = CONNECTED.contains(&outcome);
+        let now_ms = self.now() / MILLISECOND;
+        if let Some(update) = self.directory.observe_connect_result(endpoint, refused, connected, now_ms) {
+            self.publish(update);
+        }
+    }
+}
--- a/crates/node/src/net/pool_loop/stall.rs
+++ b/crates/node/src/net/pool_loop/stall.rs
@@ -1,31 +1,37 @@
-//! Which delays of the event loop are stalls of this process: stopped by its system, or without a processor for once.
+//! Detects stalls of the event loop: times in which this process was stopped or got no processor.
 
 use pumicehead_policy::{Nanos, SECOND};
 
-/// A loop that comes so late to what is due, or takes so long over a turn, has stood still: some periods (of 100 ms) of a
-/// system that shares out a processor, and much less than any deadline.
-const STALL: Nanos = SECOND / 4;
-/// Since a stall the loop has to have been in time for as long as it took, at most this, or what comes is no stall. A node
-/// whose every turn takes long is short of processor: what it sees is its load, by which it has to refuse.
-const IN_TIME: Nanos = SECOND;
+/// A delay above this may be a stall. It spans some scheduling periods of 100 ms, and is well below any deadline.
+const STALL_THRESHOLD: Nanos = SECOND / 4;
+/// Longest time for which the loop has to be punctual after a stall before another delay counts as one.
+const MAX_PUNCTUAL_TIME: Nanos = SECOND;
 
-/// The delays seen so far.
+/// Tells single stalls from constant load. A node whose every turn is slow lacks processor time, and has to shed load by
+/// what it measures; only delays after a punctual time as long as the last delay are stalls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StallDetector {
-    /// When the last one ended, and how long it took.
-    last: Option<(Nanos, Nanos)>,
+    last: Option<Delay>,
+}
+
+/// A delay above [`STALL_THRESHOLD`].
+#[derive(Clone, Copy, Debug)]
+struct Delay {
+    ended_at: Nanos,
+    duration: Nanos,
 }
 
 impl StallDetector {
-    /// The loop got no further from one time to another, and should have: for how long it has stood still, where it has.
-    pub fn seen(&mut self, from: Nanos, to: Nanos) -> Option<Nanos> {
-        let span = to.saturating_sub(from);
-        if span <= STALL {
+    /// Takes that the loop made no progress between two times; returns the duration where that is a stall.
+    pub fn observe(&mut self, from: Nanos, to: Nanos) -> Option<Nanos> {
+        let duration = to.saturating_sub(from);
+        if duration <= STALL_THRESHOLD {
             return None;
         }
-        let alone = self.last.is_none_or(|(end, took)| from >= end + took.min(IN_TIME));
-        self.last = Some((to, span));
-        alone.then_some(span)
+        let was_punctual =
+            self.last.is_none_or(|last| from >= last.ended_at + last.duration.min(MAX_PUNCTUAL_TIME));
+        self.last = Some(Delay { ended_at: to, duration });
+        was_punctual.then_some(duration)
     }
 }
 
--- a/crates/node/src/net/pool_message.rs
+++ b/crates/node/src/net/pool_message.rs
@@ -1,4 +1,4 @@
-//! What an event loop is told.
+//! Messages to a pool's event loop.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,45 +8,71 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
+use crate::net::active_requests::RequestIdGuard;
 use crate::net::discovery::{EndpointList, WatchError};
 use crate::net::exchange::{FinalResponse, ProxyRequest, UpstreamResponse};
-use crate::net::pool_handle::RequestIdGuard;
 use crate::net::upstream::transport::AttemptResult;
 
-/// Servers in the list.
+/// Number of endpoints of a pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointCounts {
-    /// All of them.
+    /// All in the list.
     pub listed: usize,
-    /// Those that get nothing new, by hand or by choice.
+    /// Those that get no new requests: drained, disabled by an operator, or ejected.
     pub unavailable: usize,
 }
 
-/// What a loop is told.
-pub(in crate::net) enum PoolMessage {
-    Request(RequestId, Box<ProxyRequest>, Instant, oneshot::Sender<FinalResponse>, Rc<RequestIdGuard>),
+/// A request that a listener has admitted.
+pub(super) struct NewProxyRequest {
+    pub id: RequestId,
+    pub request: ProxyRequest,
+    /// When it was sent to the loop; its time to live counts from here.
+    pub arrived: Instant,
+    pub responder: oneshot::Sender<FinalResponse>,
+    pub id_guard: Rc<RequestIdGuard>,
+}
+
+/// The end of an attempt.
+pub(super) struct EndedAttempt {
+    pub id: RequestId,
+    pub attempt: AttemptNo,
+    pub endpoint: EndpointId,
+    /// When it was started.
+    pub started_at: Nanos,
+    pub result: AttemptResult,
+}
+
+/// A message to a pool's event loop.
+pub(super) enum PoolMessage {
+    Request(Box<NewProxyRequest>),
     ClientDisconnected(RequestId),
-    /// An answer begins to pass through.
-    ResponseStarted(RequestId, AttemptNo, UpstreamResponse),
-    AttemptEnded {
+    /// The head of a streamed response has come.
+    ResponseStarted {
         id: RequestId,
         attempt: AttemptNo,
-        server: EndpointId,
-        sent: Nanos,
-        end: AttemptResult,
+        response: UpstreamResponse,
+    },
+    AttemptEnded(EndedAttempt),
+    /// A list from the watch of this number.
+    ListReceived {
+        watch: u64,
+        list: EndpointList,
+    },
+    /// The watch of this number has ended.
+    WatchEnded {
+        watch: u64,
+        error: WatchError,
     },
-    ListReceived(u64, EndpointList),
-    WatchEnded(u64, WatchError),
     DiscoveryMoved(SocketAddr),
+    /// The endpoints of the configuration.
     SetEndpoints(EndpointList),
     UpdateSettings(Box<Settings>),
-    /// So many nodes share the servers.
     SetNodeShare(NodeShare),
     Retire {
         gone: bool,
     },
     FailAll,
-    /// The book of servers taken out has changed for these.
+    /// Admin overrides have changed for endpoints of these names.
     RefreshOverrides(Vec<String>),
     CountEndpoints(oneshot::Sender<EndpointCounts>),
     GetWarmState(oneshot::Sender<WarmState>),
--- a/crates/node/src/net/upstream/fastcgi/transport.rs
+++ b/crates/node/src/net/upstream/fastcgi/transport.rs
@@ -27,7 +27,7 @@
 };
 use crate::net::upstream::fastcgi::outcome::FastCgiEnding;
 use crate::net::upstream::transport::{
-    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, ResponseStarted, Transport,
+    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, OnResponseStarted, Transport,
 };
 
 /// Longest wait for what a server says of itself; one that says nothing takes one request a connection.
@@ -184,7 +184,7 @@
         call: Rc<UpstreamRequest>,
         times: AttemptDeadlines,
         cancel: oneshot::Receiver<()>,
-        _: ResponseStarted,
+        _: OnResponseStarted,
     ) -> AttemptFuture {
         Box::pin(async move {
             let begun = Rc::new(Cell::new(false));
--- a/crates/node/src/net/upstream/http/transport.rs
+++ b/crates/node/src/net/upstream/http/transport.rs
@@ -29,7 +29,7 @@
 };
 use crate::net::upstream::http::response_reader::{ReadResponse, ResponseReader};
 use crate::net::upstream::transport::{
-    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, ResponseStarted, Transport,
+    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, OnResponseStarted, Transport,
 };
 
 /// Longest head of a message.
@@ -197,7 +197,7 @@
         call: Rc<UpstreamRequest>,
         times: AttemptDeadlines,
         cancel: oneshot::Receiver<()>,
-        begin: ResponseStarted,
+        begin: OnResponseStarted,
     ) -> AttemptFuture {
         Box::pin(async move {
             let deadline = times.deadline;
@@ -339,7 +339,7 @@
         call: &UpstreamRequest,
         times: AttemptDeadlines,
         (stage, way): (&Cell<AttemptStage>, &Cell<ConnectionTiming>),
-        begin: ResponseStarted,
+        begin: OnResponseStarted,
     ) -> (AttemptResult, Option<HttpConnection>) {
         let alone = |end| (end, None);
         let started = Instant::now();
--- a/crates/node/src/net/upstream/transport.rs
+++ b/crates/node/src/net/upstream/transport.rs
@@ -1,4 +1,4 @@
-//! How an attempt travels: one implementation for each protocol that servers speak.
+//! The interface that attempts are made through, with one implementation for each protocol that endpoints speak.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -14,26 +14,26 @@
 
 /// How an attempt ended.
 pub struct AttemptResult {
-    /// For the module.
+    /// For the decision module.
     pub outcome: AttemptOutcome,
-    /// The whole answer, where it may be passed on: with [`AttemptOutcome::Success`] it is the final one, with
-    /// [`AttemptOutcome::Error`] it is what the client gets if nothing better comes.
+    /// The complete response, where it may be forwarded: the final one with [`AttemptOutcome::Success`], a substitute in
+    /// case nothing better comes with [`AttemptOutcome::Error`].
     pub response: Option<UpstreamResponse>,
     /// The address refused the connection: no process listens there.
     pub connection_refused: bool,
-    /// How long the server took, where that is not the time of the attempt: to the first bytes of an answer that passes
-    /// through, or from the last byte of a request that did.
+    /// How long the endpoint took, where that is not the duration of the attempt: up to the first bytes of a streamed
+    /// response, or from the last byte of a streamed request on.
     pub server_time: Option<Duration>,
-    /// How long it took to get a connection; nothing where one was kept.
+    /// Time to establish the connection; zero for one that was reused.
     pub connect_time: Duration,
-    /// How long a kept connection had been idle before.
+    /// How long a reused connection had been idle.
     pub idle_time: Option<Duration>,
-    /// There was no place for another connection.
+    /// The node has reached its limit of upstream connections.
     pub connection_limit_reached: bool,
 }
 
 impl AttemptResult {
-    /// Without an answer.
+    /// A result that has an outcome alone.
     pub fn without_response(outcome: AttemptOutcome) -> Self {
         Self {
             outcome,
@@ -45,62 +45,72 @@
             connection_limit_reached: false,
         }
     }
+
+    /// No connection was established; `refused` where no process listens at the address.
+    pub fn connect_failed(refused: bool) -> Self {
+        Self { connection_refused: refused, ..Self::without_response(AttemptOutcome::ConnectFailed) }
+    }
+
+    /// The node has no descriptor for another connection, which says nothing about the endpoint.
+    pub fn connection_limit_reached() -> Self {
+        Self { connection_limit_reached: true, ..Self::without_response(AttemptOutcome::NotSent) }
+    }
 }
 
-/// Takes an answer that passes through, once its start is there: it is final.
-pub type ResponseStarted = Box<dyn FnOnce(UpstreamResponse)>;
+/// Takes a response that is streamed, once its first bytes have come: it is the final one.
+pub type OnResponseStarted = Box<dyn FnOnce(UpstreamResponse)>;
 
-/// An attempt under way.
+/// A running attempt.
 pub type AttemptFuture = Pin<Box<dyn Future<Output = AttemptResult>>>;
 
-/// Makes servers of addresses.
+/// Makes connectors for the endpoints of a pool.
 pub trait Transport {
-    /// The life of one server process: a restart, another address or its end needs another one.
-    fn connector(&self, dial: &Address) -> Rc<dyn EndpointConnector>;
+    /// Returns a connector for one process of an endpoint: after a restart or at another address it needs a new one.
+    fn connector(&self, address: &Address) -> Rc<dyn EndpointConnector>;
 
-    /// Closes what has been idle for too long. Called about once a second.
+    /// Closes connections that have been idle for too long. Called about once a second.
     fn sweep(&self);
 }
 
 /// The times of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptDeadlines {
-    /// It ends then, if it has not before.
+    /// The attempt times out.
     pub deadline: Instant,
-    /// What is not written by then must not be: the attempt repeats one that may have run.
+    /// A request that is not written by then must not be written: the attempt retries one that may have been executed.
     pub start_before: Instant,
 }
 
 impl AttemptDeadlines {
-    /// How long an attempt has that sets out now; nothing where it must not.
+    /// Time left for an attempt that is written now; zero where it must not be.
     #[must_use]
     pub fn time_left(&self, now: Instant) -> Duration {
         if now < self.start_before { self.deadline.saturating_duration_since(now) } else { Duration::ZERO }
     }
 }
 
-/// The life of one server process.
+/// Makes attempts at one process of an endpoint.
 pub trait EndpointConnector {
-    /// Its address.
+    /// The endpoint's address.
     fn address(&self) -> &Address;
 
-    /// Whether requests may be written to it.
+    /// Whether requests may be written.
     fn is_usable(&self) -> bool;
 
-    /// Nothing new is written to it from now on: it drains, is gone or has restarted. Attempts still without a
-    /// connection will find it so.
+    /// Writes no new request from now on: the endpoint drains, is gone or has restarted. Attempts that are still
+    /// connecting end as not sent.
     fn retire(&self);
 
-    /// Closes its idle connections.
+    /// Closes idle connections.
     fn close_idle(&self);
 
-    /// One attempt, until its deadline or a word on `cancel`. It is never sent a second time from here. Once `begin` has
-    /// been called, neither counts any more, and the attempt ends when the server's part is done.
+    /// Makes one attempt, until its deadline or a message on `cancel`; the request is written at most once. Once
+    /// `on_started` was called, both are ignored, and the attempt ends when the endpoint has sent the whole response.
     fn attempt(
         self: Rc<Self>,
-        call: Rc<UpstreamRequest>,
-        times: AttemptDeadlines,
+        request: Rc<UpstreamRequest>,
+        deadlines: AttemptDeadlines,
         cancel: oneshot::Receiver<()>,
-        begin: ResponseStarted,
+        on_started: OnResponseStarted,
     ) -> AttemptFuture;
 }
--- a/crates/node/src/platform/admin.rs
+++ b/crates/node/src/platform/admin.rs
@@ -15,9 +15,10 @@
 use super::keep::Keep;
 use crate::calls::Answers;
 use crate::eyes::Eyes;
+use crate::net::active_requests::ActiveRequestIds;
 use crate::net::admin_overrides::AdminOverrides;
 use crate::net::downstream::DownstreamListener;
-use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
+use crate::net::pool_handle::PoolHandle;
 
 /// Longest that a call is kept from its answer by another one that changes the book.
 const TURN_WAIT: Duration = Duration::from_millis(800);
--- a/crates/node/src/standalone/pools.rs
+++ b/crates/node/src/standalone/pools.rs
@@ -11,9 +11,10 @@
 
 use super::site::SiteError;
 use crate::eyes::Eyes;
+use crate::net::active_requests::ActiveRequestIds;
 use crate::net::discovery::{EndpointList, ListedEndpoint, ListedState};
 use crate::net::memory_budget::MemoryBudget;
-use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
+use crate::net::pool_handle::PoolHandle;
 use crate::net::pool_loop::{EndpointSource, PoolConfig, PoolLoop};
 use crate::net::upstream::connection_registry::ConnectionRegistry;
 use crate::net::upstream::http::response_reader::ResponseReader;
--- a/crates/node/src/standalone/site.rs
+++ b/crates/node/src/standalone/site.rs
@@ -22,10 +22,11 @@
 use crate::calls::MOST_CALLERS;
 use crate::eyes::Eyes;
 use crate::fleet;
+use crate::net::active_requests::ActiveRequestIds;
 use crate::net::downstream::connection_budget::ConnectionBudget;
 use crate::net::downstream::{DownstreamListener, DrainReason};
 use crate::net::memory_budget::MemoryBudget;
-use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
+use crate::net::pool_handle::PoolHandle;
 use crate::net::upstream::connection_registry::ConnectionRegistry;
 use crate::places::Places;
 
--- a/crates/node/tests/unit/discovery.rs
+++ b/crates/node/tests/unit/discovery.rs
@@ -6,7 +6,6 @@
 use tokio::runtime::{Builder, LocalOptions};
 
 use super::*;
-use crate::net::pool_loop::AGENT_RETRY_DELAY;
 
 /// What a service says before it falls silent.
 #[derive(Clone, Copy, PartialEq)]
@@ -29,11 +28,12 @@
             last.set(Some(Instant::now()));
         };
         let (address, heard) = (listener.local_addr().unwrap(), last.clone());
-        let watch = task::spawn_local(async move { watch(address, 0, agent, |_| fell_silent(&heard)).await });
+        let watch =
+            tokio::task::spawn_local(async move { watch(address, 0, agent, |_| fell_silent(&heard)).await });
         let mut stream = loop {
             match listener.accept() {
                 Ok((stream, _)) => break stream,
-                Err(error) if error.kind() == ErrorKind::WouldBlock => task::yield_now().await,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => tokio::task::yield_now().await,
                 Err(error) => panic!("{error}"),
             }
         };
@@ -43,7 +43,7 @@
             let mut some = [0; 256];
             match stream.read(&mut some) {
                 Ok(count) => call.extend_from_slice(&some[..count]),
-                Err(error) if error.kind() == ErrorKind::WouldBlock => task::yield_now().await,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => tokio::task::yield_now().await,
                 Err(error) => panic!("{error}"),
             }
         }
--- a/crates/node/tests/unit/downstream.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -17,7 +17,7 @@
 use crate::net::pool_handle::PoolHandle;
 use crate::net::pool_loop::{EndpointSource, PoolConfig, PoolLoop};
 use crate::net::upstream::transport::{
-    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, ResponseStarted, Transport,
+    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, OnResponseStarted, Transport,
 };
 
 /// Servers that answer on the spot, and count.
@@ -51,7 +51,7 @@
         _: Rc<UpstreamRequest>,
         _: AttemptDeadlines,
         _cancel: oneshot::Receiver<()>,
-        _: ResponseStarted,
+        _: OnResponseStarted,
     ) -> AttemptFuture {
         Box::pin(async move {
             self.0.set(self.0.get() + 1);
--- a/crates/node/tests/unit/json_stream.rs
+++ b/crates/node/tests/unit/json_stream.rs
@@ -6,7 +6,7 @@
     let mut documents = JsonStream::default();
     let whole = pieces.iter().flat_map(|piece| documents.push(piece));
     let whole = whole.map(|document| document.unwrap().to_vec()).collect();
-    assert!(!documents.is_inside_document());
+    assert!(!documents.is_inside_object());
     whole
 }
 
@@ -31,7 +31,7 @@
     assert_eq!(taken.len(), 2);
     assert_eq!(taken[1], Err(JsonStreamError::NotAnObject));
     let mut documents = JsonStream::default();
-    assert!(documents.push(b"{\"hosts\":[").is_empty() && documents.is_inside_document());
+    assert!(documents.push(b"{\"hosts\":[").is_empty() && documents.is_inside_object());
     let piece = vec![b' '; 1 << 20];
     let fault = (0..5).find_map(|_| documents.push(&piece).pop());
     assert_eq!(fault, Some(Err(JsonStreamError::TooLong)));
--- a/crates/node/tests/unit/pool_loop.rs
+++ b/crates/node/tests/unit/pool_loop.rs
@@ -1,3 +1,4 @@
+use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -10,25 +11,32 @@
 use tokio::task::LocalSet;
 
 use super::*;
-use crate::net::exchange::{ProxyRequest, UpstreamRequest, UpstreamResponse};
+use crate::net::discovery::EndpointList;
+use crate::net::exchange::{FinalResponse, ProxyRequest, UpstreamRequest, UpstreamResponse};
+use crate::net::pool_message::EndedAttempt;
 use crate::net::upstream::transport::{
-    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, ResponseStarted,
+    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, OnResponseStarted, Transport,
 };
 
-/// Servers that get no attempt: the test tells of their ends itself.
-struct Nowhere;
+const AUTOMATIC: &str = r#"{"classes":[{"name":"submit","effect":"side_effect","target_ns":100000000,"deadline_ns":100000000}],
+    "zones":["a"],"membership_mode":"automatic","quantum_ns":5000000,"ceilings":{"max_attempts":1}}"#;
+const SUBSCRIBE: &str = r#"{"classes":[{"name":"submit","effect":"side_effect","target_ns":100000000,"deadline_ns":100000000}],
+    "zones":["a"],"membership_mode":"subscribe","quantum_ns":5000000,"ceilings":{"max_attempts":1}}"#;
 
-impl Transport for Nowhere {
-    fn connector(&self, dial: &Address) -> Rc<dyn EndpointConnector> {
-        Rc::new(Silent(dial.clone()))
+/// A transport whose attempts never end: the test reports their ends itself.
+struct PendingTransport;
+
+impl Transport for PendingTransport {
+    fn connector(&self, address: &Address) -> Rc<dyn EndpointConnector> {
+        Rc::new(PendingConnector(address.clone()))
     }
 
     fn sweep(&self) {}
 }
 
-struct Silent(Address);
+struct PendingConnector(Address);
 
-impl EndpointConnector for Silent {
+impl EndpointConnector for PendingConnector {
     fn address(&self) -> &Address {
         &self.0
     }
@@ -46,37 +54,37 @@
         _: Rc<UpstreamRequest>,
         _: AttemptDeadlines,
         _cancel: oneshot::Receiver<()>,
-        _: ResponseStarted,
+        _: OnResponseStarted,
     ) -> AttemptFuture {
         Box::pin(std::future::pending())
     }
 }
 
-/// Guards an answer that has been told of from a loop that comes late: what is overdue by then has it, and not a failure.
-#[tokio::test(start_paused = true)]
-async fn what_was_told_before_a_late_look_is_heard_first() {
-    let boot: Boot = serde_json::from_str(
-        r#"{"classes":[{"name":"submit","effect":"side_effect","target_ns":100000000,"deadline_ns":100000000}],
-        "zones":["a"],"membership_mode":"automatic","quantum_ns":5000000,"ceilings":{"max_attempts":1}}"#,
-    )
-    .unwrap();
-    let list =
-        r#"{"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","health":"active"}]}"#;
-    let setup = PoolConfig {
+fn config(settings: &str, endpoints: EndpointSource) -> PoolConfig {
+    let boot: Boot = serde_json::from_str(settings).unwrap();
+    PoolConfig {
         settings: boot.settings().unwrap(),
         seed: 1,
         zones: vec!["a".into()],
-        endpoints: EndpointSource::Fixed(serde_json::from_str(list).unwrap()),
-        transport: Rc::new(Nowhere),
+        endpoints,
+        transport: Rc::new(PendingTransport),
         overrides: Rc::default(),
         warm_state: None,
         clock: Clock::start(),
         recorder: None,
-    };
+    }
+}
+
+/// A response that was reported before the loop runs late is given: the request does not fail as overdue.
+#[tokio::test(start_paused = true)]
+async fn reported_response_is_given_although_the_request_is_overdue() {
+    let list =
+        r#"{"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","health":"active"}]}"#;
+    let config = config(AUTOMATIC, EndpointSource::Fixed(serde_json::from_str(list).unwrap()));
     let local = LocalSet::new();
-    let told = local.run_until(async {
-        let (mut core, handle) = PoolLoop::new(setup, ActiveRequestIds::default());
-        let ask = ProxyRequest {
+    let response = local.run_until(async {
+        let (mut pool, handle) = PoolLoop::new(config, ActiveRequestIds::default());
+        let request = ProxyRequest {
             correlation_id: "one".into(),
             class: 0,
             tenant: None,
@@ -87,58 +95,45 @@
             body_read_time: Duration::ZERO,
             upstream: UpstreamRequest::default(),
         };
-        let asked = tokio::task::spawn_local(async move { handle.proxy(ask).await });
+        let response = tokio::task::spawn_local(async move { handle.proxy(request).await });
         tokio::task::yield_now().await;
-        core.feed();
-        core.hear();
-        let server = core.roster.ids().next().unwrap();
-        let answer =
+        pool.dispatch_events();
+        pool.handle_waiting_messages();
+        let endpoint = pool.directory.ids().next().unwrap();
+        let upstream =
             UpstreamResponse { status: StatusCode::OK, headers: HeaderMap::new(), body: Bytes::new().into() };
-        let end = AttemptResult {
-            response: Some(answer),
+        let result = AttemptResult {
+            response: Some(upstream),
             ..AttemptResult::without_response(AttemptOutcome::Success)
         };
-        let sent = core.now();
+        let started_at = pool.now();
         let (id, attempt) = (RequestId(0), AttemptNo(0));
-        assert!(core.open.get(&id).is_some_and(|open| open.attempts.len() == 1), "it is sent");
-        core.to_self.send(PoolMessage::AttemptEnded { id, attempt, server, sent, end }).unwrap();
+        let attempts = pool.in_flight.get(&id).map(|in_flight| in_flight.attempts.len());
+        assert_eq!(attempts, Some(1), "it is sent");
+        let ended = EndedAttempt { id, attempt, endpoint, started_at, result };
+        pool.sender.send(PoolMessage::AttemptEnded(ended)).unwrap();
         tokio::time::advance(Duration::from_millis(400)).await;
-        core.fire();
-        asked.await.unwrap()
+        pool.fire_due_timers();
+        response.await.unwrap()
     });
-    assert!(matches!(told.await, Some(FinalResponse::Upstream(_))));
+    assert!(matches!(response.await, Some(FinalResponse::Upstream(_))));
 }
 
-/// Guards that a process which takes over from another asks for the list as it begins, and others after the module's pause.
+/// A process that takes over from another one requests the list at its start, others when the decision module asks.
 #[tokio::test]
-async fn who_takes_over_asks_at_once() {
-    let boot: Boot = serde_json::from_str(
-        r#"{"classes":[{"name":"submit","effect":"side_effect","target_ns":100000000,"deadline_ns":100000000}],
-        "zones":["a"],"membership_mode":"subscribe","quantum_ns":5000000,"ceilings":{"max_attempts":1}}"#,
-    )
-    .unwrap();
-    for at_once in [true, false] {
+async fn takeover_starts_the_watch_at_once() {
+    for poll_at_start in [true, false] {
         let discovery = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let source = EndpointSource::Watch {
+        let endpoints = EndpointSource::Watch {
             address: discovery.local_addr().unwrap(),
             last_list: Some(EndpointList::default()),
-            poll_at_start: at_once,
-        };
-        let setup = PoolConfig {
-            settings: boot.settings().unwrap(),
-            seed: 1,
-            zones: vec!["a".into()],
-            endpoints: source,
-            transport: Rc::new(Nowhere),
-            overrides: Rc::default(),
-            warm_state: None,
-            clock: Clock::start(),
-            recorder: None,
+            poll_at_start,
         };
+        let config = config(SUBSCRIBE, endpoints);
         let local = LocalSet::new();
-        let asks = local
-            .run_until(async { PoolLoop::new(setup, ActiveRequestIds::default()).0.watch.is_running() })
+        let is_running = local
+            .run_until(async { PoolLoop::new(config, ActiveRequestIds::default()).0.watch.is_running() })
             .await;
-        assert_eq!(asks, at_once);
+        assert_eq!(is_running, poll_at_start);
     }
 }
--- a/crates/node/tests/unit/stall.rs
+++ b/crates/node/tests/unit/stall.rs
@@ -2,23 +2,24 @@
 
 const MS: Nanos = SECOND / 1_000;
 
-/// Guards that a process that is stopped now and then is excused, each time.
+/// A process that is stopped now and then reports each stall.
 #[test]
-fn stalls_far_apart_are_told() {
+fn stalls_far_apart_are_each_reported() {
     let mut stalls = StallDetector::default();
-    assert_eq!(stalls.seen(0, 200 * MS), None, "a little late is not a stall");
-    assert_eq!(stalls.seen(SECOND, 6 * SECOND), Some(5 * SECOND));
-    assert_eq!(stalls.seen(7 * SECOND, 8 * SECOND), Some(SECOND));
+    assert_eq!(stalls.observe(0, 200 * MS), None, "a little late is not a stall");
+    assert_eq!(stalls.observe(SECOND, 6 * SECOND), Some(5 * SECOND));
+    assert_eq!(stalls.observe(7 * SECOND, 8 * SECOND), Some(SECOND));
     // 300 ms of each second.
     for number in 10..20 {
-        assert_eq!(stalls.seen(number * SECOND, number * SECOND + 300 * MS), Some(300 * MS));
+        assert_eq!(stalls.observe(number * SECOND, number * SECOND + 300 * MS), Some(300 * MS));
     }
 }
 
-/// Guards that a node short of processor learns what it sees and refuses by it: turn after turn of 300 ms is no stall.
+/// A node that lacks processor time sheds load by what it measures: turn after turn of 300 ms is no stall.
 #[test]
-fn turn_after_turn_is_load() {
+fn consecutive_slow_turns_are_load_not_stalls() {
     let mut stalls = StallDetector::default();
-    let told = (0..100).filter_map(|turn| stalls.seen(turn * 310 * MS, turn * 310 * MS + 300 * MS)).count();
-    assert_eq!(told, 1);
+    let reported =
+        (0..100).filter_map(|turn| stalls.observe(turn * 310 * MS, turn * 310 * MS + 300 * MS)).count();
+    assert_eq!(reported, 1);
 }
