--- /dev/null
+++ b/crates/node/src/net/downstream/accept.rs
@@ -0,0 +1,106 @@
+//! Accepts client connections, as far as the connection budget goes.
+
+use std::io;
+use std::net::{IpAddr, SocketAddr};
+use std::rc::Rc;
+use std::time::Duration;
+
+use pumicehead_config::model::Protocol;
+use pumicehead_flight_recorder::event::{Event, Short};
+use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::task;
+use tokio::time::{sleep, timeout};
+use tracing::warn;
+
+use super::DownstreamListener;
+use super::connection::{ConnectionStage, DownstreamConnection};
+use crate::net::counting_stream::CountingStream;
+
+/// Backlog of the listening socket.
+const BACKLOG: u32 = 4096;
+/// Connections beyond the limit that get a rejection instead of waiting in the kernel.
+pub const OVERFLOW_CONNECTIONS: usize = 32;
+/// Delay after an accept that failed for lack of descriptors: without it the loop would spin.
+pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Delay before the budget is checked again where it is exhausted.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Longest time that a closed connection is read on, so that its last response arrives.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// An accepted socket.
+pub(super) struct Accepted {
+    pub stream: TcpStream,
+    pub client_ip: IpAddr,
+}
+
+/// Binds an address that clients connect to.
+///
+/// # Errors
+/// Those of the system.
+pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    // A restarted node binds while connections of its earlier process are in TIME_WAIT.
+    socket.set_reuseaddr(true)?;
+    socket.bind(address)?;
+    socket.listen(BACKLOG)
+}
+
+impl DownstreamListener {
+    /// Accepts the next connection. Where the budget is exhausted, others are evicted, or it waits for one to end.
+    pub(super) async fn accept(&self, listener: &TcpListener) -> Accepted {
+        loop {
+            if self.budget.is_overfull() {
+                self.budget.evict_one();
+                sleep(FULL_RETRY_DELAY).await;
+                continue;
+            }
+            match listener.accept().await {
+                Ok((stream, client)) => return Accepted { stream, client_ip: client.ip() },
+                Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
+                Err(error) => {
+                    warn!(target: "front", %error, "accept failed");
+                    if let Some(recorder) = self.recorder.get() {
+                        recorder.record(&Event::Short(Short::Accept));
+                    }
+                    self.budget.evict_one();
+                    sleep(ACCEPT_RETRY_DELAY).await;
+                }
+            }
+        }
+    }
+
+    /// Serves an accepted connection in a task of its own, which ends with the connection.
+    pub(super) fn spawn_connection(self: Rc<Self>, accepted: Accepted) {
+        let Accepted { stream, client_ip } = accepted;
+        let over_limit = self.budget.is_full() && !self.budget.evict_one();
+        let protocol = self.protocol.get();
+        let stream = match protocol {
+            Protocol::Http => CountingStream::capturing_heads(stream),
+            Protocol::FastCgi => CountingStream::new(stream),
+        };
+        let connection =
+            DownstreamConnection::new(stream, over_limit, self.options.clone(), self.budget.requesting());
+        self.budget.add(&connection);
+        task::spawn_local(async move {
+            match protocol {
+                Protocol::Http => self.serve_http(&connection, client_ip).await,
+                Protocol::FastCgi => {
+                    self.serve_fastcgi(&connection, client_ip).await;
+                    connection.stream.close_writing();
+                    self.linger(&connection).await;
+                }
+            }
+            self.budget.remove(&connection);
+        });
+    }
+
+    /// Reads on after the last response for as long as that may take to arrive.
+    pub(super) async fn linger(&self, connection: &DownstreamConnection) {
+        connection.set_stage(ConnectionStage::Lingering, connection.used());
+        connection.last_activity.set(tokio::time::Instant::now());
+        tokio::select! {
+            _ = timeout(LINGER_TIMEOUT, connection.stream.drain_until_closed()) => {}
+            () = connection.close.notified() => {}
+        }
+    }
+}
--- a/crates/node/src/net/downstream/connection.rs
+++ b/crates/node/src/net/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: what it is about, and how willingly it makes way.
+//! A client's connection: its stage, and when it may be closed in favour of another one.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,16 +7,15 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
+use super::ListenerOptions;
 use crate::net::counting_stream::{CountingStream, UnreadState};
-use crate::net::downstream::ListenerOptions;
 
-/// Where places are short, a connection makes way that has asked nothing for so long after it came up: clients
-/// connect in order to ask ...
-const SILENT: Duration = Duration::from_millis(60);
-/// ... one that has been idle for so long since its last answer ...
+/// Where descriptors are short, a connection may be evicted that has sent nothing for this long since it was accepted ...
+const MIN_SILENCE_BEFORE_EVICTION: Duration = Duration::from_millis(60);
+/// ... that has been idle for this long since its last response ...
 pub const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(20);
-/// ... and one that has begun a request but not ended its head, or does not read its answer.
-const SLOW: Duration = Duration::from_millis(500);
+/// ... or that has taken this long over the head of a request, or over reading its response.
+const MIN_STALL_BEFORE_EVICTION: Duration = Duration::from_millis(500);
 
 /// A client's connection.
 pub struct DownstreamConnection {
@@ -24,85 +23,91 @@
     pub stream: CountingStream,
     stage: Cell<ConnectionStage>,
     used: Cell<bool>,
-    /// Connections that ask, over all; this one counts among them or not.
-    asking: Rc<Cell<usize>>,
-    counted: Cell<bool>,
-    /// When it came up, was last answered, or was closed.
+    /// The counter of connections with requests; see [`super::connection_budget::ConnectionBudget`].
+    requesting: Rc<Cell<usize>>,
+    /// Whether this connection counts itself there.
+    is_counted: Cell<bool>,
+    /// When it was accepted, had its last response, or was closed.
     pub last_activity: Cell<Instant>,
-    /// Where it is among all connections; [`crate::net::downstream::connection_budget::RetryBudgetSpent`] alone changes it.
+    /// Index in the budget, which alone changes it.
     pub index: Cell<usize>,
-    /// Over the budget: told so and closed.
+    /// Accepted over the limit: its request is rejected and it is closed.
     pub over_limit: bool,
-    /// The bounds of its front.
+    /// Options of its listener; the listener is identified by them.
     pub options: Rc<Cell<ListenerOptions>>,
-    /// To be closed after the request that it has, if any.
+    /// Wakes the connection's task to close it at once.
     pub close: Notify,
-    /// To be closed at once.
-    pub cut: Notify,
 }
 
-/// What a connection is about.
+/// The stage of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionStage {
-    /// Waiting for a request, or for the rest of its head.
+    /// Waits for a request, or for the rest of its head.
     Waiting,
-    /// A request is being read or answered.
+    /// A request is read or answered.
     Busy,
-    /// Closed but for what the client still sends.
+    /// Closed, but for what the client still sends.
     Lingering,
-    /// About to go.
+    /// About to end.
     Ending,
 }
 
 impl DownstreamConnection {
-    /// One that has come up.
+    /// Returns a connection that was just accepted.
     pub fn new(
-        link: CountingStream,
-        extra: bool,
+        stream: CountingStream,
+        over_limit: bool,
         options: Rc<Cell<ListenerOptions>>,
-        asking: Rc<Cell<usize>>,
+        requesting: Rc<Cell<usize>>,
     ) -> Rc<Self> {
         Rc::new(Self {
-            asking,
-            counted: Cell::new(false),
-            stream: link,
+            stream,
             stage: Cell::new(ConnectionStage::Waiting),
             used: Cell::new(false),
+            requesting,
+            is_counted: Cell::new(false),
             last_activity: Cell::new(Instant::now()),
             index: Cell::new(0),
-            over_limit: extra,
+            over_limit,
             options,
             close: Notify::new(),
-            cut: Notify::new(),
         })
     }
 
-    /// What it is about.
+    /// Its stage.
     pub fn stage(&self) -> ConnectionStage {
         self.stage.get()
     }
 
-    /// Has had an answer.
+    /// Whether it has had a response.
     pub fn used(&self) -> bool {
         self.used.get()
     }
 
-    /// It is about something else now; `used` once it has had an answer.
+    /// Sets the stage, and whether it has had a response.
     pub fn set_stage(&self, stage: ConnectionStage, used: bool) {
         self.stage.set(stage);
         self.used.set(used);
-        let asks = match stage {
+        let has_requests = match stage {
             ConnectionStage::Busy => true,
             ConnectionStage::Waiting => used,
             ConnectionStage::Lingering | ConnectionStage::Ending => false,
         };
-        if self.counted.replace(asks) != asks {
-            let count = self.asking.get();
-            self.asking.set(if asks { count + 1 } else { count - 1 });
+        if self.is_counted.replace(has_requests) != has_requests {
+            let count = self.requesting.get();
+            self.requesting.set(if has_requests { count + 1 } else { count - 1 });
         }
     }
 
-    /// Nothing is asked or half asked, as far as can be seen.
+    /// A response was passed on: it waits for the next request.
+    pub fn mark_answered(&self) {
+        self.last_activity.set(Instant::now());
+        if self.stage() == ConnectionStage::Busy {
+            self.set_stage(ConnectionStage::Waiting, true);
+        }
+    }
+
+    /// Whether no part of a request has come and no response is being written, as far as can be seen.
     pub fn is_idle(&self) -> bool {
         self.stage.get() == ConnectionStage::Waiting
             && self.stream.head_started_at().is_none()
@@ -110,7 +115,7 @@
             && self.stream.unread() != UnreadState::Bytes
     }
 
-    /// A request on it has come, as far as can be seen, and its answer has not gone, or only just.
+    /// Whether a request has come, as far as can be seen, whose response has not arrived, or only just.
     pub fn owes_response(&self) -> bool {
         match self.stage.get() {
             ConnectionStage::Busy => true,
@@ -122,27 +127,33 @@
         }
     }
 
-    /// How willingly it makes way, lower first; `None` where it must not.
+    /// Rank for eviction, lowest first; `None` where it must not be evicted.
     pub fn eviction_rank(&self, now: Instant) -> Option<u8> {
-        let rested = |span| now.saturating_duration_since(self.last_activity.get()) >= span;
+        let rested = |time| now.saturating_duration_since(self.last_activity.get()) >= time;
         match (self.stage.get(), self.stream.head_started_at()) {
             (ConnectionStage::Lingering, _) => rested(MIN_IDLE_BEFORE_EVICTION).then_some(0),
-            // Its last answer still waits for the client to read: an end now would cut it.
-            (ConnectionStage::Waiting, _) if self.stream.is_blocked() => rested(SLOW).then_some(3),
-            (ConnectionStage::Waiting, None) if !self.used.get() => rested(SILENT).then_some(1),
+            // Its last response waits for the client to read: closing now would cut it off.
+            (ConnectionStage::Waiting, _) if self.stream.is_blocked() => {
+                rested(MIN_STALL_BEFORE_EVICTION).then_some(3)
+            }
+            (ConnectionStage::Waiting, None) if !self.used.get() => {
+                rested(MIN_SILENCE_BEFORE_EVICTION).then_some(1)
+            }
             (ConnectionStage::Waiting, None) => rested(MIN_IDLE_BEFORE_EVICTION).then_some(2),
-            (ConnectionStage::Waiting, Some(begun)) => (now >= begun + SLOW).then_some(3),
+            (ConnectionStage::Waiting, Some(started)) => {
+                (now >= started + MIN_STALL_BEFORE_EVICTION).then_some(3)
+            }
             _ => None,
         }
     }
 
-    /// Has taken too long over a request, or has been idle for long.
+    /// Whether it has taken too long over a request, or has been idle for too long.
     pub fn has_timed_out(&self, now: Instant) -> bool {
         let ListenerOptions { request_timeout, idle_timeout, .. } = self.options.get();
         self.stage.get() == ConnectionStage::Waiting
             && match self.stream.head_started_at() {
                 _ if !self.used.get() => now >= self.last_activity.get() + request_timeout,
-                Some(begun) => now >= begun + request_timeout,
+                Some(started) => now >= started + request_timeout,
                 None => {
                     now >= self.last_activity.get() + idle_timeout
                         && self.stream.unread() == UnreadState::Nothing
@@ -150,17 +161,17 @@
             }
     }
 
-    /// Closes it now.
+    /// Closes it at once.
     pub fn close_now(&self) {
         self.set_stage(ConnectionStage::Ending, self.used());
-        self.cut.notify_one();
+        self.close.notify_one();
     }
 }
 
 impl Drop for DownstreamConnection {
     fn drop(&mut self) {
-        if self.counted.get() {
-            self.asking.set(self.asking.get() - 1);
+        if self.is_counted.get() {
+            self.requesting.set(self.requesting.get() - 1);
         }
     }
 }
--- a/crates/node/src/net/downstream/connection_budget.rs
+++ b/crates/node/src/net/downstream/connection_budget.rs
@@ -1,112 +1,112 @@
-//! The connections of all clients, of which a node may hold so many.
+//! The node's limit of client connections, shared by all its listeners.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
 use tokio::time::Instant;
 
+use super::DownstreamListener;
+use super::accept::OVERFLOW_CONNECTIONS;
+use super::connection::{ConnectionStage, DownstreamConnection};
 use crate::net::counting_stream::UnreadState;
-use crate::net::downstream::connection::{ConnectionStage, DownstreamConnection};
 
-/// From this part of all descriptors on, connections that ask are crowded: each closes with its next answer.
-/// Clients may hold a third at a node, and clients that ask once and stay for some seconds took all of it:
-/// hardly a request came through, while the node was idle. Should also help where anything before the node
-/// bounds its connections. Does harm where so many clients ask again at once: they connect each time.
-const CROWDED: usize = 4;
+/// Once this part of all descriptors is taken by connections with requests, each connection closes with its next response.
+/// Otherwise clients that keep connections open take all of them while the node is idle. Clients that send many requests
+/// reconnect more often.
+const CROWDED_DIVISOR: usize = 4;
 
-/// Connections of clients, over all fronts.
+/// The client connections of all listeners.
 pub struct ConnectionBudget {
-    conns: RefCell<Vec<Rc<DownstreamConnection>>>,
-    /// Those that ask, or have asked and may again; each counts itself.
-    asking: Rc<Cell<usize>>,
-    places: usize,
-    crowded: usize,
+    connections: RefCell<Vec<Rc<DownstreamConnection>>>,
+    /// Number of connections that have a request, or had one and may send another; each counts itself.
+    requesting: Rc<Cell<usize>>,
+    limit: usize,
+    crowded_limit: usize,
 }
 
 impl ConnectionBudget {
-    /// At most `places`, of a node that may hold so many descriptors.
-    pub fn new(places: usize, descriptors: usize) -> Rc<Self> {
+    /// A budget of `limit` connections, at a node that may open this many descriptors.
+    pub fn new(limit: usize, descriptors: usize) -> Rc<Self> {
         Rc::new(Self {
-            conns: RefCell::default(),
-            asking: Rc::default(),
-            places,
-            crowded: descriptors / CROWDED,
+            connections: RefCell::default(),
+            requesting: Rc::default(),
+            limit,
+            crowded_limit: descriptors / CROWDED_DIVISOR,
         })
     }
 
-    /// How many there may be.
+    /// Greatest number of connections.
     pub fn limit(&self) -> usize {
-        self.places
+        self.limit
     }
 
-    /// How many there are.
+    /// Number of connections.
     pub fn count(&self) -> usize {
-        self.conns.borrow().len()
+        self.connections.borrow().len()
     }
 
-    /// Whether one more is over the budget.
+    /// Whether one more connection would be over the limit.
     pub fn is_full(&self) -> bool {
-        self.count() >= self.places
+        self.count() >= self.limit
     }
 
-    /// Whether so many are over it that they can't be told so any more.
+    /// Whether there is no descriptor left for a connection that only gets a rejection.
     pub fn is_overfull(&self) -> bool {
-        self.count() >= self.places + crate::net::downstream::OVERFLOW_CONNECTIONS
+        self.count() >= self.limit + OVERFLOW_CONNECTIONS
     }
 
-    /// The count of those that ask, for a new one.
-    pub fn asking(&self) -> Rc<Cell<usize>> {
-        self.asking.clone()
+    /// The counter of connections with requests, for a new connection.
+    pub fn requesting(&self) -> Rc<Cell<usize>> {
+        self.requesting.clone()
     }
 
-    /// Takes one in.
-    pub fn add(&self, conn: &Rc<DownstreamConnection>) {
-        let mut conns = self.conns.borrow_mut();
-        conn.index.set(conns.len());
-        conns.push(conn.clone());
+    /// Adds a connection.
+    pub fn add(&self, connection: &Rc<DownstreamConnection>) {
+        let mut connections = self.connections.borrow_mut();
+        connection.index.set(connections.len());
+        connections.push(connection.clone());
     }
 
-    /// One has ended.
-    pub fn remove(&self, conn: &Rc<DownstreamConnection>) {
-        // At every end of thousands: the last one takes its place, where a search would cost more than the rest.
-        let mut conns = self.conns.borrow_mut();
-        let place = conn.index.get();
-        if conns.get(place).is_some_and(|found| Rc::ptr_eq(found, conn)) {
-            conns.swap_remove(place);
-            if let Some(moved) = conns.get(place) {
-                moved.index.set(place);
+    /// Removes a connection that has ended. Its index spares a search among thousands.
+    pub fn remove(&self, connection: &Rc<DownstreamConnection>) {
+        let mut connections = self.connections.borrow_mut();
+        let index = connection.index.get();
+        if connections.get(index).is_some_and(|found| Rc::ptr_eq(found, connection)) {
+            connections.swap_remove(index);
+            if let Some(moved) = connections.get(index) {
+                moved.index.set(index);
             }
         }
     }
 
-    /// Those of one front.
-    pub fn for_each_of(
-        &self,
-        owner: &crate::net::downstream::DownstreamListener,
-        mut take: impl FnMut(&DownstreamConnection),
-    ) {
-        let conns = self.conns.borrow();
-        conns.iter().filter(|conn| owner.owns(conn)).for_each(|conn| take(conn));
+    /// Visits the connections of one listener.
+    pub fn for_each_of(&self, owner: &DownstreamListener, mut visit: impl FnMut(&DownstreamConnection)) {
+        let connections = self.connections.borrow();
+        connections
+            .iter()
+            .filter(|connection| owner.owns(connection))
+            .for_each(|connection| visit(connection));
     }
 
-    /// Closes the connection that can best be done without, of its kind the oldest; tells whether there was one.
-    /// Only the chosen one's socket is asked whether a request has just come.
+    /// Closes the connection with the lowest eviction rank, among equals the oldest; returns whether there was one.
     pub fn evict_one(&self) -> bool {
-        let (conns, now) = (self.conns.borrow(), Instant::now());
-        let rank =
-            |conn: &Rc<DownstreamConnection>| Some((conn.eviction_rank(now)?, conn.last_activity.get()));
-        let ranked = conns.iter().filter_map(|conn| Some((rank(conn)?, conn)));
-        let Some((_, conn)) = ranked.min_by_key(|(rank, _)| *rank) else { return false };
-        if conn.stage() == ConnectionStage::Waiting && conn.stream.unread() == UnreadState::Bytes {
-            // It is asking after all: the event loop has not come to it yet.
+        let (connections, now) = (self.connections.borrow(), Instant::now());
+        let rank = |connection: &Rc<DownstreamConnection>| {
+            Some((connection.eviction_rank(now)?, connection.last_activity.get()))
+        };
+        let ranked = connections.iter().filter_map(|connection| Some((rank(connection)?, connection)));
+        let Some((_, connection)) = ranked.min_by_key(|(rank, _)| *rank) else { return false };
+        // A request may have come that the event loop has not read: the kernel is asked about the chosen socket alone.
+        if connection.stage() == ConnectionStage::Waiting && connection.stream.unread() == UnreadState::Bytes
+        {
             return false;
         }
-        conn.close_now();
+        connection.close_now();
         true
     }
 
-    /// Whether those who ask leave each other few connections.
+    /// Whether connections with requests leave few descriptors for others.
     pub fn is_crowded(&self) -> bool {
-        self.asking.get() >= self.crowded
+        self.requesting.get() >= self.crowded_limit
     }
 }
--- a/crates/node/src/net/downstream/drain.rs
+++ b/crates/node/src/net/downstream/drain.rs
@@ -1,4 +1,4 @@
-//! The orderly end of a front: at SIGTERM, or when its listener is gone from the configuration.
+//! The orderly end of a listener: at SIGTERM, or when it is gone from the configuration.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,70 +6,66 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, sleep, timeout_at};
 
-use crate::net::downstream::connection::MIN_IDLE_BEFORE_EVICTION;
-use crate::net::downstream::{ACCEPT_PAUSE, DownstreamListener};
+use super::DownstreamListener;
+use super::accept::ACCEPT_RETRY_DELAY;
+use super::connection::MIN_IDLE_BEFORE_EVICTION;
 
-/// After SIGTERM new connections go on coming for up to 0.4 s: accepting ends after this ...
-const ACCEPT_ON: Duration = Duration::from_millis(500);
-/// ... or once so long has passed without a new one, but at the latest ...
-const ACCEPT_QUIET: Duration = Duration::from_millis(200);
-/// ... after this.
-const ACCEPT_MOST: Duration = Duration::from_millis(1_500);
-/// A new connection that has asked nothing for so long is idle.
-pub(super) const FRESH: Duration = Duration::from_millis(700);
-/// Where another process goes on accepting, idle connections are left alone for so long: each client asks again
-/// within that, and closes with the answer.
-const LEFT_ALONE: Duration = Duration::from_millis(1_000);
-/// From then on all idle ones close: what was asked before still has the longest deadline to be answered.
-const LAST_CALL: Duration = Duration::from_millis(2_000);
-/// SIGKILL comes 0.7 s after the last deadline: what is still open so long after it fails ...
-const LAST_MARGIN: Duration = Duration::from_millis(400);
-/// ... and so much later the process ends, whatever is open.
-const LAST_WORDS: Duration = Duration::from_millis(200);
+/// Connections still come for up to 0.4 s after SIGTERM; accepting goes on at least for this ...
+const MIN_ACCEPT_TIME: Duration = Duration::from_millis(500);
+/// ... and until no connection has come for this ...
+const ACCEPT_QUIET_TIME: Duration = Duration::from_millis(200);
+/// ... but at most for this.
+const MAX_ACCEPT_TIME: Duration = Duration::from_millis(1_500);
+/// A new connection without a request counts as idle after this.
+pub(super) const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(700);
+/// Where another process goes on accepting, idle connections are kept for this, to be closed with a response.
+const SHARED_IDLE_GRACE: Duration = Duration::from_millis(1_000);
+/// After this all idle connections close: the rest of the drain covers the longest deadline.
+const CLOSE_ALL_IDLE_AFTER: Duration = Duration::from_millis(2_000);
+/// SIGKILL comes 0.7 s after the last deadline: requests fail this long after it ...
+const FAIL_MARGIN: Duration = Duration::from_millis(400);
+/// ... and the process exits this much later, whatever is open.
+const EXIT_MARGIN: Duration = Duration::from_millis(200);
+/// Interval at which a drain is checked.
+const CHECK_INTERVAL: Duration = ACCEPT_RETRY_DELAY;
 
-/// Why a front ends.
+/// Why a listener drains.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum DrainReason {
-    /// The process does.
+    /// The process is about to exit.
     Process,
-    /// Its listener is gone from the configuration; others go on.
+    /// The listener is gone from the configuration; others go on.
     Listener,
 }
 
 impl DownstreamListener {
     /// Goes on accepting while new connections come, unless another process does, answers with `Connection: close`,
-    /// closes what is idle, and returns when all that was taken has been answered.
-    pub(super) async fn drain(self: Rc<Self>, listener: TcpListener, ending: DrainReason) {
+    /// closes what is idle, and returns when all requests that were taken have been answered.
+    pub(super) async fn drain(self: Rc<Self>, listener: TcpListener, reason: DrainReason) {
         self.draining.set(true);
         let start = Instant::now();
-        let end = start + self.options.get().max_request_deadline + LAST_MARGIN;
-        if self.shared.get() {
-            // Who connects from now on is another process's, also those that wait in the socket.
+        let fail_at = start + self.options.get().max_request_deadline + FAIL_MARGIN;
+        if self.is_socket_shared.get() {
+            // Connections from now on are another process's, those that wait in the socket too.
             drop(listener);
         } else {
-            self.accept_last(listener, start, end).await;
+            self.accept_last(listener, start, fail_at).await;
         }
-        while self.open() > 0 {
+        while self.connection_count() > 0 {
             let now = Instant::now();
-            if !self.shared.get() {
-                self.close_idle(MIN_IDLE_BEFORE_EVICTION, FRESH);
-            } else if now >= start + LEFT_ALONE {
-                // A request that crosses a close was turned back unheard: those that have long said nothing first.
-                let quiet = if now >= start + LAST_CALL { MIN_IDLE_BEFORE_EVICTION } else { LEFT_ALONE };
-                self.close_idle(quiet, quiet);
-            }
-            // A front that ends alone has no say over the requests of others; its own end by their deadlines.
-            if now >= end && ending == DrainReason::Process {
-                // What is read from now on is told so at once: clients send on each connection that stays open.
-                self.over.set(true);
-                (self.give_up)();
+            self.close_idle_while_draining(start, now);
+            // A single listener must not fail the requests of others; its own end by their deadlines.
+            if now >= fail_at && reason == DrainReason::Process {
+                // Requests that are read from now on are rejected: clients use each connection that stays open.
+                self.is_exiting.set(true);
+                (self.fail_all)();
                 self.close_idle(Duration::ZERO, Duration::ZERO);
             }
-            // An end under a request that has been read, or under its answer, would lose it.
-            if now >= end && !self.is_owing() || now >= end + LAST_WORDS {
+            // An exit after a request was read, or while its response is written, would lose it.
+            if now >= fail_at && !self.owes_response() || now >= fail_at + EXIT_MARGIN {
                 break;
             }
-            sleep(ACCEPT_PAUSE).await;
+            sleep(CHECK_INTERVAL).await;
         }
     }
 
@@ -77,13 +73,14 @@
     async fn accept_last(self: &Rc<Self>, listener: TcpListener, start: Instant, end: Instant) {
         let mut last = start;
         loop {
-            self.close_idle(MIN_IDLE_BEFORE_EVICTION, FRESH);
-            let until = (start + ACCEPT_ON).max(last + ACCEPT_QUIET).min(start + ACCEPT_MOST).min(end);
-            let soon = (Instant::now() + ACCEPT_PAUSE).min(until);
+            self.close_idle(MIN_IDLE_BEFORE_EVICTION, NEW_CONNECTION_GRACE);
+            let until =
+                (start + MIN_ACCEPT_TIME).max(last + ACCEPT_QUIET_TIME).min(start + MAX_ACCEPT_TIME).min(end);
+            let soon = (Instant::now() + CHECK_INTERVAL).min(until);
             match timeout_at(soon, self.accept(&listener)).await {
-                Ok((stream, peer)) => {
+                Ok(accepted) => {
                     last = Instant::now();
-                    self.clone().take(stream, peer);
+                    self.clone().spawn_connection(accepted);
                 }
                 Err(_) if soon == until => break,
                 Err(_) => {}
@@ -91,27 +88,36 @@
         }
     }
 
-    /// Whether a request that has come is without its whole answer, or one has just been written.
-    fn is_owing(&self) -> bool {
-        let mut owing = false;
-        self.budget.for_each_of(self, |conn| owing |= conn.owes_response());
-        owing
+    fn close_idle_while_draining(&self, start: Instant, now: Instant) {
+        if !self.is_socket_shared.get() {
+            self.close_idle(MIN_IDLE_BEFORE_EVICTION, NEW_CONNECTION_GRACE);
+        } else if now >= start + SHARED_IDLE_GRACE {
+            // A request that meets a close is lost, so connections that have long been silent go first.
+            let all = now >= start + CLOSE_ALL_IDLE_AFTER;
+            let idle_time = if all { MIN_IDLE_BEFORE_EVICTION } else { SHARED_IDLE_GRACE };
+            self.close_idle(idle_time, idle_time);
+        }
+    }
+
+    /// Whether a request has come that is without its whole response, or one was written just now.
+    fn owes_response(&self) -> bool {
+        let mut owes = false;
+        self.budget.for_each_of(self, |connection| owes |= connection.owes_response());
+        owes
     }
 
-    /// Its connections.
-    fn open(&self) -> usize {
+    fn connection_count(&self) -> usize {
         let mut count = 0;
         self.budget.for_each_of(self, |_| count += 1);
         count
     }
 
-    /// Closes connections on which nothing is asked, `rested` after their last answer or `fresh` after they came up.
-    pub(super) fn close_idle(&self, rested: Duration, fresh: Duration) {
-        self.budget.for_each_of(self, |conn| {
-            // The last answer must have arrived by now.
-            let rested = if conn.used() { rested } else { fresh };
-            if conn.is_idle() && conn.last_activity.get().elapsed() > rested {
-                conn.close_now();
+    /// Closes connections without a request: `used_idle` after their last response, or `new_idle` after the accept.
+    pub(super) fn close_idle(&self, used_idle: Duration, new_idle: Duration) {
+        self.budget.for_each_of(self, |connection| {
+            let min_idle = if connection.used() { used_idle } else { new_idle };
+            if connection.is_idle() && connection.last_activity.get().elapsed() > min_idle {
+                connection.close_now();
             }
         });
     }
--- /dev/null
+++ b/crates/node/src/net/downstream/http.rs
@@ -0,0 +1,225 @@
+//! Client connections over HTTP/1.1.
+
+use std::cell::Cell;
+use std::convert::Infallible;
+use std::net::IpAddr;
+use std::pin::pin;
+use std::rc::Rc;
+
+use bytes::Bytes;
+use hyper::body::Incoming;
+use hyper::header;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use tokio::time::{Instant, timeout_at};
+
+use super::body_framing::BodyFraming;
+use super::connection::{ConnectionStage, DownstreamConnection};
+use super::request_body::{ReceivedBody, read_buffered, read_full};
+use super::{DownstreamListener, ListenerOptions, response};
+use crate::net::admission::{AdmittedRequest, RequestError, RequestHead, ResponseStyle};
+use crate::net::header_fields::MAX_HEAD_BYTES;
+use crate::net::response_body::ResponseBody;
+
+/// Written to a client that began a request and did not go on.
+const REQUEST_TIMEOUT_RESPONSE: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+
+/// How far the request that a connection has now has come.
+#[derive(Default)]
+struct RequestProgress {
+    /// Read, and without a response.
+    awaits_response: Cell<bool>,
+    /// Its response is streamed.
+    is_streaming: Cell<bool>,
+}
+
+/// A request that was read and admitted.
+struct ReadRequest {
+    admitted: AdmittedRequest,
+    body: ReceivedBody,
+}
+
+/// A response, and whether the client may still be sending the request's body.
+struct HttpReply {
+    response: Response<ResponseBody>,
+    is_upload_unfinished: bool,
+}
+
+impl From<Response<ResponseBody>> for HttpReply {
+    fn from(response: Response<ResponseBody>) -> Self {
+        Self { response, is_upload_unfinished: false }
+    }
+}
+
+impl DownstreamListener {
+    /// Serves a connection to its end.
+    pub(super) async fn serve_http(&self, connection: &Rc<DownstreamConnection>, client_ip: IpAddr) {
+        let progress = RequestProgress::default();
+        let service = service_fn(|request| async {
+            Ok::<_, Infallible>(self.serve_request(connection, client_ip, request, &progress).await)
+        });
+        let mut builder = http1::Builder::new();
+        builder.max_buf_size(MAX_HEAD_BYTES);
+        let mut served = pin!(builder.serve_connection(TokioIo::new(connection.stream.clone()), service));
+        let mut peer_closed = pin!(connection.stream.peer_closed());
+        let mut has_peer_closed = false;
+        loop {
+            tokio::select! {
+                // What has been read goes ahead of a close from this side.
+                biased;
+                // Dropping a request that waits reports the disconnect to its pool. The HTTP library finishes a response
+                // that is being written; a request behind it is rejected in `reply`.
+                () = peer_closed.as_mut(), if !has_peer_closed => {
+                    if progress.awaits_response.get() {
+                        return;
+                    }
+                    has_peer_closed = true;
+                }
+                // An error leaves nothing more to say to the client.
+                _ = served.as_mut() => break,
+                () = connection.close.notified() => {
+                    // It was idle when it was chosen; a request that has been read since is answered.
+                    if progress.awaits_response.get() {
+                        served.as_mut().graceful_shutdown();
+                        continue;
+                    }
+                    // Not into a response that is being written.
+                    if connection.stream.head_started_at().is_some() && !progress.is_streaming.get() {
+                        connection.stream.write_best_effort(REQUEST_TIMEOUT_RESPONSE);
+                    }
+                    return;
+                }
+            }
+        }
+        self.linger(connection).await;
+    }
+
+    /// Serves one request, and keeps the stage of its connection.
+    async fn serve_request(
+        &self,
+        connection: &Rc<DownstreamConnection>,
+        client_ip: IpAddr,
+        request: Request<Incoming>,
+        progress: &RequestProgress,
+    ) -> Response<ResponseBody> {
+        connection.set_stage(ConnectionStage::Busy, connection.used());
+        progress.awaits_response.set(true);
+        let mut response = self.respond(connection, client_ip, request).await;
+        progress.awaits_response.set(false);
+        let body = response.body_mut();
+        progress.is_streaming.set(body.is_stream());
+        if body.is_stream() {
+            let (aborted, answered) = (connection.clone(), connection.clone());
+            body.set_abort(move || aborted.close_now());
+            body.on_end(move |_| answered.mark_answered());
+        } else {
+            connection.mark_answered();
+        }
+        response
+    }
+
+    /// Responds to a request, and decides whether the connection closes with the response.
+    async fn respond(
+        &self,
+        connection: &DownstreamConnection,
+        client_ip: IpAddr,
+        request: Request<Incoming>,
+    ) -> Response<ResponseBody> {
+        let read_from = if connection.used() { Instant::now() } else { connection.last_activity.get() };
+        let framing = BodyFraming::parse(&connection.stream.take_head());
+        connection.stream.skip_body(framing.body_length());
+        let expects_continue = request.headers().contains_key(header::EXPECT);
+        let read_due = read_from + self.options.get().request_timeout;
+        let reply = self.reply(connection, client_ip, request, framing, read_due).await;
+        let HttpReply { mut response, is_upload_unfinished } = reply;
+        let is_crowded = connection.over_limit || self.budget.is_crowded();
+        // After an error status a client that expects 100 may send its body all the same, or the next request.
+        let is_next_ambiguous = expects_continue && response.status().as_u16() >= 400;
+        if self.draining.get()
+            || self.is_lame_duck()
+            || is_crowded
+            || is_next_ambiguous
+            || is_upload_unfinished
+            || !matches!(framing, BodyFraming::Length(_))
+        {
+            response::close(&mut response);
+        }
+        response
+    }
+
+    async fn reply(
+        &self,
+        connection: &DownstreamConnection,
+        client_ip: IpAddr,
+        request: Request<Incoming>,
+        framing: BodyFraming,
+        read_due: Instant,
+    ) -> HttpReply {
+        if self.options.get().serves_health_check && request.uri().path() == "/healthz" {
+            return self.health_response().into();
+        }
+        if connection.stream.has_peer_closed() {
+            // The client sent this request behind another one and closed: nobody waits for the response.
+            return response::rejection(&ResponseStyle::Platform, None).into();
+        }
+        let read_started = Instant::now();
+        match self.read_request(request, client_ip, framing, read_due).await {
+            Err(error) => response::error(&error).into(),
+            Ok(ReadRequest { mut admitted, body }) => {
+                admitted.request.body_read_time = read_started.elapsed();
+                let upload = body.upload();
+                let response = self.proxy(admitted, body, connection.over_limit).await;
+                let is_upload_unfinished = upload.is_some_and(|upload| upload.completed_at().is_none());
+                HttpReply { response, is_upload_unfinished }
+            }
+        }
+    }
+
+    fn health_response(&self) -> Response<ResponseBody> {
+        let takes_requests = !self.draining.get() && !self.is_lame_duck();
+        let status = if takes_requests { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        response::plain(status, "")
+    }
+
+    /// Reads a request until `due`, and has it admitted.
+    async fn read_request(
+        &self,
+        request: Request<Incoming>,
+        client_ip: IpAddr,
+        framing: BodyFraming,
+        due: Instant,
+    ) -> Result<ReadRequest, RequestError> {
+        if framing == BodyFraming::Ambiguous {
+            return Err(RequestError::AmbiguousFraming);
+        }
+        let (parts, body) = request.into_parts();
+        let head = RequestHead {
+            method: &parts.method,
+            uri: &parts.uri,
+            version: parts.version,
+            headers: parts.headers,
+            peer: client_ip,
+        };
+        let expects_continue = head.headers.contains_key(header::EXPECT);
+        let admitted = self.admission.admit(head);
+        if admitted.is_err() && expects_continue {
+            // The client has not sent its body, and need not (RFC 9110 section 10.1.1).
+            return admitted.map(|admitted| ReadRequest { admitted, body: ReceivedBody::Full(Bytes::new()) });
+        }
+        // The body is read before an error is reported, so that the response meets no client that is still writing.
+        let ListenerOptions { max_buffered_body, max_streamed_body, .. } = self.options.get();
+        let body = match (max_streamed_body, &admitted) {
+            (Some(max), Ok(AdmittedRequest { request, .. })) => {
+                read_buffered(body, max_buffered_body, max, request.time_left, &self.memory).await?
+            }
+            _ => {
+                let body = timeout_at(due, read_full(body, max_buffered_body)).await;
+                ReceivedBody::Full(body.unwrap_or(Err(RequestError::BodyTimeout))?)
+            }
+        };
+        Ok(ReadRequest { admitted: admitted?, body })
+    }
+}
--- /dev/null
+++ b/crates/node/src/net/downstream/proxy.rs
@@ -0,0 +1,63 @@
+//! Sends an admitted request to its pool and words the response, for all protocols of clients.
+
+use hyper::Response;
+use pumicehead_admin::figures::Outcome;
+use pumicehead_flight_recorder::event::Turned;
+
+use super::DownstreamListener;
+use super::request_body::ReceivedBody;
+use super::response;
+use crate::net::admission::{AdmittedRequest, RequestError};
+use crate::net::exchange::FinalResponse;
+use crate::net::response_body::{ResponseBody, StreamEnd};
+
+impl DownstreamListener {
+    /// Proxies a request. One on a connection that is `over_limit` is rejected.
+    pub(super) async fn proxy(
+        &self,
+        admitted: AdmittedRequest,
+        body: ReceivedBody,
+        over_limit: bool,
+    ) -> Response<ResponseBody> {
+        let AdmittedRequest { pool, mut request, style, must_be_empty } = admitted;
+        let class = request.class;
+        if must_be_empty && !body.is_empty() {
+            return response::error(&RequestError::MethodNotAllowed(Vec::new()));
+        }
+        if let Some(reason) = self.local_rejection(over_limit) {
+            pool.record_local_rejection(class, reason);
+            self.figures.ended(class, Outcome::Rejected);
+            return response::rejection(&style, self.options.get().retry_after);
+        }
+        (request.upstream.body, request.upstream.upload) = body.into_parts();
+        let Some(mut final_response) = pool.proxy(request).await else {
+            return response::error(&RequestError::DuplicateId);
+        };
+        self.count_outcome(class, &mut final_response);
+        response::from_final(&style, final_response)
+    }
+
+    /// Why a request is rejected without asking its pool; `None` where it is not.
+    fn local_rejection(&self, over_limit: bool) -> Option<Turned> {
+        if over_limit {
+            return Some(Turned::Connections);
+        }
+        let is_full = self.active_requests.count() >= self.options.get().max_active_requests;
+        (self.is_exiting.get() || is_full).then_some(Turned::Held)
+    }
+
+    /// Counts the outcome of a request; that of a streamed response is known at its end.
+    fn count_outcome(&self, class: usize, response: &mut FinalResponse) {
+        match response {
+            FinalResponse::Upstream(upstream) if upstream.body.is_stream() => {
+                let figures = self.figures.clone();
+                upstream.body.on_end(move |end| match end {
+                    StreamEnd::Complete => figures.ended(class, Outcome::Completed),
+                    StreamEnd::UpstreamFailed => figures.ended(class, Outcome::Failed),
+                    StreamEnd::ClientDisconnected => {}
+                });
+            }
+            response => self.figures.ended(class, response.outcome()),
+        }
+    }
+}
--- a/crates/node/src/net/downstream/response.rs
+++ b/crates/node/src/net/downstream/response.rs
@@ -1,85 +1,87 @@
-//! Final answers as messages to clients.
+//! Final responses as HTTP messages to clients.
 
 use bytes::Bytes;
-use hyper::header::{self, HeaderMap, HeaderValue};
-use hyper::{Response, StatusCode};
+use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::{Method, Response, StatusCode};
 use pumicehead_policy::{Nanos, SECOND};
 
 use crate::net::admission::{RequestError, ResponseStyle};
 use crate::net::exchange::{FinalResponse, UpstreamResponse};
 use crate::net::response_body::ResponseBody;
 
-/// An answer's message.
-pub fn response(manner: &ResponseStyle, answer: FinalResponse) -> Response<ResponseBody> {
-    match (answer, manner) {
-        (FinalResponse::Upstream(served), ResponseStyle::Platform) => {
-            let mut response = Response::new(served.body);
-            if let Some(content_type) = served.headers.get(header::CONTENT_TYPE) {
+/// Returns the message of a final response.
+pub fn from_final(style: &ResponseStyle, response: FinalResponse) -> Response<ResponseBody> {
+    match response {
+        FinalResponse::Upstream(upstream) => from_upstream(style, upstream),
+        FinalResponse::Rejected(retry_after) => rejection(style, retry_after),
+        FinalResponse::Failed | FinalResponse::ClientDisconnected => plain(StatusCode::BAD_GATEWAY, ""),
+        FinalResponse::DeadlineExceeded => plain(StatusCode::GATEWAY_TIMEOUT, ""),
+        FinalResponse::BodyIncomplete => error(&RequestError::BodyTimeout),
+        FinalResponse::BodyTooLong => error(&RequestError::BodyTooLong),
+    }
+}
+
+fn from_upstream(style: &ResponseStyle, upstream: UpstreamResponse) -> Response<ResponseBody> {
+    let UpstreamResponse { status, headers, body } = upstream;
+    let mut response = Response::new(body);
+    match style {
+        ResponseStyle::Platform => {
+            if let Some(content_type) = headers.get(header::CONTENT_TYPE) {
                 response.headers_mut().insert(header::CONTENT_TYPE, content_type.clone());
             }
-            response
         }
-        (
-            FinalResponse::Upstream(UpstreamResponse { status, headers, body }),
-            ResponseStyle::Gateway(via),
-        ) => {
-            let mut response = Response::new(body);
+        ResponseStyle::Gateway(via) => {
             *response.status_mut() = status;
             *response.headers_mut() = headers;
             response.headers_mut().append(header::VIA, via.clone());
-            response
         }
-        (FinalResponse::Rejected(retry_after), _) => refusal(manner, retry_after),
-        (FinalResponse::Failed | FinalResponse::ClientDisconnected, _) => plain(StatusCode::BAD_GATEWAY, ""),
-        (FinalResponse::DeadlineExceeded, _) => plain(StatusCode::GATEWAY_TIMEOUT, ""),
-        (FinalResponse::BodyIncomplete, _) => bad(&RequestError::BodyTimeout),
-        (FinalResponse::BodyTooLong, _) => bad(&RequestError::BodyTooLong),
     }
+    response
 }
 
-/// The answer to what is no request.
-pub fn bad(bad: &RequestError) -> Response<ResponseBody> {
-    let mut response = plain(bad.status(), &bad.to_string());
-    if let RequestError::MethodNotAllowed(allowed) = bad
+/// Returns the message for a request that is not admitted.
+pub fn error(error: &RequestError) -> Response<ResponseBody> {
+    let mut response = plain(error.status(), &error.to_string());
+    if let RequestError::MethodNotAllowed(allowed) = error
         && !allowed.is_empty()
     {
-        let names: Vec<_> = allowed.iter().map(hyper::Method::as_str).collect();
+        let names: Vec<_> = allowed.iter().map(Method::as_str).collect();
         insert(response.headers_mut(), header::ALLOW, &names.join(", "));
     }
-    if bad.closes_connection() {
+    if error.closes_connection() {
         close(&mut response);
     }
     response
 }
 
-/// Come back later; nothing happened.
-pub fn refusal(manner: &ResponseStyle, retry_after: Option<Nanos>) -> Response<ResponseBody> {
+/// Returns the message for a request that was rejected and had no effect.
+pub fn rejection(style: &ResponseStyle, retry_after: Option<Nanos>) -> Response<ResponseBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "");
-    if let Some(span) = retry_after {
-        let seconds = match manner {
-            ResponseStyle::Platform => format!("{:.3}", span as f64 / SECOND as f64),
-            // Whole seconds (RFC 9110 section 10.2.3), and not too early.
-            ResponseStyle::Gateway(_) => span.div_ceil(SECOND).max(1).to_string(),
+    if let Some(delay) = retry_after {
+        let seconds = match style {
+            ResponseStyle::Platform => format!("{:.3}", delay as f64 / SECOND as f64),
+            // Whole seconds (RFC 9110 section 10.2.3), rounded up.
+            ResponseStyle::Gateway(_) => delay.div_ceil(SECOND).max(1).to_string(),
         };
         insert(response.headers_mut(), header::RETRY_AFTER, &seconds);
     }
     response
 }
 
-fn insert(headers: &mut HeaderMap, name: header::HeaderName, value: &str) {
+fn insert(headers: &mut HeaderMap, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
-/// A message of the node's own.
+/// Returns a message of the node itself.
 pub fn plain(status: StatusCode, text: &str) -> Response<ResponseBody> {
     let mut response = Response::new(Bytes::copy_from_slice(text.as_bytes()).into());
     *response.status_mut() = status;
     response
 }
 
-/// Has the connection end with a message.
+/// Closes the connection after a message.
 pub fn close(response: &mut Response<ResponseBody>) {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/node/src/net/header_fields.rs
+++ b/crates/node/src/net/header_fields.rs
@@ -1,4 +1,4 @@
-//! Header fields that end at a hop, and those that a gateway adds. Free of I/O.
+//! Header fields that end at a hop, and those that a gateway adds.
 
 use std::fmt::Write;
 use std::net::IpAddr;
@@ -6,8 +6,10 @@
 use hyper::Version;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 
-/// Fields for one connection only (RFC 9110 section 7.6.1), and those that tell of its framing, which the other
-/// side has its own of.
+/// Longest head of an HTTP message, in bytes.
+pub const MAX_HEAD_BYTES: usize = 32 << 10;
+
+/// Fields of one connection (RFC 9110 section 7.6.1), and those of the framing, which each side has its own of.
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -19,13 +21,13 @@
     header::EXPECT,
     header::CONTENT_LENGTH,
 ];
-/// Fields that no `Connection` can make end here: without them a request is another one.
-const KEPT: [HeaderName; 2] = [header::HOST, header::COOKIE];
+/// Fields that are forwarded even if `Connection` names them: without them a request means something else.
+const ALWAYS_FORWARDED: [HeaderName; 2] = [header::HOST, header::COOKIE];
 
-/// Of an entry of `Forwarded` without the host.
-const LONGEST_PEER: usize = 80;
+/// Longest entry of `Forwarded` without the host, in bytes.
+const MAX_FORWARDED_BYTES: usize = 80;
 
-/// Removes what is for this connection, by its own name or by that of `Connection`.
+/// Removes the fields of this connection: the standard ones, and those that `Connection` names.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -33,23 +35,23 @@
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
-        .filter(|name| !KEPT.contains(name))
+        .filter(|name| !ALWAYS_FORWARDED.contains(name))
         .collect();
     for name in named.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
 }
 
-/// An entry of `Via` (RFC 9110 section 7.6.3): the version of the message as it came, and a name.
+/// Returns an entry of `Via` (RFC 9110 section 7.6.3): the version of the received message, and this gateway's name.
 pub fn via(version: Version, name: &str) -> Option<HeaderValue> {
     let version = if version == Version::HTTP_10 { "1.0" } else { "1.1" };
     HeaderValue::from_str(&format!("{version} {name}")).ok()
 }
 
-/// An entry of `Forwarded` (RFC 7239 section 4).
+/// Returns an entry of `Forwarded` (RFC 7239 section 4).
 pub fn forwarded(peer: IpAddr, host: Option<&str>) -> Option<HeaderValue> {
-    // With every request: in one piece, and without the machinery of formats for what is plain text.
-    let mut entry = String::with_capacity(LONGEST_PEER + host.map_or(0, str::len));
+    // Built for every request, so with one allocation.
+    let mut entry = String::with_capacity(MAX_FORWARDED_BYTES + host.map_or(0, str::len));
     let _ = match peer.to_canonical() {
         IpAddr::V4(peer) => write!(entry, "for={peer}"),
         IpAddr::V6(peer) => write!(entry, "for=\"[{peer}]\""),
--- a/crates/node/src/net/upload.rs
+++ b/crates/node/src/net/upload.rs
@@ -21,7 +21,7 @@
 const LONGEST: Duration = Duration::from_secs(900);
 
 /// Bounds on uploads.
-pub const RULES: Rules =
+pub const UPLOAD_RULES: Rules =
     Rules { silence: SILENCE, window: WINDOW, least: LEAST, longest: LONGEST, ahead: WINDOW };
 
 /// How far it has come.
@@ -57,7 +57,7 @@
     pub fn new(rest: Incoming, length: Option<u64>, allowed: u64, left: Duration) -> Rc<Self> {
         Rc::new(Self {
             rest: RefCell::new(Some(rest)),
-            pace: RefCell::new(Pace::new(RULES, Instant::now())),
+            pace: RefCell::new(Pace::new(UPLOAD_RULES, Instant::now())),
             stage: Cell::new(Stage::Held),
             length,
             allowed: Cell::new(allowed),
@@ -116,7 +116,7 @@
         let Some(body) = rest.as_mut() else { return Poll::Ready(None) };
         if self.stage.get() == Stage::Held {
             self.stage.set(Stage::Going);
-            *self.pace.borrow_mut() = Pace::new(RULES, Instant::now());
+            *self.pace.borrow_mut() = Pace::new(UPLOAD_RULES, Instant::now());
         }
         loop {
             let polled = Pin::new(&mut *body).poll_frame(cx);
--- a/crates/node/src/net/upstream/http/transport.rs
+++ b/crates/node/src/net/upstream/http/transport.rs
@@ -22,6 +22,7 @@
 
 use crate::net::counting_stream::{Counter, CountingStream, UnreadState};
 use crate::net::exchange::UpstreamRequest;
+use crate::net::header_fields::MAX_HEAD_BYTES;
 use crate::net::response_body::StreamEnd;
 use crate::net::upload::OutgoingBody;
 use crate::net::upstream::connection_registry::{
@@ -32,8 +33,6 @@
     AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, OnResponseStarted, Transport,
 };
 
-/// Longest head of a message.
-pub const LONGEST_HEAD: usize = 32 << 10;
 /// How often an attempt is looked at whose time may have got another meaning: a body has begun to pass through.
 const LOOK: Duration = Duration::from_millis(100);
 /// How long a connection may take to settle after its answer before it is not worth keeping.
@@ -325,7 +324,7 @@
         };
         let link = CountingStream::new(stream);
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(LONGEST_HEAD);
+        builder.max_buf_size(MAX_HEAD_BYTES);
         let handshake = builder.handshake(TokioIo::new(link.clone())).await;
         let (sender, connection) = handshake.map_err(|_| failed(false))?;
         let mut driver = JoinSet::new();
--- a/crates/node/tests/unit/downstream.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -1,17 +1,20 @@
-use std::io::{Read, Write};
-use std::net::{Ipv4Addr, TcpStream as Client};
+use std::io::{self, Read, Write};
+use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream as Client};
 
-use bytes::BytesMut;
-use hyper::header::HeaderValue;
-use hyper::{Method, Uri};
+use bytes::{Bytes, BytesMut};
+use hyper::header::{HeaderMap, HeaderValue};
+use hyper::{Method, StatusCode, Uri};
 use pumicehead_config::model::Address;
 use pumicehead_fastcgi::pairs;
 use pumicehead_fastcgi::record::{self, Kind, Role, put, put_stream, put_stream_end};
+use pumicehead_policy::AttemptOutcome;
 use pumicehead_policy::deployment_settings::Boot;
 use tokio::runtime::{Builder, LocalOptions};
 use tokio::sync::oneshot;
 
+use super::accept::Accepted;
 use super::*;
+use crate::net::admission::{AdmittedRequest, RequestError, RequestHead, ResponseStyle};
 use crate::net::clock::Clock;
 use crate::net::exchange::{ProxyRequest, UpstreamRequest, UpstreamResponse};
 use crate::net::pool_handle::PoolHandle;
@@ -20,11 +23,16 @@
     AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, OnResponseStarted, Transport,
 };
 
-/// Servers that answer on the spot, and count.
+const ADDRESS: Address = Address::Tcp(SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1));
+
+/// Endpoints that answer at once with a body, and count the requests.
 #[derive(Clone, Default)]
-struct Quick(Rc<Cell<usize>>, Bytes);
+struct InstantEndpoint {
+    requests: Rc<Cell<usize>>,
+    body: Bytes,
+}
 
-impl Transport for Quick {
+impl Transport for InstantEndpoint {
     fn connector(&self, _: &Address) -> Rc<dyn EndpointConnector> {
         Rc::new(self.clone())
     }
@@ -32,10 +40,9 @@
     fn sweep(&self) {}
 }
 
-impl EndpointConnector for Quick {
+impl EndpointConnector for InstantEndpoint {
     fn address(&self) -> &Address {
-        const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
-        &Address::Tcp(NOWHERE)
+        &ADDRESS
     }
 
     fn is_usable(&self) -> bool {
@@ -54,26 +61,31 @@
         _: OnResponseStarted,
     ) -> AttemptFuture {
         Box::pin(async move {
-            self.0.set(self.0.get() + 1);
-            let headers = hyper::header::HeaderMap::new();
-            let answer =
-                UpstreamResponse { status: hyper::StatusCode::OK, headers, body: self.1.clone().into() };
+            self.requests.set(self.requests.get() + 1);
+            let response = UpstreamResponse {
+                status: StatusCode::OK,
+                headers: HeaderMap::new(),
+                body: self.body.clone().into(),
+            };
             AttemptResult {
-                response: Some(answer),
-                ..AttemptResult::without_response(pumicehead_policy::AttemptOutcome::Success)
+                response: Some(response),
+                ..AttemptResult::without_response(AttemptOutcome::Success)
             }
         })
     }
 }
 
-/// Lets everything in.
-struct Open(PoolHandle, Cell<usize>);
+/// Admits every request to one pool, and numbers them.
+struct AdmitAll {
+    pool: PoolHandle,
+    admitted: Cell<usize>,
+}
 
-impl Admission for Open {
+impl Admission for AdmitAll {
     fn admit(&self, _: RequestHead<'_>) -> Result<AdmittedRequest, RequestError> {
-        self.1.set(self.1.get() + 1);
-        let ask = ProxyRequest {
-            correlation_id: self.1.get().to_string().into(),
+        self.admitted.set(self.admitted.get() + 1);
+        let request = ProxyRequest {
+            correlation_id: self.admitted.get().to_string().into(),
             class: 0,
             tenant: None,
             cost_hint: None,
@@ -87,12 +99,12 @@
                 ..UpstreamRequest::default()
             },
         };
-        let manner = ResponseStyle::Gateway(HeaderValue::from_static("1.1 a"));
-        Ok(AdmittedRequest { pool: self.0.clone(), request: ask, style: manner, must_be_empty: false })
+        let style = ResponseStyle::Gateway(HeaderValue::from_static("1.1 a"));
+        Ok(AdmittedRequest { pool: self.pool.clone(), request, style, must_be_empty: false })
     }
 }
 
-fn front(server: &Quick) -> Rc<DownstreamListener> {
+fn listener(endpoint: &InstantEndpoint) -> Rc<DownstreamListener> {
     let boot: Boot = serde_json::from_str(
         r#"{"classes":[{"name":"submit","effect":"side_effect","target_ns":60000000000,"deadline_ns":60000000000}],
         "zones":["a"],"membership_mode":"automatic","quantum_ns":5000000,"ceilings":{"max_attempts":1}}"#,
@@ -100,20 +112,20 @@
     .unwrap();
     let list =
         r#"{"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","health":"active"}]}"#;
-    let setup = PoolConfig {
+    let config = PoolConfig {
         settings: boot.settings().unwrap(),
         seed: 1,
         zones: vec!["a".into()],
         endpoints: EndpointSource::Fixed(serde_json::from_str(list).unwrap()),
-        transport: Rc::new(server.clone()),
+        transport: Rc::new(endpoint.clone()),
         overrides: Rc::default(),
         warm_state: None,
         clock: Clock::start(),
         recorder: None,
     };
-    let held = ActiveRequestIds::default();
-    let (core, handle) = PoolLoop::new(setup, held.clone());
-    task::spawn_local(core.run());
+    let active_requests = ActiveRequestIds::default();
+    let (pool_loop, pool) = PoolLoop::new(config, active_requests.clone());
+    task::spawn_local(pool_loop.run());
     let options = ListenerOptions {
         request_timeout: Duration::from_secs(60),
         idle_timeout: Duration::from_secs(60),
@@ -125,10 +137,10 @@
         retry_after: None,
     };
     let figures = Rc::new(Figures::new(["submit".to_owned()]));
-    let admission = Rc::new(Open(handle, Cell::new(0)));
+    let admission = Rc::new(AdmitAll { pool, admitted: Cell::new(0) });
     DownstreamListener::new(
         admission,
-        held,
+        active_requests,
         options,
         ConnectionBudget::new(100, 400),
         || (),
@@ -137,20 +149,22 @@
     )
 }
 
-/// Guards a request that is read in the moment in which its connection is to be closed as idle: it has its answer, and not
-/// an end of the connection under it. Both are known to the connection's task when it comes to run: the look at the
-/// sockets falls between the decision and that.
+/// A request that is read in the moment in which its idle connection is chosen to be closed has its response, and not a
+/// close of the connection under it. The connection's task learns both when it runs: the event loop polls the sockets
+/// between the choice and that.
 #[test]
-fn what_is_read_as_its_connection_is_closed_is_answered() {
+fn request_read_as_its_connection_is_closed_is_answered() {
     let http = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n".to_vec();
     for (protocol, request) in [(Protocol::Http, http), (Protocol::FastCgi, fastcgi())] {
-        for (read, ran) in ask_as_it_closes(protocol, &request) {
-            assert!(ran && read.contains("done"), "{} {ran} {read:?}", protocol == Protocol::Http);
+        for closed in request_during_close(protocol, &request) {
+            let ClosedConnection { response, was_executed } = closed;
+            let is_http = protocol == Protocol::Http;
+            assert!(was_executed && response.contains("done"), "{is_http} {was_executed} {response:?}");
         }
     }
 }
 
-/// A request of a front end that keeps its connection.
+/// A request of a web server that keeps its connection.
 fn fastcgi() -> Vec<u8> {
     let (mut out, mut params) = (BytesMut::new(), BytesMut::new());
     pairs::put(&mut params, b"REQUEST_METHOD", b"GET");
@@ -163,81 +177,90 @@
     out.to_vec()
 }
 
-/// Some connections, each with a first request and a second one as it is closed: what is read of the answer to that, and
-/// whether it ran.
-fn ask_as_it_closes(protocol: Protocol, request: &[u8]) -> Vec<(String, bool)> {
+/// What a client saw of a connection that was closed under its second request.
+struct ClosedConnection {
+    response: String,
+    was_executed: bool,
+}
+
+/// Opens some connections, each with a first request and a second one as it is closed.
+fn request_during_close(protocol: Protocol, request: &[u8]) -> Vec<ClosedConnection> {
     // One task, then the sockets, then the next task.
     let mut builder = Builder::new_current_thread();
     let runtime = builder.enable_all().event_interval(1).build_local(LocalOptions::default()).unwrap();
     runtime.block_on(async {
-        let server = Quick(Rc::default(), Bytes::from("done"));
-        let front = front(&server);
-        front.set_protocol(protocol);
-        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let address = listener.local_addr().unwrap();
-        let mut ends = Vec::new();
+        let endpoint = InstantEndpoint { requests: Rc::default(), body: Bytes::from("done") };
+        let downstream = listener(&endpoint);
+        downstream.set_protocol(protocol);
+        let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = socket.local_addr().unwrap();
+        let mut closed_connections = Vec::new();
         for round in 1..=20 {
             let mut client = Client::connect(address).unwrap();
-            let (stream, peer) = listener.accept().await.unwrap();
-            front.clone().take(stream, peer.ip());
+            let (stream, peer) = socket.accept().await.unwrap();
+            downstream.clone().spawn_connection(Accepted { stream, client_ip: peer.ip() });
             client.set_nonblocking(true).unwrap();
-            // Its first request, so that it rests.
+            // Its first request, after which it is idle.
             client.write_all(request).unwrap();
             assert!(read(&mut client).await.contains("done"));
             let mut closed = false;
             while !closed {
                 task::yield_now().await;
-                front.budget.for_each_of(&front, |conn| {
-                    if conn.used() && conn.is_idle() {
+                downstream.budget.for_each_of(&downstream, |connection| {
+                    if connection.used() && connection.is_idle() {
                         // Runs before the connection's task.
                         task::spawn_local(async {});
-                        conn.close_now();
+                        connection.close_now();
                         closed = true;
                     }
                 });
             }
             client.write_all(request).unwrap();
-            ends.push((read(&mut client).await, server.0.get() == 2 * round));
+            let response = read(&mut client).await;
+            let was_executed = endpoint.requests.get() == 2 * round;
+            closed_connections.push(ClosedConnection { response, was_executed });
             drop(client);
-            while front.budget.count() > 0 {
+            while downstream.budget.count() > 0 {
                 task::yield_now().await;
             }
         }
-        ends
+        closed_connections
     })
 }
 
-/// Guards an answer that its client has yet to read from who wants its connection's place.
+/// A response that its client has yet to read is not cut off by an eviction of its connection.
 #[test]
-fn an_answer_on_its_way_is_not_cut_for_a_place() {
+fn connection_with_unread_response_is_not_evicted() {
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default()).unwrap();
-    let (shed, late, told) = runtime.block_on(async {
-        let whole = [vec![b'x'; 1 << 20], b"done".to_vec()].concat();
-        let front = front(&Quick(Rc::default(), whole.into()));
-        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let mut client = Client::connect(listener.local_addr().unwrap()).unwrap();
-        let (stream, peer) = listener.accept().await.unwrap();
-        front.clone().take(stream, peer.ip());
-        front.budget.for_each_of(&front, |conn| conn.stream.shrink_send_buffer());
+    let (early, late, response) = runtime.block_on(async {
+        let body = [vec![b'x'; 1 << 20], b"done".to_vec()].concat();
+        let downstream = listener(&InstantEndpoint { requests: Rc::default(), body: body.into() });
+        let socket = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let mut client = Client::connect(socket.local_addr().unwrap()).unwrap();
+        let (stream, peer) = socket.accept().await.unwrap();
+        downstream.clone().spawn_connection(Accepted { stream, client_ip: peer.ip() });
+        downstream.budget.for_each_of(&downstream, |connection| connection.stream.shrink_send_buffer());
         tokio::time::pause();
         client.write_all(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
         let mut blocked = false;
         while !blocked {
             task::yield_now().await;
-            front.budget.for_each_of(&front, |conn| blocked = conn.used() && conn.stream.is_blocked());
+            downstream.budget.for_each_of(&downstream, |connection| {
+                blocked = connection.used() && connection.stream.is_blocked();
+            });
         }
         tokio::time::advance(2 * MIN_IDLE_BEFORE_EVICTION).await;
-        let shed = front.budget.evict_one();
+        let early = downstream.budget.evict_one();
         client.set_nonblocking(true).unwrap();
-        let told = read(&mut client).await;
-        // Nothing waits any more: it may make way.
-        let late = front.budget.evict_one();
-        (shed, late, told)
+        let response = read(&mut client).await;
+        // Nothing waits to be written any more.
+        let late = downstream.budget.evict_one();
+        (early, late, response)
     });
-    assert!(!shed && late && told.ends_with("done"), "{shed} {late} {}", told.len());
+    assert!(!early && late && response.ends_with("done"), "{early} {late} {}", response.len());
 }
 
-/// What has come once there is an answer, or the connection's end.
+/// Returns what has come once there is a response, or the connection's end.
 async fn read(client: &mut Client) -> String {
     let (mut all, mut some) = (Vec::new(), [0; 1024]);
     loop {
