--- a/crates/node/src/net/admin_overrides.rs
+++ b/crates/node/src/net/admin_overrides.rs
@@ -1,14 +1,14 @@
-//! Servers taken out by hand: the book that loops go by, and which names it may be about.
+//! Endpoints that operators have disabled or enabled by hand.
 
 use std::cell::RefCell;
 
 use pumicehead_admin::book::{Book, Listed};
 
-/// Shared by whoever is called and the loops.
+/// Shared by the admin listener and the pool loops.
 #[derive(Default)]
 pub struct AdminOverrides {
-    /// Who is out.
+    /// The overrides, by name of the endpoint.
     pub book: RefCell<Book>,
-    /// Who was ever listed.
+    /// All names that were ever listed.
     pub listed: RefCell<Listed>,
 }
--- a/crates/node/src/net/admission.rs
+++ b/crates/node/src/net/admission.rs
@@ -1,4 +1,4 @@
-//! What a request is, from its head: the one question that a front asks about the meaning of requests.
+//! The interface that decides, from a request's head, which pool it goes to or how it is answered without one.
 
 use std::borrow::Cow;
 use std::net::IpAddr;
@@ -10,81 +10,81 @@
 use crate::net::exchange::ProxyRequest;
 use crate::net::pool_handle::PoolHandle;
 
-/// How answers are worded.
+/// How final responses are worded.
 #[derive(Clone)]
 pub enum ResponseStyle {
-    /// As the platform has it: 200 with body and type, and advice in decimals.
+    /// The platform's: status 200 with body and type alone, and `Retry-After` in decimals.
     Platform,
-    /// As RFC 9110 has it of a gateway: status, end-to-end fields and body of a server's answer, with this `Via`.
+    /// A gateway's (RFC 9110): status, end-to-end fields and body of the endpoint's response, with this `Via`.
     Gateway(HeaderValue),
 }
 
-/// A request's head.
+/// The head of a request.
 pub struct RequestHead<'a> {
     /// Method.
     pub method: &'a Method,
     /// Target.
     pub uri: &'a Uri,
-    /// Version that the client speaks.
+    /// The client's version of HTTP.
     pub version: Version,
-    /// Fields; what is passed on is made of them.
+    /// Fields; those that are forwarded are made of them.
     pub headers: HeaderMap,
-    /// Where the client is.
+    /// The client's address.
     pub peer: IpAddr,
 }
 
-/// A request that is let in.
+/// A request that is admitted.
 pub struct AdmittedRequest {
-    /// The loop that it goes to.
+    /// The pool that it goes to.
     pub pool: PoolHandle,
-    /// What that loop is told; its body is still to come.
+    /// The request, without its body.
     pub request: ProxyRequest,
     /// How it is answered.
     pub style: ResponseStyle,
-    /// It must have no body.
+    /// It is rejected if it has a body.
     pub must_be_empty: bool,
 }
 
-/// A request that is not one, or has its answer without a server.
+/// Why a request is answered without a pool.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// A field.
+    /// A field is missing or malformed.
     #[error("header {0} is missing or malformed")]
     InvalidHeader(Cow<'static, str>),
-    /// No class or path of that name.
+    /// There is no class or path of that name.
     #[error("no such class or path")]
     UnknownTarget,
-    /// A target that could be read in two ways.
+    /// The target could be understood in two ways.
     #[error("{0}")]
     AmbiguousTarget(String),
-    /// Not this method.
+    /// The target does not allow the method; these are allowed.
     #[error("method not allowed")]
     MethodNotAllowed(Vec<Method>),
-    /// A method that is never passed on.
+    /// The method is never forwarded.
     #[error("method not implemented")]
     NotImplemented,
-    /// Too long a body.
+    /// The body is too long.
     #[error("body too long")]
     BodyTooLong,
-    /// The body's end is missing.
+    /// The end of the body is missing.
     #[error("body broken off")]
     BodyIncomplete,
     /// The body took too long.
     #[error("body too slow")]
     BodyTimeout,
-    /// It may hide another request in its body.
+    /// The body may hide another request.
     #[error("Content-Length more than once or with Transfer-Encoding")]
     AmbiguousFraming,
-    /// Its name is taken.
+    /// Another active request has its correlation id.
     #[error("a request with this X-Correlation-Id is open")]
     DuplicateId,
-    /// No mistake: the node itself answers, with nothing more to say.
+    /// No error: the node answers with this status.
     #[error("")]
     LocalResponse(StatusCode),
 }
 
 impl RequestError {
-    /// The status that tells of it.
+    /// The status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::InvalidHeader(_)
@@ -101,17 +101,17 @@
         }
     }
 
-    /// Whether where the request ends is not known, or not worth reading on for.
+    /// Whether the connection closes with the response: the end of the request is unknown, or too far to read on.
     pub fn closes_connection(&self) -> bool {
         matches!(self, Self::BodyTooLong | Self::BodyIncomplete | Self::BodyTimeout | Self::AmbiguousFraming)
     }
 }
 
-/// Knows what requests are.
+/// Admits requests.
 pub trait Admission {
-    /// What a request is.
+    /// Decides which pool a request goes to.
     ///
     /// # Errors
-    /// What is wrong with it, or the answer that it has already.
+    /// What is wrong with the request, or the response that needs no pool.
     fn admit(&self, head: RequestHead<'_>) -> Result<AdmittedRequest, RequestError>;
 }
--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -1,26 +1,30 @@
-//! The node's clock: Unix time at the start, then the monotonic clock. It never jumps, and servers' births map onto it.
+//! The node's clock: Unix time at its start, then the monotonic clock. It never jumps, and start times of endpoints, which
+//! are Unix times, can be compared with it.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use pumicehead_policy::{Nanos, SECOND};
 use tokio::time::Instant;
 
-/// The clock; copies tell the same time.
+/// Furthest time ahead that has an instant, in nanoseconds: a greater one need not fit.
+const MAX_AHEAD: Nanos = u32::MAX as Nanos * SECOND;
+
+/// A clock; its copies show the same time. Times are Unix nanoseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    start_unix: Nanos,
+    started_at: Nanos,
 }
 
 impl Clock {
-    /// From now on.
+    /// Starts a clock.
     pub fn start() -> Self {
-        Self { start: Instant::now(), start_unix: unix_ns() }
+        Self { start: Instant::now(), started_at: unix_ns() }
     }
 
-    /// The time of its start.
+    /// When it was started.
     pub fn started_at(&self) -> Nanos {
-        self.start_unix
+        self.started_at
     }
 
     /// The time now.
@@ -30,18 +34,17 @@
 
     /// The time of an instant.
     pub fn time_of(&self, instant: Instant) -> Nanos {
-        self.start_unix + instant.saturating_duration_since(self.start).as_nanos() as Nanos
+        self.started_at + instant.saturating_duration_since(self.start).as_nanos() as Nanos
     }
 
     /// The instant of a time.
-    pub fn instant_at(&self, at: Nanos) -> Instant {
-        // Some bound, or a far time would not fit the clock.
-        let span = at.saturating_sub(self.start_unix).min(u64::from(u32::MAX) * SECOND);
-        self.start + Duration::from_nanos(span)
+    pub fn instant_at(&self, time: Nanos) -> Instant {
+        let ahead = time.saturating_sub(self.started_at).min(MAX_AHEAD);
+        self.start + Duration::from_nanos(ahead)
     }
 }
 
-/// The machine's clock.
+/// The system's clock, in Unix nanoseconds.
 pub fn unix_ns() -> Nanos {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as Nanos
 }
--- /dev/null
+++ b/crates/node/src/net/counting_stream/head_capture.rs
@@ -0,0 +1,69 @@
+//! Captures the heads of HTTP requests as they were received. The HTTP library drops a `Content-Length` beside a
+//! `Transfer-Encoding`, so its fields can't show a request that hides another one.
+
+use tokio::time::Instant;
+
+/// The head of the next request.
+#[derive(Default)]
+pub(super) struct HeadCapture {
+    head: Vec<u8>,
+    /// Bytes of the last request's body that are still to come.
+    body_left: u64,
+    /// When the first byte of `head` came.
+    started_at: Option<Instant>,
+}
+
+impl HeadCapture {
+    /// Takes bytes that were read.
+    pub fn on_read(&mut self, bytes: &[u8]) {
+        let skipped = bytes.len().min(usize::try_from(self.body_left).unwrap_or(usize::MAX));
+        self.body_left -= skipped as u64;
+        let rest = &bytes[skipped..];
+        if !rest.is_empty() && self.head.is_empty() {
+            self.started_at = Some(Instant::now());
+        }
+        self.head.extend_from_slice(rest);
+    }
+
+    /// When the first byte of a head that is not taken came.
+    pub fn started_at(&self) -> Option<Instant> {
+        self.started_at
+    }
+
+    /// Takes the head that is complete.
+    pub fn take_head(&mut self) -> Vec<u8> {
+        let rest = self.head.split_off(head_end(&self.head));
+        self.restart(rest.is_empty());
+        std::mem::replace(&mut self.head, rest)
+    }
+
+    /// Skips the body of the request whose head was taken.
+    pub fn skip_body(&mut self, length: u64) {
+        let mut received = std::mem::take(&mut self.head);
+        let here = received.len().min(usize::try_from(length).unwrap_or(usize::MAX));
+        self.body_left = length - here as u64;
+        // An idle connection holds no buffer.
+        self.head = received.split_off(here);
+        self.restart(self.head.is_empty());
+    }
+
+    fn restart(&mut self, is_empty: bool) {
+        self.started_at = (!is_empty).then(Instant::now);
+    }
+}
+
+/// Returns where the first head ends, its empty line included; all bytes where it has no end. Empty lines ahead of a request
+/// are allowed (RFC 9112 section 2.2).
+fn head_end(bytes: &[u8]) -> usize {
+    let mut end = 0;
+    let mut has_begun = false;
+    for line in bytes.split_inclusive(|&byte| byte == b'\n') {
+        end += line.len();
+        let is_empty = matches!(line, [b'\n'] | [b'\r', b'\n']);
+        if has_begun && is_empty {
+            break;
+        }
+        has_begun |= !is_empty;
+    }
+    end
+}
--- /dev/null
+++ b/crates/node/src/net/counting_stream/socket.rs
@@ -0,0 +1,70 @@
+//! A TCP or Unix stream.
+
+use std::io;
+use std::task::{Context, Poll};
+
+use socket2::SockRef;
+use tokio::io::{Interest, ReadBuf, Ready};
+use tokio::net::{TcpStream, UnixStream};
+
+/// Either kind of stream.
+pub(super) enum Socket {
+    Tcp(TcpStream),
+    Unix(UnixStream),
+}
+
+/// Does the same with either kind.
+macro_rules! either {
+    ($socket:expr, $stream:ident => $do:expr) => {
+        match $socket {
+            Socket::Tcp($stream) => $do,
+            Socket::Unix($stream) => $do,
+        }
+    };
+}
+
+impl Socket {
+    pub fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        either!(self, stream => stream.poll_read_ready(cx))
+    }
+
+    pub fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        either!(self, stream => stream.poll_write_ready(cx))
+    }
+
+    /// Waits until the peer has closed. Priority interest wakes for nothing else: urgent data is not registered.
+    pub async fn peer_closed(&self) -> io::Result<Ready> {
+        either!(self, stream => stream.ready(Interest::PRIORITY).await)
+    }
+
+    pub async fn readable(&self) -> io::Result<()> {
+        either!(self, stream => stream.readable().await)
+    }
+
+    /// Reads into memory that need not be cleared first.
+    pub fn try_read_buf(&self, buffer: &mut ReadBuf<'_>) -> io::Result<usize> {
+        either!(self, stream => stream.try_read_buf(buffer))
+    }
+
+    /// Clears read readiness until the kernel reports more, which spares a read that would find nothing.
+    pub fn clear_read_ready(&self) {
+        let nothing = || Err::<(), _>(io::ErrorKind::WouldBlock.into());
+        let _ = either!(self, stream => stream.try_io(Interest::READABLE, nothing));
+    }
+
+    pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize> {
+        either!(self, stream => stream.try_read(buffer))
+    }
+
+    pub fn try_write(&self, buffer: &[u8]) -> io::Result<usize> {
+        either!(self, stream => stream.try_write(buffer))
+    }
+
+    pub fn try_write_vectored(&self, buffers: &[io::IoSlice<'_>]) -> io::Result<usize> {
+        either!(self, stream => stream.try_write_vectored(buffers))
+    }
+
+    pub fn as_ref(&self) -> SockRef<'_> {
+        either!(self, stream => SockRef::from(stream))
+    }
+}
--- a/crates/node/src/net/exchange.rs
+++ b/crates/node/src/net/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests and their answers, as all rooms know them. No protocol here.
+//! Requests and responses on their way between listeners, pool loops and transports, whatever the protocols.
 
 use std::cell::Cell;
 use std::net::IpAddr;
@@ -14,73 +14,73 @@
 use crate::net::response_body::ResponseBody;
 use crate::net::upload::Upload;
 
-/// A request as it goes on to a server.
+/// A request as it is sent to an endpoint.
 #[derive(Default)]
 pub struct UpstreamRequest {
     /// Method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// End-to-end headers.
+    /// End-to-end fields.
     pub headers: HeaderMap,
-    /// Body, or as much of it as is held.
+    /// The body, or the part of it that is buffered.
     pub body: Bytes,
-    /// The rest of it.
+    /// The rest of the body, where it is streamed.
     pub upload: Option<Rc<Upload>>,
-    /// Where the client is, for protocols that tell servers.
+    /// The client's address, for protocols that pass it on.
     pub client_ip: Option<IpAddr>,
-    /// The client has its final answer or has left: what is not written yet stays unwritten, whatever the settings say of
-    /// calling attempts back. The event loop alone sets it.
+    /// The client has its final response or has disconnected: an attempt that is not written must not be, whether
+    /// attempts are cancelled or not. The pool loop alone sets it.
     pub finished: Cell<bool>,
 }
 
-/// A client's request with what the module wants to know of it.
+/// A client's request, with what the decision module needs to know of it.
 pub struct ProxyRequest {
-    /// A name for it that no other open request has.
+    /// Unique among the active requests of a node.
     pub correlation_id: Box<str>,
-    /// Class.
+    /// Index of its class.
     pub class: usize,
-    /// Tenant, where there are tenants.
+    /// Its tenant, where there are tenants.
     pub tenant: Option<TenantId>,
-    /// Expected work.
+    /// Expected cost.
     pub cost_hint: Option<Nanos>,
-    /// What it is about.
+    /// Requests of the same key are ordered.
     pub ordering_key: Option<Vec<u8>>,
-    /// The revision of the configuration that it was admitted under, where there are several.
+    /// Revision of the configuration that it was admitted under, where there are several.
     pub revision: Option<u64>,
     /// How long the client waits from now on.
     pub time_left: Duration,
-    /// How long its body took to come.
+    /// How long it took to read the body.
     pub body_read_time: Duration,
-    /// What goes on to a server.
+    /// What is sent to an endpoint.
     pub upstream: UpstreamRequest,
 }
 
-/// A server's whole answer.
+/// An endpoint's response.
 pub struct UpstreamResponse {
-    /// Its status.
+    /// Status.
     pub status: StatusCode,
-    /// Its fields.
+    /// Fields.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: ResponseBody,
 }
 
-/// A final answer.
+/// The final response to a request.
 pub enum FinalResponse {
-    /// A server's.
+    /// An endpoint's.
     Upstream(UpstreamResponse),
-    /// Come back later; nothing happened.
+    /// The request was not executed; a retry is possible after this delay, where it is known.
     Rejected(Option<Nanos>),
-    /// It failed, with no promise.
+    /// The request failed, and may have been executed.
     Failed,
-    /// It failed since its time is up.
+    /// The request has failed since its deadline has passed.
     DeadlineExceeded,
-    /// Its body was too slow or broke off on its way to a server.
+    /// The client's body was too slow or incomplete while it was streamed.
     BodyIncomplete,
-    /// Its body proved too long on its way to a server.
+    /// The client's body proved too long while it was streamed.
     BodyTooLong,
-    /// Its client has left: nobody hears this.
+    /// The client has disconnected and gets no response.
     ClientDisconnected,
 }
 
@@ -88,7 +88,7 @@
     /// What it counts as.
     pub fn outcome(&self) -> Outcome {
         match self {
-            Self::Upstream(served) if served.status.is_server_error() => Outcome::Failed,
+            Self::Upstream(response) if response.status.is_server_error() => Outcome::Failed,
             Self::Upstream(_) => Outcome::Completed,
             Self::Rejected(_) => Outcome::Rejected,
             Self::Failed
--- /dev/null
+++ b/crates/node/src/net/response_body/mod.rs
@@ -0,0 +1,187 @@
+//! Bodies of responses to clients: complete, or streamed.
+
+use std::io;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+
+use bytes::Bytes;
+use hyper::body::{Body, Frame, Incoming, SizeHint};
+use std::rc::Rc;
+use std::time::Instant;
+use tokio::task;
+
+pub use self::progress::StreamProgress;
+use crate::net::memory_budget::Reservation;
+
+mod progress;
+
+/// How a streamed body ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum StreamEnd {
+    /// All of it was passed on.
+    Complete,
+    /// The endpoint broke it off, or the stream was given up.
+    UpstreamFailed,
+    /// The client disconnected.
+    ClientDisconnected,
+}
+
+/// The body of a response.
+pub enum ResponseBody {
+    /// All of it.
+    Full(Bytes),
+    /// As it comes.
+    Stream(Box<StreamedBody>),
+}
+
+impl ResponseBody {
+    /// Adds a hook for the end of a streamed body; a complete one drops it.
+    pub fn on_end(&mut self, hook: impl FnOnce(StreamEnd) + 'static) {
+        if let Self::Stream(stream) = self {
+            stream.hooks.push(Box::new(hook));
+        }
+    }
+
+    /// Whether it is streamed.
+    pub fn is_stream(&self) -> bool {
+        matches!(self, Self::Stream(_))
+    }
+
+    /// Sets how a streamed body is aborted: by closing the client's connection.
+    pub fn set_abort(&self, abort: impl Fn() + 'static) {
+        if let Self::Stream(stream) = self {
+            stream.progress.set_abort(Box::new(abort));
+        }
+    }
+}
+
+impl From<Bytes> for ResponseBody {
+    fn from(bytes: Bytes) -> Self {
+        Self::Full(bytes)
+    }
+}
+
+/// Called at the end of a stream.
+type EndHook = Box<dyn FnOnce(StreamEnd)>;
+
+/// A streamed body.
+pub struct StreamedBody {
+    /// The start, until it is passed on.
+    start: Option<Bytes>,
+    rest: Incoming,
+    /// The stated length.
+    length: Option<u64>,
+    progress: Rc<StreamProgress>,
+    hooks: Vec<EndHook>,
+    /// Memory of the connections' buffers.
+    _reservation: Reservation,
+}
+
+impl StreamedBody {
+    /// Returns a body whose start has come. Its pace is checked in a task that ends with the stream.
+    pub fn new(
+        start: Bytes,
+        rest: Incoming,
+        length: Option<u64>,
+        reservation: Reservation,
+    ) -> (Self, Rc<StreamProgress>) {
+        let progress = StreamProgress::new();
+        task::spawn_local(progress.clone().watch_pace());
+        let start = Some(start).filter(|start| !start.is_empty());
+        let body = Self {
+            start,
+            rest,
+            length,
+            progress: progress.clone(),
+            hooks: Vec::new(),
+            _reservation: reservation,
+        };
+        (body, progress)
+    }
+
+    fn finish(&mut self, end: StreamEnd) {
+        if self.progress.finish(end) {
+            self.hooks.drain(..).for_each(|hook| hook(end));
+        }
+    }
+
+    fn is_at_end(&self) -> bool {
+        self.start.is_none() && self.rest.is_end_stream()
+    }
+
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+        if self.progress.is_given_up() {
+            self.finish(StreamEnd::UpstreamFailed);
+            return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
+        }
+        if let Some(start) = self.start.take() {
+            self.progress.on_data(start.len(), Instant::now());
+            return Poll::Ready(Some(Ok(Frame::data(start))));
+        }
+        loop {
+            let polled = Pin::new(&mut self.rest).poll_frame(cx);
+            let now = Instant::now();
+            return match polled {
+                Poll::Pending => {
+                    self.progress.on_pending(now);
+                    Poll::Pending
+                }
+                Poll::Ready(None) => {
+                    self.finish(StreamEnd::Complete);
+                    Poll::Ready(None)
+                }
+                Poll::Ready(Some(Err(error))) => {
+                    self.finish(StreamEnd::UpstreamFailed);
+                    Poll::Ready(Some(Err(io::Error::other(error))))
+                }
+                Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
+                    Ok(data) => {
+                        self.progress.on_data(data.len(), now);
+                        Poll::Ready(Some(Ok(Frame::data(data))))
+                    }
+                    // Trailers end at this hop: neither side has negotiated them.
+                    Err(_) => continue,
+                },
+            };
+        }
+    }
+}
+
+impl Drop for StreamedBody {
+    fn drop(&mut self) {
+        let end = if self.is_at_end() { StreamEnd::Complete } else { StreamEnd::ClientDisconnected };
+        self.finish(end);
+    }
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = io::Error;
+
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+        match self.get_mut() {
+            Self::Full(bytes) if bytes.is_empty() => Poll::Ready(None),
+            Self::Full(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            Self::Stream(stream) => stream.poll(cx),
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match self {
+            Self::Full(bytes) => bytes.is_empty(),
+            Self::Stream(stream) => stream.is_at_end(),
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            Self::Full(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            Self::Stream(stream) => stream.length.map_or_else(SizeHint::default, |length| {
+                SizeHint::with_exact(length.saturating_sub(stream.progress.bytes()))
+            }),
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/net/response_body/progress.rs
@@ -0,0 +1,122 @@
+//! The progress of a streamed response, seen from beside the stream.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use pumicehead_slow_peer::{GiveUp, Pace, Rules};
+use tokio::sync::Notify;
+use tokio::time::sleep;
+use tracing::warn;
+
+use super::StreamEnd;
+
+/// Interval at which the pace of a stream is checked.
+const PACE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// An endpoint that is silent for this long within a response hangs; a client that reads nothing for this long is gone.
+/// Some endpoints pause for several seconds.
+const MAX_SILENCE: Duration = Duration::from_secs(15);
+/// [`MIN_WINDOW_BYTES`] have to pass within this time, which is long enough for pauses in it.
+const PACE_WINDOW: Duration = Duration::from_secs(20);
+/// 1 KiB a second, a hundredth of the slowest line in use.
+const MIN_WINDOW_BYTES: u64 = 20 << 10;
+/// Longest duration of a response: 32 MB at 18 KB a second.
+const MAX_DURATION: Duration = Duration::from_secs(1_800);
+/// The endpoint is ahead of a client that has been waited for this long, since the kernel and two libraries buffer too.
+const MIN_AHEAD: Duration = Duration::from_millis(250);
+
+/// Bounds on the pace of streamed responses.
+const RULES: Rules = Rules {
+    silence: MAX_SILENCE,
+    window: PACE_WINDOW,
+    least: MIN_WINDOW_BYTES,
+    longest: MAX_DURATION,
+    ahead: MIN_AHEAD,
+};
+
+/// The progress of a streamed response.
+pub struct StreamProgress {
+    pace: RefCell<Pace>,
+    end: Cell<Option<StreamEnd>>,
+    /// The endpoint is done with the response, or the stream has ended.
+    upstream_done: Notify,
+    given_up: Cell<bool>,
+    /// Closes the client's connection.
+    abort: RefCell<Option<Box<dyn Fn()>>>,
+}
+
+impl StreamProgress {
+    pub(super) fn new() -> Rc<Self> {
+        Rc::new(Self {
+            pace: RefCell::new(Pace::new(RULES, Instant::now())),
+            end: Cell::new(None),
+            upstream_done: Notify::new(),
+            given_up: Cell::new(false),
+            abort: RefCell::new(None),
+        })
+    }
+
+    /// Waits until the endpoint is done with the response; returns how the stream ended, if it has.
+    pub async fn upstream_done(&self) -> Option<StreamEnd> {
+        self.upstream_done.notified().await;
+        self.end.get()
+    }
+
+    pub(super) fn set_abort(&self, abort: Box<dyn Fn()>) {
+        *self.abort.borrow_mut() = Some(abort);
+    }
+
+    /// Number of bytes that were passed on.
+    pub(super) fn bytes(&self) -> u64 {
+        self.pace.borrow().bytes()
+    }
+
+    pub(super) fn on_data(&self, bytes: usize, now: Instant) {
+        self.pace.borrow_mut().moved(bytes as u64, now);
+    }
+
+    /// The client waits for the endpoint.
+    pub(super) fn on_pending(&self, now: Instant) {
+        self.pace.borrow_mut().wants_more(now);
+    }
+
+    pub(super) fn is_given_up(&self) -> bool {
+        self.given_up.get()
+    }
+
+    /// The stream has ended; returns whether it had not before.
+    pub(super) fn finish(&self, end: StreamEnd) -> bool {
+        if self.end.get().is_some() {
+            return false;
+        }
+        self.end.set(Some(end));
+        self.upstream_done.notify_one();
+        true
+    }
+
+    /// Checks the pace until the stream has ended.
+    pub(super) async fn watch_pace(self: Rc<Self>) {
+        while self.end.get().is_none() {
+            sleep(PACE_CHECK_INTERVAL).await;
+            let now = Instant::now();
+            let pace = self.pace.borrow_mut().look(now);
+            if self.pace.borrow().source_is_ahead(now) {
+                self.upstream_done.notify_one();
+            }
+            if let Err(reason) = pace
+                && self.end.get().is_none()
+            {
+                return self.give_up(reason);
+            }
+        }
+    }
+
+    /// Aborts the stream. Whichever side was too slow, the client has to see that the response is incomplete.
+    fn give_up(&self, reason: GiveUp) {
+        warn!(target: "stream", bytes = self.bytes(), %reason, "response aborted (source: endpoint, sink: client)");
+        self.given_up.set(true);
+        if let Some(abort) = &*self.abort.borrow() {
+            abort();
+        }
+    }
+}
--- a/crates/node/src/net/upload.rs
+++ b/crates/node/src/net/upload.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests that are longer than what is held of them: the rest goes to the one server that it has begun to go to.
+//! The streamed rest of a request's body. It goes to one endpoint, and can't be sent again once it has begun.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -11,99 +11,103 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use pumicehead_slow_peer::{GiveUp, Pace, Rules, Side};
 
-/// A client that has begun to send is waited for so long without a byte: bad ones are owed an end within seconds.
-const SILENCE: Duration = Duration::from_millis(2_000);
-/// Over this span ...
-const WINDOW: Duration = Duration::from_secs(4);
-/// ... 4 KiB a second: clients on slow lines have been seen to send 64 kB a second.
-const LEAST: u64 = 16 << 10;
-/// 32 MB at 64 kB a second take 500 s.
-const LONGEST: Duration = Duration::from_secs(900);
-
-/// Bounds on uploads.
-pub const UPLOAD_RULES: Rules =
-    Rules { silence: SILENCE, window: WINDOW, least: LEAST, longest: LONGEST, ahead: WINDOW };
-
-/// How far it has come.
+/// A client that has begun to send may be silent for this long.
+const MAX_SILENCE: Duration = Duration::from_millis(2_000);
+/// A client has to send [`MIN_WINDOW_BYTES`] within this time.
+const PACE_WINDOW: Duration = Duration::from_secs(4);
+/// 4 KiB a second; clients on slow lines send 64 kB a second.
+const MIN_WINDOW_BYTES: u64 = 16 << 10;
+/// Longest duration of an upload: 32 MB at 64 kB a second take 500 s.
+const MAX_DURATION: Duration = Duration::from_secs(900);
+
+/// Bounds on the pace of uploads.
+pub const UPLOAD_RULES: Rules = Rules {
+    silence: MAX_SILENCE,
+    window: PACE_WINDOW,
+    least: MIN_WINDOW_BYTES,
+    longest: MAX_DURATION,
+    ahead: PACE_WINDOW,
+};
+
+/// How far an upload has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Nothing beyond the held part has been read.
-    Held,
-    /// It is bound to an attempt.
-    Going,
-    /// Its last byte has gone, then.
-    Done(Instant),
-    /// It broke off.
-    Broken,
+    /// Nothing beyond the buffered part has been read.
+    Buffered,
+    /// It is sent to an endpoint.
+    InProgress,
+    /// Its last byte was sent then.
+    Completed(Instant),
+    /// The client broke it off, or was too slow.
+    Incomplete,
     /// It is longer than it may be.
     TooLong,
 }
 
-/// The part of a body that is not held.
+/// The part of a body that is not buffered.
 pub struct Upload {
     rest: RefCell<Option<Incoming>>,
     pace: RefCell<Pace>,
     stage: Cell<Stage>,
     /// The whole body's stated length.
     length: Option<u64>,
-    /// Bytes that are still allowed, where none is stated.
+    /// Number of bytes that may still come.
     allowed: Cell<u64>,
-    /// How long the client waits from the last byte on.
+    /// How long the client waits after the last byte.
     pub time_left: Duration,
 }
 
 impl Upload {
-    /// The rest of a body of which some is held; at most `allowed` bytes more.
-    pub fn new(rest: Incoming, length: Option<u64>, allowed: u64, left: Duration) -> Rc<Self> {
+    /// The rest of a body whose start is buffered: at most `allowed` bytes.
+    pub fn new(rest: Incoming, length: Option<u64>, allowed: u64, time_left: Duration) -> Rc<Self> {
         Rc::new(Self {
             rest: RefCell::new(Some(rest)),
             pace: RefCell::new(Pace::new(UPLOAD_RULES, Instant::now())),
-            stage: Cell::new(Stage::Held),
+            stage: Cell::new(Stage::Buffered),
             length,
             allowed: Cell::new(allowed),
-            time_left: left,
+            time_left,
         })
     }
 
-    /// Whether it can't be sent again: some of it has gone.
+    /// Whether part of it was sent, so that it can't be sent again.
     pub fn has_started(&self) -> bool {
-        self.stage.get() != Stage::Held
+        self.stage.get() != Stage::Buffered
     }
 
-    /// When its last byte had gone.
+    /// When its last byte was sent.
     pub fn completed_at(&self) -> Option<Instant> {
-        if let Stage::Done(at) = self.stage.get() { Some(at) } else { None }
+        if let Stage::Completed(at) = self.stage.get() { Some(at) } else { None }
     }
 
-    /// Whether the client is to blame for its end.
+    /// Whether it failed by the client's fault.
     pub fn is_client_fault(&self) -> bool {
-        matches!(self.stage.get(), Stage::Broken | Stage::TooLong)
+        matches!(self.stage.get(), Stage::Incomplete | Stage::TooLong)
     }
 
-    /// Whether it is longer than it may be: no length was stated, or it would have been told so at once.
+    /// Whether it is longer than it may be, which shows late where no length is stated.
     pub fn is_too_long(&self) -> bool {
         self.stage.get() == Stage::TooLong
     }
 
-    /// Whether it goes on: has begun, and has no end yet.
+    /// Whether it has started and not ended.
     pub fn is_in_progress(&self) -> bool {
-        self.stage.get() == Stage::Going
+        self.stage.get() == Stage::InProgress
     }
 
-    /// Looks its pace over.
+    /// Checks its pace while it is in progress.
     ///
     /// # Errors
-    /// Who is to be given up: the source is the client.
+    /// The side that is too slow; the source is the client.
     pub fn check_pace(&self) -> Result<(), GiveUp> {
         if !self.is_in_progress() {
             return Ok(());
         }
-        let looked = self.pace.borrow_mut().look(Instant::now());
-        if matches!(looked, Err(GiveUp::Silent(Side::Source) | GiveUp::Slow(Side::Source) | GiveUp::TooLong))
-        {
-            self.stage.set(Stage::Broken);
+        let pace = self.pace.borrow_mut().look(Instant::now());
+        if matches!(pace, Err(GiveUp::Silent(Side::Source) | GiveUp::Slow(Side::Source) | GiveUp::TooLong)) {
+            self.stage.set(Stage::Incomplete);
         }
-        looked
+        pace
     }
 
     /// The whole body's stated length.
@@ -111,60 +115,70 @@
         self.length
     }
 
+    fn start(&self) {
+        if self.stage.get() == Stage::Buffered {
+            self.stage.set(Stage::InProgress);
+            *self.pace.borrow_mut() = Pace::new(UPLOAD_RULES, Instant::now());
+        }
+    }
+
     fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let mut rest = self.rest.borrow_mut();
         let Some(body) = rest.as_mut() else { return Poll::Ready(None) };
-        if self.stage.get() == Stage::Held {
-            self.stage.set(Stage::Going);
-            *self.pace.borrow_mut() = Pace::new(UPLOAD_RULES, Instant::now());
-        }
+        self.start();
         loop {
             let polled = Pin::new(&mut *body).poll_frame(cx);
             let now = Instant::now();
-            let broken = |stage, fault: io::Error| {
-                self.stage.set(stage);
-                Poll::Ready(Some(Err(fault)))
-            };
             return match polled {
                 Poll::Pending => {
                     self.pace.borrow_mut().wants_more(now);
                     Poll::Pending
                 }
                 Poll::Ready(None) => {
-                    self.stage.set(Stage::Done(now));
+                    self.stage.set(Stage::Completed(now));
                     *rest = None;
                     Poll::Ready(None)
                 }
-                Poll::Ready(Some(Err(error))) => broken(Stage::Broken, io::Error::other(error)),
+                Poll::Ready(Some(Err(error))) => {
+                    self.stage.set(Stage::Incomplete);
+                    Poll::Ready(Some(Err(io::Error::other(error))))
+                }
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    let Some(allowed) = self.allowed.get().checked_sub(data.len() as u64) else {
-                        return broken(Stage::TooLong, io::ErrorKind::FileTooLarge.into());
-                    };
-                    self.allowed.set(allowed);
-                    self.pace.borrow_mut().moved(data.len() as u64, now);
-                    if body.is_end_stream() {
-                        // Where the length is stated the library need not be asked again.
-                        self.stage.set(Stage::Done(now));
-                    }
-                    Poll::Ready(Some(Ok(Frame::data(data))))
+                    // With a stated length the library need not be polled for the end.
+                    let is_last = body.is_end_stream();
+                    Poll::Ready(Some(self.on_data(data, is_last, now)))
                 }
             };
         }
     }
+
+    fn on_data(&self, data: Bytes, is_last: bool, now: Instant) -> Result<Frame<Bytes>, io::Error> {
+        let Some(allowed) = self.allowed.get().checked_sub(data.len() as u64) else {
+            self.stage.set(Stage::TooLong);
+            return Err(io::ErrorKind::FileTooLarge.into());
+        };
+        self.allowed.set(allowed);
+        self.pace.borrow_mut().moved(data.len() as u64, now);
+        if is_last {
+            self.stage.set(Stage::Completed(now));
+        }
+        Ok(Frame::data(data))
+    }
 }
 
-/// A body as it is written to a server.
+/// A request's body as it is sent to an endpoint: the buffered part, then the rest.
 pub struct OutgoingBody {
-    held: Bytes,
-    rest: Option<Rc<Upload>>,
-    written: u64,
+    buffered: Bytes,
+    upload: Option<Rc<Upload>>,
+    /// Number of bytes that were handed over.
+    sent: u64,
 }
 
 impl OutgoingBody {
-    /// What is held, then what comes.
-    pub fn new(held: Bytes, rest: Option<Rc<Upload>>) -> Self {
-        Self { held, rest, written: 0 }
+    /// A body of which nothing is sent yet.
+    pub fn new(buffered: Bytes, upload: Option<Rc<Upload>>) -> Self {
+        Self { buffered, upload, sent: 0 }
     }
 }
 
@@ -176,27 +190,27 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if !self.held.is_empty() {
-            let held = std::mem::take(&mut self.held);
-            self.written += held.len() as u64;
-            return Poll::Ready(Some(Ok(Frame::data(held))));
+        if !self.buffered.is_empty() {
+            let buffered = std::mem::take(&mut self.buffered);
+            self.sent += buffered.len() as u64;
+            return Poll::Ready(Some(Ok(Frame::data(buffered))));
         }
-        let polled = self.rest.as_ref().map_or(Poll::Ready(None), |rest| rest.poll(cx));
+        let polled = self.upload.as_ref().map_or(Poll::Ready(None), |upload| upload.poll(cx));
         if let Poll::Ready(Some(Ok(frame))) = &polled {
-            self.written += frame.data_ref().map_or(0, |data| data.len() as u64);
+            self.sent += frame.data_ref().map_or(0, |data| data.len() as u64);
         }
         polled
     }
 
     fn is_end_stream(&self) -> bool {
-        self.held.is_empty() && self.rest.is_none()
+        self.buffered.is_empty() && self.upload.is_none()
     }
 
     fn size_hint(&self) -> SizeHint {
-        match &self.rest {
-            None => SizeHint::with_exact(self.held.len() as u64),
-            Some(rest) => rest.length.map_or_else(SizeHint::default, |length| {
-                SizeHint::with_exact(length.saturating_sub(self.written))
+        match &self.upload {
+            None => SizeHint::with_exact(self.buffered.len() as u64),
+            Some(upload) => upload.length.map_or_else(SizeHint::default, |length| {
+                SizeHint::with_exact(length.saturating_sub(self.sent))
             }),
         }
     }
--- /dev/null
+++ b/crates/node/src/net/upstream/connect.rs
@@ -0,0 +1,28 @@
+//! Establishes connections to endpoints, for all protocols.
+
+use std::io;
+use std::time::Duration;
+
+use tokio::time::timeout;
+
+use crate::net::upstream::transport::AttemptResult;
+
+/// Waits for a connection; a timeout or an error ends the attempt.
+///
+/// # Errors
+/// The result of the attempt.
+pub(super) async fn connect<S>(
+    connecting: impl Future<Output = io::Result<S>>,
+    connect_timeout: Duration,
+) -> Result<S, AttemptResult> {
+    match timeout(connect_timeout, connecting).await {
+        Ok(Ok(stream)) => Ok(stream),
+        Ok(Err(error)) => Err(AttemptResult::connect_failed(is_refusal(error.kind()))),
+        Err(_) => Err(AttemptResult::connect_failed(false)),
+    }
+}
+
+/// Whether no process listens at the address. A Unix socket without a process may not exist at all.
+fn is_refusal(error: io::ErrorKind) -> bool {
+    matches!(error, io::ErrorKind::ConnectionRefused | io::ErrorKind::NotFound)
+}
--- a/crates/node/src/net/upstream/connection_registry.rs
+++ b/crates/node/src/net/upstream/connection_registry.rs
@@ -1,4 +1,4 @@
-//! Connections to servers of all pools and protocols: they share the node's descriptors.
+//! The node's limit of connections to endpoints, shared by all pools and protocols, and its idle connections.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -6,15 +6,19 @@
 
 use tokio::time::Instant;
 
-/// Idle connections close at this share of the time after which servers close them: one that closes while a
-/// request is on its way there ends as a reset.
-pub const IDLE_SHARE: f64 = 0.8;
+/// Share of an endpoint's idle timeout after which this node closes an idle connection: a request that meets the
+/// endpoint's close would end as a reset.
+const IDLE_TIMEOUT_SHARE: f64 = 0.8;
+/// Least time between two sweeps. The loop of each pool asks for one a second, and each sweep visits the connections of
+/// all pools.
+const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Least time between two sweeps. The loop of each pool asks for one a second, and each looks at the idle connections of all
-/// pools: 140 loops that did so in one turn held up requests for 0.2 s.
-const LEAST_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Returns for how long this node keeps an idle connection, of an endpoint that closes it after `server_idle_timeout`.
+pub fn max_idle_time(server_idle_timeout: Duration) -> Duration {
+    server_idle_timeout.mul_f64(IDLE_TIMEOUT_SHARE)
+}
 
-/// One of the descriptors that servers may use.
+/// Counts as one connection to an endpoint.
 pub struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl Drop for ConnectionPermit {
@@ -23,72 +27,69 @@
     }
 }
 
-/// A server's idle connections.
+/// The idle connections of an endpoint.
 pub trait IdleConnections {
-    /// Whether it is among the servers with idle connections; [`ConnectionRegistry`] alone changes it.
+    /// Whether the endpoint is registered; [`ConnectionRegistry`] alone changes it.
     fn registered(&self) -> &Cell<bool>;
 
-    /// Since when the longest idle one is so; `None` where there is none.
+    /// Since when the connection that has been idle longest is idle; `None` where there is none.
     fn oldest_idle_since(&self) -> Option<Instant>;
 
-    /// Closes that one.
+    /// Closes the connection that has been idle longest.
     fn close_oldest(&self);
 
-    /// Closes what has been idle for too long or has ended; tells whether any are left.
+    /// Closes connections that have been idle for too long or were closed by the endpoint; returns whether any is left.
     fn sweep(&self, now: Instant) -> bool;
 }
 
-/// Connections of all pools.
+/// The connections of all pools.
 pub struct ConnectionRegistry {
-    places: usize,
+    limit: usize,
     used: Rc<Cell<usize>>,
-    /// Servers with idle connections.
-    servers: RefCell<Vec<Rc<dyn IdleConnections>>>,
+    /// Endpoints with idle connections.
+    idle: RefCell<Vec<Rc<dyn IdleConnections>>>,
     last_sweep: Cell<Option<Instant>>,
 }
 
 impl ConnectionRegistry {
-    /// At most so many.
-    pub fn new(places: usize) -> Rc<Self> {
-        Rc::new(Self {
-            places,
-            used: Rc::default(),
-            servers: RefCell::default(),
-            last_sweep: Cell::default(),
-        })
+    /// A registry of at most `limit` connections.
+    pub fn new(limit: usize) -> Rc<Self> {
+        Rc::new(Self { limit, used: Rc::default(), idle: RefCell::default(), last_sweep: Cell::default() })
     }
 
-    /// A place for one more. Where there is none, the longest idle one makes way.
+    /// Returns a permit for one more connection. At the limit the connection that has been idle longest is closed; `None`
+    /// where there is none.
     pub fn acquire(&self) -> Option<ConnectionPermit> {
-        if self.used.get() >= self.places {
-            let servers = self.servers.borrow();
-            let idle = servers.iter().filter_map(|server| Some((server.oldest_idle_since()?, server)));
+        if self.used.get() >= self.limit {
+            let endpoints = self.idle.borrow();
+            let idle =
+                endpoints.iter().filter_map(|endpoint| Some((endpoint.oldest_idle_since()?, endpoint)));
             idle.min_by_key(|(since, _)| *since)?.1.close_oldest();
         }
         self.used.set(self.used.get() + 1);
         Some(ConnectionPermit(self.used.clone()))
     }
 
-    /// A server has idle connections.
-    pub fn register<T: IdleConnections + 'static>(&self, server: &Rc<T>) {
-        // With every answer: a search among a thousand servers would cost more than the rest.
-        if !server.registered().replace(true) {
-            self.servers.borrow_mut().push(server.clone());
+    /// Registers an endpoint that has idle connections, unless it is registered.
+    pub fn register<T: IdleConnections + 'static>(&self, endpoint: &Rc<T>) {
+        // The flag spares a search among a thousand endpoints after every response.
+        if !endpoint.registered().replace(true) {
+            self.idle.borrow_mut().push(endpoint.clone());
         }
     }
 
-    /// Closes what has been idle for too long or has ended, and forgets servers without idle connections. Does nothing where
-    /// that was done less than half a second ago.
+    /// Closes connections that have been idle for too long, and forgets endpoints without idle connections. Does nothing
+    /// within [`MIN_SWEEP_INTERVAL`] of the last sweep.
     pub fn sweep(&self) {
         let now = Instant::now();
-        if self.last_sweep.get().is_some_and(|last| now < last + LEAST_SWEEP_INTERVAL) {
+        if self.last_sweep.get().is_some_and(|last| now < last + MIN_SWEEP_INTERVAL) {
             return;
         }
         self.last_sweep.set(Some(now));
-        self.servers.borrow_mut().retain(|server| {
-            let stays = server.sweep(now);
-            server.registered().set(stays);
-            stays
+        self.idle.borrow_mut().retain(|endpoint| {
+            let has_idle = endpoint.sweep(now);
+            endpoint.registered().set(has_idle);
+            has_idle
         });
     }
 }
--- /dev/null
+++ b/crates/node/src/net/upstream/fastcgi/connector.rs
@@ -0,0 +1,339 @@
+//! Attempts at one process of a FastCGI endpoint: kept connections, with as many requests on each as the endpoint allows.
+
+use std::borrow::Cow;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use pumicehead_config::model::Address;
+use pumicehead_fastcgi::cgi::{Around, variables};
+use pumicehead_fastcgi::client::Values;
+use pumicehead_policy::AttemptOutcome;
+use tokio::net::{TcpStream, UnixStream};
+use tokio::sync::{Semaphore, oneshot};
+use tokio::task;
+use tokio::time::{Instant, sleep_until, timeout};
+
+use super::connection::{FastCgiConnection, FastCgiRequest, Param};
+use super::driver::{ConnectionDriver, DriverContext};
+use super::outcome::FastCgiEnding;
+use super::transport::FastCgiSettings;
+use crate::net::counting_stream::CountingStream;
+use crate::net::exchange::UpstreamRequest;
+use crate::net::upstream::connect::connect;
+use crate::net::upstream::connection_registry::{
+    ConnectionPermit, ConnectionRegistry, IdleConnections, max_idle_time,
+};
+use crate::net::upstream::transport::{
+    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, OnResponseStarted,
+};
+
+/// Longest wait for the values that an endpoint states; one that states none gets one request at a time on a connection.
+const VALUES_TIMEOUT: Duration = Duration::from_millis(250);
+/// Greatest number of requests on one connection, whatever the endpoint states: they fail together.
+const MAX_REQUESTS_PER_CONNECTION: usize = 64;
+
+/// The values that an endpoint states of itself (`FCGI_GET_VALUES`).
+#[derive(Clone, Copy)]
+enum ServerValues {
+    NotRequested,
+    /// It closed the connection or was silent; they are not requested again.
+    Unavailable,
+    Known(Values),
+}
+
+/// The connections of one process of an endpoint.
+struct EndpointConnections {
+    address: Address,
+    /// Whether requests may be written.
+    is_usable: Cell<bool>,
+    connections: RefCell<Vec<Rc<FastCgiConnection>>>,
+    /// Idle connections are kept for this long.
+    max_idle: Duration,
+    registered: Cell<bool>,
+}
+
+/// Makes attempts at one process of an endpoint.
+pub(super) struct FastCgiConnector {
+    registry: Rc<ConnectionRegistry>,
+    settings: Rc<FastCgiSettings>,
+    endpoint: Rc<EndpointConnections>,
+    values: Cell<ServerValues>,
+    /// Held by the one attempt that requests the values.
+    values_request: Semaphore,
+    driver_context: DriverContext,
+}
+
+impl IdleConnections for EndpointConnections {
+    fn registered(&self) -> &Cell<bool> {
+        &self.registered
+    }
+
+    fn oldest_idle_since(&self) -> Option<Instant> {
+        let connections = self.connections.borrow();
+        connections
+            .iter()
+            .filter(|connection| connection.is_idle() && !connection.closed.get())
+            .map(|connection| connection.idle_since.get())
+            .min()
+    }
+
+    fn close_oldest(&self) {
+        let mut connections = self.connections.borrow_mut();
+        let idle = connections.iter().enumerate().filter(|(_, connection)| connection.is_idle());
+        if let Some((index, _)) = idle.min_by_key(|(_, connection)| connection.idle_since.get()) {
+            connections.remove(index).retire();
+        }
+    }
+
+    fn sweep(&self, now: Instant) -> bool {
+        let mut connections = self.connections.borrow_mut();
+        connections.retain(|connection| {
+            let has_expired = connection.is_idle() && now >= connection.idle_since.get() + self.max_idle;
+            if has_expired {
+                connection.retire();
+            }
+            !has_expired && !connection.closed.get()
+        });
+        !connections.is_empty()
+    }
+}
+
+impl EndpointConnector for FastCgiConnector {
+    fn address(&self) -> &Address {
+        &self.endpoint.address
+    }
+
+    fn is_usable(&self) -> bool {
+        self.endpoint.is_usable.get()
+    }
+
+    fn retire(&self) {
+        self.endpoint.is_usable.set(false);
+        self.close_idle();
+    }
+
+    fn close_idle(&self) {
+        // Those of a retired endpoint that carry requests close after the last of these.
+        let is_usable = self.endpoint.is_usable.get();
+        self.endpoint.connections.borrow_mut().retain(|connection| {
+            let closes = !is_usable || connection.is_idle();
+            if closes {
+                connection.retire();
+            }
+            !closes
+        });
+    }
+
+    fn attempt(
+        self: Rc<Self>,
+        request: Rc<UpstreamRequest>,
+        deadlines: AttemptDeadlines,
+        cancel: oneshot::Receiver<()>,
+        _: OnResponseStarted,
+    ) -> AttemptFuture {
+        Box::pin(async move {
+            let is_written = Rc::new(Cell::new(false));
+            tokio::select! {
+                biased;
+                result = self.exchange(&request, deadlines, is_written.clone()) => result,
+                // The sender lives as long as the attempt is in flight.
+                _ = cancel => AttemptResult::without_response(AttemptOutcome::Cancelled),
+                // A timeout before anything was written proves that the request was not executed.
+                () = sleep_until(deadlines.deadline) => AttemptResult::without_response(
+                    if is_written.get() { AttemptOutcome::TimedOut } else { AttemptOutcome::NotSent }
+                ),
+            }
+        })
+    }
+}
+
+impl FastCgiConnector {
+    pub fn new(registry: Rc<ConnectionRegistry>, settings: Rc<FastCgiSettings>, address: Address) -> Self {
+        let driver_context = DriverContext {
+            multiplexes: Rc::new(Cell::new(false)),
+            endpoint: address.to_string().into(),
+            last_stderr_log: Rc::default(),
+        };
+        let endpoint = Rc::new(EndpointConnections {
+            address,
+            is_usable: Cell::new(true),
+            connections: RefCell::default(),
+            max_idle: max_idle_time(settings.server_idle_timeout),
+            registered: Cell::new(false),
+        });
+        Self {
+            registry,
+            settings,
+            endpoint,
+            values: Cell::new(ServerValues::NotRequested),
+            values_request: Semaphore::new(1),
+            driver_context,
+        }
+    }
+
+    async fn exchange(
+        &self,
+        request: &UpstreamRequest,
+        deadlines: AttemptDeadlines,
+        is_written: Rc<Cell<bool>>,
+    ) -> AttemptResult {
+        let connection = match self.connection().await {
+            Ok(connection) => connection,
+            Err(result) => return result,
+        };
+        // Time has passed until there is a connection: the deadlines, the endpoint and the client are checked again.
+        let not_sent = AttemptResult::without_response(AttemptOutcome::NotSent);
+        let time_left = deadlines.time_left(Instant::now());
+        if time_left.is_zero() || !self.endpoint.is_usable.get() || request.finished.get() {
+            return not_sent;
+        }
+        // Admission rejects requests that can't be expressed in variables.
+        let Some(params) = self.params(request, time_left) else { return not_sent };
+        let (result_sender, result) = oneshot::channel();
+        let abort_guard = connection.send(FastCgiRequest {
+            params,
+            body: request.body.clone(),
+            method: request.method.clone(),
+            max_body: self.settings.max_body,
+            reservation: self.settings.memory.reservation(),
+            result: result_sender,
+            is_written,
+        });
+        let result = result.await;
+        abort_guard.disarm();
+        // The connection ended as the request came to it: nothing of it was written.
+        let unsent = FastCgiEnding::ConnectionLost { request_written: false };
+        result.unwrap_or_else(|_| AttemptResult::without_response(unsent.classify().outcome))
+    }
+
+    /// Returns the variables of a request; `None` where it can't be expressed in variables.
+    fn params(&self, request: &UpstreamRequest, time_left: Duration) -> Option<Vec<Param>> {
+        let mut headers = request.headers.clone();
+        headers.insert("x-time-left", format!("{}u", time_left.as_micros()).parse().ok()?);
+        let around = Around {
+            peer: request.client_ip,
+            script: &self.settings.script,
+            root: &self.settings.root,
+            length: request.body.len(),
+        };
+        let list = variables(&request.method, &request.uri, &headers, around).ok()?;
+        let owned = |(name, value): (Cow<'static, str>, Cow<'_, [u8]>)| Param {
+            name: Bytes::from(name.into_owned()),
+            value: Bytes::from(value.into_owned()),
+        };
+        Some(list.into_iter().map(owned).collect())
+    }
+
+    /// Greatest number of requests on one connection.
+    fn max_requests_per_connection(&self) -> usize {
+        match self.values.get() {
+            ServerValues::Known(Values { multiplexes: Some(true), requests, .. }) => requests
+                .map_or(MAX_REQUESTS_PER_CONNECTION, |max| (max as usize).min(MAX_REQUESTS_PER_CONNECTION)),
+            _ => 1,
+        }
+    }
+
+    /// Returns a connection that takes another request, or the attempt's result where there is none.
+    async fn connection(&self) -> Result<Rc<FastCgiConnection>, AttemptResult> {
+        if matches!(self.values.get(), ServerValues::NotRequested) {
+            // Other attempts wait for the one that requests the values.
+            let _permit = self.values_request.acquire().await;
+            if matches!(self.values.get(), ServerValues::NotRequested) {
+                return self.connect_and_request_values().await;
+            }
+        }
+        self.remove_closed();
+        let free = self.fullest_free();
+        if self.is_at_capacity(free.is_some()) {
+            let outcome = FastCgiEnding::AtCapacity.classify().outcome;
+            return Err(AttemptResult::without_response(outcome));
+        }
+        match free {
+            Some(connection) => Ok(connection),
+            None => self.connect(None).await,
+        }
+    }
+
+    fn remove_closed(&self) {
+        self.endpoint
+            .connections
+            .borrow_mut()
+            .retain(|connection| !connection.is_idle() && !connection.closed.get() || connection.is_open());
+    }
+
+    /// Returns the connection with the most requests that takes another one, so that others become idle and expire.
+    fn fullest_free(&self) -> Option<Rc<FastCgiConnection>> {
+        let max = self.max_requests_per_connection();
+        let connections = self.endpoint.connections.borrow();
+        let free = connections.iter().filter(|connection| connection.in_flight.get() < max);
+        free.max_by_key(|connection| (connection.in_flight.get(), connection.idle_since.get())).cloned()
+    }
+
+    /// Whether the endpoint has said that it takes no more requests, or no more connections where none is free.
+    fn is_at_capacity(&self, has_free: bool) -> bool {
+        let ServerValues::Known(values) = self.values.get() else { return false };
+        let connections = self.endpoint.connections.borrow();
+        let in_flight = connections.iter().map(|connection| connection.in_flight.get()).sum::<usize>();
+        let reached = |limit: Option<u32>, count: usize| limit.is_some_and(|max| count >= max as usize);
+        reached(values.requests, in_flight) || !has_free && reached(values.connections, connections.len())
+    }
+
+    /// Establishes the first connection and requests the endpoint's values on it. Where the endpoint closes it for that,
+    /// another one is established: no request has been sent.
+    async fn connect_and_request_values(&self) -> Result<Rc<FastCgiConnection>, AttemptResult> {
+        let (sender, values) = oneshot::channel();
+        let connection = self.connect(Some(sender)).await?;
+        let Ok(Ok(values)) = timeout(VALUES_TIMEOUT, values).await else {
+            self.values.set(ServerValues::Unavailable);
+            if !connection.closed.get() {
+                return Ok(connection);
+            }
+            return self.connect(None).await;
+        };
+        self.values.set(ServerValues::Known(values));
+        self.driver_context.multiplexes.set(self.max_requests_per_connection() > 1);
+        Ok(connection)
+    }
+
+    /// Establishes a connection; `values` takes the endpoint's values, which are then requested on it.
+    async fn connect(
+        &self,
+        values: Option<oneshot::Sender<Values>>,
+    ) -> Result<Rc<FastCgiConnection>, AttemptResult> {
+        let permit = self.registry.acquire().ok_or_else(AttemptResult::connection_limit_reached)?;
+        let stream = self.connect_stream().await.map_err(|result| AttemptResult {
+            outcome: FastCgiEnding::ConnectFailed.classify().outcome,
+            ..result
+        })?;
+        let connection = self.spawn_driver(stream, permit, values);
+        self.endpoint.connections.borrow_mut().push(connection.clone());
+        self.registry.register(&self.endpoint);
+        Ok(connection)
+    }
+
+    async fn connect_stream(&self) -> Result<CountingStream, AttemptResult> {
+        let connect_timeout = self.settings.connect_timeout;
+        Ok(match &self.endpoint.address {
+            Address::Tcp(address) => {
+                CountingStream::new(connect(TcpStream::connect(address), connect_timeout).await?)
+            }
+            Address::Unix(path) => {
+                CountingStream::from_unix(connect(UnixStream::connect(path), connect_timeout).await?)
+            }
+        })
+    }
+
+    /// Drives a connection in a task that ends with the connection.
+    fn spawn_driver(
+        &self,
+        stream: CountingStream,
+        permit: ConnectionPermit,
+        values: Option<oneshot::Sender<Values>>,
+    ) -> Rc<FastCgiConnection> {
+        let (driver, connection) = ConnectionDriver::new(stream, self.driver_context.clone(), permit, values);
+        task::spawn_local(driver.run());
+        connection
+    }
+}
--- /dev/null
+++ b/crates/node/src/net/upstream/fastcgi/driver.rs
@@ -0,0 +1,286 @@
+//! The task that drives a connection to a FastCGI endpoint.
+
+use std::cell::Cell;
+use std::collections::{HashMap, VecDeque};
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::{Buf, Bytes, BytesMut};
+use pumicehead_fastcgi::client::{Client, Event, RequestId, Values};
+use pumicehead_fastcgi::record::End;
+use pumicehead_policy::AttemptOutcome;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::{Instant, sleep_until, timeout};
+use tracing::warn;
+
+use super::connection::{ConnectionCommand, FastCgiConnection, FastCgiRequest};
+use super::pending_request::PendingRequest;
+use crate::net::counting_stream::{CountingStream, UnreadState};
+use crate::net::upstream::connection_registry::ConnectionPermit;
+use crate::net::upstream::transport::AttemptResult;
+
+/// Bytes that are read at once.
+const READ_BYTES: usize = 16 << 10;
+/// Room for the records of a request beside its body, in bytes.
+const REQUEST_RECORDS_BYTES: usize = 1_024;
+/// Longest wait for the end of an aborted request before its connection takes no more requests.
+const ABORT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Least time between two log lines about an endpoint's standard error.
+const STDERR_LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Most that such a line shows of it.
+const MAX_STDERR_LOG_BYTES: usize = 200;
+
+/// What the drivers of an endpoint's connections share.
+#[derive(Clone)]
+pub(super) struct DriverContext {
+    /// A connection may carry several requests at once.
+    pub multiplexes: Rc<Cell<bool>>,
+    /// The endpoint's address, for the log.
+    pub endpoint: Rc<str>,
+    /// When its standard error was logged last.
+    pub last_stderr_log: Rc<Cell<Option<Instant>>>,
+}
+
+/// The task of a connection.
+pub(super) struct ConnectionDriver {
+    /// A clone of the writer's socket.
+    reader: CountingStream,
+    writer: CountingStream,
+    connection: Rc<FastCgiConnection>,
+    commands: mpsc::UnboundedReceiver<ConnectionCommand>,
+    client: Client,
+    output: VecDeque<Bytes>,
+    /// Bytes that were put into the output since the start.
+    bytes_queued: u64,
+    /// Bytes of these that were written.
+    bytes_written: u64,
+    pending: HashMap<RequestId, PendingRequest>,
+    /// Aborted requests that the application has not ended, and when each was aborted.
+    aborted: HashMap<RequestId, Instant>,
+    values: Option<oneshot::Sender<Values>>,
+    context: DriverContext,
+    _permit: ConnectionPermit,
+}
+
+impl ConnectionDriver {
+    /// Returns the driver of a connection that was established. Where `values` is given, the endpoint's values are
+    /// requested first.
+    pub fn new(
+        stream: CountingStream,
+        context: DriverContext,
+        permit: ConnectionPermit,
+        values: Option<oneshot::Sender<Values>>,
+    ) -> (Self, Rc<FastCgiConnection>) {
+        let (sender, commands) = mpsc::unbounded_channel();
+        let connection = FastCgiConnection::new(stream.clone(), sender);
+        let driver = Self {
+            reader: stream.clone(),
+            writer: stream,
+            connection: connection.clone(),
+            commands,
+            client: Client::default(),
+            output: VecDeque::new(),
+            bytes_queued: 0,
+            bytes_written: 0,
+            pending: HashMap::new(),
+            aborted: HashMap::new(),
+            values,
+            context,
+            _permit: permit,
+        };
+        (driver, connection)
+    }
+
+    /// Runs until the connection ends or is of no further use.
+    pub async fn run(mut self) {
+        self.request_values();
+        let connection = self.connection.clone();
+        let mut input = vec![0; READ_BYTES];
+        while !self.is_done() {
+            // Some applications never end a request that was aborted.
+            let abort_due = self.aborted.values().min().map(|since| *since + ABORT_TIMEOUT);
+            let unused = Instant::now() + ABORT_TIMEOUT;
+            let goes_on = tokio::select! {
+                command = self.commands.recv() => self.on_command(command).await,
+                read = self.reader.read(&mut input) => match read {
+                    Ok(count) if count > 0 => self.on_input(&input[..count]),
+                    _ => false,
+                },
+                written = write(&mut self.writer, self.output.front()), if !self.output.is_empty() => {
+                    self.on_written(written)
+                }
+                () = connection.close.notified() => true,
+                () = sleep_until(abort_due.unwrap_or(unused)), if abort_due.is_some() => {
+                    connection.closed.set(true);
+                    self.aborted.clear();
+                    true
+                }
+            };
+            if !goes_on {
+                break;
+            }
+        }
+        self.end();
+    }
+
+    fn is_done(&self) -> bool {
+        self.connection.closed.get() && self.pending.is_empty() && self.commands.is_empty()
+    }
+
+    fn request_values(&mut self) {
+        if self.values.is_some() {
+            let mut output = BytesMut::new();
+            self.client.get_values(&mut output);
+            self.queue(output);
+        }
+    }
+
+    fn queue(&mut self, output: BytesMut) {
+        self.bytes_queued += output.len() as u64;
+        self.output.push_back(output.freeze());
+    }
+
+    /// Carries out a command; returns whether the connection goes on.
+    async fn on_command(&mut self, command: Option<ConnectionCommand>) -> bool {
+        match command {
+            Some(ConnectionCommand::Send(number, request)) => {
+                // A request that is written after the endpoint has closed may have been executed, for all that is known.
+                if self.pending.is_empty() && self.reader.unread() == UnreadState::End {
+                    return false;
+                }
+                self.send(number, request);
+                true
+            }
+            Some(ConnectionCommand::Abort(number)) => self.abort(number).await,
+            None => false,
+        }
+    }
+
+    fn send(&mut self, number: u64, request: FastCgiRequest) {
+        if request.result.is_closed() {
+            return self.connection.end_request();
+        }
+        let mut output = BytesMut::with_capacity(request.body.len() + REQUEST_RECORDS_BYTES);
+        let Some(id) = self.client.begin(&mut output, true) else {
+            let _ = request.result.send(AttemptResult::without_response(AttemptOutcome::Rejected));
+            return self.connection.end_request();
+        };
+        let params = request.params.iter().map(|param| (&param.name[..], &param.value[..]));
+        self.client.params(&mut output, id, params);
+        self.client.stdin(&mut output, id, &request.body);
+        self.client.stdin_end(&mut output, id);
+        request.is_written.set(true);
+        self.queue(output);
+        self.pending.insert(id, PendingRequest::new(number, request, self.bytes_queued));
+    }
+
+    /// Aborts a request that nobody waits for any more; returns whether the connection goes on. One that carries a single
+    /// request at a time ends.
+    async fn abort(&mut self, number: u64) -> bool {
+        let found = self.pending.iter().find(|(_, pending)| pending.number == number);
+        let Some(id) = found.map(|(id, _)| *id) else { return true };
+        self.pending.remove(&id);
+        self.connection.end_request();
+        let mut output = BytesMut::new();
+        self.client.abort(&mut output, id);
+        self.queue(output);
+        self.aborted.insert(id, Instant::now());
+        if self.context.multiplexes.get() && !self.connection.closed.get() {
+            return true;
+        }
+        // Writes what the kernel takes at once, so that the application sees the abort before the connection's end.
+        if let Some(front) = self.output.front()
+            && let Ok(Ok(count)) = timeout(Duration::ZERO, self.writer.write(front)).await
+        {
+            self.advance(count);
+        }
+        !self.pending.is_empty()
+    }
+
+    /// Takes the result of a write; returns whether the connection goes on.
+    fn on_written(&mut self, written: io::Result<usize>) -> bool {
+        match written {
+            Ok(count) if count > 0 => {
+                self.advance(count);
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// Removes bytes that were written from the output.
+    fn advance(&mut self, count: usize) {
+        self.bytes_written += count as u64;
+        if let Some(front) = self.output.front_mut() {
+            front.advance(count);
+            if front.is_empty() {
+                self.output.pop_front();
+            }
+        }
+    }
+
+    /// Takes bytes from the endpoint; returns whether the connection goes on.
+    fn on_input(&mut self, input: &[u8]) -> bool {
+        let mut events = Vec::new();
+        let result = self.client.receive(input, &mut events);
+        for event in events {
+            match event {
+                Event::Values(values) => {
+                    if let Some(sender) = self.values.take() {
+                        let _ = sender.send(values);
+                    }
+                }
+                Event::Stdout(id, part) => {
+                    if let Some(pending) = self.pending.get_mut(&id) {
+                        pending.on_output(&part);
+                    }
+                }
+                Event::StdoutEnd(_) => {}
+                Event::Stderr(_, text) => self.log_stderr(&text),
+                Event::Ended(id, end) => self.on_request_ended(id, end),
+            }
+        }
+        if let Err(error) = &result {
+            warn!(target: "fastcgi", endpoint = %self.context.endpoint, %error, "protocol error");
+        }
+        result.is_ok()
+    }
+
+    fn on_request_ended(&mut self, id: RequestId, end: End) {
+        self.aborted.remove(&id);
+        if let Some(pending) = self.pending.remove(&id) {
+            // Before the result is sent, so that the next attempt finds the connection free.
+            self.connection.end_request();
+            pending.finish(end);
+        }
+    }
+
+    /// Logs a part of the application's standard error, at a limited rate.
+    fn log_stderr(&self, text: &[u8]) {
+        let now = Instant::now();
+        let last = &self.context.last_stderr_log;
+        if last.get().is_some_and(|last| now < last + STDERR_LOG_INTERVAL) {
+            return;
+        }
+        last.set(Some(now));
+        let shown = String::from_utf8_lossy(&text[..text.len().min(MAX_STDERR_LOG_BYTES)]);
+        let shown = shown.trim_end().escape_debug();
+        warn!(target: "fastcgi", endpoint = %self.context.endpoint, "stderr: {shown}");
+    }
+
+    /// The connection has ended, and all requests on it with it.
+    fn end(mut self) {
+        self.connection.closed.set(true);
+        self.connection.stream.take();
+        for (_, pending) in std::mem::take(&mut self.pending) {
+            self.connection.end_request();
+            pending.fail(self.bytes_written);
+        }
+    }
+}
+
+async fn write(stream: &mut CountingStream, bytes: Option<&Bytes>) -> io::Result<usize> {
+    stream.write(bytes.map_or(&[], |bytes| &bytes[..])).await
+}
--- a/crates/node/src/net/upstream/fastcgi/mod.rs
+++ b/crates/node/src/net/upstream/fastcgi/mod.rs
@@ -1,5 +1,8 @@
 //! Endpoints that speak FastCGI. Client connections over FastCGI are in `downstream/fastcgi`.
 
 mod connection;
+mod connector;
+mod driver;
 mod outcome;
+mod pending_request;
 pub mod transport;
--- /dev/null
+++ b/crates/node/src/net/upstream/fastcgi/pending_request.rs
@@ -0,0 +1,134 @@
+//! A request on a FastCGI connection, and the response as far as it has come.
+
+use bytes::BytesMut;
+use hyper::header::{self, HeaderMap, HeaderValue};
+use hyper::{Method, StatusCode};
+use pumicehead_fastcgi::cgi::{AnswerHead, HeadReader};
+use pumicehead_fastcgi::record::End;
+
+use super::connection::FastCgiRequest;
+use super::outcome::{FastCgiEnding, ResponseProgress};
+use crate::net::exchange::UpstreamResponse;
+use crate::net::header_fields::strip_hop_by_hop;
+use crate::net::upstream::response_classification::{ResponseHead, is_marked_unprocessed};
+use crate::net::upstream::transport::AttemptResult;
+
+/// A request that has been put into the connection's output.
+pub(super) struct PendingRequest {
+    pub number: u64,
+    request: FastCgiRequest,
+    /// Number of bytes that the connection has written once all of this request is written.
+    written_at: u64,
+    head_reader: HeadReader,
+    head: Option<AnswerHead>,
+    body: BytesMut,
+    is_empty: bool,
+    is_malformed: bool,
+}
+
+impl PendingRequest {
+    pub fn new(number: u64, request: FastCgiRequest, written_at: u64) -> Self {
+        Self {
+            number,
+            request,
+            written_at,
+            head_reader: HeadReader::default(),
+            head: None,
+            body: BytesMut::new(),
+            is_empty: true,
+            is_malformed: false,
+        }
+    }
+
+    /// Takes a part of the application's output.
+    pub fn on_output(&mut self, part: &[u8]) {
+        self.is_empty = false;
+        if self.is_malformed {
+            return;
+        }
+        if self.head.is_some() {
+            return self.on_body(part);
+        }
+        match self.head_reader.feed(part) {
+            Ok(None) => {}
+            Ok(Some((head, rest))) => {
+                self.head = Some(head);
+                self.on_body(&rest);
+            }
+            Err(_) => self.is_malformed = true,
+        }
+    }
+
+    fn on_body(&mut self, part: &[u8]) {
+        if part.is_empty() || self.is_bodiless() {
+            return;
+        }
+        let size = self.body.len() + part.len();
+        let has_memory = self.request.reservation.try_cover(size);
+        if size as u64 > self.request.max_body || !has_memory {
+            self.is_malformed = true;
+            self.body = BytesMut::new();
+            return;
+        }
+        self.body.extend_from_slice(part);
+    }
+
+    /// Whether the response has no body, whatever the application writes.
+    fn is_bodiless(&self) -> bool {
+        let status = self.head.as_ref().map(|head| head.status);
+        self.request.method == Method::HEAD
+            || matches!(status, Some(StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED))
+    }
+
+    /// The application has ended the request.
+    pub fn finish(mut self, end: End) {
+        let class = FastCgiEnding::Completed(end, self.progress()).classify();
+        let is_bodiless = self.is_bodiless();
+        let head = self.head.take().filter(|_| class.forward);
+        let Self { request, body, .. } = self;
+        let FastCgiRequest { reservation, result, .. } = request;
+        let response = head.map(|AnswerHead { status, mut headers }| {
+            let length = stated_length(&headers).cloned();
+            strip_hop_by_hop(&mut headers);
+            // Of a response without a body it states what the body's length would be.
+            if let Some(length) = length.filter(|_| is_bodiless && status != StatusCode::NO_CONTENT) {
+                headers.insert(header::CONTENT_LENGTH, length);
+            }
+            UpstreamResponse { status, headers, body: reservation.attach_to(body.freeze()).into() }
+        });
+        let _ = result.send(AttemptResult { response, ..AttemptResult::without_response(class.outcome) });
+    }
+
+    fn progress(&self) -> ResponseProgress {
+        if self.is_empty {
+            return ResponseProgress::Empty;
+        }
+        let Some(head) = self.head.as_ref().filter(|_| !self.is_malformed) else {
+            return ResponseProgress::Malformed;
+        };
+        let has_stated_length =
+            stated_length(&head.headers).is_none_or(|length| parsed(length) == Some(self.body.len()));
+        if !self.is_bodiless() && !has_stated_length {
+            return ResponseProgress::Malformed;
+        }
+        ResponseProgress::Complete(ResponseHead {
+            status: head.status,
+            unprocessed: is_marked_unprocessed(&head.headers),
+            delimited: true,
+        })
+    }
+
+    /// The connection has ended after `written` bytes of its output; what was not written never arrived.
+    pub fn fail(self, written: u64) {
+        let ending = FastCgiEnding::ConnectionLost { request_written: written >= self.written_at };
+        let _ = self.request.result.send(AttemptResult::without_response(ending.classify().outcome));
+    }
+}
+
+fn stated_length(headers: &HeaderMap) -> Option<&HeaderValue> {
+    headers.get(header::CONTENT_LENGTH)
+}
+
+fn parsed(length: &HeaderValue) -> Option<usize> {
+    length.to_str().ok().and_then(|text| text.parse().ok())
+}
--- /dev/null
+++ b/crates/node/src/net/upstream/http/attempt_timeout.rs
@@ -0,0 +1,70 @@
+//! When an attempt over HTTP times out, and what that means.
+
+use std::cell::Cell;
+use std::future::pending;
+use std::rc::Rc;
+use std::time::Duration;
+
+use pumicehead_policy::AttemptOutcome;
+use pumicehead_slow_peer::{GiveUp, Side};
+use tokio::time::{Instant, sleep_until};
+
+use super::attempt::AttemptStage;
+use crate::net::exchange::UpstreamRequest;
+use crate::net::upload::Upload;
+
+/// Interval at which an attempt with a streamed body is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Waits until an attempt times out. A timeout before anything was written proves that the request was not executed. The
+/// time of a streamed body counts from its last byte; a streamed response does not time out here.
+pub(super) async fn timeout_outcome(
+    request: &UpstreamRequest,
+    deadline: Instant,
+    stage: &Cell<AttemptStage>,
+) -> AttemptOutcome {
+    if request.upload.is_none() {
+        // Nothing moves the deadline, so it is enough to wake then.
+        sleep_until(deadline).await;
+    }
+    loop {
+        if stage.get() == AttemptStage::Streaming {
+            return pending().await;
+        }
+        let next_check = match started_upload(request) {
+            Some(upload) => match check_upload(upload) {
+                Ok(next_check) => next_check,
+                Err(outcome) => return outcome,
+            },
+            None if Instant::now() >= deadline => return outcome_at_deadline(stage.get()),
+            // A body or a response may begin to stream in the meantime.
+            None => deadline,
+        };
+        sleep_until(next_check.min(Instant::now() + CHECK_INTERVAL)).await;
+    }
+}
+
+fn started_upload(request: &UpstreamRequest) -> Option<&Rc<Upload>> {
+    request.upload.as_ref().filter(|upload| upload.has_started())
+}
+
+fn outcome_at_deadline(stage: AttemptStage) -> AttemptOutcome {
+    if stage == AttemptStage::Written { AttemptOutcome::TimedOut } else { AttemptOutcome::NotSent }
+}
+
+/// Returns when a streamed body has to be checked again.
+///
+/// # Errors
+/// The outcome of the attempt, where it is over. Before the last byte of the body is written, the request is not executed.
+fn check_upload(upload: &Upload) -> Result<Instant, AttemptOutcome> {
+    let (completed, pace) = (upload.completed_at(), upload.check_pace());
+    if let Some(completed) = completed {
+        let deadline = Instant::from_std(completed) + upload.time_left;
+        return if Instant::now() >= deadline { Err(AttemptOutcome::TimedOut) } else { Ok(deadline) };
+    }
+    match pace {
+        Ok(()) => Ok(Instant::now() + CHECK_INTERVAL),
+        Err(GiveUp::Silent(Side::Sink) | GiveUp::Slow(Side::Sink)) => Err(AttemptOutcome::ConnectFailed),
+        Err(_) => Err(AttemptOutcome::NotSent),
+    }
+}
--- /dev/null
+++ b/crates/node/src/net/upstream/http/connection.rs
@@ -0,0 +1,64 @@
+//! A connection to an HTTP endpoint: one request at a time.
+
+use hyper::client::conn::http1;
+use hyper_util::rt::TokioIo;
+use pumicehead_config::model::Address;
+use tokio::net::TcpStream;
+use tokio::task::JoinSet;
+
+use super::idle_connections::EndpointConnections;
+use super::transport::PoolTransport;
+use crate::net::counting_stream::{CountingStream, UnreadState};
+use crate::net::header_fields::MAX_HEAD_BYTES;
+use crate::net::upload::OutgoingBody;
+use crate::net::upstream::connect::connect;
+use crate::net::upstream::connection_registry::ConnectionPermit;
+use crate::net::upstream::transport::AttemptResult;
+
+/// A connection; dropping it closes the socket.
+pub(super) struct HttpConnection {
+    pub sender: http1::SendRequest<OutgoingBody>,
+    pub stream: CountingStream,
+    /// Bytes that had been read from it when it became idle.
+    bytes_read_when_idle: u64,
+    /// Holds the one task that drives the connection.
+    _driver: JoinSet<hyper::Result<()>>,
+    _permit: ConnectionPermit,
+}
+
+impl HttpConnection {
+    /// Whether the endpoint has neither closed it nor sent anything unread.
+    pub fn is_open(&self) -> bool {
+        !self.sender.is_closed() && self.stream.unread() == UnreadState::Nothing
+    }
+
+    /// Marks that all data so far belongs to requests.
+    pub fn mark_idle(&mut self) {
+        self.bytes_read_when_idle = self.stream.bytes_read();
+    }
+
+    /// Whether data has come since it became idle.
+    pub fn has_unsolicited_data(&self) -> bool {
+        self.stream.bytes_read() != self.bytes_read_when_idle || self.stream.unread() == UnreadState::Bytes
+    }
+}
+
+impl PoolTransport {
+    /// Establishes a new connection.
+    pub async fn connect(&self, endpoint: &EndpointConnections) -> Result<HttpConnection, AttemptResult> {
+        let permit = self.connections.acquire().ok_or_else(AttemptResult::connection_limit_reached)?;
+        let Address::Tcp(address) = endpoint.address else {
+            // The configuration's check rejects other addresses for this protocol.
+            return Err(AttemptResult::connect_failed(false));
+        };
+        let stream = connect(TcpStream::connect(address), self.connect_timeout).await?;
+        let stream = CountingStream::new(stream);
+        let mut builder = http1::Builder::new();
+        builder.max_buf_size(MAX_HEAD_BYTES);
+        let handshake = builder.handshake(TokioIo::new(stream.clone())).await;
+        let (sender, connection) = handshake.map_err(|_| AttemptResult::connect_failed(false))?;
+        let mut driver = JoinSet::new();
+        driver.spawn_local(connection);
+        Ok(HttpConnection { sender, stream, bytes_read_when_idle: 0, _driver: driver, _permit: permit })
+    }
+}
--- a/crates/node/src/net/upstream/http/mod.rs
+++ b/crates/node/src/net/upstream/http/mod.rs
@@ -1,4 +1,9 @@
 //! Endpoints that speak HTTP/1.1.
 
+mod attempt;
+mod attempt_timeout;
+mod connection;
+mod idle_connections;
+mod request;
 pub mod response_reader;
 pub mod transport;
--- a/crates/node/src/net/upstream/mod.rs
+++ b/crates/node/src/net/upstream/mod.rs
@@ -1,5 +1,6 @@
 //! Connections to endpoints: the interface that attempts are made through, and an implementation for each protocol.
 
+mod connect;
 pub mod connection_registry;
 pub mod fastcgi;
 pub mod http;
--- a/crates/node/src/net/upstream/response_classification.rs
+++ b/crates/node/src/net/upstream/response_classification.rs
@@ -1,85 +1,92 @@
-//! What a server's answer means for the decision module, and whether it may be passed on. This is the table of
-//! `docs/answers.md`; it knows nothing of sockets.
+//! What an endpoint's response means for the decision module, and whether it may be forwarded: the table of
+//! `docs/answers.md`.
 
 use hyper::StatusCode;
+use hyper::header::HeaderMap;
 use pumicehead_policy::AttemptOutcome;
 
-/// Whose reading of statuses holds.
+/// How statuses are classified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusPolicy {
-    /// The platform's: 200 is served, anything else has failed.
+    /// The platform's: 200 is a success, any other status an error.
     Platform,
-    /// A gateway's: what a healthy server may well answer is served.
+    /// A gateway's: any status that a healthy endpoint may answer is a success.
     Gateway,
 }
 
-/// The status line and what else counts of an answer's head.
+/// What counts of a response's head.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseHead {
     /// Its status.
     pub status: StatusCode,
-    /// It says `X-Unprocessed: 1`: the request never ran.
+    /// It has `X-Unprocessed: 1`: the request was not executed.
     pub unprocessed: bool,
-    /// Its end can be told from a connection that broke.
+    /// The end of the body can be told from a broken connection.
     pub delimited: bool,
 }
 
-/// What an answer means once all of it is there.
+/// What a complete response means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseClass {
-    /// For the module.
+    /// For the decision module.
     pub outcome: AttemptOutcome,
-    /// It may be passed on.
+    /// Whether it may be forwarded.
     pub forward: bool,
 }
 
+impl ResponseClass {
+    /// The class of a response that is not forwarded.
+    pub fn withheld(outcome: AttemptOutcome) -> Self {
+        Self { outcome, forward: false }
+    }
+}
+
 impl StatusPolicy {
-    /// Whether the request was turned away unseen, whatever becomes of the rest of the answer.
-    pub fn is_unprocessed_rejection(self, seen: &ResponseHead) -> bool {
-        let status = match self {
-            Self::Platform => matches!(seen.status.as_u16(), 503 | 504),
-            Self::Gateway => matches!(seen.status.as_u16(), 429 | 503 | 504),
+    /// Whether the endpoint rejected the request without executing it, whatever the rest of the response is. The status
+    /// alone proves nothing: an endpoint behind the endpoint may have executed the request.
+    pub fn is_unprocessed_rejection(self, head: &ResponseHead) -> bool {
+        let is_rejection = match self {
+            Self::Platform => matches!(head.status.as_u16(), 503 | 504),
+            Self::Gateway => matches!(head.status.as_u16(), 429 | 503 | 504),
         };
-        // A status by itself proves nothing: a server behind the server may have done the work.
-        status && seen.unprocessed
+        is_rejection && head.unprocessed
     }
 
-    /// A whole answer's meaning.
-    pub fn classify(self, seen: &ResponseHead) -> ResponseClass {
-        if self.is_unprocessed_rejection(seen) {
-            return ResponseClass { outcome: AttemptOutcome::Rejected, forward: false };
+    /// Classifies a complete response.
+    pub fn classify(self, head: &ResponseHead) -> ResponseClass {
+        if self.is_unprocessed_rejection(head) {
+            return ResponseClass::withheld(AttemptOutcome::Rejected);
         }
-        let reset = ResponseClass { outcome: AttemptOutcome::Reset, forward: false };
+        let reset = ResponseClass::withheld(AttemptOutcome::Reset);
         match self {
-            Self::Platform if seen.status != StatusCode::OK => {
-                ResponseClass { outcome: AttemptOutcome::Error, forward: false }
-            }
-            _ if !seen.delimited => reset,
+            Self::Platform if head.status != StatusCode::OK => ResponseClass::withheld(AttemptOutcome::Error),
+            _ if !head.delimited => reset,
             Self::Platform => ResponseClass { outcome: AttemptOutcome::Success, forward: true },
-            // Nobody asked for another protocol: what follows is no answer.
-            Self::Gateway if seen.status == StatusCode::SWITCHING_PROTOCOLS => reset,
-            Self::Gateway => {
-                let outcome = if Self::is_failing(seen.status) {
-                    AttemptOutcome::Error
-                } else {
-                    AttemptOutcome::Success
-                };
-                ResponseClass { outcome, forward: true }
+            // No upgrade was requested: what follows is no response.
+            Self::Gateway if head.status == StatusCode::SWITCHING_PROTOCOLS => reset,
+            Self::Gateway if is_endpoint_failure(head.status) => {
+                ResponseClass { outcome: AttemptOutcome::Error, forward: true }
             }
+            Self::Gateway => ResponseClass { outcome: AttemptOutcome::Success, forward: true },
         }
     }
+}
 
-    /// Statuses that speak of the server's state, not of the request. 501 and 505 speak of the request: were they
-    /// errors, one client could have a healthy server set aside.
-    fn is_failing(status: StatusCode) -> bool {
-        match status.as_u16() {
-            408 | 429 => true,
-            501 | 505 => false,
-            code => code >= 500,
-        }
+/// Whether a status is about the endpoint and not about the request. 501 and 505 are about the request: as errors they
+/// would let one client have a healthy endpoint ejected.
+fn is_endpoint_failure(status: StatusCode) -> bool {
+    match status.as_u16() {
+        408 | 429 => true,
+        501 | 505 => false,
+        code => code >= 500,
     }
 }
 
+/// Whether a response says that its request was not executed.
+pub fn is_marked_unprocessed(headers: &HeaderMap) -> bool {
+    headers.get("x-unprocessed").is_some_and(|value| value == "1")
+}
+
 #[cfg(test)]
 #[path = "../../../tests/unit/response_classification.rs"]
 mod tests;
