--- a/crates/node/tests/unit/front.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -12,26 +12,28 @@
 use tokio::sync::oneshot;
 
 use super::*;
-use crate::net::ask::{Ask, Call, Served};
 use crate::net::clock::Clock;
-use crate::net::core::{Core, Setup, Source};
-use crate::net::handle::Handle;
-use crate::net::transport::{Attempt, Begin, End, Server, Times, Transport};
+use crate::net::exchange::{ProxyRequest, UpstreamRequest, UpstreamResponse};
+use crate::net::pool_handle::PoolHandle;
+use crate::net::pool_loop::{EndpointSource, PoolConfig, PoolLoop};
+use crate::net::upstream::transport::{
+    AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, ResponseStarted, Transport,
+};
 
 /// Servers that answer on the spot, and count.
 #[derive(Clone, Default)]
 struct Quick(Rc<Cell<usize>>, Bytes);
 
 impl Transport for Quick {
-    fn server(&self, _: &Address) -> Rc<dyn Server> {
+    fn connector(&self, _: &Address) -> Rc<dyn EndpointConnector> {
         Rc::new(self.clone())
     }
 
     fn sweep(&self) {}
 }
 
-impl Server for Quick {
-    fn dial(&self) -> &Address {
+impl EndpointConnector for Quick {
+    fn address(&self) -> &Address {
         const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1);
         &Address::Tcp(NOWHERE)
     }
@@ -42,41 +44,55 @@
 
     fn retire(&self) {}
 
-    fn hang_up(&self) {}
+    fn close_idle(&self) {}
 
-    fn attempt(self: Rc<Self>, _: Rc<Call>, _: Times, _cancel: oneshot::Receiver<()>, _: Begin) -> Attempt {
+    fn attempt(
+        self: Rc<Self>,
+        _: Rc<UpstreamRequest>,
+        _: AttemptDeadlines,
+        _cancel: oneshot::Receiver<()>,
+        _: ResponseStarted,
+    ) -> AttemptFuture {
         Box::pin(async move {
             self.0.set(self.0.get() + 1);
             let headers = hyper::header::HeaderMap::new();
-            let answer = Served { status: hyper::StatusCode::OK, headers, body: self.1.clone().into() };
-            End { answer: Some(answer), ..End::of(pumicehead_policy::AttemptOutcome::Success) }
+            let answer =
+                UpstreamResponse { status: hyper::StatusCode::OK, headers, body: self.1.clone().into() };
+            AttemptResult {
+                response: Some(answer),
+                ..AttemptResult::without_response(pumicehead_policy::AttemptOutcome::Success)
+            }
         })
     }
 }
 
 /// Lets everything in.
-struct Open(Handle, Cell<usize>);
+struct Open(PoolHandle, Cell<usize>);
 
 impl Admission for Open {
-    fn admit(&self, _: Head<'_>) -> Result<Admitted, Bad> {
+    fn admit(&self, _: RequestHead<'_>) -> Result<AdmittedRequest, RequestError> {
         self.1.set(self.1.get() + 1);
-        let ask = Ask {
-            correlation: self.1.get().to_string().into(),
+        let ask = ProxyRequest {
+            correlation_id: self.1.get().to_string().into(),
             class: 0,
             tenant: None,
-            hint: None,
-            key: None,
+            cost_hint: None,
+            ordering_key: None,
             revision: None,
-            left: Duration::from_secs(60),
-            sending: Duration::ZERO,
-            call: Call { method: Method::GET, uri: Uri::from_static("/"), ..Call::default() },
+            time_left: Duration::from_secs(60),
+            body_read_time: Duration::ZERO,
+            upstream: UpstreamRequest {
+                method: Method::GET,
+                uri: Uri::from_static("/"),
+                ..UpstreamRequest::default()
+            },
         };
-        let manner = Manner::Gateway(HeaderValue::from_static("1.1 a"));
-        Ok(Admitted { core: self.0.clone(), ask, manner, bodiless: false })
+        let manner = ResponseStyle::Gateway(HeaderValue::from_static("1.1 a"));
+        Ok(AdmittedRequest { pool: self.0.clone(), request: ask, style: manner, must_be_empty: false })
     }
 }
 
-fn front(server: &Quick) -> Rc<Front> {
+fn front(server: &Quick) -> Rc<DownstreamListener> {
     let boot: Boot = serde_json::from_str(
         r#"{"classes":[{"name":"submit","effect":"side_effect","target_ns":60000000000,"deadline_ns":60000000000}],
         "zones":["a"],"membership_mode":"automatic","quantum_ns":5000000,"ceilings":{"max_attempts":1}}"#,
@@ -84,33 +100,41 @@
     .unwrap();
     let list =
         r#"{"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","health":"active"}]}"#;
-    let setup = Setup {
+    let setup = PoolConfig {
         settings: boot.settings().unwrap(),
         seed: 1,
         zones: vec!["a".into()],
-        source: Source::Fixed(serde_json::from_str(list).unwrap()),
+        endpoints: EndpointSource::Fixed(serde_json::from_str(list).unwrap()),
         transport: Rc::new(server.clone()),
-        hands: Rc::default(),
-        learned: None,
+        overrides: Rc::default(),
+        warm_state: None,
         clock: Clock::start(),
-        tap: None,
+        recorder: None,
     };
-    let held = Held::default();
-    let (core, handle) = Core::new(setup, held.clone());
+    let held = ActiveRequestIds::default();
+    let (core, handle) = PoolLoop::new(setup, held.clone());
     task::spawn_local(core.run());
-    let options = Options {
-        patience: Duration::from_secs(60),
-        keep: Duration::from_secs(60),
-        longest_body: 1 << 10,
-        passes: None,
-        most_held: 100,
-        last_deadline: Duration::from_secs(60),
-        healthz: false,
-        advice: None,
+    let options = ListenerOptions {
+        request_timeout: Duration::from_secs(60),
+        idle_timeout: Duration::from_secs(60),
+        max_buffered_body: 1 << 10,
+        max_streamed_body: None,
+        max_active_requests: 100,
+        max_request_deadline: Duration::from_secs(60),
+        serves_health_check: false,
+        retry_after: None,
     };
     let figures = Rc::new(Figures::new(["submit".to_owned()]));
     let admission = Rc::new(Open(handle, Cell::new(0)));
-    Front::new(admission, held, options, Budget::new(100, 400), || (), figures, Room::new(1 << 20))
+    DownstreamListener::new(
+        admission,
+        held,
+        options,
+        ConnectionBudget::new(100, 400),
+        || (),
+        figures,
+        MemoryBudget::new(1 << 20),
+    )
 }
 
 /// Guards a request that is read in the moment in which its connection is to be closed as idle: it has its answer, and not
@@ -163,11 +187,11 @@
             let mut closed = false;
             while !closed {
                 task::yield_now().await;
-                front.budget.each_of(&front, |conn| {
+                front.budget.for_each_of(&front, |conn| {
                     if conn.used() && conn.is_idle() {
                         // Runs before the connection's task.
                         task::spawn_local(async {});
-                        conn.cut();
+                        conn.close_now();
                         closed = true;
                     }
                 });
@@ -194,20 +218,20 @@
         let mut client = Client::connect(listener.local_addr().unwrap()).unwrap();
         let (stream, peer) = listener.accept().await.unwrap();
         front.clone().take(stream, peer.ip());
-        front.budget.each_of(&front, |conn| conn.link.shrink());
+        front.budget.for_each_of(&front, |conn| conn.stream.shrink_send_buffer());
         tokio::time::pause();
         client.write_all(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
         let mut blocked = false;
         while !blocked {
             task::yield_now().await;
-            front.budget.each_of(&front, |conn| blocked = conn.used() && conn.link.is_blocked());
+            front.budget.for_each_of(&front, |conn| blocked = conn.used() && conn.stream.is_blocked());
         }
-        tokio::time::advance(2 * RESTED).await;
-        let shed = front.budget.shed();
+        tokio::time::advance(2 * MIN_IDLE_BEFORE_EVICTION).await;
+        let shed = front.budget.evict_one();
         client.set_nonblocking(true).unwrap();
         let told = read(&mut client).await;
         // Nothing waits any more: it may make way.
-        let late = front.budget.shed();
+        let late = front.budget.evict_one();
         (shed, late, told)
     });
     assert!(!shed && late && told.ends_with("done"), "{shed} {late} {}", told.len());
--- /dev/null
+++ b/crates/policy/tests/stored_forms.rs
@@ -0,0 +1,99 @@
+//! What the policy's types look like in files and logs. The fixtures were written by version 0.2.0, before its types were
+//! renamed, and must stay readable: a new process reads what an old one has learned.
+
+use std::fs;
+use std::path::{Path, PathBuf};
+
+use pumicehead_policy::WarmState;
+use pumicehead_policy::decision_event::{
+    DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RateLimitedLog, RejectionReason,
+};
+use pumicehead_policy::{EndpointId, RequestId, SECOND};
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
+}
+
+#[test]
+fn older_knowledge_is_read_and_written_as_before() {
+    let text = fs::read_to_string(fixture("knowledge.json")).unwrap();
+    let knowledge: WarmState = serde_json::from_str(&text).unwrap();
+    assert_eq!(serde_json::to_string(&knowledge).unwrap() + "\n", text);
+}
+
+/// Every note, with each value that it may hold of a fixed set.
+fn every_event() -> Vec<DecisionEvent> {
+    let (id, server) = (RequestId(7), EndpointId(3));
+    let hurdles = ExclusionReasons([1, 2, 3, 4, 255]);
+    let mut all = vec![
+        DecisionEvent::Classified {
+            id,
+            tier: 3,
+            priority_weight: 1.5,
+            objective_deadline: 1_700_000_000_100_000_000,
+        },
+        DecisionEvent::Queued { id, queued: 7 },
+        DecisionEvent::EndpointSelected {
+            id,
+            endpoint: server,
+            score: 0.1,
+            runner_up: Some((EndpointId(4), 2.0)),
+            in_flight: 9,
+            limit: 12.25,
+            exclusions: hurdles,
+        },
+        DecisionEvent::EndpointSelected {
+            id,
+            endpoint: server,
+            score: 0.1,
+            runner_up: None,
+            in_flight: 0,
+            limit: 1.0,
+            exclusions: ExclusionReasons::default(),
+        },
+        DecisionEvent::NoEndpointAvailable { id, exclusions: hurdles },
+        DecisionEvent::LimitChanged {
+            endpoint: server,
+            from: 1.0,
+            to: 2.5,
+            reason: LimitChangeReason::ComparedLatency,
+        },
+        DecisionEvent::LimitChanged {
+            endpoint: server,
+            from: 2.5,
+            to: 1.0,
+            reason: LimitChangeReason::Failure,
+        },
+        DecisionEvent::AllLimitsChanged { factor: 0.5, utilization: 2.0 },
+        DecisionEvent::Ejected { endpoint: server, duration: 1_500_000_000 },
+        DecisionEvent::Reinstated { endpoint: server },
+        DecisionEvent::OutlierRatio { outliers: 1, total: 8, panic_mode: false },
+        DecisionEvent::OutlierRatio { outliers: 7, total: 8, panic_mode: true },
+        DecisionEvent::OverloadStarted { queued: 30 },
+        DecisionEvent::OverloadEnded,
+        DecisionEvent::WatchLost,
+        DecisionEvent::WatchRestored,
+    ];
+    let rules =
+        [RejectionReason::QueueTooLong, RejectionReason::QueueTimeout, RejectionReason::KeyOrderTimeout]
+            .into_iter()
+            .chain(
+                [
+                    NoRetryReason::AttemptsExhausted,
+                    NoRetryReason::NotIdempotent,
+                    NoRetryReason::NoTimeLeft,
+                    NoRetryReason::RetryBudgetSpent,
+                ]
+                .map(RejectionReason::NoRetry),
+            );
+    all.extend(rules.map(|rule| DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure: 0.75 }));
+    all
+}
+
+#[test]
+fn logged_events_have_fixed_words_and_others_are_never_logged() {
+    let lines: Vec<String> =
+        every_event().iter().filter_map(|event| RateLimitedLog::default().line(event, SECOND)).collect();
+    let expected = fs::read_to_string(fixture("logged_events.txt")).unwrap();
+    assert_eq!(lines, expected.lines().collect::<Vec<_>>());
+}
