--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -198,3 +198,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/concurrency_limit.rs"]
+mod tests;
--- a/crates/policy/src/decaying_rate.rs
+++ b/crates/policy/src/decaying_rate.rs
@@ -1,4 +1,4 @@
-//! Rates that forget: an exponentially decaying sum, read as a rate a second.
+//! Rates over a decaying memory.
 
 use crate::time::{Nanos, seconds};
 
@@ -13,16 +13,16 @@
 impl<const MEMORY_MS: u32> DecayingRate<MEMORY_MS> {
     const MEMORY_S: f64 = MEMORY_MS as f64 / 1000.0;
 
-    /// Counts `amount`.
+    /// Counts an amount.
     pub fn add(&mut self, now: Nanos, amount: f64) {
         if self.since == 0 {
             self.since = now;
         }
-        self.sum = self.faded(now) + amount;
+        self.sum = self.decayed(now) + amount;
         self.at = now;
     }
 
-    /// Time in which nothing could be counted does not count.
+    /// Leaves a span in which nothing could be counted out of the rate.
     pub fn skip(&mut self, span: Nanos) {
         if self.since > 0 {
             self.at += span;
@@ -30,21 +30,21 @@
         }
     }
 
-    fn faded(&self, now: Nanos) -> f64 {
+    fn decayed(&self, now: Nanos) -> f64 {
         self.sum * (-seconds(now.saturating_sub(self.at)) / Self::MEMORY_S).exp()
     }
 
-    /// A memory that is still short counts for its own length, or a node just started would take its
-    /// queue for one that hardly drains.
+    /// Returns the rate. Until the memory is filled it is the rate since the first count, else the queue of a
+    /// node that has just started would look as if it hardly drained.
     #[must_use]
     pub fn get(&self, now: Nanos) -> f64 {
         let age = seconds(now.saturating_sub(self.since)).max(0.5);
-        self.faded(now) / (Self::MEMORY_S * (1.0 - (-age / Self::MEMORY_S).exp()))
+        self.decayed(now) / (Self::MEMORY_S * (1.0 - (-age / Self::MEMORY_S).exp()))
     }
 
-    /// The same, but a memory that is still short counts as full: never above the true rate for long.
+    /// Returns the rate as if the memory were filled: too low at first, never too high for long.
     #[must_use]
     pub fn low(&self, now: Nanos) -> f64 {
-        self.faded(now) / Self::MEMORY_S
+        self.decayed(now) / Self::MEMORY_S
     }
 }
--- a/crates/policy/src/decision_event.rs
+++ b/crates/policy/src/decision_event.rs
@@ -1,24 +1,23 @@
-//! Why the module decided as it did: small facts beside its actions, for a recorder and for the log. They
-//! decide nothing, and whoever does not read them loses nothing.
+//! What was decided and why, beside the actions: for a flight recorder and for the log.
 
 use std::fmt;
 
 use crate::time::seconds;
 use crate::{EndpointId, Nanos, RequestId, SECOND};
 
-/// Why a server was passed over in a pick.
+/// Why an endpoint couldn't take an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ExclusionReason {
-    /// This node's places there are taken.
+    /// Its concurrency limit is reached.
     AtLimit,
-    /// Set aside after failures, or silent for too long.
+    /// It is ejected, or silent for too long.
     Outlier,
-    /// Back after failures, and its one trial is out or this request may not be it.
+    /// It is on probation: its one attempt is in flight, or this request may not be that attempt.
     OnProbation,
-    /// Just started: what a cold server may be sent is spent.
+    /// It is in slow start, and its budget is spent.
     SlowStart,
-    /// A rule forbids it for this request: a drain, an effect that must not repeat, a turn, the time or the
-    /// tries.
+    /// The attempt must not be sent: because of draining, idempotency, the order of a key, the time or the
+    /// number of attempts.
     NotPermitted,
 }
 
@@ -28,23 +27,23 @@
         [Self::AtLimit, Self::Outlier, Self::OnProbation, Self::SlowStart, Self::NotPermitted];
 }
 
-/// How many servers were passed over in a pick, by hurdle in the order of [`ExclusionReason::ALL`]; a pick
-/// looks at some tens of servers at most, and more than 255 count as 255.
+/// How many endpoints couldn't take an attempt, by reason in the order of [`ExclusionReason::ALL`]; more than
+/// 255 count as 255.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExclusionReasons(pub [u8; 5]);
 
 impl ExclusionReasons {
-    /// One more.
-    pub fn add(&mut self, hurdle: ExclusionReason) {
-        let count = &mut self.0[hurdle as usize];
+    /// Counts an endpoint.
+    pub fn add(&mut self, reason: ExclusionReason) {
+        let count = &mut self.0[reason as usize];
         *count = count.saturating_add(1);
     }
 
-    /// What stood in the way of most servers; `None` where no server was looked at.
+    /// The commonest reason; `None` if no endpoint was excluded.
     #[must_use]
     pub fn most(&self) -> Option<ExclusionReason> {
         let counted = ExclusionReason::ALL.into_iter().zip(self.0).filter(|&(_, count)| count > 0);
-        counted.max_by_key(|&(hurdle, count)| (count, std::cmp::Reverse(hurdle))).map(|(hurdle, _)| hurdle)
+        counted.max_by_key(|&(reason, count)| (count, std::cmp::Reverse(reason))).map(|(reason, _)| reason)
     }
 }
 
@@ -53,92 +52,92 @@
 pub enum NoRetryReason {
     /// It has made all the attempts that it may.
     AttemptsExhausted,
-    /// It may have run, and must not take effect again.
+    /// It may have been executed, and must not be executed again.
     NotIdempotent,
     /// There is no time left.
     NoTimeLeft,
-    /// Retries are a share of requests, and that is spent.
+    /// The retry budget is spent.
     RetryBudgetSpent,
 }
 
-/// The rule by which the module gives a final answer of its own. Whether it is worded as a refusal or as a
-/// failure depends on whether the request may have run.
+/// Why the module gave the final answer itself. Whether that is a rejection or a failure depends on whether
+/// the request may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// Its tier's queue is so long that the wait would take too large a share of its time.
+    /// The expected wait of its tier is too large a share of its time left.
     QueueTooLong,
-    /// It was held until nearly no time was left for its aim.
+    /// It was queued until no time was left for its objective.
     QueueTimeout,
-    /// Its key's turn did not come in time.
+    /// Its key's turn didn't come in time.
     KeyOrderTimeout,
-    /// An attempt has ended badly, and there is no other.
+    /// An attempt was unsuccessful, and there is no retry.
     NoRetry(NoRetryReason),
 }
 
-/// Why a limit moved.
+/// Why a concurrency limit changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChangeReason {
-    /// The server's latency differs from the others'.
+    /// The endpoint's latency differs from that of the others.
     ComparedLatency,
-    /// An attempt there failed or was turned away.
+    /// An attempt there failed or was rejected.
     Failure,
 }
 
-/// A fact.
+/// A decision or a finding of the module.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DecisionEvent {
-    /// A request was ranked.
+    /// A request was classified.
     Classified {
         /// Which.
         id: RequestId,
         /// Its tier, 0 the highest.
         tier: u8,
-        /// Its worth, less what its tenant is over its share.
+        /// Its weight, reduced if its tenant is over its share.
         priority_weight: f32,
-        /// An answer after this is late.
+        /// A response after this is late.
         objective_deadline: Nanos,
     },
-    /// It waits: no server has room for it.
+    /// A request is queued, or waits for its key's turn.
     Queued {
         /// Which.
         id: RequestId,
-        /// How many wait with it, of all tiers.
+        /// How many are queued, of all tiers.
         queued: u32,
     },
-    /// A server was picked.
+    /// An endpoint was selected.
     EndpointSelected {
         /// For which request.
         id: RequestId,
-        /// The server.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Its smoothed latency over the expected, times own attempts and one.
+        /// Its latency ratio, times attempts in flight and one; the least is best.
         score: f32,
         /// The runner-up and its score.
         runner_up: Option<(EndpointId, f32)>,
         /// Own attempts there before this one.
         in_flight: u16,
-        /// Its limit.
+        /// Its concurrency limit.
         limit: f32,
-        /// Who was passed over.
+        /// The endpoints that couldn't take it.
         exclusions: ExclusionReasons,
     },
-    /// No server could be picked.
+    /// No endpoint could be selected.
     NoEndpointAvailable {
         /// For which request.
         id: RequestId,
-        /// What stood in the way; all zero where the sum of limits was used up before any was looked at.
+        /// The reasons; all zero if this node had no capacity at all.
         exclusions: ExclusionReasons,
     },
     /// The module gives the final answer itself.
     AnsweredWithoutEndpoint {
         /// To which request.
         id: RequestId,
-        /// By which rule.
+        /// Why.
         reason: RejectionReason,
-        /// The queue's wait as the rule saw it, over the time left; 0 where the rule does not look at it.
+        /// The expected wait over the time left, for [`RejectionReason::QueueTooLong`]; else 0.
         pressure: f32,
     },
-    /// A server's limit moved.
+    /// An endpoint's concurrency limit changed.
     LimitChanged {
         /// Whose.
         endpoint: EndpointId,
@@ -149,56 +148,56 @@
         /// Why.
         reason: LimitChangeReason,
     },
-    /// All limits moved with the latency of all.
+    /// All limits changed with the utilization of all endpoints.
     AllLimitsChanged {
         /// By this factor.
         factor: f32,
-        /// Smoothed latency over its mark: above 1 they fall.
+        /// Smoothed latency relative to its target: above 1 limits fall.
         utilization: f32,
     },
-    /// A server is set aside.
+    /// An endpoint was ejected.
     Ejected {
         /// Which.
         endpoint: EndpointId,
         /// For how long.
         duration: Nanos,
     },
-    /// It has answered again.
+    /// An endpoint on probation has answered.
     Reinstated {
         /// Which.
         endpoint: EndpointId,
     },
-    /// How many servers in use look out of order.
+    /// How many endpoints in use look like outliers, when panic mode begins or ends.
     OutlierRatio {
         /// So many.
         outliers: u32,
         /// Of so many.
         total: u32,
-        /// Most do: then it is not they, and all are used.
+        /// Most do, so none is treated as an outlier.
         panic_mode: bool,
     },
-    /// Overload begins.
+    /// The first request was rejected for overload.
     OverloadStarted {
-        /// Requests held.
+        /// How many requests are queued.
         queued: u32,
     },
-    /// It is over.
+    /// The queue is empty again.
     OverloadEnded,
-    /// The list of servers is no longer told.
+    /// Discovery is no longer being watched.
     WatchLost,
-    /// It is again.
+    /// Discovery is being watched again.
     WatchRestored,
 }
 
 impl DecisionEvent {
-    /// Whether it belongs in a log as it is: few and telling.
+    /// Whether it is rare enough for a log.
     #[must_use]
     pub fn is_logged(&self) -> bool {
-        self.kind().is_some()
+        self.log_kind().is_some()
     }
 
-    /// Its kind among news.
-    fn kind(&self) -> Option<usize> {
+    /// Its position among the kinds of logged events.
+    fn log_kind(&self) -> Option<usize> {
         Some(match self {
             Self::WatchLost => 0,
             Self::OutlierRatio { .. } => 1,
@@ -233,22 +232,24 @@
     }
 }
 
+/// How many kinds of events are logged.
+const LOG_KINDS: usize = 7;
 /// Least time between two lines of one kind.
-const EVERY: Nanos = 5 * SECOND;
+const LOG_INTERVAL: Nanos = 5 * SECOND;
 
-/// Picks, for hosts that keep a plain log, a line of each kind of news every few seconds.
+/// Log lines of decision events, one of each kind every few seconds.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RateLimitedLog([Nanos; 7]);
+pub struct RateLimitedLog([Nanos; LOG_KINDS]);
 
 impl RateLimitedLog {
-    /// The line, where there is one to log at `now`.
-    pub fn line(&mut self, note: &DecisionEvent, now: Nanos) -> Option<String> {
-        let last = &mut self.0[note.kind()?];
-        if *last != 0 && now < *last + EVERY {
+    /// Returns the line to be logged at `now`, if any.
+    pub fn line(&mut self, event: &DecisionEvent, now: Nanos) -> Option<String> {
+        let last = &mut self.0[event.log_kind()?];
+        if *last != 0 && now < *last + LOG_INTERVAL {
             return None;
         }
         *last = now;
-        Some(note.to_string())
+        Some(event.to_string())
     }
 }
 
--- a/crates/policy/src/deployment_settings.rs
+++ b/crates/policy/src/deployment_settings.rs
@@ -1,26 +1,33 @@
-//! The settings text, as the simulator's first message and a node's configuration hold it: the one parser of
-//! both. Unknown keys are skipped.
+//! The settings as the platform writes them, in a node's configuration and in the simulator's first message.
+//! Their keys are mapped to the module's terms here and nowhere else; unknown keys are ignored.
 
 use serde::Deserialize;
 
 use crate::{Class, DedupScope, Discovery, Idempotency, Nanos, Settings, SettingsError, Tenant, ZoneId};
 
-/// Settings as they are written; unknown keys are ignored.
+/// Settings as written.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
 pub struct Boot {
-    /// What the site permits.
+    /// What the deployment permits.
     pub ceilings: Ceilings,
     /// The classes of requests.
     pub classes: Vec<BootClass>,
-    counted_by: String,
-    me: u32,
-    membership_mode: String,
-    my_zone: u16,
-    over_share_worth: f64,
+    #[serde(rename = "counted_by")]
+    weight_unit: String,
+    #[serde(rename = "me")]
+    node_index: u32,
+    #[serde(rename = "membership_mode")]
+    discovery_mode: String,
+    #[serde(rename = "my_zone")]
+    zone: u16,
+    #[serde(rename = "over_share_worth")]
+    over_share_weight: f64,
     prices: Prices,
-    quantum_ns: Nanos,
-    replicas_of_me: u32,
+    #[serde(rename = "quantum_ns")]
+    tick_ns: Nanos,
+    #[serde(rename = "replicas_of_me")]
+    node_count: u32,
     rules: Rules,
     /// The tenants.
     pub tenants: Vec<BootTenant>,
@@ -34,14 +41,14 @@
         Self {
             ceilings: Ceilings::default(),
             classes: Vec::new(),
-            counted_by: "request".into(),
-            me: 0,
-            membership_mode: "automatic".into(),
-            my_zone: 0,
-            over_share_worth: 1.0,
+            weight_unit: "request".into(),
+            node_index: 0,
+            discovery_mode: "automatic".into(),
+            zone: 0,
+            over_share_weight: 1.0,
             prices: Prices::default(),
-            quantum_ns: 1_000_000,
-            replicas_of_me: 1,
+            tick_ns: 1_000_000,
+            node_count: 1,
             rules: Rules::default(),
             tenants: Vec::new(),
             weights: "off".into(),
@@ -50,76 +57,94 @@
     }
 }
 
-/// What the site permits, as written.
+/// What the deployment permits, as written.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
 pub struct Ceilings {
-    cancel: bool,
-    /// Servers close a connection that has been idle for this long.
+    #[serde(rename = "cancel")]
+    cancellation: bool,
+    /// Endpoints close a connection that has been idle for this long.
     pub conn_idle_ns: Nanos,
-    /// A connection that is not up by then has failed.
+    /// A connection that isn't established by then has failed.
     pub dial_timeout_ns: Nanos,
     max_attempts: u32,
-    /// The longest advice that clients follow.
+    /// The longest retry delay that clients follow.
     pub max_retry_after_ns: Nanos,
-    /// Requests that a node may hold open.
+    /// Most open requests of a node.
     pub most_held: usize,
-    parallel_tries: bool,
-    peers: bool,
+    #[serde(rename = "parallel_tries")]
+    concurrent_attempts: bool,
+    #[serde(rename = "peers")]
+    load_reports: bool,
     retry_after: bool,
 }
 
 impl Default for Ceilings {
     fn default() -> Self {
         Self {
-            cancel: false,
+            cancellation: false,
             conn_idle_ns: 15_000_000_000,
             dial_timeout_ns: 250_000_000,
             max_attempts: 1,
             max_retry_after_ns: 1_000_000_000,
             most_held: 10_000,
-            parallel_tries: false,
-            peers: false,
+            concurrent_attempts: false,
+            load_reports: false,
             retry_after: false,
         }
     }
 }
 
+/// Costs as fractions of a request, as written.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct Prices {
-    connection: f64,
-    cross_zone: f64,
-    handshake: f64,
-    peer: f64,
+    #[serde(rename = "connection")]
+    open_connection: f64,
+    #[serde(rename = "cross_zone")]
+    cross_zone_attempt: f64,
+    #[serde(rename = "handshake")]
+    new_connection: f64,
+    #[serde(rename = "peer")]
+    load_report: f64,
 }
 
+/// The platform's rules, as written.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
 struct Rules {
-    ask_every_ns: Nanos,
-    cold_from: f64,
-    cold_ns: Nanos,
-    fall_multiple: f64,
-    fall_ns: Nanos,
-    full_unproven: bool,
-    hang_up_within_ns: Option<Nanos>,
-    order_settle_ns: Nanos,
-    stop_sending_within_ns: Nanos,
+    #[serde(rename = "ask_every_ns")]
+    poll_interval_ns: Nanos,
+    #[serde(rename = "cold_from")]
+    warmup_initial_fraction: f64,
+    #[serde(rename = "cold_ns")]
+    warmup_duration_ns: Nanos,
+    #[serde(rename = "fall_multiple")]
+    overload_multiple: f64,
+    #[serde(rename = "fall_ns")]
+    overload_duration_ns: Nanos,
+    #[serde(rename = "full_unproven")]
+    rejection_may_execute: bool,
+    #[serde(rename = "hang_up_within_ns")]
+    drain_idle_close_ns: Option<Nanos>,
+    #[serde(rename = "order_settle_ns")]
+    key_cooldown_ns: Nanos,
+    #[serde(rename = "stop_sending_within_ns")]
+    drain_grace_ns: Nanos,
 }
 
 impl Default for Rules {
     fn default() -> Self {
         Self {
-            ask_every_ns: 10_000_000_000,
-            cold_from: 0.1,
-            cold_ns: 30_000_000_000,
-            fall_multiple: 2.0,
-            fall_ns: 2_000_000_000,
-            full_unproven: false,
-            hang_up_within_ns: None,
-            order_settle_ns: 0,
-            stop_sending_within_ns: 2_000_000_000,
+            poll_interval_ns: 10_000_000_000,
+            warmup_initial_fraction: 0.1,
+            warmup_duration_ns: 30_000_000_000,
+            overload_multiple: 2.0,
+            overload_duration_ns: 2_000_000_000,
+            rejection_may_execute: false,
+            drain_idle_close_ns: None,
+            key_cooldown_ns: 0,
+            drain_grace_ns: 2_000_000_000,
         }
     }
 }
@@ -127,24 +152,26 @@
 /// A class of requests, as written.
 #[derive(Debug, Deserialize)]
 pub struct BootClass {
-    #[serde(default)]
-    aim_stretch: f64,
+    #[serde(default, rename = "aim_stretch")]
+    objective_per_work: f64,
     deadline_ns: Nanos,
     #[serde(default)]
     dedup_scope: Option<String>,
-    effect: String,
-    #[serde(default)]
-    keep_order: bool,
-    #[serde(default)]
-    late_worth: f64,
+    #[serde(rename = "effect")]
+    idempotency: String,
+    #[serde(default, rename = "keep_order")]
+    ordered_by_key: bool,
+    #[serde(default, rename = "late_worth")]
+    late_weight: f64,
     /// Its name.
     #[serde(default)]
     pub name: String,
-    target_ns: Nanos,
-    #[serde(default)]
-    window_ns: Nanos,
-    #[serde(default = "one")]
-    worth: f64,
+    #[serde(rename = "target_ns")]
+    latency_objective_ns: Nanos,
+    #[serde(default, rename = "window_ns")]
+    dedup_window_ns: Nanos,
+    #[serde(default = "one", rename = "worth")]
+    priority_weight: f64,
 }
 
 fn one() -> f64 {
@@ -164,79 +191,91 @@
 }
 
 impl Boot {
-    /// What the module is told.
+    /// Returns the settings of the decision module.
     ///
     /// # Errors
-    /// A value without meaning, or values that contradict each other.
+    /// A value that is unknown or out of range.
     pub fn settings(&self) -> Result<Settings, SettingsError> {
         let classes = self.classes.iter().map(BootClass::class).collect::<Result<_, _>>()?;
         let settings = Settings {
-            node_index: self.me,
-            node_count: self.replicas_of_me,
-            zone: ZoneId(self.my_zone),
+            node_index: self.node_index,
+            node_count: self.node_count,
+            zone: ZoneId(self.zone),
             zone_count: u16::try_from(self.zones.len()).map_err(|_| SettingsError::OutOfRange("zones"))?,
             classes,
-            tenants: self
-                .tenants
-                .iter()
-                .map(|t| Tenant { share: t.share, allowance_per_s: t.allowance_per_s })
-                .collect(),
-            over_share_weight: self.over_share_worth,
-            weight_by_work: self.counted_by == "work",
-            discovery: match self.membership_mode.as_str() {
-                "automatic" => Discovery::Push,
-                "subscribe" => Discovery::Poll,
-                _ => return Err(SettingsError::OutOfRange("membership_mode")),
-            },
-            tick: self.quantum_ns,
+            tenants: self.tenants.iter().map(BootTenant::tenant).collect(),
+            over_share_weight: self.over_share_weight,
+            weight_by_work: self.weight_unit == "work",
+            discovery: self.discovery()?,
+            tick: self.tick_ns,
             max_attempts: self.ceilings.max_attempts,
-            concurrent_attempts: self.ceilings.parallel_tries,
-            cancellation: self.ceilings.cancel,
+            concurrent_attempts: self.ceilings.concurrent_attempts,
+            cancellation: self.ceilings.cancellation,
             retry_after: self.ceilings.retry_after,
             max_retry_after: self.ceilings.max_retry_after_ns,
-            connections_have_cost: self.prices.connection > 0.0 || self.prices.handshake > 0.0,
-            cross_zone_cost: self.prices.cross_zone,
+            connections_have_cost: self.prices.open_connection > 0.0 || self.prices.new_connection > 0.0,
+            cross_zone_cost: self.prices.cross_zone_attempt,
             weight_is_capacity: matches!(self.weights.as_str(), "nominal" | "rough"),
-            load_reports: self.ceilings.peers,
-            load_report_cost: self.prices.peer,
-            poll_interval: self.rules.ask_every_ns,
-            drain_grace: self.rules.stop_sending_within_ns,
-            warmup_initial_fraction: self.rules.cold_from,
-            warmup_duration: self.rules.cold_ns,
-            overload_multiple: self.rules.fall_multiple,
-            overload_duration: self.rules.fall_ns,
-            rejection_may_execute: self.rules.full_unproven,
-            key_cooldown: self.rules.order_settle_ns,
-            drain_idle_close: self.rules.hang_up_within_ns.filter(|&within| within > 0),
+            load_reports: self.ceilings.load_reports,
+            load_report_cost: self.prices.load_report,
+            poll_interval: self.rules.poll_interval_ns,
+            drain_grace: self.rules.drain_grace_ns,
+            warmup_initial_fraction: self.rules.warmup_initial_fraction,
+            warmup_duration: self.rules.warmup_duration_ns,
+            overload_multiple: self.rules.overload_multiple,
+            overload_duration: self.rules.overload_duration_ns,
+            rejection_may_execute: self.rules.rejection_may_execute,
+            key_cooldown: self.rules.key_cooldown_ns,
+            drain_idle_close: self.rules.drain_idle_close_ns.filter(|&within| within > 0),
         };
         settings.check().map(|()| settings)
     }
+
+    fn discovery(&self) -> Result<Discovery, SettingsError> {
+        match self.discovery_mode.as_str() {
+            "automatic" => Ok(Discovery::Push),
+            "subscribe" => Ok(Discovery::Poll),
+            _ => Err(SettingsError::OutOfRange("membership_mode")),
+        }
+    }
+}
+
+impl BootTenant {
+    fn tenant(&self) -> Tenant {
+        Tenant { share: self.share, allowance_per_s: self.allowance_per_s }
+    }
 }
 
 impl BootClass {
     fn class(&self) -> Result<Class, SettingsError> {
-        let effect = match self.effect.as_str() {
-            "pure" => Idempotency::Idempotent,
-            "token" => Idempotency::IdempotencyKey { scope: self.group()?, window: self.window_ns },
-            "side_effect" => Idempotency::NotIdempotent,
-            _ => return Err(SettingsError::OutOfRange("effect")),
-        };
         Ok(Class {
-            latency_objective: self.target_ns,
-            objective_per_work: self.aim_stretch,
+            latency_objective: self.latency_objective_ns,
+            objective_per_work: self.objective_per_work,
             deadline: self.deadline_ns,
-            priority_weight: self.worth,
-            late_weight: self.late_worth,
-            idempotency: effect,
-            ordered_by_key: self.keep_order,
+            priority_weight: self.priority_weight,
+            late_weight: self.late_weight,
+            idempotency: self.idempotency()?,
+            ordered_by_key: self.ordered_by_key,
         })
     }
 
-    fn group(&self) -> Result<DedupScope, SettingsError> {
+    fn idempotency(&self) -> Result<Idempotency, SettingsError> {
+        match self.idempotency.as_str() {
+            "pure" => Ok(Idempotency::Idempotent),
+            "token" => {
+                let (scope, window) = (self.dedup_scope()?, self.dedup_window_ns);
+                Ok(Idempotency::IdempotencyKey { scope, window })
+            }
+            "side_effect" => Ok(Idempotency::NotIdempotent),
+            _ => Err(SettingsError::OutOfRange("effect")),
+        }
+    }
+
+    fn dedup_scope(&self) -> Result<DedupScope, SettingsError> {
         match self.dedup_scope.as_deref() {
             Some("all") => Ok(DedupScope::All),
             Some("zone") => Ok(DedupScope::Zone),
-            // Without a word the narrowest group is the safe reading.
+            // The narrowest scope is the safe default.
             Some("cell") | None => Ok(DedupScope::Cell),
             Some(_) => Err(SettingsError::OutOfRange("dedup_scope")),
         }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -204,3 +204,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/endpoints.rs"]
+mod tests;
--- a/crates/policy/src/hash_ring.rs
+++ b/crates/policy/src/hash_ring.rs
@@ -8,9 +8,12 @@
     x ^ (x >> 31)
 }
 
-/// A node's place on a ring of `of` places. Multiples of the golden ratio are spread evenly, and so is any
-/// run of them, such as the nodes of one zone.
+/// The golden ratio less 1.
+const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
+
+/// Returns a node's position on a ring of `of` positions. Multiples of the golden ratio are spread evenly,
+/// and so is any run of them, such as the nodes of one zone.
 #[must_use]
 pub fn ring(node: u32, of: usize) -> usize {
-    ((f64::from(node) * 0.618_033_988_749_895).fract() * of as f64) as usize
+    ((f64::from(node) * GOLDEN_RATIO).fract() * of as f64) as usize
 }
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -258,3 +258,7 @@
         self.adjust_endpoint_limit(index, class, latency, baseline);
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/latency.rs"]
+mod tests;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -59,6 +59,6 @@
 pub use ids::{AttemptNo, CellId, ClassId, EndpointId, RequestId, TenantId, TimerToken, ZoneId};
 pub use outcome::AttemptOutcome;
 pub use settings::{Class, DedupScope, Discovery, Idempotency, Settings, SettingsError, Tenant};
-pub use tenant_table::{KEPT_STATES, MOST_STATES};
+pub use tenant_table::{KEPT_IDLE_TENANT_RECORDS, MAX_TENANT_RECORDS};
 pub use time::{Nanos, SECOND, nanos, seconds};
 pub use warm_state::WarmState;
--- a/crates/policy/src/load_reports.rs
+++ b/crates/policy/src/load_reports.rs
@@ -236,3 +236,7 @@
         endpoint.in_flight.len() + self.reporting.peers.in_flight(endpoint.id)
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/load_reports.rs"]
+mod tests;
--- a/crates/policy/src/ordered_keys.rs
+++ b/crates/policy/src/ordered_keys.rs
@@ -99,3 +99,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/ordered_keys.rs"]
+mod tests;
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -7,7 +7,8 @@
     Success,
     /// A response that is an error; may have executed.
     Error,
-    /// Turned away unseen; never ran, unless [`Settings::full_unproven`].
+    /// Rejected by the endpoint; not executed, unless
+    /// [`Settings::rejection_may_execute`](crate::Settings::rejection_may_execute).
     Rejected,
     /// No response in time; may have executed.
     TimedOut,
@@ -25,8 +26,9 @@
     /// Whether the outcome proves that the attempt was not executed. Where endpoints may reject work that
     /// they have begun (`rejection_may_execute`), a rejection proves nothing.
     #[must_use]
-    pub fn never_executed(self, full_unproven: bool) -> bool {
-        matches!(self, Self::ConnectFailed | Self::NotSent) || (self == Self::Rejected && !full_unproven)
+    pub fn never_executed(self, rejection_may_execute: bool) -> bool {
+        matches!(self, Self::ConnectFailed | Self::NotSent)
+            || (self == Self::Rejected && !rejection_may_execute)
     }
 
     /// Whether the endpoint may still be executing the attempt.
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -220,3 +220,7 @@
         if count > 0.0 { sum / count } else { self.endpoints[index].outlier.failure_rate }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/outlier_detection.rs"]
+mod tests;
--- a/crates/policy/src/priority.rs
+++ b/crates/policy/src/priority.rs
@@ -52,3 +52,7 @@
         self as usize
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/priority.rs"]
+mod tests;
--- a/crates/policy/src/request_queue.rs
+++ b/crates/policy/src/request_queue.rs
@@ -115,3 +115,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/request_queue.rs"]
+mod tests;
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -90,3 +90,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/retry.rs"]
+mod tests;
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -158,27 +158,43 @@
     /// # Errors
     /// The first value that is missing, out of range or not finite.
     pub fn check(&self) -> Result<(), SettingsError> {
-        use SettingsError::OutOfRange;
-        let share = |x: f64| (0.0..=1.0).contains(&x);
-        let some = |x: f64| x.is_finite() && x >= 0.0;
-        let no = |bad: bool, what| if bad { Err(OutOfRange(what)) } else { Ok(()) };
-        if self.classes.is_empty() {
-            return Err(SettingsError::NoClass);
-        }
-        no(self.node_count == 0, "number of nodes")?;
-        no(self.zone.0 >= self.zone_count.max(1), "zone")?;
-        no(!share(self.over_share_weight), "over-share worth")?;
-        no(!share(self.warmup_initial_fraction), "cold share")?;
-        no(!(some(self.overload_multiple) && self.overload_multiple > 0.0), "fall multiple")?;
-        no(!some(self.load_report_cost), "price of notes")?;
-        no(!some(self.cross_zone_cost), "price of crossing zones")?;
-        no(self.max_attempts == 0, "attempts")?;
-        for class in &self.classes {
-            no(!some(class.priority_weight), "worth")?;
-            no(!share(class.late_weight), "late worth")?;
-            no(!some(class.objective_per_work), "aim stretch")?;
-            no(class.latency_objective == 0 || class.deadline == 0, "aim or deadline")?;
-        }
-        no(!self.tenants.is_sound(), "tenant share")
+        require(!self.classes.is_empty(), SettingsError::NoClass)?;
+        in_range(self.node_count > 0, "number of nodes")?;
+        in_range(self.zone.0 < self.zone_count.max(1), "zone")?;
+        in_range(is_fraction(self.over_share_weight), "over-share worth")?;
+        in_range(is_fraction(self.warmup_initial_fraction), "cold share")?;
+        in_range(is_amount(self.overload_multiple) && self.overload_multiple > 0.0, "fall multiple")?;
+        in_range(is_amount(self.load_report_cost), "price of notes")?;
+        in_range(is_amount(self.cross_zone_cost), "price of crossing zones")?;
+        in_range(self.max_attempts > 0, "attempts")?;
+        self.classes.iter().try_for_each(Class::check)?;
+        in_range(self.tenants.is_sound(), "tenant share")
     }
 }
+
+impl Class {
+    fn check(&self) -> Result<(), SettingsError> {
+        in_range(is_amount(self.priority_weight), "worth")?;
+        in_range(is_fraction(self.late_weight), "late worth")?;
+        in_range(is_amount(self.objective_per_work), "aim stretch")?;
+        in_range(self.latency_objective > 0 && self.deadline > 0, "aim or deadline")
+    }
+}
+
+fn require(holds: bool, error: SettingsError) -> Result<(), SettingsError> {
+    if holds { Ok(()) } else { Err(error) }
+}
+
+/// An error that names a setting, by its key's words in files, unless the value is in range.
+fn in_range(holds: bool, setting: &'static str) -> Result<(), SettingsError> {
+    require(holds, SettingsError::OutOfRange(setting))
+}
+
+fn is_fraction(value: f64) -> bool {
+    (0.0..=1.0).contains(&value)
+}
+
+/// Whether a value is finite and not negative.
+fn is_amount(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -84,3 +84,7 @@
         in_slow_start.map(|endpoint| (endpoint.id, self.subset.warm_endpoint_rate))
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/slow_start.rs"]
+mod tests;
--- a/crates/policy/src/subsetting.rs
+++ b/crates/policy/src/subsetting.rs
@@ -241,3 +241,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/subsetting.rs"]
+mod tests;
--- a/crates/policy/src/tenant_ids.rs
+++ b/crates/policy/src/tenant_ids.rs
@@ -1,10 +1,9 @@
-//! Ids of tenants that files know by name: a name keeps its id for as long as files name it.
+//! Ids of tenants: a name keeps its id for as long as a configuration has it.
 //!
-//! A name that is removed and comes back within [`RETIRED_FOR`] gets its own id back, and with it its state
-//! in every pool: a new one would give a tenant over its share a fresh allowance. After that it gets another
-//! id. Its former state is no longer worth anything by then: a tenant that was idle for so long earns as much
-//! from the start (see `src/tenants.rs`). Ids are handed out in turn, and those in use or retired are passed
-//! over, so that no id means another tenant while its former tenant's state may count.
+//! A name that is removed and comes back within [`RETIRED_FOR`] gets its id back, and with it its state in
+//! every pool: a new one would give a tenant over its share a fresh allowance. After that it gets another id;
+//! its former state has no effect any more by then (see `tenant_table`). Ids in use or retired are not
+//! assigned, so that no id means another tenant while its former tenant's state may count.
 
 use std::sync::Arc;
 
@@ -15,8 +14,8 @@
 
 /// How long a removed name's id is kept for it: the longest span that a tenant earns for.
 pub const RETIRED_FOR: Nanos = 10 * SECOND;
-/// Removed names that are remembered at most; others come back as new ones.
-const MOST_RETIRED: usize = 65_536;
+/// Most removed names that are remembered; others come back as new ones.
+const MAX_RETIRED: usize = 65_536;
 
 /// Ids by name.
 pub type IdsByName = FxHashMap<Arc<str>, TenantId>;
@@ -40,7 +39,7 @@
 }
 
 impl TenantIds {
-    /// Goes over to the tenants of another configuration. What is the same stays the same in memory.
+    /// Updates to the tenants of another configuration. What is equal stays the same in memory.
     pub fn update<'a>(&mut self, tenants: impl IntoIterator<Item = (&'a str, Tenant)>, now: Nanos) {
         self.retired.retain(|_, retired| now.saturating_sub(retired.at) < RETIRED_FOR);
         let mut ids = IdsByName::default();
@@ -78,7 +77,7 @@
         &self.shares
     }
 
-    /// A name that has an id, with that.
+    /// Returns a name that has an id, with its id.
     fn known(&self, name: &str) -> Option<(Arc<str>, TenantId)> {
         let in_use = self.ids.get_key_value(name).map(|(name, id)| (name.clone(), *id));
         in_use.or_else(|| self.retired.get_key_value(name).map(|(name, retired)| (name.clone(), retired.id)))
@@ -94,11 +93,11 @@
         }
     }
 
-    /// Notes which of the names in use so far are gone, and which ids may not be handed out.
+    /// Retires the ids of the names that are gone, and updates the ids that must not be assigned.
     fn retire(&mut self, ids: &IdsByName, now: Nanos) {
         self.retired.retain(|name, _| !ids.contains_key(name));
         for (name, id) in self.ids.iter().filter(|(name, _)| !ids.contains_key(*name)) {
-            if self.retired.len() < MOST_RETIRED {
+            if self.retired.len() < MAX_RETIRED {
                 self.retired.insert(name.clone(), Retired { id: *id, at: now });
             }
         }
--- a/crates/policy/src/tenant_shares.rs
+++ b/crates/policy/src/tenant_shares.rs
@@ -10,9 +10,9 @@
 #[derive(Debug)]
 struct Shares {
     by_id: FxHashMap<TenantId, Tenant>,
-    /// Equal for equal shares, whatever their order: others are told apart at once.
+    /// Equal for equal shares, whatever their order: unequal ones are found fast.
     digest: u64,
-    /// Known from the start: a hundred pools ask for it at each change.
+    /// Computed once, since each pool asks for it at each change.
     is_sound: bool,
 }
 
--- a/crates/policy/src/tenant_table.rs
+++ b/crates/policy/src/tenant_table.rs
@@ -1,24 +1,22 @@
-//! What each tenant has earned in one pool: a bounded table of records. Whether a tenant is over its share is
-//! decided in `src/policy.rs` (`over_share`); this module says whose record is kept.
+//! A bounded table of the tenants' allowances in one pool. Whether a tenant is over its share is decided in
+//! `tenant_quota`; this module decides whose record is kept.
 //!
 //! A tenant earns an allowance for at most [`EARNING_S`] seconds at a time. After so long without a request,
-//! one with a record has what it had left plus the whole span's earnings (up to the most it may save); one
-//! without a record has the span's earnings alone. Hence the rule:
+//! a tenant with a record has what it had left and the earnings of the whole span (up to the most it may
+//! save); one without a record has the earnings alone. Hence:
 //!
-//! 1. A record of a tenant that has asked within the last [`EARNING_S`] seconds is never dropped: a new
-//!    record would give its tenant back what it has spent.
-//! 2. A record that is idle for longer may be dropped, the one idle for longest first. Its tenant never
-//!    gains by that; it loses at most what it had saved. While a pool has no more than [`KEPT_STATES`]
-//!    records none is dropped, so with few tenants every answer is the one of a record for each. Beyond
-//!    that, records idle for [`RELEASE_AFTER`] are dropped as requests come, and from [`MOST_STATES`] on a
-//!    new tenant takes the place of one idle for [`EARNING_S`] seconds.
-//! 3. Where all [`MOST_STATES`] records are recent, a new tenant gets none. It is judged by a record made
-//!    up from [`Overflow`], a small table of shared counters that never says less than what the tenant
-//!    itself has used. It is neither over its share for lack of a record nor within it without a count.
-//!    Once it gets a record, that one begins with what the counters say.
+//! 1. The record of a tenant with a request within the last [`EARNING_S`] seconds is never evicted: a new
+//!    record would give the tenant back what it has spent.
+//! 2. A record that is idle for longer may be evicted, the one idle for longest first. Its tenant never gains
+//!    by that; it loses at most what it had saved. Up to [`KEPT_IDLE_TENANT_RECORDS`] none is evicted. Beyond
+//!    that, records idle for [`EVICT_IDLE_AFTER`] are evicted as requests come, and from
+//!    [`MAX_TENANT_RECORDS`] on a new tenant takes the place of one idle for [`EARNING_S`] seconds.
+//! 3. If all [`MAX_TENANT_RECORDS`] records are recent, a new tenant gets none. It is judged by a record made
+//!    up from [`Overflow`], a small table of shared counters that never say less than what the tenant itself
+//!    has used. Once it gets a record, that one begins with what the counters say.
 //!
 //! By 2 and 3 a tenant that earns at a steady rate never has more requests within its share, counted from its
-//! first one, than with a record that is never dropped (`tests/tenants.rs` has this as a property).
+//! first one, than with a record that is never evicted (`tests/tenant_quota.rs` has this as a property).
 
 mod overflow;
 
@@ -33,24 +31,24 @@
 /// The same as a span: a record without a request for so long is idle.
 const EARNING_SPAN: Nanos = EARNING_S as Nanos * SECOND;
 /// Records that a pool keeps however long they are idle.
-pub const KEPT_STATES: usize = 256;
+pub const KEPT_IDLE_TENANT_RECORDS: usize = 256;
 /// Most records of a pool: what fills a hash table of 4,096 buckets.
-pub const MOST_STATES: usize = 3_584;
-/// Beyond [`KEPT_STATES`], records without a request for so long are dropped.
-const RELEASE_AFTER: Nanos = 600 * SECOND;
-/// Records dropped at most with each request, so that none pays for many.
-const RELEASED_AT_ONCE: usize = 2;
+pub const MAX_TENANT_RECORDS: usize = 3_584;
+/// Beyond [`KEPT_IDLE_TENANT_RECORDS`], records without a request for so long are evicted.
+const EVICT_IDLE_AFTER: Nanos = 600 * SECOND;
+/// Most records evicted with each request, so that none pays for many.
+const MAX_EVICTIONS_PER_REQUEST: usize = 2;
 /// End of the list of records.
 const NONE: u32 = u32::MAX;
 
-/// What a tenant has left, and when it was last asked for.
+/// What a tenant has left, in requests, and the time of its last request.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct TenantState {
     pub allowance: f64,
     pub at: Nanos,
 }
 
-/// A request of a tenant, as the table has to know it.
+/// A request of a tenant.
 #[derive(Clone, Copy)]
 pub(crate) struct TenantRequest {
     pub tenant: TenantId,
@@ -67,13 +65,13 @@
         (self.rate_per_s * seconds(self.at).min(EARNING_S)).min(self.max_saved)
     }
 
-    /// What it has once the clock has gone on for so long.
+    /// What it has if the clock has run for so long.
     fn full(&self) -> f64 {
         (self.rate_per_s * EARNING_S).min(self.max_saved)
     }
 }
 
-/// A record in the list from the oldest to the newest last request.
+/// A record in the list from the oldest to the newest last request; the links are positions.
 struct Slot {
     tenant: TenantId,
     state: TenantState,
@@ -83,7 +81,7 @@
 
 /// Records of the tenants that have traffic in a pool.
 pub(crate) struct TenantTable {
-    places: FxHashMap<TenantId, u32>,
+    positions: FxHashMap<TenantId, u32>,
     slots: Vec<Slot>,
     oldest: u32,
     newest: u32,
@@ -92,21 +90,21 @@
 
 impl Default for TenantTable {
     fn default() -> Self {
-        let (places, slots) = (FxHashMap::default(), Vec::new());
-        Self { places, slots, oldest: NONE, newest: NONE, overflow: None }
+        let (positions, slots) = (FxHashMap::default(), Vec::new());
+        Self { positions, slots, oldest: NONE, newest: NONE, overflow: None }
     }
 }
 
 impl TenantTable {
-    /// Has `is_over` judge a request by its tenant's record, and takes one request off the allowance where it
-    /// is not.
+    /// Returns what `is_over` says of a request by its tenant's record, and charges the record if it isn't
+    /// over.
     pub fn judge(&mut self, request: TenantRequest, is_over: impl FnOnce(&mut TenantState) -> bool) -> bool {
-        self.release(request.at);
-        let place = self.places.get(&request.tenant).copied();
-        let place = place.or_else(|| self.make_room(request.at).then(|| self.insert(request)));
-        let Some(place) = place else { return self.judge_unlisted(request, is_over) };
-        self.touch(place);
-        let state = &mut self.slots[place as usize].state;
+        self.evict_idle(request.at);
+        let position = self.positions.get(&request.tenant).copied();
+        let position = position.or_else(|| self.make_room(request.at).then(|| self.insert(request)));
+        let Some(position) = position else { return self.judge_unlisted(request, is_over) };
+        self.touch(position);
+        let state = &mut self.slots[position as usize].state;
         let over = is_over(state);
         state.at = request.at;
         if !over {
@@ -115,38 +113,38 @@
         over
     }
 
-    /// Records in use.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Bytes of memory that the table holds; of the hash table a bucket's entry and its byte of control.
+    /// Bytes of memory that the table holds; a bucket of the hash table is its entry and a control byte.
     pub fn bytes(&self) -> usize {
         let bucket = size_of::<(TenantId, u32)>() + 1;
         self.slots.capacity() * size_of::<Slot>()
-            + self.places.capacity() * 8 / 7 * bucket
+            + self.positions.capacity() * 8 / 7 * bucket
             + self.overflow.as_ref().map_or(0, Overflow::bytes)
     }
 
-    /// Drops idle records of tenants that are no longer known.
+    /// Evicts idle records of tenants that are no longer known.
     pub fn forget_unknown(&mut self, now: Nanos, is_known: impl Fn(TenantId) -> bool) {
-        let mut place = self.oldest;
+        let mut position = self.oldest;
         let mut unknown = Vec::new();
-        while place != NONE && self.is_idle(place, now, EARNING_SPAN) {
-            let slot = &self.slots[place as usize];
+        while position != NONE && self.is_idle(position, now, EARNING_SPAN) {
+            let slot = &self.slots[position as usize];
             if !is_known(slot.tenant) {
                 unknown.push(slot.tenant);
             }
-            place = slot.newer;
+            position = slot.newer;
         }
         for tenant in unknown {
-            if let Some(&place) = self.places.get(&tenant) {
-                self.remove(place);
+            if let Some(&position) = self.positions.get(&tenant) {
+                self.remove(position);
             }
         }
     }
 
-    /// A request of a tenant that has no record and can't get one.
+    /// Judges a request of a tenant that has no record and can't get one.
     fn judge_unlisted(
         &mut self,
         request: TenantRequest,
@@ -161,26 +159,28 @@
         over
     }
 
-    fn is_idle(&self, place: u32, now: Nanos, span: Nanos) -> bool {
-        now.saturating_sub(self.slots[place as usize].state.at) >= span
+    fn is_idle(&self, position: u32, now: Nanos, span: Nanos) -> bool {
+        now.saturating_sub(self.slots[position as usize].state.at) >= span
     }
 
-    /// Drops what is of no more use, a little at a time.
-    fn release(&mut self, now: Nanos) {
-        if self.overflow.as_ref().is_some_and(|overflow| overflow.is_paid(now)) {
+    /// Evicts what is of no more use, a little at a time.
+    fn evict_idle(&mut self, now: Nanos) {
+        if self.overflow.as_ref().is_some_and(|overflow| overflow.is_clear(now)) {
             self.overflow = None;
         }
-        for _ in 0..RELEASED_AT_ONCE {
-            if self.slots.len() <= KEPT_STATES || !self.is_idle(self.oldest, now, RELEASE_AFTER) {
+        for _ in 0..MAX_EVICTIONS_PER_REQUEST {
+            if self.slots.len() <= KEPT_IDLE_TENANT_RECORDS
+                || !self.is_idle(self.oldest, now, EVICT_IDLE_AFTER)
+            {
                 return;
             }
             self.remove(self.oldest);
         }
     }
 
-    /// Whether there is room for another record.
+    /// Makes room for another record; returns whether there is any.
     fn make_room(&mut self, now: Nanos) -> bool {
-        if self.slots.len() < MOST_STATES {
+        if self.slots.len() < MAX_TENANT_RECORDS {
             return true;
         }
         let idle = self.is_idle(self.oldest, now, EARNING_SPAN);
@@ -193,58 +193,58 @@
     fn insert(&mut self, request: TenantRequest) -> u32 {
         let overflow = self.overflow.as_ref().filter(|overflow| overflow.owes(request));
         let state = overflow.map_or_else(TenantState::default, |overflow| overflow.state(request));
-        let place = self.slots.len() as u32;
+        let position = self.slots.len() as u32;
         self.slots.push(Slot { tenant: request.tenant, state, older: NONE, newer: NONE });
-        self.places.insert(request.tenant, place);
-        self.link(place);
-        place
+        self.positions.insert(request.tenant, position);
+        self.link(position);
+        position
     }
 
-    fn remove(&mut self, place: u32) {
-        self.unlink(place);
-        let slot = self.slots.swap_remove(place as usize);
-        self.places.remove(&slot.tenant);
-        // The last record has taken the free place.
-        if let Some(moved) = self.slots.get(place as usize) {
+    fn remove(&mut self, position: u32) {
+        self.unlink(position);
+        let slot = self.slots.swap_remove(position as usize);
+        self.positions.remove(&slot.tenant);
+        // The last record has moved to the free position.
+        if let Some(moved) = self.slots.get(position as usize) {
             let (tenant, older, newer) = (moved.tenant, moved.older, moved.newer);
-            self.places.insert(tenant, place);
-            *self.newer_of(older) = place;
-            *self.older_of(newer) = place;
+            self.positions.insert(tenant, position);
+            *self.newer_of(older) = position;
+            *self.older_of(newer) = position;
         }
-        if self.slots.len() * 4 <= self.slots.capacity() && self.slots.len() >= KEPT_STATES {
+        if self.slots.len() * 4 <= self.slots.capacity() && self.slots.len() >= KEPT_IDLE_TENANT_RECORDS {
             self.slots.shrink_to(self.slots.len() * 2);
-            self.places.shrink_to(self.slots.len() * 2);
+            self.positions.shrink_to(self.slots.len() * 2);
         }
     }
 
-    fn touch(&mut self, place: u32) {
-        if self.newest != place {
-            self.unlink(place);
-            self.link(place);
+    fn touch(&mut self, position: u32) {
+        if self.newest != position {
+            self.unlink(position);
+            self.link(position);
         }
     }
 
-    fn link(&mut self, place: u32) {
+    fn link(&mut self, position: u32) {
         let older = self.newest;
-        let slot = &mut self.slots[place as usize];
+        let slot = &mut self.slots[position as usize];
         (slot.older, slot.newer) = (older, NONE);
-        *self.newer_of(older) = place;
-        self.newest = place;
+        *self.newer_of(older) = position;
+        self.newest = position;
     }
 
-    fn unlink(&mut self, place: u32) {
-        let Slot { older, newer, .. } = self.slots[place as usize];
+    fn unlink(&mut self, position: u32) {
+        let Slot { older, newer, .. } = self.slots[position as usize];
         *self.newer_of(older) = newer;
         *self.older_of(newer) = older;
     }
 
-    /// Where the record behind another is noted; behind the end is the oldest.
-    fn newer_of(&mut self, place: u32) -> &mut u32 {
-        if place == NONE { &mut self.oldest } else { &mut self.slots[place as usize].newer }
+    /// The link to the record that is newer than another; newer than the end is the oldest.
+    fn newer_of(&mut self, position: u32) -> &mut u32 {
+        if position == NONE { &mut self.oldest } else { &mut self.slots[position as usize].newer }
     }
 
-    /// Where the record before another is noted; before the end is the newest.
-    fn older_of(&mut self, place: u32) -> &mut u32 {
-        if place == NONE { &mut self.newest } else { &mut self.slots[place as usize].older }
+    /// The link to the record that is older than another; older than the end is the newest.
+    fn older_of(&mut self, position: u32) -> &mut u32 {
+        if position == NONE { &mut self.newest } else { &mut self.slots[position as usize].older }
     }
 }
--- a/crates/policy/src/tenant_table/overflow.rs
+++ b/crates/policy/src/tenant_table/overflow.rs
@@ -11,10 +11,9 @@
 use crate::hash_ring::mix;
 use crate::time::{nanos, seconds};
 
-/// Counters of a row: enough for 16,000 tenants that ask at once. They are there only while a pool's records
-/// do not do.
+/// Counters of a row: enough for 16,000 tenants at once.
 const WIDTH: usize = 16_384;
-/// Rows: a tenant has a counter in each.
+/// Rows of counters: a tenant has a counter in each.
 const ROWS: usize = 2;
 
 /// When the debts of tenants without a record are paid.
@@ -43,7 +42,7 @@
     }
 
     /// Whether nobody has a debt.
-    pub fn is_paid(&self, now: Nanos) -> bool {
+    pub fn is_clear(&self, now: Nanos) -> bool {
         self.all_paid_at <= now
     }
 
@@ -54,24 +53,24 @@
         TenantState { allowance, at: request.at }
     }
 
-    /// Notes what a request has left of the tenant's allowance. A tenant that has any has a rate.
+    /// Sets what a request has left of the tenant's allowance. The tenant's rate must be positive.
     pub fn charge(&mut self, request: TenantRequest, left: f64) {
         let debt = nanos((request.full() - left) / request.rate_per_s);
-        // Rounded up: a debt may not shrink by being noted.
+        // Rounded up: a debt must not shrink by being stored.
         let paid_at = request.at.saturating_add(debt).saturating_add(1);
-        for place in places(request) {
-            self.paid_at[place] = self.paid_at[place].max(paid_at);
+        for counter in counters(request) {
+            self.paid_at[counter] = self.paid_at[counter].max(paid_at);
         }
         self.all_paid_at = self.all_paid_at.max(paid_at);
     }
 
     fn paid_at(&self, request: TenantRequest) -> Nanos {
-        places(request).map(|place| self.paid_at[place]).min().unwrap_or_default()
+        counters(request).map(|counter| self.paid_at[counter]).min().unwrap_or_default()
     }
 }
 
 /// A tenant's counters, one in each row.
-fn places(request: TenantRequest) -> impl Iterator<Item = usize> {
+fn counters(request: TenantRequest) -> impl Iterator<Item = usize> {
     let id = u64::from(request.tenant.0) << 8;
     (0..ROWS).map(move |row| row * WIDTH + (mix(id + row as u64 + 1) % WIDTH as u64) as usize)
 }
--- a/crates/policy/src/traffic_stats.rs
+++ b/crates/policy/src/traffic_stats.rs
@@ -39,3 +39,7 @@
         self.mean_updated_at += span;
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/traffic_stats.rs"]
+mod tests;
--- a/crates/policy/tests/tenants.rs
+++ b/crates/policy/tests/tenants.rs
@@ -10,7 +10,7 @@
 use pumicehead_policy::seconds;
 use pumicehead_policy::tenant_shares::TenantShares;
 use pumicehead_policy::*;
-use pumicehead_policy::{KEPT_STATES, MOST_STATES};
+use pumicehead_policy::{KEPT_IDLE_TENANT_RECORDS, MAX_TENANT_RECORDS};
 
 const WORTH: f64 = 3.0;
 const OVER_WORTH: f64 = 0.2;
@@ -149,7 +149,7 @@
 proptest! {
     /// Guards that with few tenants every answer is, to the bit, the one of a record for each that is never dropped.
     #[test]
-    fn few_tenants_are_judged_as_by_a_record_for_each(tenants in tenants(KEPT_STATES), steps in steps()) {
+    fn few_tenants_are_judged_as_by_a_record_for_each(tenants in tenants(KEPT_IDLE_TENANT_RECORDS), steps in steps()) {
         let mut subject = Subject::new(tenants.clone().into());
         let mut reference = Reference::new(tenants);
         for step in steps {
@@ -239,7 +239,7 @@
                 }
                 Traffic::Pause(span) => subject.now += span,
             }
-            prop_assert!(subject.balancer.tenant_states().0 <= MOST_STATES);
+            prop_assert!(subject.balancer.tenant_states().0 <= MAX_TENANT_RECORDS);
         }
     }
 }
@@ -310,7 +310,7 @@
         most = (most.0.max(states), most.1.max(bytes));
     }
     busy.check(MINUTES * 60);
-    assert_eq!(most.0, MOST_STATES, "the bound was reached, and held");
+    assert_eq!(most.0, MAX_TENANT_RECORDS, "the bound was reached, and held");
     assert!(most.1 <= MOST_BYTES, "{} bytes", most.1);
 }
 
@@ -325,7 +325,7 @@
         starved += u32::from(subject.is_over(BUSY + n));
     }
     assert_eq!(starved, 0);
-    assert_eq!(subject.balancer.tenant_states().0, MOST_STATES);
+    assert_eq!(subject.balancer.tenant_states().0, MAX_TENANT_RECORDS);
     for round in 0..30 * 20 {
         subject.now += SECOND / 20;
         busy.ask(&mut subject, round);
@@ -348,7 +348,7 @@
         subject.ask(0);
     }
     let (left, bytes_left) = subject.balancer.tenant_states();
-    assert_eq!(left, KEPT_STATES);
+    assert_eq!(left, KEPT_IDLE_TENANT_RECORDS);
     assert!(bytes_left * 3 < bytes, "{bytes_left} of {bytes} bytes");
 }
 
