--- a/crates/membership/tests/stored_forms.rs
+++ b/crates/membership/tests/stored_forms.rs
@@ -163,13 +163,14 @@
         MemberState::Left,
     ];
     let phases = [Phase::Serving, Phase::Joining, Phase::LameDuck];
+    let version = records()[0].version();
     let text = [
         format!("key of n1 {:016x}\n", MemberId::from_name("n1").0),
         format!("fleet tablero {:016x}\n", FleetId::from_name("tablero").0),
         format!("hash of a and b {:016x}\n", stable_hash(&[b"a", b"b"])),
         states.map(|state| format!("state {} {}\n", state.code(), state.as_str())).concat(),
         phases.map(|phase| format!("phase {}\n", phase.as_str())).concat(),
-        format!("stamp {}\n", records()[0].version()),
+        format!("stamp {:x}.{}\n", version.epoch.0, version.incarnation.0),
     ];
     assert_stored_text("hashes_and_words.txt", &text.concat());
 }
--- a/crates/policy/tests/stored_forms.rs
+++ b/crates/policy/tests/stored_forms.rs
@@ -8,7 +8,7 @@
 use pumicehead_policy::decision_event::{
     DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RateLimitedLog, RejectionReason,
 };
-use pumicehead_policy::load_reports::{Peers, write};
+use pumicehead_policy::load_reports::{PeerReports, encode};
 use pumicehead_policy::{EndpointId, RequestId, SECOND};
 
 fn fixture(name: &str) -> PathBuf {
@@ -99,13 +99,16 @@
     assert_eq!(lines, expected.lines().collect::<Vec<_>>());
 }
 
-/// What a node tells other nodes of its attempts, as bytes.
+/// The bytes of a load report between nodes.
 #[test]
-fn notes_between_nodes_travel_as_before() {
+fn load_reports_travel_as_before() {
     let out = [(EndpointId(0x0312_4a07), 2), (EndpointId(9), 0), (EndpointId(1), 300)];
     let bytes = [1, 200, 0x07, 0x4a, 0x12, 0x03, 2, 1, 0, 0, 0, 255];
-    assert_eq!(write(200, out), bytes);
-    let mut peers = Peers::default();
-    peers.hear(7, &bytes, 5);
-    assert_eq!((peers.out(EndpointId(0x0312_4a07)), peers.out(EndpointId(1)), peers.heard()), (2, 255, 1));
+    assert_eq!(encode(200, out), bytes);
+    let mut peers = PeerReports::default();
+    peers.record(7, &bytes, 5);
+    assert_eq!(
+        (peers.in_flight(EndpointId(0x0312_4a07)), peers.in_flight(EndpointId(1)), peers.reporting_peers()),
+        (2, 255, 1)
+    );
 }
