--- /dev/null
+++ b/crates/config/src/check/block_reader.rs
@@ -0,0 +1,268 @@
+//! Reads a block's settings: which are written, each once where it must be, and in the right form.
+
+use super::names::{invalid_name, is_name};
+use super::schema::{Setting, settings_of};
+use super::{Checker, Reported};
+use crate::diagnostic::Diagnostic;
+use crate::model::EntrySpans;
+use crate::syntax::{Block, Statement, Word};
+use crate::units::{DURATION_UNITS, SIZE_UNITS, ValueError};
+
+/// A block and its settings.
+pub(super) struct BlockReader<'s> {
+    pub kind: &'static str,
+    /// Empty for a kind without names.
+    pub name: String,
+    pub spans: EntrySpans,
+    /// In the order of the file. A list takes less memory than a map: a block has few settings, and there may be thousands of
+    /// blocks.
+    settings: Vec<(&'static str, &'s Statement)>,
+}
+
+impl<'s> BlockReader<'s> {
+    /// All statements of a setting.
+    pub fn statements(&self, keyword: &str) -> Vec<&'s Statement> {
+        let statements = self.settings.iter().filter(|(setting, _)| *setting == keyword);
+        statements.map(|(_, statement)| *statement).collect()
+    }
+
+    /// Whether a setting is written.
+    pub fn has(&self, keyword: &str) -> bool {
+        self.first(keyword).is_some()
+    }
+
+    /// The first statement of a setting.
+    fn first(&self, keyword: &str) -> Option<&'s Statement> {
+        let found = self.settings.iter().find(|(setting, _)| *setting == keyword);
+        found.map(|(_, statement)| *statement)
+    }
+}
+
+impl Checker<'_> {
+    /// Reads the head of a block and its settings. `None` where the block or its name is missing or invalid.
+    pub(super) fn read_block<'s>(
+        &mut self,
+        kind: &'static str,
+        statement: &'s Statement,
+        named: bool,
+    ) -> Option<BlockReader<'s>> {
+        let form = if named { format!("`{kind} NAME {{ ... }}`") } else { format!("`{kind} {{ ... }}`") };
+        let name = self.block_name(kind, statement, named, &form)?;
+        let Some(block) = &statement.block else {
+            let message = format!("a {kind} without a block");
+            self.report(Diagnostic::error("block-form", statement.span(), message).help(form));
+            return None;
+        };
+        let name_span = name.map_or(statement.name().span, |name| name.span);
+        let mut reader = BlockReader {
+            kind,
+            name: name.map(|name| name.text.to_string()).unwrap_or_default(),
+            spans: EntrySpans { name: name_span, ..EntrySpans::default() },
+            settings: Vec::with_capacity(block.statements.len()),
+        };
+        self.read_settings(&mut reader, block);
+        Some(reader)
+    }
+
+    /// The name of a block: `Some(None)` for a kind without names, `None` where something is wrong with it.
+    fn block_name<'s>(
+        &mut self,
+        kind: &str,
+        statement: &'s Statement,
+        named: bool,
+        form: &str,
+    ) -> Option<Option<&'s Word>> {
+        let name = match (named, &statement.words[1..]) {
+            (false, []) => return Some(None),
+            (true, [name]) => name,
+            (true, []) => {
+                let message = format!("a {kind} without a name");
+                let diagnostic = Diagnostic::error("block-form", statement.name().span, message);
+                self.report(diagnostic.help(form));
+                return None;
+            }
+            (_, [.., surplus]) => {
+                let message = format!("`{}` is one word too many for a `{kind}` block", surplus.text);
+                self.report(Diagnostic::error("block-form", surplus.span, message).help(form));
+                return None;
+            }
+        };
+        if !is_name(&name.text) {
+            self.report(invalid_name(name, kind));
+            return None;
+        }
+        Some(Some(name))
+    }
+
+    fn read_settings<'s>(&mut self, reader: &mut BlockReader<'s>, block: &'s Block) {
+        let kind = reader.kind;
+        let known = settings_of(kind);
+        let mut first_statements: Vec<Option<&Statement>> = vec![None; known.len()];
+        for statement in &block.statements {
+            let word = statement.name();
+            let index = known.iter().position(|setting| *setting.keyword == *word.text && !word.quoted);
+            let Some(index) = index else {
+                self.report_unknown_setting(kind, word, known);
+                continue;
+            };
+            let setting = &known[index];
+            if let Some(block) = statement.block.as_ref().filter(|_| !setting.is_block) {
+                let message = format!("`{}` takes no block", setting.keyword);
+                self.report(Diagnostic::error("setting-form", block.open_brace, message));
+                continue;
+            }
+            if let Some(first) = first_statements[index].filter(|_| !setting.repeatable) {
+                let message = format!("`{}` stands twice in one {kind}", setting.keyword);
+                let diagnostic = Diagnostic::error("set-twice", word.span, message);
+                self.report(diagnostic.note(first.name().span, "first set here"));
+                continue;
+            }
+            reader.spans.settings.insert_first(setting.keyword, statement.span());
+            first_statements[index].get_or_insert(statement);
+            reader.settings.push((setting.keyword, statement));
+        }
+    }
+
+    fn report_unknown_setting(&mut self, kind: &str, word: &Word, known: &[Setting]) {
+        if *word.text == *"include" {
+            let message = "`include` stands outside of blocks only";
+            self.report(Diagnostic::error("include-form", word.span, message));
+        } else {
+            let what = format!("is no setting of a `{kind}` block");
+            self.report_unknown_word(word, &what, known.iter().map(|setting| setting.keyword));
+        }
+    }
+
+    /// The values of a setting, with constants replaced; `Ok(None)` where it is not written.
+    pub(super) fn values(
+        &mut self,
+        block: &BlockReader<'_>,
+        keyword: &str,
+    ) -> Result<Option<Vec<Word>>, Reported> {
+        let Some(statement) = block.first(keyword) else { return Ok(None) };
+        self.values_of(statement).map(Some)
+    }
+
+    /// The values of a statement, with constants replaced; at least one.
+    pub(super) fn values_of(&mut self, statement: &Statement) -> Result<Vec<Word>, Reported> {
+        let values = self.expand(&statement.words[1..]).ok_or(Reported)?;
+        if values.is_empty() {
+            let message = format!("`{}` has no value", statement.name().text);
+            self.report(Diagnostic::error("no-value", statement.span(), message));
+            return Err(Reported);
+        }
+        Ok(values)
+    }
+
+    /// The value of a setting that takes one; `Ok(None)` where it is not written.
+    pub(super) fn value(&mut self, block: &BlockReader<'_>, keyword: &str) -> Result<Option<Word>, Reported> {
+        let Some(mut values) = self.values(block, keyword)? else { return Ok(None) };
+        if let Some(second) = values.get(1) {
+            let message = format!("`{keyword}` takes one value");
+            let mut units = DURATION_UNITS.iter().chain(&SIZE_UNITS).map(|(unit, _)| *unit);
+            let help = match units.any(|unit| *unit == *second.text) {
+                true => format!("write `{}{}`, without a space", values[0].text, second.text),
+                false => "a statement ends with its line, or with `;`".into(),
+            };
+            self.report(Diagnostic::error("too-many-values", second.span, message).help(help));
+            return Err(Reported);
+        }
+        Ok(Some(values.remove(0)))
+    }
+
+    /// A setting as `parse` reads it, or its default; `None` where something is wrong with it.
+    pub(super) fn parsed<T>(
+        &mut self,
+        block: &BlockReader<'_>,
+        keyword: &str,
+        default: T,
+        parse: impl Fn(&str) -> Result<T, ValueError>,
+    ) -> Option<T> {
+        match self.value(block, keyword).ok()? {
+            None => Some(default),
+            Some(word) => self.read(&word, parse),
+        }
+    }
+
+    /// The same for a setting that must be written.
+    pub(super) fn required<T>(
+        &mut self,
+        block: &BlockReader<'_>,
+        keyword: &str,
+        parse: impl Fn(&str) -> Result<T, ValueError>,
+    ) -> Option<T> {
+        match self.value(block, keyword).ok()? {
+            Some(word) => self.read(&word, parse),
+            None => {
+                self.report_missing(block, keyword);
+                None
+            }
+        }
+    }
+
+    /// Reports a setting that must be written and is not.
+    pub(super) fn report_missing(&mut self, block: &BlockReader<'_>, keyword: &str) {
+        let name = if block.name.is_empty() { String::new() } else { format!(" `{}`", block.name) };
+        let message = format!("the {}{name} has no `{keyword}`", block.kind);
+        self.report(Diagnostic::error("missing-setting", block.spans.name, message));
+    }
+
+    /// A word as `parse` reads it.
+    pub(super) fn read<T>(
+        &mut self,
+        word: &Word,
+        parse: impl Fn(&str) -> Result<T, ValueError>,
+    ) -> Option<T> {
+        let report = |error: ValueError| {
+            let diagnostic = Diagnostic::error(error.code, word.span, error.message);
+            self.report(Diagnostic { help: error.help, ..diagnostic });
+        };
+        parse(&word.text).map_err(report).ok()
+    }
+
+    /// The values of a setting in a form such as `SPAN from SHARE`: those in place of the words in capital letters. The
+    /// other words of the form stand for themselves.
+    pub(super) fn phrase(
+        &mut self,
+        block: &BlockReader<'_>,
+        keyword: &str,
+        form: &str,
+    ) -> Result<Option<Vec<Word>>, Reported> {
+        let Some(values) = self.values(block, keyword)? else { return Ok(None) };
+        let parts: Vec<_> = form.split(' ').collect();
+        let is_value = |part: &str| part.chars().any(char::is_uppercase);
+        let fits = |(word, part): (&Word, &&str)| is_value(part) || *word.text == **part;
+        if values.len() != parts.len() || !values.iter().zip(&parts).all(fits) {
+            let span = values.iter().fold(values[0].span, |span, word| span.to(word.span));
+            let message = format!("`{keyword}` is not of the form `{keyword} {form}`");
+            self.report(Diagnostic::error("setting-form", span, message));
+            return Err(Reported);
+        }
+        let values = values.into_iter().zip(parts).filter(|(_, part)| is_value(part));
+        Ok(Some(values.map(|(word, _)| word).collect()))
+    }
+
+    /// The value that a keyword stands for.
+    pub(super) fn choice<T: Copy>(&mut self, word: &Word, what: &str, known: &[(&str, T)]) -> Option<T> {
+        let found = known.iter().find(|(keyword, _)| **keyword == *word.text).map(|(_, value)| *value);
+        if found.is_none() {
+            self.report_unknown_word(word, what, known.iter().map(|(keyword, _)| *keyword));
+        }
+        found
+    }
+
+    /// The same for the one value of a setting that has a default.
+    pub(super) fn choice_or<T: Copy>(
+        &mut self,
+        block: &BlockReader<'_>,
+        keyword: &str,
+        what: &str,
+        known: &[(&str, T)],
+        default: T,
+    ) -> Option<T> {
+        match self.value(block, keyword).ok()? {
+            Some(word) => self.choice(&word, what, known),
+            None => Some(default),
+        }
+    }
+}
--- a/crates/config/src/diag.rs
+++ b/crates/config/src/diagnostic.rs
@@ -1,44 +1,44 @@
-//! Messages about a configuration: how they are kept, shown to people and handed to editors.
+//! Errors and warnings about a configuration, as text with source lines and as JSON.
 
 use annotate_snippets::{AnnotationKind, Group, Level, Renderer, Snippet};
 use serde::Serialize;
 
-use crate::span::{Sources, Span};
+use crate::span::{LineColumn, Sources, Span};
 
-/// Widest message; longer source lines are cut around the place.
-const WIDTH: usize = 120;
-/// Most messages that are shown: past these the reader begins with the first anyway.
-pub const MOST_SHOWN: usize = 100;
+/// Width of a message in columns; longer source lines are cut around the span.
+const MAX_WIDTH: usize = 120;
+/// Most messages that are printed.
+pub const MAX_SHOWN: usize = 100;
 
-/// Whether a configuration can be used in spite of it.
+/// Whether a configuration with this problem can be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Severity {
-    /// It can't.
+    /// It can't be used.
     Error,
-    /// It can, but hardly as meant.
+    /// It can be used, but probably not as intended.
     Warning,
 }
 
-/// One mistake.
+/// An error or a warning about a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// How bad it is.
+    /// Whether the configuration can be used.
     pub severity: Severity,
-    /// A name for the kind of mistake that stays the same between versions.
+    /// Name of the kind of problem; it stays the same between versions.
     pub code: &'static str,
-    /// Where; `None` where a file can't even be read.
+    /// Where the problem is; `None` where a file can't be read.
     pub span: Option<Span>,
     /// What is wrong.
     pub message: String,
-    /// How to mend it.
+    /// How to correct it.
     pub help: Option<String>,
-    /// Other places that have to do with it.
+    /// Other places that are involved, each with a text.
     pub notes: Vec<(Span, String)>,
 }
 
 impl Diagnostic {
-    /// An error at a place.
+    /// An error at a span.
     pub fn error(code: &'static str, span: Span, message: impl Into<String>) -> Self {
         Self {
             severity: Severity::Error,
@@ -50,19 +50,19 @@
         }
     }
 
-    /// A warning at a place.
+    /// A warning at a span.
     pub fn warning(code: &'static str, span: Span, message: impl Into<String>) -> Self {
         Self { severity: Severity::Warning, ..Self::error(code, span, message) }
     }
 
-    /// With a way to mend it.
+    /// Adds how to correct it.
     #[must_use]
     pub fn help(mut self, help: impl Into<String>) -> Self {
         self.help = Some(help.into());
         self
     }
 
-    /// With another place.
+    /// Adds another place that is involved.
     #[must_use]
     pub fn note(mut self, span: Span, text: impl Into<String>) -> Self {
         self.notes.push((span, text.into()));
@@ -70,15 +70,15 @@
     }
 }
 
-/// Orders messages by place and leaves one for each place and kind: a constant with a mistake that is used in five
-/// places has one mistake.
-pub fn settle(diagnostics: &mut Vec<Diagnostic>) {
-    diagnostics.sort_by_key(|one| one.span);
+/// Sorts diagnostics by span and keeps one for each span and code: a mistake in a constant that is used in five places is
+/// reported once.
+pub fn sort_and_dedup(diagnostics: &mut Vec<Diagnostic>) {
+    diagnostics.sort_by_key(|diagnostic| diagnostic.span);
     diagnostics
         .dedup_by(|next, first| next.span.is_some() && (next.span, next.code) == (first.span, first.code));
 }
 
-/// As text for people, with the source lines.
+/// Renders a diagnostic as text with its source lines.
 #[must_use]
 pub fn render(sources: &Sources, diagnostic: &Diagnostic, styled: bool) -> String {
     let level = match diagnostic.severity {
@@ -97,7 +97,7 @@
         group = group.element(Level::HELP.message(help.as_str()));
     }
     let renderer = if styled { Renderer::styled() } else { Renderer::plain() };
-    renderer.term_width(WIDTH).render(&[group])
+    renderer.term_width(MAX_WIDTH).render(&[group])
 }
 
 fn snippet<'a>(
@@ -116,14 +116,14 @@
         }
         at
     };
-    // Only the lines in question are handed over: files may have megabytes.
+    // Only the line of the span is passed on: files may have megabytes.
     let start = boundary(span.start as usize);
     let first = text[..start].rfind('\n').map_or(0, |newline| newline + 1);
     let rest = text[start..].find('\n').map_or(text.len(), |newline| start + newline);
     let (from, to) =
-        (boundary(first.max(start.saturating_sub(WIDTH * 4))), boundary(rest.min(start + WIDTH * 4)));
+        (boundary(first.max(start.saturating_sub(MAX_WIDTH * 4))), boundary(rest.min(start + MAX_WIDTH * 4)));
     let end = boundary((span.end as usize).clamp(start, to)).max(start);
-    let line = sources.place(span).line;
+    let line = sources.line_column(span).line;
     let mut annotation = kind.span(start - from..end - from);
     if let Some(label) = label {
         annotation = annotation.label(label.as_str());
@@ -132,9 +132,9 @@
     group.element(snippet.annotation(annotation))
 }
 
-/// The same for programs: one object a message.
+/// A diagnostic as a JSON object.
 #[derive(Debug, Serialize)]
-pub struct Json<'a> {
+pub struct JsonDiagnostic<'a> {
     file: String,
     line: usize,
     column: usize,
@@ -155,18 +155,18 @@
     message: &'a str,
 }
 
-/// A message as an object; lines and columns count from 1, and are 0 where there is no place.
+/// Converts a diagnostic to a JSON object. Lines and columns count from 1; they are 0 where there is no span.
 #[must_use]
-pub fn json<'a>(sources: &Sources, diagnostic: &'a Diagnostic) -> Json<'a> {
+pub fn json<'a>(sources: &Sources, diagnostic: &'a Diagnostic) -> JsonDiagnostic<'a> {
     let file = |span: Span| sources.get(span.file).map(|s| s.path.display().to_string()).unwrap_or_default();
-    let start = diagnostic.span.map(|span| sources.place(span));
-    let end = diagnostic.span.map(|span| sources.place(Span { start: span.end, ..span }));
-    Json {
+    let start = diagnostic.span.map(|span| sources.line_column(span));
+    let end = diagnostic.span.map(|span| sources.line_column(Span { start: span.end, ..span }));
+    JsonDiagnostic {
         file: diagnostic.span.map(file).unwrap_or_default(),
-        line: start.map_or(0, |place| place.line),
-        column: start.map_or(0, |place| place.column),
-        end_line: end.map_or(0, |place| place.line),
-        end_column: end.map_or(0, |place| place.column),
+        line: start.map_or(0, |position| position.line),
+        column: start.map_or(0, |position| position.column),
+        end_line: end.map_or(0, |position| position.line),
+        end_column: end.map_or(0, |position| position.column),
         severity: diagnostic.severity,
         code: diagnostic.code,
         message: &diagnostic.message,
@@ -175,19 +175,19 @@
             .notes
             .iter()
             .map(|(span, message)| {
-                let place = sources.place(*span);
-                JsonNote { file: file(*span), line: place.line, column: place.column, message }
+                let LineColumn { line, column } = sources.line_column(*span);
+                JsonNote { file: file(*span), line, column, message }
             })
             .collect(),
     }
 }
 
-/// The known word nearest to one, if any is near.
+/// The known word that a misspelled one is probably meant to be.
 #[must_use]
 pub fn nearest<'a>(word: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let distance = |known: &str| strsim::damerau_levenshtein(&word.to_lowercase(), &known.to_lowercase());
     let ranked = known.into_iter().map(|known| (distance(known), known));
-    // Long words may be off by more; what shares nothing is no help.
+    // Longer words may have more mistakes. Words that have little in common are no help.
     ranked
         .min()
         .filter(|(distance, known)| *distance <= (known.len().max(3) / 3).max(1))
--- a/crates/config/src/disk.rs
+++ b/crates/config/src/disk.rs
@@ -1,42 +1,46 @@
-//! Files of the machine. The one module with I/O.
+//! Files of the file system. The only module with I/O.
 
 use std::fs::{self, File};
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
 
-use crate::load::{Files, LARGEST_FILE, ReadFault};
+use crate::load::{Files, MAX_FILE_BYTES, ReadError};
 
-/// The machine's files.
+/// The file system of this machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Disk;
 
 impl Files for Disk {
-    fn read(&self, path: &Path) -> Result<Vec<u8>, ReadFault> {
-        // Asked before opening: to open a pipe without a writer never returns.
-        let metadata = fs::metadata(path).map_err(fault)?;
+    fn read(&self, path: &Path) -> Result<Vec<u8>, ReadError> {
+        // Checked before the file is opened: to open a pipe without a writer blocks.
+        let metadata = fs::metadata(path).map_err(read_error)?;
         if metadata.is_dir() {
-            return Err(ReadFault::Directory);
+            return Err(ReadError::Directory);
         }
         if !metadata.is_file() {
-            return Err(ReadFault::NotRegular);
+            return Err(ReadError::NotRegular);
         }
-        if metadata.len() > LARGEST_FILE {
-            return Err(ReadFault::TooLarge(metadata.len()));
+        if metadata.len() > MAX_FILE_BYTES {
+            return Err(ReadError::TooLarge(metadata.len()));
         }
         let mut bytes = Vec::new();
-        // The file may grow meanwhile.
-        File::open(path).map_err(fault)?.take(LARGEST_FILE + 1).read_to_end(&mut bytes).map_err(fault)?;
-        if bytes.len() as u64 > LARGEST_FILE {
-            return Err(ReadFault::TooLarge(bytes.len() as u64));
+        // The file may have grown since.
+        File::open(path)
+            .map_err(read_error)?
+            .take(MAX_FILE_BYTES + 1)
+            .read_to_end(&mut bytes)
+            .map_err(read_error)?;
+        if bytes.len() as u64 > MAX_FILE_BYTES {
+            return Err(ReadError::TooLarge(bytes.len() as u64));
         }
         Ok(bytes)
     }
 
-    fn list(&self, directory: &Path) -> Result<Vec<String>, ReadFault> {
+    fn list(&self, directory: &Path) -> Result<Vec<String>, ReadError> {
         let directory = if directory.as_os_str().is_empty() { Path::new(".") } else { directory };
-        let entries = fs::read_dir(directory).map_err(fault)?;
+        let entries = fs::read_dir(directory).map_err(read_error)?;
         let names = entries.map(|entry| entry.map(|entry| entry.file_name().to_string_lossy().into_owned()));
-        names.collect::<Result<_, _>>().map_err(fault)
+        names.collect::<Result<_, _>>().map_err(read_error)
     }
 
     fn identity(&self, path: &Path) -> PathBuf {
@@ -44,12 +48,12 @@
     }
 }
 
-fn fault(error: io::Error) -> ReadFault {
+fn read_error(error: io::Error) -> ReadError {
     match error.kind() {
-        io::ErrorKind::NotFound => ReadFault::Missing,
-        io::ErrorKind::PermissionDenied => ReadFault::Denied,
-        io::ErrorKind::IsADirectory => ReadFault::Directory,
-        io::ErrorKind::NotADirectory => ReadFault::Missing,
-        _ => ReadFault::Other(error.to_string()),
+        io::ErrorKind::NotFound => ReadError::Missing,
+        io::ErrorKind::PermissionDenied => ReadError::Denied,
+        io::ErrorKind::IsADirectory => ReadError::Directory,
+        io::ErrorKind::NotADirectory => ReadError::Missing,
+        _ => ReadError::Other(error.to_string()),
     }
 }
--- a/crates/config/src/explain.rs
+++ b/crates/config/src/explain.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and why.
+//! Explains which route a request takes, and why.
 
 use std::fmt::Write;
 
@@ -6,26 +6,26 @@
 use pumicehead_route::{Found, Misfit, Query, RequestPath, request_host};
 use thiserror::Error;
 
-use crate::diff::facts;
-use crate::model::{Config, KeyOf, Repeats, TenantOf};
-use crate::span::Sources;
-use crate::units::show_time;
+use crate::diff::effective_settings;
+use crate::model::{Class, Config, EndpointSource, Idempotency, KeySource, Pool, Route, TenantSource};
+use crate::span::{Sources, Span};
+use crate::units::format_duration;
 
-/// Most routes that were passed over and are named.
-const MOST_NAMED: usize = 8;
+/// Most routes without a match that are named.
+const MAX_PASSED_OVER: usize = 8;
 
-/// A request that can't be read.
+/// Why a request can't be explained.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum RequestFault {
-    /// Not of the form.
+pub enum RequestError {
+    /// The request line is not of the form.
     #[error("a request is `METHOD http://HOST/PATH`, or `METHOD /PATH`; a method that is left out is GET")]
     Form,
-    /// A header not of the form.
+    /// A header is not of the form; the line.
     #[error("`{0}` is no header: write `NAME: VALUE`")]
     Header(String),
-    /// What the node would turn away.
+    /// The node would reject the request with 400; why.
     #[error("{0}: the node answers 400")]
-    Refused(String),
+    Rejected(String),
 }
 
 /// A request to explain.
@@ -38,143 +38,189 @@
 }
 
 impl Request {
-    /// Reads `METHOD URL` and header lines.
+    /// Parses `METHOD URL` and header lines.
     ///
     /// # Errors
-    /// What is not of that form, and what no node would route.
-    pub fn parse(text: &str, headers: &[String]) -> Result<Self, RequestFault> {
+    /// Text that is not of that form, and requests that a node rejects before it routes them.
+    pub fn parse(text: &str, headers: &[String]) -> Result<Self, RequestError> {
         let words: Vec<_> = text.split_whitespace().collect();
         let (method, url) = match words[..] {
             [url] => ("GET", url),
             [method, url] => (method, url),
-            _ => return Err(RequestFault::Form),
+            _ => return Err(RequestError::Form),
         };
-        let method = Method::from_bytes(method.as_bytes()).map_err(|_| RequestFault::Form)?;
-        let mut map = HeaderMap::new();
-        for line in headers {
-            let fault = || RequestFault::Header(line.clone());
-            let (name, value) = line.split_once(':').ok_or_else(fault)?;
-            let name = HeaderName::from_bytes(name.trim().as_bytes()).map_err(|_| fault())?;
-            map.append(name, HeaderValue::from_str(value.trim()).map_err(|_| fault())?);
-        }
+        let method = Method::from_bytes(method.as_bytes()).map_err(|_| RequestError::Form)?;
+        let headers = parse_headers(headers)?;
         let (authority, path) = match url.strip_prefix("http://") {
             Some(rest) => rest.find('/').map_or((rest, "/"), |slash| rest.split_at(slash)),
             None if url.starts_with('/') => {
-                (map.get("host").and_then(|v| v.to_str().ok()).unwrap_or(""), url)
+                let host = headers.get("host").and_then(|value| value.to_str().ok());
+                (host.unwrap_or_default(), url)
             }
-            None => return Err(RequestFault::Form),
+            None => return Err(RequestError::Form),
         };
-        let refused = |text: String| RequestFault::Refused(text);
-        let host = request_host(authority).map_err(|e| refused(format!("the host is {e}")))?.into_owned();
+        let host = request_host(authority)
+            .map_err(|error| RequestError::Rejected(format!("the host is {error}")))?
+            .into_owned();
         let path = path.split(['?', '#']).next().unwrap_or("/").to_owned();
-        RequestPath::parse(&path).map_err(|e| refused(e.to_string()))?;
-        Ok(Self { method, host, path, headers: map })
+        parse_path(&path)?;
+        Ok(Self { method, host, path, headers })
+    }
+}
+
+fn parse_headers(lines: &[String]) -> Result<HeaderMap, RequestError> {
+    let mut headers = HeaderMap::new();
+    for line in lines {
+        let error = || RequestError::Header(line.clone());
+        let (name, value) = line.split_once(':').ok_or_else(error)?;
+        let name = HeaderName::from_bytes(name.trim().as_bytes()).map_err(|_| error())?;
+        headers.append(name, HeaderValue::from_str(value.trim()).map_err(|_| error())?);
     }
+    Ok(headers)
 }
 
-/// Says what the node would do with a request.
+fn parse_path(path: &str) -> Result<RequestPath<'_>, RequestError> {
+    RequestPath::parse(path).map_err(|error| RequestError::Rejected(error.to_string()))
+}
+
+/// Explains what the node does with a request, as lines of text.
 ///
 /// # Errors
-/// None for a request that [`Request::parse`] made.
-pub fn explain(config: &Config, sources: &Sources, request: &Request) -> Result<String, RequestFault> {
-    let path = RequestPath::parse(&request.path).map_err(|e| RequestFault::Refused(e.to_string()))?;
+/// None for a request that [`Request::parse`] returned.
+pub fn explain(config: &Config, sources: &Sources, request: &Request) -> Result<String, RequestError> {
+    let path = parse_path(&request.path)?;
     let Request { method, host, headers, .. } = request;
     let query = Query { host, path: &path, method, headers };
-    let mut out = String::new();
-    let found = config.matcher().find(&query);
-    let until = match &found {
-        Found::Route(place) => {
-            explain_route(config, sources, *place, &query, &mut out);
-            *place
+    let mut text = String::new();
+    let end = match config.matcher().find(&query) {
+        Found::Route(index) => {
+            let explanation = Explanation { config, sources, query: &query };
+            explanation.write_route(&config.routes[index], &mut text);
+            index
         }
         Found::Method(methods) => {
             let names: Vec<_> = methods.iter().map(Method::as_str).collect();
-            let _ = writeln!(out, "no route: 405, with Allow: {}", names.join(", "));
+            let _ = writeln!(text, "no route: 405, with Allow: {}", names.join(", "));
             config.routes.len()
         }
         Found::Nothing => {
-            out.push_str("no route: 404\n");
+            text.push_str("no route: 404\n");
             config.routes.len()
         }
     };
-    // Those that came nearest are what a reader looks for: all but those of other paths and hosts.
-    let passed = config.routes[..until].iter().filter_map(|route| match route.pattern.misfit(&query)? {
+    write_passed_over(&config.routes[..end], sources, &query, &mut text);
+    Ok(text)
+}
+
+/// Names the routes that match host and path, but not the method or a header.
+fn write_passed_over(routes: &[Route], sources: &Sources, query: &Query<'_>, text: &mut String) {
+    let passed_over = routes.iter().filter_map(|route| match route.pattern.misfit(query)? {
         Misfit::Host | Misfit::Path => None,
         Misfit::Method => Some((route, "its methods are others".to_owned())),
         Misfit::Header(name) => Some((route, format!("its condition on the header {name} does not hold"))),
     });
-    for (route, why) in passed.take(MOST_NAMED) {
-        let _ = writeln!(out, "passed over: route {} ({}): {why}", route.name, sources.line(route.at.name));
+    for (route, reason) in passed_over.take(MAX_PASSED_OVER) {
+        let position = sources.path_and_line(route.spans.name);
+        let _ = writeln!(text, "passed over: route {} ({position}): {reason}", route.name);
     }
-    Ok(out)
 }
 
-fn explain_route(config: &Config, sources: &Sources, place: usize, query: &Query<'_>, out: &mut String) {
-    let route = &config.routes[place];
-    let class = &config.classes[route.class];
-    let pool = &config.pools[route.pool];
-    let pattern = &route.pattern;
-    let mut why = vec![format!("path {}", pattern.path)];
-    if query.host.is_empty() || pattern.host.to_string() == "*" {
-        why.push("any host".into());
-    } else {
-        why.push(format!("host {}", pattern.host));
+/// What the explanation of a route is made from.
+struct Explanation<'a> {
+    config: &'a Config,
+    sources: &'a Sources,
+    query: &'a Query<'a>,
+}
+
+impl Explanation<'_> {
+    fn write_route(&self, route: &Route, text: &mut String) {
+        let class = &self.config.classes[route.class];
+        let position = self.position(route.spans.name);
+        let conditions = self.conditions(route).join(", ");
+        let _ = writeln!(text, "route {} ({position}): the first that fits, by {conditions}", route.name);
+        self.write_class(class, text);
+        self.write_pool(&self.config.pools[route.pool], text);
+        let _ = writeln!(text, "tenant {}", self.tenant(&route.tenant));
+        let key = key_of(&route.key, self.query);
+        let key = key.map_or("none".into(), |key| String::from_utf8_lossy(&key).into_owned());
+        let _ = writeln!(text, "key {key}");
+        if let Idempotency::IdempotencyKey { header, .. } = &class.settings.idempotency
+            && self.header(header).is_none()
+        {
+            let _ = writeln!(text, "the header {header} is missing: 400");
+        }
     }
-    why.extend(pattern.headers.iter().map(|rule| format!("header {}", rule.name)));
-    let at = |span| sources.line(span);
-    let _ = writeln!(
-        out,
-        "route {} ({}): the first that fits, by {}",
-        route.name,
-        at(route.at.name),
-        why.join(", ")
-    );
-    let repeats = match &class.repeats {
-        Repeats::Safe => "may be sent again",
-        Repeats::Keyed { .. } => "may be sent again under its key",
-        Repeats::Unsafe => "is never sent again once it may have run",
-    };
-    let _ = writeln!(out, "class {} ({}): worth {}, {repeats}", class.name, at(class.at.name), class.worth);
-    let _ = writeln!(out, "deadline {}, aim {}", show_time(class.deadline), show_time(class.aim));
-    let servers = match &pool.members {
-        crate::model::Members::Static(servers) => format!("{} servers", servers.len()),
-        crate::model::Members::Discovery { address, .. } => format!("servers from {address}"),
-    };
-    let _ = writeln!(out, "pool {} ({}): {servers}, {} attempts", pool.name, at(pool.at.name), pool.attempts);
-    let value = |name: &str| query.headers.get(name).and_then(|value| value.to_str().ok());
-    let tenant = match &route.tenant {
-        TenantOf::None => "none".into(),
-        TenantOf::Fixed(place) => config.tenants[*place].name.clone(),
-        TenantOf::Header(name) => match value(name) {
-            Some(tenant) if config.tenants.iter().any(|known| known.name == tenant) => tenant.to_owned(),
-            Some(tenant) => format!("`{tenant}` of the header {name} is no tenant: 400"),
-            None => format!("the header {name} is missing: 400"),
-        },
-    };
-    let _ = writeln!(out, "tenant {tenant}");
-    let key = key_of(&route.key, query);
-    let key = key.map_or("none".into(), |key| String::from_utf8_lossy(&key).into_owned());
-    let _ = writeln!(out, "key {key}");
-    if let Repeats::Keyed { header, .. } = &class.repeats
-        && value(header).is_none()
-    {
-        let _ = writeln!(out, "the header {header} is missing: 400");
+
+    /// The conditions of a route that the request meets.
+    fn conditions(&self, route: &Route) -> Vec<String> {
+        let pattern = &route.pattern;
+        let host = if self.query.host.is_empty() || pattern.host.to_string() == "*" {
+            "any host".to_owned()
+        } else {
+            format!("host {}", pattern.host)
+        };
+        let mut conditions = vec![format!("path {}", pattern.path), host];
+        conditions.extend(pattern.headers.iter().map(|rule| format!("header {}", rule.name)));
+        conditions
+    }
+
+    fn write_class(&self, class: &Class, text: &mut String) {
+        let settings = &class.settings;
+        let repeats = match settings.idempotency {
+            Idempotency::Idempotent => "may be sent again",
+            Idempotency::IdempotencyKey { .. } => "may be sent again under its key",
+            Idempotency::NotIdempotent => "is never sent again once it may have run",
+        };
+        let (position, weight) = (self.position(class.spans.name), settings.priority_weight);
+        let _ = writeln!(text, "class {} ({position}): worth {weight}, {repeats}", class.name);
+        let deadline = format_duration(settings.deadline);
+        let _ = writeln!(text, "deadline {deadline}, aim {}", format_duration(settings.latency_objective));
+    }
+
+    fn write_pool(&self, pool: &Pool, text: &mut String) {
+        let endpoints = match &pool.endpoints {
+            EndpointSource::Static(endpoints) => format!("{} servers", endpoints.len()),
+            EndpointSource::Discovered { address, .. } => format!("servers from {address}"),
+        };
+        let (position, attempts) = (self.position(pool.spans.name), pool.settings.max_attempts);
+        let _ = writeln!(text, "pool {} ({position}): {endpoints}, {attempts} attempts", pool.name);
+    }
+
+    fn tenant(&self, source: &TenantSource) -> String {
+        let tenants = &self.config.tenants;
+        match source {
+            TenantSource::None => "none".into(),
+            TenantSource::Fixed(index) => tenants[*index].name.clone(),
+            TenantSource::Header(name) => match self.header(name) {
+                Some(tenant) if tenants.iter().any(|known| known.name == tenant) => tenant.to_owned(),
+                Some(tenant) => format!("`{tenant}` of the header {name} is no tenant: 400"),
+                None => format!("the header {name} is missing: 400"),
+            },
+        }
+    }
+
+    fn header(&self, name: &str) -> Option<&str> {
+        self.query.headers.get(name).and_then(|value| value.to_str().ok())
+    }
+
+    fn position(&self, span: Span) -> String {
+        self.sources.path_and_line(span)
     }
 }
 
-/// What a request is about.
+/// The key of a request, if it has one.
 #[must_use]
-pub fn key_of(key: &KeyOf, query: &Query<'_>) -> Option<Vec<u8>> {
-    match key {
-        KeyOf::None => None,
-        KeyOf::Segment(place) => query.path.segment(*place).map(Into::into),
-        KeyOf::Last => query.path.last().map(Into::into),
-        KeyOf::Header(name) => query.headers.get(name).map(|value| value.as_bytes().into()),
+pub fn key_of(source: &KeySource, query: &Query<'_>) -> Option<Vec<u8>> {
+    match source {
+        KeySource::None => None,
+        KeySource::Segment(index) => query.path.segment(*index).map(Into::into),
+        KeySource::Last => query.path.last().map(Into::into),
+        KeySource::Header(name) => query.headers.get(name).map(|value| value.as_bytes().into()),
     }
 }
 
-/// All settings of a configuration in one form, for tests and for people who compare.
+/// All settings of a configuration in one written form, to compare configurations.
 #[must_use]
 pub fn dump(config: &Config) -> String {
-    format!("{:#?}", facts(config).without_places())
+    format!("{:#?}", effective_settings(config).without_spans())
 }
--- a/crates/config/src/format.rs
+++ b/crates/config/src/format.rs
@@ -1,16 +1,16 @@
-//! The formatter: four spaces a level, one space between words, at most one empty line. It keeps comments, quotes
-//! and the order of everything, and so the meaning.
+//! The formatter: four spaces a level, one space between words, at most one empty line. Comments, quotes and the order of
+//! statements are kept.
 
-use crate::diag::Diagnostic;
+use crate::diagnostic::Diagnostic;
 use crate::span::{FileId, Span};
 use crate::syntax::{Block, Statement, Tree, Trivia, parse};
 
 const INDENT: &str = "    ";
 
-/// A text in the one layout. A mark of the byte order goes, and so do carriage returns.
+/// Formats a text. A byte order mark and carriage returns are removed.
 ///
 /// # Errors
-/// Those of [`parse`]: a text that can't be read is not changed.
+/// Those of [`parse`].
 pub fn format(text: &str) -> Result<String, Vec<Diagnostic>> {
     let text = text.strip_prefix('\u{feff}').unwrap_or(text);
     let tree = parse(FileId(0), text)?;
@@ -34,24 +34,24 @@
         self.out.push_str(self.text[span.range()].trim_end());
     }
 
-    fn line(&mut self, depth: usize) {
+    fn indent(&mut self, depth: usize) {
         self.out.push_str(&INDENT.repeat(depth));
     }
 
-    /// Empty lines at the start and the end of a block go.
+    /// Prints comments and empty lines. Empty lines at the start and the end of a block are removed.
     fn trivia(&mut self, trivia: &[Trivia], depth: usize, first: bool, last: bool) {
-        let mut nothing_yet = first;
-        for (place, item) in trivia.iter().enumerate() {
+        let mut at_start = first;
+        for (index, item) in trivia.iter().enumerate() {
             match item {
                 Trivia::Comment(span) => {
-                    self.line(depth);
+                    self.indent(depth);
                     self.raw(*span);
                     self.out.push('\n');
-                    nothing_yet = false;
+                    at_start = false;
                 }
                 Trivia::Blank => {
-                    let at_end = last && place + 1 == trivia.len();
-                    if !nothing_yet && !at_end {
+                    let at_end = last && index + 1 == trivia.len();
+                    if !at_start && !at_end {
                         self.out.push('\n');
                     }
                 }
@@ -60,11 +60,11 @@
     }
 
     fn statements(&mut self, statements: &[Statement], depth: usize) {
-        for (place, statement) in statements.iter().enumerate() {
-            self.trivia(&statement.before, depth, place == 0, false);
-            self.line(depth);
-            for (place, word) in statement.words.iter().enumerate() {
-                if place > 0 {
+        for (index, statement) in statements.iter().enumerate() {
+            self.trivia(&statement.before, depth, index == 0, false);
+            self.indent(depth);
+            for (index, word) in statement.words.iter().enumerate() {
+                if index > 0 {
                     self.out.push(' ');
                 }
                 self.raw(word.span);
@@ -95,7 +95,7 @@
         self.out.push('\n');
         self.statements(&block.statements, depth + 1);
         self.trivia(&block.after, depth + 1, block.statements.is_empty(), true);
-        self.line(depth);
+        self.indent(depth);
         self.out.push('}');
     }
 }
--- /dev/null
+++ b/crates/config/src/keywords.rs
@@ -0,0 +1,27 @@
+//! Keywords of values, for reading and for writing.
+
+use pumicehead_policy::{DedupScope, Discovery};
+
+use crate::model::Protocol;
+
+/// Values of `protocol`.
+pub(crate) const PROTOCOLS: [(&str, Protocol); 2] =
+    [("http", Protocol::Http), ("fastcgi", Protocol::FastCgi)];
+/// First values of `discovery`.
+pub(crate) const DISCOVERY_MODES: [(&str, Discovery); 2] =
+    [("watch", Discovery::Poll), ("agent", Discovery::Push)];
+/// Values of `hedge`.
+pub(crate) const SWITCH: [(&str, bool); 2] = [("on", true), ("off", false)];
+/// Values of `order`; true where requests with the same key are ordered.
+pub(crate) const ORDERS: [(&str, bool); 2] = [("key", true), ("none", false)];
+/// Values of `log-form`; true where log lines are JSON.
+pub(crate) const LOG_FORMS: [(&str, bool); 2] = [("text", false), ("json", true)];
+/// Groups of endpoints in `repeats keyed by HEADER within GROUP for SPAN`.
+pub(crate) const DEDUP_SCOPES: [(&str, DedupScope); 3] =
+    [("pool", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
+
+/// The keyword of a value; every value of a table's type has one.
+pub(crate) fn keyword<T: PartialEq>(table: &[(&'static str, T)], value: &T) -> &'static str {
+    let found = table.iter().find(|(_, known)| known == value);
+    found.map(|(keyword, _)| *keyword).expect("the table has every value")
+}
--- a/crates/config/src/lexer.rs
+++ b/crates/config/src/lexer.rs
@@ -1,18 +1,23 @@
-//! Tokens.
+//! The lexer: from text to tokens.
 
 use logos::Logos;
 
-use crate::diag::Diagnostic;
+use crate::diagnostic::Diagnostic;
 use crate::span::{FileId, Span};
 
-/// Longest line: no setting comes near, and an editor shows none longer.
-pub const LONGEST_LINE: usize = 4_096;
+/// Longest line, in bytes.
+pub const MAX_LINE_BYTES: usize = 4_096;
 
-/// A token; spaces and tabs only part them.
+/// Characters without a width.
+const ZERO_WIDTH: [char; 5] = ['\u{feff}', '\u{200b}', '\u{200c}', '\u{200d}', '\u{2060}'];
+/// Quotes that word processors put in place of `"` and `'`.
+const TYPOGRAPHIC_QUOTES: [char; 4] = ['\u{201c}', '\u{201d}', '\u{2018}', '\u{2019}'];
+
+/// A token; spaces and tabs only separate tokens.
 #[derive(Logos, Clone, Copy, Debug, PartialEq, Eq)]
 #[logos(skip r"[ \t]+")]
 pub enum Token {
-    /// The end of a line, and so of a statement.
+    /// The end of a line, which also ends a statement.
     #[regex(r"\r?\n")]
     Newline,
     /// From `#` to the end of the line.
@@ -35,25 +40,25 @@
     Semicolon,
 }
 
-/// A token and its place.
+/// A token and its span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lexeme {
-    /// What.
+    /// The token.
     pub token: Token,
-    /// Where.
+    /// Where it is.
     pub span: Span,
 }
 
-/// The tokens of a text. The text must be shorter than 4 GiB.
+/// Splits a text into tokens. The text must be shorter than 4 GiB.
 ///
 /// # Errors
-/// The first thing that is no token, and lines of more than [`LONGEST_LINE`] bytes.
+/// The first text that is not a token, and lines of more than [`MAX_LINE_BYTES`] bytes.
 pub fn lex(file: FileId, text: &str) -> Result<Vec<Lexeme>, Diagnostic> {
     let at = |start: usize, end: usize| Span { file, start: start as u32, end: end as u32 };
     let mut start = 0;
     for line in text.split_inclusive('\n') {
-        if line.len() > LONGEST_LINE {
-            let message = format!("a line of {} bytes; the longest may have {LONGEST_LINE}", line.len());
+        if line.len() > MAX_LINE_BYTES {
+            let message = format!("a line of {} bytes; the longest may have {MAX_LINE_BYTES}", line.len());
             return Err(Diagnostic::error("line-too-long", at(start, start + 1), message));
         }
         start += line.len();
@@ -67,78 +72,80 @@
                 lexemes.push(Lexeme { token: Token::Word, span });
             }
             Ok(token) => lexemes.push(Lexeme { token, span }),
-            Err(()) => return Err(no_token(text, range.start, at)),
+            Err(()) => return Err(invalid_token(text, range.start, at)),
         }
     }
     Ok(lexemes)
 }
 
 fn check_word(word: &str, span: Span) -> Result<(), Diagnostic> {
-    // Pasted text brings spaces that look like spaces and quotes that look like quotes.
-    let odd = |c: &char| {
-        c.is_whitespace() || c.is_control() || "\u{feff}\u{200b}\u{200c}\u{200d}\u{2060}".contains(*c)
-    };
-    if let Some((place, c)) = word.char_indices().find(|(_, c)| odd(c)) {
-        let start = span.start + place as u32;
-        let span = Span { start, end: start + c.len_utf8() as u32, ..span };
+    // Pasted text may have other spaces and quotes that look like the ASCII ones.
+    if let Some((offset, c)) = word.char_indices().find(|(_, c)| is_invisible(*c)) {
         let message = format!("the invisible character U+{:04X}", u32::from(c));
-        return Err(
-            Diagnostic::error("invisible-character", span, message).help("replace it by a plain space")
-        );
+        let diagnostic = Diagnostic::error("invisible-character", char_span(span, offset, c), message);
+        return Err(diagnostic.help("replace it by a plain space"));
     }
-    if let Some((place, c)) =
-        word.char_indices().find(|(_, c)| "\u{201c}\u{201d}\u{2018}\u{2019}".contains(*c))
-    {
-        let start = span.start + place as u32;
-        let span = Span { start, end: start + c.len_utf8() as u32, ..span };
+    if let Some((offset, c)) = word.char_indices().find(|(_, c)| TYPOGRAPHIC_QUOTES.contains(c)) {
         let message = format!("the typographic quote `{c}`");
-        return Err(Diagnostic::error("typographic-quote", span, message).help("quote values with `\"`"));
+        let diagnostic = Diagnostic::error("typographic-quote", char_span(span, offset, c), message);
+        return Err(diagnostic.help("quote values with `\"`"));
     }
     Ok(())
 }
 
-fn no_token(text: &str, start: usize, at: impl Fn(usize, usize) -> Span) -> Diagnostic {
+fn is_invisible(c: char) -> bool {
+    c.is_whitespace() || c.is_control() || ZERO_WIDTH.contains(&c)
+}
+
+/// The span of a character at a byte offset in a word.
+fn char_span(word: Span, offset: usize, c: char) -> Span {
+    let start = word.start + offset as u32;
+    Span { start, end: start + c.len_utf8() as u32, ..word }
+}
+
+/// The error for text that is no token, at `start`.
+fn invalid_token(text: &str, start: usize, span: impl Fn(usize, usize) -> Span) -> Diagnostic {
     let rest = &text[start..];
     let first = rest.chars().next().unwrap_or_default();
     let end = start + first.len_utf8();
     match first {
-        '"' => {
-            let line = rest.find(['\r', '\n']).unwrap_or(rest.len());
-            let inside = &rest[1..line];
-            let mut escaped = false;
-            for (place, c) in inside.char_indices() {
-                let here = start + 1 + place;
-                if escaped && c != '"' && c != '\\' {
-                    let message = format!("`\\{c}` stands for nothing");
-                    let span = at(here - 1, here + c.len_utf8());
-                    return Diagnostic::error("unknown-escape", span, message)
-                        .help("only `\\\"` and `\\\\` are written with a backslash");
-                }
-                if c.is_control() && c != '\t' {
-                    return control(c, at(here, here + c.len_utf8()));
-                }
-                if c == '\t' {
-                    return Diagnostic::error("control-character", at(here, here + 1), "a tab inside quotes")
-                        .help("write a space");
-                }
-                escaped = !escaped && c == '\\';
-            }
-            Diagnostic::error(
-                "unclosed-quote",
-                at(start, start + line),
-                "a quote that its line does not close",
-            )
-            .help("close it with `\"`")
-        }
+        '"' => invalid_quote(rest, start, span),
         '\r' => {
-            Diagnostic::error("bare-carriage-return", at(start, end), "a carriage return without a newline")
+            Diagnostic::error("bare-carriage-return", span(start, end), "a carriage return without a newline")
                 .help("end lines with a newline, or with both")
         }
-        c => control(c, at(start, end)),
+        c => control_character(c, span(start, end)),
+    }
+}
+
+/// The error for a quoted value that is no token: a bad escape, a control character, or no end on its line. `rest` begins
+/// with the quote, at `start`.
+fn invalid_quote(rest: &str, start: usize, span: impl Fn(usize, usize) -> Span) -> Diagnostic {
+    let line_end = rest.find(['\r', '\n']).unwrap_or(rest.len());
+    let inside = &rest[1..line_end];
+    let mut escaped = false;
+    for (offset, c) in inside.char_indices() {
+        let here = start + 1 + offset;
+        if escaped && c != '"' && c != '\\' {
+            let message = format!("`\\{c}` stands for nothing");
+            let span = span(here - 1, here + c.len_utf8());
+            return Diagnostic::error("unknown-escape", span, message)
+                .help("only `\\\"` and `\\\\` are written with a backslash");
+        }
+        if c.is_control() && c != '\t' {
+            return control_character(c, span(here, here + c.len_utf8()));
+        }
+        if c == '\t' {
+            return Diagnostic::error("control-character", span(here, here + 1), "a tab inside quotes")
+                .help("write a space");
+        }
+        escaped = !escaped && c == '\\';
     }
+    let message = "a quote that its line does not close";
+    Diagnostic::error("unclosed-quote", span(start, start + line_end), message).help("close it with `\"`")
 }
 
-fn control(c: char, span: Span) -> Diagnostic {
+fn control_character(c: char, span: Span) -> Diagnostic {
     Diagnostic::error("control-character", span, format!("the control character U+{:04X}", u32::from(c)))
         .help("remove it")
 }
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -1,163 +1,129 @@
-//! A file with all that it includes.
+//! Reads a file and its includes.
 
-use std::collections::HashMap;
+use std::collections::HashSet;
 use std::path::{Path, PathBuf};
 
 use thiserror::Error;
 
-use crate::diag::{Diagnostic, Severity};
+use crate::diagnostic::{Diagnostic, Severity};
 use crate::span::{FileId, Sources, Span};
 use crate::syntax::{self, Statement, Word};
 
-/// Largest file: some 100,000 routes.
-pub const LARGEST_FILE: u64 = 4 << 20;
-/// Most bytes of all files together, and with them the memory that a reload takes.
-pub const LARGEST_TOTAL: u64 = 32 << 20;
-/// Most files.
-pub const MOST_FILES: usize = 1_024;
-/// Longest chain of includes.
-pub const LONGEST_CHAIN: usize = 16;
+/// Largest file, in bytes: some 100,000 routes.
+pub const MAX_FILE_BYTES: u64 = 4 << 20;
+/// Most bytes of all files together. It bounds the memory that a reload takes.
+pub const MAX_TOTAL_BYTES: u64 = 32 << 20;
+/// Most files of a configuration.
+pub const MAX_FILES: usize = 1_024;
+/// Deepest nesting of includes.
+pub const MAX_INCLUDE_DEPTH: usize = 16;
 
 /// Why a file can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum ReadFault {
-    /// It isn't there.
+pub enum ReadError {
+    /// It does not exist.
     #[error("there is no such file")]
     Missing,
-    /// A directory.
+    /// It is a directory.
     #[error("it is a directory")]
     Directory,
-    /// A pipe, a socket or a device: reading it may never end.
+    /// It is a pipe, a socket or a device, whose read may never end.
     #[error("it is no regular file")]
     NotRegular,
-    /// No permission.
+    /// There is no permission to read it.
     #[error("no permission to read it")]
     Denied,
-    /// Too large.
-    #[error("it has {0} bytes; the largest may have {LARGEST_FILE}")]
+    /// It is larger than [`MAX_FILE_BYTES`]; its size in bytes.
+    #[error("it has {0} bytes; the largest may have {MAX_FILE_BYTES}")]
     TooLarge(u64),
-    /// Anything else.
+    /// Another error of the system.
     #[error("{0}")]
     Other(String),
 }
 
-/// Where files come from.
+/// The files that a configuration is read from.
 pub trait Files {
-    /// A file's bytes.
+    /// Reads a file.
     ///
     /// # Errors
     /// Why it can't be read.
-    fn read(&self, path: &Path) -> Result<Vec<u8>, ReadFault>;
+    fn read(&self, path: &Path) -> Result<Vec<u8>, ReadError>;
 
-    /// The names in a directory, in any order.
+    /// Lists the names in a directory, in any order.
     ///
     /// # Errors
     /// Why it can't be listed.
-    fn list(&self, directory: &Path) -> Result<Vec<String>, ReadFault>;
+    fn list(&self, directory: &Path) -> Result<Vec<String>, ReadError>;
 
-    /// The same for two paths that lead to one file.
+    /// A path that is the same for all paths to one file.
     fn identity(&self, path: &Path) -> PathBuf;
 }
 
-/// All statements of a file and those that it includes, in the places of the includes.
+/// The statements of a file, with those of the files that it includes in place of the includes.
 pub struct Loaded {
-    /// The texts.
+    /// The texts that spans refer to.
     pub sources: Sources,
-    /// Errors.
+    /// Errors, in the order of reading.
     pub diagnostics: Vec<Diagnostic>,
-    /// The statements, without includes.
+    /// The statements in order.
     pub statements: Vec<Statement>,
 }
 
-/// Reads a file with all that it includes. A file that is included twice counts once.
+/// Reads a file and its includes. A file that is included twice is read once.
 pub fn load(files: &dyn Files, path: &Path) -> Loaded {
     let mut loader = Loader {
         files,
         loaded: Loaded { sources: Sources::default(), diagnostics: Vec::new(), statements: Vec::new() },
         chain: Vec::new(),
-        done: HashMap::new(),
-        total: 0,
+        done: HashSet::new(),
+        total_bytes: 0,
     };
-    loader.file(path, None);
+    loader.load_file(path, None);
     loader.loaded
 }
 
+/// A file that is being read.
+struct OpenFile {
+    identity: PathBuf,
+    path: PathBuf,
+    /// The include that led to it; `None` for the first file.
+    included_at: Option<Span>,
+}
+
 struct Loader<'a> {
     files: &'a dyn Files,
     loaded: Loaded,
-    /// Files that are being read, with the place of the include that led there.
-    chain: Vec<(PathBuf, PathBuf, Option<Span>)>,
-    done: HashMap<PathBuf, FileId>,
-    total: u64,
+    /// The files that are being read, each included by the one before it.
+    chain: Vec<OpenFile>,
+    /// Identities of the files that were read.
+    done: HashSet<PathBuf>,
+    total_bytes: u64,
 }
 
 impl Loader<'_> {
-    fn fault(&mut self, span: Option<Span>, code: &'static str, message: String, help: Option<&str>) {
+    fn error(&mut self, span: Option<Span>, code: &'static str, message: String, help: Option<&str>) {
         let severity = Severity::Error;
         let help = help.map(Into::into);
         let diagnostic = Diagnostic { severity, code, span, message, help, notes: Vec::new() };
         self.loaded.diagnostics.push(diagnostic);
     }
 
-    fn file(&mut self, path: &Path, from: Option<Span>) {
+    fn load_file(&mut self, path: &Path, included_at: Option<Span>) {
         let identity = self.files.identity(path);
-        if let Some(first) = self.chain.iter().position(|(known, ..)| *known == identity) {
-            let mut names: Vec<_> =
-                self.chain[first..].iter().map(|(_, p, _)| p.display().to_string()).collect();
-            names.push(path.display().to_string());
-            let message = format!("a file includes itself: {}", names.join(" -> "));
-            let notes = self.chain[first + 1..].iter().filter_map(|(.., at)| *at);
-            let notes = notes.map(|at| (at, "on the way round".into())).collect();
-            return self.loaded.diagnostics.push(Diagnostic {
-                severity: Severity::Error,
-                code: "circular-include",
-                span: from,
-                message,
-                help: Some("remove one of the includes".into()),
-                notes,
-            });
+        if let Some(first) = self.chain.iter().position(|file| file.identity == identity) {
+            return self.report_circle(first, path, included_at);
         }
-        if self.done.contains_key(&identity) {
+        if self.done.contains(&identity) || !self.is_within_limits(included_at) {
             return;
         }
-        if self.chain.len() == LONGEST_CHAIN {
-            return self.fault(
-                from,
-                "include-chain",
-                format!("more than {LONGEST_CHAIN} files include one another"),
-                None,
-            );
-        }
-        if self.loaded.sources.len() == MOST_FILES {
-            // Once: every further include would say the same.
-            if !self.loaded.diagnostics.iter().any(|one| one.code == "too-many-files") {
-                self.fault(from, "too-many-files", format!("more than {MOST_FILES} files"), None);
-            }
-            return;
-        }
-        let bytes = match self.files.read(path) {
-            Ok(bytes) => bytes,
-            Err(fault) => {
-                let message = format!("can't read {}: {fault}", path.display());
-                let help = match fault {
-                    ReadFault::Directory => Some("include the files in it: `include DIRECTORY/*.conf`"),
-                    _ => None,
-                };
-                return self.fault(from, "unreadable-file", message, help);
-            }
-        };
-        self.total += bytes.len() as u64;
-        if self.total > LARGEST_TOTAL {
-            let message = format!("all files together have more than {LARGEST_TOTAL} bytes");
-            return self.fault(from, "too-large", message, None);
-        }
-        let Some(file) = self.text(path, bytes) else { return };
-        self.done.insert(identity.clone(), file);
+        let Some(bytes) = self.read(path, included_at) else { return };
+        let Some(file) = self.decode(path, bytes) else { return };
+        self.done.insert(identity.clone());
         let text = self.loaded.sources.get(file).map_or("", |source| &source.text);
         match syntax::parse(file, text) {
-            Err(faults) => self.loaded.diagnostics.extend(faults),
+            Err(diagnostics) => self.loaded.diagnostics.extend(diagnostics),
             Ok(tree) => {
-                self.chain.push((identity, path.into(), from));
+                self.chain.push(OpenFile { identity, path: path.into(), included_at });
                 for statement in tree.statements {
                     if *statement.name().text == *"include" && !statement.name().quoted {
                         self.include(path, &statement);
@@ -170,11 +136,67 @@
         }
     }
 
-    /// Decodes a file and adds it to the sources; what is no UTF-8 is reported by its place.
-    fn text(&mut self, path: &Path, bytes: Vec<u8>) -> Option<FileId> {
+    /// Reports that a file includes itself. `first` is its index in the chain.
+    fn report_circle(&mut self, first: usize, path: &Path, included_at: Option<Span>) {
+        let circle = self.chain[first..].iter().map(|file| file.path.display().to_string());
+        let names: Vec<_> = circle.chain([path.display().to_string()]).collect();
+        let includes = self.chain[first + 1..].iter().filter_map(|file| file.included_at);
+        let notes = includes.map(|span| (span, "on the way round".into())).collect();
+        self.loaded.diagnostics.push(Diagnostic {
+            severity: Severity::Error,
+            code: "circular-include",
+            span: included_at,
+            message: format!("a file includes itself: {}", names.join(" -> ")),
+            help: Some("remove one of the includes".into()),
+            notes,
+        });
+    }
+
+    /// Whether one more file may be read; reports the limit that it would exceed.
+    fn is_within_limits(&mut self, included_at: Option<Span>) -> bool {
+        if self.chain.len() == MAX_INCLUDE_DEPTH {
+            let message = format!("more than {MAX_INCLUDE_DEPTH} files include one another");
+            self.error(included_at, "include-chain", message, None);
+            return false;
+        }
+        if self.loaded.sources.len() == MAX_FILES {
+            // Reported once, not for every further include.
+            if !self.loaded.diagnostics.iter().any(|diagnostic| diagnostic.code == "too-many-files") {
+                self.error(included_at, "too-many-files", format!("more than {MAX_FILES} files"), None);
+            }
+            return false;
+        }
+        true
+    }
+
+    /// Reads a file; `None` where it can't be read or all files are too large, which is reported.
+    fn read(&mut self, path: &Path, included_at: Option<Span>) -> Option<Vec<u8>> {
+        let bytes = match self.files.read(path) {
+            Ok(bytes) => bytes,
+            Err(error) => {
+                let message = format!("can't read {}: {error}", path.display());
+                let help = match error {
+                    ReadError::Directory => Some("include the files in it: `include DIRECTORY/*.conf`"),
+                    _ => None,
+                };
+                self.error(included_at, "unreadable-file", message, help);
+                return None;
+            }
+        };
+        self.total_bytes += bytes.len() as u64;
+        if self.total_bytes > MAX_TOTAL_BYTES {
+            let message = format!("all files together have more than {MAX_TOTAL_BYTES} bytes");
+            self.error(included_at, "too-large", message, None);
+            return None;
+        }
+        Some(bytes)
+    }
+
+    /// Decodes a file and adds it to the sources; bytes that are not UTF-8 are reported.
+    fn decode(&mut self, path: &Path, bytes: Vec<u8>) -> Option<FileId> {
         match String::from_utf8(bytes) {
             Ok(mut text) => {
-                // Some editors leave a mark of the byte order; places count from behind it.
+                // Some editors write a byte order mark; spans count from after it.
                 if text.starts_with('\u{feff}') {
                     text.drain(..'\u{feff}'.len_utf8());
                 }
@@ -187,55 +209,61 @@
                 let file = self.loaded.sources.add(path, String::from_utf8_lossy(&bytes).into_owned());
                 let span = Span { file, start: valid as u32, end: valid as u32 + 1 };
                 let message = format!("the byte 0x{byte:02X} is not UTF-8");
-                self.fault(Some(span), "not-utf8", message, Some("save the file as UTF-8"));
+                self.error(Some(span), "not-utf8", message, Some("save the file as UTF-8"));
                 None
             }
         }
     }
 
+    /// Reads the files of an `include`.
     fn include(&mut self, from: &Path, statement: &Statement) {
         let span = statement.span();
         let [_, target] = &statement.words[..] else {
-            return self.fault(Some(span), "include-form", "`include` takes one path".into(), None);
+            return self.error(Some(span), "include-form", "`include` takes one path".into(), None);
         };
         if let Some(block) = &statement.block {
-            return self.fault(Some(block.braces.0), "include-form", "`include` takes no block".into(), None);
+            return self.error(
+                Some(block.open_brace),
+                "include-form",
+                "`include` takes no block".into(),
+                None,
+            );
         }
         let directory = from.parent().unwrap_or(Path::new(""));
         let path = directory.join(&*target.text);
         match &*target.text {
-            "" => self.fault(Some(target.span), "include-form", "an empty path".into(), None),
+            "" => self.error(Some(target.span), "include-form", "an empty path".into(), None),
             text if text.contains('*') => self.include_all(&path, target),
-            _ => self.file(&path, Some(target.span)),
+            _ => self.load_file(&path, Some(target.span)),
         }
     }
 
-    /// `*` stands for any part of a file's name; hidden files are left out, as shells do it.
+    /// Includes all files of a directory whose names match a pattern; hidden files are left out, as in shells.
     fn include_all(&mut self, path: &Path, target: &Word) {
         let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default().to_owned();
         let directory = path.parent().unwrap_or(Path::new(""));
         if directory.to_string_lossy().contains('*') || !name.contains('*') {
             let message = "`*` stands in the name of the file only, not of a directory".into();
-            return self.fault(Some(target.span), "include-form", message, None);
+            return self.error(Some(target.span), "include-form", message, None);
         }
         let mut names = match self.files.list(directory) {
             Ok(names) => names,
-            Err(fault) => {
-                let message = format!("can't list {}: {fault}", directory.display());
-                return self.fault(Some(target.span), "unreadable-file", message, None);
+            Err(error) => {
+                let message = format!("can't list {}: {error}", directory.display());
+                return self.error(Some(target.span), "unreadable-file", message, None);
             }
         };
-        names.retain(|entry| !entry.starts_with('.') && fits(&name, entry));
-        // The order of a directory is nobody's choice; that of names is the operator's.
+        names.retain(|entry| !entry.starts_with('.') && matches(&name, entry));
+        // A directory has no defined order; the order of names is chosen by the operator.
         names.sort_unstable();
         for entry in names {
-            self.file(&directory.join(entry), Some(target.span));
+            self.load_file(&directory.join(entry), Some(target.span));
         }
     }
 }
 
-/// Whether a name fits a pattern in which `*` stands for any text.
-fn fits(pattern: &str, name: &str) -> bool {
+/// Whether a name matches a pattern in which `*` stands for any text.
+fn matches(pattern: &str, name: &str) -> bool {
     let mut parts = pattern.split('*');
     let first = parts.next().unwrap_or_default();
     let Some(mut rest) = name.strip_prefix(first) else { return false };
--- /dev/null
+++ b/crates/config/src/model/spans.rs
@@ -0,0 +1,88 @@
+//! Where the entries and settings of a configuration are written.
+
+use std::fmt;
+use std::ops::{Deref, Index};
+
+use crate::span::Span;
+
+/// Spans of an entry: of its name, and of each setting that is written.
+#[derive(Clone, Default, PartialEq)]
+pub struct EntrySpans {
+    /// Span of the name.
+    pub name: Span,
+    /// Spans of the settings, by keyword.
+    pub settings: SettingSpans,
+}
+
+// The text of `explain::dump` has these names; they must not change.
+impl fmt::Debug for EntrySpans {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Places").field("name", &self.name).field("values", &self.settings).finish()
+    }
+}
+
+/// Spans of settings, sorted by keyword. A sorted list takes less memory than a map: an entry has few settings, and there
+/// may be thousands of entries.
+#[derive(Clone, Default, PartialEq)]
+pub struct SettingSpans(Vec<(&'static str, Span)>);
+
+// The text of `explain::dump` has this name; it must not change.
+impl fmt::Debug for SettingSpans {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_tuple("ValuePlaces").field(&self.0).finish()
+    }
+}
+
+impl SettingSpans {
+    /// The span of a setting, if it is written.
+    #[must_use]
+    pub fn get(&self, keyword: &str) -> Option<&Span> {
+        let found = self.search(keyword).ok()?;
+        Some(&self.0[found].1)
+    }
+
+    /// Adds the span of a setting, unless there is one already.
+    pub fn insert_first(&mut self, keyword: &'static str, span: Span) {
+        if let Err(position) = self.search(keyword) {
+            self.0.insert(position, (keyword, span));
+        }
+    }
+
+    fn search(&self, keyword: &str) -> Result<usize, usize> {
+        self.0.binary_search_by(|(known, _)| (*known).cmp(keyword))
+    }
+}
+
+impl Index<&str> for SettingSpans {
+    type Output = Span;
+
+    /// The span of a setting that is known to be written.
+    fn index(&self, keyword: &str) -> &Span {
+        self.get(keyword).expect("the setting is written")
+    }
+}
+
+/// An entry with the spans at which it is written. It dereferences to the entry.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Spanned<T> {
+    /// The entry.
+    pub value: T,
+    /// Where it is written; the default where it is not.
+    pub spans: EntrySpans,
+}
+
+impl<T> Spanned<T> {
+    /// An entry that is not written in any file.
+    #[must_use]
+    pub fn unwritten(value: T) -> Self {
+        Self { value, spans: EntrySpans::default() }
+    }
+}
+
+impl<T> Deref for Spanned<T> {
+    type Target = T;
+
+    fn deref(&self) -> &T {
+        &self.value
+    }
+}
--- a/crates/config/src/route_table.rs
+++ b/crates/config/src/route_table.rs
@@ -1,7 +1,7 @@
-//! The routes of a configuration as a running node keeps them: compact, without text, places or trees.
+//! The routes of a configuration as a running node keeps them: compact, without text, spans or trees.
 //!
-//! Patterns lie in the matcher, names in one text, and the rest in records of numbers; what differs little between
-//! routes is stored once. A difference against a newer configuration reads the routes back.
+//! Patterns are in the matcher, names in one text, and the rest in records of numbers; equal tenants and keys are stored
+//! once. The routes can be restored, for the difference to a newer configuration.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -9,16 +9,16 @@
 
 use pumicehead_route::Matcher;
 
-use crate::model::{KeyOf, Places, Route, TenantOf};
+use crate::model::{EntrySpans, KeySource, Route, TenantSource};
 
-/// What a route does with its requests. The numbers of class and pool are places in the configuration.
+/// Where a route leads. Class and pool are indices in the configuration.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     class: u32,
     pool: u32,
-    /// Among the distinct ones.
+    /// Index in `tenants`.
     tenant: u32,
-    /// Among the distinct ones.
+    /// Index in `keys`.
     key: u32,
 }
 
@@ -28,16 +28,16 @@
     matcher: Matcher,
     entries: Box<[Entry]>,
     names: Box<str>,
-    /// Where each name ends in `names`; it begins where the one before it ends.
+    /// End of each name in `names`; a name begins at the end of the previous one.
     name_ends: Box<[u32]>,
-    /// Each once.
-    tenants: Box<[TenantOf]>,
-    /// Each once.
-    keys: Box<[KeyOf]>,
+    /// Distinct values.
+    tenants: Box<[TenantSource]>,
+    /// Distinct values.
+    keys: Box<[KeySource]>,
 }
 
 impl RouteTable {
-    /// Of a configuration's routes.
+    /// Builds the table of a configuration's routes.
     #[must_use]
     pub fn new(routes: &[Route]) -> Self {
         let mut tenants = Distinct::default();
@@ -45,8 +45,8 @@
         let entry = |route: &Route| Entry {
             class: route.class as u32,
             pool: route.pool as u32,
-            tenant: tenants.place(&route.tenant),
-            key: keys.place(&route.key),
+            tenant: tenants.index_of(&route.tenant),
+            key: keys.index_of(&route.key),
         };
         let entries = routes.iter().map(entry).collect();
         let mut names = String::with_capacity(routes.iter().map(|route| route.name.len()).sum());
@@ -77,72 +77,72 @@
         self.entries.is_empty()
     }
 
-    /// Which route a request takes; its answers are places here.
+    /// Finds the route that a request takes, as an index of this table.
     #[must_use]
     pub fn matcher(&self) -> &Matcher {
         &self.matcher
     }
 
-    /// A route's name.
+    /// The name of a route.
     #[must_use]
-    pub fn name(&self, place: usize) -> &str {
-        let start = place.checked_sub(1).map_or(0, |before| self.name_ends[before]);
-        &self.names[start as usize..self.name_ends[place] as usize]
+    pub fn name(&self, index: usize) -> &str {
+        let start = index.checked_sub(1).map_or(0, |before| self.name_ends[before]);
+        &self.names[start as usize..self.name_ends[index] as usize]
     }
 
-    /// The class of a route's requests, by its place.
+    /// Index of the class of a route's requests.
     #[must_use]
-    pub fn class(&self, place: usize) -> usize {
-        self.entries[place].class as usize
+    pub fn class(&self, index: usize) -> usize {
+        self.entries[index].class as usize
     }
 
-    /// The pool that a route leads to, by its place.
+    /// Index of the pool that a route leads to.
     #[must_use]
-    pub fn pool(&self, place: usize) -> usize {
-        self.entries[place].pool as usize
+    pub fn pool(&self, index: usize) -> usize {
+        self.entries[index].pool as usize
     }
 
-    /// How the tenant of a route's requests is known.
+    /// How the tenant of a route's requests is found.
     #[must_use]
-    pub fn tenant(&self, place: usize) -> &TenantOf {
-        &self.tenants[self.entries[place].tenant as usize]
+    pub fn tenant(&self, index: usize) -> &TenantSource {
+        &self.tenants[self.entries[index].tenant as usize]
     }
 
-    /// Where the key of a route's requests stands.
+    /// Where the key of a route's requests is found.
     #[must_use]
-    pub fn key(&self, place: usize) -> &KeyOf {
-        &self.keys[self.entries[place].key as usize]
+    pub fn key(&self, index: usize) -> &KeySource {
+        &self.keys[self.entries[index].key as usize]
     }
 
-    /// A route again, without its places in files.
+    /// Restores a route, without its spans.
     #[must_use]
-    pub fn route(&self, place: usize) -> Route {
+    pub fn route(&self, index: usize) -> Route {
         Route {
-            name: self.name(place).to_owned(),
-            pattern: self.matcher.route(place),
-            class: self.class(place),
-            pool: self.pool(place),
-            tenant: self.tenant(place).clone(),
-            key: self.key(place).clone(),
-            at: Places::default(),
+            name: self.name(index).to_owned(),
+            pattern: self.matcher.route(index),
+            class: self.class(index),
+            pool: self.pool(index),
+            tenant: self.tenant(index).clone(),
+            key: self.key(index).clone(),
+            spans: EntrySpans::default(),
         }
     }
 
-    /// All routes again, without their places in files.
+    /// Restores all routes, without their spans.
     pub fn routes(&self) -> impl ExactSizeIterator<Item = Route> {
-        (0..self.len()).map(|place| self.route(place))
+        (0..self.len()).map(|index| self.route(index))
     }
 
     /// Bytes on the heap, without the allocator's own overhead.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
-        let tenant_text = |tenant: &TenantOf| match tenant {
-            TenantOf::Header(name) => name.capacity(),
-            TenantOf::None | TenantOf::Fixed(_) => 0,
+        let tenant_text = |tenant: &TenantSource| match tenant {
+            TenantSource::Header(name) => name.capacity(),
+            TenantSource::None | TenantSource::Fixed(_) => 0,
         };
-        let key_text = |key: &KeyOf| match key {
-            KeyOf::Header(name) => name.capacity(),
-            KeyOf::None | KeyOf::Segment(_) | KeyOf::Last => 0,
+        let key_text = |key: &KeySource| match key {
+            KeySource::Header(name) => name.capacity(),
+            KeySource::None | KeySource::Segment(_) | KeySource::Last => 0,
         };
         self.matcher.memory_bytes()
             + size_of_val(&*self.entries)
@@ -155,27 +155,27 @@
     }
 }
 
-/// Values that are listed once each.
+/// A list of distinct values.
 struct Distinct<T> {
     list: Vec<T>,
-    places: HashMap<T, u32>,
+    indices: HashMap<T, u32>,
 }
 
 impl<T> Default for Distinct<T> {
     fn default() -> Self {
-        Self { list: Vec::new(), places: HashMap::new() }
+        Self { list: Vec::new(), indices: HashMap::new() }
     }
 }
 
 impl<T: Clone + Eq + Hash> Distinct<T> {
-    /// The place of a value in the list, where it is added if it is new.
-    fn place(&mut self, value: &T) -> u32 {
-        if let Some(&place) = self.places.get(value) {
-            return place;
+    /// The index of a value in the list; a new value is added.
+    fn index_of(&mut self, value: &T) -> u32 {
+        if let Some(&index) = self.indices.get(value) {
+            return index;
         }
-        let place = self.list.len() as u32;
+        let index = self.list.len() as u32;
         self.list.push(value.clone());
-        self.places.insert(value.clone(), place);
-        place
+        self.indices.insert(value.clone(), index);
+        index
     }
 }
--- a/crates/config/src/span.rs
+++ b/crates/config/src/span.rs
@@ -1,19 +1,19 @@
-//! Places in files.
+//! Files that were read, and places in them.
 
 use std::path::{Path, PathBuf};
 
-/// A file that was read, by the order of reading.
+/// Number of a file, in the order of reading.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FileId(pub u32);
 
-/// Bytes of a file, from `start` to before `end`.
+/// A range of bytes in a file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Span {
     /// The file.
     pub file: FileId,
-    /// First byte.
+    /// Offset of the first byte.
     pub start: u32,
-    /// Past the last byte.
+    /// Offset after the last byte.
     pub end: u32,
 }
 
@@ -24,7 +24,7 @@
         Self { end: other.end.max(self.end), ..self }
     }
 
-    /// Its bytes.
+    /// The range of byte offsets.
     #[must_use]
     pub fn range(self) -> std::ops::Range<usize> {
         self.start as usize..self.end as usize
@@ -34,18 +34,18 @@
 /// A file's text.
 #[derive(Clone, Debug)]
 pub struct Source {
-    /// As it was named.
+    /// Path of the file, as it was given.
     pub path: PathBuf,
-    /// Its text; what is not UTF-8 is replaced.
+    /// Its text; bytes that are not UTF-8 are replaced.
     pub text: String,
 }
 
-/// A line and a column, both from 1; the column counts characters.
+/// A position in a text: line and column from 1; columns count characters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// Line.
+pub struct LineColumn {
+    /// Number of the line.
     pub line: usize,
-    /// Column.
+    /// Number of the column.
     pub column: usize,
 }
 
@@ -54,20 +54,13 @@
 pub struct Sources(Vec<Source>);
 
 impl Sources {
-    /// Adds one.
+    /// Adds a file.
     pub fn add(&mut self, path: &Path, text: String) -> FileId {
         self.0.push(Source { path: path.into(), text });
         FileId(self.0.len() as u32 - 1)
     }
 
-    /// Gives one the text it has after all.
-    pub fn set_text(&mut self, file: FileId, text: String) {
-        if let Some(source) = self.0.get_mut(file.0 as usize) {
-            source.text = text;
-        }
-    }
-
-    /// How many there are.
+    /// The number of files.
     #[must_use]
     pub fn len(&self) -> usize {
         self.0.len()
@@ -79,20 +72,20 @@
         self.0.is_empty()
     }
 
-    /// One of them.
+    /// A file by its number.
     #[must_use]
     pub fn get(&self, file: FileId) -> Option<&Source> {
         self.0.get(file.0 as usize)
     }
 
-    /// All, in the order of reading.
+    /// All files in the order of reading.
     pub fn iter(&self) -> impl Iterator<Item = &Source> {
         self.0.iter()
     }
 
-    /// Where a span starts.
+    /// The position of the start of a span.
     #[must_use]
-    pub fn place(&self, span: Span) -> Place {
+    pub fn line_column(&self, span: Span) -> LineColumn {
         let text = self.get(span.file).map_or("", |source| &source.text);
         let mut start = (span.start as usize).min(text.len());
         while !text.is_char_boundary(start) {
@@ -100,16 +93,16 @@
         }
         let before = &text[..start];
         let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
-        Place {
+        LineColumn {
             line: before.bytes().filter(|&byte| byte == b'\n').count() + 1,
             column: before[line_start..].chars().count() + 1,
         }
     }
 
-    /// `path:line` of a span.
+    /// The start of a span as `path:line`.
     #[must_use]
-    pub fn line(&self, span: Span) -> String {
+    pub fn path_and_line(&self, span: Span) -> String {
         let path = self.get(span.file).map(|source| source.path.display().to_string()).unwrap_or_default();
-        format!("{path}:{}", self.place(span).line)
+        format!("{path}:{}", self.line_column(span).line)
     }
 }
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -1,55 +1,57 @@
-//! Trees of statements that keep every comment and place.
+//! The parser: from tokens to a tree of statements, with all comments and spans.
 
-use crate::diag::Diagnostic;
+use crate::diagnostic::Diagnostic;
 use crate::lexer::{Lexeme, Token, lex};
 use crate::span::{FileId, Span};
 
-/// Deepest nesting of blocks: the language needs two, and a reader no more.
-pub const DEEPEST: usize = 8;
+/// Deepest nesting of blocks. The language needs two levels.
+pub const MAX_BLOCK_DEPTH: usize = 8;
 
 /// A name or a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Word {
-    /// Where it stands, with its quotes.
+    /// Where it is, quotes included.
     pub span: Span,
-    /// Its text, without quotes and escapes.
+    /// Its text without quotes and escapes.
     pub text: Box<str>,
-    /// Whether it stands in quotes: then it is no constant.
+    /// Whether it is in quotes; then it does not refer to a constant.
     pub quoted: bool,
 }
 
-/// What stands on lines of its own.
+/// A comment or an empty line between statements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Trivia {
     /// A comment.
     Comment(Span),
-    /// One empty line or more.
+    /// One or more empty lines.
     Blank,
 }
 
-/// Words, and a block where one belongs to them.
+/// Words, and possibly a block.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
-    /// What stands before it.
+    /// Comments and empty lines before it.
     pub before: Vec<Trivia>,
     /// At least one.
     pub words: Vec<Word>,
-    /// Its block. Most statements have none: so it takes no place in them.
+    /// Its block. Boxed, since most statements have none.
     pub block: Option<Box<Block>>,
     /// A comment at the end of its last line.
     pub comment: Option<Span>,
 }
 
-/// What stands in braces.
+/// Statements in braces.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Block {
-    /// The braces.
-    pub braces: (Span, Span),
-    /// A comment behind the opening one.
+    /// The opening brace.
+    pub open_brace: Span,
+    /// The closing brace.
+    pub close_brace: Span,
+    /// A comment after the opening brace.
     pub comment: Option<Span>,
     /// The statements.
     pub statements: Vec<Statement>,
-    /// What stands before the closing one.
+    /// Comments and empty lines before the closing brace.
     pub after: Vec<Trivia>,
 }
 
@@ -57,11 +59,10 @@
     /// Its first word.
     #[must_use]
     pub fn name(&self) -> &Word {
-        // The parser makes no statement without words.
-        &self.words[0]
+        self.words.first().expect("a statement has at least one word")
     }
 
-    /// Its words.
+    /// The span of its words.
     #[must_use]
     pub fn span(&self) -> Span {
         self.words.iter().fold(self.name().span, |span, word| span.to(word.span))
@@ -71,120 +72,132 @@
 /// A file's statements.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tree {
-    /// In order.
+    /// The statements in order.
     pub statements: Vec<Statement>,
-    /// What stands after the last.
+    /// Comments and empty lines after the last statement.
     pub after: Vec<Trivia>,
 }
 
-/// Makes a tree of a text.
+/// Parses a text.
 ///
 /// # Errors
-/// What is no token, and braces that don't match. One mistake gives one message; after a brace that is missing
-/// nothing more is read.
+/// Text that is not a token, and unbalanced braces. Each mistake is reported once; parsing ends at an unclosed block.
 pub fn parse(file: FileId, text: &str) -> Result<Tree, Vec<Diagnostic>> {
-    let lexemes = lex(file, text).map_err(|fault| vec![fault])?;
-    let mut parser = Parser { text, lexemes: &lexemes, at: 0, faults: Vec::new() };
+    let lexemes = lex(file, text).map_err(|diagnostic| vec![diagnostic])?;
+    let mut parser = Parser { text, lexemes: &lexemes, position: 0, diagnostics: Vec::new() };
     let body = parser.body(None, 0);
-    match (body, parser.faults.is_empty()) {
-        (Ok(body), true) => Ok(Tree { statements: body.statements, after: body.after }),
-        (Err(fault), _) => {
-            parser.faults.push(fault);
-            Err(parser.faults)
+    match (body, parser.diagnostics.is_empty()) {
+        (Ok(body), true) => Ok(Tree { statements: body.statements, after: body.trivia }),
+        (Err(diagnostic), _) => {
+            parser.diagnostics.push(diagnostic);
+            Err(parser.diagnostics)
         }
-        (Ok(_), false) => Err(parser.faults),
+        (Ok(_), false) => Err(parser.diagnostics),
     }
 }
 
+fn unclosed_block(open: Span) -> Diagnostic {
+    Diagnostic::error("unclosed-block", open, "a block that is never closed").help("close it with `}`")
+}
+
 struct Parser<'a> {
     text: &'a str,
     lexemes: &'a [Lexeme],
-    at: usize,
-    faults: Vec<Diagnostic>,
+    /// Index of the next lexeme.
+    position: usize,
+    diagnostics: Vec<Diagnostic>,
 }
 
+/// The statements of a block or a file, while they are parsed.
+#[derive(Default)]
 struct Body {
     statements: Vec<Statement>,
-    after: Vec<Trivia>,
-    close: Span,
+    /// Comments and empty lines since the last statement.
+    trivia: Vec<Trivia>,
+    /// Newlines since the last statement or comment; 0 on the line of an opening brace.
+    newlines: usize,
+    /// The closing brace.
+    close_brace: Span,
+}
+
+impl Body {
+    /// Adds a newline. The first of several empty lines is kept, unless it is at the start.
+    fn add_newline(&mut self) {
+        self.newlines += 1;
+        let started = !self.statements.is_empty() || !self.trivia.is_empty();
+        if self.newlines == 2 && started {
+            self.trivia.push(Trivia::Blank);
+        }
+    }
+
+    /// Adds a comment: to the last statement if it is on the same line, else as a line of its own.
+    fn add_comment(&mut self, span: Span) {
+        let same_line = self.newlines == 0 && self.trivia.is_empty();
+        let last = self.statements.last_mut();
+        match last.filter(|last| same_line && last.comment.is_none()) {
+            Some(last) => last.comment = Some(span),
+            None => self.trivia.push(Trivia::Comment(span)),
+        }
+        self.newlines = 0;
+    }
 }
 
 impl Parser<'_> {
     fn next(&mut self) -> Option<Lexeme> {
-        let lexeme = self.lexemes.get(self.at).copied();
-        self.at += usize::from(lexeme.is_some());
+        let lexeme = self.lexemes.get(self.position).copied();
+        self.position += usize::from(lexeme.is_some());
         lexeme
     }
 
     fn peek(&self) -> Option<Token> {
-        self.lexemes.get(self.at).map(|lexeme| lexeme.token)
+        self.lexemes.get(self.position).map(|lexeme| lexeme.token)
     }
 
-    /// Statements up to the closing brace of `open`, or to the end of the file. No deeper than [`DEEPEST`].
+    /// Parses statements up to the closing brace of `open`, or to the end of the file.
     fn body(&mut self, open: Option<Span>, depth: usize) -> Result<Body, Diagnostic> {
-        let mut statements: Vec<Statement> = Vec::new();
-        let mut before = Vec::new();
-        // Newlines since the last statement or comment; the line of an opening brace is not yet over.
-        let mut newlines = 0;
+        let mut body = Body::default();
         loop {
             let Some(Lexeme { token, span }) = self.next() else {
                 return match open {
-                    None => Ok(Body { statements, after: before, close: Span::default() }),
-                    Some(open) => {
-                        Err(Diagnostic::error("unclosed-block", open, "a block that is never closed")
-                            .help("close it with `}`"))
-                    }
+                    None => Ok(body),
+                    Some(open) => Err(unclosed_block(open)),
                 };
             };
             match token {
-                Token::Newline => {
-                    newlines += 1;
-                    let started = !statements.is_empty() || !before.is_empty();
-                    if newlines == 2 && started {
-                        before.push(Trivia::Blank);
-                    }
-                }
+                Token::Newline => body.add_newline(),
                 Token::Semicolon => {}
-                Token::Comment => {
-                    let last = statements.last_mut();
-                    match last.filter(|last| newlines == 0 && before.is_empty() && last.comment.is_none()) {
-                        Some(last) => last.comment = Some(span),
-                        None => before.push(Trivia::Comment(span)),
-                    }
-                    newlines = 0;
-                }
+                Token::Comment => body.add_comment(span),
+                Token::Close if open.is_some() => return Ok(Body { close_brace: span, ..body }),
                 Token::Close => {
-                    if open.is_some() {
-                        return Ok(Body { statements, after: before, close: span });
-                    }
-                    self.faults
-                        .push(Diagnostic::error("stray-brace", span, "`}` closes nothing").help("remove it"));
+                    let diagnostic = Diagnostic::error("stray-brace", span, "`}` closes nothing");
+                    self.diagnostics.push(diagnostic.help("remove it"));
                 }
                 Token::Open => {
-                    // The next statements belong to the block: read on as if it were there.
-                    self.faults.push(
-                        Diagnostic::error(
-                            "stray-brace",
-                            span,
-                            "`{` opens a block that has no name on its line",
-                        )
-                        .help("put it at the end of the line that names the block"),
-                    );
+                    // The statements that follow are in the block: parse it as if it had a name.
+                    let message = "`{` opens a block that has no name on its line";
+                    let diagnostic = Diagnostic::error("stray-brace", span, message);
+                    let help = "put it at the end of the line that names the block";
+                    self.diagnostics.push(diagnostic.help(help));
                     self.block(span, depth)?;
-                    newlines = 0;
+                    body.newlines = 0;
                 }
                 Token::Word | Token::Quoted => {
-                    let statement = self.statement(span, token, std::mem::take(&mut before), depth)?;
-                    statements.push(statement);
-                    newlines = 0;
+                    let before = std::mem::take(&mut body.trivia);
+                    let statement = self.statement(span, token, before, depth)?;
+                    body.statements.push(statement);
+                    body.newlines = 0;
                 }
             }
         }
     }
 
     fn block(&mut self, open: Span, depth: usize) -> Result<Block, Diagnostic> {
-        if depth == DEEPEST {
-            return Err(Diagnostic::error("too-deep", open, format!("blocks nested deeper than {DEEPEST}")));
+        if depth == MAX_BLOCK_DEPTH {
+            return Err(Diagnostic::error(
+                "too-deep",
+                open,
+                format!("blocks nested deeper than {MAX_BLOCK_DEPTH}"),
+            ));
         }
         let mut comment = None;
         if self.peek() == Some(Token::Comment) {
@@ -192,7 +205,13 @@
         }
         let mut body = self.body(Some(open), depth + 1)?;
         body.statements.shrink_to_fit();
-        Ok(Block { braces: (open, body.close), comment, statements: body.statements, after: body.after })
+        Ok(Block {
+            open_brace: open,
+            close_brace: body.close_brace,
+            comment,
+            statements: body.statements,
+            after: body.trivia,
+        })
     }
 
     fn statement(
@@ -208,11 +227,11 @@
             match self.peek() {
                 Some(token @ (Token::Word | Token::Quoted)) => {
                     if let Some(Lexeme { span, .. }) = self.next() {
-                        // Once: a file of another language is full of them.
+                        // Reported once: a file in another language has many of them.
                         let joined = statement.words.last().is_some_and(|last| last.span.end == span.start);
-                        if joined && self.faults.is_empty() {
+                        if joined && self.diagnostics.is_empty() {
                             let message = "a quote begins or ends inside a word";
-                            self.faults.push(
+                            self.diagnostics.push(
                                 Diagnostic::error("missing-space", span, message)
                                     .help("put a space between them, or quote the whole value"),
                             );
@@ -227,7 +246,7 @@
                     }
                     return Ok(statement);
                 }
-                // Ends and comments are the body's.
+                // Ends of statements and comments are left to `body`.
                 _ => {
                     statement.words.shrink_to_fit();
                     return Ok(statement);
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,11 +1,11 @@
-//! Times, sizes, shares and numbers as they are written. Times and sizes always carry a unit.
+//! Parsers and formatters of durations, sizes, shares, rates and numbers. Durations and sizes always carry a unit.
 
 use pumicehead_policy::Nanos;
 
-use crate::diag::nearest;
+use crate::diagnostic::nearest;
 
-/// Units of time with their nanoseconds.
-pub const TIMES: [(&str, u128); 6] = [
+/// Units of duration, in nanoseconds.
+pub const DURATION_UNITS: [(&str, u128); 6] = [
     ("us", 1_000),
     ("ms", 1_000_000),
     ("s", 1_000_000_000),
@@ -13,8 +13,8 @@
     ("h", 3_600_000_000_000),
     ("d", 86_400_000_000_000),
 ];
-/// Units of size with their bytes.
-pub const SIZES: [(&str, u128); 7] = [
+/// Units of size, in bytes.
+pub const SIZE_UNITS: [(&str, u128); 7] = [
     ("B", 1),
     ("KB", 1_000),
     ("MB", 1_000_000),
@@ -23,223 +23,237 @@
     ("MiB", 1 << 20),
     ("GiB", 1 << 30),
 ];
-/// Most digits behind a point.
-const MOST_DECIMALS: usize = 9;
+/// Most digits after a decimal point.
+const MAX_DECIMALS: usize = 9;
 
-/// Why a value is none.
+/// Why a value can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// What kind of mistake.
+pub struct ValueError {
+    /// Stable name of the kind of mistake.
     pub code: &'static str,
     /// What is wrong.
     pub message: String,
-    /// How to mend it.
+    /// How to correct it.
     pub help: Option<String>,
 }
 
-fn fault(code: &'static str, message: String, help: Option<String>) -> Fault {
-    Fault { code, message, help }
+fn value_error(code: &'static str, message: String, help: Option<String>) -> ValueError {
+    ValueError { code, message, help }
 }
 
-/// A decimal number, exactly: digits and how many of them stand behind the point.
+/// An exact decimal number: `digits` divided by 10 to the power of `decimals`.
 struct Decimal {
     digits: u128,
     decimals: u32,
 }
 
-/// Divides a value into its number and what follows.
-fn split<'a>(text: &'a str, what: &str) -> Result<(Decimal, &'a str, &'a str), Fault> {
+/// Splits a value into its number, the text of the number, and the unit after it.
+fn split_number<'a>(text: &'a str, what: &str) -> Result<(Decimal, &'a str, &'a str), ValueError> {
     if text.starts_with('-') {
-        return Err(fault("below-zero", format!("`{text}` is below 0"), None));
+        return Err(value_error("below-zero", format!("`{text}` is below 0"), None));
     }
     let end = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
     let (number, unit) = text.split_at(end);
     let (whole, part) = number.split_once('.').unwrap_or((number, ""));
     if whole.is_empty() || part.contains('.') || number.ends_with('.') {
-        return Err(fault("not-a-number", format!("`{text}` is not {what}"), None));
+        return Err(value_error("not-a-number", format!("`{text}` is not {what}"), None));
     }
-    if part.len() > MOST_DECIMALS {
-        let message = format!("`{text}` has more than {MOST_DECIMALS} digits behind the point");
-        return Err(fault("not-a-number", message, None));
+    if part.len() > MAX_DECIMALS {
+        let message = format!("`{text}` has more than {MAX_DECIMALS} digits behind the point");
+        return Err(value_error("not-a-number", message, None));
     }
     let digits = format!("{whole}{part}").parse();
-    let digits = digits.map_err(|_| fault("too-large", format!("`{text}` is too large a number"), None))?;
+    let digits =
+        digits.map_err(|_| value_error("too-large", format!("`{text}` is too large a number"), None))?;
     Ok((Decimal { digits, decimals: part.len() as u32 }, number, unit))
 }
 
-fn scaled(text: &str, number: &Decimal, unit: u128) -> Result<u64, Fault> {
-    let too_large = || fault("too-large", format!("`{text}` is too large"), None);
+/// Multiplies a number by its unit, without rounding.
+fn scale(text: &str, number: &Decimal, unit: u128) -> Result<u64, ValueError> {
+    let too_large = || value_error("too-large", format!("`{text}` is too large"), None);
     let scaled = number.digits.checked_mul(unit).ok_or_else(too_large)?;
     let whole = 10u128.pow(number.decimals);
     if scaled % whole != 0 {
-        return Err(fault("too-fine", format!("`{text}` is finer than the smallest unit"), None));
+        return Err(value_error("too-fine", format!("`{text}` is finer than the smallest unit"), None));
     }
     u64::try_from(scaled / whole).map_err(|_| too_large())
 }
 
-fn find(units: &[(&str, u128)], unit: &str) -> Option<u128> {
+/// The size of a unit, if it is known.
+fn unit_size(units: &[(&str, u128)], unit: &str) -> Option<u128> {
     units.iter().find(|(name, _)| *name == unit).map(|(_, size)| *size)
 }
 
-fn names(units: &[(&'static str, u128)]) -> String {
+fn unit_names(units: &[(&'static str, u128)]) -> String {
     let names: Vec<_> = units.iter().map(|(name, _)| format!("`{name}`")).collect();
     names.join(", ")
 }
 
-/// A time such as `600ms`.
+/// Parses a duration such as `600ms` to nanoseconds.
 ///
 /// # Errors
-/// No number, no unit or an ambiguous one, or more than 64 bits of nanoseconds.
-pub fn time(text: &str) -> Result<Nanos, Fault> {
-    let (decimal, number, unit) = split(text, "a time, such as `600ms`")?;
-    if let Some(unit) = find(&TIMES, unit) {
-        return scaled(text, &decimal, unit);
+/// No number, a missing or unknown unit, or more than 64 bits of nanoseconds.
+pub fn parse_duration(text: &str) -> Result<Nanos, ValueError> {
+    let (decimal, number, unit) = split_number(text, "a time, such as `600ms`")?;
+    if let Some(unit) = unit_size(&DURATION_UNITS, unit) {
+        return scale(text, &decimal, unit);
     }
     Err(match unit {
-        "" => fault(
+        "" => value_error(
             "unit-missing",
             format!("the time `{text}` has no unit"),
             Some(format!("write `{number}ms` or `{number}s`")),
         ),
-        "m" => fault(
+        "m" => value_error(
             "unit-ambiguous",
             format!("`m` in `{text}` may mean milliseconds or minutes"),
             Some(format!("write `{number}ms` or `{number}min`")),
         ),
-        _ if find(&SIZES, unit).is_some() => {
-            fault("unit-of-size", format!("`{text}` is a size; a time is wanted, such as `600ms`"), None)
-        }
-        _ => unknown(text, number, unit, &TIMES, "time"),
+        _ if unit_size(&SIZE_UNITS, unit).is_some() => value_error(
+            "unit-of-size",
+            format!("`{text}` is a size; a time is wanted, such as `600ms`"),
+            None,
+        ),
+        _ => unknown_unit(text, number, unit, &DURATION_UNITS, "time"),
     })
 }
 
-/// A size such as `64KiB`.
+/// Parses a size such as `64KiB` to bytes.
 ///
 /// # Errors
-/// No number, no unit or an ambiguous one, or more than 64 bits of bytes.
-pub fn size(text: &str) -> Result<u64, Fault> {
-    let (decimal, number, unit) = split(text, "a size, such as `64KiB`")?;
-    if let Some(unit) = find(&SIZES, unit) {
-        return scaled(text, &decimal, unit);
+/// No number, a missing, ambiguous or unknown unit, or more than 64 bits of bytes.
+pub fn parse_size(text: &str) -> Result<u64, ValueError> {
+    let (decimal, number, unit) = split_number(text, "a size, such as `64KiB`")?;
+    if let Some(unit) = unit_size(&SIZE_UNITS, unit) {
+        return scale(text, &decimal, unit);
     }
     Err(match unit {
-        "" => fault(
+        "" => value_error(
             "unit-missing",
             format!("the size `{text}` has no unit"),
             Some(format!("write `{number}B`, `{number}KiB` or `{number}MiB`")),
         ),
         "K" | "k" | "M" | "G" | "Ki" | "Mi" | "Gi" => {
             let letter = unit[..1].to_uppercase();
-            fault(
+            value_error(
                 "unit-ambiguous",
                 format!("`{unit}` in `{text}` may count by 1,000 or by 1,024"),
                 Some(format!("write `{number}{letter}B` for 1,000 or `{number}{letter}iB` for 1,024")),
             )
         }
-        _ if find(&TIMES, unit).is_some() => {
-            fault("unit-of-time", format!("`{text}` is a time; a size is wanted, such as `64KiB`"), None)
-        }
-        _ => unknown(text, number, unit, &SIZES, "size"),
+        _ if unit_size(&DURATION_UNITS, unit).is_some() => value_error(
+            "unit-of-time",
+            format!("`{text}` is a time; a size is wanted, such as `64KiB`"),
+            None,
+        ),
+        _ => unknown_unit(text, number, unit, &SIZE_UNITS, "size"),
     })
 }
 
-fn unknown(text: &str, number: &str, unit: &str, units: &[(&'static str, u128)], what: &str) -> Fault {
+/// The error for a unit that is not known, with the one that is probably meant.
+fn unknown_unit(
+    text: &str,
+    number: &str,
+    unit: &str,
+    units: &[(&'static str, u128)],
+    what: &str,
+) -> ValueError {
     let known = nearest(unit, units.iter().map(|(name, _)| *name));
     let spelled = [("seconds", "s"), ("second", "s"), ("sec", "s"), ("minutes", "min"), ("minute", "min")];
     let spelled = spelled.iter().find(|(long, _)| *long == unit).map(|(_, short)| *short);
     let help = match spelled.or(known) {
         Some(known) => format!("write `{number}{known}`"),
-        None => format!("units of {what} are {}", names(units)),
+        None => format!("units of {what} are {}", unit_names(units)),
     };
-    fault("unit-unknown", format!("`{unit}` in `{text}` is no unit of {what}"), Some(help))
+    value_error("unit-unknown", format!("`{unit}` in `{text}` is no unit of {what}"), Some(help))
 }
 
-/// A share such as `30%`, as 0 to 1.
+/// Parses a share such as `30%` to a fraction from 0 to 1.
 ///
 /// # Errors
 /// No number, no `%`, or more than 100 %.
-pub fn share(text: &str) -> Result<f64, Fault> {
-    let (decimal, number, unit) = split(text, "a share, such as `30%`")?;
-    let value = float(&decimal);
+pub fn parse_share(text: &str) -> Result<f64, ValueError> {
+    let (decimal, number, unit) = split_number(text, "a share, such as `30%`")?;
+    let value = to_float(&decimal);
     match unit {
         "%" if value <= 100.0 => Ok(value / 100.0),
-        "%" => Err(fault("out-of-range", format!("`{text}` is more than `100%`"), None)),
+        "%" => Err(value_error("out-of-range", format!("`{text}` is more than `100%`"), None)),
         "" => {
             let part = if value <= 1.0 { format!(" or `{}%`", value * 100.0) } else { String::new() };
             let help = format!("write `{number}%`{part}");
-            Err(fault("unit-missing", format!("the share `{text}` has no `%`"), Some(help)))
+            Err(value_error("unit-missing", format!("the share `{text}` has no `%`"), Some(help)))
         }
-        _ => Err(fault("not-a-number", format!("`{text}` is not a share, such as `30%`"), None)),
+        _ => Err(value_error("not-a-number", format!("`{text}` is not a share, such as `30%`"), None)),
     }
 }
 
-/// A plain number of 0 or more.
+/// Parses a number of 0 or more, without a unit.
 ///
 /// # Errors
 /// Anything else.
-pub fn number(text: &str) -> Result<f64, Fault> {
-    let (decimal, _, unit) = split(text, "a number")?;
+pub fn parse_number(text: &str) -> Result<f64, ValueError> {
+    let (decimal, _, unit) = split_number(text, "a number")?;
     if unit.is_empty() {
-        return Ok(float(&decimal));
+        return Ok(to_float(&decimal));
     }
-    Err(fault("not-a-number", format!("`{text}` is not a plain number"), None))
+    Err(value_error("not-a-number", format!("`{text}` is not a plain number"), None))
 }
 
-/// A whole number.
+/// Parses a whole number.
 ///
 /// # Errors
 /// Anything else, and what has more than 64 bits.
-pub fn count(text: &str) -> Result<u64, Fault> {
-    let (decimal, _, unit) = split(text, "a whole number")?;
+pub fn parse_integer(text: &str) -> Result<u64, ValueError> {
+    let (decimal, _, unit) = split_number(text, "a whole number")?;
     if !unit.is_empty() || decimal.decimals > 0 {
-        return Err(fault("not-a-number", format!("`{text}` is not a whole number"), None));
+        return Err(value_error("not-a-number", format!("`{text}` is not a whole number"), None));
     }
-    scaled(text, &decimal, 1)
+    scale(text, &decimal, 1)
 }
 
-/// A rate such as `100/s`, a second.
+/// Parses a rate such as `100/s` to a number per second.
 ///
 /// # Errors
 /// No number, or another unit than `/s`, `/min` or `/h`.
-pub fn rate(text: &str) -> Result<f64, Fault> {
-    let (decimal, number, unit) = split(text, "a rate, such as `100/s`")?;
+pub fn parse_rate(text: &str) -> Result<f64, ValueError> {
+    let (decimal, number, unit) = split_number(text, "a rate, such as `100/s`")?;
     let per = match unit {
         "/s" => 1.0,
         "/min" => 60.0,
         "/h" => 3600.0,
         "" => {
             let help = format!("write `{number}/s` or `{number}/min`");
-            return Err(fault("unit-missing", format!("the rate `{text}` has no unit"), Some(help)));
+            return Err(value_error("unit-missing", format!("the rate `{text}` has no unit"), Some(help)));
         }
         _ => {
             let help = "units of rate are `/s`, `/min`, `/h`".to_owned();
-            return Err(fault(
+            return Err(value_error(
                 "unit-unknown",
                 format!("`{unit}` in `{text}` is no unit of rate"),
                 Some(help),
             ));
         }
     };
-    Ok(float(&decimal) / per)
+    Ok(to_float(&decimal) / per)
 }
 
-fn float(decimal: &Decimal) -> f64 {
+fn to_float(decimal: &Decimal) -> f64 {
     decimal.digits as f64 / 10f64.powi(decimal.decimals as i32)
 }
 
-/// A time in its largest whole unit.
+/// Formats a duration in its largest whole unit.
 #[must_use]
-pub fn show_time(span: Nanos) -> String {
-    show(u128::from(span), &TIMES, "ns")
+pub fn format_duration(span: Nanos) -> String {
+    format_in_largest_unit(u128::from(span), &DURATION_UNITS, "ns")
 }
 
-/// A size in its largest whole unit.
+/// Formats a size in its largest whole unit.
 #[must_use]
-pub fn show_size(bytes: u64) -> String {
-    show(u128::from(bytes), &SIZES, "B")
+pub fn format_size(bytes: u64) -> String {
+    format_in_largest_unit(u128::from(bytes), &SIZE_UNITS, "B")
 }
 
-fn show(value: u128, units: &[(&str, u128)], least: &str) -> String {
+fn format_in_largest_unit(value: u128, units: &[(&str, u128)], least: &str) -> String {
     let whole = units.iter().filter(|(_, unit)| value >= *unit && value.is_multiple_of(*unit));
     match whole.max_by_key(|(_, unit)| *unit) {
         Some((name, unit)) => format!("{}{name}", value / unit),
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 use std::path::{Component, Path, PathBuf};
 
-use pumicehead_config::{Checked, Config, Files, ReadFault, check};
+use pumicehead_config::{Checked, Config, Files, ReadError, check};
 
 /// What a path leads to.
 #[allow(dead_code)]
 #[derive(Clone, Debug)]
 pub enum Entry {
     Text(Vec<u8>),
-    Fault(ReadFault),
+    Fault(ReadError),
 }
 
 /// Files in memory.
@@ -24,22 +24,22 @@
         self
     }
 
-    pub fn faulty(mut self, path: &str, fault: ReadFault) -> Self {
+    pub fn faulty(mut self, path: &str, fault: ReadError) -> Self {
         self.0.insert(path.into(), Entry::Fault(fault));
         self
     }
 }
 
 impl Files for Memory {
-    fn read(&self, path: &Path) -> Result<Vec<u8>, ReadFault> {
+    fn read(&self, path: &Path) -> Result<Vec<u8>, ReadError> {
         match self.0.get(&self.identity(path)) {
             Some(Entry::Text(text)) => Ok(text.clone()),
             Some(Entry::Fault(fault)) => Err(fault.clone()),
-            None => Err(ReadFault::Missing),
+            None => Err(ReadError::Missing),
         }
     }
 
-    fn list(&self, directory: &Path) -> Result<Vec<String>, ReadFault> {
+    fn list(&self, directory: &Path) -> Result<Vec<String>, ReadError> {
         let directory = self.identity(directory);
         let inside = self.0.keys().filter(|path| path.parent() == Some(&directory));
         let names: Vec<_> = inside.filter_map(|path| Some(path.file_name()?.to_str()?.to_owned())).collect();
--- a/crates/config/tests/kept.rs
+++ b/crates/config/tests/compact_config.rs
@@ -9,16 +9,16 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use pumicehead_config::Config;
-use pumicehead_config::diff::{What, diff, facts};
-use pumicehead_config::kept::KeptConfig;
-use pumicehead_config::model::{Members, Places};
+use pumicehead_config::compact_config::CompactConfig;
+use pumicehead_config::diff::{ChangeKind, diff, effective_settings};
+use pumicehead_config::model::{EndpointSource, EntrySpans};
 use pumicehead_config::route_table::RouteTable;
 
 /// All that the table of routes may take for a route.
 const MOST_BYTES_A_ROUTE: usize = 300;
 
-fn keep(config: &Config) -> KeptConfig {
-    KeptConfig::new(config, Arc::new(RouteTable::new(&config.routes)))
+fn keep(config: &Config) -> CompactConfig {
+    CompactConfig::new(config, Arc::new(RouteTable::new(&config.routes)))
 }
 
 /// A configuration of many routes over some pools, as a large site has them.
@@ -63,8 +63,11 @@
         let restored = keep(&config).restore();
         assert_eq!(diff(&restored, &config), []);
         assert_eq!(diff(&config, &restored), []);
-        assert_eq!(facts(&restored).without_places(), facts(&config).without_places());
-        assert_eq!(restored.fleet, config.fleet);
+        assert_eq!(
+            effective_settings(&restored).without_spans(),
+            effective_settings(&config).without_spans()
+        );
+        assert_eq!(restored.cluster, config.cluster);
     }
 }
 
@@ -87,8 +90,8 @@
         let mut found = diff(&keep(&old).restore(), &new);
         // What is gone stood in a text that is gone as well.
         for (change, expected) in found.iter_mut().zip(&expected) {
-            if change.what == What::Removed {
-                change.place = expected.place;
+            if change.kind == ChangeKind::Removed {
+                change.span = expected.span;
             }
         }
         assert_eq!(found, expected, "{before} -> {after}");
@@ -105,7 +108,7 @@
         assert_eq!(table.name(place), route.name);
         assert_eq!((table.class(place), table.pool(place)), (route.class, route.pool));
         assert_eq!((table.tenant(place), table.key(place)), (&route.tenant, &route.key));
-        let bare = pumicehead_config::model::Route { at: Places::default(), ..route.clone() };
+        let bare = pumicehead_config::model::Route { spans: EntrySpans::default(), ..route.clone() };
         assert_eq!(table.route(place), bare);
     }
     assert!(RouteTable::new(&[]).is_empty());
@@ -116,9 +119,9 @@
     let kept = keep(&config(SOUND));
     let settings = kept.settings();
     assert!(settings.routes.is_empty());
-    assert!(settings.tenants.iter().all(|tenant| tenant.at == Places::default()));
-    let Members::Static(servers) = &settings.pools[0].members else { panic!("a pool with servers") };
-    assert!(servers.iter().all(|server| server.at == Places::default()));
+    assert!(settings.tenants.iter().all(|tenant| tenant.spans == EntrySpans::default()));
+    let EndpointSource::Static(servers) = &settings.pools[0].endpoints else { panic!("a pool with servers") };
+    assert!(servers.iter().all(|server| server.spans == EntrySpans::default()));
 }
 
 #[test]
@@ -155,7 +158,7 @@
 fn the_table_may_cross_threads() {
     fn crosses<T: Send + Sync>() {}
     crosses::<RouteTable>();
-    crosses::<KeptConfig>();
+    crosses::<CompactConfig>();
 }
 
 proptest! {
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -19,12 +19,18 @@
     let mut lines = Vec::new();
     for one in &checked.diagnostics {
         let place = one.span.map_or_else(String::new, |span| {
-            format!("{}:{}", show(&checked.sources.line(span)), checked.sources.place(span).column)
+            format!(
+                "{}:{}",
+                show(&checked.sources.path_and_line(span)),
+                checked.sources.line_column(span).column
+            )
         });
         let severity = if one.severity == Severity::Error { "error" } else { "warning" };
         let help = one.help.as_ref().map(|help| format!(" | {help}")).unwrap_or_default();
-        let notes =
-            one.notes.iter().map(|(span, text)| format!(" | {}: {text}", show(&checked.sources.line(*span))));
+        let notes = one
+            .notes
+            .iter()
+            .map(|(span, text)| format!(" | {}: {text}", show(&checked.sources.path_and_line(*span))));
         lines.push(format!(
             "{place} {severity}[{}] {}{help}{}",
             one.code,
@@ -32,10 +38,10 @@
             notes.collect::<String>()
         ));
         // However it is drawn, it names what is wrong and where.
-        let drawn = pumicehead_config::diag::render(&checked.sources, one, false);
+        let drawn = pumicehead_config::diagnostic::render(&checked.sources, one, false);
         assert!(drawn.starts_with(severity) && drawn.contains(one.message.as_str()), "{name}: {drawn}");
         if let Some(span) = one.span {
-            assert!(drawn.contains(&checked.sources.line(span)), "{name}: {drawn}");
+            assert!(drawn.contains(&checked.sources.path_and_line(span)), "{name}: {drawn}");
         }
     }
     assert_eq!(
--- a/crates/config/tests/hard.rs
+++ b/crates/config/tests/hard.rs
@@ -8,15 +8,15 @@
 
 use common::*;
 use pumicehead_config::disk::Disk;
-use pumicehead_config::lexer::LONGEST_LINE;
-use pumicehead_config::load::{LARGEST_FILE, LARGEST_TOTAL, LONGEST_CHAIN, MOST_FILES};
-use pumicehead_config::{Checked, ReadFault, check, diag};
+use pumicehead_config::lexer::MAX_LINE_BYTES;
+use pumicehead_config::load::{MAX_FILE_BYTES, MAX_FILES, MAX_INCLUDE_DEPTH, MAX_TOTAL_BYTES};
+use pumicehead_config::{Checked, ReadError, check, diagnostic};
 
 /// The one message, by its kind.
 fn only(checked: &Checked) -> (&'static str, String) {
     let shown: Vec<_> = checked.diagnostics.iter().map(|one| (one.code, one.message.clone())).collect();
     assert_eq!(shown.len(), 1, "{shown:?}");
-    let drawn = diag::render(&checked.sources, &checked.diagnostics[0], false);
+    let drawn = diagnostic::render(&checked.sources, &checked.diagnostics[0], false);
     assert!(drawn.len() < 4_000, "a message of {} bytes", drawn.len());
     shown.into_iter().next().unwrap()
 }
@@ -30,7 +30,7 @@
     let text = format!("{SOUND}\n# {}\n", "x".repeat(1 << 20));
     let (code, message) = only(&check_text(&text));
     assert_eq!(code, "line-too-long");
-    assert!(message.contains("1048579") && message.contains(&LONGEST_LINE.to_string()), "{message}");
+    assert!(message.contains("1048579") && message.contains(&MAX_LINE_BYTES.to_string()), "{message}");
 }
 
 #[test]
@@ -78,18 +78,18 @@
 #[test]
 fn the_bounds_on_includes_hold() {
     let mut chain = Memory::default().with("main.conf", "include 0.conf\n");
-    for n in 0..LONGEST_CHAIN + 5 {
+    for n in 0..MAX_INCLUDE_DEPTH + 5 {
         chain = chain.with(&format!("{n}.conf"), format!("include {}.conf\n", n + 1));
     }
     assert_eq!(only(&check_memory(&chain)).0, "include-chain");
     let mut many = Memory::default().with("main.conf", "include all/*.conf\n");
-    for n in 0..MOST_FILES + 50 {
+    for n in 0..MAX_FILES + 50 {
         many = many.with(&format!("all/{n}.conf"), "# nothing\n");
     }
     assert_eq!(only(&check_memory(&many)).0, "too-many-files");
     let mut large = Memory::default().with("main.conf", "include all/*.conf\n");
-    let filler = "# filler\n".repeat(LARGEST_FILE as usize / 9);
-    for n in 0..=LARGEST_TOTAL / filler.len() as u64 {
+    let filler = "# filler\n".repeat(MAX_FILE_BYTES as usize / 9);
+    for n in 0..=MAX_TOTAL_BYTES / filler.len() as u64 {
         large = large.with(&format!("all/{n}.conf"), &filler);
     }
     assert_eq!(only(&check_memory(&large)).0, "too-large");
@@ -98,12 +98,12 @@
 #[test]
 fn every_way_a_file_cant_be_read_is_one_message() {
     let faults = [
-        ReadFault::Missing,
-        ReadFault::Denied,
-        ReadFault::Directory,
-        ReadFault::NotRegular,
-        ReadFault::TooLarge(LARGEST_FILE + 1),
-        ReadFault::Other("the disk is on fire".into()),
+        ReadError::Missing,
+        ReadError::Denied,
+        ReadError::Directory,
+        ReadError::NotRegular,
+        ReadError::TooLarge(MAX_FILE_BYTES + 1),
+        ReadError::Other("the disk is on fire".into()),
     ];
     for fault in faults {
         let memory = Memory::default().with("main.conf", "include a.conf\n").faulty("a.conf", fault.clone());
@@ -134,7 +134,7 @@
         assert!(message.contains("no regular file"), "{message}");
     }
     let large = directory.join("large.conf");
-    fs::write(&large, vec![b'\n'; LARGEST_FILE as usize + 1]).unwrap();
+    fs::write(&large, vec![b'\n'; MAX_FILE_BYTES as usize + 1]).unwrap();
     assert!(only(&check(&Disk, &large)).1.contains("bytes"));
     assert!(only(&check(&Disk, &directory)).1.contains("directory"));
     assert!(only(&check(&Disk, &directory.join("none"))).1.contains("no such file"));
@@ -155,6 +155,6 @@
 #[test]
 fn a_mark_of_the_byte_order_and_carriage_returns_change_nothing() {
     let odd = format!("\u{feff}{}", SOUND.replace('\n', "\r\n"));
-    let facts = |text: &str| pumicehead_config::diff::facts(&config(text)).without_places();
-    assert_eq!(facts(&odd), facts(SOUND));
+    let settings = |text: &str| pumicehead_config::diff::effective_settings(&config(text)).without_spans();
+    assert_eq!(settings(&odd), settings(SOUND));
 }
--- a/crates/config/tests/meaning.rs
+++ b/crates/config/tests/meaning.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use pumicehead_config::diff::{Shown, diff};
+use pumicehead_config::diff::{DisplayChange, diff};
 use pumicehead_config::explain::{Request, explain};
 use pumicehead_config::units;
 use pumicehead_policy::{DedupScope, Idempotency, SECOND, TenantId};
@@ -13,7 +13,7 @@
     assert!(SOUND.contains(from), "{from}");
     let new = check_text(&SOUND.replace(from, to));
     let lines = diff(&config(SOUND), new.config.as_ref().expect("a sound text"));
-    lines.iter().map(|change| Shown { change, sources: &new.sources }.to_string()).collect()
+    lines.iter().map(|change| DisplayChange { change, sources: &new.sources }.to_string()).collect()
 }
 
 #[test]
@@ -68,7 +68,10 @@
     let lines = |text: &str| {
         let new = check_text(text);
         let lines = diff(&config(SOUND), new.config.as_ref().expect("a sound text"));
-        lines.iter().map(|change| Shown { change, sources: &new.sources }.to_string()).collect::<Vec<_>>()
+        lines
+            .iter()
+            .map(|change| DisplayChange { change, sources: &new.sources }.to_string())
+            .collect::<Vec<_>>()
     };
     let (edit, old) = (route("route edit"), route("route old"));
     // `edit` takes PUT only, and `old` what a safe class takes: it overtook both, but meets `submit` alone.
@@ -138,15 +141,15 @@
 
 #[test]
 fn units_are_exact() {
-    assert_eq!(units::time("1.5s"), Ok(1_500_000_000));
-    assert_eq!(units::time("0.000001ms").map_err(|fault| fault.code), Ok(1));
-    assert_eq!(units::time("2d"), Ok(172_800 * SECOND));
-    assert_eq!(units::size("1.5KiB"), Ok(1_536));
-    assert_eq!(units::size("64KB"), Ok(64_000));
-    assert_eq!(units::share("12.5%"), Ok(0.125));
-    assert_eq!(units::rate("90/min"), Ok(1.5));
-    assert_eq!(units::show_time(90 * SECOND), "90s");
-    assert_eq!(units::show_time(120 * SECOND), "2min");
-    assert_eq!(units::show_size(64 << 10), "64KiB");
-    assert_eq!(units::show_size(64_000), "64KB");
+    assert_eq!(units::parse_duration("1.5s"), Ok(1_500_000_000));
+    assert_eq!(units::parse_duration("0.000001ms").map_err(|fault| fault.code), Ok(1));
+    assert_eq!(units::parse_duration("2d"), Ok(172_800 * SECOND));
+    assert_eq!(units::parse_size("1.5KiB"), Ok(1_536));
+    assert_eq!(units::parse_size("64KB"), Ok(64_000));
+    assert_eq!(units::parse_share("12.5%"), Ok(0.125));
+    assert_eq!(units::parse_rate("90/min"), Ok(1.5));
+    assert_eq!(units::format_duration(90 * SECOND), "90s");
+    assert_eq!(units::format_duration(120 * SECOND), "2min");
+    assert_eq!(units::format_size(64 << 10), "64KiB");
+    assert_eq!(units::format_size(64_000), "64KB");
 }
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -5,7 +5,7 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use pumicehead_config::diff::{diff, facts};
+use pumicehead_config::diff::{diff, effective_settings};
 use pumicehead_config::format::format;
 use pumicehead_config::span::FileId;
 use pumicehead_config::syntax::parse;
@@ -57,8 +57,8 @@
         let text = odd_layout(&gaps);
         let once = format(&text).unwrap();
         prop_assert_eq!(&format(&once).unwrap(), &once);
-        prop_assert_eq!(facts(&config(&once)).without_places(), facts(&config(SOUND)).without_places());
-        prop_assert_eq!(facts(&config(&text)).without_places(), facts(&config(SOUND)).without_places());
+        prop_assert_eq!(effective_settings(&config(&once)).without_spans(), effective_settings(&config(SOUND)).without_spans());
+        prop_assert_eq!(effective_settings(&config(&text)).without_spans(), effective_settings(&config(SOUND)).without_spans());
         prop_assert_eq!(comments(&once), comments(&text));
         prop_assert!(!once.contains("\n\n\n") && !once.contains(" \n") && !once.contains('\r'));
         prop_assert!(diff(&config(&text), &config(&once)).is_empty());
@@ -77,8 +77,8 @@
         let checked = pumicehead_config::check(&Memory::default().with("main.conf", &bytes), std::path::Path::new("main.conf"));
         prop_assert!(checked.config.is_none());
         for one in &checked.diagnostics {
-            prop_assert!(!pumicehead_config::diag::render(&checked.sources, one, false).is_empty());
-            prop_assert!(serde_json::to_string(&pumicehead_config::diag::json(&checked.sources, one)).is_ok());
+            prop_assert!(!pumicehead_config::diagnostic::render(&checked.sources, one, false).is_empty());
+            prop_assert!(serde_json::to_string(&pumicehead_config::diagnostic::json(&checked.sources, one)).is_ok());
         }
     }
 
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use pumicehead_config::diff::{Shown, diff};
+use pumicehead_config::diff::{DisplayChange, diff};
 use pumicehead_config::disk::Disk;
 use pumicehead_config::explain::{Request, explain};
 use pumicehead_config::format::format;
@@ -228,9 +228,9 @@
     };
     let changes = diff(&old, &new);
     for change in &changes {
-        let removed = change.what == pumicehead_config::diff::What::Removed;
+        let removed = change.kind == pumicehead_config::diff::ChangeKind::Removed;
         let sources = if removed { &before.sources } else { &after.sources };
-        print(&format!("{}\n", Shown { change, sources }));
+        print(&format!("{}\n", DisplayChange { change, sources }));
     }
     if changes.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(DIFFERS) }
 }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 use pumicehead_admin::call::{Call, no};
-use pumicehead_config::model::{Fleet as Block, Node};
+use pumicehead_config::model::{Cluster as Block, Node};
 use pumicehead_flight_recorder::event::Event as Told;
 use pumicehead_flight_recorder::text::Name;
 use pumicehead_membership::member::{BadSetup, Event, Member, Output, Setup};
@@ -75,14 +75,14 @@
     /// An address that can't be listened on, or a name that can't be one.
     pub async fn start(block: &Block, node: &Node, eyes: &Eyes, seed: u64) -> Result<Rc<Self>, FleetError> {
         let clock = eyes.clock();
-        let failed = |source| FleetError::Listen { address: block.address, source };
-        let (streams, datagrams) = bind(block.address).await.map_err(failed)?;
+        let failed = |source| FleetError::Listen { address: block.bind_address, source };
+        let (streams, datagrams) = bind(block.bind_address).await.map_err(failed)?;
         let address = streams.local_addr().map_err(failed)?;
         let card = Card {
             name: node.name.clone(),
             // Later starts have later epochs, on one machine; where its clock went back, the fleet says so at the join.
             epoch: clock.began() / 1_000_000,
-            address: block.told_as.unwrap_or(address).to_string(),
+            address: block.advertise_address.unwrap_or(address).to_string(),
             zone: node.zones[node.zone].clone(),
             program: env!("CARGO_PKG_VERSION").into(),
             offers: vec!["view".into()],
@@ -93,8 +93,8 @@
             fleet: block.name.clone(),
             card,
             seeds: block.seeds.clone(),
-            reach: block.reach.clone(),
-            nodes: node.nodes,
+            reach: block.peer_addresses.clone(),
+            nodes: node.node_count,
             seed,
         };
         let member = Member::new(setup, clock.now())?;
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -3,7 +3,7 @@
 use std::io::{IsTerminal, Write};
 
 use clap::ValueEnum;
-use pumicehead_config::diag::{self, MOST_SHOWN};
+use pumicehead_config::diagnostic::{self, MAX_SHOWN};
 use pumicehead_config::{Diagnostic, Sources};
 
 /// How mistakes are written.
@@ -20,18 +20,18 @@
     match format {
         Format::Json => {
             for one in diagnostics {
-                if let Ok(line) = serde_json::to_string(&diag::json(sources, one)) {
+                if let Ok(line) = serde_json::to_string(&diagnostic::json(sources, one)) {
                     print(&(line + "\n"));
                 }
             }
         }
         Format::Text => {
             let styled = std::io::stderr().is_terminal();
-            for one in diagnostics.iter().take(MOST_SHOWN) {
-                error(&format!("{}\n", diag::render(sources, one, styled)));
+            for one in diagnostics.iter().take(MAX_SHOWN) {
+                error(&format!("{}\n", diagnostic::render(sources, one, styled)));
             }
-            if diagnostics.len() > MOST_SHOWN {
-                error(&format!("and {} more", diagnostics.len() - MOST_SHOWN));
+            if diagnostics.len() > MAX_SHOWN {
+                error(&format!("and {} more", diagnostics.len() - MAX_SHOWN));
             }
         }
     }
--- a/crates/node/src/standalone/admission.rs
+++ b/crates/node/src/standalone/admission.rs
@@ -9,7 +9,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, StatusCode, Uri, Version};
 use pumicehead_config::explain::key_of;
-use pumicehead_config::model::{Config, Protocol, Repeats, TenantOf};
+use pumicehead_config::model::{Config, Idempotency, Protocol, TenantSource};
 use pumicehead_config::route_table::RouteTable;
 use pumicehead_policy::TenantId;
 use pumicehead_policy::tenant_ids::{IdsByName, TenantIds};
@@ -58,17 +58,17 @@
     /// `classes` are the names of the pool's classes in their places.
     fn new(config: &Config, class: usize, pool: usize, classes: &[String]) -> Self {
         let class = &config.classes[class];
-        let keyed = match &class.repeats {
-            Repeats::Keyed { header, .. } => HeaderName::from_bytes(header.as_bytes()).ok(),
-            Repeats::Safe | Repeats::Unsafe => None,
+        let keyed = match &class.settings.idempotency {
+            Idempotency::IdempotencyKey { header, .. } => HeaderName::from_bytes(header.as_bytes()).ok(),
+            Idempotency::Idempotent | Idempotency::NotIdempotent => None,
         };
         Self {
             pool,
             // Every class that leads to a pool is among its own.
             class: classes.iter().position(|name| *name == class.name).unwrap_or_default(),
-            deadline: Duration::from_nanos(class.deadline),
+            deadline: Duration::from_nanos(class.settings.deadline),
             keyed,
-            decoded: config.pools[pool].protocol == Protocol::FastCgi,
+            decoded: config.pools[pool].settings.protocol == Protocol::FastCgi,
         }
     }
 }
@@ -180,9 +180,9 @@
             one(&head.headers, name)?;
         }
         let tenant = match table.routes.tenant(place) {
-            TenantOf::None => None,
-            TenantOf::Fixed(place) => table.tenants[*place],
-            TenantOf::Header(name) => {
+            TenantSource::None => None,
+            TenantSource::Fixed(place) => table.tenants[*place],
+            TenantSource::Header(name) => {
                 let missing = || Bad::Header(name.clone().into());
                 let field = HeaderName::from_bytes(name.as_bytes()).map_err(|_| missing())?;
                 let value = std::str::from_utf8(one(&head.headers, &field)?).ok();
--- a/crates/node/src/standalone/difference.rs
+++ b/crates/node/src/standalone/difference.rs
@@ -1,9 +1,9 @@
 //! How a configuration that was read differs from the one in force.
 
 use pumicehead_config::Span;
-use pumicehead_config::diff::{Change, What, diff_by};
+use pumicehead_config::diff::{Change, ChangeKind, diff_with_delta};
 use pumicehead_config::model::Config;
-use pumicehead_resources::{Digest, Fault, Snapshot};
+use pumicehead_resources::{Digest, Snapshot, ValidationError};
 
 use super::revision::NodeConfig;
 use super::touched::Touched;
@@ -27,7 +27,7 @@
     ///
     /// # Errors
     /// What the tables don't allow.
-    pub fn first(config: &Config) -> Result<Self, Fault> {
+    pub fn first(config: &Config) -> Result<Self, ValidationError> {
         let digest = config.snapshot()?.digest();
         Ok(Self { digest, is_empty: false, changes: Vec::new(), touched: Touched::All, waiting: Vec::new() })
     }
@@ -36,14 +36,14 @@
     ///
     /// # Errors
     /// What the tables don't allow.
-    pub fn between(current: &NodeConfig, config: &Config) -> Result<Self, Fault> {
+    pub fn between(current: &NodeConfig, config: &Config) -> Result<Self, ValidationError> {
         let former = current.config.restore();
         let (old, new) = (former.snapshot()?, config.snapshot()?);
         let delta = old.difference(&new);
-        let mut changes = diff_by(&former, config, &delta);
+        let mut changes = diff_with_delta(&former, config, &delta);
         // What is gone stood in texts that are gone as well.
-        let gone = changes.iter_mut().filter(|change| change.what == What::Removed);
-        gone.for_each(|change| change.place = Span::default());
+        let gone = changes.iter_mut().filter(|change| change.kind == ChangeKind::Removed);
+        gone.for_each(|change| change.span = Span::default());
         Ok(Self {
             digest: new.digest(),
             is_empty: delta.is_empty(),
@@ -58,18 +58,19 @@
 fn waiting_settings(old: &Snapshot, new: &Snapshot) -> Vec<&'static str> {
     let (old, new) = (old.node(), new.node());
     let (limits, new_limits) = (&old.limits, &new.limits);
-    let (observe, new_observe) = (&old.observe, &new.observe);
+    let (observe, new_observe) = (&old.observability, &new.observability);
     let differ = [
         (
-            (limits.memory, limits.descriptors) != (new_limits.memory, new_limits.descriptors),
+            (limits.memory_bytes, limits.max_descriptors)
+                != (new_limits.memory_bytes, new_limits.max_descriptors),
             "`memory` and `descriptors` wait",
         ),
         (
-            (observe.calls, observe.recorder, &observe.recordings)
-                != (new_observe.calls, new_observe.recorder, &new_observe.recordings),
+            (observe.admin_address, observe.recorder_bytes, &observe.recording_directory)
+                != (new_observe.admin_address, new_observe.recorder_bytes, &new_observe.recording_directory),
             "`calls`, `recorder` and `recordings` wait",
         ),
-        (old.fleet != new.fleet, "`fleet` waits"),
+        (old.cluster != new.cluster, "`fleet` waits"),
     ];
     differ.into_iter().filter_map(|(differs, which)| differs.then_some(which)).collect()
 }
--- a/crates/node/src/standalone/listeners.rs
+++ b/crates/node/src/standalone/listeners.rs
@@ -69,16 +69,16 @@
 
 /// The bounds of all listeners.
 pub fn options(config: &Config) -> Options {
-    let Limits { request_time, idle, request_body, held, .. } = config.limits;
-    let longest = config.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+    let Limits { request_read_timeout, idle_timeout, .. } = *config.limits;
+    let longest = config.classes.iter().map(|class| class.settings.deadline).max().unwrap_or_default();
     Options {
-        patience: Duration::from_nanos(request_time),
-        keep: Duration::from_nanos(idle),
-        longest_body: request_body as usize,
+        patience: Duration::from_nanos(request_read_timeout),
+        keep: Duration::from_nanos(idle_timeout),
+        longest_body: config.limits.max_request_body_bytes as usize,
         passes: None,
-        most_held: held,
+        most_held: config.limits.max_open_requests,
         // A request may come in as slowly as it may, and then wait for its deadline.
-        last_deadline: Duration::from_nanos(longest.saturating_add(request_time)),
+        last_deadline: Duration::from_nanos(longest.saturating_add(request_read_timeout)),
         healthz: false,
         // A front has pools of its own settings each; these advise half a second.
         advice: Some(SECOND / 2),
--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 use pumicehead_admin::call::{Call, no, yes};
-use pumicehead_config::model::Observe;
+use pumicehead_config::model::Observability;
 use pumicehead_flight_recorder::recorder::Level;
 use pumicehead_policy::NodeShare;
 use tokio::signal::unix::{SignalKind, signal};
@@ -57,12 +57,12 @@
     let config = reading.checked().config.as_ref().ok_or("the configuration can't be used")?;
     let recorder = record
         .map(|file| Recorder::start(&file).map_err(|error| format!("record to {}: {error}", file.display())));
-    let observe = &config.observe;
+    let observe = &config.observability;
     set_log(&log, observe);
-    let folder = Some(observe.recordings.clone()).filter(|folder| !folder.as_os_str().is_empty());
+    let folder = Some(observe.recording_directory.clone()).filter(|folder| !folder.as_os_str().is_empty());
     // Hash tables are seeded from the system's source of randomness.
     let seed = RandomState::new().build_hasher().finish();
-    let (memory, calls) = (observe.recorder, observe.calls);
+    let (memory, calls) = (observe.recorder_bytes, observe.admin_address);
     let saving = folder.map_or(Saving::Nowhere, Saving::OffLoop);
     let eyes = Eyes::new(&config.node.name, Clock::start(), memory as usize, seed, log, saving);
     if memory == 0 {
@@ -72,7 +72,7 @@
     let listener =
         calls.map(|address| front::listen(address).map_err(|error| format!("listen on {address}: {error}")));
     let listener = listener.transpose()?;
-    let fleet = match &config.fleet {
+    let fleet = match &config.cluster {
         Some(block) => Some(Fleet::start(block, &config.node, &eyes, seed).await?),
         None => None,
     };
@@ -102,9 +102,9 @@
 }
 
 /// What the log tells and how, as a file has it.
-fn set_log(log: &Log, observe: &Observe) {
-    log.set_form(if observe.json { Form::Json } else { Form::Text });
-    if let Err(error) = log.set_filter(&observe.log) {
+fn set_log(log: &Log, observe: &Observability) {
+    log.set_form(if observe.log_json { Form::Json } else { Form::Text });
+    if let Err(error) = log.set_filter(&observe.log_filter) {
         warn!(target: "settings", "log: {error}");
     }
 }
--- a/crates/node/src/standalone/pools.rs
+++ b/crates/node/src/standalone/pools.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pumicehead_config::model::{Config, Members, Protocol};
+use pumicehead_config::model::{Config, EndpointSource, Protocol};
 use pumicehead_policy::tenant_shares::TenantShares;
 use pumicehead_policy::{Nanos, Settings};
 use tokio::task;
@@ -69,13 +69,13 @@
             classes: classes.map(|class| config.classes[class].name.clone()).collect(),
             connection: ConnectionSettings {
                 zones: config.node.zones.clone(),
-                fixed: matches!(pool.members, Members::Static(_)),
-                connect_timeout: pool.connect_timeout,
-                idle: pool.idle,
-                answer_body: config.limits.answer_body,
-                protocol: pool.protocol,
-                script: pool.script.clone(),
-                root: pool.root.clone(),
+                fixed: matches!(pool.endpoints, EndpointSource::Static(_)),
+                connect_timeout: pool.settings.connect_timeout,
+                idle: pool.settings.idle_timeout,
+                answer_body: config.limits.max_response_body_bytes,
+                protocol: pool.settings.protocol,
+                script: pool.settings.script_name.clone(),
+                root: pool.settings.document_root.clone(),
             },
         })
     }
@@ -125,9 +125,9 @@
     /// Those of a pool of a configuration, by its place.
     #[must_use]
     pub fn of(config: &Config, place: usize) -> Self {
-        let servers = match &config.pools[place].members {
-            Members::Discovery { address, .. } => return Self::Discovery(*address),
-            Members::Static(servers) => servers,
+        let servers = match &config.pools[place].endpoints {
+            EndpointSource::Discovered { address, .. } => return Self::Discovery(*address),
+            EndpointSource::Static(servers) => servers,
         };
         let hosts = servers.iter().map(|server| Host {
             host: server.name.clone(),
--- a/crates/node/src/standalone/reading.rs
+++ b/crates/node/src/standalone/reading.rs
@@ -10,7 +10,7 @@
 
 use pumicehead_config::disk::Disk;
 use pumicehead_config::{Checked, Config, check};
-use pumicehead_resources::Fault;
+use pumicehead_resources::ValidationError;
 use thiserror::Error;
 
 use super::difference::Difference;
@@ -31,7 +31,7 @@
 struct Findings {
     checked: Checked,
     /// There where the file can be used.
-    difference: Option<Result<Difference, Fault>>,
+    difference: Option<Result<Difference, ValidationError>>,
 }
 
 /// A file that was checked, held by the thread that did it. What is kept of it must be copied.
@@ -60,7 +60,7 @@
 
     fn compared(
         path: PathBuf,
-        compare: impl FnOnce(&Config) -> Result<Difference, Fault> + Send + 'static,
+        compare: impl FnOnce(&Config) -> Result<Difference, ValidationError> + Send + 'static,
     ) -> Result<Self, ReadingError> {
         // Of one slot each: these are allocated here, and nothing that the other thread would allocate is freed here.
         let (result, received) = mpsc::sync_channel(1);
@@ -85,7 +85,7 @@
     }
 
     /// How it differs from what is in force; `None` where the file can't be used.
-    pub fn difference(&self) -> Option<Result<&Difference, &Fault>> {
+    pub fn difference(&self) -> Option<Result<&Difference, &ValidationError>> {
         self.findings.difference.as_ref().map(Result::as_ref)
     }
 }
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pumicehead_config::diff::Shown;
+use pumicehead_config::diff::DisplayChange;
 use pumicehead_policy::Nanos;
 use thiserror::Error;
 use tokio::task;
@@ -92,7 +92,7 @@
     let Some(Ok(Difference { changes, .. })) = prepared.reading.difference() else { return };
     let sources = &prepared.reading.checked().sources;
     for change in changes {
-        info!(target: "settings", "reload: {}", Shown { change, sources });
+        info!(target: "settings", "reload: {}", DisplayChange { change, sources });
     }
     let NodeConfig { revision, digest, .. } = &*prepared.transition.next;
     let (count, counts) = (changes.len(), prepared.transition.counts);
--- a/crates/node/src/standalone/revision.rs
+++ b/crates/node/src/standalone/revision.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use pumicehead_config::kept::KeptConfig;
+use pumicehead_config::compact_config::CompactConfig;
 use pumicehead_config::model::Config;
 use pumicehead_policy::tenant_ids::TenantIds;
 use pumicehead_policy::{Nanos, Settings};
@@ -23,7 +23,7 @@
     /// Fingerprint of the whole state.
     pub digest: Digest,
     /// The file's meaning.
-    pub config: KeptConfig,
+    pub config: CompactConfig,
     /// What each pool's learned state rests on, in the order of the configuration.
     pub identities: Vec<Arc<PoolIdentity>>,
     /// The routes, as requests meet them.
@@ -54,7 +54,7 @@
     ) -> Self {
         let classes: Vec<_> = identities.iter().map(|identity| identity.classes.as_slice()).collect();
         let table = Arc::new(RequestTable::new(revision, config, &classes, &tenants));
-        let config = KeptConfig::new(config, table.routes().clone());
+        let config = CompactConfig::new(config, table.routes().clone());
         Self { revision, digest, config, identities, table, tenants }
     }
 
--- a/crates/node/src/standalone/site.rs
+++ b/crates/node/src/standalone/site.rs
@@ -45,7 +45,7 @@
     },
     /// A state that the tables don't allow.
     #[error(transparent)]
-    Unsound(#[from] pumicehead_resources::Fault),
+    Unsound(#[from] pumicehead_resources::ValidationError),
     /// Settings that the decision module can't use.
     #[error("pool {pool}: {source}")]
     Settings {
@@ -95,7 +95,7 @@
         let seed = RandomState::new().build_hasher().finish();
         let pools = PoolContext {
             connections: Connections::new(places.servers),
-            room: Room::new((config.limits.memory / LONG_SHARE) as usize),
+            room: Room::new((config.limits.memory_bytes / LONG_SHARE) as usize),
             held: Held::default(),
             eyes,
             seed,
@@ -109,7 +109,7 @@
             Running { pools: names.zip(handles).collect(), listeners: Vec::new(), active: active.clone() };
         let site = Rc::new(Self {
             gateway: Gateway::new(live, seed, recorder),
-            budget: Budget::new(places.clients, config.limits.descriptors),
+            budget: Budget::new(places.clients, config.limits.max_descriptors),
             pools,
             running: RefCell::new(running),
             sharing: Cell::new(None),
@@ -141,7 +141,7 @@
         for setting in &transition.waiting {
             warn!(target: "settings", "reload: {setting} for the next start");
         }
-        super::set_log(self.pools.eyes.log(), &config.observe);
+        super::set_log(self.pools.eyes.log(), &config.observability);
         let former = self.active();
         if !Arc::ptr_eq(former.tenants.by_name(), next.tenants.by_name()) {
             name_tenants(&next, &self.pools.eyes);
@@ -270,7 +270,7 @@
 
     /// How much it has to do: requests in hand, in eighths of what it may hold.
     pub fn load(&self) -> u32 {
-        let most = self.running.borrow().active.config.settings().limits.held.max(1);
+        let most = self.running.borrow().active.config.settings().limits.max_open_requests.max(1);
         (self.pools.held.count() * 8 / most).min(8) as u32
     }
 
@@ -332,7 +332,7 @@
 
 /// Descriptors for clients and for servers, after what the node needs for itself.
 fn descriptor_budget(config: &Config) -> Places {
-    let calls = if config.observe.calls.is_some() { 1 + MOST_CALLERS } else { 0 };
-    let others = calls + if config.fleet.is_some() { fleet::DESCRIPTORS } else { 0 };
-    Places::of(config.limits.descriptors, config.listeners.len() + others)
+    let calls = if config.observability.admin_address.is_some() { 1 + MOST_CALLERS } else { 0 };
+    let others = calls + if config.cluster.is_some() { fleet::DESCRIPTORS } else { 0 };
+    Places::of(config.limits.max_descriptors, config.listeners.len() + others)
 }
--- a/crates/node/src/standalone/touched.rs
+++ b/crates/node/src/standalone/touched.rs
@@ -24,13 +24,13 @@
                 Change::Set(resource) => resource.id(),
                 Change::Remove(id) => id.clone(),
                 // Which of two routes is asked first is the matcher's concern alone.
-                Change::Place { .. } => continue,
+                Change::MoveRoute { .. } => continue,
             };
             match id {
                 // Every pool knows the zones, the tenants and some of the bounds.
                 ResourceId::Node | ResourceId::Tenant(_) => return Self::All,
                 ResourceId::Listener(_) => {}
-                ResourceId::Pool(name) | ResourceId::Backend { pool: name, .. } => drop(pools.insert(name)),
+                ResourceId::Pool(name) | ResourceId::Endpoint { pool: name, .. } => drop(pools.insert(name)),
                 ResourceId::Class(name) => drop(classes.insert(name)),
                 // A pool's classes are those of the routes that lead to it.
                 id @ ResourceId::Route(_) => {
--- a/crates/node/tests/unit/touched.rs
+++ b/crates/node/tests/unit/touched.rs
@@ -12,11 +12,11 @@
 struct OneFile(String);
 
 impl Files for OneFile {
-    fn read(&self, _: &std::path::Path) -> Result<Vec<u8>, pumicehead_config::ReadFault> {
+    fn read(&self, _: &std::path::Path) -> Result<Vec<u8>, pumicehead_config::ReadError> {
         Ok(self.0.clone().into_bytes())
     }
 
-    fn list(&self, _: &std::path::Path) -> Result<Vec<String>, pumicehead_config::ReadFault> {
+    fn list(&self, _: &std::path::Path) -> Result<Vec<String>, pumicehead_config::ReadError> {
         Ok(Vec::new())
     }
 
--- a/crates/resources/src/delta.rs
+++ b/crates/resources/src/delta.rs
@@ -1,72 +1,57 @@
-//! Changes of a configuration: what they are, how a state takes them, and how two states differ.
+//! Changes of a configuration: how a snapshot applies them, and the difference of two snapshots.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use thiserror::Error;
-
-use crate::check::Fault;
-use crate::order::{LinkedOrder, Move, moves};
-use crate::resource::{Name, Resource, ResourceId};
+use crate::error::ApplyError;
+use crate::name::Name;
+use crate::resource::{Resource, ResourceId};
+use crate::route_order::{LinkedOrder, RouteMove, fewest_moves};
 use crate::snapshot::Snapshot;
 
-/// One change.
+/// A change of one resource or of the order of routes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The resource is there from now on, in place of any of its name. A new route comes last.
+    /// Adds a resource, or replaces the one with the same identity. A new route becomes the last.
     Set(Resource),
-    /// The resource is gone.
+    /// Removes a resource.
     Remove(ResourceId),
-    /// A route stands before another, or last where there is no other.
-    Place {
-        /// The route.
+    /// Moves a route in the order of routes.
+    MoveRoute {
+        /// The route that moves.
         route: Name,
-        /// The other.
+        /// The route that it comes directly before; `None` makes it the last.
         before: Option<Name>,
     },
 }
 
-/// Changes in the order in which they are made. They are checked together: a class may be removed before the routes
-/// that used it.
+/// Changes that are applied together, in order. Only the state after all of them is validated: a class may be removed
+/// before the routes that used it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Delta {
-    /// The changes.
+    /// The changes, in order.
     pub changes: Vec<Change>,
 }
 
-/// Why a delta is not applied. Nothing of it is then.
-#[derive(Clone, Debug, PartialEq, Error)]
-pub enum ApplyError {
-    /// It removes or moves what is not there.
-    #[error("there is no {0}")]
-    Missing(ResourceId),
-    /// It removes the settings of the node itself, which are always there.
-    #[error("the settings of the node can't be removed")]
-    NodeRemoved,
-    /// The state that it leads to can't be used.
-    #[error(transparent)]
-    Unsound(#[from] Fault),
-}
-
 impl Snapshot {
-    /// Makes all changes, or none where one of them can't be made or the state after all of them can't be used.
+    /// Applies all changes, or none of them if one can't be applied or the state after them is invalid.
     ///
     /// # Errors
-    /// Why none was made.
+    /// Why no change was applied.
     pub fn apply(&mut self, delta: &Delta) -> Result<(), ApplyError> {
-        // Resources are shared: a clone costs the tables, not what is in them.
+        // Resources are shared: this copies the tables only.
         let mut next = self.clone();
         let mut order = LinkedOrder::new(&self.route_order);
         for change in &delta.changes {
-            next.change(change, &mut order)?;
+            next.apply_change(change, &mut order)?;
         }
         next.route_order = order.into_names();
-        next.check()?;
+        next.validate()?;
         *self = next;
         Ok(())
     }
 
-    fn change(&mut self, change: &Change, order: &mut LinkedOrder) -> Result<(), ApplyError> {
+    fn apply_change(&mut self, change: &Change, order: &mut LinkedOrder) -> Result<(), ApplyError> {
         match change {
             Change::Set(resource) => {
                 if let Resource::Route(route) = resource
@@ -74,56 +59,57 @@
                 {
                     order.insert(route.name.clone(), None);
                 }
-                self.put(resource.clone());
+                self.insert(resource.clone());
             }
             Change::Remove(ResourceId::Node) => return Err(ApplyError::NodeRemoved),
             Change::Remove(id) => {
-                if !self.take(id) {
-                    return Err(ApplyError::Missing(id.clone()));
+                if !self.remove(id) {
+                    return Err(ApplyError::NotFound(id.clone()));
                 }
                 if let ResourceId::Route(name) = id {
                     order.remove(name);
                 }
             }
-            Change::Place { route, before } => place(order, route, before.as_ref())?,
+            Change::MoveRoute { route, before } => move_route(order, route, before.as_ref())?,
         }
         Ok(())
     }
 
-    /// The delta that makes this state into another one. Empty where they are equal.
+    /// The delta that leads from this state to another one; empty if they are equal.
     #[must_use]
     pub fn difference(&self, other: &Self) -> Delta {
         let mut changes = Vec::new();
         if self.node != other.node {
             changes.push(Change::Set(Resource::Node(other.node.clone())));
         }
-        table(&self.listeners, &other.listeners, Resource::Listener, &mut changes);
-        table(&self.pools, &other.pools, Resource::Pool, &mut changes);
-        table(&self.backends, &other.backends, Resource::Backend, &mut changes);
-        table(&self.classes, &other.classes, Resource::Class, &mut changes);
-        table(&self.tenants, &other.tenants, Resource::Tenant, &mut changes);
-        table(&self.routes, &other.routes, Resource::Route, &mut changes);
-        let moves = moves(&self.route_order, &other.route_order).into_iter();
-        changes.extend(moves.map(|Move { route, before }| Change::Place { route, before }));
+        diff_table(&self.listeners, &other.listeners, Resource::Listener, &mut changes);
+        diff_table(&self.pools, &other.pools, Resource::Pool, &mut changes);
+        diff_table(&self.endpoints, &other.endpoints, Resource::Endpoint, &mut changes);
+        diff_table(&self.classes, &other.classes, Resource::Class, &mut changes);
+        diff_table(&self.tenants, &other.tenants, Resource::Tenant, &mut changes);
+        diff_table(&self.routes, &other.routes, Resource::Route, &mut changes);
+        let moves = fewest_moves(&self.route_order, &other.route_order).into_iter();
+        changes.extend(moves.map(|RouteMove { route, before }| Change::MoveRoute { route, before }));
         Delta { changes }
     }
 }
 
 impl Delta {
-    /// Whether it changes nothing.
+    /// Whether there are no changes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 }
 
-fn place(order: &mut LinkedOrder, route: &Name, before: Option<&Name>) -> Result<(), ApplyError> {
+/// Moves a route directly before another, or to the end.
+fn move_route(order: &mut LinkedOrder, route: &Name, before: Option<&Name>) -> Result<(), ApplyError> {
     for name in [Some(route), before].into_iter().flatten() {
         if !order.contains(name) {
-            return Err(ApplyError::Missing(ResourceId::Route(name.clone())));
+            return Err(ApplyError::NotFound(ResourceId::Route(name.clone())));
         }
     }
-    // Before itself: it stays where it is.
+    // A route before itself stays where it is.
     if before == Some(route) {
         return Ok(());
     }
@@ -132,18 +118,18 @@
     Ok(())
 }
 
-/// The changes between two tables of one kind.
-fn table<K: Ord, T: PartialEq>(
+/// Appends the changes between two tables of one kind: first what is removed, then what is added or replaced.
+fn diff_table<K: Ord, T: PartialEq>(
     old: &BTreeMap<K, Arc<T>>,
     new: &BTreeMap<K, Arc<T>>,
     resource: impl Fn(Arc<T>) -> Resource,
     changes: &mut Vec<Change>,
 ) {
-    let gone = old.iter().filter(|(name, _)| !new.contains_key(name));
-    changes.extend(gone.map(|(_, one)| Change::Remove(resource(one.clone()).id())));
-    let set = new.iter().filter(|(name, one)| {
+    let removed = old.iter().filter(|(name, _)| !new.contains_key(name));
+    changes.extend(removed.map(|(_, value)| Change::Remove(resource(value.clone()).id())));
+    let set = new.iter().filter(|(name, value)| {
         let former = old.get(name);
-        former.is_none_or(|former| !Arc::ptr_eq(former, one) && former != *one)
+        former.is_none_or(|former| !Arc::ptr_eq(former, value) && former != *value)
     });
-    changes.extend(set.map(|(_, one)| Change::Set(resource(one.clone()))));
+    changes.extend(set.map(|(_, value)| Change::Set(resource(value.clone()))));
 }
--- a/crates/resources/src/digest.rs
+++ b/crates/resources/src/digest.rs
@@ -1,9 +1,9 @@
-//! A fingerprint of a whole state, the same on every machine and in every build.
+//! A digest of a snapshot that is the same on every machine and in every build.
 //!
-//! Each value goes into the hash in a fixed form: numbers in little-endian order, texts behind their length, choices
-//! behind a number of their own. The tables are sorted by name, so the order in which changes came does not show; the
-//! order of routes and of zones does, since it has a meaning. SipHash with a fixed key is no defence against someone who
-//! wants two states to look alike: it tells apart what differs by accident or by fault.
+//! Each value is hashed in a fixed encoding: numbers in little-endian order, texts and lists after their length, variants
+//! after a number of their own. Tables are hashed in the order of names, so the digest does not depend on the order of
+//! changes; it depends on the order of routes and of zones, which has a meaning. SipHash with a fixed key finds
+//! differences by accident or by a fault; it is no defence against deliberate collisions.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -13,16 +13,16 @@
 use pumicehead_route::{HeaderRule, Methods};
 use siphasher::sip128::{Hasher128, SipHasher13};
 
-use crate::resource::{
-    Address, Backend, Class, Endpoints, Fleet, KeySource, Limits, Listener, Node, Observe, Pool, Protocol,
-    Repeats, Route, Tenant, TenantSource,
-};
+use crate::class::{Class, ClassSettings, Idempotency, Tenant};
+use crate::node::{Cluster, Limits, Listener, Node, Observability};
+use crate::pool::{Address, Endpoint, EndpointSource, Pool, PoolSettings, Protocol};
+use crate::route::{KeySource, Route, TenantSource};
 use crate::snapshot::Snapshot;
 
-/// Key of the hash, and with it the version of the form: another form takes another key.
+/// Key of the hash. It identifies the encoding: a changed encoding needs another key.
 const KEY: (u64, u64) = (0x7075_6d69_6365_6865, 1);
 
-/// A fingerprint of a whole state. Equal states have equal ones; others differ but for a chance of one in 2^64 a pair.
+/// A digest of a snapshot. Equal snapshots have equal digests; two others have the same one with a probability of 2^-64.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub u128);
 
@@ -30,7 +30,7 @@
 const METRIC_BITS: u32 = 52;
 
 impl Digest {
-    /// The upper bits, as many as a metric's value holds exactly: nodes of equal state show equal values.
+    /// The upper bits, as many as the value of a metric holds exactly: nodes with equal snapshots export equal values.
     #[must_use]
     pub fn short(self) -> u64 {
         (self.0 >> (u128::BITS - METRIC_BITS)) as u64
@@ -44,24 +44,24 @@
 }
 
 impl Snapshot {
-    /// The fingerprint of this state.
+    /// The digest of this snapshot.
     #[must_use]
     pub fn digest(&self) -> Digest {
         let mut encoder = Encoder(SipHasher13::new_with_keys(KEY.0, KEY.1));
         encoder.node(&self.node);
         encoder.table(self.listeners.values(), |encoder, one| encoder.listener(one));
         encoder.table(self.pools.values(), |encoder, one| encoder.pool(one));
-        encoder.table(self.backends.values(), |encoder, one| encoder.backend(one));
+        encoder.table(self.endpoints.values(), |encoder, one| encoder.endpoint(one));
         encoder.table(self.classes.values(), |encoder, one| encoder.class(one));
         encoder.table(self.tenants.values(), |encoder, one| encoder.tenant(one));
-        // In the order in which they are asked, not by name.
+        // In the order in which they are matched, not by name.
         encoder.count(self.routes.len());
         self.routes().for_each(|route| encoder.route(route));
         Digest(encoder.0.finish128().as_u128())
     }
 }
 
-/// Feeds values to the hash in their fixed form.
+/// Feeds values to the hash in their fixed encoding.
 struct Encoder(SipHasher13);
 
 impl Encoder {
@@ -82,7 +82,7 @@
     }
 
     fn decimal(&mut self, value: f64) {
-        // 0 and -0 are equal, and so must their forms be.
+        // 0 and -0 are equal, and so must their encodings be.
         let value = if value == 0.0 { 0.0 } else { value };
         self.number(value.to_bits());
     }
@@ -119,43 +119,51 @@
     }
 
     fn node(&mut self, node: &Node) {
-        let Node { name, zones, zone, nodes, number, limits, observe, fleet } = node;
+        let Node { name, zones, zone, node_count, node_index, limits, observability, cluster } = node;
         self.text(name);
         self.count(zones.len());
         zones.iter().for_each(|zone| self.text(zone));
         self.text(zone);
-        self.number((*nodes).into());
-        self.number((*number).into());
+        self.number((*node_count).into());
+        self.number((*node_index).into());
         self.limits(limits);
-        self.observe(observe);
-        self.optional(fleet.as_ref(), Self::fleet);
+        self.observability(observability);
+        self.optional(cluster.as_ref(), Self::cluster);
     }
 
     fn limits(&mut self, limits: &Limits) {
-        let Limits { memory, descriptors, held, request_body, answer_body, request_time, idle, retry_after } =
-            limits;
-        let all = [memory, descriptors, held, request_body, answer_body, request_time, idle, retry_after];
-        all.into_iter().for_each(|value| self.number(*value));
+        let Limits { memory_bytes, max_descriptors, max_open_requests, .. } = limits;
+        let Limits { max_request_body_bytes, max_response_body_bytes, .. } = limits;
+        let Limits { request_read_timeout, idle_timeout, max_retry_after, .. } = limits;
+        self.number(*memory_bytes);
+        self.count(*max_descriptors);
+        self.count(*max_open_requests);
+        self.number(*max_request_body_bytes);
+        self.number(*max_response_body_bytes);
+        self.number(*request_read_timeout);
+        self.number(*idle_timeout);
+        self.number(*max_retry_after);
     }
 
-    fn observe(&mut self, observe: &Observe) {
-        let Observe { calls, log, json, recorder, recordings } = observe;
-        self.optional(calls.as_ref(), Self::socket);
-        self.text(log);
-        self.flag(*json);
-        self.number(*recorder);
-        self.bytes(recordings.as_os_str().as_encoded_bytes());
+    fn observability(&mut self, observability: &Observability) {
+        let Observability { admin_address, log_filter, log_json, recorder_bytes, recording_directory } =
+            observability;
+        self.optional(admin_address.as_ref(), Self::socket);
+        self.text(log_filter);
+        self.flag(*log_json);
+        self.number(*recorder_bytes);
+        self.bytes(recording_directory.as_os_str().as_encoded_bytes());
     }
 
-    fn fleet(&mut self, fleet: &Fleet) {
-        let Fleet { name, address, advertise, seeds, reach } = fleet;
+    fn cluster(&mut self, cluster: &Cluster) {
+        let Cluster { name, bind_address, advertise_address, seeds, peer_addresses } = cluster;
         self.text(name);
-        self.socket(address);
-        self.optional(advertise.as_ref(), Self::socket);
+        self.socket(bind_address);
+        self.optional(advertise_address.as_ref(), Self::socket);
         self.count(seeds.len());
         seeds.iter().for_each(|seed| self.socket(seed));
-        self.count(reach.len());
-        for (name, address) in reach {
+        self.count(peer_addresses.len());
+        for (name, address) in peer_addresses {
             self.text(name);
             self.socket(address);
         }
@@ -176,14 +184,11 @@
     }
 
     fn pool(&mut self, pool: &Pool) {
-        let Pool {
-            name, endpoints, protocol, script, root, warm_up, cold_from, tips_at, tips_within, ..
-        } = pool;
-        let Pool { connect_timeout, idle, attempts, hedge, crossing, .. } = pool;
+        let Pool { name, endpoint_source, settings } = pool;
         self.text(name);
-        match endpoints {
-            Endpoints::Listed => self.byte(0),
-            Endpoints::Discovered(address, mode) => {
+        match endpoint_source {
+            EndpointSource::Static => self.byte(0),
+            EndpointSource::Discovered { address, mode } => {
                 self.byte(match mode {
                     Discovery::Push => 1,
                     Discovery::Poll => 2,
@@ -191,22 +196,31 @@
                 self.socket(address);
             }
         }
+        self.pool_settings(settings);
+    }
+
+    fn pool_settings(&mut self, settings: &PoolSettings) {
+        let PoolSettings { protocol, script_name, document_root, .. } = settings;
+        let PoolSettings { warmup_duration, warmup_initial_fraction, .. } = settings;
+        let PoolSettings { overload_multiple, overload_duration, .. } = settings;
+        let PoolSettings { connect_timeout, idle_timeout, max_attempts, .. } = settings;
+        let PoolSettings { concurrent_attempts, cross_zone_cost, .. } = settings;
         self.protocol(*protocol);
-        self.text(script);
-        self.text(root);
-        self.number(*warm_up);
-        self.decimal(*cold_from);
-        self.decimal(*tips_at);
-        self.number(*tips_within);
+        self.text(script_name);
+        self.text(document_root);
+        self.number(*warmup_duration);
+        self.decimal(*warmup_initial_fraction);
+        self.decimal(*overload_multiple);
+        self.number(*overload_duration);
         self.number(*connect_timeout);
-        self.number(*idle);
-        self.number((*attempts).into());
-        self.flag(*hedge);
-        self.decimal(*crossing);
+        self.number(*idle_timeout);
+        self.number((*max_attempts).into());
+        self.flag(*concurrent_attempts);
+        self.decimal(*cross_zone_cost);
     }
 
-    fn backend(&mut self, backend: &Backend) {
-        let Backend { pool, name, address, zone, weight, cell } = backend;
+    fn endpoint(&mut self, endpoint: &Endpoint) {
+        let Endpoint { pool, name, address, zone, weight, cell } = endpoint;
         self.text(pool);
         self.text(name);
         match address {
@@ -225,17 +239,19 @@
     }
 
     fn class(&mut self, class: &Class) {
-        let Class { name, aim, deadline, worth, late_worth, repeats, ordered } = class;
+        let Class { name, settings } = class;
+        let ClassSettings { latency_objective, deadline, priority_weight, .. } = settings;
+        let ClassSettings { late_weight, idempotency, ordered_by_key, .. } = settings;
         self.text(name);
-        self.number(*aim);
+        self.number(*latency_objective);
         self.number(*deadline);
-        self.decimal(*worth);
-        self.decimal(*late_worth);
-        match repeats {
-            Repeats::Safe => self.byte(0),
-            Repeats::Unsafe => self.byte(1),
-            Repeats::Keyed { header, group, window } => {
-                self.byte(match group {
+        self.decimal(*priority_weight);
+        self.decimal(*late_weight);
+        match idempotency {
+            Idempotency::Idempotent => self.byte(0),
+            Idempotency::NotIdempotent => self.byte(1),
+            Idempotency::IdempotencyKey { header, scope, window } => {
+                self.byte(match scope {
                     DedupScope::All => 2,
                     DedupScope::Zone => 3,
                     DedupScope::Cell => 4,
@@ -244,14 +260,14 @@
                 self.number(*window);
             }
         }
-        self.flag(*ordered);
+        self.flag(*ordered_by_key);
     }
 
     fn tenant(&mut self, tenant: &Tenant) {
-        let Tenant { name, share, rate } = tenant;
+        let Tenant { name, share, allowance_per_s } = tenant;
         self.text(name);
         self.decimal(*share);
-        self.decimal(*rate);
+        self.decimal(*allowance_per_s);
     }
 
     fn route(&mut self, route: &Route) {
@@ -277,9 +293,9 @@
         }
         match key {
             KeySource::None => self.byte(0),
-            KeySource::Segment(place) => {
+            KeySource::Segment(index) => {
                 self.byte(1);
-                self.count(*place);
+                self.count(*index);
             }
             KeySource::Last => self.byte(2),
             KeySource::Header(name) => {
--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -1,34 +1,43 @@
 //! A node's configuration as tables of typed resources.
 //!
-//! A [`Snapshot`] is one state of the configuration: a table for each kind of resource, by name, the order of the
-//! routes, and the settings of the node itself. A [`Delta`] is a list of typed [`Change`]s. [`Snapshot::apply`] takes a
-//! delta whole or not at all, and [`Snapshot::difference`] finds the delta that leads from one state to another.
-//! [`Snapshot::digest`] is the same for equal states, however they came about.
+//! A [`Snapshot`] is one state of the configuration: a table for each kind of resource, the order of the routes, and the
+//! settings of the node itself. A [`Delta`] is a list of typed [`Change`]s. [`Snapshot::apply`] applies a delta as a whole
+//! or not at all, and [`Snapshot::difference`] returns the delta that leads from one state to another.
+//! [`Snapshot::digest`] is equal for equal states, however they came about.
 //!
-//! Free of I/O, clocks and randomness. Where the states come from, a file or a network, is for the caller to say.
+//! Free of I/O, clocks and randomness.
 
-mod check;
+mod build;
+mod class;
 mod delta;
 mod digest;
-mod order;
+mod error;
+mod name;
+mod node;
+mod pool;
 mod resource;
+mod route;
+mod route_order;
 mod snapshot;
+mod validation;
 
-pub use check::Fault;
-pub use delta::{ApplyError, Change, Delta};
+pub use class::{Class, ClassSettings, Idempotency, Tenant};
+pub use delta::{Change, Delta};
 pub use digest::Digest;
-pub use resource::{
-    Address, Backend, Class, Endpoints, Fleet, KeySource, Kind, Limits, Listener, Name, Node, Observe, Pool,
-    Protocol, Repeats, Resource, ResourceId, Route, Tenant, TenantSource,
-};
+pub use error::{ApplyError, ValidationError};
+pub use name::Name;
+pub use node::{Cluster, Limits, Listener, Node, Observability};
+pub use pool::{Address, Endpoint, EndpointSource, Pool, PoolSettings, Protocol};
+pub use resource::{Kind, Resource, ResourceId};
+pub use route::{KeySource, Route, TenantSource};
 pub use snapshot::Snapshot;
 
-/// Number of a configuration among those that a process had in force: it grows by one with each applied change.
+/// Number of a configuration among those that a process has applied, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// The one after it.
+    /// The next revision.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
--- a/crates/resources/src/order.rs
+++ b/crates/resources/src/route_order.rs
@@ -1,59 +1,62 @@
-//! The order of the routes: a list that takes moves without a search, and the fewest moves between two orders.
+//! The order of routes: a list that moves entries in constant time, and the fewest moves between two orders.
 
 use std::collections::{HashMap, HashSet};
 
-use crate::resource::Name;
+use crate::name::Name;
 
-/// A route that stands before another from now on, or at the end where there is no other.
+/// A move of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Move {
+pub(crate) struct RouteMove {
+    /// The route that moves.
     pub route: Name,
+    /// The route that it comes directly before; `None` is the end.
     pub before: Option<Name>,
 }
 
-/// The moves that make `old` into `new`, to be carried out in order. Names that only `old` has must be gone by then, and
-/// those that only `new` has must be in the list, anywhere. As few as there can be.
-pub(crate) fn moves(old: &[Name], new: &[Name]) -> Vec<Move> {
-    let places: HashMap<&Name, usize> = old.iter().enumerate().map(|(place, name)| (name, place)).collect();
+/// Returns the fewest moves that turn `old` into `new`, to be applied in order. Before the first one, names that only
+/// `old` has must be removed, and names that only `new` has must be added anywhere.
+pub(crate) fn fewest_moves(old: &[Name], new: &[Name]) -> Vec<RouteMove> {
+    let positions: HashMap<&Name, usize> =
+        old.iter().enumerate().map(|(position, name)| (name, position)).collect();
     let common: Vec<(usize, &Name)> =
-        new.iter().filter_map(|name| Some((*places.get(name)?, name))).collect();
-    let staying = longest_rise(&common);
+        new.iter().filter_map(|name| Some((*positions.get(name)?, name))).collect();
+    let unmoved = longest_increasing_run(&common);
     let mut moves = Vec::new();
     let mut before = None;
-    // From the end: what stands behind a name is in its place already when the name is put before it.
+    // Backwards: the successor of a name is in its final position when the name is moved before it.
     for name in new.iter().rev() {
-        if !staying.contains(name) {
-            moves.push(Move { route: name.clone(), before });
+        if !unmoved.contains(name) {
+            moves.push(RouteMove { route: name.clone(), before });
         }
         before = Some(name.clone());
     }
     moves
 }
 
-/// Names of the longest sequence of rising places: these need no move.
-fn longest_rise<'a>(common: &[(usize, &'a Name)]) -> HashSet<&'a Name> {
-    // Of the sequences of each length, the entry that the one with the least last place ends with.
+/// Returns the names of the longest subsequence with increasing positions: these need no move.
+fn longest_increasing_run<'a>(common: &[(usize, &'a Name)]) -> HashSet<&'a Name> {
+    // For each length, the last entry of the increasing subsequence that ends at the least position.
     let mut ends: Vec<usize> = Vec::new();
     let mut previous = vec![None; common.len()];
-    for (at, (place, _)) in common.iter().enumerate() {
-        let length = ends.partition_point(|&end| common[end].0 < *place);
-        previous[at] = length.checked_sub(1).map(|shorter| ends[shorter]);
+    for (index, (position, _)) in common.iter().enumerate() {
+        let length = ends.partition_point(|&end| common[end].0 < *position);
+        previous[index] = length.checked_sub(1).map(|shorter| ends[shorter]);
         if length == ends.len() {
-            ends.push(at);
+            ends.push(index);
         } else {
-            ends[length] = at;
+            ends[length] = index;
         }
     }
     let mut names = HashSet::with_capacity(ends.len());
     let mut next = ends.last().copied();
-    while let Some(at) = next {
-        names.insert(common[at].1);
-        next = previous[at];
+    while let Some(index) = next {
+        names.insert(common[index].1);
+        next = previous[index];
     }
     names
 }
 
-/// An order as a linked list: thousands of moves cost no search through it.
+/// An order as a doubly linked list, so that a move takes constant time.
 pub(crate) struct LinkedOrder {
     links: HashMap<Name, Links>,
     first: Option<Name>,
@@ -67,17 +70,19 @@
 }
 
 impl LinkedOrder {
+    /// The order of these names.
     pub fn new(names: &[Name]) -> Self {
         let mut order = Self { links: HashMap::with_capacity(names.len()), first: None, last: None };
         names.iter().for_each(|name| order.insert(name.clone(), None));
         order
     }
 
+    /// Whether a name is in the order.
     pub fn contains(&self, name: &str) -> bool {
         self.links.contains_key(name)
     }
 
-    /// Puts a name that is not there before another that is, or at the end.
+    /// Inserts a name that is not yet in the order directly before one that is, or at the end.
     pub fn insert(&mut self, name: Name, before: Option<Name>) {
         let previous = match &before {
             Some(next) => self.links.get_mut(next).and_then(|links| links.previous.replace(name.clone())),
@@ -94,6 +99,7 @@
         self.links.insert(name, Links { previous, next: before });
     }
 
+    /// Removes a name, if it is in the order.
     pub fn remove(&mut self, name: &str) {
         let Some(Links { previous, next }) = self.links.remove(name) else { return };
         match &previous {
@@ -114,6 +120,7 @@
         }
     }
 
+    /// All names in order.
     pub fn into_names(self) -> Vec<Name> {
         let mut names = Vec::with_capacity(self.links.len());
         let mut next = self.first;
--- a/crates/resources/src/snapshot.rs
+++ b/crates/resources/src/snapshot.rs
@@ -1,76 +1,62 @@
-//! One state of the configuration.
+//! One state of the configuration: its tables, and access to them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::check::Fault;
-use crate::resource::{Backend, Class, Listener, Name, Node, Pool, Resource, ResourceId, Route, Tenant};
+use crate::class::{Class, Tenant};
+use crate::name::Name;
+use crate::node::{Listener, Node};
+use crate::pool::{Endpoint, Pool};
+use crate::resource::{Resource, ResourceId};
+use crate::route::Route;
 
-/// One state of the configuration: a table for each kind of resource, by name. Clones share the resources.
+/// One state of the configuration: a table for each kind of resource, sorted by name. Clones share the resources.
 ///
-/// Two snapshots are equal where all resources and the order of the routes are.
+/// Two snapshots are equal if all resources and the order of the routes are equal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
     pub(crate) node: Arc<Node>,
     pub(crate) listeners: BTreeMap<Name, Arc<Listener>>,
     pub(crate) pools: BTreeMap<Name, Arc<Pool>>,
-    /// By pool and name.
-    pub(crate) backends: BTreeMap<(Name, Name), Arc<Backend>>,
+    /// By the names of pool and endpoint.
+    pub(crate) endpoints: BTreeMap<(Name, Name), Arc<Endpoint>>,
     pub(crate) classes: BTreeMap<Name, Arc<Class>>,
     pub(crate) tenants: BTreeMap<Name, Arc<Tenant>>,
     pub(crate) routes: BTreeMap<Name, Arc<Route>>,
-    /// Names of all routes; the first that fits a request wins.
+    /// Names of all routes; the first that matches a request is taken.
     pub(crate) route_order: Vec<Name>,
 }
 
 impl Snapshot {
-    /// A state of these resources, with the routes in this order. Of two that have one name the later one counts.
-    ///
-    /// # Errors
-    /// What keeps a node from using it.
-    pub fn build(resources: impl IntoIterator<Item = Resource>) -> Result<Self, Fault> {
-        let mut snapshot = Self::default();
-        for resource in resources {
-            if let Resource::Route(route) = &resource
-                && !snapshot.routes.contains_key(&route.name)
-            {
-                snapshot.route_order.push(route.name.clone());
-            }
-            snapshot.put(resource);
-        }
-        snapshot.check()?;
-        Ok(snapshot)
-    }
-
-    /// The node's own settings.
+    /// The settings of the node itself.
     #[must_use]
     pub fn node(&self) -> &Node {
         &self.node
     }
 
-    /// The listeners, by name.
+    /// The listeners, sorted by name.
     pub fn listeners(&self) -> impl Iterator<Item = &Arc<Listener>> {
         self.listeners.values()
     }
 
-    /// The pools, by name.
+    /// The pools, sorted by name.
     pub fn pools(&self) -> impl Iterator<Item = &Arc<Pool>> {
         self.pools.values()
     }
 
-    /// The backends of a pool, by name.
-    pub fn backends<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = &'a Arc<Backend>> {
+    /// The endpoints of a pool, sorted by name.
+    pub fn endpoints<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = &'a Arc<Endpoint>> {
         let from = (Name::from(pool), Name::from(""));
-        let of_pool = self.backends.range(from..).take_while(move |((of, _), _)| **of == *pool);
-        of_pool.map(|(_, backend)| backend)
+        let of_pool = self.endpoints.range(from..).take_while(move |((of, _), _)| **of == *pool);
+        of_pool.map(|(_, endpoint)| endpoint)
     }
 
-    /// The classes, by name.
+    /// The classes, sorted by name.
     pub fn classes(&self) -> impl Iterator<Item = &Arc<Class>> {
         self.classes.values()
     }
 
-    /// The tenants, by name.
+    /// The tenants, sorted by name.
     pub fn tenants(&self) -> impl Iterator<Item = &Arc<Tenant>> {
         self.tenants.values()
     }
@@ -80,15 +66,15 @@
         self.route_order.iter().filter_map(|name| self.routes.get(name))
     }
 
-    /// A resource.
+    /// The resource with this identity, if it exists.
     #[must_use]
     pub fn get(&self, id: &ResourceId) -> Option<Resource> {
         Some(match id {
             ResourceId::Node => Resource::Node(self.node.clone()),
             ResourceId::Listener(name) => Resource::Listener(self.listeners.get(name)?.clone()),
             ResourceId::Pool(name) => Resource::Pool(self.pools.get(name)?.clone()),
-            ResourceId::Backend { pool, name } => {
-                Resource::Backend(self.backends.get(&(pool.clone(), name.clone()))?.clone())
+            ResourceId::Endpoint { pool, name } => {
+                Resource::Endpoint(self.endpoints.get(&(pool.clone(), name.clone()))?.clone())
             }
             ResourceId::Class(name) => Resource::Class(self.classes.get(name)?.clone()),
             ResourceId::Tenant(name) => Resource::Tenant(self.tenants.get(name)?.clone()),
@@ -96,29 +82,32 @@
         })
     }
 
-    /// Puts a resource into its table, without the order of routes.
-    pub(crate) fn put(&mut self, resource: Resource) {
+    /// Inserts a resource into its table, in place of one with the same identity. The order of routes is left to the
+    /// caller.
+    pub(crate) fn insert(&mut self, resource: Resource) {
         match resource {
-            Resource::Node(one) => self.node = one,
-            Resource::Listener(one) => drop(self.listeners.insert(one.name.clone(), one)),
-            Resource::Pool(one) => drop(self.pools.insert(one.name.clone(), one)),
-            Resource::Backend(one) => {
-                drop(self.backends.insert((one.pool.clone(), one.name.clone()), one));
+            Resource::Node(node) => self.node = node,
+            Resource::Listener(listener) => drop(self.listeners.insert(listener.name.clone(), listener)),
+            Resource::Pool(pool) => drop(self.pools.insert(pool.name.clone(), pool)),
+            Resource::Endpoint(endpoint) => {
+                let key = (endpoint.pool.clone(), endpoint.name.clone());
+                drop(self.endpoints.insert(key, endpoint));
             }
-            Resource::Class(one) => drop(self.classes.insert(one.name.clone(), one)),
-            Resource::Tenant(one) => drop(self.tenants.insert(one.name.clone(), one)),
-            Resource::Route(one) => drop(self.routes.insert(one.name.clone(), one)),
+            Resource::Class(class) => drop(self.classes.insert(class.name.clone(), class)),
+            Resource::Tenant(tenant) => drop(self.tenants.insert(tenant.name.clone(), tenant)),
+            Resource::Route(route) => drop(self.routes.insert(route.name.clone(), route)),
         }
     }
 
-    /// Takes a resource out of its table, without the order of routes; whether it was there. The node's settings stay.
-    pub(crate) fn take(&mut self, id: &ResourceId) -> bool {
+    /// Removes a resource from its table, and returns whether it existed. The settings of the node are never removed. The
+    /// order of routes is left to the caller.
+    pub(crate) fn remove(&mut self, id: &ResourceId) -> bool {
         match id {
             ResourceId::Node => false,
             ResourceId::Listener(name) => self.listeners.remove(name).is_some(),
             ResourceId::Pool(name) => self.pools.remove(name).is_some(),
-            ResourceId::Backend { pool, name } => {
-                self.backends.remove(&(pool.clone(), name.clone())).is_some()
+            ResourceId::Endpoint { pool, name } => {
+                self.endpoints.remove(&(pool.clone(), name.clone())).is_some()
             }
             ResourceId::Class(name) => self.classes.remove(name).is_some(),
             ResourceId::Tenant(name) => self.tenants.remove(name).is_some(),
--- a/crates/resources/tests/changes.rs
+++ b/crates/resources/tests/changes.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use pumicehead_resources::{ApplyError, Change, Fault, Kind, Repeats, Resource, ResourceId};
+use pumicehead_resources::{ApplyError, Change, Idempotency, Kind, Resource, ResourceId, ValidationError};
 
 /// Applies changes that must be refused, and returns why.
 fn refused(changes: impl IntoIterator<Item = Change>) -> ApplyError {
@@ -26,43 +26,47 @@
         Change::Set(pool("p9", 2)),
         Change::Remove(route_id("r0")),
         Change::Set(route("r8", "/8", "c0", "nowhere", None)),
-        Change::Set(class("c9", 1.0, Repeats::Safe)),
+        Change::Set(class("c9", 1.0, Idempotency::Idempotent)),
     ]);
-    let dangling = Fault::Dangling { from: route_id("r8"), to: ResourceId::Pool(name("nowhere")) };
-    assert_eq!(error, ApplyError::Unsound(dangling));
+    let dangling =
+        ValidationError::DanglingReference { from: route_id("r8"), to: ResourceId::Pool(name("nowhere")) };
+    assert_eq!(error, ApplyError::Invalid(dangling));
     // One that fails by itself, after others that do not.
     let missing = ResourceId::Tenant(name("t9"));
     let error = refused([Change::Set(pool("p9", 2)), Change::Remove(missing.clone())]);
-    assert_eq!(error, ApplyError::Missing(missing));
+    assert_eq!(error, ApplyError::NotFound(missing));
 }
 
 #[test]
 fn what_others_name_is_not_removed() {
     for (gone, from) in [
-        (ResourceId::Pool(name("p0")), ResourceId::Backend { pool: name("p0"), name: name("s0") }),
+        (ResourceId::Pool(name("p0")), ResourceId::Endpoint { pool: name("p0"), name: name("s0") }),
         (ResourceId::Class(name("c1")), route_id("r1")),
         (ResourceId::Tenant(name("t0")), route_id("r1")),
     ] {
         let error = refused([Change::Remove(gone.clone())]);
-        assert_eq!(error, ApplyError::Unsound(Fault::Dangling { from, to: gone }));
+        assert_eq!(error, ApplyError::Invalid(ValidationError::DanglingReference { from, to: gone }));
     }
     assert_eq!(refused([Change::Remove(ResourceId::Node)]), ApplyError::NodeRemoved);
     let all_listeners = [Change::Remove(ResourceId::Listener(name("l0")))];
-    assert_eq!(refused(all_listeners), ApplyError::Unsound(Fault::NoneOf(Kind::Listener)));
+    assert_eq!(refused(all_listeners), ApplyError::Invalid(ValidationError::NoneOfKind(Kind::Listener)));
 }
 
 #[test]
 fn values_that_no_decision_can_be_made_with_are_refused() {
-    let of = ResourceId::Backend { pool: name("p0"), name: name("s0") };
+    let of = ResourceId::Endpoint { pool: name("p0"), name: name("s0") };
     for weight in [0.0, -1.0, f64::NAN, f64::INFINITY] {
-        let error = refused([Change::Set(backend("p0", "s0", "a", weight))]);
-        assert_eq!(error, ApplyError::Unsound(Fault::OutOfRange { of: of.clone(), value: "weight" }));
+        let error = refused([Change::Set(endpoint("p0", "s0", "a", weight))]);
+        assert_eq!(
+            error,
+            ApplyError::Invalid(ValidationError::OutOfRange { resource: of.clone(), setting: "weight" })
+        );
     }
-    let error = refused([Change::Set(backend("p0", "s0", "nowhere", 1.0))]);
-    assert_eq!(error, ApplyError::Unsound(Fault::UnknownZone { from: of, zone: "nowhere".into() }));
+    let error = refused([Change::Set(endpoint("p0", "s0", "nowhere", 1.0))]);
+    assert_eq!(error, ApplyError::Invalid(ValidationError::UnknownZone { from: of, zone: "nowhere".into() }));
     let error = refused([Change::Set(listener("l1", 8_000))]);
     let (one, other) = (ResourceId::Listener(name("l0")), ResourceId::Listener(name("l1")));
-    assert_eq!(error, ApplyError::Unsound(Fault::SameAddress(one, other)));
+    assert_eq!(error, ApplyError::Invalid(ValidationError::DuplicateAddress(one, other)));
 }
 
 #[test]
@@ -82,34 +86,34 @@
 fn a_backend_moves_to_another_pool_or_zone_under_its_name() {
     let from = snapshot(base());
     let moved = |pool: &str, zone: &str| {
-        let others = base().into_iter().filter(|one| one.id() != backend("p0", "s0", "a", 1.0).id());
-        snapshot(others.chain([backend(pool, "s1", zone, 1.0)]))
+        let others = base().into_iter().filter(|one| one.id() != endpoint("p0", "s0", "a", 1.0).id());
+        snapshot(others.chain([endpoint(pool, "s1", zone, 1.0)]))
     };
-    let gone = ResourceId::Backend { pool: name("p0"), name: name("s0") };
+    let gone = ResourceId::Endpoint { pool: name("p0"), name: name("s0") };
     let to_pool = from.difference(&moved("p1", "a"));
-    assert_eq!(to_pool, delta([Change::Remove(gone), Change::Set(backend("p1", "s1", "a", 1.0))]));
+    assert_eq!(to_pool, delta([Change::Remove(gone), Change::Set(endpoint("p1", "s1", "a", 1.0))]));
     let in_zone = base().into_iter().map(|one| match one {
-        Resource::Backend(one) if *one.pool == *"p0" => backend("p0", "s0", "b", 1.0),
+        Resource::Endpoint(one) if *one.pool == *"p0" => endpoint("p0", "s0", "b", 1.0),
         other => other,
     });
     let to_zone = from.difference(&snapshot(in_zone));
-    assert_eq!(to_zone, delta([Change::Set(backend("p0", "s0", "b", 1.0))]));
+    assert_eq!(to_zone, delta([Change::Set(endpoint("p0", "s0", "b", 1.0))]));
 }
 
 #[test]
 fn an_order_that_changes_and_nothing_else_is_a_change() {
     let mut state = snapshot(base());
     let digest = state.digest();
-    let first = Change::Place { route: name("r2"), before: Some(name("r0")) };
+    let first = Change::MoveRoute { route: name("r2"), before: Some(name("r0")) };
     state.apply(&delta([first.clone()])).unwrap();
     let order: Vec<_> = state.routes().map(|route| route.name.to_string()).collect();
     assert_eq!(order, ["r2", "r0", "r1"]);
     assert_ne!(state.digest(), digest);
     assert_eq!(snapshot(base()).difference(&state), delta([first]));
-    state.apply(&delta([Change::Place { route: name("r2"), before: None }])).unwrap();
+    state.apply(&delta([Change::MoveRoute { route: name("r2"), before: None }])).unwrap();
     assert_eq!((state.digest(), &state), (digest, &snapshot(base())));
-    let missing = refused([Change::Place { route: name("r0"), before: Some(name("r7")) }]);
-    assert_eq!(missing, ApplyError::Missing(route_id("r7")));
+    let missing = refused([Change::MoveRoute { route: name("r0"), before: Some(name("r7")) }]);
+    assert_eq!(missing, ApplyError::NotFound(route_id("r7")));
 }
 
 /// Another form takes another key, and this test another value: nodes of two versions compare digests.
