--- a/crates/resources/tests/common/mod.rs
+++ b/crates/resources/tests/common/mod.rs
@@ -7,8 +7,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use pumicehead_resources::{
-    Address, Backend, Change, Class, Delta, Endpoints, KeySource, Listener, Name, Node, Pool, Protocol,
-    Repeats, Resource, ResourceId, Route, Snapshot, Tenant, TenantSource,
+    Address, Change, Class, ClassSettings, Delta, Endpoint, EndpointSource, Idempotency, KeySource, Listener,
+    Name, Node, Pool, PoolSettings, Protocol, Resource, ResourceId, Route, Snapshot, Tenant, TenantSource,
 };
 use pumicehead_route::{HostPattern, Methods, Route as Pattern};
 
@@ -32,7 +32,7 @@
         name: name("n1"),
         zones: vec![name("a"), name("b")],
         zone: name("a"),
-        nodes: 1,
+        node_count: 1,
         ..Node::default()
     }))
 }
@@ -45,44 +45,44 @@
 pub fn pool(own: &str, attempts: u32) -> Resource {
     Resource::Pool(Arc::new(Pool {
         name: name(own),
-        endpoints: Endpoints::Listed,
-        protocol: Protocol::Http,
-        script: String::new(),
-        root: String::new(),
-        warm_up: SECOND,
-        cold_from: 0.1,
-        tips_at: 2.0,
-        tips_within: SECOND,
-        connect_timeout: SECOND,
-        idle: SECOND,
-        attempts,
-        hedge: false,
-        crossing: 0.01,
+        endpoint_source: EndpointSource::Static,
+        settings: PoolSettings {
+            protocol: Protocol::Http,
+            script_name: String::new(),
+            document_root: String::new(),
+            warmup_duration: SECOND,
+            warmup_initial_fraction: 0.1,
+            overload_multiple: 2.0,
+            overload_duration: SECOND,
+            connect_timeout: SECOND,
+            idle_timeout: SECOND,
+            max_attempts: attempts,
+            concurrent_attempts: false,
+            cross_zone_cost: 0.01,
+        },
     }))
 }
 
-pub fn backend(pool: &str, own: &str, zone: &str, weight: f64) -> Resource {
+pub fn endpoint(pool: &str, own: &str, zone: &str, weight: f64) -> Resource {
     let address = Address::Tcp(([127, 0, 0, 1], 9_000).into());
     let (pool, zone) = (name(pool), name(zone));
-    Resource::Backend(Arc::new(Backend { pool, name: name(own), address, zone, weight, cell: 0 }))
+    Resource::Endpoint(Arc::new(Endpoint { pool, name: name(own), address, zone, weight, cell: 0 }))
 }
 
-pub fn class(own: &str, worth: f64, repeats: Repeats) -> Resource {
-    let (aim, deadline) = (SECOND, 2 * SECOND);
-    let late_worth = 0.0;
-    Resource::Class(Arc::new(Class {
-        name: name(own),
-        aim,
-        deadline,
-        worth,
-        late_worth,
-        repeats,
-        ordered: false,
-    }))
+pub fn class(own: &str, priority_weight: f64, idempotency: Idempotency) -> Resource {
+    let settings = ClassSettings {
+        latency_objective: SECOND,
+        deadline: 2 * SECOND,
+        priority_weight,
+        late_weight: 0.0,
+        idempotency,
+        ordered_by_key: false,
+    };
+    Resource::Class(Arc::new(Class { name: name(own), settings }))
 }
 
 pub fn tenant(own: &str, share: f64) -> Resource {
-    Resource::Tenant(Arc::new(Tenant { name: name(own), share, rate: 10.0 }))
+    Resource::Tenant(Arc::new(Tenant { name: name(own), share, allowance_per_s: 10.0 }))
 }
 
 pub fn route(own: &str, path: &str, class: &str, pool: &str, tenant: Option<&str>) -> Resource {
@@ -108,10 +108,10 @@
         listener("l0", 8_000),
         pool("p0", 3),
         pool("p1", 3),
-        backend("p0", "s0", "a", 1.0),
-        backend("p1", "s0", "b", 1.0),
-        class("c0", 1.0, Repeats::Safe),
-        class("c1", 10.0, Repeats::Unsafe),
+        endpoint("p0", "s0", "a", 1.0),
+        endpoint("p1", "s0", "b", 1.0),
+        class("c0", 1.0, Idempotency::Idempotent),
+        class("c1", 10.0, Idempotency::NotIdempotent),
         tenant("t0", 0.5),
         route("r0", "/a/**", "c0", "p0", None),
         route("r1", "/b/**", "c1", "p1", Some("t0")),
@@ -133,7 +133,7 @@
     all.extend(state.listeners().cloned().map(Resource::Listener));
     for pool in state.pools() {
         all.push(Resource::Pool(pool.clone()));
-        all.extend(state.backends(&pool.name).cloned().map(Resource::Backend));
+        all.extend(state.endpoints(&pool.name).cloned().map(Resource::Endpoint));
     }
     all.extend(state.classes().cloned().map(Resource::Class));
     all.extend(state.tenants().cloned().map(Resource::Tenant));
@@ -149,10 +149,10 @@
         (few.clone(), 8_000..8_004_u16).prop_map(|(n, port)| Change::Set(listener(&format!("l{n}"), port))),
         (few.clone(), few.clone(), 0..3_u8, 0..3_u8).prop_map(|(of, n, zone, weight)| {
             let zone = ["a", "b", "nowhere"][usize::from(zone)];
-            Change::Set(backend(&format!("p{of}"), &format!("s{n}"), zone, weight.into()))
+            Change::Set(endpoint(&format!("p{of}"), &format!("s{n}"), zone, weight.into()))
         }),
         (few.clone(), 0..3_u8, any::<bool>()).prop_map(|(n, worth, safe)| {
-            let repeats = if safe { Repeats::Safe } else { Repeats::Unsafe };
+            let repeats = if safe { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
             Change::Set(class(&format!("c{n}"), worth.into(), repeats))
         }),
         (few.clone(), 0..3_u8)
@@ -164,14 +164,14 @@
                 Change::Set(route(&format!("r{n}"), &format!("/{n}/**"), &class, &pool, tenant.as_deref()))
             }
         ),
-        (0..8_u8, prop::option::of(0..8_u8)).prop_map(|(n, before)| Change::Place {
+        (0..8_u8, prop::option::of(0..8_u8)).prop_map(|(n, before)| Change::MoveRoute {
             route: name(&format!("r{n}")),
             before: before.map(|n| name(&format!("r{n}"))),
         }),
         (0..6_u8, few.clone(), 0..8_u8).prop_map(|(kind, n, more)| Change::Remove(match kind {
             0 => ResourceId::Listener(name(&format!("l{n}"))),
             1 => ResourceId::Pool(name(&format!("p{n}"))),
-            2 => ResourceId::Backend { pool: name(&format!("p{n}")), name: name(&format!("s{}", more % 4)) },
+            2 => ResourceId::Endpoint { pool: name(&format!("p{n}")), name: name(&format!("s{}", more % 4)) },
             3 => ResourceId::Class(name(&format!("c{n}"))),
             4 => ResourceId::Tenant(name(&format!("t{n}"))),
             _ => ResourceId::Route(name(&format!("r{more}"))),
--- a/crates/resources/tests/properties.rs
+++ b/crates/resources/tests/properties.rs
@@ -34,7 +34,7 @@
             let rebuilt = snapshot(rebuilt);
             prop_assert_eq!(&rebuilt, &state);
             prop_assert_eq!(rebuilt.digest(), state.digest());
-            prop_assert!(state.check().is_ok());
+            prop_assert!(state.validate().is_ok());
         }
         // A run in which nothing was applied would show nothing.
         prop_assert!(applied > 0 || deltas.len() < 10);
@@ -66,7 +66,7 @@
         let from = with(routes.clone());
         let to = with(order.iter().map(|&n| routes[n].clone()).collect());
         let way = from.difference(&to);
-        let only_moves = way.changes.iter().all(|change| matches!(change, Change::Place { .. }));
+        let only_moves = way.changes.iter().all(|change| matches!(change, Change::MoveRoute { .. }));
         prop_assert!(only_moves);
         // Those of the longest rising sequence stay.
         let rising = longest_rise(&order);
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use pumicehead_config::model::{Config, Members};
+use pumicehead_config::model::{Config, EndpointSource};
 use pumicehead_config::{check, diff, disk::Disk};
 use pumicehead_testbed::measure::capacity::claims::{self, Measured};
 use pumicehead_testbed::measure::capacity::file::{Change, Variant, mix, text};
@@ -37,12 +37,12 @@
 }
 
 fn counts(config: &Config) -> Size {
-    let backends = |members: &Members| match members {
-        Members::Static(servers) => servers.len(),
-        Members::Discovery { .. } => 0,
+    let backends = |members: &EndpointSource| match members {
+        EndpointSource::Static(servers) => servers.len(),
+        EndpointSource::Discovered { .. } => 0,
     };
     Size {
-        backends: config.pools.iter().map(|pool| backends(&pool.members)).sum(),
+        backends: config.pools.iter().map(|pool| backends(&pool.endpoints)).sum(),
         pools: config.pools.len(),
         routes: config.routes.len(),
         tenants: config.tenants.len(),
