--- a/crates/config/src/check/endpoint.rs
+++ b/crates/config/src/check/endpoint.rs
@@ -8,7 +8,7 @@
 use super::values::{endpoint_address, integer, socket_address, within};
 use crate::diagnostic::Diagnostic;
 use crate::keywords::DISCOVERY_MODES;
-use crate::model::{Address, Endpoint, EndpointSource, Node, Protocol};
+use crate::model::{Address, Endpoint, Node, PoolEndpoints, Protocol};
 use crate::span::Span;
 use crate::syntax::Statement;
 use crate::units::parse_number;
@@ -22,7 +22,7 @@
         pool: &BlockReader<'_>,
         node: &Node,
         protocol: Option<Protocol>,
-    ) -> Option<EndpointSource> {
+    ) -> Option<PoolEndpoints> {
         let statements = pool.statements("server");
         if pool.has("discovery") {
             return self.discovery(pool, &statements);
@@ -61,11 +61,11 @@
             sound &= self.check_address(&endpoint, protocol, &mut addresses);
             endpoints.push(endpoint);
         }
-        sound.then_some(EndpointSource::Static(endpoints))
+        sound.then_some(PoolEndpoints::Static(endpoints))
     }
 
     /// Reads `discovery MODE ADDRESS`. A pool with discovery has no endpoints of its own.
-    fn discovery(&mut self, pool: &BlockReader<'_>, endpoints: &[&Statement]) -> Option<EndpointSource> {
+    fn discovery(&mut self, pool: &BlockReader<'_>, endpoints: &[&Statement]) -> Option<PoolEndpoints> {
         if let Some(endpoint) = endpoints.first() {
             let message = format!("the pool `{}` has both `server` and `discovery`", pool.name);
             let diagnostic = Diagnostic::error("two-sources", pool.spans.settings["discovery"], message);
@@ -75,7 +75,7 @@
         let words = self.phrase(pool, "discovery", "MODE ADDRESS").ok()??;
         let mode = self.choice(&words[0], "is no way to discover servers", &DISCOVERY_MODES);
         let address = self.read(&words[1], socket_address);
-        Some(EndpointSource::Discovered { address: address?, mode: mode? })
+        Some(PoolEndpoints::Discovered { address: address?, mode: mode? })
     }
 
     fn endpoint(&mut self, block: &BlockReader<'_>, node: &Node) -> Option<Endpoint> {
--- a/crates/config/src/check/limits.rs
+++ b/crates/config/src/check/limits.rs
@@ -13,10 +13,10 @@
     Limits {
         memory_bytes: 64 << 20,
         max_descriptors: 1_024,
-        max_open_requests: 2_000,
+        max_active_requests: 2_000,
         max_request_body_bytes: 64 << 10,
         max_response_body_bytes: 1 << 20,
-        request_read_timeout: 10 * SECOND,
+        request_timeout: 10 * SECOND,
         idle_timeout: 60 * SECOND,
         max_retry_after: SECOND,
     }
@@ -27,10 +27,10 @@
         let mut limits = default_limits();
         self.size(block, "memory", &mut limits.memory_bytes, "16MiB", "64GiB");
         self.count(block, "descriptors", &mut limits.max_descriptors, "128", "1000000");
-        self.count(block, "held", &mut limits.max_open_requests, "1", "1000000");
+        self.count(block, "held", &mut limits.max_active_requests, "1", "1000000");
         self.size(block, "request-body", &mut limits.max_request_body_bytes, "0B", "64MiB");
         self.size(block, "answer-body", &mut limits.max_response_body_bytes, "64KiB", "64MiB");
-        self.duration(block, "request-time", &mut limits.request_read_timeout, "100ms", "10min");
+        self.duration(block, "request-time", &mut limits.request_timeout, "100ms", "10min");
         self.duration(block, "idle", &mut limits.idle_timeout, "1s", "1h");
         self.duration(block, "retry-after", &mut limits.max_retry_after, "1s", "1h");
         Spanned { value: limits, spans: block.spans.clone() }
--- a/crates/config/src/compact_config.rs
+++ b/crates/config/src/compact_config.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::model::{Config, EndpointSource, EntrySpans, Pool, Tenant};
+use crate::model::{Config, EntrySpans, Pool, PoolEndpoints, Tenant};
 use crate::route_table::RouteTable;
 
 /// A configuration with compact routes. Routes, endpoints and tenants, of which there may be thousands, have no spans: the
@@ -54,7 +54,7 @@
 
 fn without_endpoint_spans(pool: &Pool) -> Pool {
     let mut pool = pool.clone();
-    if let EndpointSource::Static(endpoints) = &mut pool.endpoints {
+    if let PoolEndpoints::Static(endpoints) = &mut pool.endpoints {
         endpoints.iter_mut().for_each(|endpoint| endpoint.spans = EntrySpans::default());
     }
     pool
--- a/crates/config/src/diff/effective_settings.rs
+++ b/crates/config/src/diff/effective_settings.rs
@@ -1,14 +1,13 @@
 //! The settings of a configuration in one written form, those that no file writes included.
 
 use std::collections::BTreeMap;
-use std::fmt;
 
 use pumicehead_route::{HeaderRule, Methods};
 
 use crate::keywords::{DEDUP_SCOPES, DISCOVERY_MODES, LOG_FORMS, ORDERS, PROTOCOLS, SWITCH, keyword};
 use crate::model::{
-    Class, ClassSettings, Cluster, Config, Endpoint, EndpointSource, EntrySpans, Idempotency, KeySource,
-    Limits, Listener, Node, Observability, Pool, PoolSettings, Route, Spanned, Tenant, TenantSource,
+    Class, ClassSettings, Cluster, Config, Endpoint, EntrySpans, Idempotency, KeySource, Limits, Listener,
+    Node, Observability, Pool, PoolEndpoints, PoolSettings, Route, Spanned, Tenant, TenantSource,
 };
 use crate::units::{format_duration, format_size};
 
@@ -18,31 +17,18 @@
 type Settings = Vec<(&'static str, String)>;
 
 /// All settings of a configuration, by entry.
-#[derive(Clone, Default, PartialEq)]
+#[derive(Clone, Debug, Default, PartialEq)]
 pub struct EffectiveSettings {
     pub(super) entries: BTreeMap<EntryKey, EffectiveEntry>,
 }
 
-// The text of `explain::dump` has these names; they must not change.
-impl fmt::Debug for EffectiveSettings {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Facts").field("entries", &self.entries).finish()
-    }
-}
-
 /// The settings of one entry.
-#[derive(Clone, Default, PartialEq)]
+#[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct EffectiveEntry {
     pub spans: EntrySpans,
     pub settings: BTreeMap<&'static str, String>,
 }
 
-impl fmt::Debug for EffectiveEntry {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Entry").field("at", &self.spans).field("values", &self.settings).finish()
-    }
-}
-
 impl EffectiveSettings {
     /// The same without spans: equal for two texts with the same meaning.
     #[must_use]
@@ -173,7 +159,7 @@
     ]
 }
 
-fn pool_settings(settings: &PoolSettings, endpoints: &EndpointSource) -> Settings {
+fn pool_settings(settings: &PoolSettings, endpoints: &PoolEndpoints) -> Settings {
     let PoolSettings { protocol, script_name, document_root, .. } = settings;
     let PoolSettings { warmup_duration, warmup_initial_fraction, .. } = settings;
     let PoolSettings { overload_multiple, overload_duration, .. } = settings;
@@ -194,7 +180,7 @@
         ("hedge", keyword(&SWITCH, concurrent_attempts).into()),
         ("crossing-price", format_share(*cross_zone_cost)),
     ];
-    if let EndpointSource::Discovered { address, mode } = endpoints {
+    if let PoolEndpoints::Discovered { address, mode } = endpoints {
         settings.push(("discovery", format!("{} {address}", keyword(&DISCOVERY_MODES, mode))));
     }
     settings
@@ -214,16 +200,16 @@
 }
 
 fn limits(limits: &Limits) -> Settings {
-    let Limits { memory_bytes, max_descriptors, max_open_requests, .. } = limits;
+    let Limits { memory_bytes, max_descriptors, max_active_requests, .. } = limits;
     let Limits { max_request_body_bytes, max_response_body_bytes, .. } = limits;
-    let Limits { request_read_timeout, idle_timeout, max_retry_after, .. } = limits;
+    let Limits { request_timeout, idle_timeout, max_retry_after, .. } = limits;
     vec![
         ("memory", format_size(*memory_bytes)),
         ("descriptors", max_descriptors.to_string()),
-        ("held", max_open_requests.to_string()),
+        ("held", max_active_requests.to_string()),
         ("request-body", format_size(*max_request_body_bytes)),
         ("answer-body", format_size(*max_response_body_bytes)),
-        ("request-time", format_duration(*request_read_timeout)),
+        ("request-time", format_duration(*request_timeout)),
         ("idle", format_duration(*idle_timeout)),
         ("retry-after", format_duration(*max_retry_after)),
     ]
--- a/crates/config/src/explain.rs
+++ b/crates/config/src/explain.rs
@@ -6,8 +6,7 @@
 use pumicehead_route::{Found, Misfit, Query, RequestPath, request_host};
 use thiserror::Error;
 
-use crate::diff::effective_settings;
-use crate::model::{Class, Config, EndpointSource, Idempotency, KeySource, Pool, Route, TenantSource};
+use crate::model::{Class, Config, Idempotency, KeySource, Pool, PoolEndpoints, Route, TenantSource};
 use crate::span::{Sources, Span};
 use crate::units::format_duration;
 
@@ -179,8 +178,8 @@
 
     fn write_pool(&self, pool: &Pool, text: &mut String) {
         let endpoints = match &pool.endpoints {
-            EndpointSource::Static(endpoints) => format!("{} servers", endpoints.len()),
-            EndpointSource::Discovered { address, .. } => format!("servers from {address}"),
+            PoolEndpoints::Static(endpoints) => format!("{} servers", endpoints.len()),
+            PoolEndpoints::Discovered { address, .. } => format!("servers from {address}"),
         };
         let (position, attempts) = (self.position(pool.spans.name), pool.settings.max_attempts);
         let _ = writeln!(text, "pool {} ({position}): {endpoints}, {attempts} attempts", pool.name);
@@ -218,9 +217,3 @@
         KeySource::Header(name) => query.headers.get(name).map(|value| value.as_bytes().into()),
     }
 }
-
-/// All settings of a configuration in one written form, to compare configurations.
-#[must_use]
-pub fn dump(config: &Config) -> String {
-    format!("{:#?}", effective_settings(config).without_spans())
-}
--- a/crates/config/src/model/mod.rs
+++ b/crates/config/src/model/mod.rs
@@ -80,16 +80,16 @@
     /// Name of the pool.
     pub name: String,
     /// Its endpoints.
-    pub endpoints: EndpointSource,
+    pub endpoints: PoolEndpoints,
     /// All other settings.
     pub settings: PoolSettings,
     /// Where it is written.
     pub spans: EntrySpans,
 }
 
-/// Where the endpoints of a pool are listed.
+/// The endpoints of a pool, or where they are listed.
 #[derive(Clone, Debug, PartialEq)]
-pub enum EndpointSource {
+pub enum PoolEndpoints {
     /// In the configuration.
     Static(Vec<Endpoint>),
     /// By a discovery service.
@@ -101,7 +101,7 @@
     },
 }
 
-impl EndpointSource {
+impl PoolEndpoints {
     /// The endpoints that the configuration lists.
     #[must_use]
     pub fn listed(&self) -> &[Endpoint] {
--- a/crates/config/src/model/policy_settings.rs
+++ b/crates/config/src/model/policy_settings.rs
@@ -6,7 +6,7 @@
     Tenant as PolicyTenant, ZoneId,
 };
 
-use super::{Class, Config, EndpointSource, Idempotency, Tenant};
+use super::{Class, Config, Idempotency, PoolEndpoints, Tenant};
 
 /// Factor on the priority weight of a request beyond its tenant's share.
 const OVER_SHARE_WEIGHT: f64 = 0.1;
@@ -85,7 +85,7 @@
     }
 }
 
-impl EndpointSource {
+impl PoolEndpoints {
     /// How updates of the endpoints arrive; those of a file are pushed.
     fn discovery(&self) -> Discovery {
         match self {
--- a/crates/config/src/model/spans.rs
+++ b/crates/config/src/model/spans.rs
@@ -1,12 +1,11 @@
 //! Where the entries and settings of a configuration are written.
 
-use std::fmt;
 use std::ops::{Deref, Index};
 
 use crate::span::Span;
 
 /// Spans of an entry: of its name, and of each setting that is written.
-#[derive(Clone, Default, PartialEq)]
+#[derive(Clone, Debug, Default, PartialEq)]
 pub struct EntrySpans {
     /// Span of the name.
     pub name: Span,
@@ -14,25 +13,11 @@
     pub settings: SettingSpans,
 }
 
-// The text of `explain::dump` has these names; they must not change.
-impl fmt::Debug for EntrySpans {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Places").field("name", &self.name).field("values", &self.settings).finish()
-    }
-}
-
 /// Spans of settings, sorted by keyword. A sorted list takes less memory than a map: an entry has few settings, and there
 /// may be thousands of entries.
-#[derive(Clone, Default, PartialEq)]
+#[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingSpans(Vec<(&'static str, Span)>);
 
-// The text of `explain::dump` has this name; it must not change.
-impl fmt::Debug for SettingSpans {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_tuple("ValuePlaces").field(&self.0).finish()
-    }
-}
-
 impl SettingSpans {
     /// The span of a setting, if it is written.
     #[must_use]
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -7,7 +7,7 @@
 use pumicehead_route::Methods;
 
 use crate::model::{
-    Class, Cluster, Config, Endpoint, EndpointSource, Listener, Pool, Route, Tenant, TenantSource,
+    Class, Cluster, Config, Endpoint, Listener, Pool, PoolEndpoints, Route, Tenant, TenantSource,
 };
 
 impl Config {
@@ -73,8 +73,8 @@
         resources::Pool {
             name: self.pools[index].clone(),
             endpoint_source: match &pool.endpoints {
-                EndpointSource::Static(_) => resources::EndpointSource::Static,
-                &EndpointSource::Discovered { address, mode } => {
+                PoolEndpoints::Static(_) => resources::EndpointSource::Static,
+                &PoolEndpoints::Discovered { address, mode } => {
                     resources::EndpointSource::Discovered { address, mode }
                 }
             },
--- a/crates/config/tests/compact_config.rs
+++ b/crates/config/tests/compact_config.rs
@@ -11,7 +11,7 @@
 use pumicehead_config::Config;
 use pumicehead_config::compact_config::CompactConfig;
 use pumicehead_config::diff::{ChangeKind, diff, effective_settings};
-use pumicehead_config::model::{EndpointSource, EntrySpans};
+use pumicehead_config::model::{EntrySpans, PoolEndpoints};
 use pumicehead_config::route_table::RouteTable;
 
 /// All that the table of routes may take for a route.
@@ -120,7 +120,7 @@
     let settings = kept.settings();
     assert!(settings.routes.is_empty());
     assert!(settings.tenants.iter().all(|tenant| tenant.spans == EntrySpans::default()));
-    let EndpointSource::Static(servers) = &settings.pools[0].endpoints else { panic!("a pool with servers") };
+    let PoolEndpoints::Static(servers) = &settings.pools[0].endpoints else { panic!("a pool with servers") };
     assert!(servers.iter().all(|server| server.spans == EntrySpans::default()));
 }
 
--- a/crates/node/src/net/roster.rs
+++ b/crates/node/src/net/endpoint_directory.rs
@@ -9,21 +9,21 @@
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use thiserror::Error;
 
-use super::discovery::{Health, Host, List};
-use super::hands::Hands;
-use super::transport::{Server, Transport};
+use crate::net::admin_overrides::AdminOverrides;
+use crate::net::discovery::{EndpointList, ListedEndpoint, ListedState};
+use crate::net::upstream::transport::{EndpointConnector, Transport};
 
 /// An entry that can't be used.
 #[derive(Debug, Error)]
 #[error("unknown site `{0}`")]
-pub struct UnknownSite(String);
+pub struct UnknownZoneError(String);
 
-struct Known {
+struct EndpointEntry {
     name: String,
     /// As it was listed, whatever staff have said since.
-    listed: Host,
+    listed: ListedEndpoint,
     born_ms: u64,
-    server: Rc<dyn Server>,
+    server: Rc<dyn EndpointConnector>,
     /// As the module was told last.
     info: EndpointInfo,
     /// Its address refused a connection, and nothing has been heard of it since.
@@ -31,19 +31,19 @@
 }
 
 /// The servers.
-pub struct Roster {
+pub struct EndpointDirectory {
     zones: Vec<String>,
     transport: Rc<dyn Transport>,
-    servers: FxHashMap<EndpointId, Known>,
+    servers: FxHashMap<EndpointId, EndpointEntry>,
     ids: FxHashMap<String, EndpointId>,
-    hands: Rc<Hands>,
+    hands: Rc<AdminOverrides>,
     /// The version of the list.
     pub seq: u64,
 }
 
-impl Roster {
+impl EndpointDirectory {
     /// No servers yet.
-    pub fn new(zones: Vec<String>, transport: Rc<dyn Transport>, hands: Rc<Hands>) -> Self {
+    pub fn new(zones: Vec<String>, transport: Rc<dyn Transport>, hands: Rc<AdminOverrides>) -> Self {
         Self { zones, transport, servers: FxHashMap::default(), ids: FxHashMap::default(), hands, seq: 0 }
     }
 
@@ -67,12 +67,12 @@
     }
 
     /// A listed server as staff have it.
-    fn by_hand(&self, listed: &Host) -> Host {
+    fn by_hand(&self, listed: &ListedEndpoint) -> ListedEndpoint {
         let mut host = listed.clone();
-        match self.hands.book.borrow().stand(&host.host, host.born_ms) {
-            Stand::Out if host.health == Health::Active => host.health = Health::Leaving,
+        match self.hands.book.borrow().stand(&host.name, host.started_at_ms) {
+            Stand::Out if host.state == ListedState::Ready => host.state = ListedState::Draining,
             Stand::Out => {}
-            Stand::In { born_ms } => host.born_ms = born_ms,
+            Stand::In { born_ms } => host.started_at_ms = born_ms,
         }
         host
     }
@@ -88,7 +88,7 @@
     }
 
     /// A server by its id.
-    pub fn server(&self, id: EndpointId) -> Option<&Rc<dyn Server>> {
+    pub fn server(&self, id: EndpointId) -> Option<&Rc<dyn EndpointConnector>> {
         self.servers.get(&id).map(|known| &known.server)
     }
 
@@ -96,23 +96,23 @@
     ///
     /// # Errors
     /// A zone that does not exist; then nothing is changed.
-    pub fn apply(&mut self, list: List, cached: bool) -> Result<EndpointUpdate, UnknownSite> {
-        let zone = |host: &Host| {
-            let place = self.zones.iter().position(|zone| *zone == host.site);
-            place.map(|place| ZoneId(place as u16)).ok_or_else(|| UnknownSite(host.site.clone()))
+    pub fn apply(&mut self, list: EndpointList, cached: bool) -> Result<EndpointUpdate, UnknownZoneError> {
+        let zone = |host: &ListedEndpoint| {
+            let place = self.zones.iter().position(|zone| *zone == host.zone);
+            place.map(|place| ZoneId(place as u16)).ok_or_else(|| UnknownZoneError(host.zone.clone()))
         };
         // All or nothing: a list that is half understood must not be half believed.
-        let zones = list.hosts.iter().map(zone).collect::<Result<Vec<_>, _>>()?;
-        let whole = list.whole || cached;
+        let zones = list.endpoints.iter().map(zone).collect::<Result<Vec<_>, _>>()?;
+        let whole = list.complete || cached;
         if whole {
-            let named: FxHashSet<_> = list.hosts.iter().map(|host| host.host.as_str()).collect();
+            let named: FxHashSet<_> = list.endpoints.iter().map(|host| host.name.as_str()).collect();
             let missing = self.ids.keys().filter(|name| !named.contains(name.as_str()));
             let missing: Vec<_> = missing.cloned().collect();
             missing.iter().for_each(|name| self.forget(name));
         }
         let infos: Arc<[EndpointInfo]> =
-            list.hosts.into_iter().zip(zones).map(|(host, zone)| self.learn(host, zone)).collect();
-        self.seq = list.seq;
+            list.endpoints.into_iter().zip(zones).map(|(host, zone)| self.learn(host, zone)).collect();
+        self.seq = list.version;
         Ok(match (cached, whole) {
             (true, _) => EndpointUpdate::Restored(infos),
             (_, true) => EndpointUpdate::Snapshot(infos),
@@ -122,11 +122,11 @@
 
     /// Gives the servers of a file their births: one that is known under its name and address has not restarted, and
     /// any other may just have been started for the new file.
-    pub fn date(&self, list: &mut List, now_ms: u64) {
-        for host in &mut list.hosts {
-            let known = self.ids.get(&host.host).and_then(|id| self.servers.get(id));
-            let known = known.filter(|known| *known.server.dial() == host.dial);
-            host.born_ms = known.map_or(now_ms, |known| known.born_ms);
+    pub fn date(&self, list: &mut EndpointList, now_ms: u64) {
+        for host in &mut list.endpoints {
+            let known = self.ids.get(&host.name).and_then(|id| self.servers.get(id));
+            let known = known.filter(|known| *known.server.address() == host.address);
+            host.started_at_ms = known.map_or(now_ms, |known| known.born_ms);
         }
     }
 
@@ -148,50 +148,53 @@
             return None;
         }
         known.born_ms = now_ms;
-        known.listed.born_ms = now_ms;
+        known.listed.started_at_ms = now_ms;
         known.info.started_at = millis(now_ms);
         Some(EndpointUpdate::Delta(Arc::from([known.info.clone()])))
     }
 
-    fn learn(&mut self, listed: Host, zone: ZoneId) -> EndpointInfo {
-        self.hands.listed.borrow_mut().add(&listed.host);
+    fn learn(&mut self, listed: ListedEndpoint, zone: ZoneId) -> EndpointInfo {
+        self.hands.listed.borrow_mut().add(&listed.name);
         let host = self.by_hand(&listed);
-        let id = self.id(&host.host);
+        let id = self.id(&host.name);
         let info = EndpointInfo {
             id,
             zone,
-            cell: CellId(host.block),
-            state: match host.health {
-                Health::Active => EndpointState::Ready,
-                Health::Leaving => EndpointState::Draining,
-                Health::Left => EndpointState::Removed,
+            cell: CellId(host.cell),
+            state: match host.state {
+                ListedState::Ready => EndpointState::Ready,
+                ListedState::Draining => EndpointState::Draining,
+                ListedState::Removed => EndpointState::Removed,
             },
-            weight: host.share,
-            started_at: millis(host.born_ms),
+            weight: host.weight,
+            started_at: millis(host.started_at_ms),
         };
         let transport = &self.transport;
-        let fresh = || Known {
-            name: host.host.clone(),
+        let fresh = || EndpointEntry {
+            name: host.name.clone(),
             listed: listed.clone(),
-            born_ms: host.born_ms,
-            server: transport.server(&host.dial),
+            born_ms: host.started_at_ms,
+            server: transport.connector(&host.address),
             info: info.clone(),
             down: false,
         };
         let known = self.servers.entry(id).or_insert_with(fresh);
-        if known.born_ms != host.born_ms || *known.server.dial() != host.dial || !known.server.is_usable() {
+        if known.born_ms != host.started_at_ms
+            || *known.server.address() != host.address
+            || !known.server.is_usable()
+        {
             // Another process: what is still on its way to the old one must not reach the cold new one.
             known.server.retire();
             *known = fresh();
         }
         known.info = info.clone();
         known.listed = listed.clone();
-        self.ids.insert(host.host.clone(), id);
-        if host.health != Health::Active {
+        self.ids.insert(host.name.clone(), id);
+        if host.state != ListedState::Ready {
             known.server.retire();
         }
-        if host.health == Health::Left {
-            self.forget(&host.host);
+        if host.state == ListedState::Removed {
+            self.forget(&host.name);
         }
         info
     }
@@ -209,7 +212,7 @@
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
-        let mut id = EndpointId(hash(name.as_bytes()) as u32);
+        let mut id = EndpointId(unseeded_hash(name.as_bytes()) as u32);
         while self.servers.get(&id).is_some_and(|known| known.name != name) {
             id.0 = id.0.wrapping_add(1);
         }
@@ -222,7 +225,7 @@
 }
 
 /// A hash without a seed.
-pub fn hash(bytes: &[u8]) -> u64 {
+pub fn unseeded_hash(bytes: &[u8]) -> u64 {
     let mut hasher = FxHasher::default();
     hasher.write(bytes);
     hasher.finish()
--- a/crates/resources/src/digest.rs
+++ b/crates/resources/src/digest.rs
@@ -132,15 +132,15 @@
     }
 
     fn limits(&mut self, limits: &Limits) {
-        let Limits { memory_bytes, max_descriptors, max_open_requests, .. } = limits;
+        let Limits { memory_bytes, max_descriptors, max_active_requests, .. } = limits;
         let Limits { max_request_body_bytes, max_response_body_bytes, .. } = limits;
-        let Limits { request_read_timeout, idle_timeout, max_retry_after, .. } = limits;
+        let Limits { request_timeout, idle_timeout, max_retry_after, .. } = limits;
         self.number(*memory_bytes);
         self.count(*max_descriptors);
-        self.count(*max_open_requests);
+        self.count(*max_active_requests);
         self.number(*max_request_body_bytes);
         self.number(*max_response_body_bytes);
-        self.number(*request_read_timeout);
+        self.number(*request_timeout);
         self.number(*idle_timeout);
         self.number(*max_retry_after);
     }
--- a/crates/resources/src/node.rs
+++ b/crates/resources/src/node.rs
@@ -27,13 +27,13 @@
     /// File descriptors that the node may hold.
     pub max_descriptors: usize,
     /// Requests that the node may hold without a response.
-    pub max_open_requests: usize,
+    pub max_active_requests: usize,
     /// Longest body of a request, in bytes.
     pub max_request_body_bytes: u64,
     /// Longest body of a response, in bytes.
     pub max_response_body_bytes: u64,
     /// Longest time in which a client must send a whole request, in nanoseconds.
-    pub request_read_timeout: Nanos,
+    pub request_timeout: Nanos,
     /// Time after which an idle connection of a client is closed, in nanoseconds.
     pub idle_timeout: Nanos,
     /// Longest delay that a rejection asks a client to keep before its retry, in nanoseconds.
--- a/crates/testbed/src/hollow/node.rs
+++ b/crates/testbed/src/hollow/node.rs
@@ -6,9 +6,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use pumicehead_membership::member::{Event, Member, Output, Setup};
-use pumicehead_membership::settings::LARGEST_DATAGRAM;
-use pumicehead_membership::{Card, Key, Nanos, SECOND, Settings, State};
+use pumicehead_membership::settings::MAX_DATAGRAM_BYTES;
+use pumicehead_membership::{Event, Membership, MembershipConfig, Output};
+use pumicehead_membership::{MemberId, MemberRecord, MemberState, Nanos, SECOND, Settings};
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::Notify;
 use tokio::task::JoinSet;
@@ -74,7 +74,7 @@
     name: String,
     address: SocketAddr,
     clock: Clock,
-    member: Mutex<Member>,
+    member: Mutex<Membership>,
     datagrams: UdpSocket,
     /// The machine was handed something outside of the node's own loop.
     pub(super) touched: Notify,
@@ -99,29 +99,29 @@
         let (listener, datagrams) = bind().await?;
         let address = listener.local_addr()?;
         let now = setup.clock.now();
-        let card = Card {
+        let card = MemberRecord {
             name: setup.name.clone(),
             epoch: now / 1_000_000,
             address: address.to_string(),
             zone: setup.zone,
-            program: env!("CARGO_PKG_VERSION").into(),
-            offers: vec!["view".into()],
-            ..Card::default()
+            program_version: env!("CARGO_PKG_VERSION").into(),
+            capabilities: vec!["view".into()],
+            ..MemberRecord::default()
         };
-        let machine = Setup {
+        let machine = MembershipConfig {
             settings: Settings::default(),
-            fleet: setup.fleet,
-            card,
+            fleet_name: setup.fleet,
+            record: card,
             seeds: setup.seeds,
-            reach: Vec::new(),
-            nodes: 1,
-            seed: setup.seed,
+            address_overrides: Vec::new(),
+            initial_node_count: 1,
+            rng_seed: setup.seed,
         };
         let node = Arc::new(Self {
             name: setup.name,
             address,
             clock: setup.clock,
-            member: Mutex::new(Member::new(machine, now).map_err(io::Error::other)?),
+            member: Mutex::new(Membership::new(machine, now).map_err(io::Error::other)?),
             datagrams,
             touched: Notify::new(),
             open_streams: AtomicUsize::new(0),
@@ -163,25 +163,25 @@
     #[must_use]
     pub fn view(&self) -> (u64, usize) {
         let member = self.member();
-        (member.table().fingerprint(), member.table().there())
+        (member.table().fingerprint(), member.table().active_count())
     }
 
     /// Whether it has changes to pass on to others.
     #[must_use]
     pub fn is_passing_on(&self) -> bool {
-        self.member().is_passing_on()
+        self.member().has_pending_broadcasts()
     }
 
     /// Memory that its view takes, counted, in bytes.
     #[must_use]
     pub fn view_bytes(&self) -> usize {
-        self.member().table().bytes()
+        self.member().table().allocated_bytes()
     }
 
     /// What it holds another member for.
     #[must_use]
-    pub fn holds(&self, name: &str) -> Option<State> {
-        self.member().table().get(Key::of(name)).map(|held| held.state)
+    pub fn holds(&self, name: &str) -> Option<MemberState> {
+        self.member().table().get(MemberId::from_name(name)).map(|held| held.state)
     }
 
     /// Ends it as a crash does: without a word.
@@ -192,7 +192,7 @@
     /// Ends it in order: it tells some members that it goes.
     pub fn leave(&self) {
         self.member().leave(self.clock.now());
-        let outputs: Vec<_> = self.member().outputs().collect();
+        let outputs: Vec<_> = self.member().take_outputs().collect();
         for output in outputs {
             if let Output::Datagram { to, bytes } = output {
                 self.send(to, &bytes);
@@ -201,7 +201,7 @@
         self.kill();
     }
 
-    pub(super) fn member(&self) -> MutexGuard<'_, Member> {
+    pub(super) fn member(&self) -> MutexGuard<'_, Membership> {
         lock(&self.member)
     }
 
@@ -218,16 +218,16 @@
     }
 
     async fn run(self: Arc<Self>) {
-        let mut bytes = vec![0; LARGEST_DATAGRAM + 1];
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
         let mut sharing_at = self.now();
         loop {
             self.carry_out();
             let now = self.now();
             if now >= sharing_at {
                 sharing_at = now + SHARING_INTERVAL;
-                let _ = self.member().nodes(now);
+                let _ = self.member().node_count(now);
             }
-            let next = self.member().next().min(sharing_at);
+            let next = self.member().next_timer().min(sharing_at);
             tokio::select! {
                 came = self.datagrams.recv_from(&mut bytes) => {
                     // An error tells that an earlier datagram was refused: the missing answer says the same.
@@ -239,7 +239,7 @@
                 () = sleep_until(self.clock.instant(next)) => {
                     let now = self.now();
                     let mut member = self.member();
-                    if member.next() <= now {
+                    if member.next_timer() <= now {
                         member.on_timer(now);
                     }
                 }
@@ -249,13 +249,15 @@
     }
 
     fn carry_out(self: &Arc<Self>) {
-        let outputs: Vec<_> = self.member().outputs().collect();
+        let outputs: Vec<_> = self.member().take_outputs().collect();
         for output in outputs {
             match output {
                 Output::Datagram { to, bytes } => self.send(to, &bytes),
-                Output::Check { seq, to, frame } => self.spawn(stream::check(self.clone(), seq, to, frame)),
-                Output::Sync { to, frame } => self.spawn(stream::compare(self.clone(), to, frame)),
-                Output::Event(Event::Stood(_)) => {
+                Output::StreamProbe { seq, to, frame } => {
+                    self.spawn(stream::check(self.clone(), seq, to, frame))
+                }
+                Output::PushPull { to, frame } => self.spawn(stream::compare(self.clone(), to, frame)),
+                Output::Event(Event::ProcessStalled { .. }) => {
                     self.stalls.fetch_add(1, Ordering::Relaxed);
                 }
                 Output::Event(_) => {}
