--- a/crates/config/tests/stored_forms.rs
+++ b/crates/config/tests/stored_forms.rs
@@ -5,10 +5,10 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use pumicehead_lang::diff::{Shown, diff};
-use pumicehead_lang::disk::Disk;
-use pumicehead_lang::explain::{Request, explain};
-use pumicehead_lang::{Checked, check, diag};
+use pumicehead_config::diff::{DisplayChange, diff};
+use pumicehead_config::disk::Disk;
+use pumicehead_config::explain::{Request, explain};
+use pumicehead_config::{Checked, check, diagnostic};
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
@@ -48,9 +48,9 @@
     let changes = diff(old.config.as_ref().unwrap(), new.config.as_ref().unwrap());
     let mut text = String::new();
     for change in &changes {
-        let removed = change.what == pumicehead_lang::diff::What::Removed;
+        let removed = change.kind == pumicehead_config::diff::ChangeKind::Removed;
         let sources = if removed { &old.sources } else { &new.sources };
-        text += &format!("{}\n", Shown { change, sources });
+        text += &format!("{}\n", DisplayChange { change, sources });
     }
     assert_stored_text("differences.txt", &without_folder(&text));
 }
@@ -82,6 +82,6 @@
     let lines = checked
         .diagnostics
         .iter()
-        .map(|one| serde_json::to_string(&diag::json(&checked.sources, one)).unwrap() + "\n");
+        .map(|one| serde_json::to_string(&diagnostic::json(&checked.sources, one)).unwrap() + "\n");
     assert_stored_text("messages.jsonl", &without_folder(&lines.collect::<String>()));
 }
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use pumicehead_admin::call::{Call, no};
-use pumicehead_config::model::{Fleet as FleetConfig, Node};
+use pumicehead_config::model::{Cluster as FleetConfig, Node};
 use pumicehead_membership::{
     MemberRecord, Membership, MembershipConfig, MembershipError, Nanos, Output, Settings,
 };
@@ -80,16 +80,16 @@
         rng_seed: u64,
     ) -> Result<Rc<Self>, FleetError> {
         let clock = eyes.clock();
-        let failed = |source| FleetError::Listen { address: config.address, source };
-        let (listener, datagrams) = bind(config.address).await.map_err(failed)?;
+        let failed = |source| FleetError::Listen { address: config.bind_address, source };
+        let (listener, datagrams) = bind(config.bind_address).await.map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
         let membership_config = MembershipConfig {
             settings: Settings::default(),
             fleet_name: config.name.clone(),
             record: own_record(config, node, address, clock.started_at()),
             seeds: config.seeds.clone(),
-            address_overrides: config.reach.clone(),
-            initial_node_count: node.nodes,
+            address_overrides: config.peer_addresses.clone(),
+            initial_node_count: node.node_count,
             rng_seed,
         };
         let member = Membership::new(membership_config, clock.now())?;
@@ -183,7 +183,7 @@
         name: node.name.clone(),
         // A later start has a later epoch; where the machine's clock went back, the fleet corrects it at the join.
         epoch: started_unix / EPOCH_UNIT,
-        address: config.told_as.unwrap_or(bound).to_string(),
+        address: config.advertise_address.unwrap_or(bound).to_string(),
         zone: node.zones[node.zone].clone(),
         program_version: env!("CARGO_PKG_VERSION").into(),
         capabilities: vec!["view".into()],
--- a/crates/node/src/standalone/listeners.rs
+++ b/crates/node/src/standalone/listeners.rs
@@ -69,16 +69,16 @@
 
 /// The bounds of all listeners.
 pub fn options(config: &Config) -> ListenerOptions {
-    let Limits { request_time, idle, request_body, held, .. } = config.limits;
-    let longest = config.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+    let Limits { request_timeout, idle_timeout, .. } = *config.limits;
+    let longest = config.classes.iter().map(|class| class.settings.deadline).max().unwrap_or_default();
     ListenerOptions {
-        request_timeout: Duration::from_nanos(request_time),
-        idle_timeout: Duration::from_nanos(idle),
-        max_buffered_body: request_body as usize,
+        request_timeout: Duration::from_nanos(request_timeout),
+        idle_timeout: Duration::from_nanos(idle_timeout),
+        max_buffered_body: config.limits.max_request_body_bytes as usize,
         max_streamed_body: None,
-        max_active_requests: held,
+        max_active_requests: config.limits.max_active_requests,
         // A request may come in as slowly as it may, and then wait for its deadline.
-        max_request_deadline: Duration::from_nanos(longest.saturating_add(request_time)),
+        max_request_deadline: Duration::from_nanos(longest.saturating_add(request_timeout)),
         serves_health_check: false,
         // A front has pools of its own settings each; these advise half a second.
         retry_after: Some(SECOND / 2),
