--- a/crates/membership/tests/stored_forms.rs
+++ b/crates/membership/tests/stored_forms.rs
@@ -31,8 +31,8 @@
 
 fn records() -> Vec<MemberRecord> {
     let phases = [Phase::Serving, Phase::Joining, Phase::LameDuck];
-    let card = |phase| {
-        let mut card = MemberRecord {
+    let record = |phase| {
+        let mut record = MemberRecord {
             name: "n1".into(),
             epoch: 1_700_000_000_000,
             incarnation: 3,
@@ -45,13 +45,13 @@
             node_number: 2,
             capabilities: vec!["view".into(), "plan".into()],
         };
-        card.set_phase(phase);
-        card
+        record.set_phase(phase);
+        record
     };
-    phases.into_iter().map(card).collect()
+    phases.into_iter().map(record).collect()
 }
 
-/// An entry for each state that a member may be held for.
+/// An entry for each state.
 fn entries() -> Vec<WireEntry> {
     let states = [
         MemberState::Alive,
@@ -94,9 +94,9 @@
     kinds.into_iter().enumerate().map(datagram).collect()
 }
 
-/// A frame of each step.
+/// A frame of each kind.
 fn frames() -> Vec<Frame> {
-    let steps = [
+    let kinds = [
         FrameKind::Unknown,
         FrameKind::Ping,
         FrameKind::Ack,
@@ -106,19 +106,19 @@
         FrameKind::Entries,
         FrameKind::Reject,
     ];
-    let frame = |(place, step): (usize, FrameKind)| Frame {
+    let frame = |(place, kind): (usize, FrameKind)| Frame {
         protocol_major: 1,
         protocol_minor: 0,
         fleet_id: FleetId::from_name("tablero").0,
         sender_id: MemberId::from_name("n1").0,
         sender_epoch: 1_700_000_000_000,
-        kind: step.into(),
+        kind: kind.into(),
         fingerprint: 0x0123_4567_89ab_cdef,
         partitions: (0..place as u64).collect(),
         entries: entries().into_iter().take(place).collect(),
-        reject_reason: if step == FrameKind::Reject { "of another fleet".into() } else { String::new() },
+        reject_reason: if kind == FrameKind::Reject { "of another fleet".into() } else { String::new() },
     };
-    steps.into_iter().enumerate().map(frame).collect()
+    kinds.into_iter().enumerate().map(frame).collect()
 }
 
 #[test]
@@ -152,7 +152,7 @@
     assert_eq!(read, records());
 }
 
-/// Names become numbers that all nodes must agree on; states and phases have words that staff's calls answer with.
+/// Hashes of names that all nodes have to agree on, and the names of states and phases in reports.
 #[test]
 fn hashes_and_words_are_the_same_everywhere() {
     let states = [
