--- a/crates/policy/tests/list_calls.rs
+++ b/crates/policy/tests/discovery_poll.rs
@@ -1,5 +1,5 @@
-//! How soon a node has a change of the list, over all orders of what may become of its calls: in virtual time, with the
-//! module's own pauses and the protocol's spans.
+//! How soon a node knows an update of the endpoints, over all orders of failed polls: in virtual time, with
+//! the module's own pauses and the protocol's times.
 
 mod common;
 
@@ -10,23 +10,23 @@
     SECOND, Settings, TimerToken,
 };
 
-/// The service answers a call, or turns it away, within this.
+/// Discovery answers or rejects a poll within this time.
 const CALL_WAIT: Nanos = 2 * SECOND;
-/// A watch is left after this much silence, as by the host.
+/// The host gives a watch up after this much silence.
 const WATCH_SILENCE: Nanos = 4_500 * MS;
-/// What a service tells to which a signal moves the node binds so long after the signal.
+/// After a move to another discovery service, its updates bind so long after the signal.
 const MOVE_NOTICE: Nanos = 4 * SECOND;
 
-/// What becomes of a call.
+/// What becomes of a poll.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fate {
-    /// No answer: the host ends it.
+    /// No response: the host ends it.
     Lost,
-    /// Turned away, or refused, at once.
+    /// Rejected at once.
     TurnedAway,
-    /// Turned away after as long as a call may wait.
+    /// Rejected after the longest time that a poll may take.
     TurnedAwayLate,
-    /// The list, after as long as a call may wait.
+    /// Answered after the longest time that a poll may take.
     Answered,
 }
 
@@ -43,17 +43,17 @@
 /// How a node comes to have no watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Before {
-    /// It starts with a list that may be old.
+    /// It starts with a list that may be stale.
     Start,
-    /// A watch that has fallen silent just now.
+    /// Its watch has just fallen silent.
     SilentWatch,
-    /// A call that was lost, after so many failures in a row: the service was down.
+    /// A poll was lost after so many failures in a row: discovery was down.
     LostCalls(u32),
-    /// Calls that were refused, so many in a row.
+    /// So many polls in a row were rejected.
     RefusedCalls(u32),
 }
 
-/// The module, its one timer for the list and the clock.
+/// The module, its one timer for polls and the clock.
 struct Asker {
     balancer: Balancer,
     now: Nanos,
@@ -82,7 +82,7 @@
         self.handle(Event::EndpointsUpdated(change));
     }
 
-    /// Waits for the next call.
+    /// Advances to the next poll.
     fn call(&mut self) {
         let (calls, (at, token)) = (self.calls, self.due.take().expect("a call is due"));
         self.now = at;
@@ -90,7 +90,7 @@
         assert_eq!(self.calls, calls + 1, "the module asks");
     }
 
-    /// Goes through calls that end so.
+    /// Makes polls that end so.
     fn through(&mut self, fates: &[Fate]) {
         for &fate in fates {
             self.call();
@@ -107,10 +107,10 @@
     settings
 }
 
-/// The time from the moment in which the service could be reached, and had the change, to the answer.
+/// The time from the moment at which discovery could be reached, and had the update, to the response.
 fn until_answered(settings: &Settings, seed: u64, before: Before, then: &[Fate]) -> Nanos {
     let mut asker = Asker::new(settings.clone(), seed);
-    asker.list(EndpointUpdate::Restored(list([server(1)])));
+    asker.list(EndpointUpdate::Restored(list([endpoint(1)])));
     let since = match before {
         Before::Start => asker.now,
         Before::SilentWatch => {
@@ -129,7 +129,7 @@
         }
         Before::RefusedCalls(count) => {
             asker.through(&vec![Fate::TurnedAway; count as usize]);
-            // Back just after the last of them.
+            // Reachable just after the last of them.
             asker.now
         }
     };
@@ -137,10 +137,10 @@
     asker.now - since
 }
 
-/// Guards the 6 s after which a change binds and the drain's grace behind them. A call that waited its whole time counts for
-/// a pause and that time, so it takes the place of a lost one.
+/// An update binds after 6 s, and the drain grace follows. A poll that took its whole time counts as a pause
+/// and that time, so it takes the place of a lost one.
 #[test]
-fn a_change_is_known_before_its_drain_is_over_in_every_order() {
+fn an_update_is_known_before_its_drain_grace_ends_in_every_order_of_failures() {
     use Fate::{Answered, TurnedAway, TurnedAwayLate};
     let starts = [Before::Start, Before::SilentWatch]
         .into_iter()
@@ -148,7 +148,7 @@
     let orders: [&[Fate]; 3] = [&[Answered], &[TurnedAway, Answered], &[TurnedAwayLate, Answered]];
     for before in starts {
         for order in orders {
-            // One call is spent in vain, and the service refuses one at once beside it.
+            // One poll is lost, and another one is rejected at once besides.
             let spent = matches!(before, Before::SilentWatch | Before::LostCalls(_));
             if spent && order.contains(&TurnedAwayLate) {
                 continue;
@@ -163,9 +163,9 @@
     }
 }
 
-/// Guards the same where the settings have a node ask more often than that.
+/// The same where the settings have a node poll more often than that.
 #[test]
-fn the_time_for_asking_binds_where_it_is_shorter() {
+fn a_shorter_poll_interval_bounds_the_delay() {
     for seed in 0..300 {
         let settings = asking(2 * SECOND, 5 * SECOND);
         let took = until_answered(&settings, seed, Before::LostCalls(9), &[Fate::Answered]);
@@ -173,17 +173,17 @@
     }
 }
 
-/// Guards a move by a signal: what the new service tells binds 4 s later, and the grace after that. The host calls at once; the
-/// first call there may be lost, or turned away twice.
+/// After a move by a signal, updates of the new service bind 4 s later, and the grace follows. The host polls
+/// at once; the first poll may be lost, or two may be rejected.
 #[test]
-fn a_move_leaves_time_for_a_failure() {
+fn a_move_of_discovery_leaves_time_for_a_failed_poll() {
     use Fate::{Answered, TurnedAway};
     let orders: [(Nanos, &[Fate]); 2] =
         [(DISCOVERY_CALL_TIMEOUT, &[Answered]), (0, &[TurnedAway, TurnedAway, Answered])];
     for (spent, order) in orders {
         for seed in 0..300 {
             let mut asker = Asker::new(asking(2 * SECOND, 10 * SECOND), seed);
-            asker.list(EndpointUpdate::Restored(list([server(1)])));
+            asker.list(EndpointUpdate::Restored(list([endpoint(1)])));
             asker.through(&[Answered]);
             let moved = asker.now;
             asker.now += spent;
@@ -195,14 +195,14 @@
     }
 }
 
-/// Guards the service: nodes that lose the list together ask apart, and one that stays down is not called in a burst.
+/// Nodes that lose discovery together poll apart, and a service that stays down isn't polled in bursts.
 #[test]
-fn calls_are_spread_and_bounded() {
+fn polls_are_spread_and_bounded() {
     let settings = asking(2 * SECOND, 10 * SECOND);
     let firsts = |before: &[Fate]| {
         let pauses = (0..200).map(|seed| {
             let mut asker = Asker::new(settings.clone(), seed);
-            asker.list(EndpointUpdate::Restored(list([server(1)])));
+            asker.list(EndpointUpdate::Restored(list([endpoint(1)])));
             asker.through(before);
             asker.due.expect("a call").0 - asker.now
         });
@@ -217,29 +217,29 @@
     assert!(least >= 400 * MS && most > 900 * MS, "after many: {least} to {most}");
 }
 
-/// A service that works through calls in turn, and turns away at once what it could not answer in time.
+/// A service that works through polls in turn, and rejects at once those that it couldn't answer in time.
 struct Service {
     call_takes: Nanos,
     free_at: Nanos,
 }
 
 impl Service {
-    /// When a call is answered, or that it is turned away.
+    /// When a poll is answered; `None` if it is rejected.
     fn take(&mut self, now: Nanos) -> Option<Nanos> {
         let done = self.free_at.max(now) + self.call_takes;
         (done <= now + CALL_WAIT).then(|| self.free_at = done).map(|()| done)
     }
 }
 
-/// Has so many nodes start at once before a service that takes a call from each in a span: when the last of them is answered,
-/// and the calls in all.
+/// Starts so many nodes at once before a service that takes so long for one poll of each. Returns when the
+/// last of them is answered, and the number of polls.
 fn start_together(nodes: u64, all_calls: Nanos) -> (Nanos, u32) {
     let settings = asking(2 * SECOND, 10 * SECOND);
     let mut service = Service { call_takes: all_calls / nodes, free_at: 0 };
     let mut askers: Vec<_> = (0..nodes).map(|seed| Asker::new(settings.clone(), seed)).collect();
     let mut due = std::collections::BTreeSet::new();
     for (number, asker) in askers.iter_mut().enumerate() {
-        asker.list(EndpointUpdate::Restored(list([server(1)])));
+        asker.list(EndpointUpdate::Restored(list([endpoint(1)])));
         due.insert((asker.due.expect("a call").0, number));
     }
     let mut last = 0;
@@ -256,10 +256,10 @@
     (last - SECOND, askers.iter().map(|asker| asker.calls).sum())
 }
 
-/// Guards a fleet of which all nodes start at once before a service that turns callers away: it is never idle while a node waits,
-/// so the last one is answered little after it could be at all, in some calls a node and second.
+/// If all nodes start at once before a service that rejects polls, it is never idle while a node waits: the
+/// last one is answered little after it could be at all, with some polls a node and second.
 #[test]
-fn a_fleet_that_starts_together_is_answered_as_fast_as_the_service_can() {
+fn nodes_that_start_together_are_answered_as_fast_as_discovery_can() {
     let nodes = 300;
     for all_calls in [2, 4, 6, 8] {
         let (last, calls) = start_together(nodes, all_calls * SECOND);
@@ -272,3 +272,32 @@
         assert!(u64::from(calls) <= most, "{all_calls} s: {calls} calls");
     }
 }
+
+#[test]
+fn polls_are_spread_and_repeated_after_a_failure() {
+    let mut first = Vec::new();
+    for seed in 0..20 {
+        let mut node_settings = settings(vec![class(Idempotency::Idempotent, 1.0)]);
+        node_settings.discovery = Discovery::Poll;
+        let mut node = TestNode::new(node_settings, seed);
+        node.update_endpoints(EndpointUpdate::Restored(list([endpoint(1)])));
+        let start = node.now;
+        let asks = |node: &TestNode| node.actions.iter().filter(|a| **a == Action::Subscribe).count();
+        while asks(&node) == 0 {
+            node.advance(node.now + 50 * MS);
+            assert!(node.now < start + 6 * SECOND);
+        }
+        first.push(node.now - start);
+        node.update_endpoints(EndpointUpdate::WatchFailed);
+        node.advance(node.now + 6 * SECOND);
+        assert_eq!(asks(&node), 2);
+        node.update_endpoints(EndpointUpdate::Delta(list([])));
+        node.advance(node.now + 60 * SECOND);
+        assert_eq!(asks(&node), 2, "a standing subscription is not asked for again");
+    }
+    first.sort_unstable();
+    assert!(first[19] - first[0] > 300 * MS, "nodes that start together ask apart");
+    // At a resolution of 50 ms: 0.5 s at most, of the 2 s in which an update from before the start has to be
+    // known.
+    assert!(first[19] <= 550 * MS, "and none of them late");
+}
--- a/crates/policy/tests/peers.rs
+++ b/crates/policy/tests/load_reports.rs
@@ -1,4 +1,5 @@
-//! Notes between nodes: useful when they arrive, harmless when lost, late, doubled, wrong or of unknown form.
+//! Load reports between nodes: useful when they arrive, harmless when lost, late, duplicated, wrong or
+//! malformed.
 
 mod common;
 
@@ -9,7 +10,7 @@
 use pumicehead_policy::*;
 
 #[test]
-fn a_note_replaces_the_last_and_odd_ones_are_passed_over() {
+fn a_report_replaces_the_last_and_malformed_ones_are_ignored() {
     let mut peers = PeerReports::default();
     peers.record(7, &encode(1, [(EndpointId(1), 2), (EndpointId(2), 0)]), SECOND);
     peers.record(8, &encode(200, [(EndpointId(1), 1)]), SECOND);
@@ -52,33 +53,33 @@
     }
 }
 
-fn informed() -> (Node, Vec<u32>, BTreeSet<EndpointId>) {
-    let told = Settings {
+fn informed() -> (TestNode, Vec<u32>, BTreeSet<EndpointId>) {
+    let node_settings = Settings {
         node_count: 60,
         load_reports: true,
         ..settings(vec![class(Idempotency::Idempotent, 1.0)])
     };
-    let mut node = Node::with_servers(told, 20);
+    let mut node = TestNode::with_endpoints(node_settings, 20);
     let mut used = BTreeSet::new();
     for _ in 0..100 {
         let id = node.request(0, 900 * MS);
-        used.extend(node.tries(id).iter().map(|t| t.server));
+        used.extend(node.attempts_of(id).iter().map(|t| t.endpoint));
         node.advance(node.now + 20 * MS);
-        for (id, n) in node.out() {
-            node.end(id, n, AttemptOutcome::Success);
+        for (id, n) in node.attempts_in_flight() {
+            node.end_attempt(id, n, AttemptOutcome::Success);
         }
     }
     let peers: BTreeSet<u32> = node
-        .log
+        .actions
         .iter()
         .filter_map(|a| if let Action::SendLoadReport { to, .. } = a { Some(*to) } else { None })
         .collect();
     (node, peers.into_iter().collect(), used)
 }
 
-/// Nodes that pick blindly crowd one server beside idle ones.
+/// Nodes that select blindly crowd one endpoint beside idle ones.
 #[test]
-fn a_server_that_peers_keep_busy_is_left_to_them() {
+fn an_endpoint_that_peers_keep_busy_is_avoided() {
     let (mut node, peers, used) = informed();
     assert!(peers.len() >= 3 && !peers.contains(&0), "{peers:?}");
     let busy = *used.first().unwrap();
@@ -88,41 +89,41 @@
             node.event(Event::LoadReport { from: peer, body });
         }
         let id = node.request(0, 900 * MS);
-        assert!(node.tries(id).iter().all(|t| t.server != busy), "round {seq}");
+        assert!(node.attempts_of(id).iter().all(|t| t.endpoint != busy), "round {seq}");
         node.advance(node.now + 10 * MS);
-        for (id, n) in node.out() {
-            node.end(id, n, AttemptOutcome::Success);
+        for (id, n) in node.attempts_in_flight() {
+            node.end_attempt(id, n, AttemptOutcome::Success);
         }
     }
-    // The notes cease: soon the server is used again, and everything is served.
+    // The reports cease: soon the endpoint is used again, and everything is served.
     node.advance(node.now + 5 * SECOND);
     let later: BTreeSet<EndpointId> = (0..60)
         .flat_map(|_| {
             let id = node.request(0, 900 * MS);
-            let server = node.tries(id)[0].server;
+            let server = node.attempts_of(id)[0].endpoint;
             node.advance(node.now + 10 * MS);
-            node.end(id, 0, AttemptOutcome::Success);
+            node.end_attempt(id, 0, AttemptOutcome::Success);
             [server]
         })
         .collect();
     assert!(later.contains(&busy));
-    assert!(node.broken.is_empty());
+    assert!(node.violations.is_empty());
 }
 
 #[test]
-fn no_notes_where_they_are_not_allowed_or_dear() {
+fn no_reports_where_not_allowed_or_too_dear() {
     for (peers, peer_price) in [(false, 0.0), (true, 10.0)] {
-        let told = Settings {
+        let node_settings = Settings {
             node_count: 60,
             load_reports: peers,
             load_report_cost: peer_price,
             ..settings(vec![class(Idempotency::Idempotent, 1.0)])
         };
-        let mut node = Node::with_servers(told, 20);
+        let mut node = TestNode::with_endpoints(node_settings, 20);
         for _ in 0..20 {
             node.request(0, 900 * MS);
             node.advance(node.now + 20 * MS);
         }
-        assert!(!node.log.iter().any(|a| matches!(a, Action::SendLoadReport { .. })));
+        assert!(!node.actions.iter().any(|a| matches!(a, Action::SendLoadReport { .. })));
     }
 }
--- a/crates/policy/tests/share.rs
+++ b/crates/policy/tests/node_share.rs
@@ -1,4 +1,4 @@
-//! How many nodes share the servers, as the fleet's own view says in place of the settings.
+//! How many nodes share the endpoints, as the nodes agreed in place of the settings.
 
 mod common;
 
@@ -7,29 +7,29 @@
 use common::*;
 use pumicehead_policy::*;
 
-/// The servers that a node uses, by what it sends within a while.
-fn used(node: &mut Node) -> BTreeSet<EndpointId> {
+/// The endpoints that a node uses, by its attempts within a while.
+fn used(node: &mut TestNode) -> BTreeSet<EndpointId> {
     let mut used = BTreeSet::new();
     for _ in 0..400 {
         let id = node.request(0, 900 * MS);
         node.advance(node.now + 10 * MS);
-        for (id, n) in node.out() {
-            node.end(id, n, AttemptOutcome::Success);
+        for (id, n) in node.attempts_in_flight() {
+            node.end_attempt(id, n, AttemptOutcome::Success);
         }
-        used.extend(node.tries(id).first().map(|attempt| attempt.server));
+        used.extend(node.attempts_of(id).first().map(|attempt| attempt.endpoint));
     }
     used
 }
 
-fn node(nodes: u32) -> Node {
-    Node::with_servers(
+fn node(nodes: u32) -> TestNode {
+    TestNode::with_endpoints(
         Settings { node_count: nodes, ..settings(vec![class(Idempotency::Idempotent, 1.0)]) },
         40,
     )
 }
 
-/// Guards coverage: where fewer nodes share the servers each uses more of them, and fewer again once others come. What the file
-/// says of classes goes on to count, and does not bring back what it says of nodes.
+/// Where fewer nodes share the endpoints each uses more of them, and fewer again once others join. An update
+/// of the settings keeps the agreed numbers.
 #[test]
 fn subsets_follow_the_number_of_nodes() {
     let mut one = node(40);
@@ -45,12 +45,12 @@
     assert_eq!(used(&mut one).len(), 10);
     one.event(Event::NodeShare(NodeShare { node_index: 0, node_count: 40 }));
     assert_eq!(used(&mut one).len(), 5);
-    assert!(one.broken.is_empty() && one.all_answered(), "{:?}", one.broken);
+    assert!(one.violations.is_empty() && one.all_answered(), "{:?}", one.violations);
 }
 
-/// Guards numbers: nodes with other numbers use other servers, and one that takes another number goes over to those.
+/// Nodes with other indices use other endpoints, and one whose index changes goes over to those.
 #[test]
-fn the_number_is_the_place_on_the_ring() {
+fn the_node_index_determines_the_subset() {
     let mut places = Vec::new();
     let mut one = node(40);
     for me in 0..4 {
@@ -60,8 +60,8 @@
     for (place, other) in [(0, 1), (0, 2), (1, 3)] {
         assert!(places[place].is_disjoint(&places[other]), "{places:?}");
     }
-    // None is no number of nodes.
+    // A count of 0 is taken as 1.
     one.event(Event::NodeShare(NodeShare { node_index: 3, node_count: 0 }));
     assert_eq!(used(&mut one).len(), 40);
-    assert!(one.broken.is_empty(), "{:?}", one.broken);
+    assert!(one.violations.is_empty(), "{:?}", one.violations);
 }
--- a/crates/policy/tests/stored_forms.rs
+++ b/crates/policy/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! What the policy's types look like in files and logs. The fixtures were written by version 0.2.0, before its types were
-//! renamed, and must stay readable: a new process reads what an old one has learned.
+//! What the policy's types look like in files and logs. The fixtures were written by version 0.2.0, before
+//! its types were renamed, and must stay readable: a new process reads what an old one has learned.
 
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/crates/policy/tests/tenant_ids.rs
+++ b/crates/policy/tests/tenant_ids.rs
@@ -1,4 +1,4 @@
-//! Ids of tenants that files know by name.
+//! Ids of tenants that configurations know by name.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,7 @@
     ids.update(names.iter().map(|name| (*name, tenant(0.1))), now);
 }
 
-/// Guards that an id means the same name before and after a change, wherever it stands in the file.
+/// An id means the same name before and after a change, wherever it stands in the file.
 #[test]
 fn a_name_keeps_its_id() {
     let mut ids = TenantIds::default();
@@ -26,7 +26,7 @@
     assert_eq!(ids.shares().len(), 3);
 }
 
-/// Guards the rule for a name that comes back: soon with its own id, later with one that nobody had.
+/// A name that comes back soon gets its own id, later one that nobody had.
 #[test]
 fn a_name_that_comes_back_soon_has_its_own_id() {
     let mut ids = TenantIds::default();
@@ -41,7 +41,7 @@
     assert!(ids.get("b").is_some_and(|id| id != b));
 }
 
-/// Guards that what does not change stays one and the same in memory, for all pools.
+/// What does not change stays the same in memory, for all pools.
 #[test]
 fn what_is_the_same_is_shared() {
     let mut ids = TenantIds::default();
@@ -53,7 +53,7 @@
     assert!(std::sync::Arc::ptr_eq(&names, ids.by_name()) && shares != *ids.shares());
 }
 
-/// Guards that shares which are no numbers, or negative, are found in whatever tenant.
+/// Shares that are no numbers, or negative, are found in whatever tenant.
 #[test]
 fn unsound_shares_are_found() {
     let shares = |bad: Tenant| TenantShares::from(vec![tenant(0.1), bad, tenant(0.2)]);
@@ -65,7 +65,7 @@
 }
 
 proptest! {
-    /// Guards that no id means two names within the time for which it is kept, whatever comes and goes.
+    /// No id means two names within the time for which it is kept.
     #[test]
     fn no_id_has_two_names(changes in proptest::collection::vec((0..20 * SECOND, proptest::collection::btree_set(0..12u8, 0..12)), 1..40)) {
         let mut ids = TenantIds::default();
--- a/crates/policy/tests/tenants.rs
+++ b/crates/policy/tests/tenant_quota.rs
@@ -1,4 +1,4 @@
-//! Tenants: what the bounded table of their records answers, against a record for each that is never dropped.
+//! Quotas of tenants: the bounded table of records, against a record for each tenant that is never evicted.
 
 mod common;
 
@@ -12,10 +12,10 @@
 use pumicehead_policy::*;
 use pumicehead_policy::{KEPT_IDLE_TENANT_RECORDS, MAX_TENANT_RECORDS};
 
-const WORTH: f64 = 3.0;
-const OVER_WORTH: f64 = 0.2;
+const WEIGHT: f64 = 3.0;
+const OVER_SHARE_WEIGHT: f64 = 0.2;
 
-/// The module as its host sees it: whether a request counted as over its tenant's share is told by its worth.
+/// The module as its host sees it: a request's weight says whether it counted as over its tenant's share.
 struct Subject {
     balancer: Balancer,
     settings: Settings,
@@ -28,15 +28,15 @@
         let settings = Settings {
             tenants,
             node_count: 2,
-            over_share_weight: OVER_WORTH,
-            ..settings(vec![class(Idempotency::Idempotent, WORTH)])
+            over_share_weight: OVER_SHARE_WEIGHT,
+            ..settings(vec![class(Idempotency::Idempotent, WEIGHT)])
         };
         let mut balancer = Balancer::new(settings.clone(), 1);
         balancer.record_every_decision(true);
         Self { balancer, settings, now: SECOND, next: 0 }
     }
 
-    /// The worth that a request of the tenant got.
+    /// The weight that a request of the tenant got.
     fn ask(&mut self, tenant: u32) -> f64 {
         self.next += 1;
         let id = RequestId(self.next);
@@ -50,19 +50,19 @@
         };
         let mut actions = Vec::new();
         self.balancer.handle(self.now, Event::Request(request), &mut actions);
-        let worth = self.balancer.decision_events().iter().find_map(|note| match note {
+        let weight = self.balancer.decision_events().iter().find_map(|event| match event {
             DecisionEvent::Classified { priority_weight, .. } => Some(f64::from(*priority_weight)),
             _ => None,
         });
         self.balancer.handle(self.now, Event::ClientDisconnected(id), &mut actions);
-        worth.expect("a note of the request")
+        weight.expect("a event of the request")
     }
 
     fn is_over(&mut self, tenant: u32) -> bool {
-        self.ask(tenant) < WORTH
+        self.ask(tenant) < WEIGHT
     }
 
-    fn retune(&mut self, tenants: TenantShares) {
+    fn update_tenants(&mut self, tenants: TenantShares) {
         self.settings.tenants = tenants;
         assert!(
             self.balancer.update_settings(self.settings.clone()),
@@ -71,7 +71,7 @@
     }
 }
 
-/// A record for each tenant by its position, as the module kept them before there was a bound.
+/// A record for each tenant by its position, never evicted.
 struct Reference {
     records: Vec<(f64, Nanos)>,
     tenants: Vec<Tenant>,
@@ -86,9 +86,9 @@
 
     fn is_over(&mut self, now: Nanos, tenant: u32) -> bool {
         self.arrivals.add(now, 1.0);
-        let told = &self.tenants[tenant as usize];
-        let part = told.allowance_per_s / f64::from(self.nodes);
-        let rate = part.max(told.share * self.arrivals.get(now));
+        let quota = &self.tenants[tenant as usize];
+        let part = quota.allowance_per_s / f64::from(self.nodes);
+        let rate = part.max(quota.share * self.arrivals.get(now));
         let (allowance, at) = &mut self.records[tenant as usize];
         let earned = rate * seconds(now.saturating_sub(*at)).min(10.0);
         *at = now;
@@ -105,7 +105,8 @@
     Tenant { share: 0.0, allowance_per_s }
 }
 
-/// Spans from nothing to a day: bursts, the earning span of 10 s and its neighbours, and the longest idle times.
+/// Spans from nothing to a day: bursts, the earning span of 10 s and its neighbours, and the longest idle
+/// times.
 fn spans() -> impl Strategy<Value = Nanos> {
     prop_oneof![
         Just(0),
@@ -127,7 +128,7 @@
 enum Step {
     /// After a span, requests of a tenant.
     Ask { after: Nanos, tenant: usize, count: usize },
-    /// Another number of nodes shares the servers.
+    /// Another number of nodes shares the endpoints.
     Nodes(u32),
     /// A tenant's share and allowance are changed.
     Change { tenant: usize, to: Tenant },
@@ -147,7 +148,7 @@
 }
 
 proptest! {
-    /// Guards that with few tenants every answer is, to the bit, the one of a record for each that is never dropped.
+    /// With few tenants every answer is, to the bit, that of a record for each that is never evicted.
     #[test]
     fn few_tenants_are_judged_as_by_a_record_for_each(tenants in tenants(KEPT_IDLE_TENANT_RECORDS), steps in steps()) {
         let mut subject = Subject::new(tenants.clone().into());
@@ -159,9 +160,9 @@
                     let tenant = (tenant % reference.tenants.len()) as u32;
                     for _ in 0..count {
                         let over = reference.is_over(subject.now, tenant);
-                        let expected = if over { WORTH * OVER_WORTH } else { WORTH } as f32;
-                        let worth = subject.ask(tenant) as f32;
-                        prop_assert_eq!(worth.to_bits(), expected.to_bits());
+                        let expected = if over { WEIGHT * OVER_SHARE_WEIGHT } else { WEIGHT } as f32;
+                        let weight = subject.ask(tenant) as f32;
+                        prop_assert_eq!(weight.to_bits(), expected.to_bits());
                     }
                 }
                 Step::Nodes(nodes) => {
@@ -172,7 +173,7 @@
                 Step::Change { tenant, to } => {
                     let tenant = tenant % reference.tenants.len();
                     reference.tenants[tenant] = to;
-                    subject.retune(reference.tenants.clone().into());
+                    subject.update_tenants(reference.tenants.clone().into());
                 }
             }
         }
@@ -182,11 +183,11 @@
 /// What a crowd of tenants does in a step.
 #[derive(Clone, Debug)]
 enum Traffic {
-    /// Tenants from a first one on ask once each within a span.
+    /// Tenants from a first one on send one request each within a span.
     Crowd { first: u32, count: u32, within: Nanos },
-    /// One asks several times.
+    /// One sends several requests.
     One { tenant: u32, count: u32 },
-    /// Nobody asks.
+    /// No requests.
     Pause(Nanos),
 }
 
@@ -203,10 +204,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    /// Guards that no tenant gains by being forgotten or by having no record: counted from its first request, it never has
-    /// more within its share than with a record that is never dropped. The bound holds throughout.
+    /// No tenant gains by being evicted or by having no record: counted from its first request, it never has
+    /// more within its share than with a record that is never evicted. The bound holds throughout.
     #[test]
-    fn nobody_gains_by_being_forgotten(
+    fn no_tenant_gains_by_eviction(
         begin in spans(),
         rates in proptest::collection::vec(0.0..8.0f64, 7),
         traffic in traffic(),
@@ -245,12 +246,12 @@
 }
 
 const TENANTS: u32 = 16_000;
-/// Tenants that ask all the time, the first half of them for more than their shares.
+/// Tenants that send requests all the time, the first half of them more than their shares.
 const BUSY: u32 = 10;
 /// Bytes that a pool's records may take: 3,584 records, their hash table, and counters for those without.
 const MOST_BYTES: usize = 448 << 10;
 
-/// Since the clock began, so long that what tenants have at first is full.
+/// Long enough after the clock began that the initial allowances are full.
 const LATER: Nanos = 60 * SECOND;
 
 /// 16,000 tenants with 1 request a second at this node, the busy ones with 5.
@@ -288,10 +289,10 @@
     }
 }
 
-/// Guards the bound and the shares where 15,990 of 16,000 tenants ask once a minute: those over their shares stay so, those
-/// within are never over, and neither is any of the crowd.
+/// 15,990 of 16,000 tenants send a request a minute: busy tenants over their shares stay so, those within are
+/// never over, and neither is any of the crowd.
 #[test]
-fn a_crowd_that_asks_once_a_minute_moves_nobody() {
+fn a_crowd_of_occasional_tenants_changes_no_judgement() {
     const MINUTES: u32 = 3;
     const ROUNDS: u32 = MINUTES * 60 * 20;
     let mut subject = many();
@@ -314,10 +315,10 @@
     assert!(most.1 <= MOST_BYTES, "{} bytes", most.1);
 }
 
-/// Guards the same where all of the crowd ask within a second, more than there are records for, and those over their shares
-/// come after them.
+/// The same if all of the crowd send a request within a second, more than there are records for, and those
+/// over their shares come after them.
 #[test]
-fn a_crowd_that_asks_at_once_moves_nobody() {
+fn a_crowd_of_simultaneous_tenants_changes_no_judgement() {
     let mut subject = many();
     let (mut busy, mut starved) = (Busy::default(), 0);
     for n in 0..TENANTS - BUSY {
@@ -334,9 +335,9 @@
     busy.check(30);
 }
 
-/// Guards that what a crowd has left is released as requests come, and that few records stay.
+/// Records of a crowd are evicted as requests come, and few records stay.
 #[test]
-fn records_are_released_once_their_tenants_have_gone() {
+fn idle_records_are_evicted() {
     let mut subject = many();
     for tenant in 0..3_000 {
         subject.ask(tenant);
@@ -352,7 +353,7 @@
     assert!(bytes_left * 3 < bytes, "{bytes_left} of {bytes} bytes");
 }
 
-/// Has a tenant use up what it may.
+/// Uses up a tenant's allowance.
 fn exhaust(subject: &mut Subject, tenant: u32) {
     for _ in 0..100 {
         subject.ask(tenant);
@@ -360,42 +361,42 @@
     assert!(subject.is_over(tenant));
 }
 
-/// Guards that tenants come, go and change in place, by their ids: each keeps its own state, and one that is removed and
-/// comes back under its id has its own.
+/// Tenants are added, removed and changed in place, by their ids: each keeps its own state, and one that is
+/// removed and added again under its id has its own.
 #[test]
 fn a_change_of_tenants_keeps_states() {
     let shares = |ids: &[u32]| ids.iter().map(|id| (TenantId(*id), tenant(2.0))).collect::<TenantShares>();
     let mut subject = Subject { now: LATER, ..Subject::new(shares(&[0, 1, 2])) };
     exhaust(&mut subject, 1);
-    subject.retune(shares(&[0, 1, 2, 3]));
+    subject.update_tenants(shares(&[0, 1, 2, 3]));
     assert!(subject.is_over(1) && !subject.is_over(3));
-    subject.retune(shares(&[1, 3]));
+    subject.update_tenants(shares(&[1, 3]));
     assert!(subject.is_over(1) && !subject.is_over(3));
-    subject.retune(shares(&[3]));
+    subject.update_tenants(shares(&[3]));
     assert!(!subject.is_over(1), "nobody's share");
     subject.now += SECOND / 2;
-    subject.retune(shares(&[3, 1]));
+    subject.update_tenants(shares(&[3, 1]));
     assert!(subject.is_over(1), "half a request earned in half a second");
     let more = [(TenantId(1), tenant(40.0)), (TenantId(3), tenant(2.0))];
-    subject.retune(more.into_iter().collect());
+    subject.update_tenants(more.into_iter().collect());
     assert!(subject.is_over(1), "what it may earn from now on is not given at once");
     subject.now += SECOND / 2;
     assert!(!subject.is_over(1));
 }
 
-/// Guards that states of removed tenants go with a later change, once they are worth nothing.
+/// Records of removed tenants are evicted with a later change, once they have no effect.
 #[test]
-fn states_of_removed_tenants_go() {
+fn idle_records_of_removed_tenants_are_evicted() {
     let shares =
         |ids: std::ops::Range<u32>| ids.map(|id| (TenantId(id), tenant(2.0))).collect::<TenantShares>();
     let mut subject = Subject::new(shares(0..100));
     for tenant in 0..100 {
         subject.ask(tenant);
     }
-    subject.retune(shares(90..200));
+    subject.update_tenants(shares(90..200));
     assert_eq!(subject.balancer.tenant_states().0, 100, "recent ones stay");
     subject.now += 10 * SECOND;
     subject.ask(95);
-    subject.retune(shares(90..201));
+    subject.update_tenants(shares(90..201));
     assert_eq!(subject.balancer.tenant_states().0, 10);
 }
--- a/crates/policy/tests/knowledge.rs
+++ b/crates/policy/tests/warm_state.rs
@@ -1,4 +1,4 @@
-//! What one process hands to the next, and how far it is believed.
+//! What one process hands over to the next, and how far it is trusted.
 
 use pumicehead_policy::*;
 use pumicehead_policy::{Balancer, WarmState};
@@ -23,7 +23,7 @@
     Event::EndpointsUpdated(EndpointUpdate::Snapshot(servers.into()))
 }
 
-/// One that has served from `start` on for some seconds, two servers, 25 ms each.
+/// A process that has served from `start` on for some seconds, two endpoints, 25 ms each.
 fn learned(start: Nanos, answer: AttemptOutcome) -> (Balancer, Nanos) {
     let mut balancer = Balancer::new(settings(), 7);
     let (mut actions, mut now) = (Vec::new(), start);
@@ -69,7 +69,7 @@
     server.map_or(0.0, |server| server["limit"].as_f64().unwrap())
 }
 
-/// A newcomer that has been told of the servers, and of what was learned `later`.
+/// A new process that knows the endpoints and restores a warm state.
 fn newcomer(known: &WarmState, now: Nanos, servers: &[EndpointInfo]) -> Balancer {
     let mut balancer = Balancer::new(settings(), 8);
     balancer.handle(now, listing(servers), &mut Vec::new());
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_newcomer_knows_what_was_known_and_believes_it_less_with_age() {
+fn a_new_process_trusts_warm_state_less_with_age() {
     let (old, now) = learned(SECOND, AttemptOutcome::Success);
     let known = old.warm_state(now);
     let back: WarmState = serde_json::from_value(text(&known)).unwrap();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn what_has_started_since_is_unknown() {
+fn state_of_an_earlier_endpoint_process_is_ignored() {
     let (old, now) = learned(SECOND, AttemptOutcome::Success);
     let new = newcomer(&old.warm_state(now), now, &[info(1, now), info(2, 5)]);
     let plain = newcomer(&Balancer::new(settings(), 1).warm_state(now), now, &[info(1, now), info(2, 5)]);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_server_set_aside_is_so_for_the_newcomer_too() {
+fn an_ejection_is_handed_over() {
     let (old, now) = learned(SECOND, AttemptOutcome::Reset);
     let aside = |balancer: &Balancer, now| {
         balancer.avoids(EndpointId(2)) && !balancer.avoids(EndpointId(1)) && now > 0
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn what_can_not_be_true_is_passed_over() {
+fn implausible_warm_state_is_ignored() {
     let (old, now) = learned(SECOND, AttemptOutcome::Success);
     let servers = [info(1, 5), info(2, 5)];
     let plain = newcomer(&Balancer::new(settings(), 1).warm_state(now), now, &servers).warm_state(now);
@@ -140,13 +140,13 @@
         let bad: WarmState = serde_json::from_value(bad).unwrap();
         assert_eq!(newcomer(&bad, now, &servers).warm_state(now), plain, "{at}");
     }
-    // One server's own nonsense is that server's alone.
+    // One endpoint's implausible state is ignored alone.
     let mut bad = good;
     bad["servers"][0]["limit"] = 1e9.into();
     let bad: WarmState = serde_json::from_value(bad).unwrap();
     let new = newcomer(&bad, now, &servers);
     assert!(limit(&new, now, 1) < 100.0 && limit(&new, now, 2) > 0.0);
-    // A misled donor can't keep a server aside for longer than this module would by itself.
+    // A wrong state can't eject an endpoint for longer than this module would by itself.
     let mut bad = text(&old.warm_state(now));
     bad["servers"][0]["aside_until"] = u64::MAX.into();
     let bad: WarmState = serde_json::from_value(bad).unwrap();
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn own_answers_are_never_overridden() {
+fn own_observations_are_never_overridden() {
     let (old, now) = learned(SECOND, AttemptOutcome::Success);
     let (mut own, later) = learned(now, AttemptOutcome::Reset);
     let before = own.warm_state(later);
--- a/crates/resources/src/resource.rs
+++ b/crates/resources/src/resource.rs
@@ -263,7 +263,7 @@
 /// A kind of resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// [`Node`].
+    /// [`TestNode`].
     Node,
     /// [`Listener`].
     Listener,
