--- a/crates/node/src/standalone/pools.rs
+++ b/crates/node/src/standalone/pools.rs
@@ -4,16 +4,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pumicehead_config::model::{Config, Members, Protocol};
+use pumicehead_config::model::{Config, PoolEndpoints, Protocol};
 use pumicehead_policy::tenant_shares::TenantShares;
 use pumicehead_policy::{Nanos, Settings};
 use tokio::task;
 
 use super::site::SiteError;
 use crate::eyes::Eyes;
+use crate::net::active_requests::ActiveRequestIds;
 use crate::net::discovery::{EndpointList, ListedEndpoint, ListedState};
 use crate::net::memory_budget::MemoryBudget;
-use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
+use crate::net::pool_handle::PoolHandle;
 use crate::net::pool_loop::{EndpointSource, PoolConfig, PoolLoop};
 use crate::net::upstream::connection_registry::ConnectionRegistry;
 use crate::net::upstream::http::response_reader::ResponseReader;
@@ -69,13 +70,13 @@
             classes: classes.map(|class| config.classes[class].name.clone()).collect(),
             connection: ConnectionSettings {
                 zones: config.node.zones.clone(),
-                fixed: matches!(pool.members, Members::Static(_)),
-                connect_timeout: pool.connect_timeout,
-                idle: pool.idle,
-                answer_body: config.limits.answer_body,
-                protocol: pool.protocol,
-                script: pool.script.clone(),
-                root: pool.root.clone(),
+                fixed: matches!(pool.endpoints, PoolEndpoints::Static(_)),
+                connect_timeout: pool.settings.connect_timeout,
+                idle: pool.settings.idle_timeout,
+                answer_body: config.limits.max_response_body_bytes,
+                protocol: pool.settings.protocol,
+                script: pool.settings.script_name.clone(),
+                root: pool.settings.document_root.clone(),
             },
         })
     }
@@ -125,9 +126,9 @@
     /// Those of a pool of a configuration, by its place.
     #[must_use]
     pub fn of(config: &Config, place: usize) -> Self {
-        let servers = match &config.pools[place].members {
-            Members::Discovery { address, .. } => return Self::Discovery(*address),
-            Members::Static(servers) => servers,
+        let servers = match &config.pools[place].endpoints {
+            PoolEndpoints::Discovered { address, .. } => return Self::Discovery(*address),
+            PoolEndpoints::Static(servers) => servers,
         };
         let hosts = servers.iter().map(|server| ListedEndpoint {
             name: server.name.clone(),
