--- a/crates/policy/src/tenant_quota.rs
+++ b/crates/policy/src/tenant_quota.rs
@@ -21,7 +21,7 @@
         let earned = |since: Nanos| rate_per_s * seconds(self.now.saturating_sub(since)).min(EARNING_S);
         let request = TenantRequest { tenant, at: self.now, rate_per_s, max_saved };
         self.tenants.judge(request, |state| {
-            state.allowance = (state.allowance + earned(state.at)).min(max_saved);
+            state.allowance = (state.allowance + earned(state.updated_at)).min(max_saved);
             state.allowance < 1.0
         })
     }
--- a/crates/policy/src/tenant_table.rs
+++ b/crates/policy/src/tenant_table.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Default)]
 pub(crate) struct TenantState {
     pub allowance: f64,
-    pub at: Nanos,
+    pub updated_at: Nanos,
 }
 
 /// A request of a tenant.
@@ -61,18 +61,18 @@
 
 impl TenantRequest {
     /// What a tenant without a record has: the earnings of the whole span, or since the clock began.
-    fn fresh(&self) -> f64 {
+    fn allowance_without_record(&self) -> f64 {
         (self.rate_per_s * seconds(self.at).min(EARNING_S)).min(self.max_saved)
     }
 
     /// What it has if the clock has run for so long.
-    fn full(&self) -> f64 {
+    fn full_allowance(&self) -> f64 {
         (self.rate_per_s * EARNING_S).min(self.max_saved)
     }
 }
 
 /// A record in the list from the oldest to the newest last request; the links are positions.
-struct Slot {
+struct TenantRecord {
     tenant: TenantId,
     state: TenantState,
     older: u32,
@@ -82,7 +82,7 @@
 /// Records of the tenants that have traffic in a pool.
 pub(crate) struct TenantTable {
     positions: FxHashMap<TenantId, u32>,
-    slots: Vec<Slot>,
+    records: Vec<TenantRecord>,
     oldest: u32,
     newest: u32,
     overflow: Option<Overflow>,
@@ -90,8 +90,8 @@
 
 impl Default for TenantTable {
     fn default() -> Self {
-        let (positions, slots) = (FxHashMap::default(), Vec::new());
-        Self { positions, slots, oldest: NONE, newest: NONE, overflow: None }
+        let (positions, records) = (FxHashMap::default(), Vec::new());
+        Self { positions, records, oldest: NONE, newest: NONE, overflow: None }
     }
 }
 
@@ -104,9 +104,9 @@
         let position = position.or_else(|| self.make_room(request.at).then(|| self.insert(request)));
         let Some(position) = position else { return self.judge_unlisted(request, is_over) };
         self.touch(position);
-        let state = &mut self.slots[position as usize].state;
+        let state = &mut self.records[position as usize].state;
         let over = is_over(state);
-        state.at = request.at;
+        state.updated_at = request.at;
         if !over {
             state.allowance -= 1.0;
         }
@@ -115,13 +115,13 @@
 
     /// Number of records.
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.records.len()
     }
 
     /// Bytes of memory that the table holds; a bucket of the hash table is its entry and a control byte.
     pub fn bytes(&self) -> usize {
         let bucket = size_of::<(TenantId, u32)>() + 1;
-        self.slots.capacity() * size_of::<Slot>()
+        self.records.capacity() * size_of::<TenantRecord>()
             + self.positions.capacity() * 8 / 7 * bucket
             + self.overflow.as_ref().map_or(0, Overflow::bytes)
     }
@@ -131,11 +131,11 @@
         let mut position = self.oldest;
         let mut unknown = Vec::new();
         while position != NONE && self.is_idle(position, now, EARNING_SPAN) {
-            let slot = &self.slots[position as usize];
-            if !is_known(slot.tenant) {
-                unknown.push(slot.tenant);
+            let record = &self.records[position as usize];
+            if !is_known(record.tenant) {
+                unknown.push(record.tenant);
             }
-            position = slot.newer;
+            position = record.newer;
         }
         for tenant in unknown {
             if let Some(&position) = self.positions.get(&tenant) {
@@ -160,7 +160,7 @@
     }
 
     fn is_idle(&self, position: u32, now: Nanos, span: Nanos) -> bool {
-        now.saturating_sub(self.slots[position as usize].state.at) >= span
+        now.saturating_sub(self.records[position as usize].state.updated_at) >= span
     }
 
     /// Evicts what is of no more use, a little at a time.
@@ -169,7 +169,7 @@
             self.overflow = None;
         }
         for _ in 0..MAX_EVICTIONS_PER_REQUEST {
-            if self.slots.len() <= KEPT_IDLE_TENANT_RECORDS
+            if self.records.len() <= KEPT_IDLE_TENANT_RECORDS
                 || !self.is_idle(self.oldest, now, EVICT_IDLE_AFTER)
             {
                 return;
@@ -180,7 +180,7 @@
 
     /// Makes room for another record; returns whether there is any.
     fn make_room(&mut self, now: Nanos) -> bool {
-        if self.slots.len() < MAX_TENANT_RECORDS {
+        if self.records.len() < MAX_TENANT_RECORDS {
             return true;
         }
         let idle = self.is_idle(self.oldest, now, EARNING_SPAN);
@@ -193,8 +193,8 @@
     fn insert(&mut self, request: TenantRequest) -> u32 {
         let overflow = self.overflow.as_ref().filter(|overflow| overflow.owes(request));
         let state = overflow.map_or_else(TenantState::default, |overflow| overflow.state(request));
-        let position = self.slots.len() as u32;
-        self.slots.push(Slot { tenant: request.tenant, state, older: NONE, newer: NONE });
+        let position = self.records.len() as u32;
+        self.records.push(TenantRecord { tenant: request.tenant, state, older: NONE, newer: NONE });
         self.positions.insert(request.tenant, position);
         self.link(position);
         position
@@ -202,18 +202,19 @@
 
     fn remove(&mut self, position: u32) {
         self.unlink(position);
-        let slot = self.slots.swap_remove(position as usize);
-        self.positions.remove(&slot.tenant);
+        let record = self.records.swap_remove(position as usize);
+        self.positions.remove(&record.tenant);
         // The last record has moved to the free position.
-        if let Some(moved) = self.slots.get(position as usize) {
+        if let Some(moved) = self.records.get(position as usize) {
             let (tenant, older, newer) = (moved.tenant, moved.older, moved.newer);
             self.positions.insert(tenant, position);
             *self.newer_of(older) = position;
             *self.older_of(newer) = position;
         }
-        if self.slots.len() * 4 <= self.slots.capacity() && self.slots.len() >= KEPT_IDLE_TENANT_RECORDS {
-            self.slots.shrink_to(self.slots.len() * 2);
-            self.positions.shrink_to(self.slots.len() * 2);
+        if self.records.len() * 4 <= self.records.capacity() && self.records.len() >= KEPT_IDLE_TENANT_RECORDS
+        {
+            self.records.shrink_to(self.records.len() * 2);
+            self.positions.shrink_to(self.records.len() * 2);
         }
     }
 
@@ -226,25 +227,25 @@
 
     fn link(&mut self, position: u32) {
         let older = self.newest;
-        let slot = &mut self.slots[position as usize];
-        (slot.older, slot.newer) = (older, NONE);
+        let record = &mut self.records[position as usize];
+        (record.older, record.newer) = (older, NONE);
         *self.newer_of(older) = position;
         self.newest = position;
     }
 
     fn unlink(&mut self, position: u32) {
-        let Slot { older, newer, .. } = self.slots[position as usize];
+        let TenantRecord { older, newer, .. } = self.records[position as usize];
         *self.newer_of(older) = newer;
         *self.older_of(newer) = older;
     }
 
     /// The link to the record that is newer than another; newer than the end is the oldest.
     fn newer_of(&mut self, position: u32) -> &mut u32 {
-        if position == NONE { &mut self.oldest } else { &mut self.slots[position as usize].newer }
+        if position == NONE { &mut self.oldest } else { &mut self.records[position as usize].newer }
     }
 
     /// The link to the record that is older than another; older than the end is the newest.
     fn older_of(&mut self, position: u32) -> &mut u32 {
-        if position == NONE { &mut self.newest } else { &mut self.slots[position as usize].older }
+        if position == NONE { &mut self.newest } else { &mut self.records[position as usize].older }
     }
 }
--- a/crates/policy/src/tenant_table/overflow.rs
+++ b/crates/policy/src/tenant_table/overflow.rs
@@ -49,13 +49,14 @@
     /// The record of a tenant that has none.
     pub fn state(&self, request: TenantRequest) -> TenantState {
         let debt = seconds(self.paid_at(request).saturating_sub(request.at));
-        let allowance = (request.full() - debt * request.rate_per_s).clamp(0.0, request.fresh());
-        TenantState { allowance, at: request.at }
+        let allowance = (request.full_allowance() - debt * request.rate_per_s)
+            .clamp(0.0, request.allowance_without_record());
+        TenantState { allowance, updated_at: request.at }
     }
 
     /// Sets what a request has left of the tenant's allowance. The tenant's rate must be positive.
     pub fn charge(&mut self, request: TenantRequest, left: f64) {
-        let debt = nanos((request.full() - left) / request.rate_per_s);
+        let debt = nanos((request.full_allowance() - left) / request.rate_per_s);
         // Rounded up: a debt must not shrink by being stored.
         let paid_at = request.at.saturating_add(debt).saturating_add(1);
         for counter in counters(request) {
