--- a/crates/node/src/platform/admission.rs
+++ b/crates/node/src/platform/admission.rs
@@ -4,7 +4,7 @@
 
 use hyper::Method;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
-use pumicehead_policy::deployment_settings::BootClass;
+use pumicehead_policy::deployment_settings::ClassSettings;
 use pumicehead_policy::{Idempotency, Nanos, TenantId};
 use rustc_hash::FxHashMap;
 
@@ -47,7 +47,7 @@
     /// With the classes and tenants of a configuration.
     pub fn new(config: &Config, core: PoolHandle) -> Self {
         let (boot, settings) = (&config.boot, &config.settings);
-        let rule = |(index, class): (usize, &BootClass)| ClassRule {
+        let rule = |(index, class): (usize, &ClassSettings)| ClassRule {
             name: class.name.clone(),
             method: match settings.classes[index].idempotency {
                 Idempotency::Idempotent => Method::GET,
--- a/crates/node/src/platform/config.rs
+++ b/crates/node/src/platform/config.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use pumicehead_policy::deployment_settings::Boot;
+use pumicehead_policy::deployment_settings::DeploymentSettings;
 use pumicehead_policy::{Settings, SettingsError};
 use serde::Deserialize;
 use thiserror::Error;
@@ -61,7 +61,7 @@
     limits: Limits,
     #[serde(default)]
     known: Option<EndpointList>,
-    settings: Boot,
+    settings: DeploymentSettings,
 }
 
 #[derive(Deserialize)]
@@ -96,7 +96,7 @@
     /// The list of backends as it last had it.
     pub known: EndpointList,
     /// The settings as written: names and limits.
-    pub boot: Boot,
+    pub boot: DeploymentSettings,
     /// The settings as the module takes them.
     pub settings: Settings,
 }
--- a/crates/node/tests/unit/downstream.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -8,7 +8,7 @@
 use pumicehead_fastcgi::pairs;
 use pumicehead_fastcgi::record::{self, Kind, Role, put, put_stream, put_stream_end};
 use pumicehead_policy::AttemptOutcome;
-use pumicehead_policy::deployment_settings::Boot;
+use pumicehead_policy::deployment_settings::DeploymentSettings;
 use tokio::runtime::{Builder, LocalOptions};
 use tokio::sync::oneshot;
 
@@ -105,7 +105,7 @@
 }
 
 fn listener(endpoint: &InstantEndpoint) -> Rc<DownstreamListener> {
-    let boot: Boot = serde_json::from_str(
+    let boot: DeploymentSettings = serde_json::from_str(
         r#"{"classes":[{"name":"submit","effect":"side_effect","target_ns":60000000000,"deadline_ns":60000000000}],
         "zones":["a"],"membership_mode":"automatic","quantum_ns":5000000,"ceilings":{"max_attempts":1}}"#,
     )
--- a/crates/node/tests/unit/pool_loop.rs
+++ b/crates/node/tests/unit/pool_loop.rs
@@ -5,7 +5,7 @@
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
 use pumicehead_config::model::Address;
-use pumicehead_policy::deployment_settings::Boot;
+use pumicehead_policy::deployment_settings::DeploymentSettings;
 use pumicehead_policy::{AttemptNo, AttemptOutcome};
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
@@ -61,7 +61,7 @@
 }
 
 fn config(settings: &str, endpoints: EndpointSource) -> PoolConfig {
-    let boot: Boot = serde_json::from_str(settings).unwrap();
+    let boot: DeploymentSettings = serde_json::from_str(settings).unwrap();
     PoolConfig {
         settings: boot.settings().unwrap(),
         seed: 1,
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Notes that requests are rejected for overload.
+    /// Records that requests are rejected for overload.
     pub(crate) fn begin_overload(&mut self) {
         if !std::mem::replace(&mut self.overloaded, true) {
             let queued = self.queue.len() as u32;
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Notes a started attempt at the request, the endpoint and in this node's statistics.
+    /// Records a started attempt at its request, at its endpoint and in this node's statistics.
     fn record_start(
         &mut self,
         id: RequestId,
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -69,7 +69,7 @@
 }
 
 impl ConcurrencyLimiter {
-    /// Learns from a sample, with `samples_per_s` of them.
+    /// Learns from the utilization of a sample; `samples_per_s` is the rate of samples.
     fn observe(&mut self, utilization: f64, samples_per_s: f64, now: Nanos) {
         let weight = (1.0 / samples_per_s.max(MIN_SAMPLE_RATE)).clamp(MIN_NODE_WEIGHT, MAX_NODE_WEIGHT);
         self.updated_at = now;
--- a/crates/policy/src/deployment_settings.rs
+++ b/crates/policy/src/deployment_settings.rs
@@ -8,11 +8,11 @@
 /// Settings as written.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
-pub struct Boot {
+pub struct DeploymentSettings {
     /// What the deployment permits.
     pub ceilings: Ceilings,
     /// The classes of requests.
-    pub classes: Vec<BootClass>,
+    pub classes: Vec<ClassSettings>,
     #[serde(rename = "counted_by")]
     weight_unit: String,
     #[serde(rename = "me")]
@@ -30,13 +30,13 @@
     node_count: u32,
     rules: Rules,
     /// The tenants.
-    pub tenants: Vec<BootTenant>,
+    pub tenants: Vec<TenantSettings>,
     weights: String,
     /// The zones, by name.
     pub zones: Vec<String>,
 }
 
-impl Default for Boot {
+impl Default for DeploymentSettings {
     fn default() -> Self {
         Self {
             ceilings: Ceilings::default(),
@@ -151,7 +151,7 @@
 
 /// A class of requests, as written.
 #[derive(Debug, Deserialize)]
-pub struct BootClass {
+pub struct ClassSettings {
     #[serde(default, rename = "aim_stretch")]
     objective_per_work: f64,
     deadline_ns: Nanos,
@@ -180,7 +180,7 @@
 
 /// A tenant, as written.
 #[derive(Debug, Deserialize)]
-pub struct BootTenant {
+pub struct TenantSettings {
     #[serde(default)]
     allowance_per_s: f64,
     /// Its name.
@@ -190,20 +190,20 @@
     share: f64,
 }
 
-impl Boot {
+impl DeploymentSettings {
     /// Returns the settings of the decision module.
     ///
     /// # Errors
     /// A value that is unknown or out of range.
     pub fn settings(&self) -> Result<Settings, SettingsError> {
-        let classes = self.classes.iter().map(BootClass::class).collect::<Result<_, _>>()?;
+        let classes = self.classes.iter().map(ClassSettings::class).collect::<Result<_, _>>()?;
         let settings = Settings {
             node_index: self.node_index,
             node_count: self.node_count,
             zone: ZoneId(self.zone),
             zone_count: u16::try_from(self.zones.len()).map_err(|_| SettingsError::OutOfRange("zones"))?,
             classes,
-            tenants: self.tenants.iter().map(BootTenant::tenant).collect(),
+            tenants: self.tenants.iter().map(TenantSettings::tenant).collect(),
             over_share_weight: self.over_share_weight,
             weight_by_work: self.weight_unit == "work",
             discovery: self.discovery()?,
@@ -240,13 +240,13 @@
     }
 }
 
-impl BootTenant {
+impl TenantSettings {
     fn tenant(&self) -> Tenant {
         Tenant { share: self.share, allowance_per_s: self.allowance_per_s }
     }
 }
 
-impl BootClass {
+impl ClassSettings {
     fn class(&self) -> Result<Class, SettingsError> {
         Ok(Class {
             latency_objective: self.latency_objective_ns,
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -60,7 +60,7 @@
     /// Work sent, in requests of mean cost.
     pub sent_rate: Rate,
     pub slow_start: SlowStart,
-    /// Its place on the ring that all nodes share.
+    /// Its position on the ring that all nodes share.
     pub ring_position: u64,
 }
 
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -44,7 +44,7 @@
 /// This node's part in the group of nodes that share the endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeShare {
-    /// Index of this node: its place on the ring of endpoints. Any number that no other node has.
+    /// Index of this node: its position on the ring of endpoints. Any number that no other node has.
     pub node_index: u32,
     /// Number of nodes, this one among them.
     pub node_count: u32,
@@ -62,7 +62,7 @@
     /// Endpoints that drain, with the start time of the process that is meant.
     pub draining: Arc<[(EndpointId, Nanos)]>,
     /// Rate that this node has lent to others on endpoints in slow start, in requests a second before the
-    /// ramp is applied.
+    /// warm-up fraction is applied.
     pub lent: Arc<[(EndpointId, f64)]>,
     /// Rate that it has been granted on such endpoints, in the same unit, for `granted_for` from its arrival.
     pub granted: Arc<[(EndpointId, f64)]>,
--- a/crates/policy/src/subsetting.rs
+++ b/crates/policy/src/subsetting.rs
@@ -127,8 +127,8 @@
 
 impl Balancer {
     /// Removes departed endpoints and orders the others on a ring that all nodes share, from this node's own
-    /// place on it. A subset then changes little with the list, and every endpoint is in as many subsets as
-    /// any other, which subsets drawn at random don't achieve.
+    /// position on it. A subset then changes little with the list, and every endpoint is in as many subsets
+    /// as any other, which subsets drawn at random don't achieve.
     pub(crate) fn rebuild_preference_order(&mut self) {
         self.endpoints.remove_departed();
         for locality in Locality::ALL {
@@ -141,8 +141,8 @@
         for locality in Locality::ALL {
             let order = &mut self.subset[locality].preference_order;
             order.sort_unstable_by_key(|&index| self.endpoints[index].ring_position);
-            let place = ring(self.settings.node_index, order.len());
-            order.rotate_left(place);
+            let start = ring(self.settings.node_index, order.len());
+            order.rotate_left(start);
         }
         self.form_report_group();
     }
--- a/crates/policy/tests/warm_state.rs
+++ b/crates/policy/tests/warm_state.rs
@@ -6,7 +6,7 @@
 const HOUR: Nanos = 3_600 * SECOND;
 
 fn settings() -> Settings {
-    let boot: pumicehead_policy::deployment_settings::Boot = serde_json::from_str(
+    let boot: pumicehead_policy::deployment_settings::DeploymentSettings = serde_json::from_str(
         r#"{"classes":[{"name":"read","effect":"pure","deadline_ns":2000000000,"target_ns":400000000}],
         "zones":["a"],"ceilings":{"max_attempts":3,"cancel":true}}"#,
     )
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -10,7 +10,7 @@
 use rustc_hash::FxHashMap;
 use thiserror::Error;
 
-use pumicehead_policy::deployment_settings::Boot;
+use pumicehead_policy::deployment_settings::DeploymentSettings;
 use pumicehead_policy::{
     Action, AttemptEnded, AttemptNo, AttemptOutcome, CellId, ClassId, EndpointId, EndpointInfo,
     EndpointState, EndpointUpdate, Event, Nanos, NewRequest, RequestId, Settings, SettingsError, TenantId,
@@ -259,7 +259,7 @@
         let text = f.take("boot_info", len)?;
         let record = f.record;
         let text = std::str::from_utf8(text).map_err(|_| WireError::SettingsText { record })?;
-        let boot: Boot =
+        let boot: DeploymentSettings =
             serde_json::from_str(text).map_err(|source| WireError::SettingsJson { record, source })?;
         let settings = boot.settings().map_err(|source| WireError::SettingsValue { record, source })?;
         let bounds = Bounds {
