--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -38,3 +38,18 @@
         }
     }
 }
+
+#[test]
+fn listed_policy_files_exist() {
+    let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let text = fs::read_to_string(root.join("deploy/balancer.toml")).expect("the deploy file can be read");
+    let listed: Vec<_> = text
+        .lines()
+        .filter_map(|line| line.trim().strip_prefix("\"crates/policy/")?.split_once('"'))
+        .map(|(path, _)| root.join("crates/policy").join(path))
+        .collect();
+    assert!(listed.len() > 10, "{listed:?}");
+    for path in listed {
+        assert!(path.is_file(), "{} is listed but doesn't exist", path.display());
+    }
+}
