--- a/crates/capacity-leases/src/lib.rs
+++ b/crates/capacity-leases/src/lib.rs
@@ -1,42 +1,43 @@
-//! Two levels that survive each other: forwarders, each with the decision module of a node, and planners that tell
-//! them what no forwarder can see alone.
+//! Leases on the capacity of endpoints in slow start. Forwarders, each with the decision module of a node, lend their shares
+//! of that capacity to planners; planners grant it to the forwarders that can use it, and advise on what no forwarder can
+//! see alone. Either side goes on without the other.
 //!
 //! Nothing here does I/O or reads a clock. `docs/design/fleet.md` has the reasons.
 //!
-//! - `terms`: spans, and how far clocks may drift;
-//! - `room`: rates at which a cold server may be asked, and promises that end;
-//! - `holder`: a forwarder's rights to cold servers: its own share, what it has lent, what it was granted;
-//! - `ledger`: a planner's side of the same: what was lent to it, and what it grants from that;
-//! - `wire`: reports and plans as bytes, in frames with a bound;
-//! - `view`: what a planner makes of what forwarders have seen;
-//! - `sync`: a table kept equal on two sides by deltas and a digest.
-
-pub mod holder;
-pub mod ledger;
-pub mod room;
-pub mod sync;
-pub mod terms;
-pub mod view;
+//! - `lease_terms`: durations of leases and loans, and the drift of clocks;
+//! - `rate_promise`: request rates, and promises of rates that expire;
+//! - `lease_holder`: a forwarder's rates: its own share, what it has lent, what it was granted;
+//! - `lease_table`: a planner's side: what was lent to it, and what it grants from that;
+//! - `wire`: reports and plans as bytes, in frames of bounded size;
+//! - `endpoint_health_view`: a planner's view of endpoints, merged from the reports of forwarders;
+//! - `table_sync`: keeps a table equal on both sides of a connection by deltas and a digest.
+
+pub mod endpoint_health_view;
+pub mod lease_holder;
+pub mod lease_table;
+pub mod lease_terms;
+pub mod rate_promise;
+pub mod table_sync;
 pub mod wire;
 
 use std::fmt;
 
-/// A forwarder's loop, for the life of its process: a new one at each start, so that what an earlier process was
-/// granted is never taken for its own. Drawn at random.
+/// Identifies a forwarder's process. Drawn at random at each start, so that a process never takes grants for its own that an
+/// earlier one received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ForwarderId(pub u64);
 
-/// A planner, for the life of its process. Drawn at random.
+/// Identifies a planner's process. Drawn at random at each start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlannerId(pub u64);
 
-/// Number of a report of one forwarder to one planner, from 1.
+/// Number of a report from one forwarder to one planner, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ReportNo(pub u64);
+pub struct ReportNumber(pub u64);
 
-/// Number of a plan of one planner for one forwarder, from 1.
+/// Number of a plan from one planner to one forwarder, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct PlanNo(pub u64);
+pub struct PlanNumber(pub u64);
 
 impl fmt::Display for ForwarderId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/capacity-leases/tests/stored_forms.rs
+++ b/crates/capacity-leases/tests/stored_forms.rs
@@ -7,7 +7,8 @@
 use bytes::Bytes;
 use prost::Message;
 use pumicehead_capacity_leases::wire::{
-    Body, Changes, Entry, Frames, Grant, Hello, Plan, Report, Sighting, frame,
+    Body, EndpointObservation, FrameDecoder, Grant, Hello, Plan, Report, TableChanges, TableEntry,
+    encode_frame,
 };
 
 /// Compares a whole text with a stored one.
@@ -27,72 +28,78 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n"
 }
 
-fn sighting() -> Sighting {
-    Sighting {
-        born: 1_700_000_000_000_000_000,
+fn sighting() -> EndpointObservation {
+    EndpointObservation {
+        incarnation: 1_700_000_000_000_000_000,
         known_for: 9_000_000_000,
         draining: true,
-        answered: 400,
+        succeeded: 400,
         failed: 3,
-        out: 5,
-        places: 12,
+        in_flight: 5,
+        concurrency_limit: 12,
     }
 }
 
-fn changes(whole: bool, value: Vec<u8>) -> Changes {
-    Changes {
-        whole,
-        set: vec![Entry { key: 7, value: Bytes::from(value) }, Entry { key: 8, value: Bytes::new() }],
-        gone: vec![1, 2, 300],
+fn changes(whole: bool, value: Vec<u8>) -> TableChanges {
+    TableChanges {
+        replaces_all: whole,
+        set: vec![
+            TableEntry { key: 7, value: Bytes::from(value) },
+            TableEntry { key: 8, value: Bytes::new() },
+        ],
+        removed: vec![1, 2, 300],
         digest: 0x0123_4567_89ab_cdef,
     }
 }
 
 fn messages() -> Vec<Body> {
-    let grants = vec![Grant { server: 3, rate: 1_500_000 }, Grant { server: 70_000, rate: 1 }];
+    let grants = vec![
+        Grant { endpoint: 3, micro_requests_per_s: 1_500_000 },
+        Grant { endpoint: 70_000, micro_requests_per_s: 1 },
+    ];
     vec![
         Body::Hello(Hello {
             version: 1,
-            least_version: 1,
-            id: 0x5d3a_91c4_0312_4a07,
-            lease: 3_000_000_000,
-            loan: 500_000_000,
+            min_version: 1,
+            process_id: 0x5d3a_91c4_0312_4a07,
+            lease_ns: 3_000_000_000,
+            loan_ns: 500_000_000,
         }),
         Body::Report(Report {
             number: 9,
             planner: 0x91f0_3b7c_55d2_0a64,
-            heard: 8,
+            last_plan: 8,
             lent: grants.clone(),
-            servers: Some(changes(true, sighting().encode_to_vec())),
-            lost: false,
+            endpoints: Some(changes(true, sighting().encode_to_vec())),
+            requests_resync: false,
         }),
-        Body::Report(Report { number: 10, lost: true, ..Report::default() }),
+        Body::Report(Report { number: 10, requests_resync: true, ..Report::default() }),
         Body::Plan(Plan {
             number: 12,
-            answers: 9,
+            answered_report: 9,
             planner: 0x91f0_3b7c_55d2_0a64,
             grants,
-            servers: Some(changes(false, vec![1, 2, 3])),
-            lost: false,
+            endpoints: Some(changes(false, vec![1, 2, 3])),
+            requests_resync: false,
         }),
-        Body::Plan(Plan { number: 13, lost: true, ..Plan::default() }),
+        Body::Plan(Plan { number: 13, requests_resync: true, ..Plan::default() }),
     ]
 }
 
 #[test]
 fn reports_and_plans_travel_as_before() {
-    let written: String = messages().into_iter().map(|message| hex_line(&frame(message))).collect();
+    let written: String = messages().into_iter().map(|message| hex_line(&encode_frame(message))).collect();
     assert_stored_text("messages.hex", &written);
-    let (mut frames, mut read) = (Frames::default(), Vec::new());
+    let (mut frames, mut read) = (FrameDecoder::default(), Vec::new());
     frames.feed(&stored_bytes("messages.hex"));
     while let Some(message) = frames.next_message().unwrap() {
         read.push(message);
     }
-    assert_eq!((read, frames.waiting()), (messages(), 0));
+    assert_eq!((read, frames.buffered_bytes()), (messages(), 0));
 }
 
 #[test]
 fn sightings_travel_as_before() {
     assert_stored_text("sighting.hex", &hex_line(&sighting().encode_to_vec()));
-    assert_eq!(Sighting::decode(stored_bytes("sighting.hex").as_slice()).unwrap(), sighting());
+    assert_eq!(EndpointObservation::decode(stored_bytes("sighting.hex").as_slice()).unwrap(), sighting());
 }
