--- a/crates/capacity-leases/src/endpoint_health_view.rs
+++ b/crates/capacity-leases/src/endpoint_health_view.rs
@@ -1,7 +1,8 @@
-//! A planner's view of endpoints, merged from the observations of forwarders. Where these disagree the most cautious one
-//! counts, by endpoint and by rule; failures and load are added up.
+//! A planner's view of endpoints, merged from the observations of forwarders. Where these disagree the most
+//! cautious one counts, by endpoint and by rule; failures and load are added up.
 //!
-//! A view is built from reports alone: a planner that starts has it complete after the first report of each forwarder.
+//! A view is built from reports alone: a planner that starts has it complete after the first report of each
+//! forwarder.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +12,8 @@
 use crate::ForwarderId;
 use crate::wire::EndpointObservation;
 
-/// Time constant of the decay of counts: long enough to see a failure at a few requests a second, short enough to try an
-/// endpoint again that has recovered.
+/// Time constant of the decay of counts: long enough to see a failure at a few requests a second, short
+/// enough to try an endpoint again that has recovered.
 const COUNT_DECAY: Nanos = 4 * SECOND;
 /// Least decayed count of responses at which a failure rate is known.
 const MIN_RESPONSES: f64 = 0.5;
@@ -24,7 +25,8 @@
 const MIN_FAILURE_RATE: f64 = 0.5;
 /// ... and this multiple of the median of all endpoints: where most fail, the cause is not the endpoint.
 const MIN_MEDIAN_MULTIPLE: f64 = 2.0;
-/// Largest fraction of the endpoints that is avoided, the worst first: the others could not take the load of more.
+/// Largest fraction of the endpoints that is avoided, the worst first: the others could not take the load of
+/// more.
 const MAX_AVOIDED_FRACTION: f64 = 0.25;
 /// How long a drain is remembered after the last observation: longer than a process takes to drain.
 const DRAIN_RETENTION: Nanos = 3_600 * SECOND;
@@ -34,8 +36,8 @@
 /// An endpoint as all forwarders together observe it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointHealth {
-    /// The latest start of its process that a forwarder knows, as discovery numbers starts. It identifies the process, and is
-    /// not compared with a clock.
+    /// The latest start of its process that a forwarder knows, as discovery numbers starts. It identifies the
+    /// process, and is not compared with a clock.
     pub incarnation: u64,
     /// The process is draining. Never taken back for the same process.
     pub draining: bool,
@@ -108,8 +110,8 @@
 }
 
 impl EndpointHealthView {
-    /// Adds an observation of a forwarder. Its counts are totals since the start of the forwarder, so that what is lost in
-    /// transit is contained in the next one.
+    /// Adds an observation of a forwarder. Its counts are totals since the start of the forwarder, so that
+    /// what is lost in transit is contained in the next one.
     pub fn observe(
         &mut self,
         forwarder: ForwarderId,
@@ -183,7 +185,8 @@
         merged
     }
 
-    /// Endpoints that fail much more than others, the worst first, and no more than [`MAX_AVOIDED_FRACTION`] allows.
+    /// Endpoints that fail much more than others, the worst first, and no more than [`MAX_AVOIDED_FRACTION`]
+    /// allows.
     fn outliers(&self, now: Nanos) -> Vec<EndpointId> {
         let median = self.median_failure_rate(now);
         let mut outliers: Vec<_> = self
--- a/crates/capacity-leases/src/lease_holder.rs
+++ b/crates/capacity-leases/src/lease_holder.rs
@@ -1,11 +1,11 @@
 //! A forwarder's rates towards endpoints in slow start.
 //!
-//! Each forwarder owns a share of the capacity of each such endpoint that it uses; the shares of all forwarders add up to
-//! the whole without any coordination. It may lend its share to planners, which grant it to the forwarders that gain most:
-//! among a thousand forwarders a share is less than a request a minute. A lent share is not used until the loan has ended,
-//! and a grant ends before every loan that it can be made of. So the rates of all forwarders never add up to more than all
-//! of them own, or owned within the duration of a loan, whatever fails, and a forwarder without planners gets its own share
-//! back.
+//! Each forwarder owns a share of the capacity of each such endpoint that it uses; the shares of all
+//! forwarders add up to the whole without any coordination. It may lend its share to planners, which grant it
+//! to the forwarders that gain most: among a thousand forwarders a share is less than a request a minute. A
+//! lent share is not used until the loan has ended, and a grant ends before every loan that it can be made
+//! of. So the rates of all forwarders never add up to more than all of them own, or owned within the duration
+//! of a loan, whatever fails, and a forwarder without planners gets its own share back.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -124,14 +124,14 @@
         }
     }
 
-    /// Sets the shares that this forwarder owns now, of the endpoints that it uses. Loans that exceed a share run on, and
-    /// nothing of the share is left to use until they end.
+    /// Sets the shares that this forwarder owns now, of the endpoints that it uses. Loans that exceed a share
+    /// run on, and nothing of the share is left to use until they end.
     pub fn set_own(&mut self, own: impl IntoIterator<Item = (EndpointId, Rate)>) {
         self.own = own.into_iter().take(MAX_LENT_ENDPOINTS).collect();
     }
 
-    /// Replaces the planners: `kept` has, for each new index, the old index of the same planner. Loans to planners that are
-    /// removed run until their end; grants from them end at once.
+    /// Replaces the planners: `kept` has, for each new index, the old index of the same planner. Loans to
+    /// planners that are removed run until their end; grants from them end at once.
     pub fn replace_planners(&mut self, kept: &[Option<usize>], now: Nanos) {
         let mut old: Vec<Option<PlannerLink>> =
             std::mem::take(&mut self.links).into_iter().map(Some).collect();
@@ -167,8 +167,8 @@
         let live = self.live_planners(now) as u64;
         let mut loans = Vec::new();
         for (&endpoint, &own) in &self.own {
-            // Loans to others count against the present share, even if that has become less: loans that are renewed one by
-            // one would outlast the share that they were made of.
+            // Loans to others count against the present share, even if that has become less: loans that are
+            // renewed one by one would outlast the share that they were made of.
             let others = self.links.iter().enumerate().filter(|(other, _)| *other != planner);
             let others: Rate = others.map(|(_, link)| link.lent(endpoint, now)).sum();
             let rate = own.split(live).min(own.saturating_sub(others));
@@ -201,8 +201,8 @@
         Ok(())
     }
 
-    /// The rate at which this forwarder may send to an endpoint in slow start now, before the warm-up ramp: what is left of
-    /// its own share, and what it was granted.
+    /// The rate at which this forwarder may send to an endpoint in slow start now, before the warm-up ramp:
+    /// what is left of its own share, and what it was granted.
     #[must_use]
     pub fn rate(&self, endpoint: EndpointId, now: Nanos) -> Rate {
         let live = self.links.iter().filter(|link| link.is_live(now));
--- a/crates/capacity-leases/src/lease_table.rs
+++ b/crates/capacity-leases/src/lease_table.rs
@@ -13,10 +13,11 @@
 
 /// Plans to one forwarder whose time of sending is remembered.
 const MAX_REMEMBERED_PLANS: usize = 64;
-/// Least rate of a grant, as far as the loans suffice: with less, most forwarders would open connections that they use once
-/// in some seconds.
+/// Least rate of a grant, as far as the loans suffice: with less, most forwarders would open connections that
+/// they use once in some seconds.
 const MIN_GRANT: Rate = Rate::from_requests_per_second(1);
-/// Most forwarders of a planner, at some hundred bytes for each. Others are refused, and keep their own shares.
+/// Most forwarders of a planner, at some hundred bytes for each. Others are refused, and keep their own
+/// shares.
 pub const MAX_FORWARDERS: usize = 65_536;
 
 /// State of one forwarder.
@@ -43,8 +44,8 @@
     terms: LeaseTerms,
     /// When grants begin: what an earlier process granted may be in use until then.
     grants_from: Nanos,
-    /// Number of the last plan to any forwarder. Shared by all, so that a forwarder that was forgotten and returns never
-    /// receives a number twice.
+    /// Number of the last plan to any forwarder. Shared by all, so that a forwarder that was forgotten and
+    /// returns never receives a number twice.
     last_plan: PlanNumber,
     forwarders: FxHashMap<ForwarderId, ForwarderState>,
     granted: FxHashMap<EndpointId, FxHashMap<ForwarderId, RatePromises>>,
@@ -75,8 +76,8 @@
             return true;
         }
         state.last_report = report.number;
-        // The report may have been delayed until after the end of its loans. It was sent after the plan that it names, whose
-        // time is known: loans count from there.
+        // The report may have been delayed until after the end of its loans. It was sent after the plan that
+        // it names, whose time is known: loans count from there.
         let last_plan = report.last_plan.filter(|(planner, _)| *planner == self.planner);
         let sent_plan =
             last_plan.and_then(|(_, plan)| state.sent_plans.iter().find(|(number, _)| *number == plan));
@@ -90,8 +91,8 @@
         true
     }
 
-    /// The next plan for a forwarder: grants at most the desired rates, as far as loans suffice. `None` for a forwarder
-    /// without a report.
+    /// The next plan for a forwarder: grants at most the desired rates, as far as loans suffice. `None` for a
+    /// forwarder without a report.
     pub fn next_plan(
         &mut self,
         forwarder: ForwarderId,
@@ -107,9 +108,9 @@
         let mut grants = Vec::new();
         let desired = desired.iter().filter(|_| now >= self.grants_from);
         for &(endpoint, rate) in desired {
-            // Grants to others may end before this one, and so may loans: grants count as they are now, and loans as they
-            // are at the end of this grant. The forwarder's own earlier grant does not count: it may be made of loans that
-            // end sooner.
+            // Grants to others may end before this one, and so may loans: grants count as they are now, and
+            // loans as they are at the end of this grant. The forwarder's own earlier grant does not count:
+            // it may be made of loans that end sooner.
             let lent = self.lent(endpoint, until);
             let holders = self.granted.entry(endpoint).or_default();
             let others = holders.iter().filter(|(id, _)| **id != forwarder);
@@ -123,8 +124,9 @@
         Some(LeasePlan { planner: self.planner, number, answered_report, grants })
     }
 
-    /// The rates that a forwarder should get: of each endpoint that it lends, and so uses, an equal part for as many lenders
-    /// as [`MIN_GRANT`] allows. The lenders are chosen by the endpoint alone, so that all planners choose the same.
+    /// The rates that a forwarder should get: of each endpoint that it lends, and so uses, an equal part for
+    /// as many lenders as [`MIN_GRANT`] allows. The lenders are chosen by the endpoint alone, so that all
+    /// planners choose the same.
     #[must_use]
     pub fn desired_grants(&self, forwarder: ForwarderId, now: Nanos) -> Vec<(EndpointId, Rate)> {
         let Some(state) = self.forwarders.get(&forwarder) else { return Vec::new() };
@@ -181,7 +183,8 @@
     }
 }
 
-/// Weight of a forwarder for rendezvous hashing: a forwarder that joins or leaves moves the rank of others by at most one.
+/// Weight of a forwarder for rendezvous hashing: a forwarder that joins or leaves moves the rank of others by
+/// at most one.
 fn rendezvous_weight(endpoint: EndpointId, forwarder: ForwarderId) -> (u64, ForwarderId) {
     (splitmix64(splitmix64(u64::from(endpoint.0)) ^ forwarder.0), forwarder)
 }
--- a/crates/capacity-leases/src/lease_terms.rs
+++ b/crates/capacity-leases/src/lease_terms.rs
@@ -1,11 +1,11 @@
-//! Durations of leases and loans, which forwarders and planners must agree on. Each machine measures durations on its own
-//! clock; points in time are never sent.
+//! Durations of leases and loans, which forwarders and planners must agree on. Each machine measures
+//! durations on its own clock; points in time are never sent.
 
 use pumicehead_policy::{Nanos, SECOND};
 use thiserror::Error;
 
-/// Clocks of two machines may run apart by one part in this many, 2%. Oscillators are off by 0.01%, and a clock that is being
-/// adjusted by 0.05%.
+/// Clocks of two machines may run apart by one part in this many, 2%. Oscillators are off by 0.01%, and a
+/// clock that is being adjusted by 0.05%.
 const CLOCK_DRIFT_DIVISOR: Nanos = 50;
 const MIN_LEASE: Nanos = SECOND / 10;
 const MAX_LEASE: Nanos = 3_600 * SECOND;
--- a/crates/capacity-leases/src/lib.rs
+++ b/crates/capacity-leases/src/lib.rs
@@ -1,6 +1,6 @@
-//! Leases on the capacity of endpoints in slow start. Forwarders, each with the decision module of a node, lend their shares
-//! of that capacity to planners; planners grant it to the forwarders that can use it, and advise on what no forwarder can
-//! see alone. Either side goes on without the other.
+//! Leases on the capacity of endpoints in slow start. Forwarders, each with the decision module of a node,
+//! lend their shares of that capacity to planners; planners grant it to the forwarders that can use it, and
+//! advise on what no forwarder can see alone. Either side goes on without the other.
 //!
 //! Nothing here does I/O or reads a clock. `docs/design/fleet.md` has the reasons.
 //!
@@ -22,8 +22,8 @@
 
 use std::fmt;
 
-/// Identifies a forwarder's process. Drawn at random at each start, so that a process never takes grants for its own that an
-/// earlier one received.
+/// Identifies a forwarder's process. Drawn at random at each start, so that a process never takes grants for
+/// its own that an earlier one received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ForwarderId(pub u64);
 
--- a/crates/capacity-leases/src/rate_promise.rs
+++ b/crates/capacity-leases/src/rate_promise.rs
@@ -8,8 +8,8 @@
 /// Millionths in a whole.
 const MICRO: u64 = 1_000_000;
 
-/// A rate of requests to an endpoint in slow start, before its warm-up ramp: at a third of the ramp, a third of the rate.
-/// In whole millionths of a request a second, so that sums are exact.
+/// A rate of requests to an endpoint in slow start, before its warm-up ramp: at a third of the ramp, a third
+/// of the rate. In whole millionths of a request a second, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Rate(u64);
 
@@ -44,8 +44,8 @@
         self.0
     }
 
-    /// One of `count` equal parts, rounded down, so that all parts together are never more than the whole. Zero for no
-    /// parts.
+    /// One of `count` equal parts, rounded down, so that all parts together are never more than the whole.
+    /// Zero for no parts.
     #[must_use]
     pub fn split(self, count: u64) -> Self {
         Self(self.0.checked_div(count).unwrap_or(0))
@@ -84,11 +84,12 @@
     }
 }
 
-/// Promises of rates to one peer for one endpoint. The largest one that has not ended holds: a later, smaller promise does
-/// not revoke a larger one, which the peer may still rely on.
+/// Promises of rates to one peer for one endpoint. The largest one that has not ended holds: a later, smaller
+/// promise does not revoke a larger one, which the peer may still rely on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RatePromises {
-    /// Rates with their ends. Rates fall and ends rise strictly: others that are smaller and end earlier have no effect.
+    /// Rates with their ends. Rates fall and ends rise strictly: others that are smaller and end earlier have
+    /// no effect.
     entries: Vec<(Rate, Nanos)>,
 }
 
--- a/crates/capacity-leases/src/table_sync.rs
+++ b/crates/capacity-leases/src/table_sync.rs
@@ -1,8 +1,8 @@
-//! Keeps a table equal on both sides of a connection. Only changes are sent, with a digest of the whole table, so that a
-//! difference by a fault of either side is found with the next change.
+//! Keeps a table equal on both sides of a connection. Only changes are sent, with a digest of the whole
+//! table, so that a difference by a fault of either side is found with the next change.
 //!
-//! Entries are the bytes that their writer encoded. A reader of an older version, which skips fields that it does not know,
-//! so computes the same digest.
+//! Entries are the bytes that their writer encoded. A reader of an older version, which skips fields that it
+//! does not know, so computes the same digest.
 
 use std::collections::BTreeMap;
 
@@ -48,8 +48,8 @@
     EntryTooLong,
 }
 
-/// Digest of an entry. That of a table is the sum of those of its entries, so that a change needs no other entries. It
-/// protects against faults, not against malicious peers: peers are authenticated.
+/// Digest of an entry. That of a table is the sum of those of its entries, so that a change needs no other
+/// entries. It protects against faults, not against malicious peers: peers are authenticated.
 fn entry_digest(key: u32, value: &[u8]) -> u64 {
     let mut hash = splitmix64(u64::from(key) << 32 | value.len() as u64);
     for chunk in value.chunks(8) {
@@ -77,8 +77,8 @@
 }
 
 impl TableSender {
-    /// The changes since the last call, up to `max_bytes`; the others come with the next calls. `None` where nothing
-    /// changed.
+    /// The changes since the last call, up to `max_bytes`; the others come with the next calls. `None` where
+    /// nothing changed.
     pub fn delta(&mut self, table: &Table, max_bytes: usize) -> Option<TableDelta> {
         let replaces_all = !self.started;
         self.started = true;
@@ -99,8 +99,8 @@
         missing
     }
 
-    /// Sets the entries that are new or changed, and returns them. At least one is returned, if there are any, and no more
-    /// than fit into `max_bytes` after `size` bytes.
+    /// Sets the entries that are new or changed, and returns them. At least one is returned, if there are
+    /// any, and no more than fit into `max_bytes` after `size` bytes.
     fn set_changed(&mut self, table: &Table, max_bytes: usize, mut size: usize) -> Vec<(u32, Bytes)> {
         let mut set = Vec::new();
         for (&key, value) in table {
--- a/crates/capacity-leases/src/wire/messages.rs
+++ b/crates/capacity-leases/src/wire/messages.rs
@@ -19,7 +19,8 @@
     /// Id of the sender's process.
     #[prost(fixed64, tag = "3")]
     pub process_id: u64,
-    /// Duration of a lease, in nanoseconds; the same on both sides, as in [`LeaseTerms`](crate::lease_terms::LeaseTerms).
+    /// Duration of a lease, in nanoseconds; the same on both sides, as in
+    /// [`LeaseTerms`](crate::lease_terms::LeaseTerms).
     #[prost(uint64, tag = "4")]
     pub lease_ns: u64,
     /// Duration of a loan, in nanoseconds; the same on both sides.
@@ -104,12 +105,12 @@
 /// What a forwarder has observed of an endpoint: an entry of the table in its reports.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct EndpointObservation {
-    /// Start of the endpoint's process, as discovery numbers starts. It identifies the process, and is not compared with a
-    /// clock.
+    /// Start of the endpoint's process, as discovery numbers starts. It identifies the process, and is not
+    /// compared with a clock.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// How long the forwarder has known this process, in nanoseconds; the maximum where the process is older than the
-    /// forwarder.
+    /// How long the forwarder has known this process, in nanoseconds; the maximum where the process is older
+    /// than the forwarder.
     #[prost(uint64, tag = "2")]
     pub known_for: u64,
     /// Whether the endpoint is draining.
--- a/crates/capacity-leases/src/wire/mod.rs
+++ b/crates/capacity-leases/src/wire/mod.rs
@@ -1,8 +1,8 @@
-//! Messages between forwarders and planners: Protocol Buffers (proto3), each in a frame of its length in four bytes, most
-//! significant byte first, and its bytes.
+//! Messages between forwarders and planners: Protocol Buffers (proto3), each in a frame of its length in four
+//! bytes, most significant byte first, and its bytes.
 //!
-//! A reader skips fields that it does not know, so versions mix; a field's number never gets another meaning. A peer that a
-//! reader can't work with is refused by [`MIN_PROTOCOL_VERSION`].
+//! A reader skips fields that it does not know, so versions mix; a field's number never gets another meaning.
+//! A peer that a reader can't work with is refused by [`MIN_PROTOCOL_VERSION`].
 
 mod conversions;
 mod frames;
--- a/crates/capacity-leases/tests/lease_safety.rs
+++ b/crates/capacity-leases/tests/lease_safety.rs
@@ -1,9 +1,10 @@
-//! Rates towards endpoints in slow start under faults, in virtual time. Clocks of machines differ by up to an hour and drift by 1%; messages are
-//! lost, doubled, reordered and late by up to minutes; forwarders and planners are killed and restart without state; shares
-//! rise and fall. After every step the rates of all forwarders must add up to at most what all of them own, or have owned
-//! within the duration of a loan.
+//! Rates towards endpoints in slow start under faults, in virtual time. Clocks of machines differ by up to an
+//! hour and drift by 1%; messages are lost, doubled, reordered and late by up to minutes; forwarders and
+//! planners are killed and restart without state; shares rise and fall. After every step the rates of all
+//! forwarders must add up to at most what all of them own, or have owned within the duration of a loan.
 //!
-//! A failing seed is printed; `SEED=n cargo test -p pumicehead-capacity-leases --test lease_safety` runs it alone.
+//! A failing seed is printed; `SEED=n cargo test -p pumicehead-capacity-leases --test lease_safety` runs it
+//! alone.
 
 mod simulation;
 
@@ -153,9 +154,9 @@
     assert_eq!(holder.rate(ENDPOINTS[0], now + 2 * TERMS.loan), TOTAL_SHARE);
 }
 
-/// A grant ends before the loans that it is made of, at the worst drift of clocks: that of the lender is fast, so that its
-/// loan ends early; those of planner and user are slow, so that the grant ends late. The user is partitioned at any time
-/// after the lender, and uses its last grant to the end.
+/// A grant ends before the loans that it is made of, at the worst drift of clocks: that of the lender is
+/// fast, so that its loan ends early; those of planner and user are slow, so that the grant ends late. The
+/// user is partitioned at any time after the lender, and uses its last grant to the end.
 #[test]
 fn a_grant_ends_before_the_loan_that_it_is_made_of() {
     let clock = |per_mille: i64| Clock { offset: 0, per_mille };
--- a/crates/capacity-leases/tests/simulation/mod.rs
+++ b/crates/capacity-leases/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Forwarders and planners in virtual time, with clocks that drift and a network that loses, doubles, delays and reorders
-//! messages.
+//! Forwarders and planners in virtual time, with clocks that drift and a network that loses, doubles, delays
+//! and reorders messages.
 
 use std::collections::BTreeMap;
 
--- a/crates/capacity-leases/tests/stored_forms.rs
+++ b/crates/capacity-leases/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! Messages between forwarders and planners as they travel. The fixtures were written by version 0.2.0, before its types
-//! were renamed, and must stay readable: both levels may run different versions.
+//! Messages between forwarders and planners as they travel. The fixtures were written by version 0.2.0,
+//! before its types were renamed, and must stay readable: both levels may run different versions.
 
 use std::fs;
 use std::path::Path;
--- a/crates/config/src/check/block_reader.rs
+++ b/crates/config/src/check/block_reader.rs
@@ -14,8 +14,8 @@
     /// Empty for a kind without names.
     pub name: String,
     pub spans: EntrySpans,
-    /// In the order of the file. A list takes less memory than a map: a block has few settings, and there may be thousands of
-    /// blocks.
+    /// In the order of the file. A list takes less memory than a map: a block has few settings, and there may
+    /// be thousands of blocks.
     settings: Vec<(&'static str, &'s Statement)>,
 }
 
@@ -220,8 +220,8 @@
         parse(&word.text).map_err(report).ok()
     }
 
-    /// The values of a setting in a form such as `SPAN from SHARE`: those in place of the words in capital letters. The
-    /// other words of the form stand for themselves.
+    /// The values of a setting in a form such as `SPAN from SHARE`: those in place of the words in capital
+    /// letters. The other words of the form stand for themselves.
     pub(super) fn phrase(
         &mut self,
         block: &BlockReader<'_>,
--- a/crates/config/src/check/class.rs
+++ b/crates/config/src/check/class.rs
@@ -47,7 +47,8 @@
         Some(Class { name: block.name.clone(), settings, spans: block.spans.clone() })
     }
 
-    /// Reads `repeats`. It has no default: one would be unsafe, and the other would disable retries without a word.
+    /// Reads `repeats`. It has no default: one would be unsafe, and the other would disable retries without a
+    /// word.
     fn idempotency(&mut self, block: &BlockReader<'_>) -> Option<Idempotency> {
         let Some(values) = self.values(block, "repeats").ok()? else {
             self.report_missing(block, "repeats");
--- a/crates/config/src/check/constants.rs
+++ b/crates/config/src/check/constants.rs
@@ -47,8 +47,9 @@
         diagnostics.into_iter().for_each(|diagnostic| self.report(diagnostic));
     }
 
-    /// The names of a circle of references that begins and ends at a constant. `None` where there is none, where the constant
-    /// only leads into a circle, and where another constant of the circle has the least name, at which it is reported.
+    /// The names of a circle of references that begins and ends at a constant. `None` where there is none,
+    /// where the constant only leads into a circle, and where another constant of the circle has the least
+    /// name, at which it is reported.
     fn circle_from<'c>(&'c self, name: &'c str, constant: &'c Constant<'_>) -> Option<Vec<&'c str>> {
         let mut chain = vec![name];
         let mut words = constant.words;
--- a/crates/config/src/check/cross_checks.rs
+++ b/crates/config/src/check/cross_checks.rs
@@ -1,4 +1,5 @@
-//! What entries mean together: entries that hide or collide with others, and a configuration that serves nothing.
+//! What entries mean together: entries that hide or collide with others, and a configuration that serves
+//! nothing.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -1,5 +1,5 @@
-//! Checks statements and makes a configuration of them: a module for each kind of block, and `cross_checks` for what
-//! entries mean together.
+//! Checks statements and makes a configuration of them: a module for each kind of block, and `cross_checks`
+//! for what entries mean together.
 
 mod block_reader;
 mod class;
@@ -45,8 +45,8 @@
 /// The error of a value whose problem has been reported as a diagnostic.
 struct Reported;
 
-/// Makes a configuration of statements. Every problem is reported as a diagnostic; the result is `None` where an error
-/// leaves an entry out.
+/// Makes a configuration of statements. Every problem is reported as a diagnostic; the result is `None` where
+/// an error leaves an entry out.
 pub(crate) fn check(statements: &[Statement], diagnostics: &mut Vec<Diagnostic>) -> Option<Config> {
     let mut checker = Checker { diagnostics, constants: BTreeMap::new(), names: HashMap::new() };
     let blocks = checker.sort_statements(statements);
@@ -63,7 +63,8 @@
         .single_block("observe", of("observe"), Checker::observability)
         .unwrap_or_else(|| Spanned::unwritten(observability::default_observability()));
     let cluster = checker.single_block("fleet", of("fleet"), Checker::cluster);
-    // Each block's settings are freed when its entry is made: those of many routes take as much memory as the routes.
+    // Each block's settings are freed when its entry is made: those of many routes take as much memory as the
+    // routes.
     let listeners: Vec<_> = listeners.into_iter().map(|block| checker.listener(&block)).collect();
     let pools: Vec<_> = pools.into_iter().map(|block| checker.pool(&block, &node)).collect();
     let classes: Vec<_> = classes.into_iter().map(|block| checker.class(&block)).collect();
--- a/crates/config/src/compact_config.rs
+++ b/crates/config/src/compact_config.rs
@@ -5,8 +5,8 @@
 use crate::model::{Config, EntrySpans, Pool, PoolEndpoints, Tenant};
 use crate::route_table::RouteTable;
 
-/// A configuration with compact routes. Routes, endpoints and tenants, of which there may be thousands, have no spans: the
-/// texts that spans refer to are not kept either.
+/// A configuration with compact routes. Routes, endpoints and tenants, of which there may be thousands, have
+/// no spans: the texts that spans refer to are not kept either.
 #[derive(Debug)]
 pub struct CompactConfig {
     /// Everything but the routes.
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Sorts diagnostics by span and keeps one for each span and code: a mistake in a constant that is used in five places is
-/// reported once.
+/// Sorts diagnostics by span and keeps one for each span and code: a mistake in a constant that is used in
+/// five places is reported once.
 pub fn sort_and_dedup(diagnostics: &mut Vec<Diagnostic>) {
     diagnostics.sort_by_key(|diagnostic| diagnostic.span);
     diagnostics
--- a/crates/config/src/diff/mod.rs
+++ b/crates/config/src/diff/mod.rs
@@ -1,5 +1,5 @@
-//! The difference in meaning between two configurations. Comments, layout, files and the order of entries are ignored; the
-//! order of two routes is not where a request can match both.
+//! The difference in meaning between two configurations. Comments, layout, files and the order of entries are
+//! ignored; the order of two routes is not where a request can match both.
 
 mod display;
 mod effective_settings;
@@ -62,8 +62,8 @@
     }
 }
 
-/// Returns all differences, where the difference of the snapshots is known. Only the entries that it names are compared, so
-/// the cost depends on the size of the change.
+/// Returns all differences, where the difference of the snapshots is known. Only the entries that it names
+/// are compared, so the cost depends on the size of the change.
 #[must_use]
 pub fn diff_with_delta(old: &Config, new: &Config, delta: &Delta) -> Vec<Change> {
     let named: HashSet<_> = delta.changes.iter().filter_map(entry_key).collect();
@@ -166,8 +166,8 @@
     }
 }
 
-/// Appends the routes whose order changed and that can match the same request. Compares only the routes between the old and
-/// the new position of one that moved.
+/// Appends the routes whose order changed and that can match the same request. Compares only the routes
+/// between the old and the new position of one that moved.
 fn diff_route_order(old: &Config, new: &Config, changes: &mut Vec<Change>) {
     let old_positions: HashMap<_, _> =
         old.routes.iter().enumerate().map(|(index, route)| (route.name.as_str(), index)).collect();
--- a/crates/config/src/format.rs
+++ b/crates/config/src/format.rs
@@ -1,5 +1,5 @@
-//! The formatter: four spaces a level, one space between words, at most one empty line. Comments, quotes and the order of
-//! statements are kept.
+//! The formatter: four spaces a level, one space between words, at most one empty line. Comments, quotes and
+//! the order of statements are kept.
 
 use crate::diagnostic::Diagnostic;
 use crate::span::{FileId, Span};
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,9 @@
 //! The configuration language of a standalone node.
 //!
-//! [`load`] reads a file and its includes through [`Files`], [`syntax`] parses them to trees that keep comments and spans,
-//! `check` turns these into a [`Config`] or into [`Diagnostic`]s, and [`format`](mod@format) and [`diff`](mod@diff) work
-//! on trees and on configurations. The grammar is in `docs/grammar.ebnf`.
+//! [`load`] reads a file and its includes through [`Files`], [`syntax`] parses them to trees that keep
+//! comments and spans, `check` turns these into a [`Config`] or into [`Diagnostic`]s, and
+//! [`format`](mod@format) and [`diff`](mod@diff) work on trees and on configurations. The grammar is in
+//! `docs/grammar.ebnf`.
 //!
 //! Nothing here does I/O but [`disk`], which implements [`Files`].
 
@@ -40,8 +41,8 @@
     pub config: Option<Config>,
 }
 
-/// Reads and checks a configuration. Every problem is reported as a diagnostic; [`load`] has limits on the size and the
-/// number of files.
+/// Reads and checks a configuration. Every problem is reported as a diagnostic; [`load`] has limits on the
+/// size and the number of files.
 pub fn check(files: &dyn Files, path: &Path) -> Checked {
     let loaded = load::load(files, path);
     let (sources, mut diagnostics) = (loaded.sources, loaded.diagnostics);
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -238,7 +238,8 @@
         }
     }
 
-    /// Includes all files of a directory whose names match a pattern; hidden files are left out, as in shells.
+    /// Includes all files of a directory whose names match a pattern; hidden files are left out, as in
+    /// shells.
     fn include_all(&mut self, path: &Path, target: &Word) {
         let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default().to_owned();
         let directory = path.parent().unwrap_or(Path::new(""));
--- a/crates/config/src/model/policy_settings.rs
+++ b/crates/config/src/model/policy_settings.rs
@@ -20,8 +20,8 @@
 const DRAIN_IDLE_CLOSE: Nanos = SECOND;
 
 impl Config {
-    /// Indices of the classes that routes to a pool have, in the order of the file. The decision module of a pool knows no
-    /// other classes.
+    /// Indices of the classes that routes to a pool have, in the order of the file. The decision module of a
+    /// pool knows no other classes.
     #[must_use]
     pub fn classes_of(&self, pool: usize) -> Vec<usize> {
         let mut used = vec![false; self.classes.len()];
@@ -38,8 +38,8 @@
         self.tenants.iter().map(move |tenant| (tenant.name.as_str(), policy(tenant)))
     }
 
-    /// The settings of a pool's decision module. Its classes are those of [`classes_of`](Self::classes_of), and ids of
-    /// tenants are their indices.
+    /// The settings of a pool's decision module. Its classes are those of [`classes_of`](Self::classes_of),
+    /// and ids of tenants are their indices.
     #[must_use]
     pub fn settings(&self, pool: usize) -> Settings {
         self.settings_with(pool, self.policy_tenants().map(|(_, tenant)| tenant).collect())
--- a/crates/config/src/route_table.rs
+++ b/crates/config/src/route_table.rs
@@ -1,7 +1,7 @@
 //! The routes of a configuration as a running node keeps them: compact, without text, spans or trees.
 //!
-//! Patterns are in the matcher, names in one text, and the rest in records of numbers; equal tenants and keys are stored
-//! once. The routes can be restored, for the difference to a newer configuration.
+//! Patterns are in the matcher, names in one text, and the rest in records of numbers; equal tenants and keys
+//! are stored once. The routes can be restored, for the difference to a newer configuration.
 
 use std::collections::HashMap;
 use std::hash::Hash;
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! Converts a configuration to tables of typed resources, which are equal for two files with the same meaning.
+//! Converts a configuration to tables of typed resources, which are equal for two files with the same
+//! meaning.
 
 use std::sync::Arc;
 
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -81,7 +81,8 @@
 /// Parses a text.
 ///
 /// # Errors
-/// Text that is not a token, and unbalanced braces. Each mistake is reported once; parsing ends at an unclosed block.
+/// Text that is not a token, and unbalanced braces. Each mistake is reported once; parsing ends at an
+/// unclosed block.
 pub fn parse(file: FileId, text: &str) -> Result<Tree, Vec<Diagnostic>> {
     let lexemes = lex(file, text).map_err(|diagnostic| vec![diagnostic])?;
     let mut parser = Parser { text, lexemes: &lexemes, position: 0, diagnostics: Vec::new() };
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,4 +1,5 @@
-//! Parsers and formatters of durations, sizes, shares, rates and numbers. Durations and sizes always carry a unit.
+//! Parsers and formatters of durations, sizes, shares, rates and numbers. Durations and sizes always carry a
+//! unit.
 
 use pumicehead_policy::Nanos;
 
--- a/crates/config/tests/compact_config.rs
+++ b/crates/config/tests/compact_config.rs
@@ -57,7 +57,7 @@
 const POOLS: usize = 140;
 
 #[test]
-fn nothing_differs_between_a_configuration_and_the_kept_one() {
+fn a_restored_configuration_equals_the_original() {
     for text in [SOUND.to_owned(), large(500)] {
         let config = config(&text);
         let restored = keep(&config).restore();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_difference_against_the_kept_one_is_that_against_the_configuration() {
+fn a_restored_configuration_gives_the_same_differences() {
     let old = config(SOUND);
     let changes = [
         ("key segment 2; tenant acme", "key segment 3"),
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn the_table_has_what_the_routes_say() {
+fn the_route_table_restores_every_route() {
     let config = config(SOUND);
     let table = RouteTable::new(&config.routes);
     assert_eq!(table.len(), config.routes.len());
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn places_of_what_there_may_be_thousands_of_are_dropped() {
+fn spans_of_routes_endpoints_and_tenants_are_dropped() {
     let kept = keep(&config(SOUND));
     let settings = kept.settings();
     assert!(settings.routes.is_empty());
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_route_takes_at_most_so_many_bytes() {
+fn memory_per_route_stays_below_the_limit() {
     let bytes_a_route =
         |routes: usize| RouteTable::new(&config(&large(routes)).routes).memory_bytes() / routes;
     let sizes = [1_000, 4_000, 8_000, 15_000].map(bytes_a_route);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn names_of_the_largest_length_stay_within_the_bound() {
+fn memory_of_longest_names_stays_below_the_limit() {
     let long = |number: usize| format!("r{number:x>63}");
     let mut text = String::from(
         "listener public { address 127.0.0.1:8080 }\nclass read { aim 600ms; deadline 2s; repeats safe }\n\
@@ -155,7 +155,7 @@
 
 /// It is built on another thread than the one that serves.
 #[test]
-fn the_table_may_cross_threads() {
+fn the_route_table_can_be_shared_between_threads() {
     fn crosses<T: Send + Sync>() {}
     crosses::<RouteTable>();
     crosses::<CompactConfig>();
@@ -171,7 +171,7 @@
 
     /// The order of routes changes and nothing else: the kept one tells as the whole one does.
     #[test]
-    fn an_order_that_changes_is_told_as_before(order in Just((0..20).collect::<Vec<usize>>()).prop_shuffle()) {
+    fn a_restored_configuration_gives_the_same_moves_of_routes(order in Just((0..20).collect::<Vec<usize>>()).prop_shuffle()) {
         let old = config(&large(20));
         let mut new = old.clone();
         new.routes = order.iter().map(|&place| old.routes[place].clone()).collect();
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn every_broken_file_gets_its_one_message() {
+fn every_invalid_file_gives_its_expected_message() {
     let expected = fs::read_to_string(corpus().join("expected.txt")).unwrap();
     let expected: BTreeMap<_, _> = expected.lines().filter_map(|line| line.split_once(": ")).collect();
     let mut names: Vec<_> = fs::read_dir(corpus())
--- a/crates/config/tests/hard.rs
+++ b/crates/config/tests/loading.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_line_of_a_megabyte_is_one_short_message() {
+fn a_too_long_line_gives_one_short_message() {
     let text = format!("{SOUND}\n# {}\n", "x".repeat(1 << 20));
     let (code, message) = only(&check_text(&text));
     assert_eq!(code, "line-too-long");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn ten_thousand_levels_of_nesting_are_one_message() {
+fn too_deep_nesting_gives_one_message() {
     for text in ["a {\n".repeat(10_000), "a { ".repeat(900), "{\n".repeat(10_000)] {
         let checked = check_text(&text);
         assert!(checked.diagnostics.iter().any(|one| one.code == "too-deep"));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_diamond_of_includes_counts_once() {
+fn a_file_that_is_included_twice_is_read_once() {
     let memory = Memory::default()
         .with("main.conf", "include left.conf\ninclude dir/right.conf\n")
         .with("left.conf", "include shared.conf\n")
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_star_includes_files_by_name_but_no_hidden_ones() {
+fn a_star_includes_matching_files_but_no_hidden_ones() {
     let memory = Memory::default()
         .with("main.conf", "include routes/*.conf\n")
         .with("routes/10-a.conf", SOUND)
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_bounds_on_includes_hold() {
+fn limits_on_included_files_are_enforced() {
     let mut chain = Memory::default().with("main.conf", "include 0.conf\n");
     for n in 0..MAX_INCLUDE_DEPTH + 5 {
         chain = chain.with(&format!("{n}.conf"), format!("include {}.conf\n", n + 1));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn every_way_a_file_cant_be_read_is_one_message() {
+fn every_read_error_gives_one_message() {
     let faults = [
         ReadError::Missing,
         ReadError::Denied,
@@ -124,7 +124,7 @@
 
 /// A pipe without a writer would hold the reader for good.
 #[test]
-fn a_pipe_a_device_and_a_growing_file_are_refused_on_the_disk() {
+fn pipes_devices_and_too_large_files_are_refused() {
     let directory = temporary("pipe");
     let pipe = directory.join("pipe.conf");
     assert!(Command::new("mkfifo").arg(&pipe).status().unwrap().success());
@@ -142,7 +142,7 @@
 
 /// The disk knows a file by every path that leads to it, links included.
 #[test]
-fn a_link_to_itself_is_a_circle() {
+fn an_include_of_a_link_to_itself_is_circular() {
     let directory = temporary("link");
     let (main, link) = (directory.join("main.conf"), directory.join("link.conf"));
     fs::write(&main, "include link.conf\n").unwrap();
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_mark_of_the_byte_order_and_carriage_returns_change_nothing() {
+fn byte_order_mark_and_carriage_returns_are_ignored() {
     let odd = format!("\u{feff}{}", SOUND.replace('\n', "\r\n"));
     let settings = |text: &str| pumicehead_config::diff::effective_settings(&config(text)).without_spans();
     assert_eq!(settings(&odd), settings(SOUND));
--- a/crates/config/tests/meaning.rs
+++ b/crates/config/tests/meaning.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_diff_shows_meaning_with_its_place_and_what_it_affects() {
+fn the_diff_shows_changes_with_position_and_affected_entries() {
     assert_eq!(
         changes("worth 10", "worth 8"),
         ["class run-submit: worth 10 -> 8 (main.conf:13); affects route submit"]
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_diff_does_not_show_how_a_text_is_written() {
+fn the_diff_ignores_layout_and_notation() {
     assert!(changes("deadline $patience", "deadline 6000ms").is_empty());
     assert!(changes("late-worth 30%", "late-worth 30.0%").is_empty());
     assert!(changes("memory 128MiB", "memory 131072KiB").is_empty());
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_order_of_routes_shows_only_where_requests_fit_both() {
+fn the_diff_shows_route_order_only_where_routes_overlap() {
     let route = |text: &str| SOUND.lines().find(|line| line.starts_with(text)).unwrap();
     let lines = |text: &str| {
         let new = check_text(text);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_decision_module_is_told_what_the_file_says() {
+fn settings_of_the_decision_module_follow_the_file() {
     let config = config(SOUND);
     assert_eq!(config.classes_of(0), [0, 1, 2]);
     assert_eq!(config.classes_of(1), [0]);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn units_are_exact() {
+fn units_are_parsed_exactly() {
     assert_eq!(units::parse_duration("1.5s"), Ok(1_500_000_000));
     assert_eq!(units::parse_duration("0.000001ms").map_err(|fault| fault.code), Ok(1));
     assert_eq!(units::parse_duration("2d"), Ok(172_800 * SECOND));
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -53,7 +53,7 @@
     #![proptest_config(cases(400))]
 
     #[test]
-    fn the_formatter_settles_at_once_and_keeps_meaning_and_comments(gaps in prop::collection::vec(any::<u8>(), 1..300)) {
+    fn the_formatter_is_idempotent_and_keeps_meaning_and_comments(gaps in prop::collection::vec(any::<u8>(), 1..300)) {
         let text = odd_layout(&gaps);
         let once = format(&text).unwrap();
         prop_assert_eq!(&format(&once).unwrap(), &once);
@@ -65,7 +65,7 @@
     }
 
     #[test]
-    fn the_tables_of_one_meaning_are_equal_in_any_form(gaps in prop::collection::vec(any::<u8>(), 1..300)) {
+    fn snapshots_are_equal_for_equal_meaning(gaps in prop::collection::vec(any::<u8>(), 1..300)) {
         let (plain, odd) = (config(SOUND).snapshot().unwrap(), config(&odd_layout(&gaps)).snapshot().unwrap());
         prop_assert_eq!(&plain, &odd);
         prop_assert_eq!(plain.digest(), odd.digest());
@@ -73,7 +73,7 @@
     }
 
     #[test]
-    fn bytes_of_any_kind_give_messages_and_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_give_diagnostics_and_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let checked = pumicehead_config::check(&Memory::default().with("main.conf", &bytes), std::path::Path::new("main.conf"));
         prop_assert!(checked.config.is_none());
         for one in &checked.diagnostics {
@@ -83,7 +83,7 @@
     }
 
     #[test]
-    fn texts_made_of_tokens_give_messages_and_no_panic(
+    fn arbitrary_tokens_give_diagnostics_and_no_panic(
         tokens in prop::collection::vec(
             prop::sample::select(vec![
                 "{", "}", ";", "\n", "\"", "\"a\"", "#c\n", "\\", "pool", "class", "route", "server", "limits", "const",
@@ -105,7 +105,7 @@
 
     /// One word of a sound text is replaced: no panic, and whatever is still sound differs or means the same.
     #[test]
-    fn a_changed_word_is_told_or_shows_in_the_diff(at in 0usize..130, word in "[a-z0-9%/*.:-]{1,8}") {
+    fn a_changed_word_is_reported_or_shown_in_the_diff(at in 0usize..130, word in "[a-z0-9%/*.:-]{1,8}") {
         let words: Vec<_> = SOUND.split(' ').collect();
         let at = at % words.len();
         let old = words[at];
--- a/crates/config/tests/stored_forms.rs
+++ b/crates/config/tests/stored_forms.rs
@@ -1,6 +1,6 @@
-//! Configurations and what is said of them: keywords, fingerprints, messages for editors. The fixtures were written for
-//! version 0.2.0, before its types were renamed, and must stay readable: files of operators keep their words, and nodes of
-//! both versions show one digest for one configuration.
+//! Configurations and what is said of them: keywords, fingerprints, messages for editors. The fixtures were
+//! written for version 0.2.0, before its types were renamed, and must stay readable: files of operators keep
+//! their words, and nodes of both versions show one digest for one configuration.
 
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/crates/resources/src/build.rs
+++ b/crates/resources/src/build.rs
@@ -5,8 +5,8 @@
 use crate::snapshot::Snapshot;
 
 impl Snapshot {
-    /// Builds the state that has these resources, with the routes in this order. Of two resources with the same
-    /// identity the later one is kept.
+    /// Builds the state that has these resources, with the routes in this order. Of two resources with the
+    /// same identity the later one is kept.
     ///
     /// # Errors
     /// The first reason why a node can't use the state.
--- a/crates/resources/src/class.rs
+++ b/crates/resources/src/class.rs
@@ -9,7 +9,8 @@
 pub enum Idempotency {
     /// They may: further executions have no effect.
     Idempotent,
-    /// They may, with the same key, within `scope` and for `window` after the first attempt that may have executed.
+    /// They may, with the same key, within `scope` and for `window` after the first attempt that may have
+    /// executed.
     IdempotencyKey {
         /// The header that holds the key, in lower case.
         header: String,
--- a/crates/resources/src/delta.rs
+++ b/crates/resources/src/delta.rs
@@ -25,8 +25,8 @@
     },
 }
 
-/// Changes that are applied together, in order. Only the state after all of them is validated: a class may be removed
-/// before the routes that used it.
+/// Changes that are applied together, in order. Only the state after all of them is validated: a class may be
+/// removed before the routes that used it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Delta {
     /// The changes, in order.
--- a/crates/resources/src/digest.rs
+++ b/crates/resources/src/digest.rs
@@ -1,9 +1,10 @@
 //! A digest of a snapshot that is the same on every machine and in every build.
 //!
-//! Each value is hashed in a fixed encoding: numbers in little-endian order, texts and lists after their length, variants
-//! after a number of their own. Tables are hashed in the order of names, so the digest does not depend on the order of
-//! changes; it depends on the order of routes and of zones, which has a meaning. SipHash with a fixed key finds
-//! differences by accident or by a fault; it is no defence against deliberate collisions.
+//! Each value is hashed in a fixed encoding: numbers in little-endian order, texts and lists after their
+//! length, variants after a number of their own. Tables are hashed in the order of names, so the digest does
+//! not depend on the order of changes; it depends on the order of routes and of zones, which has a meaning.
+//! SipHash with a fixed key finds differences by accident or by a fault; it is no defence against deliberate
+//! collisions.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -22,7 +23,8 @@
 /// Key of the hash. It identifies the encoding: a changed encoding needs another key.
 const KEY: (u64, u64) = (0x7075_6d69_6365_6865, 1);
 
-/// A digest of a snapshot. Equal snapshots have equal digests; two others have the same one with a probability of 2^-64.
+/// A digest of a snapshot. Equal snapshots have equal digests; two others have the same one with a
+/// probability of 2^-64.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub u128);
 
@@ -30,7 +32,8 @@
 const METRIC_BITS: u32 = 52;
 
 impl Digest {
-    /// The upper bits, as many as the value of a metric holds exactly: nodes with equal snapshots export equal values.
+    /// The upper bits, as many as the value of a metric holds exactly: nodes with equal snapshots export
+    /// equal values.
     #[must_use]
     pub fn short(self) -> u64 {
         (self.0 >> (u128::BITS - METRIC_BITS)) as u64
--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -1,9 +1,10 @@
 //! A node's configuration as tables of typed resources.
 //!
-//! A [`Snapshot`] is one state of the configuration: a table for each kind of resource, the order of the routes, and the
-//! settings of the node itself. A [`Delta`] is a list of typed [`Change`]s. [`Snapshot::apply`] applies a delta as a whole
-//! or not at all, and [`Snapshot::difference`] returns the delta that leads from one state to another.
-//! [`Snapshot::digest`] is equal for equal states, however they came about.
+//! A [`Snapshot`] is one state of the configuration: a table for each kind of resource, the order of the
+//! routes, and the settings of the node itself. A [`Delta`] is a list of typed [`Change`]s.
+//! [`Snapshot::apply`] applies a delta as a whole or not at all, and [`Snapshot::difference`] returns the
+//! delta that leads from one state to another. [`Snapshot::digest`] is equal for equal states, however they
+//! came about.
 //!
 //! Free of I/O, clocks and randomness.
 
--- a/crates/resources/src/node.rs
+++ b/crates/resources/src/node.rs
@@ -66,7 +66,8 @@
     pub advertise_address: Option<SocketAddr>,
     /// Members that this node contacts to join; none where it is the first itself.
     pub seeds: Vec<SocketAddr>,
-    /// Names of members with the addresses at which this node reaches them, in place of those that they advertise.
+    /// Names of members with the addresses at which this node reaches them, in place of those that they
+    /// advertise.
     pub peer_addresses: Vec<(String, SocketAddr)>,
 }
 
--- a/crates/resources/src/pool.rs
+++ b/crates/resources/src/pool.rs
@@ -89,7 +89,8 @@
     pub settings: PoolSettings,
 }
 
-/// An endpoint of a pool. Its name is unique within the pool: a move to another pool removes it there and adds it here.
+/// An endpoint of a pool. Its name is unique within the pool: a move to another pool removes it there and
+/// adds it here.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// Name of its pool.
--- a/crates/resources/src/route_order.rs
+++ b/crates/resources/src/route_order.rs
@@ -13,8 +13,8 @@
     pub before: Option<Name>,
 }
 
-/// Returns the fewest moves that turn `old` into `new`, to be applied in order. Before the first one, names that only
-/// `old` has must be removed, and names that only `new` has must be added anywhere.
+/// Returns the fewest moves that turn `old` into `new`, to be applied in order. Before the first one, names
+/// that only `old` has must be removed, and names that only `new` has must be added anywhere.
 pub(crate) fn fewest_moves(old: &[Name], new: &[Name]) -> Vec<RouteMove> {
     let positions: HashMap<&Name, usize> =
         old.iter().enumerate().map(|(position, name)| (name, position)).collect();
--- a/crates/resources/src/snapshot.rs
+++ b/crates/resources/src/snapshot.rs
@@ -10,7 +10,8 @@
 use crate::resource::{Resource, ResourceId};
 use crate::route::Route;
 
-/// One state of the configuration: a table for each kind of resource, sorted by name. Clones share the resources.
+/// One state of the configuration: a table for each kind of resource, sorted by name. Clones share the
+/// resources.
 ///
 /// Two snapshots are equal if all resources and the order of the routes are equal.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -82,8 +83,8 @@
         })
     }
 
-    /// Inserts a resource into its table, in place of one with the same identity. The order of routes is left to the
-    /// caller.
+    /// Inserts a resource into its table, in place of one with the same identity. The order of routes is left
+    /// to the caller.
     pub(crate) fn insert(&mut self, resource: Resource) {
         match resource {
             Resource::Node(node) => self.node = node,
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Removes a resource from its table, and returns whether it existed. The settings of the node are never removed. The
-    /// order of routes is left to the caller.
+    /// Removes a resource from its table, and returns whether it existed. The settings of the node are never
+    /// removed. The order of routes is left to the caller.
     pub(crate) fn remove(&mut self, id: &ResourceId) -> bool {
         match id {
             ResourceId::Node => false,
--- a/crates/resources/src/validation.rs
+++ b/crates/resources/src/validation.rs
@@ -1,6 +1,6 @@
-//! Validation of a snapshot: what every node requires of a state, wherever the state comes from. The configuration
-//! language has stricter rules, such as the spelling of names and the range of each value; they are checked where files
-//! are read.
+//! Validation of a snapshot: what every node requires of a state, wherever the state comes from. The
+//! configuration language has stricter rules, such as the spelling of names and the range of each value; they
+//! are checked where files are read.
 
 use std::collections::BTreeMap;
 
--- a/crates/resources/tests/changes.rs
+++ b/crates/resources/tests/changes.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_change_that_cannot_be_used_half_way_leaves_nothing_behind() {
+fn a_refused_delta_changes_nothing() {
     // Sound changes on both sides of one that names a pool that is not there.
     let error = refused([
         Change::Set(pool("p9", 2)),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_others_name_is_not_removed() {
+fn resources_that_others_refer_to_are_not_removed() {
     for (gone, from) in [
         (ResourceId::Pool(name("p0")), ResourceId::Endpoint { pool: name("p0"), name: name("s0") }),
         (ResourceId::Class(name("c1")), route_id("r1")),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn values_that_no_decision_can_be_made_with_are_refused() {
+fn values_out_of_range_are_refused() {
     let of = ResourceId::Endpoint { pool: name("p0"), name: name("s0") };
     for weight in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         let error = refused([Change::Set(endpoint("p0", "s0", "a", weight))]);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn changes_are_checked_together() {
+fn only_the_state_after_all_changes_is_validated() {
     let mut state = snapshot(base());
     // The class goes before the route that names it does.
     let changes = [
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_backend_moves_to_another_pool_or_zone_under_its_name() {
+fn an_endpoint_moves_to_another_pool_or_zone() {
     let from = snapshot(base());
     let moved = |pool: &str, zone: &str| {
         let others = base().into_iter().filter(|one| one.id() != endpoint("p0", "s0", "a", 1.0).id());
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn an_order_that_changes_and_nothing_else_is_a_change() {
+fn a_moved_route_is_a_change() {
     let mut state = snapshot(base());
     let digest = state.digest();
     let first = Change::MoveRoute { route: name("r2"), before: Some(name("r0")) };
@@ -118,7 +118,7 @@
 
 /// Another form takes another key, and this test another value: nodes of two versions compare digests.
 #[test]
-fn the_digest_of_a_state_stays_what_it_is() {
+fn the_digest_of_a_snapshot_never_changes() {
     assert_eq!(snapshot(base()).digest().to_string(), "1c6cfc1bb86d5c17e355b3d5327829eb");
     assert_eq!(snapshot(base()).digest().short(), (snapshot(base()).digest().0 >> 76) as u64);
 }
--- a/crates/resources/tests/properties.rs
+++ b/crates/resources/tests/properties.rs
@@ -15,9 +15,10 @@
 proptest! {
     #![proptest_config(cases(400))]
 
-    /// Tables that took changes in place are those that the last state gives when it is built anew, after each change.
+    /// Tables that took changes in place are those that the last state gives when it is built anew, after
+    /// each change.
     #[test]
-    fn changes_in_place_give_the_state_built_anew(deltas in deltas()) {
+    fn applied_deltas_give_the_same_state_as_a_rebuild(deltas in deltas()) {
         let mut state = snapshot(base());
         let mut applied = 0;
         for delta in &deltas {
@@ -27,7 +28,8 @@
             } else {
                 prop_assert_eq!(&state, &before, "a refused delta left something behind");
             }
-            // The order of tables has no meaning: built from the other end it is the same, but for the routes.
+            // The order of tables has no meaning: built from the other end it is the same, but for the
+            // routes.
             let mut rebuilt = resources(&state);
             let first_route = rebuilt.len() - state.routes().count();
             rebuilt[..first_route].reverse();
@@ -42,7 +44,7 @@
 
     /// The difference of any two states leads from one to the other, and there is none where they are equal.
     #[test]
-    fn the_difference_leads_from_one_state_to_the_other(first in deltas(), second in deltas()) {
+    fn the_difference_leads_from_one_snapshot_to_the_other(first in deltas(), second in deltas()) {
         let (mut from, mut to) = (snapshot(base()), snapshot(base()));
         first.iter().for_each(|delta| drop(from.apply(delta)));
         second.iter().for_each(|delta| drop(to.apply(delta)));
@@ -56,7 +58,8 @@
         prop_assert!(reached.difference(&to).is_empty());
     }
 
-    /// Any order of routes is reached from any other by moves alone, no more than there are routes out of order.
+    /// Any order of routes is reached from any other by moves alone, no more than there are routes out of
+    /// order.
     #[test]
     fn an_order_is_reached_by_the_fewest_moves(order in Just((0..9_usize).collect::<Vec<_>>()).prop_shuffle()) {
         let routes: Vec<_> =
@@ -93,7 +96,7 @@
 
 /// Many routes that all move cost no search each.
 #[test]
-fn a_long_order_is_turned_round() {
+fn reversing_many_routes_takes_little_time() {
     let count = 15_000;
     let routes: Vec<_> =
         (0..count).map(|n| route(&format!("q{n}"), &format!("/{n}"), "c0", "p0", None)).collect();
