--- a/crates/node/src/net/pool_loop/attempts.rs
+++ b/crates/node/src/net/pool_loop/attempts.rs
@@ -10,12 +10,20 @@
 use super::{MILLISECOND, PoolLoop};
 use crate::net::exchange::{FinalResponse, UpstreamResponse};
 use crate::net::pool_message::{EndedAttempt, PoolMessage};
-use crate::net::upstream::transport::{AttemptDeadlines, AttemptResult, EndpointConnector};
+use crate::net::upstream::transport::{AttemptDeadlines, EndpointConnector};
 
 /// The outcomes that prove a connection to the endpoint.
 const CONNECTED: [AttemptOutcome; 4] =
     [AttemptOutcome::Success, AttemptOutcome::Error, AttemptOutcome::Rejected, AttemptOutcome::TimedOut];
 
+/// An attempt that is about to start.
+struct AttemptStart {
+    id: RequestId,
+    attempt: AttemptNo,
+    endpoint: EndpointId,
+    started_at: Nanos,
+}
+
 impl PoolLoop {
     /// Starts an attempt, which times out after `timeout` and must not be written after `start_before`. It ends at once
     /// where the endpoint or the request is gone, or part of the body went to another endpoint.
@@ -39,20 +47,19 @@
             deadline: self.clock.instant_at(end),
             start_before: self.clock.instant_at(start_before.unwrap_or(Nanos::MAX)),
         };
-        self.spawn_attempt(id, attempt, endpoint, now, connector, deadlines);
+        let start = AttemptStart { id, attempt, endpoint, started_at: now };
+        self.spawn_attempt(start, connector, deadlines);
     }
 
     /// Runs an attempt in a task of its own, which reports its end to this loop and ends at its deadline or when it is
     /// cancelled.
     fn spawn_attempt(
         &mut self,
-        id: RequestId,
-        attempt: AttemptNo,
-        endpoint: EndpointId,
-        started_at: Nanos,
+        start: AttemptStart,
         connector: Rc<dyn EndpointConnector>,
         deadlines: AttemptDeadlines,
     ) {
+        let AttemptStart { id, attempt, endpoint, started_at } = start;
         let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
         let (cancel, cancelled) = oneshot::channel();
         in_flight.attempts.push(Some(cancel));
@@ -109,12 +116,10 @@
     }
 
     pub(super) fn on_attempt_ended(&mut self, ended: EndedAttempt) {
-        let EndedAttempt { id, attempt, endpoint, started_at, result } = ended;
+        let duration = self.attempt_duration(&ended);
+        self.record_end(&ended, duration);
+        let EndedAttempt { id, attempt, endpoint, result, .. } = ended;
         let outcome = result.outcome;
-        let duration = result
-            .server_time
-            .map_or_else(|| self.now().saturating_sub(started_at), |time| time.as_nanos() as Nanos);
-        self.record_end(id, attempt, endpoint, duration, &result);
         if let Some(in_flight) = self.in_flight.get_mut(&id)
             && let Some(cancel) = in_flight.attempts.get_mut(usize::from(attempt.0))
         {
@@ -137,18 +142,20 @@
         self.release_if_done(id);
     }
 
-    fn record_end(
-        &self,
-        id: RequestId,
-        attempt: AttemptNo,
-        endpoint: EndpointId,
-        duration: Nanos,
-        result: &AttemptResult,
-    ) {
+    /// How long the endpoint took, which without a streamed body is the duration of the attempt.
+    fn attempt_duration(&self, ended: &EndedAttempt) -> Nanos {
+        ended
+            .result
+            .server_time
+            .map_or_else(|| self.now().saturating_sub(ended.started_at), |time| time.as_nanos() as Nanos)
+    }
+
+    fn record_end(&self, ended: &EndedAttempt, duration: Nanos) {
+        let result = &ended.result;
         self.record(&RecordedEvent::Ended {
-            id,
-            attempt,
-            server: endpoint,
+            id: ended.id,
+            attempt: ended.attempt,
+            server: ended.endpoint,
             outcome: result.outcome,
             took: duration,
             dial: result.connect_time.as_nanos() as Nanos,
--- a/crates/node/src/net/pool_loop/stall.rs
+++ b/crates/node/src/net/pool_loop/stall.rs
@@ -7,7 +7,7 @@
 /// Longest time for which the loop has to be punctual after a stall before another delay counts as one.
 const MAX_PUNCTUAL_TIME: Nanos = SECOND;
 
-/// Tells single stalls from constant load. A node whose every turn is slow lacks processor time, and has to shed load by
+/// Distinguishes single stalls from constant load. A node whose every turn is slow lacks processor time, and has to shed load by
 /// what it measures; only delays after a punctual time as long as the last delay are stalls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StallDetector {
--- a/crates/node/src/net/upstream/response_classification.rs
+++ b/crates/node/src/net/upstream/response_classification.rs
@@ -21,7 +21,7 @@
     pub status: StatusCode,
     /// It has `X-Unprocessed: 1`: the request was not executed.
     pub unprocessed: bool,
-    /// The end of the body can be told from a broken connection.
+    /// The end of the body can be distinguished from a broken connection.
     pub delimited: bool,
 }
 
--- a/crates/node/tests/client_leaves.rs
+++ b/crates/node/tests/client_leaves.rs
@@ -59,7 +59,7 @@
 
 /// Guards first attempts that wait for any server to be known.
 #[test]
-fn a_first_attempt_that_waits_for_a_server() {
+fn disconnect_drops_first_attempt_without_endpoint() {
     for changes in SETTINGS {
         let (backend, discovery) = (Backend::start(|_| ok("done")), Discovery::start());
         let node = Setup { discovery: discovery.address, changes, ..Setup::of(&[]) }.start();
@@ -79,7 +79,7 @@
 
 /// Guards first attempts that wait for a place at a server that has none: places become free only after the burst.
 #[test]
-fn a_first_attempt_that_waits_for_a_place() {
+fn disconnect_drops_first_attempt_waiting_for_capacity() {
     for changes in SETTINGS {
         let gate = Gate::default();
         let held = gate.clone();
@@ -116,7 +116,7 @@
 
 /// Guards attempts whose connection to a server comes up only after their clients have left.
 #[test]
-fn an_attempt_whose_connection_comes_up_late() {
+fn disconnect_drops_attempt_that_is_connecting() {
     for changes in SETTINGS {
         let late = Late::start();
         let address = late.listener.local_addr().unwrap();
@@ -230,7 +230,7 @@
 
 /// Guards a further attempt that is due at once: the first one ends after the client has left.
 #[test]
-fn a_further_attempt_that_is_due_at_once() {
+fn disconnect_drops_immediate_retry() {
     let case = |class, changes| {
         let (server, other, discovery) =
             (Failing::start(class), Backend::start(|_| ok("done")), Discovery::start());
@@ -254,7 +254,7 @@
 /// Guards a further attempt that waits, for a place in the queue or for the next look at what may be repeated: the first one
 /// has ended while no other server was known, and its client leaves before there is one.
 #[test]
-fn a_further_attempt_that_waits() {
+fn disconnect_drops_delayed_retry() {
     let case = |class, changes| {
         let (server, other, discovery) =
             (Failing::start(class), Backend::start(|_| ok("done")), Discovery::start());
@@ -282,7 +282,7 @@
 /// Guards a second copy of a safe request: the attempt that is out hangs, and there is no other server for a copy until the
 /// client has left.
 #[test]
-fn a_second_copy_that_is_due() {
+fn disconnect_drops_hedged_attempt() {
     let case = |changes| {
         let (server, other, discovery) =
             (Failing::start("read"), Backend::start(|_| ok("copy")), Discovery::start());
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -24,7 +24,7 @@
 /// cancelling, in a burst, and while the node is ending: none of it has come to a server 0.3 s later. A client with
 /// further bytes behind its request was noticed only at its answer.
 #[test]
-fn what_waits_is_not_sent_on_once_its_client_has_left() {
+fn queued_request_is_not_sent_after_its_client_disconnects() {
     for (changes, ending) in
         [(&[RANKED][..], false), (&[RANKED, NO_CANCEL][..], false), (&[RANKED][..], true)]
     {
@@ -60,7 +60,7 @@
 /// Guards a request whose attempt waits for its connection to come up from being written once its client has left, also
 /// where attempts can't be called back, and one that its client still waits for from being lost to that.
 #[test]
-fn what_waits_for_a_connection_is_not_written_once_its_client_has_left() {
+fn connecting_attempt_is_not_written_after_its_client_disconnects() {
     for changes in [
         &[RANKED, ("\"dial_timeout_ns\":250000000", "\"dial_timeout_ns\":12000000000")][..],
         &[RANKED, ("\"dial_timeout_ns\":250000000", "\"dial_timeout_ns\":12000000000"), NO_CANCEL][..],
@@ -93,7 +93,7 @@
 /// Guards a drain and a restart of a server, and a deadline, that come while a connection to it is coming up: nothing is
 /// written to it from then on.
 #[test]
-fn what_waits_for_a_connection_is_not_written_to_a_server_that_has_left() {
+fn connecting_attempt_is_not_written_to_a_removed_endpoint() {
     const DIAL: (&str, &str) = ("\"dial_timeout_ns\":250000000", "\"dial_timeout_ns\":12000000000");
     for case in ["drain", "restart", "deadline"] {
         let (late, other) = (Late::start(), Backend::start(|_| ok("other")));
@@ -134,7 +134,7 @@
 /// Guards a keyed request from a repeat that servers no longer know for one: the attempt is decided within their window, and
 /// its connection comes up after that. Where the window is long the same attempt is written.
 #[test]
-fn a_repeat_is_not_written_once_its_window_is_over() {
+fn retry_is_not_written_after_its_idempotency_window() {
     const DIAL: (&str, &str) = ("\"dial_timeout_ns\":250000000", "\"dial_timeout_ns\":12000000000");
     const SHORT: (&str, &str) = ("\"window_ns\":5000000000", "\"window_ns\":1000000000");
     const LONG: (&str, &str) = ("\"window_ns\":5000000000", "\"window_ns\":60000000000");
@@ -173,7 +173,7 @@
 /// Guards a request whose client leaves under an attempt that is then turned away: nothing ran, and nobody waits for
 /// another attempt.
 #[test]
-fn no_further_attempt_follows_once_the_client_has_left() {
+fn no_attempt_follows_after_the_client_disconnects() {
     for changes in [&[RANKED][..], &[RANKED, NO_CANCEL][..]] {
         let (release, held) = mpsc::channel::<()>();
         let held = Arc::new(Mutex::new(held));
@@ -206,7 +206,7 @@
 /// Guards the id of a request whose client has left while its attempt is still out: the same id again would be a second
 /// effect. It was free as soon as the client had gone.
 #[test]
-fn the_id_of_an_attempt_that_is_out_is_not_taken_twice() {
+fn id_of_an_attempt_in_flight_is_rejected_as_duplicate() {
     let (release, held) = mpsc::channel::<()>();
     let held = Mutex::new(held);
     let backend = Backend::start(move |_| {
@@ -235,7 +235,7 @@
 /// request is there; were that on the same connection, within the time in which the page says such answers come, it would
 /// get an answer that was not made for it.
 #[test]
-fn a_second_answer_that_comes_late_is_nobodys() {
+fn late_second_response_is_given_to_no_request() {
     // The page: some milliseconds.
     const LATE: Duration = Duration::from_millis(10);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -300,7 +300,7 @@
 /// Guards the end of the process with deadlines of some tenths of a second: clients send on each connection that stays
 /// open until it does. What came to a server had its answer read whole, whenever it came.
 #[test]
-fn what_is_read_as_the_process_ends_is_answered() {
+fn request_read_at_process_exit_is_answered() {
     // On a busy machine clients may come too late for any answer; such a try tells nothing.
     assert!((0..5).any(|_| answered_at_the_end() > 0), "no client came in time");
 }
@@ -359,7 +359,7 @@
 /// Guards deployments that allow no advice: the front's own refusals gave half a second whatever the settings said, and
 /// whatever clients follow.
 #[test]
-fn advice_is_as_the_settings_allow() {
+fn retry_after_is_sent_as_the_settings_allow() {
     let none = &[("\"retry_after\":true", "\"retry_after\":false")][..];
     let longer = &[("\"max_retry_after_ns\":2000000000", "\"max_retry_after_ns\":3000000000")][..];
     for (changes, advice) in [(none, None), (longer, Some("0.750"))] {
@@ -376,7 +376,7 @@
 /// Guards other customers' settings: a class is what the settings say, not what its name or that of another site suggests;
 /// two attempts at most and never two at once, nothing called back, no advice, deadlines from 0.45 to 7 s.
 #[test]
-fn classes_are_what_the_settings_say() {
+fn class_idempotency_comes_from_the_settings() {
     const CHANGES: &[(&str, &str)] = &[
         NO_CANCEL,
         ("\"retry_after\":true", "\"retry_after\":false"),
--- a/crates/node/tests/crossings_list.rs
+++ b/crates/node/tests/crossings_list.rs
@@ -37,7 +37,7 @@
 /// Guards the drain from a watch that falls silent: two missed heartbeats and a call that is not answered leave the node
 /// in time. What it misses counts as told 6 s after, and has to be kept 2 s later.
 #[test]
-fn a_silent_watch_is_left_in_time_for_a_drain() {
+fn silent_watch_is_restarted_in_time_for_a_drain() {
     // Of the 8.05 s a call of 2 s, as long as a service may have it wait.
     const IN_TIME: Duration = Duration::from_millis(6_050);
     for mode in ["subscribe", "automatic"] {
@@ -64,9 +64,9 @@
 
 /// Guards the same at an agent that takes a call and says nothing, as one that is down does: what it has at its return
 /// counts at once, and drains are kept 2 s later. When it is asked again has a test of its own, with a clock that stands
-/// (`an_agent_that_is_silent_is_left_in_time`); here the first call stays open, and what the second one brings is used.
+/// (`silent_agent_is_called_again_in_time`); here the first call stays open, and what the second one brings is used.
 #[test]
-fn an_agent_that_says_nothing_is_asked_again_in_time() {
+fn silent_agent_is_called_again_after_discovery_returns() {
     let backend = Backend::start(|_| ok("done"));
     let agent = TcpListener::bind("127.0.0.1:0").unwrap();
     let setup = Setup { mode: "automatic", discovery: agent.local_addr().unwrap(), ..Setup::of(&[]) };
@@ -81,7 +81,7 @@
 /// Guards lists that come indented: over many lines, with an empty line inside, cut anywhere, two in one piece. Each line
 /// was taken for a list of its own.
 #[test]
-fn lists_may_come_indented() {
+fn indented_lists_are_read() {
     let backends = [(); 3].map(|()| Backend::start(|_| ok("done")));
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Setup { discovery: discovery.local_addr().unwrap(), ..Setup::of(&[]) }.start();
@@ -120,7 +120,7 @@
 /// Guards a watch that has not spoken yet from a timer that was armed before it: at the new address after a reload, the
 /// pause after an earlier failure ended it and called once more, behind all others.
 #[test]
-fn a_timer_does_not_end_a_watch_that_has_not_spoken_yet() {
+fn timer_does_not_end_a_watch_without_data() {
     let backend = Backend::start(|_| ok("done"));
     let moved = TcpListener::bind("127.0.0.1:0").unwrap();
     let setup = Setup { discovery: refusing(), ..Setup::of(&[]) };
@@ -142,7 +142,7 @@
 /// Guards a request that has been sent from a drain or a restart of its server: it has its answer, once, and what comes
 /// after it goes elsewhere, in either order of the two changes.
 #[test]
-fn a_drain_and_a_restart_leave_what_was_sent() {
+fn drain_and_restart_keep_attempts_in_flight() {
     for restart_first in [false, true] {
         let (release, held) = mpsc::channel::<()>();
         let held = Mutex::new(held);
--- a/crates/node/tests/fastcgi.rs
+++ b/crates/node/tests/fastcgi.rs
@@ -52,7 +52,7 @@
 
 /// Guards the table of endings: what a server may do to a submit, the answer, and how many attempts reached servers.
 #[test]
-fn every_way_a_server_can_end_a_request() {
+fn every_fastcgi_ending_has_its_outcome() {
     let mut cut = records(&[(Kind::Stdout, 1, HEAD), (Kind::Stdout, 1, b"12345")]);
     cut.truncate(cut.len() - 9);
     let mut padding = records(&[(Kind::Stdout, 1, HEAD)]);
@@ -147,7 +147,7 @@
 
 /// Guards the answer and the log against errors without end.
 #[test]
-fn errors_of_applications_are_bounded_and_beside_the_answer() {
+fn application_stderr_is_logged_at_a_limited_rate() {
     let mut bytes = BytesMut::new();
     for _ in 0..400 {
         put_stream(&mut bytes, Kind::Stderr, 1, &[b'e'; 60_000]);
@@ -169,7 +169,7 @@
 /// Guards kept connections: one that the server closes behind its answer is never used again, however close the two
 /// come, so no submit fails of it.
 #[test]
-fn a_kept_connection_that_closes_loses_no_submit() {
+fn closed_idle_connection_loses_no_request() {
     let whole =
         records(&[(Kind::Stdout, 1, HEAD), (Kind::Stdout, 1, b"12345"), (Kind::EndRequest, 1, &end(0))]);
     let boards = Boards::new(script(vec![Act::Raw(whole)]));
@@ -192,7 +192,7 @@
 /// Guards what servers say of themselves: connections are shared only where they say that they multiplex, and one that
 /// closes on the question is used without an answer.
 #[test]
-fn connections_carry_what_servers_say() {
+fn connections_carry_as_many_requests_as_endpoints_state() {
     let slow = || script(vec![Act::Later(Duration::from_millis(300), Box::new(served("rank 1")))]);
     for (multiplex, connections) in [(true, 1), (false, 4)] {
         let boards = Boards::new(slow());
@@ -242,7 +242,7 @@
 
 /// Guards sockets of this machine, and variables as applications get them.
 #[test]
-fn a_server_on_a_socket_of_this_machine() {
+fn endpoint_on_a_unix_socket_is_reached() {
     let path = temporary(".sock");
     let listener = UnixListener::bind(&path).unwrap();
     let boards = Boards::new(script(vec![served("rank 1")]));
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn front_ends_that_break_the_rules_reach_no_server() {
+fn malformed_fastcgi_requests_reach_no_endpoint() {
     let boards = Boards::new(script(vec![served("rank 1")]));
     let node = node(Speaks::FastCgi, &[boards.start(Speaks::FastCgi)], "limits { request-time 400ms }\n");
     let ask = |bytes: &[u8]| {
@@ -379,7 +379,7 @@
 /// Guards several requests on one connection: the fast ones don't wait for the slow one, each gets its own answer, and
 /// an abort ends its attempt alone.
 #[test]
-fn requests_on_one_connection_go_their_own_ways() {
+fn multiplexed_requests_are_independent() {
     let boards = Boards::new(Arc::new(|asked: &Asked| match asked.target.as_str() {
         "/boards/slow" => Act::Later(Duration::from_millis(700), Box::new(served("slow"))),
         "/boards/silent" => Act::Silent,
@@ -406,7 +406,7 @@
 
 /// Guards memory and others against a front end that reads nothing.
 #[test]
-fn a_front_end_that_reads_nothing_holds_little() {
+fn fastcgi_client_that_reads_nothing_uses_bounded_memory() {
     let big: &'static str = Box::leak("rank 1\n".repeat(9_000).into_boxed_str());
     let boards = Boards::new(Arc::new(move |_: &Asked| served(big)));
     let servers: Vec<_> = (0..4).map(|_| boards.start(Speaks::FastCgi)).collect();
@@ -436,7 +436,7 @@
 
 /// Guards drains and reloads with several requests open on one connection.
 #[test]
-fn reload_and_sigterm_answer_all_that_is_open_on_a_connection() {
+fn reload_and_sigterm_answer_all_requests_of_a_connection() {
     let boards = Boards::new(Arc::new(|asked: &Asked| {
         let span = Duration::from_millis(if asked.target.ends_with("slow") { 700 } else { 1 });
         Act::Later(span, Box::new(served("rank 1")))
--- a/crates/node/tests/list_pauses.rs
+++ b/crates/node/tests/list_pauses.rs
@@ -64,7 +64,7 @@
 
 /// Guards the time for a call after others that failed. Each kind has a node of its own, side by side.
 #[test]
-fn a_node_calls_again_in_time_after_each_kind_of_failure() {
+fn discovery_is_called_again_in_time_after_each_failure() {
     let kinds = [Failure::TurnedAway, Failure::Reset, Failure::Lost, Failure::Cut, Failure::Malformed];
     let nodes = kinds.map(|failure| {
         thread::spawn(move || {
@@ -90,7 +90,7 @@
 
 /// Guards the first call of a node that starts with a list, which may be old: its own time may be over 2 s after the start.
 #[test]
-fn a_node_that_starts_with_a_list_calls_in_time() {
+fn node_with_a_restored_list_calls_discovery_in_time() {
     let backend = Backend::start(|_| ok("done"));
     let seeds: [&[(&str, &str)]; 4] = [
         &[USUAL, ("8c1f30d27a5be964", "1")],
@@ -112,7 +112,7 @@
 /// Guards a move by SIGHUP after an outage of the old service: what the new one has binds 4 s after the signal. Its first call is
 /// turned away, and the second one may not wait for as long as the outage taught.
 #[test]
-fn a_move_after_an_outage_is_made_in_time() {
+fn discovery_move_after_an_outage_is_made_in_time() {
     let (old, new) = (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
     let before = old.local_addr().unwrap();
     let node = Setup { discovery: before, changes: &[USUAL], ..Setup::of(&[]) }.start();
--- a/crates/node/tests/streaming.rs
+++ b/crates/node/tests/streaming.rs
@@ -70,7 +70,7 @@
 
 /// Guards that the first bytes of a long answer reach the client while the server still holds the rest.
 #[test]
-fn an_answer_passes_as_it_comes() {
+fn response_is_streamed_as_it_arrives() {
     let (got_first, go_on) = mpsc::channel::<()>();
     let go_on = std::sync::Mutex::new(go_on);
     let whole = body(3 * MIB);
@@ -99,7 +99,7 @@
 
 /// Guards every way in which HTTP/1.1 says where an answer ends, short and long.
 #[test]
-fn answers_of_every_form_come_whole() {
+fn responses_of_every_framing_arrive_complete() {
     for length in [100, 64 << 10, (64 << 10) + 1, 2 * MIB] {
         let whole = body(length);
         let chunked: String = whole
@@ -137,7 +137,7 @@
 /// Guards that an answer which breaks is seen to be cut, is not sent again, and that one that is reset is not whole though
 /// its server said that it ends with the connection.
 #[test]
-fn a_server_that_dies_mid_answer_is_seen_to() {
+fn response_of_a_failed_endpoint_is_cut_and_not_retried() {
     let long = body(MIB);
     let heads = ["Content-Length: 2097152\r\n", "Transfer-Encoding: chunked\r\n", "Connection: close\r\n"];
     for headers in heads {
@@ -171,7 +171,7 @@
 /// Guards memory, places and others: clients that ask for long answers and read nothing cost little, hold no place at
 /// the server, and get all of it once they do read.
 #[test]
-fn clients_that_read_nothing_cost_little() {
+fn clients_that_read_nothing_use_bounded_memory() {
     let whole = body(8 * MIB);
     let sent = whole.clone();
     let backend =
@@ -199,7 +199,7 @@
 
 /// Guards a client that leaves mid-answer: its connection to the server is not used again.
 #[test]
-fn a_client_that_leaves_mid_answer_takes_its_connection_along() {
+fn disconnect_mid_response_closes_the_upstream_connection() {
     let whole = body(8 * MIB);
     let backend = Backend::start(move |_| ok(&whole));
     let node = Setup::of(&[&backend]).start();
@@ -212,7 +212,7 @@
 
 /// Guards uploads: what comes is what was sent, once, whatever its length and however it is framed.
 #[test]
-fn an_upload_passes_whole() {
+fn upload_is_streamed_completely() {
     for length in [(64 << 10) + 1, MIB, MIB + 1, 5 * MIB] {
         let whole = body(length);
         let backend = Backend::start(|message| ok(&message.body.len().to_string()));
@@ -243,7 +243,7 @@
 /// Guards rule 2 and its end: of an upload that has gone in part nothing is sent again. Its last byte was not written, so it never
 /// ran, and the client may come again.
 #[test]
-fn an_upload_whose_server_dies_is_not_sent_again() {
+fn upload_to_a_failed_endpoint_is_not_retried() {
     let (seen, count) = mpsc::channel();
     let server = raw(move |_, mut input, _| {
         let _ = seen.send(());
@@ -263,7 +263,7 @@
 
 /// Guards that as long as only the held part has gone, another server gets all of it.
 #[test]
-fn the_held_part_is_sent_again() {
+fn upload_is_retried_while_only_its_buffered_part_was_sent() {
     let backend = Backend::start(|message| ok(&message.body.len().to_string()));
     let hosts = [host("s-dead", refusing(), "active"), host("s-good", backend.address, "active")];
     let node = Setup { known: list(1, true, &hosts), ..Setup::of(&[]) }.start();
@@ -276,7 +276,7 @@
 
 /// Guards that an upload which goes on slowly is taken, and one that stops is ended, before its server has begun and after.
 #[test]
-fn slow_uploads_pass_and_stopped_ones_end() {
+fn slow_uploads_pass_and_stalled_ones_time_out() {
     let backend = Backend::start(|message| ok(&message.body.len().to_string()));
     let node = Setup::of(&[&backend]).start();
     let slow = thread::scope(|scope| {
@@ -303,7 +303,7 @@
 
 /// Guards the bound: what says that it is too long is told so at once.
 #[test]
-fn what_is_too_long_is_turned_away() {
+fn stated_length_over_the_limit_is_rejected_at_once() {
     let backend = Backend::start(|_| ok("done"));
     let node = Setup::of(&[&backend]).start();
     let (mut input, mut stream) = connect(&node);
@@ -314,7 +314,7 @@
 
 /// Guards a server that answers before the upload ends: the answer counts, and the connection ends.
 #[test]
-fn an_early_answer_is_passed_on() {
+fn response_before_the_end_of_an_upload_is_forwarded() {
     let server = raw(|_, mut input, mut stream| {
         let _ = input.read_exact(&mut vec![0; 2 * MIB]);
         let _ = stream.write_all(answer("200 OK", "", "enough").as_bytes());
@@ -331,7 +331,7 @@
 
 /// Guards the bound where no length is stated: an upload that passes it on its way to a server is told that it is too long.
 #[test]
-fn what_proves_too_long_on_its_way_is_told_so() {
+fn unsized_upload_over_the_limit_is_rejected() {
     let server = raw(|_, mut input, _| drop(std::io::copy(&mut input, &mut std::io::sink())));
     let node = node_of(&[server, server]);
     let (mut input, mut stream) = connect(&node);
@@ -348,7 +348,7 @@
 
 /// Guards memory and places: a client that reads nothing of a long answer is given up, and its server's connection with it.
 #[test]
-fn a_client_that_reads_nothing_is_given_up() {
+fn client_that_reads_nothing_is_disconnected() {
     let whole = body(30 * MIB);
     let backend = Backend::start(move |_| ok(&whole));
     let node = Setup::of(&[&backend]).start();
@@ -362,7 +362,7 @@
 
 /// Guards against servers that fall silent in the middle of an answer: the client sees a cut one, in bounded time.
 #[test]
-fn a_server_that_falls_silent_mid_answer_is_given_up() {
+fn endpoint_silent_mid_response_is_given_up() {
     let server = raw(|_, _, mut stream| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\nsome");
         let _ = stream.read(&mut [0; 8]);
@@ -379,7 +379,7 @@
 /// Guards the orderly end: a stream that is under way at SIGTERM is passed on to its end, one that nobody reads is dropped
 /// with the process, and the process ends well.
 #[test]
-fn streams_at_the_end_of_the_process() {
+fn streams_finish_before_process_exit() {
     let whole = body(MIB);
     let (go_on, wait) = mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
@@ -413,7 +413,7 @@
 
 /// Guards a configuration that is read again in the middle of a stream.
 #[test]
-fn a_stream_outlives_a_reload() {
+fn stream_continues_across_a_reload() {
     let whole = body(MIB);
     let (go_on, wait) = mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
@@ -445,7 +445,7 @@
 /// Guards memory: where all of the room for long answers is taken, one more fails at once, short ones are served, and
 /// there is room again once streams end.
 #[test]
-fn long_answers_beyond_the_room_fail_and_short_ones_do_not() {
+fn long_responses_beyond_the_memory_budget_fail_and_short_ones_pass() {
     let whole = body(8 * MIB);
     let backend = Backend::start(
         move |message| if message.first.contains("submit") { ok(&whole) } else { ok("short") },
--- a/crates/node/tests/unit/connection_registry.rs
+++ b/crates/node/tests/unit/connection_registry.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// A server with idle connections that counts how often these are looked at.
+/// An endpoint with idle connections that counts their sweeps.
 #[derive(Default)]
-struct Counting {
+struct CountingEndpoint {
     registered: Cell<bool>,
     sweeps: Cell<u32>,
 }
 
-impl IdleConnections for Counting {
+impl IdleConnections for CountingEndpoint {
     fn registered(&self) -> &Cell<bool> {
         &self.registered
     }
@@ -24,17 +24,17 @@
     }
 }
 
-/// Guards the loop's turn where there are many pools: each asks for a sweep a second, and they share one.
+/// Each of many pools asks for a sweep a second, and all share one.
 #[tokio::test(start_paused = true)]
 async fn pools_share_a_sweep() {
     let connections = ConnectionRegistry::new(8);
-    let server = Rc::new(Counting::default());
-    connections.register(&server);
+    let endpoint = Rc::new(CountingEndpoint::default());
+    connections.register(&endpoint);
     for second in 1..=3 {
         for _pool in 0..140 {
             connections.sweep();
         }
-        assert_eq!(server.sweeps.get(), second);
+        assert_eq!(endpoint.sweeps.get(), second);
         tokio::time::advance(Duration::from_secs(1)).await;
     }
 }
--- a/crates/node/tests/unit/discovery.rs
+++ b/crates/node/tests/unit/discovery.rs
@@ -7,17 +7,17 @@
 
 use super::*;
 
-/// What a service says before it falls silent.
+/// What a service sends before it falls silent.
 #[derive(Clone, Copy, PartialEq)]
-enum Said {
+enum Sent {
     Nothing,
     Head,
     List,
 }
 
-/// How long a watch goes on after the last thing that its service says. The clock stands from then on, but for what the
-/// watch waits for.
-fn silent_for(agent: bool, said: Said) -> Duration {
+/// Returns how long a watch goes on after the last data of its service. The clock is paused from then on, and advances to
+/// what the watch waits for.
+fn silent_for(agent: bool, sent: Sent) -> Duration {
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default()).unwrap();
     runtime.block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -48,10 +48,10 @@
             }
         }
         let list = "{\"seq\":1,\"whole\":true,\"hosts\":[]}\n";
-        if said != Said::Nothing {
+        if sent != Sent::Nothing {
             stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
         }
-        if said == Said::List {
+        if sent == Sent::List {
             stream.write_all(format!("{:x}\r\n{list}\r\n", list.len()).as_bytes()).unwrap();
         } else {
             fell_silent(&last);
@@ -61,28 +61,28 @@
     })
 }
 
-/// Guards drains from an agent that has lost a call or a watch: within 2 s of its return it has been asked again. Asking it
-/// costs nothing, so one heartbeat that is late is enough.
+/// Drains depend on an agent that has lost a call or a watch: within 2 s of its return it is called again. A call to it
+/// costs nothing, so one late heartbeat is enough.
 #[test]
-fn an_agent_that_is_silent_is_left_in_time() {
+fn silent_agent_is_called_again_in_time() {
     let grace = Duration::from_secs(2);
-    for said in [Said::Nothing, Said::Head] {
-        assert!(silent_for(true, said) + AGENT_RETRY_DELAY < grace);
+    for sent in [Sent::Nothing, Sent::Head] {
+        assert!(silent_for(true, sent) + AGENT_RETRY_DELAY < grace);
     }
-    let watched = silent_for(true, Said::List);
+    let watched = silent_for(true, Sent::List);
     assert!(watched > HEARTBEAT && watched + AGENT_RETRY_DELAY < HEARTBEAT + grace, "{watched:?}");
 }
 
-/// Guards drains and prices at a service of all nodes: two heartbeats may be late, and it may have a call wait for 2 s. What is
-/// missed binds 6 s later, and a drain is kept in 2 s more: that is time for two pauses of half a second, since one call may be
-/// turned away, and a call of 2 s; after a call that was lost for two of a whole second, since others may have failed before.
+/// Two heartbeats of a service that all nodes share may be late, and it may let a call wait for 2 s. A missed change binds 6 s
+/// later, and a drain has to be honoured in 2 s more: that is time for two retry delays of half a second, since one call may
+/// be rejected, and a call of 2 s; after a lost call for two delays of a second, since others may have failed before.
 #[test]
-fn a_service_that_is_silent_is_left_in_time() {
+fn silent_service_is_called_again_in_time() {
     let (call, kept) = (Duration::from_secs(2), Duration::from_secs(8));
-    for said in [Said::Head, Said::List] {
-        let watched = silent_for(false, said);
+    for sent in [Sent::Head, Sent::List] {
+        let watched = silent_for(false, sent);
         assert!(watched > HEARTBEAT * 2 && watched + Duration::from_secs(1) + call < kept, "{watched:?}");
     }
-    let waited = silent_for(false, Said::Nothing);
+    let waited = silent_for(false, Sent::Nothing);
     assert!(waited > call && waited + Duration::from_secs(2) + call < kept, "{waited:?}");
 }
--- a/crates/node/tests/unit/fastcgi_outcome.rs
+++ b/crates/node/tests/unit/fastcgi_outcome.rs
@@ -3,8 +3,8 @@
 
 use super::*;
 
-fn ended(protocol: ProtocolStatus, application: u32, got: ResponseProgress) -> AttemptOutcome {
-    FastCgiEnding::Completed(End { application, protocol }, got).classify().outcome
+fn outcome(protocol: ProtocolStatus, application: u32, progress: ResponseProgress) -> AttemptOutcome {
+    FastCgiEnding::Completed(End { application, protocol }, progress).classify().outcome
 }
 
 #[test]
@@ -20,7 +20,7 @@
         FastCgiEnding::ConnectionLost { request_written: true }.classify().outcome,
         AttemptOutcome::Reset
     );
-    let seen = |status: u16, unprocessed| {
+    let complete = |status: u16, unprocessed| {
         ResponseProgress::Complete(ResponseHead {
             status: StatusCode::from_u16(status).unwrap(),
             unprocessed,
@@ -28,17 +28,17 @@
         })
     };
     for status in [CantMultiplex, Overloaded, UnknownRole] {
-        assert_eq!(ended(status, 0, ResponseProgress::Empty), AttemptOutcome::Rejected);
-        assert_eq!(ended(status, 0, ResponseProgress::Malformed), AttemptOutcome::Reset);
-        assert_eq!(ended(status, 0, seen(200, false)), AttemptOutcome::Reset);
+        assert_eq!(outcome(status, 0, ResponseProgress::Empty), AttemptOutcome::Rejected);
+        assert_eq!(outcome(status, 0, ResponseProgress::Malformed), AttemptOutcome::Reset);
+        assert_eq!(outcome(status, 0, complete(200, false)), AttemptOutcome::Reset);
     }
     for status in [Complete, Other(9)] {
         for application in [0, 1] {
-            assert_eq!(ended(status, application, ResponseProgress::Empty), AttemptOutcome::Error);
-            assert_eq!(ended(status, application, ResponseProgress::Malformed), AttemptOutcome::Reset);
-            assert_eq!(ended(status, application, seen(200, false)), AttemptOutcome::Success);
-            assert_eq!(ended(status, application, seen(500, false)), AttemptOutcome::Error);
-            assert_eq!(ended(status, application, seen(503, true)), AttemptOutcome::Rejected);
+            assert_eq!(outcome(status, application, ResponseProgress::Empty), AttemptOutcome::Error);
+            assert_eq!(outcome(status, application, ResponseProgress::Malformed), AttemptOutcome::Reset);
+            assert_eq!(outcome(status, application, complete(200, false)), AttemptOutcome::Success);
+            assert_eq!(outcome(status, application, complete(500, false)), AttemptOutcome::Error);
+            assert_eq!(outcome(status, application, complete(503, true)), AttemptOutcome::Rejected);
         }
     }
 }
--- a/crates/node/tests/unit/header_fields.rs
+++ b/crates/node/tests/unit/header_fields.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn what_is_for_one_hop_ends_there() {
+fn hop_by_hop_fields_are_not_forwarded() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("connection", "keep-alive, X-Private , host,, cookie"),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_gateway_names_itself_and_its_client() {
+fn via_and_forwarded_name_gateway_and_client() {
     assert_eq!(via(Version::HTTP_10, "n1").unwrap(), "1.0 n1");
     assert_eq!(via(Version::HTTP_11, "n1").unwrap(), "1.1 n1");
     assert_eq!(via(Version::HTTP_11, "a\nb"), None);
--- a/crates/node/tests/unit/json_stream.rs
+++ b/crates/node/tests/unit/json_stream.rs
@@ -3,16 +3,16 @@
 const STREAM: &str = "\n{\"seq\":1}\n\n  {\n  \"seq\": 2,\n\n  \"hosts\": [\n    {\"host\": \"a}\\\"]{\"}\n  ]\n}{\"seq\":3}\r\n\t{}";
 
 fn all(pieces: &[&[u8]]) -> Vec<Vec<u8>> {
-    let mut documents = JsonStream::default();
-    let whole = pieces.iter().flat_map(|piece| documents.push(piece));
-    let whole = whole.map(|document| document.unwrap().to_vec()).collect();
-    assert!(!documents.is_inside_object());
-    whole
+    let mut stream = JsonStream::default();
+    let objects = pieces.iter().flat_map(|piece| stream.push(piece));
+    let objects = objects.map(|object| object.unwrap().to_vec()).collect();
+    assert!(!stream.is_inside_object());
+    objects
 }
 
-/// Guards lists that come indented, with empty lines inside, several in one piece, and cut at every byte.
+/// Objects may be indented, with empty lines inside, several in one piece, and cut at every byte.
 #[test]
-fn documents_are_found_however_they_are_cut() {
+fn objects_are_found_however_the_stream_is_cut() {
     let stream = STREAM.as_bytes();
     let whole = all(&[stream]);
     assert_eq!(whole.len(), 4);
@@ -23,16 +23,16 @@
     assert_eq!(all(&stream.chunks(1).collect::<Vec<_>>()), whole);
 }
 
-/// Guards the memory of a node from a list without an end, and its list from what is none.
+/// A list without an end must not exhaust memory.
 #[test]
-fn what_is_no_document_is_a_fault() {
-    let mut documents = JsonStream::default();
-    let taken = documents.push(b"{} nonsense {}");
+fn text_outside_objects_and_endless_objects_are_errors() {
+    let mut stream = JsonStream::default();
+    let taken = stream.push(b"{} nonsense {}");
     assert_eq!(taken.len(), 2);
     assert_eq!(taken[1], Err(JsonStreamError::NotAnObject));
-    let mut documents = JsonStream::default();
-    assert!(documents.push(b"{\"hosts\":[").is_empty() && documents.is_inside_object());
+    let mut stream = JsonStream::default();
+    assert!(stream.push(b"{\"hosts\":[").is_empty() && stream.is_inside_object());
     let piece = vec![b' '; 1 << 20];
-    let fault = (0..5).find_map(|_| documents.push(&piece).pop());
+    let fault = (0..5).find_map(|_| stream.push(&piece).pop());
     assert_eq!(fault, Some(Err(JsonStreamError::TooLong)));
 }
--- a/crates/testbed/src/measure/capacity/process.rs
+++ b/crates/testbed/src/measure/capacity/process.rs
@@ -18,14 +18,20 @@
 const IN_FORCE: &str = "reload: done";
 /// What it says when a change is refused.
 const REFUSED: &str = "the old configuration stays";
-/// What it says when the loop was late.
-const STALLED: &str = "stood still for";
+/// What it logs when its event loop or its process stalled, in any version that is compared.
+const STALL_LINES: [&str; 2] = ["event loop stalled", "stood still for"];
 
 struct LogLine {
     at: Instant,
     text: String,
 }
 
+impl LogLine {
+    fn is_stall(&self) -> bool {
+        STALL_LINES.iter().any(|words| self.text.contains(words))
+    }
+}
+
 /// A running node.
 pub struct NodeProcess {
     child: Child,
@@ -100,7 +106,7 @@
     /// How often its log has told of a loop that was late.
     pub fn stalls(&mut self) -> usize {
         let lines: Vec<_> = self.log.try_iter().collect();
-        self.stalls += lines.iter().filter(|line| line.text.contains(STALLED)).count();
+        self.stalls += lines.iter().filter(|line| line.is_stall()).count();
         self.stalls
     }
 
@@ -111,7 +117,7 @@
             let line = self.log.recv_timeout(left).map_err(|_| {
                 io::Error::other("the node ended, or its log did not tell what was waited for")
             })?;
-            self.stalls += usize::from(line.text.contains(STALLED));
+            self.stalls += usize::from(line.is_stall());
             if wanted(&line.text) {
                 return Ok(line);
             }
