--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use pumicehead_config::diff::{Shown, diff};
+use pumicehead_config::diff::{DisplayChange, diff};
 use pumicehead_config::disk::Disk;
 use pumicehead_config::explain::{Request, explain};
 use pumicehead_config::format::format;
@@ -70,7 +70,7 @@
     /// The fleet as a running node sees it.
     Fleet {
         #[command(subcommand)]
-        question: fleet_cli::Question,
+        question: fleet_cli::FleetCommand,
     },
     /// Checks configurations.
     Check {
@@ -132,7 +132,7 @@
         }
         Command::Trace { address, out } => why::fetch(address, &out).map(|()| ExitCode::SUCCESS),
         Command::Why(why) => why.tell().map(|()| ExitCode::SUCCESS),
-        Command::Fleet { question } => fleet_cli::tell(&question).map(|()| ExitCode::SUCCESS),
+        Command::Fleet { question } => fleet_cli::run(&question).map(|()| ExitCode::SUCCESS),
         Command::Export { file, form } => why::export(&file, form).map(|()| ExitCode::SUCCESS),
         Command::Check { files, format, deny_warnings } => Ok(check_all(&files, format, deny_warnings)),
         Command::Fmt { files, check } => format_all(&files, check),
@@ -228,9 +228,9 @@
     };
     let changes = diff(&old, &new);
     for change in &changes {
-        let removed = change.what == pumicehead_config::diff::What::Removed;
+        let removed = change.kind == pumicehead_config::diff::ChangeKind::Removed;
         let sources = if removed { &before.sources } else { &after.sources };
-        print(&format!("{}\n", Shown { change, sources }));
+        print(&format!("{}\n", DisplayChange { change, sources }));
     }
     if changes.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(DIFFERS) }
 }
