--- a/crates/node/src/net/discovery/watch.rs
+++ b/crates/node/src/net/discovery/watch.rs
@@ -12,7 +12,7 @@
 use pumicehead_policy::DISCOVERY_CALL_TIMEOUT;
 use thiserror::Error;
 use tokio::net::TcpStream;
-use tokio::task::{JoinError, JoinSet};
+use tokio::task::JoinSet;
 use tokio::time::{Instant, error::Elapsed, timeout_at};
 
 use crate::net::counting_stream::CountingStream;
@@ -45,10 +45,10 @@
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
     /// Nothing came for too long.
-    #[error("silent for too long")]
+    #[error("no data within the timeout")]
     Timeout(#[from] Elapsed),
     /// The status is not 200.
-    #[error("answered {0}")]
+    #[error("status {0}")]
     Status(StatusCode),
     /// The stream holds something that is no JSON object.
     #[error("malformed list: {0}")]
@@ -57,14 +57,11 @@
     #[error("malformed list: {0}")]
     MalformedList(#[from] serde_json::Error),
     /// A list has begun and does not go on.
-    #[error("a list without an end")]
+    #[error("incomplete list")]
     IncompleteList,
     /// The service ended the stream.
-    #[error("ended")]
+    #[error("stream ended")]
     Ended,
-    /// The connection's task failed.
-    #[error("{0}")]
-    Task(#[from] JoinError),
 }
 
 /// The timeouts of a watch.
--- /dev/null
+++ b/crates/node/src/net/downstream/fastcgi/mod.rs
@@ -0,0 +1,120 @@
+//! Client connections over FastCGI: web servers with several requests at once on each.
+
+mod session;
+
+use std::net::IpAddr;
+use std::rc::Rc;
+
+use bytes::{Bytes, BytesMut};
+use http_body_util::{BodyExt, Collected};
+use hyper::header::{self, HeaderValue};
+use hyper::{Method, Response, StatusCode, Version};
+use pumicehead_fastcgi::cgi::{put_head, request};
+use pumicehead_fastcgi::pairs::Pair;
+use tokio::io::{AsyncReadExt, AsyncWriteExt, split};
+use tokio::sync::mpsc;
+use tokio::time::sleep_until;
+
+use self::session::FastCgiSession;
+use super::connection::DownstreamConnection;
+use super::request_body::ReceivedBody;
+use super::{DownstreamListener, response};
+use crate::net::admission::{RequestError, RequestHead};
+use crate::net::response_body::ResponseBody;
+
+/// Bytes that are read at once, and that are made ready to be written.
+const CHUNK_BYTES: usize = 32 << 10;
+impl DownstreamListener {
+    /// Serves a connection to its end.
+    pub(super) async fn serve_fastcgi(
+        self: &Rc<Self>,
+        connection: &Rc<DownstreamConnection>,
+        client_ip: IpAddr,
+    ) {
+        let (to_finished, mut finished) = mpsc::unbounded_channel();
+        let idle_timeout = self.options.get().idle_timeout;
+        let mut session = FastCgiSession::new(self.clone(), connection.clone(), client_ip, to_finished);
+        let (mut reader, mut writer) = split(connection.stream.clone());
+        let mut input = vec![0; CHUNK_BYTES];
+        loop {
+            session.fill_output();
+            session.update_stage();
+            if session.is_over() {
+                return;
+            }
+            let read_due = session.read_due();
+            let write_due = session.write_due(idle_timeout);
+            tokio::select! {
+                // What has been read goes ahead of a close from this side, and responses ahead of further reads.
+                biased;
+                Some(request) = finished.recv() => session.on_finished(request),
+                written = writer.write(&session.output), if !session.output.is_empty() => match written {
+                    Ok(count) if count > 0 => session.on_written(count),
+                    _ => return,
+                },
+                read = reader.read(&mut input) => match read {
+                    Ok(count) if count > 0 => if !session.on_input(&input[..count]) {
+                        return;
+                    },
+                    // The client is gone; its requests end with the session's tasks.
+                    _ => return,
+                },
+                () = sleep_until(read_due.unwrap_or(write_due)), if read_due.is_some() => {
+                    session.end_slow_requests().await;
+                }
+                // A client that reads nothing holds the memory of its responses.
+                () = sleep_until(write_due), if !session.output.is_empty() => return,
+                // Unless a request has been read since the connection was idle.
+                () = connection.close.notified() => if session.server.is_idle() {
+                    return;
+                },
+            }
+        }
+    }
+
+    async fn respond_fastcgi(
+        &self,
+        client_ip: IpAddr,
+        params: &[Pair],
+        body: Bytes,
+        over_limit: bool,
+    ) -> Vec<Bytes> {
+        let read = match request(params) {
+            Ok(read) => read,
+            Err(fault) => {
+                let error = RequestError::AmbiguousTarget(fault.to_string());
+                return application_output(&Method::GET, response::error(&error)).await;
+            }
+        };
+        let head = RequestHead {
+            method: &read.method,
+            uri: &read.uri,
+            version: Version::HTTP_11,
+            headers: read.headers,
+            peer: read.peer.unwrap_or(client_ip),
+        };
+        let is_complete = read.length.is_none_or(|length| length == body.len() as u64);
+        let admitted = self.admission.admit(head);
+        let response = match admitted {
+            Err(error) => response::error(&error),
+            Ok(_) if !is_complete => response::error(&RequestError::BodyIncomplete),
+            Ok(admitted) => self.proxy(admitted, ReceivedBody::Full(body), over_limit).await,
+        };
+        application_output(&read.method, response).await
+    }
+}
+
+/// Returns a response in the form of an application's output.
+async fn application_output(method: &Method, response: Response<ResponseBody>) -> Vec<Bytes> {
+    let (mut head, body) = response.into_parts();
+    let body = body.collect().await.map(Collected::to_bytes).unwrap_or_default();
+    head.headers.remove(header::CONNECTION);
+    let is_bodiless =
+        *method == Method::HEAD || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+    if !is_bodiless && !head.headers.contains_key(header::CONTENT_LENGTH) {
+        head.headers.insert(header::CONTENT_LENGTH, HeaderValue::from(body.len()));
+    }
+    let mut out = BytesMut::new();
+    put_head(&mut out, head.status, &head.headers);
+    if is_bodiless { vec![out.freeze()] } else { vec![out.freeze(), body] }
+}
--- a/crates/node/src/net/downstream/fastcgi.rs
+++ b/crates/node/src/net/downstream/fastcgi/session.rs
@@ -1,29 +1,23 @@
-//! Client connections over FastCGI: web servers with several requests at once on each.
+//! The state of a client connection over FastCGI: requests that are being read or answered, and output.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
-use http_body_util::{BodyExt, Collected};
-use hyper::header::{self, HeaderValue};
-use hyper::{Method, Response, StatusCode, Version};
-use pumicehead_fastcgi::cgi::{put_head, request};
+use hyper::Method;
 use pumicehead_fastcgi::pairs::Pair;
 use pumicehead_fastcgi::server::{BadRequest, Bounds, Event, Server};
-use tokio::io::{AsyncReadExt, AsyncWriteExt, split};
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, JoinSet};
-use tokio::time::{Instant, sleep_until};
+use tokio::time::Instant;
 
-use super::connection::{ConnectionStage, DownstreamConnection};
-use super::request_body::ReceivedBody;
-use super::{DownstreamListener, response};
-use crate::net::admission::{RequestError, RequestHead};
-use crate::net::response_body::ResponseBody;
+use super::{CHUNK_BYTES, application_output};
+use crate::net::admission::RequestError;
+use crate::net::downstream::connection::{ConnectionStage, DownstreamConnection};
+use crate::net::downstream::{DownstreamListener, response};
 
-/// Bytes that are read at once, and that are made ready to be written.
-const CHUNK_BYTES: usize = 32 << 10;
 /// Greatest number of requests at once on a connection.
 const MAX_REQUESTS: usize = 1_000;
 /// Greatest size of a request's variables.
@@ -36,7 +30,7 @@
 const MAX_OUTGOING_BYTES: usize = 4 << 20;
 
 /// A response in the form of an application's output.
-struct FinishedRequest {
+pub(super) struct FinishedRequest {
     id: u16,
     serial: u64,
     output: Vec<Bytes>,
@@ -50,11 +44,11 @@
 }
 
 /// The state of a connection.
-struct FastCgiSession {
+pub(super) struct FastCgiSession {
     listener: Rc<DownstreamListener>,
     connection: Rc<DownstreamConnection>,
     client_ip: IpAddr,
-    server: Server,
+    pub server: Server,
     /// Requests that are being read, and when each must be complete.
     incoming: HashMap<u16, Instant>,
     running: HashMap<u16, RunningRequest>,
@@ -62,93 +56,13 @@
     /// Aborted with the connection, which reports a disconnect to the pools.
     tasks: JoinSet<()>,
     finished: mpsc::UnboundedSender<FinishedRequest>,
-    output: BytesMut,
+    pub output: BytesMut,
     /// When output was made or written last.
     last_progress: Instant,
 }
 
-impl DownstreamListener {
-    /// Serves a connection to its end.
-    pub(super) async fn serve_fastcgi(
-        self: &Rc<Self>,
-        connection: &Rc<DownstreamConnection>,
-        client_ip: IpAddr,
-    ) {
-        let (to_finished, mut finished) = mpsc::unbounded_channel();
-        let idle_timeout = self.options.get().idle_timeout;
-        let mut session = FastCgiSession::new(self.clone(), connection.clone(), client_ip, to_finished);
-        let (mut reader, mut writer) = split(connection.stream.clone());
-        let mut input = vec![0; CHUNK_BYTES];
-        loop {
-            session.fill_output();
-            session.update_stage();
-            if session.is_over() {
-                return;
-            }
-            let read_due = session.incoming.values().min().copied();
-            let write_due = session.last_progress + idle_timeout;
-            tokio::select! {
-                // What has been read goes ahead of a close from this side, and responses ahead of further reads.
-                biased;
-                Some(request) = finished.recv() => session.on_finished(request),
-                written = writer.write(&session.output), if !session.output.is_empty() => match written {
-                    Ok(count) if count > 0 => session.on_written(count),
-                    _ => return,
-                },
-                read = reader.read(&mut input) => match read {
-                    Ok(count) if count > 0 => if !session.on_input(&input[..count]) {
-                        return;
-                    },
-                    // The client is gone; its requests end with the session's tasks.
-                    _ => return,
-                },
-                () = sleep_until(read_due.unwrap_or(write_due)), if read_due.is_some() => {
-                    session.end_slow_requests().await;
-                }
-                // A client that reads nothing holds the memory of its responses.
-                () = sleep_until(write_due), if !session.output.is_empty() => return,
-                // Unless a request has been read since the connection was idle.
-                () = connection.close.notified() => if session.server.is_idle() {
-                    return;
-                },
-            }
-        }
-    }
-
-    async fn respond_fastcgi(
-        &self,
-        client_ip: IpAddr,
-        params: &[Pair],
-        body: Bytes,
-        over_limit: bool,
-    ) -> Vec<Bytes> {
-        let read = match request(params) {
-            Ok(read) => read,
-            Err(fault) => {
-                let error = RequestError::AmbiguousTarget(fault.to_string());
-                return application_output(&Method::GET, response::error(&error)).await;
-            }
-        };
-        let head = RequestHead {
-            method: &read.method,
-            uri: &read.uri,
-            version: Version::HTTP_11,
-            headers: read.headers,
-            peer: read.peer.unwrap_or(client_ip),
-        };
-        let is_complete = read.length.is_none_or(|length| length == body.len() as u64);
-        let admitted = self.admission.admit(head);
-        let response = match admitted {
-            Err(error) => response::error(&error),
-            Ok(_) if !is_complete => response::error(&RequestError::BodyIncomplete),
-            Ok(admitted) => self.proxy(admitted, ReceivedBody::Full(body), over_limit).await,
-        };
-        application_output(&read.method, response).await
-    }
-}
-
 impl FastCgiSession {
-    fn new(
+    pub fn new(
         listener: Rc<DownstreamListener>,
         connection: Rc<DownstreamConnection>,
         client_ip: IpAddr,
@@ -181,18 +95,28 @@
         }
     }
 
-    fn fill_output(&mut self) {
+    pub fn fill_output(&mut self) {
         if self.output.is_empty() {
             self.server.output(&mut self.output, CHUNK_BYTES);
             self.last_progress = Instant::now();
         }
     }
 
+    /// When the first request that is being read has to be complete.
+    pub fn read_due(&self) -> Option<Instant> {
+        self.incoming.values().min().copied()
+    }
+
+    /// When the client has stalled, unless output is written until then.
+    pub fn write_due(&self, idle_timeout: Duration) -> Instant {
+        self.last_progress + idle_timeout
+    }
+
     fn is_idle(&self) -> bool {
         self.output.is_empty() && self.server.is_idle()
     }
 
-    fn update_stage(&self) {
+    pub fn update_stage(&self) {
         let is_idle = self.is_idle();
         if is_idle != (self.connection.stage() == ConnectionStage::Waiting) {
             self.connection.last_activity.set(Instant::now());
@@ -202,18 +126,18 @@
     }
 
     /// Whether the connection is of no further use.
-    fn is_over(&self) -> bool {
+    pub fn is_over(&self) -> bool {
         let may_close = self.listener.draining.get() || self.connection.over_limit && self.connection.used();
         self.output.is_empty() && self.server.is_over() || self.is_idle() && may_close
     }
 
-    fn on_written(&mut self, count: usize) {
+    pub fn on_written(&mut self, count: usize) {
         self.output.advance(count);
         self.last_progress = Instant::now();
     }
 
     /// Takes bytes from the client; returns whether the connection is of further use.
-    fn on_input(&mut self, input: &[u8]) -> bool {
+    pub fn on_input(&mut self, input: &[u8]) -> bool {
         if self.listener.draining.get() {
             // Requests that begin now are rejected; those that have begun are answered.
             self.server.stop();
@@ -273,7 +197,7 @@
     }
 
     /// Ends a request with its response; one that was aborted has ended already.
-    fn on_finished(&mut self, request: FinishedRequest) {
+    pub fn on_finished(&mut self, request: FinishedRequest) {
         let FinishedRequest { id, serial, output } = request;
         if self.running.get(&id).is_some_and(|running| running.serial == serial) {
             self.running.remove(&id);
@@ -282,7 +206,7 @@
     }
 
     /// Answers requests that took too long to read.
-    async fn end_slow_requests(&mut self) {
+    pub async fn end_slow_requests(&mut self) {
         let now = Instant::now();
         let slow: Vec<_> = self.incoming.iter().filter(|(_, due)| **due <= now).map(|(id, _)| *id).collect();
         for id in slow {
@@ -292,18 +216,3 @@
         }
     }
 }
-
-/// Returns a response in the form of an application's output.
-async fn application_output(method: &Method, response: Response<ResponseBody>) -> Vec<Bytes> {
-    let (mut head, body) = response.into_parts();
-    let body = body.collect().await.map(Collected::to_bytes).unwrap_or_default();
-    head.headers.remove(header::CONNECTION);
-    let is_bodiless =
-        *method == Method::HEAD || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-    if !is_bodiless && !head.headers.contains_key(header::CONTENT_LENGTH) {
-        head.headers.insert(header::CONTENT_LENGTH, HeaderValue::from(body.len()));
-    }
-    let mut out = BytesMut::new();
-    put_head(&mut out, head.status, &head.headers);
-    if is_bodiless { vec![out.freeze()] } else { vec![out.freeze(), body] }
-}
--- a/crates/node/src/net/upstream/fastcgi/connector.rs
+++ b/crates/node/src/net/upstream/fastcgi/connector.rs
@@ -1,7 +1,7 @@
 //! Attempts at one process of a FastCGI endpoint: kept connections, with as many requests on each as the endpoint allows.
 
 use std::borrow::Cow;
-use std::cell::{Cell, RefCell};
+use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -17,14 +17,13 @@
 
 use super::connection::{FastCgiConnection, FastCgiRequest, Param};
 use super::driver::{ConnectionDriver, DriverContext};
+use super::endpoint_connections::{EndpointConnections, Load};
 use super::outcome::FastCgiEnding;
 use super::transport::FastCgiSettings;
 use crate::net::counting_stream::CountingStream;
 use crate::net::exchange::UpstreamRequest;
 use crate::net::upstream::connect::connect;
-use crate::net::upstream::connection_registry::{
-    ConnectionPermit, ConnectionRegistry, IdleConnections, max_idle_time,
-};
+use crate::net::upstream::connection_registry::{ConnectionPermit, ConnectionRegistry, max_idle_time};
 use crate::net::upstream::transport::{
     AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, OnResponseStarted,
 };
@@ -43,17 +42,6 @@
     Known(Values),
 }
 
-/// The connections of one process of an endpoint.
-struct EndpointConnections {
-    address: Address,
-    /// Whether requests may be written.
-    is_usable: Cell<bool>,
-    connections: RefCell<Vec<Rc<FastCgiConnection>>>,
-    /// Idle connections are kept for this long.
-    max_idle: Duration,
-    registered: Cell<bool>,
-}
-
 /// Makes attempts at one process of an endpoint.
 pub(super) struct FastCgiConnector {
     registry: Rc<ConnectionRegistry>,
@@ -65,41 +53,6 @@
     driver_context: DriverContext,
 }
 
-impl IdleConnections for EndpointConnections {
-    fn registered(&self) -> &Cell<bool> {
-        &self.registered
-    }
-
-    fn oldest_idle_since(&self) -> Option<Instant> {
-        let connections = self.connections.borrow();
-        connections
-            .iter()
-            .filter(|connection| connection.is_idle() && !connection.closed.get())
-            .map(|connection| connection.idle_since.get())
-            .min()
-    }
-
-    fn close_oldest(&self) {
-        let mut connections = self.connections.borrow_mut();
-        let idle = connections.iter().enumerate().filter(|(_, connection)| connection.is_idle());
-        if let Some((index, _)) = idle.min_by_key(|(_, connection)| connection.idle_since.get()) {
-            connections.remove(index).retire();
-        }
-    }
-
-    fn sweep(&self, now: Instant) -> bool {
-        let mut connections = self.connections.borrow_mut();
-        connections.retain(|connection| {
-            let has_expired = connection.is_idle() && now >= connection.idle_since.get() + self.max_idle;
-            if has_expired {
-                connection.retire();
-            }
-            !has_expired && !connection.closed.get()
-        });
-        !connections.is_empty()
-    }
-}
-
 impl EndpointConnector for FastCgiConnector {
     fn address(&self) -> &Address {
         &self.endpoint.address
@@ -115,15 +68,7 @@
     }
 
     fn close_idle(&self) {
-        // Those of a retired endpoint that carry requests close after the last of these.
-        let is_usable = self.endpoint.is_usable.get();
-        self.endpoint.connections.borrow_mut().retain(|connection| {
-            let closes = !is_usable || connection.is_idle();
-            if closes {
-                connection.retire();
-            }
-            !closes
-        });
+        self.endpoint.close_idle();
     }
 
     fn attempt(
@@ -156,13 +101,8 @@
             endpoint: address.to_string().into(),
             last_stderr_log: Rc::default(),
         };
-        let endpoint = Rc::new(EndpointConnections {
-            address,
-            is_usable: Cell::new(true),
-            connections: RefCell::default(),
-            max_idle: max_idle_time(settings.server_idle_timeout),
-            registered: Cell::new(false),
-        });
+        let max_idle = max_idle_time(settings.server_idle_timeout);
+        let endpoint = Rc::new(EndpointConnections::new(address, max_idle));
         Self {
             registry,
             settings,
@@ -244,8 +184,8 @@
                 return self.connect_and_request_values().await;
             }
         }
-        self.remove_closed();
-        let free = self.fullest_free();
+        self.endpoint.remove_closed();
+        let free = self.endpoint.fullest_free(self.max_requests_per_connection());
         if self.is_at_capacity(free.is_some()) {
             let outcome = FastCgiEnding::AtCapacity.classify().outcome;
             return Err(AttemptResult::without_response(outcome));
@@ -256,28 +196,12 @@
         }
     }
 
-    fn remove_closed(&self) {
-        self.endpoint
-            .connections
-            .borrow_mut()
-            .retain(|connection| !connection.is_idle() && !connection.closed.get() || connection.is_open());
-    }
-
-    /// Returns the connection with the most requests that takes another one, so that others become idle and expire.
-    fn fullest_free(&self) -> Option<Rc<FastCgiConnection>> {
-        let max = self.max_requests_per_connection();
-        let connections = self.endpoint.connections.borrow();
-        let free = connections.iter().filter(|connection| connection.in_flight.get() < max);
-        free.max_by_key(|connection| (connection.in_flight.get(), connection.idle_since.get())).cloned()
-    }
-
     /// Whether the endpoint has said that it takes no more requests, or no more connections where none is free.
     fn is_at_capacity(&self, has_free: bool) -> bool {
         let ServerValues::Known(values) = self.values.get() else { return false };
-        let connections = self.endpoint.connections.borrow();
-        let in_flight = connections.iter().map(|connection| connection.in_flight.get()).sum::<usize>();
+        let Load { connections, in_flight } = self.endpoint.load();
         let reached = |limit: Option<u32>, count: usize| limit.is_some_and(|max| count >= max as usize);
-        reached(values.requests, in_flight) || !has_free && reached(values.connections, connections.len())
+        reached(values.requests, in_flight) || !has_free && reached(values.connections, connections)
     }
 
     /// Establishes the first connection and requests the endpoint's values on it. Where the endpoint closes it for that,
@@ -308,7 +232,7 @@
             ..result
         })?;
         let connection = self.spawn_driver(stream, permit, values);
-        self.endpoint.connections.borrow_mut().push(connection.clone());
+        self.endpoint.push(connection.clone());
         self.registry.register(&self.endpoint);
         Ok(connection)
     }
--- a/crates/node/src/net/upstream/fastcgi/mod.rs
+++ b/crates/node/src/net/upstream/fastcgi/mod.rs
@@ -3,6 +3,7 @@
 mod connection;
 mod connector;
 mod driver;
+mod endpoint_connections;
 mod outcome;
 mod pending_request;
 pub mod transport;
--- a/crates/node/tests/client_leaves.rs
+++ b/crates/node/tests/client_leaves.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// Guards first attempts that wait for any server to be known.
+/// First attempts that wait while no endpoint is known.
 #[test]
 fn disconnect_drops_first_attempt_without_endpoint() {
     for changes in SETTINGS {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Guards first attempts that wait for a place at a server that has none: places become free only after the burst.
+/// First attempts that wait for capacity at an endpoint that has none: capacity is free only after the burst.
 #[test]
 fn disconnect_drops_first_attempt_waiting_for_capacity() {
     for changes in SETTINGS {
@@ -114,7 +114,7 @@
     }
 }
 
-/// Guards attempts whose connection to a server comes up only after their clients have left.
+/// Attempts whose connection to an endpoint is established only after their clients have disconnected.
 #[test]
 fn disconnect_drops_attempt_that_is_connecting() {
     for changes in SETTINGS {
@@ -189,8 +189,8 @@
     ("put", &[LONG_WINDOW, NO_CANCEL]),
 ];
 
-/// One client that stays and some that are to leave, all with a first attempt at the server. `None` where the node took the
-/// server for one that hangs before any of those that leave had theirs, as it may on a busy machine: that tells nothing.
+/// One client that stays and some that are to disconnect, all with a first attempt at the endpoint. `None` where the node
+/// ejected the endpoint before any of the latter had its attempt, as on a busy machine: the round proves nothing.
 fn ask_with_one_that_stays(
     node: &Node,
     server: &Failing,
@@ -208,7 +208,7 @@
     (!leavers.is_empty()).then_some((staying, leavers))
 }
 
-/// Has a case told once, in one of some rounds.
+/// Runs a case until one of some rounds proves it.
 fn in_some_round(mut case: impl FnMut() -> Option<()>) {
     assert!((0..5).any(|_| case().is_some()), "no client that leaves had an attempt out");
 }
@@ -228,7 +228,7 @@
     lines
 }
 
-/// Guards a further attempt that is due at once: the first one ends after the client has left.
+/// A retry that is due at once: the first attempt ends after the client has disconnected.
 #[test]
 fn disconnect_drops_immediate_retry() {
     let case = |class, changes| {
@@ -251,8 +251,8 @@
     FURTHER.iter().for_each(|(class, changes)| in_some_round(|| case(*class, *changes)));
 }
 
-/// Guards a further attempt that waits, for a place in the queue or for the next look at what may be repeated: the first one
-/// has ended while no other server was known, and its client leaves before there is one.
+/// A retry that waits, in the queue or for the next check of what may be retried: the first attempt has ended while no
+/// other endpoint was known, and the client disconnects before there is one.
 #[test]
 fn disconnect_drops_delayed_retry() {
     let case = |class, changes| {
@@ -279,8 +279,8 @@
     FURTHER.iter().for_each(|(class, changes)| in_some_round(|| case(*class, *changes)));
 }
 
-/// Guards a second copy of a safe request: the attempt that is out hangs, and there is no other server for a copy until the
-/// client has left.
+/// A hedged attempt: the first attempt hangs, and there is no other endpoint for a second one until the client has
+/// disconnected.
 #[test]
 fn disconnect_drops_hedged_attempt() {
     let case = |changes| {
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -20,9 +20,8 @@
     "\"effect\":\"pure\",\"dedup_scope\":\"all\",\"window_ns\":5000000000,\"target_ns\":10000000000,\"deadline_ns\":20000000000,\"worth\":0.2",
 );
 
-/// Guards what waits in a queue from being sent on once its client has left, by every way, whatever the settings say of
-/// cancelling, in a burst, and while the node is ending: none of it has come to a server 0.3 s later. A client with
-/// further bytes behind its request was noticed only at its answer.
+/// A queued request is not sent once its client has disconnected, in every way of disconnecting, with attempts cancelled
+/// or not, in a burst, and while the node drains: 0.3 s later none of it reaches an endpoint.
 #[test]
 fn queued_request_is_not_sent_after_its_client_disconnects() {
     for (changes, ending) in
@@ -57,8 +56,8 @@
     }
 }
 
-/// Guards a request whose attempt waits for its connection to come up from being written once its client has left, also
-/// where attempts can't be called back, and one that its client still waits for from being lost to that.
+/// An attempt that waits for its connection is not written once its client has disconnected, with attempts cancelled or
+/// not, and that of a client that still waits is.
 #[test]
 fn connecting_attempt_is_not_written_after_its_client_disconnects() {
     for changes in [
@@ -90,8 +89,8 @@
     }
 }
 
-/// Guards a drain and a restart of a server, and a deadline, that come while a connection to it is coming up: nothing is
-/// written to it from then on.
+/// A drain, a restart or a deadline comes while a connection to the endpoint is being established: nothing is written to
+/// it from then on.
 #[test]
 fn connecting_attempt_is_not_written_to_a_removed_endpoint() {
     const DIAL: (&str, &str) = ("\"dial_timeout_ns\":250000000", "\"dial_timeout_ns\":12000000000");
@@ -131,8 +130,8 @@
     }
 }
 
-/// Guards a keyed request from a repeat that servers no longer know for one: the attempt is decided within their window, and
-/// its connection comes up after that. Where the window is long the same attempt is written.
+/// A retry that is decided within the window in which endpoints recognise it, and whose connection is established after
+/// that, is not written. Where the window is long the same attempt is.
 #[test]
 fn retry_is_not_written_after_its_idempotency_window() {
     const DIAL: (&str, &str) = ("\"dial_timeout_ns\":250000000", "\"dial_timeout_ns\":12000000000");
@@ -170,7 +169,7 @@
     }
 }
 
-/// Guards a request whose client leaves under an attempt that is then turned away: nothing ran, and nobody waits for
+/// A client disconnects under an attempt that is then rejected: the request was not executed, and nobody waits for
 /// another attempt.
 #[test]
 fn no_attempt_follows_after_the_client_disconnects() {
@@ -203,8 +202,8 @@
     }
 }
 
-/// Guards the id of a request whose client has left while its attempt is still out: the same id again would be a second
-/// effect. It was free as soon as the client had gone.
+/// The id of a request whose client has disconnected stays in use while its attempt is in flight: the same id again would
+/// repeat the effect.
 #[test]
 fn id_of_an_attempt_in_flight_is_rejected_as_duplicate() {
     let (release, held) = mpsc::channel::<()>();
@@ -230,10 +229,10 @@
     wait_for("the id to be free", || node.ask(&text).status() == 200);
 }
 
-/// Guards the next request from a second answer that comes some milliseconds after the first: nothing in it tells whose
-/// it is. One has been seen on an idle connection. From then on the server holds the second answer back until the next
-/// request is there; were that on the same connection, within the time in which the page says such answers come, it would
-/// get an answer that was not made for it.
+/// A second response that comes some milliseconds after the first must not reach the next request: nothing in it names
+/// its request. One has been seen on an idle connection. From then on the endpoint holds the second response back until
+/// the next request has come; on the same connection, within the time in which the page says such responses come, that
+/// request would get it.
 #[test]
 fn late_second_response_is_given_to_no_request() {
     // The page: some milliseconds.
@@ -283,7 +282,7 @@
     assert_eq!(client.read().expect("an answer").body, b"first");
     seen.recv_timeout(Duration::from_secs(30)).unwrap();
     let mut asked = 0;
-    // On a busy machine some rounds take longer than that, and tell nothing.
+    // On a busy machine some rounds take longer than that, and prove nothing.
     wait_for("rounds quick enough", || {
         for _ in 0..20 {
             asked += 1;
@@ -297,11 +296,11 @@
     assert_eq!(*reuses.lock().unwrap(), 0, "of {} at once", quick.lock().unwrap());
 }
 
-/// Guards the end of the process with deadlines of some tenths of a second: clients send on each connection that stays
-/// open until it does. What came to a server had its answer read whole, whenever it came.
+/// The exit of a process with deadlines of some tenths of a second: clients send on each connection that stays open until
+/// then. Each request that reached an endpoint has its response read completely.
 #[test]
 fn request_read_at_process_exit_is_answered() {
-    // On a busy machine clients may come too late for any answer; such a try tells nothing.
+    // On a busy machine clients may come too late for any response; such a try proves nothing.
     assert!((0..5).any(|_| answered_at_the_end() > 0), "no client came in time");
 }
 
@@ -356,8 +355,7 @@
     told.iter().filter(|(_, answered)| *answered).count()
 }
 
-/// Guards deployments that allow no advice: the front's own refusals gave half a second whatever the settings said, and
-/// whatever clients follow.
+/// The listener's own rejections have the `Retry-After` that the settings allow, and none where they allow none.
 #[test]
 fn retry_after_is_sent_as_the_settings_allow() {
     let none = &[("\"retry_after\":true", "\"retry_after\":false")][..];
@@ -373,8 +371,8 @@
     }
 }
 
-/// Guards other customers' settings: a class is what the settings say, not what its name or that of another site suggests;
-/// two attempts at most and never two at once, nothing called back, no advice, deadlines from 0.45 to 7 s.
+/// Settings of other deployments: a class is what the settings say, whatever its name; two attempts at most and never two
+/// at once, nothing cancelled, no `Retry-After`, deadlines from 0.45 to 7 s.
 #[test]
 fn class_idempotency_comes_from_the_settings() {
     const CHANGES: &[(&str, &str)] = &[
--- a/crates/node/tests/crossings_list.rs
+++ b/crates/node/tests/crossings_list.rs
@@ -34,8 +34,8 @@
     stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).unwrap();
 }
 
-/// Guards the drain from a watch that falls silent: two missed heartbeats and a call that is not answered leave the node
-/// in time. What it misses counts as told 6 s after, and has to be kept 2 s later.
+/// A node restarts a watch that falls silent after two missed heartbeats, and calls again after a call without an answer,
+/// in time to honour a drain: what it misses binds 6 s later, and has to be honoured 2 s after that.
 #[test]
 fn silent_watch_is_restarted_in_time_for_a_drain() {
     // Of the 8.05 s a call of 2 s, as long as a service may have it wait.
@@ -62,9 +62,9 @@
     }
 }
 
-/// Guards the same at an agent that takes a call and says nothing, as one that is down does: what it has at its return
-/// counts at once, and drains are kept 2 s later. When it is asked again has a test of its own, with a clock that stands
-/// (`silent_agent_is_called_again_in_time`); here the first call stays open, and what the second one brings is used.
+/// The same at an agent that takes a call and sends nothing, as one that is down does: its list binds at its return, and
+/// drains have to be honoured 2 s later. The delay of the second call is tested with a paused clock
+/// (`silent_agent_is_called_again_in_time`); here the first call stays open, and the list of the second one is used.
 #[test]
 fn silent_agent_is_called_again_after_discovery_returns() {
     let backend = Backend::start(|_| ok("done"));
@@ -78,8 +78,7 @@
     drop(swallowed);
 }
 
-/// Guards lists that come indented: over many lines, with an empty line inside, cut anywhere, two in one piece. Each line
-/// was taken for a list of its own.
+/// Lists may be indented: over many lines, with an empty line inside, cut anywhere, two in one piece.
 #[test]
 fn indented_lists_are_read() {
     let backends = [(); 3].map(|()| Backend::start(|_| ok("done")));
@@ -117,8 +116,8 @@
     beating.join().unwrap();
 }
 
-/// Guards a watch that has not spoken yet from a timer that was armed before it: at the new address after a reload, the
-/// pause after an earlier failure ended it and called once more, behind all others.
+/// A retry timer that was armed before a reload must not end the watch at the new address, which has not sent anything
+/// yet, and call once more, behind all other nodes.
 #[test]
 fn timer_does_not_end_a_watch_without_data() {
     let backend = Backend::start(|_| ok("done"));
@@ -139,8 +138,8 @@
     wait_for("the list", || node.ask(&request("submit", "x")).status() == 200);
 }
 
-/// Guards a request that has been sent from a drain or a restart of its server: it has its answer, once, and what comes
-/// after it goes elsewhere, in either order of the two changes.
+/// A request that was sent keeps its attempt across a drain or a restart of its endpoint: it is answered once, and later
+/// requests go elsewhere, in either order of the two changes.
 #[test]
 fn drain_and_restart_keep_attempts_in_flight() {
     for restart_first in [false, true] {
--- a/crates/node/tests/descriptor_reserve.rs
+++ b/crates/node/tests/descriptor_reserve.rs
@@ -104,8 +104,8 @@
     served.unwrap()
 }
 
-/// Guards all of it at once: clients that have asked before the crowd, others in the crowd, and the list after it; the servers
-/// hold as many connections as they may.
+/// Clients with requests before the crowd of idle ones, others within it, and the list after it; endpoints hold as many
+/// connections as they may.
 #[test]
 fn idle_clients_leave_descriptors_for_servers_and_discovery() {
     let gate = Gate::default();
--- a/crates/node/tests/fastcgi.rs
+++ b/crates/node/tests/fastcgi.rs
@@ -50,7 +50,7 @@
 
 const HEAD: &[u8] = b"Content-Type: a\r\nContent-Length: 5\r\n\r\n";
 
-/// Guards the table of endings: what a server may do to a submit, the answer, and how many attempts reached servers.
+/// The table of endings: what an endpoint may do to a request, the response, and how many attempts reached endpoints.
 #[test]
 fn every_fastcgi_ending_has_its_outcome() {
     let mut cut = records(&[(Kind::Stdout, 1, HEAD), (Kind::Stdout, 1, b"12345")]);
@@ -145,7 +145,7 @@
     }
 }
 
-/// Guards the answer and the log against errors without end.
+/// Standard error without end changes neither the response nor the size of the log.
 #[test]
 fn application_stderr_is_logged_at_a_limited_rate() {
     let mut bytes = BytesMut::new();
@@ -166,8 +166,8 @@
     assert!(node.peak_memory() < 24 << 20, "{}", node.peak_memory());
 }
 
-/// Guards kept connections: one that the server closes behind its answer is never used again, however close the two
-/// come, so no submit fails of it.
+/// An idle connection that the endpoint closes right after its response is not reused, however close the two come, so no
+/// request fails.
 #[test]
 fn closed_idle_connection_loses_no_request() {
     let whole =
@@ -189,8 +189,8 @@
     assert!(seen.effects.len() >= 90, "{} of 100", seen.effects.len());
 }
 
-/// Guards what servers say of themselves: connections are shared only where they say that they multiplex, and one that
-/// closes on the question is used without an answer.
+/// Connections are shared only where the endpoint states that it multiplexes; one that closes on the question is used
+/// without an answer.
 #[test]
 fn connections_carry_as_many_requests_as_endpoints_state() {
     let slow = || script(vec![Act::Later(Duration::from_millis(300), Box::new(served("rank 1")))]);
@@ -240,7 +240,7 @@
     assert_eq!((answer.status, boards.seen().lines.len()), (200, 1));
 }
 
-/// Guards sockets of this machine, and variables as applications get them.
+/// Unix sockets, and variables as applications get them.
 #[test]
 fn endpoint_on_a_unix_socket_is_reached() {
     let path = temporary(".sock");
@@ -376,8 +376,8 @@
     assert_eq!((answers[1].0, &answers[1].2[..]), (Kind::GetValuesResult, &b"\x0f\x01FCGI_MPXS_CONNS1"[..]));
 }
 
-/// Guards several requests on one connection: the fast ones don't wait for the slow one, each gets its own answer, and
-/// an abort ends its attempt alone.
+/// Of several requests on one connection the fast ones don't wait for the slow one, each gets its own response, and an
+/// abort ends its attempt alone.
 #[test]
 fn multiplexed_requests_are_independent() {
     let boards = Boards::new(Arc::new(|asked: &Asked| match asked.target.as_str() {
@@ -404,7 +404,7 @@
     assert_eq!(ended(&mut client, 1), [(2, 200)]);
 }
 
-/// Guards memory and others against a front end that reads nothing.
+/// A web server that reads nothing uses bounded memory, and others are served.
 #[test]
 fn fastcgi_client_that_reads_nothing_uses_bounded_memory() {
     let big: &'static str = Box::leak("rank 1\n".repeat(9_000).into_boxed_str());
@@ -434,7 +434,7 @@
     assert!(ends.iter().all(|(_, status)| matches!(status, 0 | 200 | 503)));
 }
 
-/// Guards drains and reloads with several requests open on one connection.
+/// Drains and reloads with several requests on one connection.
 #[test]
 fn reload_and_sigterm_answer_all_requests_of_a_connection() {
     let boards = Boards::new(Arc::new(|asked: &Asked| {
--- a/crates/node/tests/list_pauses.rs
+++ b/crates/node/tests/list_pauses.rs
@@ -62,7 +62,7 @@
     stream
 }
 
-/// Guards the time for a call after others that failed. Each kind has a node of its own, side by side.
+/// The time of a call after others that failed. Each kind of failure has a node of its own, side by side.
 #[test]
 fn discovery_is_called_again_in_time_after_each_failure() {
     let kinds = [Failure::TurnedAway, Failure::Reset, Failure::Lost, Failure::Cut, Failure::Malformed];
@@ -88,7 +88,7 @@
     }
 }
 
-/// Guards the first call of a node that starts with a list, which may be old: its own time may be over 2 s after the start.
+/// The first call of a node that starts with a list, which may be old: without a bound its delay may be over 2 s.
 #[test]
 fn node_with_a_restored_list_calls_discovery_in_time() {
     let backend = Backend::start(|_| ok("done"));
@@ -109,8 +109,8 @@
     assert!(waited.iter().all(|waited| *waited < Duration::from_secs(2)), "{waited:?}");
 }
 
-/// Guards a move by SIGHUP after an outage of the old service: what the new one has binds 4 s after the signal. Its first call is
-/// turned away, and the second one may not wait for as long as the outage taught.
+/// A move by SIGHUP after an outage of the old service: the new list binds 4 s after the signal. The first call is
+/// rejected, and the second one must not wait for as long as the outage has backed off to.
 #[test]
 fn discovery_move_after_an_outage_is_made_in_time() {
     let (old, new) = (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
--- a/crates/node/tests/streaming.rs
+++ b/crates/node/tests/streaming.rs
@@ -68,7 +68,7 @@
     request_with("submit", "", &format!("X-Time-Left: 15000m\r\n{headers}"))
 }
 
-/// Guards that the first bytes of a long answer reach the client while the server still holds the rest.
+/// The first bytes of a long response reach the client while the endpoint still holds the rest back.
 #[test]
 fn response_is_streamed_as_it_arrives() {
     let (got_first, go_on) = mpsc::channel::<()>();
@@ -97,7 +97,7 @@
     assert_eq!(Message::read_head(&mut input).unwrap().status(), 200);
 }
 
-/// Guards every way in which HTTP/1.1 says where an answer ends, short and long.
+/// Every way in which HTTP/1.1 says where a response ends, short and long.
 #[test]
 fn responses_of_every_framing_arrive_complete() {
     for length in [100, 64 << 10, (64 << 10) + 1, 2 * MIB] {
@@ -134,8 +134,8 @@
     }
 }
 
-/// Guards that an answer which breaks is seen to be cut, is not sent again, and that one that is reset is not whole though
-/// its server said that it ends with the connection.
+/// A response that breaks off is visibly incomplete at the client and is not retried. One that is reset is incomplete
+/// although the endpoint said that it ends with the connection.
 #[test]
 fn response_of_a_failed_endpoint_is_cut_and_not_retried() {
     let long = body(MIB);
@@ -168,8 +168,8 @@
     }
 }
 
-/// Guards memory, places and others: clients that ask for long answers and read nothing cost little, hold no place at
-/// the server, and get all of it once they do read.
+/// Clients that request long responses and read nothing use little memory and no capacity of the endpoint, and get all of
+/// it once they read.
 #[test]
 fn clients_that_read_nothing_use_bounded_memory() {
     let whole = body(8 * MIB);
@@ -197,7 +197,7 @@
     }
 }
 
-/// Guards a client that leaves mid-answer: its connection to the server is not used again.
+/// A client disconnects within a response: its connection to the endpoint is not reused.
 #[test]
 fn disconnect_mid_response_closes_the_upstream_connection() {
     let whole = body(8 * MIB);
@@ -210,7 +210,7 @@
     wait_for("the attempt's end", || backend.closed() == 1);
 }
 
-/// Guards uploads: what comes is what was sent, once, whatever its length and however it is framed.
+/// An upload arrives as it was sent, once, whatever its length and framing.
 #[test]
 fn upload_is_streamed_completely() {
     for length in [(64 << 10) + 1, MIB, MIB + 1, 5 * MIB] {
@@ -240,8 +240,8 @@
     assert!(came.recv_timeout(LIMIT).unwrap().unwrap() == whole.as_bytes());
 }
 
-/// Guards rule 2 and its end: of an upload that has gone in part nothing is sent again. Its last byte was not written, so it never
-/// ran, and the client may come again.
+/// An upload of which part was sent is not retried. Its last byte was not written, so it was not executed, and the client
+/// may retry.
 #[test]
 fn upload_to_a_failed_endpoint_is_not_retried() {
     let (seen, count) = mpsc::channel();
@@ -261,7 +261,7 @@
     assert_eq!(count.try_iter().count(), 1);
 }
 
-/// Guards that as long as only the held part has gone, another server gets all of it.
+/// While only the buffered part was sent, another endpoint gets all of it.
 #[test]
 fn upload_is_retried_while_only_its_buffered_part_was_sent() {
     let backend = Backend::start(|message| ok(&message.body.len().to_string()));
@@ -274,7 +274,7 @@
     assert!(backend.seen.lock().unwrap().iter().all(|message| message.body == whole.as_bytes()));
 }
 
-/// Guards that an upload which goes on slowly is taken, and one that stops is ended, before its server has begun and after.
+/// A slow upload that goes on is taken, and one that stalls is ended, before its attempt has begun and after.
 #[test]
 fn slow_uploads_pass_and_stalled_ones_time_out() {
     let backend = Backend::start(|message| ok(&message.body.len().to_string()));
@@ -301,7 +301,7 @@
     assert_eq!(backend.count(), 1);
 }
 
-/// Guards the bound: what says that it is too long is told so at once.
+/// A stated length over the limit is rejected before the body is read.
 #[test]
 fn stated_length_over_the_limit_is_rejected_at_once() {
     let backend = Backend::start(|_| ok("done"));
@@ -312,7 +312,7 @@
     assert_eq!(backend.count(), 0);
 }
 
-/// Guards a server that answers before the upload ends: the answer counts, and the connection ends.
+/// An endpoint answers before the upload ends: the response is forwarded, and the connection closes.
 #[test]
 fn response_before_the_end_of_an_upload_is_forwarded() {
     let server = raw(|_, mut input, mut stream| {
@@ -329,7 +329,7 @@
     assert_eq!(answer.header("connection"), Some("close"));
 }
 
-/// Guards the bound where no length is stated: an upload that passes it on its way to a server is told that it is too long.
+/// An upload without a stated length that exceeds the limit on its way to an endpoint is answered with 413.
 #[test]
 fn unsized_upload_over_the_limit_is_rejected() {
     let server = raw(|_, mut input, _| drop(std::io::copy(&mut input, &mut std::io::sink())));
@@ -346,7 +346,7 @@
     assert_eq!(Message::read_head(&mut input).unwrap().status(), 413);
 }
 
-/// Guards memory and places: a client that reads nothing of a long answer is given up, and its server's connection with it.
+/// A client that reads nothing of a long response is disconnected, and the endpoint's connection closes with it.
 #[test]
 fn client_that_reads_nothing_is_disconnected() {
     let whole = body(30 * MIB);
@@ -360,7 +360,7 @@
     assert_eq!(node.ask(&request("read", "")).status(), 200);
 }
 
-/// Guards against servers that fall silent in the middle of an answer: the client sees a cut one, in bounded time.
+/// An endpoint falls silent within a response: the client sees an incomplete one, in bounded time.
 #[test]
 fn endpoint_silent_mid_response_is_given_up() {
     let server = raw(|_, _, mut stream| {
@@ -376,8 +376,8 @@
     assert!(got == b"some" && ended.is_ok_and(|count| count == 4));
 }
 
-/// Guards the orderly end: a stream that is under way at SIGTERM is passed on to its end, one that nobody reads is dropped
-/// with the process, and the process ends well.
+/// A stream that runs at SIGTERM is passed on to its end, one that nobody reads is dropped with the process, and the
+/// process exits with success.
 #[test]
 fn streams_finish_before_process_exit() {
     let whole = body(MIB);
@@ -411,7 +411,7 @@
     assert!(node.wait().success());
 }
 
-/// Guards a configuration that is read again in the middle of a stream.
+/// A stream goes on while the configuration is read again.
 #[test]
 fn stream_continues_across_a_reload() {
     let whole = body(MIB);
@@ -442,8 +442,8 @@
     assert!(got == whole.as_bytes());
 }
 
-/// Guards memory: where all of the room for long answers is taken, one more fails at once, short ones are served, and
-/// there is room again once streams end.
+/// Where the memory budget for long responses is exhausted, one more fails at once, short ones are served, and memory is
+/// free again once streams end.
 #[test]
 fn long_responses_beyond_the_memory_budget_fail_and_short_ones_pass() {
     let whole = body(8 * MIB);
