--- a/crates/node/tests/streaming.rs
+++ b/crates/node/tests/streaming.rs
@@ -68,9 +68,9 @@
     request_with("submit", "", &format!("X-Time-Left: 15000m\r\n{headers}"))
 }
 
-/// Guards that the first bytes of a long answer reach the client while the server still holds the rest.
+/// The first bytes of a long response reach the client while the endpoint still holds the rest back.
 #[test]
-fn an_answer_passes_as_it_comes() {
+fn response_is_streamed_as_it_arrives() {
     let (got_first, go_on) = mpsc::channel::<()>();
     let go_on = std::sync::Mutex::new(go_on);
     let whole = body(3 * MIB);
@@ -97,9 +97,9 @@
     assert_eq!(Message::read_head(&mut input).unwrap().status(), 200);
 }
 
-/// Guards every way in which HTTP/1.1 says where an answer ends, short and long.
+/// Every way in which HTTP/1.1 says where a response ends, short and long.
 #[test]
-fn answers_of_every_form_come_whole() {
+fn responses_of_every_framing_arrive_complete() {
     for length in [100, 64 << 10, (64 << 10) + 1, 2 * MIB] {
         let whole = body(length);
         let chunked: String = whole
@@ -134,10 +134,10 @@
     }
 }
 
-/// Guards that an answer which breaks is seen to be cut, is not sent again, and that one that is reset is not whole though
-/// its server said that it ends with the connection.
+/// A response that breaks off is visibly incomplete at the client and is not retried. One that is reset is incomplete
+/// although the endpoint said that it ends with the connection.
 #[test]
-fn a_server_that_dies_mid_answer_is_seen_to() {
+fn response_of_a_failed_endpoint_is_cut_and_not_retried() {
     let long = body(MIB);
     let heads = ["Content-Length: 2097152\r\n", "Transfer-Encoding: chunked\r\n", "Connection: close\r\n"];
     for headers in heads {
@@ -168,10 +168,10 @@
     }
 }
 
-/// Guards memory, places and others: clients that ask for long answers and read nothing cost little, hold no place at
-/// the server, and get all of it once they do read.
+/// Clients that request long responses and read nothing use little memory and no capacity of the endpoint, and get all of
+/// it once they read.
 #[test]
-fn clients_that_read_nothing_cost_little() {
+fn clients_that_read_nothing_use_bounded_memory() {
     let whole = body(8 * MIB);
     let sent = whole.clone();
     let backend =
@@ -197,9 +197,9 @@
     }
 }
 
-/// Guards a client that leaves mid-answer: its connection to the server is not used again.
+/// A client disconnects within a response: its connection to the endpoint is not reused.
 #[test]
-fn a_client_that_leaves_mid_answer_takes_its_connection_along() {
+fn disconnect_mid_response_closes_the_upstream_connection() {
     let whole = body(8 * MIB);
     let backend = Backend::start(move |_| ok(&whole));
     let node = Setup::of(&[&backend]).start();
@@ -210,9 +210,9 @@
     wait_for("the attempt's end", || backend.closed() == 1);
 }
 
-/// Guards uploads: what comes is what was sent, once, whatever its length and however it is framed.
+/// An upload arrives as it was sent, once, whatever its length and framing.
 #[test]
-fn an_upload_passes_whole() {
+fn upload_is_streamed_completely() {
     for length in [(64 << 10) + 1, MIB, MIB + 1, 5 * MIB] {
         let whole = body(length);
         let backend = Backend::start(|message| ok(&message.body.len().to_string()));
@@ -240,10 +240,10 @@
     assert!(came.recv_timeout(LIMIT).unwrap().unwrap() == whole.as_bytes());
 }
 
-/// Guards rule 2 and its end: of an upload that has gone in part nothing is sent again. Its last byte was not written, so it never
-/// ran, and the client may come again.
+/// An upload of which part was sent is not retried. Its last byte was not written, so it was not executed, and the client
+/// may retry.
 #[test]
-fn an_upload_whose_server_dies_is_not_sent_again() {
+fn upload_to_a_failed_endpoint_is_not_retried() {
     let (seen, count) = mpsc::channel();
     let server = raw(move |_, mut input, _| {
         let _ = seen.send(());
@@ -261,9 +261,9 @@
     assert_eq!(count.try_iter().count(), 1);
 }
 
-/// Guards that as long as only the held part has gone, another server gets all of it.
+/// While only the buffered part was sent, another endpoint gets all of it.
 #[test]
-fn the_held_part_is_sent_again() {
+fn upload_is_retried_while_only_its_buffered_part_was_sent() {
     let backend = Backend::start(|message| ok(&message.body.len().to_string()));
     let hosts = [host("s-dead", refusing(), "active"), host("s-good", backend.address, "active")];
     let node = Setup { known: list(1, true, &hosts), ..Setup::of(&[]) }.start();
@@ -274,9 +274,9 @@
     assert!(backend.seen.lock().unwrap().iter().all(|message| message.body == whole.as_bytes()));
 }
 
-/// Guards that an upload which goes on slowly is taken, and one that stops is ended, before its server has begun and after.
+/// A slow upload that goes on is taken, and one that stalls is ended, before its attempt has begun and after.
 #[test]
-fn slow_uploads_pass_and_stopped_ones_end() {
+fn slow_uploads_pass_and_stalled_ones_time_out() {
     let backend = Backend::start(|message| ok(&message.body.len().to_string()));
     let node = Setup::of(&[&backend]).start();
     let slow = thread::scope(|scope| {
@@ -301,9 +301,9 @@
     assert_eq!(backend.count(), 1);
 }
 
-/// Guards the bound: what says that it is too long is told so at once.
+/// A stated length over the limit is rejected before the body is read.
 #[test]
-fn what_is_too_long_is_turned_away() {
+fn stated_length_over_the_limit_is_rejected_at_once() {
     let backend = Backend::start(|_| ok("done"));
     let node = Setup::of(&[&backend]).start();
     let (mut input, mut stream) = connect(&node);
@@ -312,9 +312,9 @@
     assert_eq!(backend.count(), 0);
 }
 
-/// Guards a server that answers before the upload ends: the answer counts, and the connection ends.
+/// An endpoint answers before the upload ends: the response is forwarded, and the connection closes.
 #[test]
-fn an_early_answer_is_passed_on() {
+fn response_before_the_end_of_an_upload_is_forwarded() {
     let server = raw(|_, mut input, mut stream| {
         let _ = input.read_exact(&mut vec![0; 2 * MIB]);
         let _ = stream.write_all(answer("200 OK", "", "enough").as_bytes());
@@ -329,9 +329,9 @@
     assert_eq!(answer.header("connection"), Some("close"));
 }
 
-/// Guards the bound where no length is stated: an upload that passes it on its way to a server is told that it is too long.
+/// An upload without a stated length that exceeds the limit on its way to an endpoint is answered with 413.
 #[test]
-fn what_proves_too_long_on_its_way_is_told_so() {
+fn unsized_upload_over_the_limit_is_rejected() {
     let server = raw(|_, mut input, _| drop(std::io::copy(&mut input, &mut std::io::sink())));
     let node = node_of(&[server, server]);
     let (mut input, mut stream) = connect(&node);
@@ -346,9 +346,9 @@
     assert_eq!(Message::read_head(&mut input).unwrap().status(), 413);
 }
 
-/// Guards memory and places: a client that reads nothing of a long answer is given up, and its server's connection with it.
+/// A client that reads nothing of a long response is disconnected, and the endpoint's connection closes with it.
 #[test]
-fn a_client_that_reads_nothing_is_given_up() {
+fn client_that_reads_nothing_is_disconnected() {
     let whole = body(30 * MIB);
     let backend = Backend::start(move |_| ok(&whole));
     let node = Setup::of(&[&backend]).start();
@@ -360,9 +360,9 @@
     assert_eq!(node.ask(&request("read", "")).status(), 200);
 }
 
-/// Guards against servers that fall silent in the middle of an answer: the client sees a cut one, in bounded time.
+/// An endpoint falls silent within a response: the client sees an incomplete one, in bounded time.
 #[test]
-fn a_server_that_falls_silent_mid_answer_is_given_up() {
+fn endpoint_silent_mid_response_is_given_up() {
     let server = raw(|_, _, mut stream| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\nsome");
         let _ = stream.read(&mut [0; 8]);
@@ -376,10 +376,10 @@
     assert!(got == b"some" && ended.is_ok_and(|count| count == 4));
 }
 
-/// Guards the orderly end: a stream that is under way at SIGTERM is passed on to its end, one that nobody reads is dropped
-/// with the process, and the process ends well.
+/// A stream that runs at SIGTERM is passed on to its end, one that nobody reads is dropped with the process, and the
+/// process exits with success.
 #[test]
-fn streams_at_the_end_of_the_process() {
+fn streams_finish_before_process_exit() {
     let whole = body(MIB);
     let (go_on, wait) = mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
@@ -411,9 +411,9 @@
     assert!(node.wait().success());
 }
 
-/// Guards a configuration that is read again in the middle of a stream.
+/// A stream goes on while the configuration is read again.
 #[test]
-fn a_stream_outlives_a_reload() {
+fn stream_continues_across_a_reload() {
     let whole = body(MIB);
     let (go_on, wait) = mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
@@ -442,10 +442,10 @@
     assert!(got == whole.as_bytes());
 }
 
-/// Guards memory: where all of the room for long answers is taken, one more fails at once, short ones are served, and
-/// there is room again once streams end.
+/// Where the memory budget for long responses is exhausted, one more fails at once, short ones are served, and memory is
+/// free again once streams end.
 #[test]
-fn long_answers_beyond_the_room_fail_and_short_ones_do_not() {
+fn long_responses_beyond_the_memory_budget_fail_and_short_ones_pass() {
     let whole = body(8 * MIB);
     let backend = Backend::start(
         move |message| if message.first.contains("submit") { ok(&whole) } else { ok("short") },
