--- a/crates/node/tests/client_leaves.rs
+++ b/crates/node/tests/client_leaves.rs
@@ -11,10 +11,10 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_testbed::departure::*;
-use pumicehead_testbed::gate::Gate;
-use pumicehead_testbed::late::Late;
+use pumicehead_testbed::barrier::Barrier;
+use pumicehead_testbed::client_disconnect::*;
 use pumicehead_testbed::scripted::*;
+use pumicehead_testbed::slow_connect::SlowConnectListener;
 
 type Changes = &'static [(&'static str, &'static str)];
 
@@ -43,9 +43,9 @@
 }
 
 /// What clients that have left had asked, of which nothing may be among what a server got.
-fn assert_none_sent(left: &[Departed], sent: &[String], of: &str) {
+fn assert_none_sent(left: &[DisconnectedClient], sent: &[String], of: &str) {
     let sent: BTreeSet<_> = sent.iter().collect();
-    let asked = left.iter().flat_map(|client| client.ids.iter().map(|id| (client.departure, id)));
+    let asked = left.iter().flat_map(|client| client.ids.iter().map(|id| (client.disconnect, id)));
     let late: Vec<_> = asked.filter(|(_, id)| sent.contains(id)).collect();
     assert!(late.is_empty(), "{of}: {} sent on after their clients had left: {late:?}", late.len());
 }
@@ -64,12 +64,10 @@
         let (backend, discovery) = (Backend::start(|_| ok("done")), Discovery::start());
         let node = Setup { discovery: discovery.address, changes, ..Setup::of(&[]) }.start();
         let (_, lines) = discovery.next();
-        let clients: Vec<_> = (0..BURST)
-            .flat_map(|_| Departure::ALL)
-            .map(|departure| departure.ask(node.address, "submit"))
-            .collect();
+        let clients: Vec<_> =
+            (0..BURST).flat_map(|_| Disconnect::ALL).map(|way| way.ask(node.address, "submit")).collect();
         await_turn(&node);
-        let left: Vec<_> = clients.into_iter().map(Leaver::leave).collect();
+        let left: Vec<_> = clients.into_iter().map(DisconnectingClient::leave).collect();
         await_turn(&node);
         lines.send(list(2, true, &[host("s-0", backend.address, "active")])).unwrap();
         ask_often(&node);
@@ -81,10 +79,10 @@
 #[test]
 fn disconnect_drops_first_attempt_waiting_for_capacity() {
     for changes in SETTINGS {
-        let gate = Gate::default();
+        let gate = Barrier::default();
         let held = gate.clone();
         let backend = Backend::start(move |_| {
-            held.pass();
+            held.wait();
             ok("done")
         });
         let node = Setup { changes, ..Setup::of(&[&backend]) }.start();
@@ -98,12 +96,10 @@
         await_turn(&node);
         let taken = backend.count();
         assert!(taken < staying.len(), "some wait");
-        let clients: Vec<_> = (0..BURST)
-            .flat_map(|_| Departure::ALL)
-            .map(|departure| departure.ask(node.address, "submit"))
-            .collect();
+        let clients: Vec<_> =
+            (0..BURST).flat_map(|_| Disconnect::ALL).map(|way| way.ask(node.address, "submit")).collect();
         await_turn(&node);
-        let left: Vec<_> = clients.into_iter().map(Leaver::leave).collect();
+        let left: Vec<_> = clients.into_iter().map(DisconnectingClient::leave).collect();
         await_turn(&node);
         gate.open();
         for mut client in staying {
@@ -118,18 +114,18 @@
 #[test]
 fn disconnect_drops_attempt_that_is_connecting() {
     for changes in SETTINGS {
-        let late = Late::start();
+        let late = SlowConnectListener::start();
         let address = late.listener.local_addr().unwrap();
         let known = list(1, true, &[host("s-0", address, "active")]);
         let mut node = Setup { known, changes, ..Setup::of(&[]) }.start();
-        let clients = Departure::WHOLE.map(|departure| departure.ask(node.address, "submit"));
+        let clients = Disconnect::WHOLE.map(|way| way.ask(node.address, "submit"));
         let mut staying = node.connect();
         let marker = request("submit", "marker");
         staying.write(&marker);
         await_turn(&node);
-        let left = clients.map(Leaver::leave);
+        let left = clients.map(DisconnectingClient::leave);
         await_turn(&node);
-        let seen = late.let_go();
+        let seen = late.accept_connections();
         assert_eq!(staying.read().expect("an answer").body, b"done");
         // What still dials comes up before the node has ended.
         node.terminate();
@@ -144,13 +140,13 @@
 struct Failing {
     backend: Backend,
     holds: Arc<AtomicBool>,
-    gate: Gate,
+    gate: Barrier,
 }
 
 impl Failing {
     /// One that fails in the way after which another attempt at a request of a class is allowed.
     fn start(class: &str) -> Self {
-        let (holds, gate) = (Arc::new(AtomicBool::new(false)), Gate::default());
+        let (holds, gate) = (Arc::new(AtomicBool::new(false)), Barrier::default());
         let (held, behind) = (holds.clone(), gate.clone());
         let failure = match class {
             "submit" => answer("503 Service Unavailable", "X-Unprocessed: 1\r\n", ""),
@@ -162,7 +158,7 @@
                 thread::sleep(Duration::from_millis(20));
                 return ok("done");
             }
-            behind.pass();
+            behind.wait();
             Act::WriteAndClose(failure.clone())
         });
         Self { backend, holds, gate }
@@ -195,13 +191,13 @@
     node: &Node,
     server: &Failing,
     class: &'static str,
-) -> Option<(Client, Vec<Leaver>)> {
+) -> Option<(Client, Vec<DisconnectingClient>)> {
     let before = server.hold_from_now(node, class);
     let mut staying = node.connect();
     staying.write(&request(class, body_of(class)));
     wait_for("its attempt", || server.backend.count() > before);
-    let ways = [Departure::Pipelined, Departure::Fin, Departure::Reset, Departure::HalfClose];
-    let leavers = ways.map(|departure| departure.ask(node.address, class));
+    let ways = [Disconnect::Pipelined, Disconnect::Fin, Disconnect::Reset, Disconnect::HalfClose];
+    let leavers = ways.map(|way| way.ask(node.address, class));
     await_turn(node);
     let tried = ids_at(&server.backend);
     let leavers: Vec<_> = leavers.into_iter().filter(|leaver| tried.contains(&leaver.ids[0])).collect();
@@ -240,7 +236,7 @@
         let (mut staying, leavers) = ask_with_one_that_stays(&node, &server, class)?;
         let added = [host("s-1", other.address, "active"), host("s-0", server.backend.address, "leaving")];
         let _lines = tell(&discovery, lines, 2, &added);
-        let left: Vec<_> = leavers.into_iter().map(Leaver::leave).collect();
+        let left: Vec<_> = leavers.into_iter().map(DisconnectingClient::leave).collect();
         await_turn(&node);
         server.gate.open();
         assert_eq!(staying.read().expect("an answer").status(), 200, "{class}, {}", named(changes));
@@ -268,7 +264,7 @@
         server.gate.open();
         wait_for("their ends", || server.backend.closed() > closed + leavers.len());
         await_turn(&node);
-        let left: Vec<_> = leavers.into_iter().map(Leaver::leave).collect();
+        let left: Vec<_> = leavers.into_iter().map(DisconnectingClient::leave).collect();
         await_turn(&node);
         lines.send(list(3, false, &[host("s-1", other.address, "active")])).unwrap();
         assert_eq!(staying.read().expect("an answer").status(), 200, "{class}, {}", named(changes));
@@ -290,7 +286,7 @@
         let node = setup.start();
         let (_, lines) = discovery.next();
         let (mut staying, leavers) = ask_with_one_that_stays(&node, &server, "read")?;
-        let left: Vec<_> = leavers.into_iter().map(Leaver::leave).collect();
+        let left: Vec<_> = leavers.into_iter().map(DisconnectingClient::leave).collect();
         await_turn(&node);
         lines.send(list(2, false, &[host("s-1", other.address, "active")])).unwrap();
         // The one that stays has its copy while its first attempt is still out.
--- a/crates/node/tests/crossings.rs
+++ b/crates/node/tests/crossings.rs
@@ -8,9 +8,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pumicehead_testbed::departure::{Departure, id_of as id, ids_at as ids};
-use pumicehead_testbed::late::Late;
+use pumicehead_testbed::client_disconnect::{Disconnect, id_of as id, ids_at as ids};
 use pumicehead_testbed::scripted::*;
+use pumicehead_testbed::slow_connect::SlowConnectListener;
 
 const NO_CANCEL: (&str, &str) = ("\"cancel\":true", "\"cancel\":false");
 
@@ -34,7 +34,7 @@
         let (_, lines) = discovery.next();
         // No server is known: everything waits.
         let clients: Vec<_> =
-            (0..10).flat_map(|_| Departure::ALL).map(|way| way.ask(node.address, "submit")).collect();
+            (0..10).flat_map(|_| Disconnect::ALL).map(|way| way.ask(node.address, "submit")).collect();
         let mut staying = node.connect();
         let marker = request("submit", "marker");
         staying.write(&marker);
@@ -50,7 +50,7 @@
         assert_eq!(staying.read().expect("an answer").body, b"done");
         let sent = ids(&backend);
         assert!(sent.contains(&id(&marker)));
-        let asked = left.iter().flat_map(|client| client.ids.iter().map(|id| (id, client.departure)));
+        let asked = left.iter().flat_map(|client| client.ids.iter().map(|id| (id, client.disconnect)));
         let late: Vec<_> = asked.filter(|(id, _)| sent.contains(id)).collect();
         assert!(late.is_empty(), "{} of {} sent on, {changes:?}: {late:?}", late.len(), left.len());
     }
@@ -64,12 +64,12 @@
         &[RANKED, ("\"dial_timeout_ns\":250000000", "\"dial_timeout_ns\":12000000000")][..],
         &[RANKED, ("\"dial_timeout_ns\":250000000", "\"dial_timeout_ns\":12000000000"), NO_CANCEL][..],
     ] {
-        let late = Late::start();
+        let late = SlowConnectListener::start();
         let address = late.listener.local_addr().unwrap();
         let setup =
             Setup { known: list(1, true, &[host("s-0", address, "active")]), changes, ..Setup::of(&[]) };
         let mut node = setup.start();
-        let ways = [Departure::Fin, Departure::HalfClose, Departure::Pipelined];
+        let ways = [Disconnect::Fin, Disconnect::HalfClose, Disconnect::Pipelined];
         let clients = ways.map(|way| way.ask(node.address, "submit"));
         let mut staying = node.connect();
         let marker = request("submit", "marker");
@@ -78,7 +78,7 @@
         thread::sleep(Duration::from_millis(200));
         let left = clients.map(|client| client.leave());
         thread::sleep(Duration::from_millis(300));
-        let seen = late.let_go();
+        let seen = late.accept_connections();
         assert_eq!(staying.read().expect("an answer").body, b"done");
         node.terminate();
         assert_eq!(node.wait().code(), Some(0));
@@ -95,7 +95,7 @@
 fn connecting_attempt_is_not_written_to_a_removed_endpoint() {
     const DIAL: (&str, &str) = ("\"dial_timeout_ns\":250000000", "\"dial_timeout_ns\":12000000000");
     for case in ["drain", "restart", "deadline"] {
-        let (late, other) = (Late::start(), Backend::start(|_| ok("other")));
+        let (late, other) = (SlowConnectListener::start(), Backend::start(|_| ok("other")));
         let address = late.listener.local_addr().unwrap();
         let discovery = Discovery::start();
         let known = list(1, true, &[host("s-0", address, "active")]);
@@ -120,7 +120,7 @@
         }
         let answered = (case == "deadline").then(|| client.read().expect("an answer").status());
         assert!(answered.is_none_or(|status| status != 200));
-        let seen = late.let_go();
+        let seen = late.accept_connections();
         if case != "deadline" {
             assert_eq!(client.read().expect("an answer").body, b"other", "{case}");
         }
@@ -145,7 +145,7 @@
             // It may have run.
             Act::WriteAndClose(String::new())
         });
-        let (late, discovery) = (Late::start(), Discovery::start());
+        let (late, discovery) = (SlowConnectListener::start(), Discovery::start());
         let node = Setup { changes, discovery: discovery.address, ..Setup::of(&[&first]) }.start();
         let (_, lines) = discovery.next();
         let mut client = node.connect();
@@ -157,7 +157,7 @@
         release.send(()).unwrap();
         // The repeat dials within the window, and until that is over.
         thread::sleep(Duration::from_millis(1_200).saturating_sub(since.elapsed()));
-        let seen = late.let_go();
+        let seen = late.accept_connections();
         let status = client.read().expect("an answer").status();
         let sent = seen
             .lock()
--- a/crates/node/tests/descriptor_reserve.rs
+++ b/crates/node/tests/descriptor_reserve.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_testbed::gate::Gate;
+use pumicehead_testbed::barrier::Barrier;
 use pumicehead_testbed::scripted::*;
 
 /// Descriptors that the system lets the node have, as its configuration says.
@@ -108,11 +108,11 @@
 /// connections as they may.
 #[test]
 fn idle_clients_leave_descriptors_for_servers_and_discovery() {
-    let gate = Gate::default();
+    let gate = Barrier::default();
     let held = gate.clone();
     let old = Backend::start(move |message| match message.body.as_slice() {
         b"held" => {
-            held.pass();
+            held.wait();
             ok("held")
         }
         // The next one needs a connection of its own.
--- a/crates/node/tests/fastcgi.rs
+++ b/crates/node/tests/fastcgi.rs
@@ -9,11 +9,13 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use pumicehead_fastcgi::record::{Begin, End, Kind, ProtocolStatus, Role, put, put_stream};
-use pumicehead_testbed::board::{Act, Asked, Asker, Boards, Speaks, served};
+use pumicehead_fastcgi::record::{Begin, End, Kind, ProtocolStatus, Record, Role, put, put_stream};
 use pumicehead_testbed::program::{Standalone, temporary, wait_for};
+use pumicehead_testbed::scripted_backend::{
+    Act, Protocol, ProtocolClient, ScriptedBackends, ScriptedRequest, served,
+};
 
-fn text(front: Speaks, servers: &[String], more: &str) -> String {
+fn text(front: Protocol, servers: &[String], more: &str) -> String {
     let one = |(n, address): (usize, &String)| format!("server s{n} {{ address {address} }}\n");
     let servers: String = servers.iter().enumerate().map(one).collect();
     format!(
@@ -28,12 +30,12 @@
     )
 }
 
-fn node(front: Speaks, servers: &[SocketAddr], more: &str) -> Standalone {
+fn node(front: Protocol, servers: &[SocketAddr], more: &str) -> Standalone {
     let servers: Vec<_> = servers.iter().map(SocketAddr::to_string).collect();
     Standalone::start(&text(front, &servers, more), 1)
 }
 
-fn script(acts: Vec<Act>) -> Arc<dyn Fn(&Asked) -> Act + Send + Sync> {
+fn script(acts: Vec<Act>) -> Arc<dyn Fn(&ScriptedRequest) -> Act + Send + Sync> {
     Arc::new(move |asked| acts[(asked.number as usize).min(acts.len() - 1)].clone())
 }
 
@@ -131,10 +133,10 @@
         ),
     ];
     for (name, act, status, attempts) in cases {
-        let boards = Boards::new(script(vec![act, served("12345")]));
-        let servers = [boards.start(Speaks::FastCgi), boards.start(Speaks::FastCgi)];
-        let node = node(Speaks::Http, &servers, "");
-        let mut client = Asker::connect(node.address(), Speaks::Http).unwrap();
+        let boards = ScriptedBackends::new(script(vec![act, served("12345")]));
+        let servers = [boards.start(Protocol::FastCgi), boards.start(Protocol::FastCgi)];
+        let node = node(Protocol::Http, &servers, "");
+        let mut client = ProtocolClient::connect(node.address(), Protocol::Http).unwrap();
         let answer = client.ask("POST", "/runs/any", "X-Unit: 1\r\n", b"x");
         assert_eq!((answer.status, boards.seen().lines.len() as u32), (status, attempts), "{name}");
         if status == 200 {
@@ -156,9 +158,10 @@
     put_stream(&mut bytes, Kind::Stderr, 1, b"in between\n");
     put(&mut bytes, Kind::Stdout, 1, b"12345");
     put(&mut bytes, Kind::EndRequest, 1, &end(0));
-    let boards = Boards::new(script(vec![Act::Raw(bytes.to_vec())]));
-    let node = node(Speaks::Http, &[boards.start(Speaks::FastCgi)], "");
-    let answer = Asker::connect(node.address(), Speaks::Http).unwrap().ask("GET", "/boards/x", "", b"");
+    let boards = ScriptedBackends::new(script(vec![Act::Raw(bytes.to_vec())]));
+    let node = node(Protocol::Http, &[boards.start(Protocol::FastCgi)], "");
+    let answer =
+        ProtocolClient::connect(node.address(), Protocol::Http).unwrap().ask("GET", "/boards/x", "", b"");
     assert_eq!((answer.status, answer.body.as_slice()), (200, b"12345".as_slice()));
     // 24 MB in well under a minute: a line a second at most, and none is long.
     assert!((1..60).contains(&node.said("stderr: eee")), "{}", node.said("stderr"));
@@ -172,9 +175,9 @@
 fn closed_idle_connection_loses_no_request() {
     let whole =
         records(&[(Kind::Stdout, 1, HEAD), (Kind::Stdout, 1, b"12345"), (Kind::EndRequest, 1, &end(0))]);
-    let boards = Boards::new(script(vec![Act::Raw(whole)]));
-    let node = node(Speaks::Http, &[boards.start(Speaks::FastCgi)], "");
-    let mut client = Asker::connect(node.address(), Speaks::Http).unwrap();
+    let boards = ScriptedBackends::new(script(vec![Act::Raw(whole)]));
+    let node = node(Protocol::Http, &[boards.start(Protocol::FastCgi)], "");
+    let mut client = ProtocolClient::connect(node.address(), Protocol::Http).unwrap();
     for n in 0..100 {
         // As soon as it is answered, and some time later.
         if n % 3 == 0 {
@@ -195,15 +198,15 @@
 fn connections_carry_as_many_requests_as_endpoints_state() {
     let slow = || script(vec![Act::Later(Duration::from_millis(300), Box::new(served("rank 1")))]);
     for (multiplex, connections) in [(true, 1), (false, 4)] {
-        let boards = Boards::new(slow());
+        let boards = ScriptedBackends::new(slow());
         let boards = if multiplex { boards.multiplexing() } else { boards };
-        let node = node(Speaks::Http, &[boards.start(Speaks::FastCgi)], "");
+        let node = node(Protocol::Http, &[boards.start(Protocol::FastCgi)], "");
         // Places of a server are learned: first one request at a time, then more and more at once.
         let address = node.address();
         let clients: Vec<_> = (0..4)
             .map(|_| {
                 thread::spawn(move || {
-                    let mut client = Asker::connect(address, Speaks::Http).unwrap();
+                    let mut client = ProtocolClient::connect(address, Protocol::Http).unwrap();
                     (0..12).map(|_| client.ask("GET", "/boards/x", "", b"").status).collect::<Vec<_>>()
                 })
             })
@@ -220,8 +223,8 @@
     // A server that knows no management records and closes on them.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let boards = Boards::new(script(vec![served("rank 1")]));
-    let behind = boards.start(Speaks::FastCgi);
+    let boards = ScriptedBackends::new(script(vec![served("rank 1")]));
+    let behind = boards.start(Protocol::FastCgi);
     thread::spawn(move || {
         for (n, stream) in listener.incoming().map_while(Result::ok).enumerate() {
             if n == 0 {
@@ -235,8 +238,9 @@
             thread::spawn(move || std::io::copy(&mut back, &mut &stream));
         }
     });
-    let node = node(Speaks::Http, &[address], "");
-    let answer = Asker::connect(node.address(), Speaks::Http).unwrap().ask("POST", "/runs/x", "", b"x");
+    let node = node(Protocol::Http, &[address], "");
+    let answer =
+        ProtocolClient::connect(node.address(), Protocol::Http).unwrap().ask("POST", "/runs/x", "", b"x");
     assert_eq!((answer.status, boards.seen().lines.len()), (200, 1));
 }
 
@@ -245,8 +249,8 @@
 fn endpoint_on_a_unix_socket_is_reached() {
     let path = temporary(".sock");
     let listener = UnixListener::bind(&path).unwrap();
-    let boards = Boards::new(script(vec![served("rank 1")]));
-    let behind = boards.start(Speaks::FastCgi);
+    let boards = ScriptedBackends::new(script(vec![served("rank 1")]));
+    let behind = boards.start(Protocol::FastCgi);
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let to = TcpStream::connect(behind).unwrap();
@@ -256,8 +260,8 @@
         }
     });
     let servers = [format!("unix:{}", path.display())];
-    let node = Standalone::start(&text(Speaks::Http, &servers, ""), 1);
-    let mut client = Asker::connect(node.address(), Speaks::Http).unwrap();
+    let node = Standalone::start(&text(Protocol::Http, &servers, ""), 1);
+    let mut client = ProtocolClient::connect(node.address(), Protocol::Http).unwrap();
     assert_eq!(client.ask("GET", "/boards/a%20b?x=%2F", "", b"").status, 200);
     assert_eq!(boards.seen().lines, ["GET /boards/a%20b?x=%2F"]);
     // An encoded slash would be another path once decoded.
@@ -299,19 +303,19 @@
     all
 }
 
-fn connect(node: &Standalone) -> Asker {
-    Asker::connect(node.address(), Speaks::FastCgi).unwrap()
+fn connect(node: &Standalone) -> ProtocolClient {
+    ProtocolClient::connect(node.address(), Protocol::FastCgi).unwrap()
 }
 
 /// The ids of ended requests in order, with the status of each.
-fn ended(asker: &mut Asker, most: usize) -> Vec<(u16, u16)> {
+fn ended(asker: &mut ProtocolClient, most: usize) -> Vec<(u16, u16)> {
     let (mut list, mut heads) = (Vec::new(), std::collections::HashMap::<u16, Vec<u8>>::new());
     while list.len() < most {
         let came = asker.records(1);
         if came.is_empty() {
             break;
         }
-        for (kind, id, content) in came {
+        for Record { kind, id, content } in came {
             match kind {
                 Kind::Stdout => heads.entry(id).or_default().extend_from_slice(&content),
                 Kind::EndRequest => {
@@ -329,8 +333,8 @@
 
 #[test]
 fn malformed_fastcgi_requests_reach_no_endpoint() {
-    let boards = Boards::new(script(vec![served("rank 1")]));
-    let node = node(Speaks::FastCgi, &[boards.start(Speaks::FastCgi)], "limits { request-time 400ms }\n");
+    let boards = ScriptedBackends::new(script(vec![served("rank 1")]));
+    let node = node(Protocol::FastCgi, &[boards.start(Protocol::FastCgi)], "limits { request-time 400ms }\n");
     let ask = |bytes: &[u8]| {
         let mut client = connect(&node);
         client.write(bytes).unwrap();
@@ -372,22 +376,28 @@
         ]))
         .unwrap();
     let answers = client.records(2);
-    assert_eq!((answers[0].0, &answers[0].2[..]), (Kind::UnknownType, &[77, 0, 0, 0, 0, 0, 0, 0][..]));
-    assert_eq!((answers[1].0, &answers[1].2[..]), (Kind::GetValuesResult, &b"\x0f\x01FCGI_MPXS_CONNS1"[..]));
+    assert_eq!(
+        (answers[0].kind, &answers[0].content[..]),
+        (Kind::UnknownType, &[77, 0, 0, 0, 0, 0, 0, 0][..])
+    );
+    assert_eq!(
+        (answers[1].kind, &answers[1].content[..]),
+        (Kind::GetValuesResult, &b"\x0f\x01FCGI_MPXS_CONNS1"[..])
+    );
 }
 
 /// Of several requests on one connection the fast ones don't wait for the slow one, each gets its own response, and an
 /// abort ends its attempt alone.
 #[test]
 fn multiplexed_requests_are_independent() {
-    let boards = Boards::new(Arc::new(|asked: &Asked| match asked.target.as_str() {
+    let boards = ScriptedBackends::new(Arc::new(|asked: &ScriptedRequest| match asked.target.as_str() {
         "/boards/slow" => Act::Later(Duration::from_millis(700), Box::new(served("slow"))),
         "/boards/silent" => Act::Silent,
         _ => served("fast"),
     }))
     .multiplexing();
-    let servers: Vec<_> = (0..4).map(|_| boards.start(Speaks::FastCgi)).collect();
-    let node = node(Speaks::FastCgi, &servers, "");
+    let servers: Vec<_> = (0..4).map(|_| boards.start(Protocol::FastCgi)).collect();
+    let node = node(Protocol::FastCgi, &servers, "");
     let mut client = connect(&node);
     client
         .write(&[request(1, "/boards/slow", "", b""), request(2, "/boards/silent", "", b"")].concat())
@@ -408,9 +418,9 @@
 #[test]
 fn fastcgi_client_that_reads_nothing_uses_bounded_memory() {
     let big: &'static str = Box::leak("rank 1\n".repeat(9_000).into_boxed_str());
-    let boards = Boards::new(Arc::new(move |_: &Asked| served(big)));
-    let servers: Vec<_> = (0..4).map(|_| boards.start(Speaks::FastCgi)).collect();
-    let node = node(Speaks::FastCgi, &servers, "");
+    let boards = ScriptedBackends::new(Arc::new(move |_: &ScriptedRequest| served(big)));
+    let servers: Vec<_> = (0..4).map(|_| boards.start(Protocol::FastCgi)).collect();
+    let node = node(Protocol::FastCgi, &servers, "");
     let mut stuck = connect(&node);
     // 1,000 answers of 63 KB would be 63 MB: past a bound new requests are turned away, and cost nothing.
     let writer = thread::spawn(move || {
@@ -437,12 +447,12 @@
 /// Drains and reloads with several requests on one connection.
 #[test]
 fn reload_and_sigterm_answer_all_requests_of_a_connection() {
-    let boards = Boards::new(Arc::new(|asked: &Asked| {
+    let boards = ScriptedBackends::new(Arc::new(|asked: &ScriptedRequest| {
         let span = Duration::from_millis(if asked.target.ends_with("slow") { 700 } else { 1 });
         Act::Later(span, Box::new(served("rank 1")))
     }));
-    let servers: Vec<_> = (0..3).map(|_| boards.start(Speaks::FastCgi).to_string()).collect();
-    let before = text(Speaks::FastCgi, &servers, "");
+    let servers: Vec<_> = (0..3).map(|_| boards.start(Protocol::FastCgi).to_string()).collect();
+    let before = text(Protocol::FastCgi, &servers, "");
     let mut node = Standalone::start(&before, 1);
     let mut client = connect(&node);
     client
--- a/crates/node/tests/parity.rs
+++ b/crates/node/tests/parity.rs
@@ -5,10 +5,10 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_testbed::board::{Act, Asker, Boards, served};
 use pumicehead_testbed::parity::{compare_all, pairings, script, text};
 use pumicehead_testbed::program::{Standalone, wait_for};
 use pumicehead_testbed::scripted::refusing;
+use pumicehead_testbed::scripted_backend::{Act, ProtocolClient, ScriptedBackends, served};
 
 #[test]
 fn all_pairings_end_alike() {
@@ -21,13 +21,13 @@
 #[test]
 fn a_client_that_leaves_has_its_attempt_called_back() {
     for (front, back) in pairings() {
-        let boards = Boards::new(script(vec![Act::Silent]));
+        let boards = ScriptedBackends::new(script(vec![Act::Silent]));
         let servers = [boards.start(back), boards.start(back)];
         let node = Standalone::start(
             &text(front, back, &servers, "").replace("deadline 1500ms", "deadline 1min"),
             1,
         );
-        let mut client = Asker::connect(node.address(), front).unwrap();
+        let mut client = ProtocolClient::connect(node.address(), front).unwrap();
         client.send("POST", "/runs/any", "X-Unit: 1\r\n", b"x").unwrap();
         wait_for("the attempt", || boards.seen().lines.len() == 1);
         drop(client);
@@ -40,14 +40,16 @@
 #[test]
 fn beyond_the_most_held_all_refuse() {
     for (front, back) in pairings() {
-        let boards =
-            Boards::new(script(vec![Act::Later(Duration::from_millis(400), Box::new(served("rank 1")))]));
+        let boards = ScriptedBackends::new(script(vec![Act::Later(
+            Duration::from_millis(400),
+            Box::new(served("rank 1")),
+        )]));
         let servers = [boards.start(back)];
         let node = Standalone::start(&text(front, back, &servers, "limits { held 1 }\n"), 1);
-        let mut first = Asker::connect(node.address(), front).unwrap();
+        let mut first = ProtocolClient::connect(node.address(), front).unwrap();
         first.send("GET", "/boards/x", "X-Unit: 1\r\n", b"").unwrap();
         wait_for("the first", || boards.seen().lines.len() == 1);
-        let mut second = Asker::connect(node.address(), front).unwrap();
+        let mut second = ProtocolClient::connect(node.address(), front).unwrap();
         let refused = second.ask("GET", "/boards/x", "X-Unit: 2\r\n", b"");
         assert_eq!((refused.status, refused.field("retry-after")), (503, Some("1")), "{front:?} to {back:?}");
         assert_eq!(first.read("GET").status, 200);
@@ -67,18 +69,19 @@
         };
         let later =
             || vec![Act::Later(Duration::from_millis(600), Box::new(served("rank 1"))), served("rank 2")];
-        let (leaves, stays) = (Boards::new(script(later())), Boards::new(script(vec![served("stays")])));
+        let (leaves, stays) =
+            (ScriptedBackends::new(script(later())), ScriptedBackends::new(script(vec![served("stays")])));
         let (one, other) = (leaves.start(back), stays.start(back));
         let mut node = Standalone::start(&text(one), 1);
-        let mut client = Asker::connect(node.address(), front).unwrap();
+        let mut client = ProtocolClient::connect(node.address(), front).unwrap();
         client.send("POST", "/runs/x", "X-Unit: 1\r\n", b"x").unwrap();
         wait_for("the open request", || leaves.seen().lines.len() == 1);
         node.reload(&text(other).replace("server s0", "server s1"));
-        let mut new = Asker::connect(node.address(), front).unwrap();
+        let mut new = ProtocolClient::connect(node.address(), front).unwrap();
         assert_eq!(new.ask("POST", "/runs/x", "X-Unit: 2\r\n", b"x").body, b"stays", "{pairing}");
         assert_eq!(client.read("POST").body, b"rank 1", "{pairing}");
         assert_eq!(leaves.seen().lines.len(), 1, "{pairing}");
-        let slow = Boards::new(script(later()));
+        let slow = ScriptedBackends::new(script(later()));
         node.reload(&text(slow.start(back)).replace("server s0", "server s2"));
         client.send("POST", "/runs/x", "X-Unit: 3\r\n", b"x").unwrap();
         wait_for("the last request", || slow.seen().lines.len() == 1);
@@ -93,7 +96,7 @@
 fn a_server_that_comes_back_is_cold() {
     for (front, back) in pairings() {
         let work = || script(vec![Act::Later(Duration::from_millis(10), Box::new(served("rank 1")))]);
-        let (steady, returns) = (Boards::new(work()), Boards::new(work()));
+        let (steady, returns) = (ScriptedBackends::new(work()), ScriptedBackends::new(work()));
         let address = refusing();
         let text = text(front, back, &[steady.start(back), address], "");
         let text = text.replace("pool boards {", "pool boards { warm-up 1h from 1%\n");
@@ -103,7 +106,7 @@
             .map(|_| {
                 let (over, address) = (over.clone(), node.address());
                 thread::spawn(move || {
-                    let mut client = Asker::connect(address, front).unwrap();
+                    let mut client = ProtocolClient::connect(address, front).unwrap();
                     let mut odd = Vec::new();
                     while !over.load(std::sync::atomic::Ordering::SeqCst) {
                         let status = client.ask("GET", "/boards/x", "X-Unit: 1\r\n", b"").status;
--- /dev/null
+++ b/crates/testbed/src/client_disconnect.rs
@@ -0,0 +1,165 @@
+//! Clients of the platform's protocol that disconnect before they have a response.
+
+use std::net::{Shutdown, SocketAddr};
+use std::time::Duration;
+
+use socket2::SockRef;
+
+use crate::scripted::{Backend, Client, Message, Node, request};
+
+/// Bytes written of [`Disconnect::MidLongBody`]: more than a node reads before it admits the request, and less than the
+/// body has.
+const LONG_BODY_WRITTEN: usize = 100_000;
+/// `Content-Length` of [`Disconnect::MidLongBody`], in bytes.
+const LONG_BODY: usize = 200_000;
+/// Requests behind the first of [`Disconnect::Pipelined`].
+const PIPELINED: usize = 3;
+/// Requests behind the first of [`Disconnect::PipelinedBurst`].
+const PIPELINED_BURST: usize = 400;
+
+/// How a client disconnects.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Disconnect {
+    /// It closes the connection.
+    Fin,
+    /// It resets the connection.
+    Reset,
+    /// It shuts down its sending side and keeps the socket open.
+    HalfClose,
+    /// It closes the connection with some further requests behind the first.
+    Pipelined,
+    /// It closes the connection with more requests behind the first than a read buffer holds, the HTTP library's or the
+    /// kernel's.
+    PipelinedBurst,
+    /// It closes the connection in the middle of a short body.
+    MidBody,
+    /// It closes the connection in the middle of a body that the node streams.
+    MidLongBody,
+}
+
+impl Disconnect {
+    /// All ways.
+    pub const ALL: [Self; 7] = [
+        Self::Fin,
+        Self::Reset,
+        Self::HalfClose,
+        Self::Pipelined,
+        Self::PipelinedBurst,
+        Self::MidBody,
+        Self::MidLongBody,
+    ];
+
+    /// Those with a complete request at the time of the disconnect.
+    pub const WHOLE: [Self; 5] =
+        [Self::Fin, Self::Reset, Self::HalfClose, Self::Pipelined, Self::PipelinedBurst];
+
+    /// Sends requests of a class on a new connection, which is to disconnect later.
+    #[must_use]
+    pub fn ask(self, node: SocketAddr, class: &str) -> DisconnectingClient {
+        let (mut client, first) = (Client::connect(node), request(class, body_of(class)));
+        let mut ids = vec![id_of(&first)];
+        match self {
+            Self::MidBody => client.write(&first.replace("Content-Length: 1", "Content-Length: 9")),
+            Self::MidLongBody => {
+                let head = first.replace("Content-Length: 1", &format!("Content-Length: {LONG_BODY}"));
+                client.write(&(head + &"x".repeat(LONG_BODY_WRITTEN)));
+            }
+            Self::Pipelined | Self::PipelinedBurst => {
+                let behind = if self == Self::Pipelined { PIPELINED } else { PIPELINED_BURST };
+                let more: Vec<_> = (0..behind).map(|_| request(class, body_of(class))).collect();
+                ids.extend(more.iter().map(|text| id_of(text)));
+                client.write(&(first + &more.concat()));
+            }
+            Self::Fin | Self::Reset | Self::HalfClose => client.write(&first),
+        }
+        DisconnectingClient { disconnect: self, client, ids }
+    }
+}
+
+/// The body for a request of a class; idempotent requests have none.
+#[must_use]
+pub fn body_of(class: &str) -> &'static str {
+    if class == "read" { "" } else { "x" }
+}
+
+/// A client that has sent its requests and is to disconnect.
+pub struct DisconnectingClient {
+    /// How it disconnects.
+    pub disconnect: Disconnect,
+    client: Client,
+    /// Ids of its requests, in order.
+    pub ids: Vec<String>,
+}
+
+/// A client that has disconnected.
+pub struct DisconnectedClient {
+    /// How it disconnected.
+    pub disconnect: Disconnect,
+    /// Ids of its requests, in order.
+    pub ids: Vec<String>,
+    /// The socket of a client that is half closed.
+    _open: Option<Client>,
+}
+
+impl DisconnectingClient {
+    /// Disconnects.
+    ///
+    /// # Panics
+    /// Where the socket refuses it.
+    #[must_use]
+    pub fn leave(self) -> DisconnectedClient {
+        let Self { disconnect, client, ids } = self;
+        let open = match disconnect {
+            Disconnect::Reset => {
+                SockRef::from(client.stream())
+                    .set_linger(Some(Duration::ZERO))
+                    .expect("an open socket takes the option");
+                None
+            }
+            Disconnect::HalfClose => {
+                client.stream().shutdown(Shutdown::Write).expect("the connection is open");
+                Some(client)
+            }
+            _ => None,
+        };
+        DisconnectedClient { disconnect, ids, _open: open }
+    }
+}
+
+/// Returns the id in a request's text.
+///
+/// # Panics
+/// Where it has none.
+#[must_use]
+pub fn id_of(text: &str) -> String {
+    let line = text.lines().find_map(|line| line.strip_prefix("X-Correlation-Id: "));
+    line.expect("an id").to_owned()
+}
+
+/// Returns the ids of requests as a backend received them.
+#[must_use]
+pub fn ids_of(seen: &[Message]) -> Vec<String> {
+    seen.iter().filter_map(|message| message.header("x-correlation-id").map(str::to_owned)).collect()
+}
+
+/// Returns the ids of the requests that a backend has received.
+///
+/// # Panics
+/// Where its script has panicked.
+#[must_use]
+pub fn ids_at(backend: &Backend) -> Vec<String> {
+    ids_of(&backend.seen.lock().expect("the script does not panic"))
+}
+
+/// Returns once the node has processed what its sockets had received before this call.
+///
+/// A connection made now is accepted after what was pending, and answered after that is processed. An attempt that starts
+/// later therefore starts when the node could know of each client that disconnected before this call.
+///
+/// # Panics
+/// Where the node does not answer.
+pub fn await_turn(node: &Node) {
+    for _ in 0..2 {
+        assert_eq!(node.ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
+    }
+}
--- a/crates/testbed/src/measure/fastcgi.rs
+++ b/crates/testbed/src/measure/fastcgi.rs
@@ -8,10 +8,10 @@
 use std::time::{Duration, Instant};
 
 use super::Plan;
-use crate::board::{Act, Asked, Asker, Boards, Speaks, served};
 use crate::parity::{compare_all, pairings, text};
 use crate::program::{Standalone, build_node};
 use crate::report::Report;
+use crate::scripted_backend::{Act, Protocol, ProtocolClient, ScriptedBackends, ScriptedRequest, served};
 
 /// Clients that ask one request after another.
 const CLIENTS: usize = 8;
@@ -66,7 +66,8 @@
 fn costs(plan: Plan, report: &mut Report) -> io::Result<()> {
     let mut nodes = Vec::new();
     for (front, back) in pairings() {
-        let boards = Boards::new(Arc::new(|_: &Asked| served("rank 1  0:01:02.345  runner\n")));
+        let boards =
+            ScriptedBackends::new(Arc::new(|_: &ScriptedRequest| served("rank 1  0:01:02.345  runner\n")));
         let servers: Vec<_> = (0..4).map(|_| boards.start(back)).collect();
         nodes.push((front, Standalone::start(&text(front, back, &servers, ""), 1)));
     }
@@ -113,14 +114,14 @@
 }
 
 /// Asks a node for a time: latencies, and how many answers were other than 200.
-fn load(front: Speaks, node: &Standalone, span: Duration) -> io::Result<(Vec<u64>, usize)> {
+fn load(front: Protocol, node: &Standalone, span: Duration) -> io::Result<(Vec<u64>, usize)> {
     let over = Arc::new(AtomicBool::new(false));
     let address = node.address();
     let clients: Vec<_> = (0..CLIENTS)
         .map(|_| {
             let over = over.clone();
             thread::spawn(move || -> io::Result<(Vec<u64>, usize)> {
-                let mut client = Asker::connect(address, front)?;
+                let mut client = ProtocolClient::connect(address, front)?;
                 let (mut took, mut odd) = (Vec::new(), 0);
                 while !over.load(Ordering::Relaxed) {
                     let start = Instant::now();
@@ -145,10 +146,10 @@
 
 fn memory(report: &mut Report) -> io::Result<()> {
     let act = || Act::Later(Duration::from_millis(20), Box::new(served("rank 1")));
-    let boards = Boards::new(Arc::new(move |_: &Asked| act())).multiplexing();
-    let servers: Vec<_> = (0..4).map(|_| boards.start(Speaks::FastCgi)).collect();
-    let node = Standalone::start(&text(Speaks::FastCgi, Speaks::FastCgi, &servers, ""), 1);
-    let mut client = Asker::connect(node.address(), Speaks::FastCgi)?;
+    let boards = ScriptedBackends::new(Arc::new(move |_: &ScriptedRequest| act())).multiplexing();
+    let servers: Vec<_> = (0..4).map(|_| boards.start(Protocol::FastCgi)).collect();
+    let node = Standalone::start(&text(Protocol::FastCgi, Protocol::FastCgi, &servers, ""), 1);
+    let mut client = ProtocolClient::connect(node.address(), Protocol::FastCgi)?;
     let _ = client.ask("GET", "/boards/any", "X-Unit: 1\r\n", b"");
     let before = node.peak_memory();
     for _ in 0..MULTIPLEXED {
@@ -161,8 +162,10 @@
         if records.is_empty() {
             break;
         }
-        ends +=
-            records.iter().filter(|(kind, ..)| *kind == pumicehead_fastcgi::record::Kind::EndRequest).count();
+        ends += records
+            .iter()
+            .filter(|record| record.kind == pumicehead_fastcgi::record::Kind::EndRequest)
+            .count();
     }
     let more = node.peak_memory().saturating_sub(before);
     let mib = |bytes: u64| format!("{:.1}", bytes as f64 / f64::from(1 << 20));
--- a/crates/testbed/src/parity.rs
+++ b/crates/testbed/src/parity.rs
@@ -7,9 +7,11 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::board::{Act, Asked, Asker, Boards, Script, Speaks, served};
 use crate::program::Standalone;
 use crate::scripted::refusing;
+use crate::scripted_backend::{
+    Act, Protocol, ProtocolClient, Script, ScriptedBackends, ScriptedRequest, served,
+};
 
 /// What a client asks.
 #[derive(Clone, Copy)]
@@ -186,7 +188,7 @@
 
 /// A node's configuration; `more` goes to the end.
 #[must_use]
-pub fn text(front: Speaks, back: Speaks, servers: &[SocketAddr], more: &str) -> String {
+pub fn text(front: Protocol, back: Protocol, servers: &[SocketAddr], more: &str) -> String {
     let one = |(n, address): (usize, &SocketAddr)| format!("server s{n} {{ address {address} }}\n");
     let servers: String = servers.iter().enumerate().map(one).collect();
     format!(
@@ -207,15 +209,15 @@
 /// A script that goes by the number of the request; its last act stays.
 #[must_use]
 pub fn script(acts: Vec<Act>) -> Script {
-    Arc::new(move |asked: &Asked| {
+    Arc::new(move |asked: &ScriptedRequest| {
         let place = (asked.number as usize).min(acts.len().saturating_sub(1));
         acts.get(place).cloned().unwrap_or(Act::Close)
     })
 }
 
 /// What a node's clients and its servers may speak.
-pub fn pairings() -> impl Iterator<Item = (Speaks, Speaks)> {
-    Speaks::ALL.into_iter().flat_map(|front| Speaks::ALL.map(|back| (front, back)))
+pub fn pairings() -> impl Iterator<Item = (Protocol, Protocol)> {
+    Protocol::ALL.into_iter().flat_map(|front| Protocol::ALL.map(|back| (front, back)))
 }
 
 /// Plays one once.
@@ -223,13 +225,13 @@
 /// # Panics
 /// Where no node starts.
 #[must_use]
-pub fn play(scenario: &Scenario, front: Speaks, back: Speaks) -> Seen {
-    let boards = Boards::new(script(scenario.acts.clone()));
+pub fn play(scenario: &Scenario, front: Protocol, back: Protocol) -> Seen {
+    let boards = ScriptedBackends::new(script(scenario.acts.clone()));
     let live = (0..scenario.servers - scenario.refusing.min(scenario.servers)).map(|_| boards.start(back));
     let mut servers: Vec<_> = live.collect();
     servers.extend((0..scenario.refusing).map(|_| refusing()));
     let node = Standalone::start(&text(front, back, &servers, ""), 1);
-    let mut client = Asker::connect(node.address(), front).unwrap();
+    let mut client = ProtocolClient::connect(node.address(), front).unwrap();
     let Ask { method, target, fields, body } = scenario.ask;
     let answer = client.ask(method, target, &format!("X-Unit: 1\r\n{fields}"), body);
     let count = |map: &BTreeMap<String, u32>| map.values().sum();
--- /dev/null
+++ b/crates/testbed/src/scripted_backend/fastcgi.rs
@@ -0,0 +1,190 @@
+//! Scripted backends over FastCGI.
+
+use std::io::{self, Read, Write};
+use std::net::{Shutdown, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::thread;
+
+use bytes::BytesMut;
+use pumicehead_fastcgi::pairs::Pair;
+use pumicehead_fastcgi::record::{End, Kind, ProtocolStatus, put, put_stream, put_stream_end};
+use pumicehead_fastcgi::server::{Bounds, Event, Server as Application};
+
+use super::{Act, ScriptedBackends, write_endlessly};
+
+/// Bytes that are read at once.
+const READ_BUFFER: usize = 16 << 10;
+
+/// A FastCGI connection of a backend.
+struct Connection<'a> {
+    backends: &'a ScriptedBackends,
+    application: Application,
+    /// Multiplexed requests are answered by threads of their own, which share the stream.
+    writer: Arc<Mutex<TcpStream>>,
+    /// Requests that stay without an answer.
+    unanswered: u32,
+}
+
+/// A complete request.
+struct Request {
+    id: u16,
+    method: String,
+    act: Act,
+}
+
+impl ScriptedBackends {
+    /// Answers the requests of a connection; it is to be closed when this returns.
+    pub(super) fn serve_fastcgi(&self, stream: &TcpStream) -> io::Result<()> {
+        let application = Application::new(bounds(self.multiplex));
+        let writer = Arc::new(Mutex::new(stream.try_clone()?));
+        let mut connection = Connection { backends: self, application, writer, unanswered: 0 };
+        let mut input = vec![0; READ_BUFFER];
+        let mut reader = stream;
+        loop {
+            let count = reader.read(&mut input).unwrap_or(0);
+            if count == 0 {
+                self.update_record(|record| record.dropped += connection.unanswered);
+                return Ok(());
+            }
+            connection.receive(&input[..count])?;
+        }
+    }
+}
+
+/// Limits that the tests don't reach, but for the number of requests of a connection that does not multiplex.
+fn bounds(multiplex: bool) -> Bounds {
+    Bounds {
+        connections: 100,
+        requests: if multiplex { 200 } else { 1 },
+        params: 64 << 10,
+        pairs: 512,
+        body: 1 << 20,
+        coming: 8 << 20,
+        waiting: 64 << 20,
+    }
+}
+
+impl Connection<'_> {
+    fn receive(&mut self, bytes: &[u8]) -> io::Result<()> {
+        let mut events = Vec::new();
+        self.application.receive(bytes, &mut events).map_err(io::Error::other)?;
+        self.write_output()?;
+        for event in events {
+            match event {
+                Event::Request { id, params, .. } => self.on_request(id, &params)?,
+                Event::Aborted(id) => {
+                    self.backends.update_record(|record| record.dropped += 1);
+                    self.unanswered = self.unanswered.saturating_sub(1);
+                    self.application.end(id, [], 0);
+                    self.write_output()?;
+                }
+                Event::Began(_) | Event::Bad(..) => {}
+            }
+        }
+        Ok(())
+    }
+
+    fn write_output(&mut self) -> io::Result<()> {
+        let mut out = BytesMut::new();
+        self.application.output(&mut out, usize::MAX);
+        write_locked(&self.writer, &out)
+    }
+
+    fn on_request(&mut self, id: u16, params: &[Pair]) -> io::Result<()> {
+        let param = |name: &str| {
+            let found = params.iter().find(|(known, _)| known == name.as_bytes());
+            found.map(|(_, value)| String::from_utf8_lossy(value).into_owned()).unwrap_or_default()
+        };
+        let (method, target) = (param("REQUEST_METHOD"), param("REQUEST_URI"));
+        let act = self.backends.next_act(&method, &target, &param("HTTP_X_UNIT"));
+        if act == Act::Silent {
+            self.unanswered += 1;
+            return Ok(());
+        }
+        // The request ends for the state machine; what the script demands is written past it.
+        self.application.end(id, [], 0);
+        self.application.output(&mut BytesMut::new(), usize::MAX);
+        let request = Request { id, method, act };
+        if self.backends.multiplex {
+            let writer = self.writer.clone();
+            thread::spawn(move || {
+                if perform(&writer, request).is_err()
+                    && let Ok(stream) = writer.lock()
+                {
+                    let _ = stream.shutdown(Shutdown::Both);
+                }
+            });
+            return Ok(());
+        }
+        perform(&self.writer, request)
+    }
+}
+
+fn write_locked(writer: &Mutex<TcpStream>, bytes: &[u8]) -> io::Result<()> {
+    let mut stream = writer.lock().map_err(|_| io::Error::other("a writer failed"))?;
+    stream.write_all(bytes)
+}
+
+/// Writes what the script demands; an error has the connection closed.
+fn perform(writer: &Mutex<TcpStream>, request: Request) -> io::Result<()> {
+    let Request { id, method, act } = request;
+    let closed = || Err(io::ErrorKind::ConnectionAborted.into());
+    match act.after_delays() {
+        Act::Answer(status, headers, body) => {
+            let body = if method == "HEAD" { "" } else { body };
+            let text = format!("Status: {status} X\r\n{headers}\r\n{body}");
+            write_locked(writer, &complete_output(id, text.as_bytes()))
+        }
+        Act::Silent | Act::Close | Act::Later(..) => closed(),
+        Act::CutBody => {
+            write_locked(writer, &stdout(id, b"Content-Type: a\r\nContent-Length: 100\r\n\r\n0123456789"))?;
+            closed()
+        }
+        Act::CutHead => {
+            write_locked(writer, &stdout(id, b"Content-Type: a\r\nConte"))?;
+            closed()
+        }
+        Act::Garbage => write_locked(writer, &complete_output(id, b"\x00\xff what is this\r\n\r\n")),
+        Act::EndlessHead => write_endlessly(|part| write_locked(writer, &stdout(id, part))),
+        Act::TooLong => {
+            write_locked(writer, &stdout(id, b"Content-Type: a\r\nContent-Length: 3000000000\r\n\r\n"))?;
+            write_endlessly(|part| write_locked(writer, &stdout(id, part)))
+        }
+        Act::ByBytes(body) => {
+            let text = format!("Content-Type: a\r\n\r\n{body}");
+            text.as_bytes().chunks(1).try_for_each(|part| write_locked(writer, &stdout(id, part)))?;
+            write_locked(writer, &complete_output(id, b""))
+        }
+        Act::Raw(bytes) => {
+            write_locked(writer, &bytes)?;
+            closed()
+        }
+        Act::End(application, protocol) => write_locked(writer, &end_request(id, application, protocol)),
+    }
+}
+
+/// A piece of a request's output.
+fn stdout(id: u16, text: &[u8]) -> BytesMut {
+    let mut out = BytesMut::new();
+    put_stream(&mut out, Kind::Stdout, id, text);
+    out
+}
+
+/// The end of a request, with its application status and protocol status.
+fn end_request(id: u16, application: u32, protocol: u8) -> BytesMut {
+    let mut out = BytesMut::new();
+    let protocol = match protocol {
+        0 => ProtocolStatus::Complete,
+        code => ProtocolStatus::Other(code),
+    };
+    put(&mut out, Kind::EndRequest, id, &End { application, protocol }.content());
+    out
+}
+
+/// All of a request's output and its end.
+fn complete_output(id: u16, text: &[u8]) -> BytesMut {
+    let mut out = stdout(id, text);
+    put_stream_end(&mut out, Kind::Stdout, id);
+    out.extend_from_slice(&end_request(id, 0, 0));
+    out
+}
