--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -12,6 +12,6 @@
 pub mod report;
 pub mod scripted;
 pub mod scripted_backend;
+pub mod simulation;
 pub mod slow_connect;
 pub mod standin;
-pub mod world;
