--- a/crates/node/src/net/admission.rs
+++ b/crates/node/src/net/admission.rs
@@ -30,7 +30,7 @@
     /// Fields; those that are forwarded are made of them.
     pub headers: HeaderMap,
     /// The client's address.
-    pub peer: IpAddr,
+    pub client_ip: IpAddr,
 }
 
 /// A request that is admitted.
--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -6,6 +6,8 @@
 use pumicehead_policy::{Nanos, SECOND};
 use tokio::time::Instant;
 
+/// Nanoseconds in a millisecond.
+pub const MILLISECOND: Nanos = SECOND / 1_000;
 /// Furthest time ahead that has an instant, in nanoseconds: a greater one need not fit.
 const MAX_AHEAD: Nanos = u32::MAX as Nanos * SECOND;
 
--- a/crates/node/src/net/downstream/fastcgi/mod.rs
+++ b/crates/node/src/net/downstream/fastcgi/mod.rs
@@ -24,6 +24,7 @@
 
 /// Bytes that are read at once, and that are made ready to be written.
 const CHUNK_BYTES: usize = 32 << 10;
+
 impl DownstreamListener {
     /// Serves a connection to its end.
     pub(super) async fn serve_fastcgi(
@@ -91,7 +92,7 @@
             uri: &read.uri,
             version: Version::HTTP_11,
             headers: read.headers,
-            peer: read.peer.unwrap_or(client_ip),
+            client_ip: read.peer.unwrap_or(client_ip),
         };
         let is_complete = read.length.is_none_or(|length| length == body.len() as u64);
         let admitted = self.admission.admit(head);
--- a/crates/node/src/net/downstream/http.rs
+++ b/crates/node/src/net/downstream/http.rs
@@ -201,7 +201,7 @@
             uri: &parts.uri,
             version: parts.version,
             headers: parts.headers,
-            peer: client_ip,
+            client_ip,
         };
         let expects_continue = head.headers.contains_key(header::EXPECT);
         let admitted = self.admission.admit(head);
--- a/crates/node/src/net/endpoint_directory.rs
+++ b/crates/node/src/net/endpoint_directory.rs
@@ -10,12 +10,10 @@
 use thiserror::Error;
 
 use crate::net::admin_overrides::AdminOverrides;
+use crate::net::clock::MILLISECOND;
 use crate::net::discovery::{EndpointList, ListedEndpoint, ListedState};
 use crate::net::upstream::transport::{EndpointConnector, Transport};
 
-/// Nanoseconds in a millisecond.
-const MILLISECOND: Nanos = 1_000_000;
-
 /// An endpoint's zone is not one of the configuration's.
 #[derive(Debug, Error)]
 #[error("unknown zone `{0}`")]
--- a/crates/node/src/net/pool_loop/attempts.rs
+++ b/crates/node/src/net/pool_loop/attempts.rs
@@ -7,7 +7,8 @@
 use tokio::sync::oneshot;
 use tokio::task;
 
-use super::{MILLISECOND, PoolLoop};
+use super::PoolLoop;
+use crate::net::clock::MILLISECOND;
 use crate::net::exchange::{FinalResponse, UpstreamResponse};
 use crate::net::pool_message::{EndedAttempt, PoolMessage};
 use crate::net::upstream::transport::{AttemptDeadlines, EndpointConnector};
--- a/crates/node/src/net/pool_loop/endpoints.rs
+++ b/crates/node/src/net/pool_loop/endpoints.rs
@@ -9,7 +9,8 @@
 use tracing::warn;
 
 use super::timers::TimerKind;
-use super::{EndpointSource, MILLISECOND, PoolLoop};
+use super::{EndpointSource, PoolLoop};
+use crate::net::clock::MILLISECOND;
 use crate::net::discovery::{AGENT_RETRY_DELAY, EndpointList};
 use crate::net::endpoint_directory::UnknownZoneError;
 use crate::net::pool_message::EndpointCounts;
--- a/crates/node/src/net/pool_loop/mod.rs
+++ b/crates/node/src/net/pool_loop/mod.rs
@@ -19,9 +19,7 @@
 use pumicehead_flight_recorder::event::Event as RecordedEvent;
 use pumicehead_flight_recorder::text::plain;
 use pumicehead_policy::decision_event::DecisionEvent;
-use pumicehead_policy::{
-    Balancer, Discovery, EndpointId, Event, Nanos, RequestId, SECOND, Settings, WarmState,
-};
+use pumicehead_policy::{Balancer, Discovery, EndpointId, Event, Nanos, RequestId, Settings, WarmState};
 use rustc_hash::FxHashMap;
 use tokio::sync::mpsc;
 use tokio::time::sleep_until;
@@ -33,15 +31,12 @@
 use self::timers::{SWEEP_INTERVAL, Timer, TimerKind};
 use self::watch_task::WatchTask;
 use crate::net::active_requests::ActiveRequestIds;
-use crate::net::clock::Clock;
+use crate::net::clock::{Clock, MILLISECOND};
 use crate::net::endpoint_directory::EndpointDirectory;
 use crate::net::pool_handle::PoolHandle;
 use crate::net::pool_message::PoolMessage;
 use crate::net::recorder_sink::RecorderSink;
 
-/// Nanoseconds in a millisecond.
-const MILLISECOND: Nanos = SECOND / 1_000;
-
 /// The event loop of a pool.
 pub struct PoolLoop {
     balancer: Balancer,
--- a/crates/node/src/standalone/admission.rs
+++ b/crates/node/src/standalone/admission.rs
@@ -200,7 +200,7 @@
         );
         header_fields::strip_hop_by_hop(&mut headers);
         append(&mut headers, header::VIA, table.via[usize::from(head.version != Version::HTTP_10)].clone());
-        append(&mut headers, header::FORWARDED, header_fields::forwarded(head.peer, Some(&authority)));
+        append(&mut headers, header::FORWARDED, header_fields::forwarded(head.client_ip, Some(&authority)));
         if !headers.contains_key(&CORRELATION) {
             append(&mut headers, CORRELATION, HeaderValue::from_bytes(correlation.as_bytes()).ok());
         }
