--- a/crates/config/src/check/endpoint.rs
+++ b/crates/config/src/check/endpoint.rs
@@ -33,6 +33,16 @@
             self.report(Diagnostic::error("no-servers", pool.spans.name, message).help(help));
             return None;
         }
+        self.listed_endpoints(&statements, node, protocol).map(PoolEndpoints::Static)
+    }
+
+    /// Reads the blocks `server` of a pool; `None` where something is wrong with one.
+    fn listed_endpoints(
+        &mut self,
+        statements: &[&Statement],
+        node: &Node,
+        protocol: Option<Protocol>,
+    ) -> Option<Vec<Endpoint>> {
         let mut names: HashMap<&str, Span> = HashMap::new();
         let mut addresses: HashMap<Address, Span> = HashMap::new();
         let mut endpoints = Vec::new();
@@ -61,7 +71,7 @@
             sound &= self.check_address(&endpoint, protocol, &mut addresses);
             endpoints.push(endpoint);
         }
-        sound.then_some(PoolEndpoints::Static(endpoints))
+        sound.then_some(endpoints)
     }
 
     /// Reads `discovery MODE ADDRESS`. A pool with discovery has no endpoints of its own.
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -2,6 +2,7 @@
 //! unit.
 
 use pumicehead_policy::Nanos;
+use thiserror::Error;
 
 use crate::diagnostic::nearest;
 
@@ -28,7 +29,8 @@
 const MAX_DECIMALS: usize = 9;
 
 /// Why a value can't be parsed.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{message}")]
 pub struct ValueError {
     /// Stable name of the kind of mistake.
     pub code: &'static str,
