--- a/crates/capacity-leases/src/lease_table.rs
+++ b/crates/capacity-leases/src/lease_table.rs
@@ -125,7 +125,7 @@
     }
 
     /// The rates that a forwarder should get: of each endpoint that it lends, and so uses, an equal part for
-    /// as many lenders as [`MIN_GRANT`] allows. The lenders are chosen by the endpoint alone, so that all
+    /// as many lenders as `MIN_GRANT` allows. The lenders are chosen by the endpoint alone, so that all
     /// planners choose the same.
     #[must_use]
     pub fn desired_grants(&self, forwarder: ForwarderId, now: Nanos) -> Vec<(EndpointId, Rate)> {
--- a/crates/resources/src/resource.rs
+++ b/crates/resources/src/resource.rs
@@ -12,7 +12,7 @@
 /// A kind of resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
-    /// [`TestNode`].
+    /// [`Node`].
     Node,
     /// [`Listener`].
     Listener,
