--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -64,7 +64,7 @@
     check(&Memory::default().with("main.conf", text), Path::new("main.conf"))
 }
 
-/// The configuration of a text that is sound.
+/// The configuration of a valid text.
 #[allow(dead_code)]
 pub fn config(text: &str) -> Config {
     let checked = check_text(text);
@@ -72,9 +72,9 @@
     checked.config.unwrap_or_else(|| panic!("{shown:?} in\n{text}"))
 }
 
-/// A sound configuration to change.
+/// A valid configuration with most kinds of settings.
 #[allow(dead_code)]
-pub const SOUND: &str = r#"
+pub const VALID: &str = r#"
 node { name n1; zones cdmx monterrey; zone cdmx }
 const patience 6s
 listener public { address 127.0.0.1:8080 }
--- a/crates/config/tests/compact_config.rs
+++ b/crates/config/tests/compact_config.rs
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_restored_configuration_equals_the_original() {
-    for text in [SOUND.to_owned(), large(500)] {
+    for text in [VALID.to_owned(), large(500)] {
         let config = config(&text);
         let restored = keep(&config).restore();
         assert_eq!(diff(&restored, &config), []);
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_restored_configuration_gives_the_same_differences() {
-    let old = config(SOUND);
+    let old = config(VALID);
     let changes = [
         ("key segment 2; tenant acme", "key segment 3"),
         ("path /runs/**", "path /runs/*/**"),
@@ -83,12 +83,12 @@
         ("share 20%", "share 21%"),
     ];
     for (before, after) in changes {
-        let text = SOUND.replace(before, after);
-        assert_ne!(text, SOUND);
+        let text = VALID.replace(before, after);
+        assert_ne!(text, VALID);
         let new = config(&text);
         let expected = diff(&old, &new);
         let mut found = diff(&keep(&old).restore(), &new);
-        // What is gone stood in a text that is gone as well.
+        // The span of a removed entry refers to a text that is no longer kept.
         for (change, expected) in found.iter_mut().zip(&expected) {
             if change.kind == ChangeKind::Removed {
                 change.span = expected.span;
@@ -101,7 +101,7 @@
 
 #[test]
 fn the_route_table_restores_every_route() {
-    let config = config(SOUND);
+    let config = config(VALID);
     let table = RouteTable::new(&config.routes);
     assert_eq!(table.len(), config.routes.len());
     for (place, route) in config.routes.iter().enumerate() {
@@ -116,7 +116,7 @@
 
 #[test]
 fn spans_of_routes_endpoints_and_tenants_are_dropped() {
-    let kept = keep(&config(SOUND));
+    let kept = keep(&config(VALID));
     let settings = kept.settings();
     assert!(settings.routes.is_empty());
     assert!(settings.tenants.iter().all(|tenant| tenant.spans == EntrySpans::default()));
--- a/crates/config/tests/loading.rs
+++ b/crates/config/tests/loading.rs
@@ -1,4 +1,4 @@
-//! Files that are no good in themselves, too large, too deep, or include each other.
+//! Files that can't be read, are too large or too deeply nested, or include each other.
 
 mod common;
 
@@ -27,7 +27,7 @@
 
 #[test]
 fn a_too_long_line_gives_one_short_message() {
-    let text = format!("{SOUND}\n# {}\n", "x".repeat(1 << 20));
+    let text = format!("{VALID}\n# {}\n", "x".repeat(1 << 20));
     let (code, message) = only(&check_text(&text));
     assert_eq!(code, "line-too-long");
     assert!(message.contains("1048579") && message.contains(&MAX_LINE_BYTES.to_string()), "{message}");
@@ -50,7 +50,7 @@
         .with("main.conf", "include left.conf\ninclude dir/right.conf\n")
         .with("left.conf", "include shared.conf\n")
         .with("dir/right.conf", "include ../shared.conf\n")
-        .with("shared.conf", SOUND);
+        .with("shared.conf", VALID);
     let checked = check_memory(&memory);
     assert!(checked.diagnostics.is_empty(), "{:?}", checked.diagnostics);
     assert_eq!(checked.config.unwrap().routes.len(), 4);
@@ -61,7 +61,7 @@
 fn a_star_includes_matching_files_but_no_hidden_ones() {
     let memory = Memory::default()
         .with("main.conf", "include routes/*.conf\n")
-        .with("routes/10-a.conf", SOUND)
+        .with("routes/10-a.conf", VALID)
         .with(
             "routes/20-b.conf",
             "route last { host b.org; path /z; method POST; class run-submit; pool boards }\n",
@@ -71,7 +71,7 @@
         .with("routes/30-c.conf.swp", "nonsense\n");
     let config = check_memory(&memory).config.unwrap();
     assert_eq!(config.routes.last().unwrap().name, "last");
-    let none = Memory::default().with("main.conf", format!("{SOUND}\ninclude routes/*.conf\n"));
+    let none = Memory::default().with("main.conf", format!("{VALID}\ninclude routes/*.conf\n"));
     assert!(check_memory(&none).config.is_some());
 }
 
@@ -154,7 +154,7 @@
 
 #[test]
 fn byte_order_mark_and_carriage_returns_are_ignored() {
-    let odd = format!("\u{feff}{}", SOUND.replace('\n', "\r\n"));
+    let odd = format!("\u{feff}{}", VALID.replace('\n', "\r\n"));
     let settings = |text: &str| pumicehead_config::diff::effective_settings(&config(text)).without_spans();
-    assert_eq!(settings(&odd), settings(SOUND));
+    assert_eq!(settings(&odd), settings(VALID));
 }
--- a/crates/config/tests/meaning.rs
+++ b/crates/config/tests/meaning.rs
@@ -1,4 +1,4 @@
-//! What texts mean: the diff, explanations, units and what the decision module is told.
+//! The meaning of configurations: differences, explanations, units and settings of the decision module.
 
 mod common;
 
@@ -8,11 +8,11 @@
 use pumicehead_config::units;
 use pumicehead_policy::{DedupScope, Idempotency, SECOND, TenantId};
 
-/// What the diff says of a change to the sound text.
+/// The differences that a change of the valid text makes.
 fn changes(from: &str, to: &str) -> Vec<String> {
-    assert!(SOUND.contains(from), "{from}");
-    let new = check_text(&SOUND.replace(from, to));
-    let lines = diff(&config(SOUND), new.config.as_ref().expect("a sound text"));
+    assert!(VALID.contains(from), "{from}");
+    let new = check_text(&VALID.replace(from, to));
+    let lines = diff(&config(VALID), new.config.as_ref().expect("a valid text"));
     lines.iter().map(|change| DisplayChange { change, sources: &new.sources }.to_string()).collect()
 }
 
@@ -56,18 +56,18 @@
     assert!(changes("aim 600ms; deadline 1200ms", "deadline 1.2s # later\n aim 0.6s").is_empty());
     assert!(changes("limits {", "limits {\n idle 1min\n").is_empty());
     assert!(changes("host *.old", "host *.OLD").is_empty());
-    let (first, rest) = SOUND.split_once("pool archive").unwrap();
+    let (first, rest) = VALID.split_once("pool archive").unwrap();
     let (line, rest) = rest.split_once('\n').unwrap();
     let moved = format!("pool archive{line}\n{first}{rest}");
-    assert!(diff(&config(SOUND), &config(&moved)).is_empty());
+    assert!(diff(&config(VALID), &config(&moved)).is_empty());
 }
 
 #[test]
 fn the_diff_shows_route_order_only_where_routes_overlap() {
-    let route = |text: &str| SOUND.lines().find(|line| line.starts_with(text)).unwrap();
+    let route = |text: &str| VALID.lines().find(|line| line.starts_with(text)).unwrap();
     let lines = |text: &str| {
         let new = check_text(text);
-        let lines = diff(&config(SOUND), new.config.as_ref().expect("a sound text"));
+        let lines = diff(&config(VALID), new.config.as_ref().expect("a valid text"));
         lines
             .iter()
             .map(|change| DisplayChange { change, sources: &new.sources }.to_string())
@@ -75,18 +75,18 @@
     };
     let (edit, old) = (route("route edit"), route("route old"));
     // `edit` takes PUT only, and `old` what a safe class takes: it overtook both, but meets `submit` alone.
-    let moved = SOUND.replace(&format!("{old}\n"), "").replace(edit, &format!("{old}\n{edit}"));
+    let moved = VALID.replace(&format!("{old}\n"), "").replace(edit, &format!("{old}\n{edit}"));
     assert_eq!(lines(&moved), ["route old: now before route submit, and requests fit both (main.conf:16)"]);
     let submit = route("route submit");
     let apart = submit.replace("route submit", "route away").replace("/runs/**", "/away");
-    let with = |before: &str, after: &str| SOUND.replace(submit, &format!("{before}{submit}{after}"));
+    let with = |before: &str, after: &str| VALID.replace(submit, &format!("{before}{submit}{after}"));
     let (one, other) = (with(&format!("{apart}\n"), ""), with("", &format!("\n{apart}")));
     assert!(diff(&config(&one), &config(&other)).is_empty());
 }
 
 #[test]
 fn an_explanation_names_route_class_pool_deadline_tenant_key_and_reason() {
-    let checked = check_text(SOUND);
+    let checked = check_text(VALID);
     let config = checked.config.unwrap();
     let say = |text: &str, headers: &[&str]| {
         let headers: Vec<_> = headers.iter().map(|&line| line.to_owned()).collect();
@@ -118,7 +118,7 @@
 
 #[test]
 fn settings_of_the_decision_module_follow_the_file() {
-    let config = config(SOUND);
+    let config = config(VALID);
     assert_eq!(config.classes_of(0), [0, 1, 2]);
     assert_eq!(config.classes_of(1), [0]);
     let boards = config.settings(0);
--- a/crates/config/tests/properties.rs
+++ b/crates/config/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What holds for every text: the formatter and the parser.
+//! Properties of the formatter, the parser and snapshots for arbitrary texts.
 
 mod common;
 
@@ -19,12 +19,12 @@
     }
 }
 
-/// A sound text in an odd layout: each gap between tokens is filled by what the draws say.
+/// The valid text in an odd layout: `gaps` choose what is written between tokens.
 fn odd_layout(gaps: &[u8]) -> String {
     let mut gaps = gaps.iter().copied().cycle();
     let mut gap = move || gaps.next().unwrap_or_default();
     let mut out = String::new();
-    for statement in SOUND.split_inclusive(['\n', ';', '{', '}']) {
+    for statement in VALID.split_inclusive(['\n', ';', '{', '}']) {
         let (words, end) = statement.split_at(statement.len() - 1);
         for word in words.split_whitespace() {
             out.push_str([" ", "   ", "\t", " \t "][usize::from(gap() % 4)]);
@@ -57,8 +57,8 @@
         let text = odd_layout(&gaps);
         let once = format(&text).unwrap();
         prop_assert_eq!(&format(&once).unwrap(), &once);
-        prop_assert_eq!(effective_settings(&config(&once)).without_spans(), effective_settings(&config(SOUND)).without_spans());
-        prop_assert_eq!(effective_settings(&config(&text)).without_spans(), effective_settings(&config(SOUND)).without_spans());
+        prop_assert_eq!(effective_settings(&config(&once)).without_spans(), effective_settings(&config(VALID)).without_spans());
+        prop_assert_eq!(effective_settings(&config(&text)).without_spans(), effective_settings(&config(VALID)).without_spans());
         prop_assert_eq!(comments(&once), comments(&text));
         prop_assert!(!once.contains("\n\n\n") && !once.contains(" \n") && !once.contains('\r'));
         prop_assert!(diff(&config(&text), &config(&once)).is_empty());
@@ -66,7 +66,7 @@
 
     #[test]
     fn snapshots_are_equal_for_equal_meaning(gaps in prop::collection::vec(any::<u8>(), 1..300)) {
-        let (plain, odd) = (config(SOUND).snapshot().unwrap(), config(&odd_layout(&gaps)).snapshot().unwrap());
+        let (plain, odd) = (config(VALID).snapshot().unwrap(), config(&odd_layout(&gaps)).snapshot().unwrap());
         prop_assert_eq!(&plain, &odd);
         prop_assert_eq!(plain.digest(), odd.digest());
         prop_assert!(plain.difference(&odd).is_empty());
@@ -103,10 +103,10 @@
         }
     }
 
-    /// One word of a sound text is replaced: no panic, and whatever is still sound differs or means the same.
+    /// One word of the valid text is replaced: the result is invalid, or differs from the original.
     #[test]
     fn a_changed_word_is_reported_or_shown_in_the_diff(at in 0usize..130, word in "[a-z0-9%/*.:-]{1,8}") {
-        let words: Vec<_> = SOUND.split(' ').collect();
+        let words: Vec<_> = VALID.split(' ').collect();
         let at = at % words.len();
         let old = words[at];
         let mut changed = words.clone();
@@ -116,7 +116,7 @@
         match checked.config {
             None => prop_assert!(!checked.diagnostics.is_empty()),
             Some(new) => {
-                let same = diff(&config(SOUND), &new).is_empty();
+                let same = diff(&config(VALID), &new).is_empty();
                 prop_assert!(!same || old.is_empty() || old == word, "{:?} -> {:?}", old, word);
             }
         }
@@ -125,5 +125,5 @@
 
 #[test]
 fn a_configuration_does_not_differ_from_itself() {
-    assert!(diff(&config(SOUND), &config(SOUND)).is_empty());
+    assert!(diff(&config(VALID), &config(VALID)).is_empty());
 }
--- a/crates/resources/src/validation.rs
+++ b/crates/resources/src/validation.rs
@@ -3,10 +3,11 @@
 //! are checked where files are read.
 
 use std::collections::BTreeMap;
+use std::sync::Arc;
 
-use crate::class::Idempotency;
+use crate::class::{Class, Idempotency};
 use crate::error::ValidationError;
-use crate::pool::EndpointSource;
+use crate::pool::{EndpointSource, Pool};
 use crate::resource::{Kind, ResourceId};
 use crate::route::{Route, TenantSource};
 use crate::snapshot::Snapshot;
@@ -76,20 +77,12 @@
     }
 
     fn validate_pools(&self) -> Result<(), ValidationError> {
-        for pool in self.pools.values() {
-            let id = || ResourceId::Pool(pool.name.clone());
-            in_range(pool.settings.max_attempts > 0, id, "attempts")?;
-            in_range(is_share(pool.settings.warmup_initial_fraction), id, "cold_from")?;
-            in_range(
-                pool.settings.overload_multiple.is_finite() && pool.settings.overload_multiple >= 0.0,
-                id,
-                "tips_at",
-            )?;
-            in_range(
-                pool.settings.cross_zone_cost.is_finite() && pool.settings.cross_zone_cost >= 0.0,
-                id,
-                "crossing",
-            )?;
+        for Pool { name, settings, .. } in self.pools.values().map(Arc::as_ref) {
+            let id = || ResourceId::Pool(name.clone());
+            in_range(settings.max_attempts > 0, id, "attempts")?;
+            in_range(is_share(settings.warmup_initial_fraction), id, "cold_from")?;
+            in_range(is_not_negative(settings.overload_multiple), id, "tips_at")?;
+            in_range(is_not_negative(settings.cross_zone_cost), id, "crossing")?;
         }
         Ok(())
     }
@@ -115,17 +108,13 @@
     }
 
     fn validate_classes(&self) -> Result<(), ValidationError> {
-        for class in self.classes.values() {
-            let id = || ResourceId::Class(class.name.clone());
-            in_range(class.settings.deadline > 0, id, "deadline")?;
-            in_range(class.settings.latency_objective <= class.settings.deadline, id, "aim")?;
-            in_range(
-                class.settings.priority_weight.is_finite() && class.settings.priority_weight >= 0.0,
-                id,
-                "worth",
-            )?;
-            in_range(is_share(class.settings.late_weight), id, "late_worth")?;
-            if let Idempotency::IdempotencyKey { header, .. } = &class.settings.idempotency {
+        for Class { name, settings } in self.classes.values().map(Arc::as_ref) {
+            let id = || ResourceId::Class(name.clone());
+            in_range(settings.deadline > 0, id, "deadline")?;
+            in_range(settings.latency_objective <= settings.deadline, id, "aim")?;
+            in_range(is_not_negative(settings.priority_weight), id, "worth")?;
+            in_range(is_share(settings.late_weight), id, "late_worth")?;
+            if let Idempotency::IdempotencyKey { header, .. } = &settings.idempotency {
                 in_range(!header.is_empty(), id, "header")?;
             }
         }
@@ -136,7 +125,7 @@
         for tenant in self.tenants.values() {
             let id = || ResourceId::Tenant(tenant.name.clone());
             in_range(is_share(tenant.share), id, "share")?;
-            in_range(tenant.allowance_per_s.is_finite() && tenant.allowance_per_s >= 0.0, id, "rate")?;
+            in_range(is_not_negative(tenant.allowance_per_s), id, "rate")?;
         }
         Ok(())
     }
@@ -170,3 +159,8 @@
 fn is_share(value: f64) -> bool {
     (0.0..=1.0).contains(&value)
 }
+
+/// Whether a value is finite and not negative.
+fn is_not_negative(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
--- a/crates/resources/tests/changes.rs
+++ b/crates/resources/tests/changes.rs
@@ -1,9 +1,14 @@
-//! Changes one by one: what is refused, and that nothing of it stays.
+//! Single deltas: which are refused, and that a refused one changes nothing.
 
 mod common;
 
+use std::sync::Arc;
+
 use common::*;
-use pumicehead_resources::{ApplyError, Change, Idempotency, Kind, Resource, ResourceId, ValidationError};
+use pumicehead_policy::DedupScope;
+use pumicehead_resources::{
+    ApplyError, Change, ClassSettings, Idempotency, Kind, PoolSettings, Resource, ResourceId, ValidationError,
+};
 
 /// Applies changes that must be refused, and returns why.
 fn refused(changes: impl IntoIterator<Item = Change>) -> ApplyError {
@@ -122,3 +127,44 @@
     assert_eq!(snapshot(base()).digest().to_string(), "1c6cfc1bb86d5c17e355b3d5327829eb");
     assert_eq!(snapshot(base()).digest().short(), (snapshot(base()).digest().0 >> 76) as u64);
 }
+
+/// A pool with one setting changed.
+fn changed_pool(change: impl FnOnce(&mut PoolSettings)) -> Resource {
+    let Resource::Pool(pool) = pool("p0", 3) else { panic!("a pool") };
+    let mut pool = Arc::unwrap_or_clone(pool);
+    change(&mut pool.settings);
+    Resource::Pool(Arc::new(pool))
+}
+
+/// A class with one setting changed.
+fn changed_class(change: impl FnOnce(&mut ClassSettings)) -> Resource {
+    let Resource::Class(class) = class("c0", 1.0, Idempotency::Idempotent) else { panic!("a class") };
+    let mut class = Arc::unwrap_or_clone(class);
+    change(&mut class.settings);
+    Resource::Class(Arc::new(class))
+}
+
+/// Messages name settings by words of their own, which operators know from older versions.
+#[test]
+fn messages_of_values_out_of_range_keep_their_words() {
+    let no_header = |class: &mut ClassSettings| {
+        let (header, scope, window) = (String::new(), DedupScope::All, SECOND);
+        class.idempotency = Idempotency::IdempotencyKey { header, scope, window };
+    };
+    let rejected = [
+        (changed_pool(|pool| pool.max_attempts = 0), "pool p0: attempts"),
+        (changed_pool(|pool| pool.warmup_initial_fraction = 1.5), "pool p0: cold_from"),
+        (changed_pool(|pool| pool.overload_multiple = f64::NAN), "pool p0: tips_at"),
+        (changed_pool(|pool| pool.cross_zone_cost = -1.0), "pool p0: crossing"),
+        (endpoint("p0", "s0", "a", 0.0), "backend s0 of pool p0: weight"),
+        (changed_class(|class| class.deadline = 0), "class c0: deadline"),
+        (changed_class(|class| class.latency_objective = 3 * SECOND), "class c0: aim"),
+        (changed_class(|class| class.priority_weight = -1.0), "class c0: worth"),
+        (changed_class(|class| class.late_weight = 2.0), "class c0: late_worth"),
+        (changed_class(no_header), "class c0: header"),
+        (tenant("t0", 1.5), "tenant t0: share"),
+    ];
+    for (resource, message) in rejected {
+        assert_eq!(refused([Change::Set(resource)]).to_string(), format!("{message} is out of range"));
+    }
+}
--- a/crates/resources/tests/common/mod.rs
+++ b/crates/resources/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small states, and random changes of them.
+//! Small snapshots, and random changes of them.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -101,7 +101,7 @@
     }))
 }
 
-/// A state with two of most kinds.
+/// Resources of a snapshot with two of most kinds.
 pub fn base() -> Vec<Resource> {
     vec![
         node(),
@@ -120,7 +120,7 @@
 }
 
 pub fn snapshot(resources: impl IntoIterator<Item = Resource>) -> Snapshot {
-    Snapshot::build(resources).expect("a sound state")
+    Snapshot::build(resources).expect("the resources are valid")
 }
 
 pub fn delta(changes: impl IntoIterator<Item = Change>) -> Delta {
--- a/crates/resources/tests/properties.rs
+++ b/crates/resources/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What holds for every sequence of changes.
+//! Properties of snapshots and deltas for arbitrary sequences of changes.
 
 mod common;
 
