--- a/crates/flight-recorder/src/breakdown.rs
+++ b/crates/flight-recorder/src/breakdown.rs
@@ -5,10 +5,10 @@
 
 use pumicehead_policy::Nanos;
 
-use crate::account::{Accounts, Loss, LossKey, NOBODY};
-use crate::dump::{Dump, Head};
-use crate::loss::{Cause, Micro};
-use crate::moment;
+use crate::loss_ledger::{Accounts, Loss, LossKey, NOBODY};
+use crate::recording::{Dump, Head};
+use crate::loss_cause::{Cause, Micro};
+use crate::timestamp;
 
 /// Rows of a view that are shown.
 const SHOWN: usize = 8;
@@ -93,7 +93,7 @@
                     |&(pool, class)| format!("{} in {}", head.class(pool, class), head.pool(pool)),
                 ),
             ),
-            ("moment", view(&rows, |at, _| at, |at| moment::shown(*at, head.start))),
+            ("moment", view(&rows, |at, _| at, |at| timestamp::shown(*at, head.start))),
         ];
         Self { from, to, start: head.start, requests: sum.0, asked: sum.1, earned: sum.2, views }
     }
@@ -137,8 +137,8 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         let worth = |micro: Micro| micro as f64 / 1e6;
         let share = |lost: Micro| 100.0 * lost as f64 / (self.asked as f64).max(1.0);
-        let until = if self.to == Nanos::MAX { "its end".into() } else { moment::shown(self.to, self.start) };
-        writeln!(out, "from {} to {until}:", moment::shown(self.from, self.start))?;
+        let until = if self.to == Nanos::MAX { "its end".into() } else { timestamp::shown(self.to, self.start) };
+        writeln!(out, "from {} to {until}:", timestamp::shown(self.from, self.start))?;
         writeln!(
             out,
             "{} requests worth {:.1}; earned {:.1}, lost {:.1} ({:.2}%)",
--- a/crates/flight-recorder/src/event.rs
+++ b/crates/flight-recorder/src/event.rs
@@ -8,8 +8,8 @@
 };
 use pumicehead_policy::{AttemptNo, AttemptOutcome, EndpointId, Nanos, RequestId};
 
-use crate::bytes::{Reader, put, put_bytes, put_f32, put_some};
-use crate::text::Name;
+use crate::wire_format::{Reader, put, put_bytes, put_f32, put_some};
+use crate::bounded_text::Name;
 
 /// A pool, by its place in the head of a dump.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/flight-recorder/src/ring.rs
+++ b/crates/flight-recorder/src/event_ring.rs
@@ -5,7 +5,7 @@
 
 use pumicehead_policy::Nanos;
 
-use crate::bytes::{Reader, put};
+use crate::wire_format::{Reader, put};
 use crate::event::{Event, PoolId};
 
 /// Bytes of a page: what is lost at once when the ring wraps. A record takes some 20 bytes.
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -4,13 +4,13 @@
 use pumicehead_policy::{AttemptOutcome, Nanos};
 use serde_json::{Value, json};
 
-use crate::dump::Dump;
+use crate::recording::Dump;
 use crate::event::{Event, How};
-use crate::export_names::Exported;
-use crate::kept::Story;
-use crate::loss::said;
-use crate::ring::{Record, records};
-use crate::text::plain;
+use crate::exported_names::Exported;
+use crate::request_timeline::Story;
+use crate::loss_cause::said;
+use crate::event_ring::{Record, records};
+use crate::bounded_text::plain;
 
 /// An attempt as both forms show it.
 struct Attempt {
--- a/crates/flight-recorder/src/cause.rs
+++ b/crates/flight-recorder/src/findings.rs
@@ -11,11 +11,11 @@
 
 use pumicehead_policy::{AttemptOutcome, Nanos};
 
-use crate::account::{Accounts, Flow, LossKey, NOBODY, Served, ServerKey};
-use crate::dump::Head;
+use crate::loss_ledger::{Accounts, Flow, LossKey, NOBODY, Served, ServerKey};
+use crate::recording::Head;
 use crate::event::{PoolId, outcome, place};
-use crate::loss::{Cause, Micro, Where, said};
-use crate::moment;
+use crate::loss_cause::{Cause, Micro, Where, said};
+use crate::timestamp;
 
 /// A server is at fault where the share of its attempts that end badly in one way is over this multiple of the others' ...
 const OWN_FAULT: f64 = 2.0;
@@ -263,10 +263,10 @@
     let (from, to) = accounts.aligned(from, to);
     let mut pools: BTreeMap<PoolId, Pool> = BTreeMap::new();
     for (_, ServerKey { pool, server }, row) in accounts.servers.within(from, to) {
-        crate::account::Row::add(pools.entry(pool).or_default().servers.entry(server).or_default(), row);
+        crate::loss_ledger::Row::add(pools.entry(pool).or_default().servers.entry(server).or_default(), row);
     }
     for (_, key, row) in accounts.flows.within(from, to) {
-        crate::account::Row::add(
+        crate::loss_ledger::Row::add(
             pools.entry(key.pool).or_default().classes.entry(key.class).or_default(),
             row,
         );
@@ -423,7 +423,7 @@
                 let (aim, deadline) = head.map_or((0, 0), |class| (class.aim_ns, class.deadline_ns));
                 let least = flow.map_or(0, |flow| flow.least.saturating_sub(1).saturating_mul(1_000));
                 let best = if least > 0 {
-                    format!("the fastest took {}", moment::span(least))
+                    format!("the fastest took {}", timestamp::span(least))
                 } else {
                     "none came".into()
                 };
@@ -431,8 +431,8 @@
                     "class {} of {} {matter}: aim {}, deadline {}, and of its answers {best}",
                     self.head.class(pool, class),
                     self.head.pool(pool),
-                    moment::span(aim),
-                    moment::span(deadline)
+                    timestamp::span(aim),
+                    timestamp::span(deadline)
                 )
             }
             Subject::Pool(pool) => format!("pool {}: {}", self.head.pool(pool), matter.of_all()),
--- a/crates/flight-recorder/src/page.rs
+++ b/crates/flight-recorder/src/html_report.rs
@@ -5,13 +5,13 @@
 use plotters::prelude::*;
 use pumicehead_policy::{Nanos, SECOND};
 
-use crate::account::{Accounts, NOBODY};
+use crate::loss_ledger::{Accounts, NOBODY};
 use crate::breakdown::Breakdown;
-use crate::cause;
-use crate::dump::Dump;
+use crate::findings;
+use crate::recording::Dump;
 use crate::event::PoolId;
-use crate::story;
-use crate::text::html;
+use crate::timeline_text;
+use crate::bounded_text::html;
 
 /// Servers with a line and a band of their own: those with the most attempts.
 const SERVERS: usize = 12;
@@ -131,7 +131,7 @@
     for (pool, id) in busiest(accounts) {
         let name = dump.head.server(pool, id);
         let of = || {
-            let own = move |key: &crate::account::ServerKey| (key.pool, key.server) == (pool, id);
+            let own = move |key: &crate::loss_ledger::ServerKey| (key.pool, key.server) == (pool, id);
             accounts.servers.within(0, Nanos::MAX).filter(move |(_, key, _)| own(key))
         };
         let points = of().filter(|(_, _, row)| row.limit > 0.0);
@@ -171,7 +171,7 @@
     }
     if let Some(accounts) = &dump.accounts {
         out += "<h2>Causes</h2><ol>";
-        for finding in cause::find(&dump.head, accounts, 0, Nanos::MAX).iter().take(8) {
+        for finding in findings::find(&dump.head, accounts, 0, Nanos::MAX).iter().take(8) {
             out += &format!("<li>lost {:.1}: {}</li>", finding.lost as f64 / 1e6, html(&finding.text));
         }
         out += "</ol><h2>The day</h2>";
@@ -182,7 +182,7 @@
     }
     out += "<h2>Some requests</h2>";
     for one in dump.stories.iter().filter(|story| story.cause.is_some()).take(STORIES) {
-        out += &format!("<pre>{}</pre>", lines_of(&story::tell(&dump.head, one)));
+        out += &format!("<pre>{}</pre>", lines_of(&timeline_text::tell(&dump.head, one)));
     }
     out + "</html>\n"
 }
--- a/crates/flight-recorder/src/account.rs
+++ b/crates/flight-recorder/src/loss_ledger.rs
@@ -6,9 +6,9 @@
 
 use pumicehead_policy::{Nanos, SECOND};
 
-use crate::bytes::{Reader, put, put_f32};
+use crate::wire_format::{Reader, put, put_f32};
 use crate::event::PoolId;
-use crate::loss::Micro;
+use crate::loss_cause::Micro;
 
 /// Rows that add up.
 pub trait Row: Default + Clone {
--- a/crates/flight-recorder/src/metrics.rs
+++ b/crates/flight-recorder/src/metrics.rs
@@ -14,8 +14,8 @@
 use pumicehead_policy::{AttemptOutcome, Nanos, SECOND};
 
 use crate::event::{How, Turned};
-use crate::loss::said;
-use crate::text::{Name, plain};
+use crate::loss_cause::said;
+use crate::bounded_text::{Name, plain};
 
 /// Classes that have rows of their own; the rest count as "other".
 pub const CLASSES: usize = 32;
--- a/crates/flight-recorder/src/recorder.rs
+++ b/crates/flight-recorder/src/recorder.rs
@@ -4,16 +4,16 @@
 use pumicehead_policy::{AttemptOutcome, EndpointId, Nanos, RequestId, SECOND};
 use rustc_hash::FxHashMap;
 
-use crate::account::{Accounts, FlowKey, LossKey, NOBODY, ServerKey};
-use crate::dump::{Head, PoolHead};
+use crate::loss_ledger::{Accounts, FlowKey, LossKey, NOBODY, ServerKey};
+use crate::recording::{Head, PoolHead};
 use crate::event::{Event, How, PoolId, Short, Turned, place};
-pub use crate::kept::{Class, Story};
-use crate::loss::{Cause, Life, Verdict, micro};
+pub use crate::request_timeline::{Class, Story};
+use crate::loss_cause::{Cause, Life, Verdict, micro};
 use crate::metrics::Meters;
 use crate::reservoir::Reservoir;
-use crate::ring::{Ring, append};
+use crate::event_ring::{Ring, append};
 use crate::tenant_names::TenantNames;
-use crate::text::Name;
+use crate::bounded_text::Name;
 
 /// Most that the story of one request takes: some forty events. What comes beyond is in the ring alone.
 const LONGEST_STORY: usize = 1_024;
@@ -229,7 +229,7 @@
         }
         let known = self.class(key.0, class);
         let (worth, late, aim) = known.map_or((1.0, 0.0, Nanos::MAX), |c| (c.worth, c.late_worth, c.aim_ns));
-        let last = at / crate::ring::UNIT * crate::ring::UNIT;
+        let last = at / crate::event_ring::UNIT * crate::event_ring::UNIT;
         let mut page = self.spare.pop().unwrap_or_default();
         page.extend_from_slice(&last.to_le_bytes());
         let life = Life::new(at, sending, worth, late, aim);
@@ -242,7 +242,7 @@
         }
     }
 
-    fn class(&self, pool: PoolId, class: u16) -> Option<&crate::dump::ClassHead> {
+    fn class(&self, pool: PoolId, class: u16) -> Option<&crate::recording::ClassHead> {
         self.head.pools.get(usize::from(pool.0))?.classes.get(usize::from(class))
     }
 
@@ -417,7 +417,7 @@
         &mut self.meters
     }
 
-    /// All of it as a file of [`crate::dump`].
+    /// All of it as a file of [`crate::recording`].
     #[must_use]
     pub fn dump(&self, at: Nanos, reason: &str) -> Vec<u8> {
         let mut head = self.head.clone();
@@ -440,6 +440,6 @@
         let open: Vec<_> = open.collect();
         let stories = stories.into_iter().map(|(_, story)| &**story).chain(&open);
         let pages: Vec<_> = self.ring.pages().collect();
-        crate::dump::write(&head, &self.accounts, stories, pages.into_iter().rev())
+        crate::recording::write(&head, &self.accounts, stories, pages.into_iter().rev())
     }
 }
--- a/crates/flight-recorder/src/dump.rs
+++ b/crates/flight-recorder/src/recording.rs
@@ -9,14 +9,14 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::account::Accounts;
-use crate::bytes::{Reader, put, put_bytes, put_some};
+use crate::loss_ledger::Accounts;
+use crate::wire_format::{Reader, put, put_bytes, put_some};
 use crate::event::PoolId;
-use crate::kept::{Class, Story};
-use crate::loss::Cause;
-use crate::ring::{Record, records};
+use crate::request_timeline::{Class, Story};
+use crate::loss_cause::Cause;
+use crate::event_ring::{Record, records};
 use crate::tenant_names::TenantNames;
-use crate::text::Name;
+use crate::bounded_text::Name;
 
 /// The first bytes.
 pub const MAGIC: &[u8; 8] = b"PHEADREC";
@@ -125,7 +125,7 @@
     pub fn tenant(&self, pool: PoolId, tenant: u32) -> String {
         let of_pool = || self.pools.get(usize::from(pool.0))?.tenants.get(tenant as usize);
         let name = self.tenants.get(tenant).or_else(|| of_pool().map(String::as_str));
-        name.map_or_else(|| tenant.to_string(), crate::text::plain)
+        name.map_or_else(|| tenant.to_string(), crate::bounded_text::plain)
     }
 
     /// A server's name, or its id.
@@ -133,7 +133,7 @@
     pub fn server(&self, pool: PoolId, server: u32) -> String {
         let pool = self.pools.get(usize::from(pool.0));
         let name = pool.and_then(|pool| pool.servers.iter().find(|(id, _)| *id == server));
-        name.map_or_else(|| format!("#{server}"), |(_, name)| crate::text::plain(name))
+        name.map_or_else(|| format!("#{server}"), |(_, name)| crate::bounded_text::plain(name))
     }
 }
 
--- a/crates/flight-recorder/src/kept.rs
+++ b/crates/flight-recorder/src/request_timeline.rs
@@ -3,8 +3,8 @@
 use pumicehead_policy::Nanos;
 
 use crate::event::PoolId;
-use crate::loss::Cause;
-use crate::text::Name;
+use crate::loss_cause::Cause;
+use crate::bounded_text::Name;
 
 /// What a pool's classes are.
 #[derive(Clone, Debug, PartialEq)]
@@ -34,7 +34,7 @@
     pub at: Nanos,
     /// What its loss was put down to, if it had one.
     pub cause: Option<Cause>,
-    /// Its events as a page, to be read by [`crate::ring::records`].
+    /// Its events as a page, to be read by [`crate::event_ring::records`].
     pub page: Box<[u8]>,
     /// Some events did not fit.
     pub cut: bool,
--- a/crates/flight-recorder/src/story.rs
+++ b/crates/flight-recorder/src/timeline_text.rs
@@ -7,12 +7,12 @@
 };
 use pumicehead_policy::{AttemptOutcome, Nanos};
 
-use crate::dump::Head;
+use crate::recording::Head;
 use crate::event::{Event, How};
-use crate::kept::Story;
-use crate::loss::said;
-use crate::moment;
-use crate::ring::records;
+use crate::request_timeline::Story;
+use crate::loss_cause::said;
+use crate::timestamp;
+use crate::event_ring::records;
 
 fn hurdle(hurdle: ExclusionReason) -> &'static str {
     match hurdle {
@@ -73,10 +73,10 @@
                 "It came as `{}` to {}, and its client waits {}.",
                 head.class(story.pool, *class),
                 head.pool(story.pool),
-                moment::span(*left)
+                timestamp::span(*left)
             );
             if *sending > 1_000_000 {
-                let _ = write!(text, " It took its client {} to send it.", moment::span(*sending));
+                let _ = write!(text, " It took its client {} to send it.", timestamp::span(*sending));
             }
             if let Some(tenant) = tenant {
                 let _ = write!(text, " Tenant: {}.", head.tenant(story.pool, *tenant));
@@ -128,17 +128,17 @@
         }
         Event::Sent { attempt, server: id, timeout, .. } => {
             let timeout =
-                timeout.map_or(String::new(), |span| format!(", for {} at most", moment::span(span)));
+                timeout.map_or(String::new(), |span| format!(", for {} at most", timestamp::span(span)));
             format!("Attempt {} to {}{timeout}.", attempt.0 + 1, server(id.0))
         }
         Event::Ended { attempt, server: id, outcome, took, dial, idle, .. } => {
             let dial = if *dial > 1_000_000 {
-                format!(", {} of it for a connection", moment::span(*dial))
+                format!(", {} of it for a connection", timestamp::span(*dial))
             } else {
                 String::new()
             };
             let kept = match idle {
-                Some(idle) => format!(", on a connection that had been idle for {}", moment::span(*idle)),
+                Some(idle) => format!(", on a connection that had been idle for {}", timestamp::span(*idle)),
                 None => String::new(),
             };
             let how = if *outcome == AttemptOutcome::NotSent { "was never sent" } else { said(*outcome) };
@@ -146,7 +146,7 @@
                 "Attempt {} at {}: {how} after {}{dial}{kept}.",
                 attempt.0 + 1,
                 server(id.0),
-                moment::span(*took)
+                timestamp::span(*took)
             )
         }
         Event::Began { attempt, .. } => {
@@ -162,12 +162,12 @@
 pub fn tell(head: &Head, story: &Story) -> String {
     let (events, whole) = records(&story.page);
     let begin = events.first().map_or(story.at, |record| record.at);
-    let mut out = format!("request {}, from {}\n", story.name.shown(), moment::shown(begin, head.start));
+    let mut out = format!("request {}, from {}\n", story.name.shown(), timestamp::shown(begin, head.start));
     let mut over = false;
     for record in &events {
         if let Some(sentence) = sentence(head, story, &record.event) {
             let since: Nanos = record.at.saturating_sub(begin);
-            let _ = writeln!(out, "  +{:>10}  {sentence}", moment::span(since));
+            let _ = writeln!(out, "  +{:>10}  {sentence}", timestamp::span(since));
         }
         over |= matches!(record.event, Event::Over { .. });
     }
--- a/crates/flight-recorder/src/moment.rs
+++ b/crates/flight-recorder/src/timestamp.rs
@@ -15,7 +15,7 @@
 /// # Errors
 /// [`NoMoment`].
 pub fn parse(text: &str, start: Nanos) -> Result<Nanos, NoMoment> {
-    let fault = || NoMoment(crate::text::plain(&text.chars().take(40).collect::<String>()));
+    let fault = || NoMoment(crate::bounded_text::plain(&text.chars().take(40).collect::<String>()));
     let seconds = |part: &str| {
         let plain = !part.is_empty() && part.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
         part.parse::<f64>().ok().filter(|n| plain && n.is_finite() && *n < 1e9)
--- a/crates/flight-recorder/tests/bounds.rs
+++ b/crates/flight-recorder/tests/bounds.rs
@@ -4,13 +4,13 @@
 
 use common::*;
 use proptest::prelude::*;
-use pumicehead_flight_recorder::account::{Key, Loss, LossKey, Row, Table};
+use pumicehead_flight_recorder::loss_ledger::{Key, Loss, LossKey, Row, Table};
 use pumicehead_flight_recorder::breakdown::Breakdown;
-use pumicehead_flight_recorder::dump::Dump;
+use pumicehead_flight_recorder::recording::Dump;
 use pumicehead_flight_recorder::event::{Event, How, PoolId};
 use pumicehead_flight_recorder::recorder::{LEAST_MEMORY, Level};
 use pumicehead_flight_recorder::reservoir::{DECAY, Reservoir};
-use pumicehead_flight_recorder::ring::{PAGE, Ring, records};
+use pumicehead_flight_recorder::event_ring::{PAGE, Ring, records};
 use pumicehead_policy::decision_event::{DecisionEvent, ExclusionReasons, RejectionReason};
 use pumicehead_policy::*;
 
@@ -85,7 +85,7 @@
         let (_, middle) = accounts.aligned(START, START + cut * SECOND);
         let halves = [(0, middle), (middle, Nanos::MAX)].map(|(a, b)| Breakdown::of(&dump, a, b).unwrap());
         prop_assert_eq!(halves[0].lost() + halves[1].lost(), whole.lost());
-        let found = pumicehead_flight_recorder::cause::find(&dump.head, accounts, 0, Nanos::MAX);
+        let found = pumicehead_flight_recorder::findings::find(&dump.head, accounts, 0, Nanos::MAX);
         prop_assert_eq!(found.iter().map(|one| one.lost).sum::<u64>(), whole.lost(), "{:?}", found);
     }
 }
@@ -176,7 +176,7 @@
     let dump = Dump::read(&day.recorder.dump(day.now, "test")).unwrap();
     assert!(dump.head.wrapped > 0);
     let story = dump.find("the long one")[0];
-    let text = pumicehead_flight_recorder::story::tell(&dump.head, story);
+    let text = pumicehead_flight_recorder::timeline_text::tell(&dump.head, story);
     assert!(
         text.contains("It came as `submit`") && text.contains("Attempt 1 at s-3: no answer in time"),
         "{text}"
@@ -202,7 +202,7 @@
     let dump = Dump::read(&day.recorder.dump(day.now, "test")).unwrap();
     let story = &dump.stories[0];
     assert!(story.cut && story.page.len() <= 1_024);
-    let text = pumicehead_flight_recorder::story::tell(&dump.head, story);
+    let text = pumicehead_flight_recorder::timeline_text::tell(&dump.head, story);
     assert!(text.lines().all(|line| !line.contains('\u{1b}')));
 }
 
--- a/crates/flight-recorder/tests/causes.rs
+++ b/crates/flight-recorder/tests/causes.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use pumicehead_flight_recorder::cause::{Finding, Matter, Subject, find};
-use pumicehead_flight_recorder::dump::Dump;
+use pumicehead_flight_recorder::findings::{Finding, Matter, Subject, find};
+use pumicehead_flight_recorder::recording::Dump;
 use pumicehead_flight_recorder::event::{Event, How, Short, Turned};
 use pumicehead_policy::decision_event::RejectionReason;
 use pumicehead_policy::*;
--- a/crates/flight-recorder/tests/common/mod.rs
+++ b/crates/flight-recorder/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use pumicehead_flight_recorder::event::{Event, How, PoolId};
 use pumicehead_flight_recorder::recorder::{Class, Recorder};
-use pumicehead_flight_recorder::text::Name;
+use pumicehead_flight_recorder::bounded_text::Name;
 use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
 use pumicehead_policy::*;
 
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -4,12 +4,12 @@
 
 use common::*;
 use proptest::prelude::*;
-use pumicehead_flight_recorder::bytes::Reader;
-use pumicehead_flight_recorder::dump::{Dump, DumpError, sum};
+use pumicehead_flight_recorder::wire_format::Reader;
+use pumicehead_flight_recorder::recording::{Dump, DumpError, sum};
 use pumicehead_flight_recorder::event::{Event, How, Listed, PoolId, Short, Turned};
 use pumicehead_flight_recorder::export::{chrome, otlp};
 use pumicehead_flight_recorder::recorder::Recorder;
-use pumicehead_flight_recorder::text::Name;
+use pumicehead_flight_recorder::bounded_text::Name;
 use pumicehead_policy::decision_event::{
     DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RejectionReason,
 };
@@ -152,14 +152,14 @@
     assert_eq!((dump.damage, dump.stories.len()), (None, 4));
     assert_eq!((dump.head.node.as_str(), dump.head.reason.as_str()), ("n0", "test"));
     let failed = dump.find("r1")[0];
-    let text = pumicehead_flight_recorder::story::tell(&dump.head, failed);
+    let text = pumicehead_flight_recorder::timeline_text::tell(&dump.head, failed);
     for part in
         ["`submit`", "Attempt 1 to s-2.", "the connection broke after 30.0 ms", "must not take effect twice"]
     {
         assert!(text.contains(part), "{part}\n{text}");
     }
     assert!(dump.find("r9").is_empty());
-    let page = pumicehead_flight_recorder::page::write(&dump);
+    let page = pumicehead_flight_recorder::html_report::write(&dump);
     assert!(page.contains("<svg") && page.contains("The client was told"), "pictures and stories");
     // The name of SVG itself is the only address in it: nothing is fetched.
     assert_eq!(page.matches("://").count(), page.matches("http://www.w3.org/2000/svg").count());
@@ -250,7 +250,7 @@
         let at = noise.len() % file.len();
         file.splice(at.., noise.iter().copied());
         if let Ok(dump) = Dump::read(&file) {
-            let _ = (otlp(&dump), chrome(&dump), pumicehead_flight_recorder::page::write(&dump));
+            let _ = (otlp(&dump), chrome(&dump), pumicehead_flight_recorder::html_report::write(&dump));
         }
     }
 }
--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -8,13 +8,13 @@
 
 use common::*;
 use pumicehead_flight_recorder::breakdown::Breakdown;
-use pumicehead_flight_recorder::dump::{ClassHead, Dump, Head, PoolHead, write};
+use pumicehead_flight_recorder::recording::{ClassHead, Dump, Head, PoolHead, write};
 use pumicehead_flight_recorder::event::{Event, How, Listed, PoolId, Short, Turned, outcome};
 use pumicehead_flight_recorder::export::{chrome, otlp};
-use pumicehead_flight_recorder::loss::{Cause, Where};
+use pumicehead_flight_recorder::loss_cause::{Cause, Where};
 use pumicehead_flight_recorder::recorder::{Class, Level, Recorder, Story};
-use pumicehead_flight_recorder::ring::{Ring, append};
-use pumicehead_flight_recorder::text::Name;
+use pumicehead_flight_recorder::event_ring::{Ring, append};
+use pumicehead_flight_recorder::bounded_text::Name;
 use pumicehead_policy::decision_event::{
     DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RejectionReason,
 };
@@ -385,7 +385,7 @@
 }
 
 fn told(dump: &Dump) -> String {
-    let all = dump.stories.iter().map(|story| pumicehead_flight_recorder::story::tell(&dump.head, story));
+    let all = dump.stories.iter().map(|story| pumicehead_flight_recorder::timeline_text::tell(&dump.head, story));
     all.collect::<Vec<_>>().join("\n")
 }
 
--- a/crates/node/src/fleet/event_loop.rs
+++ b/crates/node/src/fleet/event_loop.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use pumicehead_flight_recorder::event::Event as RecorderEvent;
-use pumicehead_flight_recorder::text::Name;
+use pumicehead_flight_recorder::bounded_text::Name;
 use pumicehead_membership::settings::MAX_DATAGRAM_BYTES;
 use pumicehead_membership::{Event, MS, MemberState, Nanos, Output, SECOND};
 use pumicehead_policy::NodeShare;
--- a/crates/node/src/log/filter.rs
+++ b/crates/node/src/log/filter.rs
@@ -2,7 +2,7 @@
 
 use std::str::FromStr;
 
-use pumicehead_flight_recorder::text::plain;
+use pumicehead_flight_recorder::bounded_text::plain;
 use thiserror::Error;
 use tracing_subscriber::filter::Targets;
 
--- a/crates/node/src/log/format.rs
+++ b/crates/node/src/log/format.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::{self, Write};
 
-use pumicehead_flight_recorder::text::plain;
+use pumicehead_flight_recorder::bounded_text::plain;
 use rustix::pipe::PIPE_BUF;
 use tracing::Level;
 use tracing::field::{Field, Visit};
--- a/crates/node/src/log/mod.rs
+++ b/crates/node/src/log/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use pumicehead_flight_recorder::quota::{KINDS, More, Quota};
+use pumicehead_flight_recorder::log_rate_limit::{KINDS, More, Quota};
 use tracing::{Event, Level, Subscriber};
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::layer::{Context, SubscriberExt};
@@ -182,7 +182,7 @@
         // A place in the code is a kind.
         let place =
             format!("{}:{}", metadata.file().unwrap_or_default(), metadata.line().unwrap_or_default());
-        let kind = pumicehead_flight_recorder::text::hash(&place);
+        let kind = pumicehead_flight_recorder::bounded_text::hash(&place);
         let mut fields = Fields::default();
         let (told, before) = {
             let now = self.0.now();
--- a/crates/node/src/net/pool_loop/requests.rs
+++ b/crates/node/src/net/pool_loop/requests.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use pumicehead_flight_recorder::event::{Event as RecordedEvent, How};
-use pumicehead_flight_recorder::text;
+use pumicehead_flight_recorder::bounded_text;
 use pumicehead_policy::{ClassId, Event, Nanos, NewRequest, RequestId, SECOND};
 use tokio::time::Instant;
 
@@ -53,7 +53,7 @@
                 tenant: request.tenant.map(|tenant| tenant.0),
                 left: request.time_left.as_nanos() as Nanos,
                 sending: request.body_read_time.as_nanos() as Nanos,
-                name: text::Name::new(&request.correlation_id),
+                name: bounded_text::Name::new(&request.correlation_id),
                 revision: request.revision,
             });
         }
--- a/crates/node/src/why.rs
+++ b/crates/node/src/why.rs
@@ -9,9 +9,9 @@
 
 use clap::{Args, ValueEnum};
 use pumicehead_flight_recorder::breakdown::Breakdown;
-use pumicehead_flight_recorder::cause::{Finding, find};
-use pumicehead_flight_recorder::dump::{Dump, LONGEST};
-use pumicehead_flight_recorder::{export as forms, moment, page, story};
+use pumicehead_flight_recorder::findings::{Finding, find};
+use pumicehead_flight_recorder::recording::{Dump, LONGEST};
+use pumicehead_flight_recorder::{export as forms, html_report, timeline_text, timestamp};
 use pumicehead_policy::Nanos;
 use serde_json::json;
 
@@ -86,7 +86,7 @@
     let line = String::from_utf8_lossy(&answer[..end]).into_owned();
     let length = line.strip_prefix("OK ").and_then(|length| length.parse::<usize>().ok());
     let length =
-        length.ok_or_else(|| format!("{address}: {}", pumicehead_flight_recorder::text::plain(&line)))?;
+        length.ok_or_else(|| format!("{address}: {}", pumicehead_flight_recorder::bounded_text::plain(&line)))?;
     let file = &answer[end + 1..];
     if file.len() != length {
         return Err(format!("{address}: {} of {length} bytes came", file.len()).into());
@@ -105,7 +105,7 @@
     print(&match form {
         ExportForm::Otlp => forms::otlp(&dump),
         ExportForm::Chrome => forms::chrome(&dump),
-        ExportForm::Html => page::write(&dump),
+        ExportForm::Html => html_report::write(&dump),
     });
     Ok(())
 }
@@ -151,10 +151,10 @@
         Ok(())
     }
 
-    fn span(&self, dump: &Dump) -> Result<(Nanos, Nanos), moment::NoMoment> {
+    fn span(&self, dump: &Dump) -> Result<(Nanos, Nanos), timestamp::NoMoment> {
         match self.between.as_deref() {
             Some([from, to]) => {
-                Ok((moment::parse(from, dump.head.start)?, moment::parse(to, dump.head.start)?))
+                Ok((timestamp::parse(from, dump.head.start)?, timestamp::parse(to, dump.head.start)?))
             }
             _ => Ok((0, Nanos::MAX)),
         }
@@ -165,11 +165,11 @@
     let found = dump.find(request);
     if found.is_empty() {
         let kept = dump.stories.len();
-        let name = pumicehead_flight_recorder::text::plain(&request.chars().take(60).collect::<String>());
+        let name = pumicehead_flight_recorder::bounded_text::plain(&request.chars().take(60).collect::<String>());
         return Err(format!("no story of `{name}` among the {kept} that were kept").into());
     }
     for story in found.into_iter().take(STORIES) {
-        print(&story::tell(&dump.head, story));
+        print(&timeline_text::tell(&dump.head, story));
     }
     Ok(())
 }
--- a/crates/node/tests/eyes.rs
+++ b/crates/node/tests/eyes.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use pumicehead_flight_recorder::breakdown::Breakdown;
-use pumicehead_flight_recorder::dump::Dump;
+use pumicehead_flight_recorder::recording::Dump;
 use pumicehead_flight_recorder::event::Event;
-use pumicehead_flight_recorder::ring::records;
+use pumicehead_flight_recorder::event_ring::records;
 use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
 use pumicehead_testbed::program::{LIMIT, Standalone, built, temporary, wait_for};
 use pumicehead_testbed::scripted::*;
--- a/crates/node/tests/reloads.rs
+++ b/crates/node/tests/reloads.rs
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_flight_recorder::dump::Dump;
+use pumicehead_flight_recorder::recording::Dump;
 use pumicehead_flight_recorder::event::Event;
-use pumicehead_flight_recorder::ring::records;
+use pumicehead_flight_recorder::event_ring::records;
 use pumicehead_testbed::program::{LIMIT, Standalone, wait_for};
 use pumicehead_testbed::scripted::{Act, Backend, Client, Crowd, Message, ok, refusing};
 
--- a/crates/node/tests/tenants.rs
+++ b/crates/node/tests/tenants.rs
@@ -7,9 +7,9 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Instant;
 
-use pumicehead_flight_recorder::dump::Dump;
+use pumicehead_flight_recorder::recording::Dump;
 use pumicehead_flight_recorder::event::Event;
-use pumicehead_flight_recorder::story;
+use pumicehead_flight_recorder::timeline_text;
 use pumicehead_policy::decision_event::DecisionEvent;
 use pumicehead_testbed::program::{LIMIT, Standalone, wait_for};
 use pumicehead_testbed::scripted::{Backend, Client, Crowd, ok};
@@ -181,7 +181,7 @@
     let (within, over): (Vec<_>, Vec<_>) = worths.partition(|worth| *worth >= 1.0);
     assert_eq!(within.len() + over.len(), 40);
     assert!(!within.is_empty() && within.len() as f64 <= most, "{} of {most}", within.len());
-    let told = dump.stories.iter().map(|told| story::tell(&dump.head, told));
+    let told = dump.stories.iter().map(|told| timeline_text::tell(&dump.head, told));
     assert!(told.into_iter().any(|told| told.contains("Tenant: greedy.")));
 }
 
@@ -215,6 +215,6 @@
     let (within, over): (Vec<_>, Vec<_>) = worths.partition(|worth| *worth >= 1.0);
     assert_eq!(within.len() + over.len(), 40);
     assert!(!within.is_empty() && within.len() as f64 <= most, "{} of {most}", within.len());
-    let mut told = dump.stories.iter().map(|told| story::tell(&dump.head, told));
+    let mut told = dump.stories.iter().map(|told| timeline_text::tell(&dump.head, told));
     assert!(told.any(|told| told.contains("Tenant: greedy.")));
 }
--- a/crates/testbed/src/measure/eyes.rs
+++ b/crates/testbed/src/measure/eyes.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pumicehead_flight_recorder::cause::{Finding, Matter, Subject, find};
-use pumicehead_flight_recorder::dump::Dump;
+use pumicehead_flight_recorder::findings::{Finding, Matter, Subject, find};
+use pumicehead_flight_recorder::recording::Dump;
 use pumicehead_load_generator::engine::{Progress, Protocol, Setup, run};
 use pumicehead_load_generator::mix::{Mix, Plan as Drawn};
 use pumicehead_load_generator::schedule::{Arrivals, Schedule};
