--- a/crates/flight-recorder/src/event.rs
+++ b/crates/flight-recorder/src/event.rs
@@ -6,7 +6,7 @@
 use pumicehead_policy::decision_event::{
     DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RejectionReason,
 };
-use pumicehead_policy::{AttemptNo, AttemptOutcome, EndpointId, Nanos, RequestId};
+use pumicehead_policy::{AttemptNo, AttemptOutcome, EndpointId, EndpointState, Nanos, RequestId};
 
 use crate::wire_format::{Reader, put, put_bytes, put_f32, put_some};
 use crate::bounded_text::Name;
@@ -17,68 +17,57 @@
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum RequestOutcome {
     /// With a server's answer.
     Served,
     /// With a server's answer that speaks of a fault.
-    ServedFault,
-    /// Refused: it may come again.
-    Refused,
+    ServedError,
+    /// Rejected: it may come again.
+    Rejected,
     /// Failed.
     Failed,
     /// Failed since its time was up.
-    Late,
+    DeadlineExceeded,
     /// Its body was too slow, too long or broke off.
-    Body,
+    BodyFailed,
     /// The client had left.
-    Left,
+    ClientDisconnected,
 }
 
-impl How {
+impl RequestOutcome {
     const ALL: [Self; 7] =
-        [Self::Served, Self::ServedFault, Self::Refused, Self::Failed, Self::Late, Self::Body, Self::Left];
+        [Self::Served, Self::ServedError, Self::Rejected, Self::Failed, Self::DeadlineExceeded, Self::BodyFailed, Self::ClientDisconnected];
 }
 
 /// Why a front turned a request away that no pool has seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turned {
+pub enum ListenerRejection {
     /// The node holds as many requests as it may.
-    Held,
+    RequestLimit,
     /// There is no place for another connection.
-    Connections,
+    ConnectionLimit,
 }
 
-impl Turned {
-    const ALL: [Self; 2] = [Self::Held, Self::Connections];
+impl ListenerRejection {
+    const ALL: [Self; 2] = [Self::RequestLimit, Self::ConnectionLimit];
 }
 
 /// What a node ran out of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Short {
+pub enum ExhaustedResource {
     /// The system gives no descriptor for a client's connection.
-    Accept,
+    DownstreamConnection,
     /// No place for another connection to a server.
-    Dial,
+    UpstreamConnection,
 }
 
-impl Short {
-    const ALL: [Self; 2] = [Self::Accept, Self::Dial];
+impl ExhaustedResource {
+    const ALL: [Self; 2] = [Self::DownstreamConnection, Self::UpstreamConnection];
 }
 
-/// What a list said of a server.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
-    /// It takes work.
-    Ready,
-    /// It drains.
-    Draining,
-    /// It is gone.
-    Gone,
-}
-
-impl Listed {
-    const ALL: [Self; 3] = [Self::Ready, Self::Draining, Self::Gone];
-}
+/// States of an endpoint, by their stored codes.
+const ENDPOINT_STATES: [EndpointState; 3] =
+    [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
 
 /// An event of a pool.
 #[derive(Clone, Debug, PartialEq)]
@@ -143,14 +132,14 @@
         /// Of this request.
         id: RequestId,
         /// How.
-        how: How,
+        how: RequestOutcome,
     },
     /// The list spoke of a server.
     Server {
         /// Which.
         server: EndpointId,
         /// What it said.
-        listed: Listed,
+        listed: EndpointState,
     },
     /// Advice was heard.
     Advice {
@@ -164,10 +153,10 @@
         /// Its class, by its place in the pool.
         class: u16,
         /// Why.
-        why: Turned,
+        why: ListenerRejection,
     },
     /// The node ran out of something.
-    Short(Short),
+    Short(ExhaustedResource),
     /// The fleet's view says how many nodes share the servers.
     Sharing {
         /// So many.
@@ -308,11 +297,11 @@
             }
             Self::Over { id, how } => {
                 start(5, id.0);
-                out.push(How::ALL.iter().position(|known| known == how).unwrap_or_default() as u8);
+                out.push(RequestOutcome::ALL.iter().position(|known| known == how).unwrap_or_default() as u8);
             }
             Self::Server { server, listed } => {
                 start(6, server.0);
-                out.push(Listed::ALL.iter().position(|known| known == listed).unwrap_or_default() as u8);
+                out.push(ENDPOINT_STATES.iter().position(|known| known == listed).unwrap_or_default() as u8);
             }
             Self::Advice { avoid, rights } => {
                 start(7, *avoid);
@@ -320,10 +309,10 @@
             }
             Self::Turned { class, why } => {
                 start(8, u32::from(*class));
-                out.push(Turned::ALL.iter().position(|known| known == why).unwrap_or_default() as u8);
+                out.push(ListenerRejection::ALL.iter().position(|known| known == why).unwrap_or_default() as u8);
             }
             Self::Short(what) => {
-                start(9, Short::ALL.iter().position(|known| known == what).unwrap_or_default() as u32);
+                start(9, ExhaustedResource::ALL.iter().position(|known| known == what).unwrap_or_default() as u32);
             }
             Self::Sharing { nodes, number } => {
                 start(10, *nodes);
@@ -374,11 +363,11 @@
                 idle: from.some()?,
             },
             4 => Self::Began { id, attempt: AttemptNo(from.byte()?) },
-            5 => Self::Over { id, how: at(&How::ALL, from.byte()?)? },
-            6 => Self::Server { server: EndpointId(first), listed: at(&Listed::ALL, from.byte()?)? },
+            5 => Self::Over { id, how: at(&RequestOutcome::ALL, from.byte()?)? },
+            6 => Self::Server { server: EndpointId(first), listed: at(&ENDPOINT_STATES, from.byte()?)? },
             7 => Self::Advice { avoid: first, rights: from.small()? },
-            8 => Self::Turned { class: u16::try_from(first).ok()?, why: at(&Turned::ALL, from.byte()?)? },
-            9 => Self::Short(at(&Short::ALL, u8::try_from(first).ok()?)?),
+            8 => Self::Turned { class: u16::try_from(first).ok()?, why: at(&ListenerRejection::ALL, from.byte()?)? },
+            9 => Self::Short(at(&ExhaustedResource::ALL, u8::try_from(first).ok()?)?),
             10 => Self::Sharing { nodes: first, number: from.small()? },
             11 => Self::Member {
                 to: u8::try_from(first).ok()?,
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 use crate::recording::Dump;
-use crate::event::{Event, How};
+use crate::event::{Event, RequestOutcome};
 use crate::exported_names::Exported;
 use crate::request_timeline::Story;
 use crate::loss_cause::said;
@@ -25,7 +25,7 @@
     events: Vec<Record>,
     from: Nanos,
     to: Nanos,
-    how: Option<How>,
+    how: Option<RequestOutcome>,
     attempts: Vec<Attempt>,
 }
 
@@ -83,7 +83,7 @@
         let one = told(dump, story);
         let trace = format!("{:016x}{:016x}", story.name.hash, id(story, one.from, u64::MAX));
         let root = format!("{:016x}", id(story, one.from, 0));
-        let failed = !matches!(one.how, Some(How::Served) | None);
+        let failed = !matches!(one.how, Some(RequestOutcome::Served) | None);
         let mut attributes = vec![
             attribute("pumicehead.request", &story.name.shown()),
             attribute("pumicehead.pool", &plain(dump.head.pool(story.pool))),
--- a/crates/flight-recorder/src/loss_cause.rs
+++ b/crates/flight-recorder/src/loss_cause.rs
@@ -6,7 +6,7 @@
 use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
 use pumicehead_policy::{AttemptNo, AttemptOutcome, EndpointId, Nanos};
 
-use crate::event::{Event, How, Turned, outcome, place};
+use crate::event::{Event, RequestOutcome, ListenerRejection, outcome, place};
 
 /// Millionths of worth.
 pub type Micro = u64;
@@ -100,8 +100,8 @@
 
     /// Of a front's reason.
     #[must_use]
-    pub fn turned(why: Turned) -> Self {
-        Self::Turned(why == Turned::Connections)
+    pub fn turned(why: ListenerRejection) -> Self {
+        Self::Turned(why == ListenerRejection::ConnectionLimit)
     }
 }
 
@@ -315,11 +315,11 @@
 
     /// What it came to, with its final answer at `at`.
     #[must_use]
-    pub fn judge(&self, at: Nanos, how: How) -> Verdict {
+    pub fn judge(&self, at: Nanos, how: RequestOutcome) -> Verdict {
         let late = at > self.aim_at;
         let earned = match how {
-            How::Served if late => micro(self.worth as f64 / 1e6 * self.late_worth).min(self.worth),
-            How::Served => self.worth,
+            RequestOutcome::Served if late => micro(self.worth as f64 / 1e6 * self.late_worth).min(self.worth),
+            RequestOutcome::Served => self.worth,
             _ => 0,
         };
         let stop = if let Some(RejectionReason::NoRetry(stop)) = self.rule { Some(stop) } else { None };
@@ -333,10 +333,10 @@
         let (place, server) = self.spent(at);
         let failed = |bad: Bad| (Cause::Failed(crate::event::place(bad.outcome) as u8), Some(bad.server));
         verdict(match (how, self.rule) {
-            (How::Served, _) => (Cause::Late(place), server),
-            (How::Body, _) => (Cause::Body, None),
-            (How::Left, _) => (Cause::Left(place), server),
-            (How::ServedFault, _) => self.last.map_or((Cause::Failed(place_of_error()), server), failed),
+            (RequestOutcome::Served, _) => (Cause::Late(place), server),
+            (RequestOutcome::BodyFailed, _) => (Cause::Body, None),
+            (RequestOutcome::ClientDisconnected, _) => (Cause::Left(place), server),
+            (RequestOutcome::ServedError, _) => self.last.map_or((Cause::Failed(place_of_error()), server), failed),
             (_, Some(RejectionReason::QueueTooLong)) => (Cause::WaitShare, None),
             (_, Some(RejectionReason::QueueTimeout)) => (Cause::NearlyOut, None),
             (_, Some(RejectionReason::KeyOrderTimeout)) => (Cause::NoTurn, None),
--- a/crates/flight-recorder/src/metrics.rs
+++ b/crates/flight-recorder/src/metrics.rs
@@ -13,7 +13,7 @@
 };
 use pumicehead_policy::{AttemptOutcome, Nanos, SECOND};
 
-use crate::event::{How, Turned};
+use crate::event::{RequestOutcome, ListenerRejection};
 use crate::loss_cause::said;
 use crate::bounded_text::{Name, plain};
 
@@ -208,7 +208,7 @@
     }
 
     /// A request has ended.
-    pub fn request(&mut self, of: ((u16, u16), (&str, &str)), how: How, took: Nanos, name: &Name, at: Nanos) {
+    pub fn request(&mut self, of: ((u16, u16), (&str, &str)), how: RequestOutcome, took: Nanos, name: &Name, at: Nanos) {
         let meters = self.class(of.0, of.1);
         meters.ended[how as usize].increment(1);
         let seconds = took as f64 / SECOND as f64;
@@ -218,8 +218,8 @@
     }
 
     /// A front has turned one away.
-    pub fn turned(&mut self, why: Turned) {
-        let why = if why == Turned::Held { "held" } else { "connections" };
+    pub fn turned(&mut self, why: ListenerRejection) {
+        let why = if why == ListenerRejection::RequestLimit { "held" } else { "connections" };
         self.count("pumicehead_turned_away", vec![Label::new("why", why)], 1);
     }
 
@@ -260,9 +260,9 @@
         let mut meters = Meters::default();
         let name = Name::new("a\"b\n");
         for took in [3, 30, 30_000] {
-            meters.request(((0, 0), ("web", "read")), How::Served, took * 1_000_000, &name, SECOND);
+            meters.request(((0, 0), ("web", "read")), RequestOutcome::Served, took * 1_000_000, &name, SECOND);
         }
-        meters.request(((0, 0), ("web", "read")), How::Refused, 1_000, &name, SECOND);
+        meters.request(((0, 0), ("web", "read")), RequestOutcome::Rejected, 1_000, &name, SECOND);
         meters.attempt(AttemptOutcome::Reset);
         meters.gauge("pumicehead_open", 2.0);
         let text = meters.text();
@@ -284,7 +284,7 @@
         let mut meters = Meters::default();
         for class in 0..1_000 {
             let name = format!("c{class}");
-            meters.request(((0, class), ("web", &name)), How::Served, 1_000, &Name::new("x"), 0);
+            meters.request(((0, class), ("web", &name)), RequestOutcome::Served, 1_000, &Name::new("x"), 0);
         }
         assert_eq!(meters.classes.len(), CLASSES + 1);
         assert!(meters.text().contains("{pool=\"other\",class=\"other\",how=\"served\"} 968"));
--- a/crates/flight-recorder/src/recorder.rs
+++ b/crates/flight-recorder/src/recorder.rs
@@ -6,7 +6,7 @@
 
 use crate::loss_ledger::{Accounts, FlowKey, LossKey, NOBODY, ServerKey};
 use crate::recording::{Head, PoolHead};
-use crate::event::{Event, How, PoolId, Short, Turned, place};
+use crate::event::{Event, RequestOutcome, PoolId, ExhaustedResource, ListenerRejection, place};
 pub use crate::request_timeline::{Class, Story};
 use crate::loss_cause::{Cause, Life, Verdict, micro};
 use crate::metrics::Meters;
@@ -60,7 +60,7 @@
     page: Vec<u8>,
     last: Nanos,
     cut: bool,
-    verdict: Option<(Verdict, Nanos, How)>,
+    verdict: Option<(Verdict, Nanos, RequestOutcome)>,
     hurdles: Option<ExclusionReasons>,
 }
 
@@ -168,7 +168,7 @@
                 self.begin(at, (pool, *id), *class, *tenant, *sending, name);
             }
             Event::Turned { class, why } => self.book_turned(at, pool, *class, *why),
-            Event::Short(what) => self.accounts.short[usize::from(*what == Short::Dial)] += 1,
+            Event::Short(what) => self.accounts.short[usize::from(*what == ExhaustedResource::UpstreamConnection)] += 1,
             Event::Note(DecisionEvent::Ejected { endpoint, duration }) => {
                 let key = ServerKey { pool, server: endpoint.0 };
                 self.accounts.servers.at(at, key).aside += duration / 1_000;
@@ -287,7 +287,7 @@
         }
     }
 
-    fn book_turned(&mut self, at: Nanos, pool: PoolId, class: u16, why: Turned) {
+    fn book_turned(&mut self, at: Nanos, pool: PoolId, class: u16, why: ListenerRejection) {
         let worth = self.class(pool, class).map_or(0, |class| micro(class.worth));
         let cause = Some(Cause::turned(why));
         let verdict = Verdict { asked: worth, earned: 0, cause, server: None, stop: None };
@@ -347,9 +347,9 @@
         }
         let matters = verdict.cause.is_some() || open.life.sends() > 1 || used > SLOW;
         let weight = match how {
-            How::Served if !matters => self.rarity((key.0, open.class, open.tenant.unwrap_or(u32::MAX)), at),
-            How::Served if verdict.cause.is_none() => 1.0,
-            How::Served | How::Refused => 2.0,
+            RequestOutcome::Served if !matters => self.rarity((key.0, open.class, open.tenant.unwrap_or(u32::MAX)), at),
+            RequestOutcome::Served if verdict.cause.is_none() => 1.0,
+            RequestOutcome::Served | RequestOutcome::Rejected => 2.0,
             _ => 4.0,
         };
         let size = STORY + open.page.len() + open.name.start.len();
--- a/crates/flight-recorder/src/timeline_text.rs
+++ b/crates/flight-recorder/src/timeline_text.rs
@@ -8,7 +8,7 @@
 use pumicehead_policy::{AttemptOutcome, Nanos};
 
 use crate::recording::Head;
-use crate::event::{Event, How};
+use crate::event::{Event, RequestOutcome};
 use crate::request_timeline::Story;
 use crate::loss_cause::said;
 use crate::timestamp;
@@ -52,15 +52,15 @@
     }
 }
 
-fn ending(how: How) -> &'static str {
+fn ending(how: RequestOutcome) -> &'static str {
     match how {
-        How::Served => "The client got the server's answer.",
-        How::ServedFault => "The client got the server's answer, which speaks of a fault.",
-        How::Refused => "The client was told to come back later; nothing had happened.",
-        How::Failed => "The client was told that it failed.",
-        How::Late => "The client was told that its time was up.",
-        How::Body => "The client was told that its body was too slow, too long or broken off.",
-        How::Left => "The client had left.",
+        RequestOutcome::Served => "The client got the server's answer.",
+        RequestOutcome::ServedError => "The client got the server's answer, which speaks of a fault.",
+        RequestOutcome::Rejected => "The client was told to come back later; nothing had happened.",
+        RequestOutcome::Failed => "The client was told that it failed.",
+        RequestOutcome::DeadlineExceeded => "The client was told that its time was up.",
+        RequestOutcome::BodyFailed => "The client was told that its body was too slow, too long or broken off.",
+        RequestOutcome::ClientDisconnected => "The client had left.",
     }
 }
 
--- a/crates/flight-recorder/tests/bounds.rs
+++ b/crates/flight-recorder/tests/bounds.rs
@@ -7,7 +7,7 @@
 use pumicehead_flight_recorder::loss_ledger::{Key, Loss, LossKey, Row, Table};
 use pumicehead_flight_recorder::breakdown::Breakdown;
 use pumicehead_flight_recorder::recording::Dump;
-use pumicehead_flight_recorder::event::{Event, How, PoolId};
+use pumicehead_flight_recorder::event::{Event, RequestOutcome, PoolId};
 use pumicehead_flight_recorder::recorder::{LEAST_MEMORY, Level};
 use pumicehead_flight_recorder::reservoir::{DECAY, Reservoir};
 use pumicehead_flight_recorder::event_ring::{PAGE, Ring, records};
@@ -172,7 +172,7 @@
         day.one(0, 1, AttemptOutcome::Success, MS);
     }
     day.end(id, 0, 3, AttemptOutcome::TimedOut, 20 * SECOND);
-    day.over(id, How::Late);
+    day.over(id, RequestOutcome::DeadlineExceeded);
     let dump = Dump::read(&day.recorder.dump(day.now, "test")).unwrap();
     assert!(dump.head.wrapped > 0);
     let story = dump.find("the long one")[0];
@@ -198,7 +198,7 @@
         day.now += MS;
         assert!(day.recorder.memory() <= LEAST_MEMORY);
     }
-    day.over(id, How::Failed);
+    day.over(id, RequestOutcome::Failed);
     let dump = Dump::read(&day.recorder.dump(day.now, "test")).unwrap();
     let story = &dump.stories[0];
     assert!(story.cut && story.page.len() <= 1_024);
--- a/crates/flight-recorder/tests/causes.rs
+++ b/crates/flight-recorder/tests/causes.rs
@@ -5,7 +5,7 @@
 use common::*;
 use pumicehead_flight_recorder::findings::{Finding, Matter, Subject, find};
 use pumicehead_flight_recorder::recording::Dump;
-use pumicehead_flight_recorder::event::{Event, How, Short, Turned};
+use pumicehead_flight_recorder::event::{Event, RequestOutcome, ExhaustedResource, ListenerRejection};
 use pumicehead_policy::decision_event::RejectionReason;
 use pumicehead_policy::*;
 
@@ -88,12 +88,12 @@
 #[test]
 fn a_node_short_of_descriptors_is_named() {
     let mut day = with_fifth(|day, class| {
-        day.tell(Event::Short(Short::Accept));
-        day.tell(Event::Turned { class, why: Turned::Connections });
+        day.tell(Event::Short(ExhaustedResource::DownstreamConnection));
+        day.tell(Event::Turned { class, why: ListenerRejection::ConnectionLimit });
     });
     assert_eq!((first(&day).subject, first(&day).matter), (Subject::Node, Matter::Descriptors));
     day = with_fifth(|day, class| {
-        day.tell(Event::Short(Short::Dial));
+        day.tell(Event::Short(ExhaustedResource::UpstreamConnection));
         day.one(class, 0, AttemptOutcome::NotSent, 0);
     });
     assert_eq!((first(&day).subject, first(&day).matter), (Subject::Node, Matter::Descriptors));
@@ -115,7 +115,7 @@
     for _ in 0..50 {
         let id = day.ask(0, "x");
         day.now += 10 * MS;
-        day.over(id, How::Left);
+        day.over(id, RequestOutcome::ClientDisconnected);
         day.one(0, 1, AttemptOutcome::Success, 20 * MS);
     }
     assert_eq!((first(&day).subject, first(&day).matter), (Subject::Clients(day.pool), Matter::Leave));
--- a/crates/flight-recorder/tests/common/mod.rs
+++ b/crates/flight-recorder/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-use pumicehead_flight_recorder::event::{Event, How, PoolId};
+use pumicehead_flight_recorder::event::{Event, RequestOutcome, PoolId};
 use pumicehead_flight_recorder::recorder::{Class, Recorder};
 use pumicehead_flight_recorder::bounded_text::Name;
 use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
@@ -59,7 +59,7 @@
         self.tell(Event::Ended { id, attempt, server, outcome, took, dial: 0, idle: None });
     }
 
-    pub fn over(&mut self, id: RequestId, how: How) {
+    pub fn over(&mut self, id: RequestId, how: RequestOutcome) {
         self.tell(Event::Over { id, how });
     }
 
@@ -70,7 +70,7 @@
         self.send(id, 0, server);
         self.now += took;
         if outcome == AttemptOutcome::Success {
-            self.over(id, How::Served);
+            self.over(id, RequestOutcome::Served);
         }
         self.end(id, 0, server, outcome, took);
         if outcome != AttemptOutcome::Success {
@@ -79,7 +79,7 @@
                 reason: RejectionReason::NoRetry(NoRetryReason::NotIdempotent),
                 pressure: 0.0,
             }));
-            self.over(id, How::Failed);
+            self.over(id, RequestOutcome::Failed);
         }
     }
 
@@ -90,6 +90,6 @@
         self.tell(Event::Note(DecisionEvent::Queued { id, queued: 9 }));
         self.now += MS;
         self.tell(Event::Note(DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure: 0.5 }));
-        self.over(id, How::Refused);
+        self.over(id, RequestOutcome::Rejected);
     }
 }
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use pumicehead_flight_recorder::wire_format::Reader;
 use pumicehead_flight_recorder::recording::{Dump, DumpError, sum};
-use pumicehead_flight_recorder::event::{Event, How, Listed, PoolId, Short, Turned};
+use pumicehead_flight_recorder::event::{Event, RequestOutcome, PoolId, ExhaustedResource, ListenerRejection};
 use pumicehead_flight_recorder::export::{chrome, otlp};
 use pumicehead_flight_recorder::recorder::Recorder;
 use pumicehead_flight_recorder::bounded_text::Name;
@@ -41,7 +41,7 @@
                 .map(RejectionReason::NoRetry),
             );
     let outcomes = (0..8).filter_map(pumicehead_flight_recorder::event::outcome);
-    let hows = [How::Served, How::ServedFault, How::Refused, How::Failed, How::Late, How::Body, How::Left];
+    let hows = [RequestOutcome::Served, RequestOutcome::ServedError, RequestOutcome::Rejected, RequestOutcome::Failed, RequestOutcome::DeadlineExceeded, RequestOutcome::BodyFailed, RequestOutcome::ClientDisconnected];
     let mut all = vec![
         Event::Asked {
             id,
@@ -65,8 +65,8 @@
         Event::Began { id, attempt },
         Event::Advice { avoid: 3, rights: 4 },
         Event::Sharing { nodes: 277, number: 12 },
-        Event::Turned { class: 2, why: Turned::Connections },
-        Event::Short(Short::Dial),
+        Event::Turned { class: 2, why: ListenerRejection::ConnectionLimit },
+        Event::Short(ExhaustedResource::UpstreamConnection),
         Event::Member { name: Name::new("n7"), from: Some(0), to: 3 },
         Event::Member {
             name: Name::new("a name that is longer than what is kept of names here, by some"),
@@ -134,7 +134,7 @@
     }));
     all.extend(hows.map(|how| Event::Over { id, how }));
     all.extend(
-        [Listed::Ready, Listed::Draining, Listed::Gone].map(|listed| Event::Server { server, listed }),
+        [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed].map(|listed| Event::Server { server, listed }),
     );
     for event in all {
         let mut bytes = Vec::new();
--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -9,7 +9,7 @@
 use common::*;
 use pumicehead_flight_recorder::breakdown::Breakdown;
 use pumicehead_flight_recorder::recording::{ClassHead, Dump, Head, PoolHead, write};
-use pumicehead_flight_recorder::event::{Event, How, Listed, PoolId, Short, Turned, outcome};
+use pumicehead_flight_recorder::event::{Event, RequestOutcome, PoolId, ExhaustedResource, ListenerRejection, outcome};
 use pumicehead_flight_recorder::export::{chrome, otlp};
 use pumicehead_flight_recorder::loss_cause::{Cause, Where};
 use pumicehead_flight_recorder::recorder::{Class, Level, Recorder, Story};
@@ -163,10 +163,10 @@
         Event::Began { id, attempt },
         Event::Advice { avoid: 3, rights: 4 },
         Event::Sharing { nodes: 277, number: 12 },
-        Event::Turned { class: 1, why: Turned::Held },
-        Event::Turned { class: 1, why: Turned::Connections },
-        Event::Short(Short::Accept),
-        Event::Short(Short::Dial),
+        Event::Turned { class: 1, why: ListenerRejection::RequestLimit },
+        Event::Turned { class: 1, why: ListenerRejection::ConnectionLimit },
+        Event::Short(ExhaustedResource::DownstreamConnection),
+        Event::Short(ExhaustedResource::UpstreamConnection),
         Event::Member { name: Name::new("n7"), from: Some(0), to: 3 },
         Event::Member { name: Name::new(long), from: None, to: 0 },
     ];
@@ -180,9 +180,9 @@
         dial: if number % 2 == 0 { 0 } else { 2 * MS },
         idle: (number % 3 == 0).then_some(7 * SECOND),
     }));
-    let hows = [How::Served, How::ServedFault, How::Refused, How::Failed, How::Late, How::Body, How::Left];
+    let hows = [RequestOutcome::Served, RequestOutcome::ServedError, RequestOutcome::Rejected, RequestOutcome::Failed, RequestOutcome::DeadlineExceeded, RequestOutcome::BodyFailed, RequestOutcome::ClientDisconnected];
     all.extend(hows.map(|how| Event::Over { id, how }));
-    let listed = [Listed::Ready, Listed::Draining, Listed::Gone];
+    let listed = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
     all.extend(listed.map(|listed| Event::Server { server, listed }));
     all
 }
@@ -247,7 +247,7 @@
         story("open", None, &events[..3]),
         story("cut", None, &events[..1]),
     ];
-    let some = [events[0].clone(), Event::Over { id: ID, how: How::Late }];
+    let some = [events[0].clone(), Event::Over { id: ID, how: RequestOutcome::DeadlineExceeded }];
     stories.extend(every_cause().into_iter().map(|cause| {
         let name = format!("lost-{}", cause.code());
         story(&name, Some(cause), &some)
@@ -314,7 +314,7 @@
         let (attempt, server, outcome) = (AttemptNo(0), EndpointId(4), AttemptOutcome::Success);
         let (took, dial) = (110 * MS, 100 * MS);
         day.tell(Event::Ended { id, attempt, server, outcome, took, dial, idle: None });
-        day.over(id, How::Served);
+        day.over(id, RequestOutcome::Served);
     }
     next_pool(&mut day, "tight", &[class("read", 100 * MS, 1.0), class("hasty", 5 * MS, 10.0)]);
     for n in 0..60 {
@@ -330,7 +330,7 @@
     rounds(&mut day, 5, |day| day.refused(1, RejectionReason::KeyOrderTimeout));
     next_pool(&mut day, "clients", &usual);
     rounds(&mut day, 5, |day| {
-        for how in [How::Left, How::Body] {
+        for how in [RequestOutcome::ClientDisconnected, RequestOutcome::BodyFailed] {
             let id = day.ask(1, "impatient");
             day.now += 10 * MS;
             day.over(id, how);
@@ -349,23 +349,23 @@
             reason: RejectionReason::NoRetry(NoRetryReason::AttemptsExhausted),
             pressure: 0.0,
         }));
-        day.over(id, How::Failed);
+        day.over(id, RequestOutcome::Failed);
         let id = day.ask(0, "faulty");
         day.send(id, 0, 2);
         day.now += 20 * MS;
         day.end(id, 0, 2, AttemptOutcome::Success, 20 * MS);
-        day.over(id, How::ServedFault);
+        day.over(id, RequestOutcome::ServedError);
         let id = day.ask(0, "out of time");
         day.send(id, 0, 2);
         day.now += 400 * MS;
-        day.over(id, How::Late);
+        day.over(id, RequestOutcome::DeadlineExceeded);
         day.end(id, 0, 2, AttemptOutcome::Cancelled, 400 * MS);
     });
-    for why in [Turned::Held, Turned::Connections] {
+    for why in [ListenerRejection::RequestLimit, ListenerRejection::ConnectionLimit] {
         (0..3).for_each(|_| day.tell(Event::Turned { class: 0, why }));
     }
     // The node's shortage of descriptors would be put down as the cause of every attempt that was not sent.
-    day.tell(Event::Short(Short::Accept));
+    day.tell(Event::Short(ExhaustedResource::DownstreamConnection));
     day.tell(Event::Note(DecisionEvent::Ejected { endpoint: SERVER, duration: 1_500 * MS }));
     day.tell(Event::Note(DecisionEvent::LimitChanged {
         endpoint: SERVER,
--- a/crates/node/src/net/downstream/accept.rs
+++ b/crates/node/src/net/downstream/accept.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicehead_config::model::Protocol;
-use pumicehead_flight_recorder::event::{Event, Short};
+use pumicehead_flight_recorder::event::{Event, ExhaustedResource};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::task;
 use tokio::time::{sleep, timeout};
@@ -60,7 +60,7 @@
                 Err(error) => {
                     warn!(target: "front", %error, "accept failed");
                     if let Some(recorder) = self.recorder.get() {
-                        recorder.record(&Event::Short(Short::Accept));
+                        recorder.record(&Event::Short(ExhaustedResource::DownstreamConnection));
                     }
                     self.budget.evict_one();
                     sleep(ACCEPT_RETRY_DELAY).await;
--- a/crates/node/src/net/downstream/proxy.rs
+++ b/crates/node/src/net/downstream/proxy.rs
@@ -2,7 +2,7 @@
 
 use hyper::Response;
 use pumicehead_admin::figures::Outcome;
-use pumicehead_flight_recorder::event::Turned;
+use pumicehead_flight_recorder::event::ListenerRejection;
 
 use super::DownstreamListener;
 use super::request_body::ReceivedBody;
@@ -38,12 +38,12 @@
     }
 
     /// Why a request is rejected without asking its pool; `None` where it is not.
-    fn local_rejection(&self, over_limit: bool) -> Option<Turned> {
+    fn local_rejection(&self, over_limit: bool) -> Option<ListenerRejection> {
         if over_limit {
-            return Some(Turned::Connections);
+            return Some(ListenerRejection::ConnectionLimit);
         }
         let is_full = self.active_requests.count() >= self.options.get().max_active_requests;
-        (self.is_exiting.get() || is_full).then_some(Turned::Held)
+        (self.is_exiting.get() || is_full).then_some(ListenerRejection::RequestLimit)
     }
 
     /// Counts the outcome of a request; that of a streamed response is known at its end.
--- a/crates/node/src/net/pool_handle.rs
+++ b/crates/node/src/net/pool_handle.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 
-use pumicehead_flight_recorder::event::{Event, Turned};
+use pumicehead_flight_recorder::event::{Event, ListenerRejection};
 use pumicehead_policy::WarmState;
 use pumicehead_policy::{NodeShare, RequestId, Settings};
 use tokio::sync::{mpsc, oneshot};
@@ -54,7 +54,7 @@
     }
 
     /// Records that a listener rejected a request of this class without asking the pool.
-    pub fn record_local_rejection(&self, class: usize, why: Turned) {
+    pub fn record_local_rejection(&self, class: usize, why: ListenerRejection) {
         if let Some(recorder) = &self.recorder {
             recorder.record(&Event::Turned { class: class as u16, why });
         }
--- a/crates/node/src/net/pool_loop/attempts.rs
+++ b/crates/node/src/net/pool_loop/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use pumicehead_flight_recorder::event::{Event as RecordedEvent, Short};
+use pumicehead_flight_recorder::event::{Event as RecordedEvent, ExhaustedResource};
 use pumicehead_policy::{AttemptEnded, AttemptNo, AttemptOutcome, EndpointId, Event, Nanos, RequestId};
 use tokio::sync::oneshot;
 use tokio::task;
@@ -155,7 +155,7 @@
             idle: result.idle_time.map(|idle| idle.as_nanos() as Nanos),
         });
         if result.connection_limit_reached {
-            self.record(&RecordedEvent::Short(Short::Dial));
+            self.record(&RecordedEvent::Short(ExhaustedResource::UpstreamConnection));
         }
     }
 
--- a/crates/node/src/net/pool_loop/requests.rs
+++ b/crates/node/src/net/pool_loop/requests.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use pumicehead_flight_recorder::event::{Event as RecordedEvent, How};
+use pumicehead_flight_recorder::event::{Event as RecordedEvent, RequestOutcome};
 use pumicehead_flight_recorder::bounded_text;
 use pumicehead_policy::{ClassId, Event, Nanos, NewRequest, RequestId, SECOND};
 use tokio::time::Instant;
@@ -122,14 +122,14 @@
 }
 
 /// How a final response is recorded.
-fn recorded_outcome(response: &FinalResponse) -> How {
+fn recorded_outcome(response: &FinalResponse) -> RequestOutcome {
     match response {
-        FinalResponse::Upstream(upstream) if upstream.status.is_server_error() => How::ServedFault,
-        FinalResponse::Upstream(_) => How::Served,
-        FinalResponse::Rejected(_) => How::Refused,
-        FinalResponse::Failed => How::Failed,
-        FinalResponse::DeadlineExceeded => How::Late,
-        FinalResponse::BodyIncomplete | FinalResponse::BodyTooLong => How::Body,
-        FinalResponse::ClientDisconnected => How::Left,
+        FinalResponse::Upstream(upstream) if upstream.status.is_server_error() => RequestOutcome::ServedError,
+        FinalResponse::Upstream(_) => RequestOutcome::Served,
+        FinalResponse::Rejected(_) => RequestOutcome::Rejected,
+        FinalResponse::Failed => RequestOutcome::Failed,
+        FinalResponse::DeadlineExceeded => RequestOutcome::DeadlineExceeded,
+        FinalResponse::BodyIncomplete | FinalResponse::BodyTooLong => RequestOutcome::BodyFailed,
+        FinalResponse::ClientDisconnected => RequestOutcome::ClientDisconnected,
     }
 }
--- a/crates/node/src/net/recorder_sink.rs
+++ b/crates/node/src/net/recorder_sink.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use pumicehead_flight_recorder::event::{Event, Listed, PoolId};
+use pumicehead_flight_recorder::event::{Event, PoolId};
 use pumicehead_flight_recorder::recorder::{Level, Recorder};
 use pumicehead_policy::{EndpointId, EndpointInfo, EndpointState, EndpointUpdate, Nanos};
 use rustc_hash::FxHashMap;
@@ -49,7 +49,7 @@
     clock: Clock,
     pool: PoolId,
     /// The state that was recorded last of each endpoint.
-    recorded: Rc<RefCell<FxHashMap<EndpointId, Listed>>>,
+    recorded: Rc<RefCell<FxHashMap<EndpointId, EndpointState>>>,
 }
 
 impl RecorderSink {
@@ -93,30 +93,25 @@
     }
 
     fn record_endpoint(&self, info: &EndpointInfo, name: Option<&str>) {
-        let listed = match info.state {
-            EndpointState::Ready => Listed::Ready,
-            EndpointState::Draining => Listed::Draining,
-            EndpointState::Removed => Listed::Gone,
-        };
-        if !self.remember(info.id, listed) {
+        if !self.remember(info.id, info.state) {
             return;
         }
         if let Some(name) = name {
             self.shared.with(|recorder| recorder.name(self.pool, info.id, name));
         }
-        self.record(&Event::Server { server: info.id, listed });
+        self.record(&Event::Server { server: info.id, listed: info.state });
     }
 
     /// Remembers an endpoint's state; returns whether it has changed.
-    fn remember(&self, id: EndpointId, listed: Listed) -> bool {
+    fn remember(&self, id: EndpointId, state: EndpointState) -> bool {
         let mut recorded = self.recorded.borrow_mut();
-        if recorded.get(&id) == Some(&listed) {
+        if recorded.get(&id) == Some(&state) {
             return false;
         }
         if recorded.len() >= MAX_REMEMBERED_ENDPOINTS {
             recorded.clear();
         }
-        recorded.insert(id, listed);
+        recorded.insert(id, state);
         true
     }
 }
