--- a/crates/flight-recorder/src/event.rs
+++ b/crates/flight-recorder/src/event.rs
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A request came.
-    Asked {
+    RequestAdmitted {
         /// The pool's number for it.
         id: RequestId,
         /// Its class, by its place in the pool.
@@ -81,9 +81,9 @@
         /// Its tenant, where there are tenants.
         tenant: Option<u32>,
         /// How long its client waits from now on.
-        left: Nanos,
+        client_timeout: Nanos,
         /// How long it took the client to send it.
-        sending: Nanos,
+        upload_time: Nanos,
         /// What its client calls it.
         name: Name,
         /// The revision of the configuration that it was admitted under; none on nodes that have but one, and in
@@ -91,81 +91,81 @@
         revision: Option<u64>,
     },
     /// What the module says of its reasons.
-    Note(DecisionEvent),
+    Decision(DecisionEvent),
     /// An attempt began.
-    Sent {
+    AttemptStarted {
         /// Of this request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
         /// To this server.
-        server: EndpointId,
+        endpoint: EndpointId,
         /// It is given up after so long.
         timeout: Option<Nanos>,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// Of this request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
         /// At this server.
-        server: EndpointId,
+        endpoint: EndpointId,
         /// How.
         outcome: AttemptOutcome,
         /// It took so long.
-        took: Nanos,
+        duration: Nanos,
         /// Of this, to get a connection.
-        dial: Nanos,
+        connect_time: Nanos,
         /// It went over a connection that had been idle for so long; none where that was new, or nothing was sent.
-        idle: Option<Nanos>,
+        connection_idle: Option<Nanos>,
     },
     /// The answer of an attempt began to pass through.
-    Began {
+    ResponseStarted {
         /// Of this request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
     /// The final answer.
-    Over {
+    RequestEnded {
         /// Of this request.
         id: RequestId,
         /// How.
-        how: RequestOutcome,
+        outcome: RequestOutcome,
     },
     /// The list spoke of a server.
-    Server {
+    EndpointStateChanged {
         /// Which.
-        server: EndpointId,
+        endpoint: EndpointId,
         /// What it said.
-        listed: EndpointState,
+        state: EndpointState,
     },
     /// Advice was heard.
-    Advice {
+    CapacityAdvice {
         /// Servers to avoid.
-        avoid: u32,
+        endpoints_to_avoid: u32,
         /// Rights lent and granted.
-        rights: u32,
+        lease_grants: u32,
     },
     /// A front turned a request away.
-    Turned {
+    RejectedByListener {
         /// Its class, by its place in the pool.
         class: u16,
         /// Why.
-        why: ListenerRejection,
+        reason: ListenerRejection,
     },
     /// The node ran out of something.
-    Short(ExhaustedResource),
+    ResourceExhausted(ExhaustedResource),
     /// The fleet's view says how many nodes share the servers.
-    Sharing {
+    NodeShareChanged {
         /// So many.
         nodes: u32,
         /// This one's number among them.
-        number: u32,
+        node_index: u32,
     },
     /// A member of the fleet is held for something else: states by their numbers, alive 0, stalled 1, suspect 2, dead 3, left 4.
-    Member {
+    MemberStateChanged {
         /// Which.
         name: Name,
         /// Before; `None`: it was not known.
@@ -199,13 +199,13 @@
 
 /// Place of an outcome in rows of counts.
 #[must_use]
-pub fn place(outcome: AttemptOutcome) -> usize {
+pub fn outcome_index(outcome: AttemptOutcome) -> usize {
     OUTCOMES.iter().position(|&known| known == outcome).unwrap_or_default()
 }
 
 /// The outcome at a place.
 #[must_use]
-pub fn outcome(place: usize) -> Option<AttemptOutcome> {
+pub fn outcome_at(place: usize) -> Option<AttemptOutcome> {
     OUTCOMES.get(place).copied()
 }
 
@@ -238,12 +238,12 @@
     #[must_use]
     pub fn request(&self) -> Option<RequestId> {
         match *self {
-            Self::Asked { id, .. }
-            | Self::Sent { id, .. }
-            | Self::Ended { id, .. }
-            | Self::Began { id, .. }
-            | Self::Over { id, .. }
-            | Self::Note(
+            Self::RequestAdmitted { id, .. }
+            | Self::AttemptStarted { id, .. }
+            | Self::AttemptEnded { id, .. }
+            | Self::ResponseStarted { id, .. }
+            | Self::RequestEnded { id, .. }
+            | Self::Decision(
                 DecisionEvent::Classified { id, .. }
                 | DecisionEvent::Queued { id, .. }
                 | DecisionEvent::EndpointSelected { id, .. }
@@ -261,7 +261,7 @@
             put(out, u64::from(first));
         };
         match self {
-            Self::Asked { id, class, tenant, left, sending, name, revision } => {
+            Self::RequestAdmitted { id, class, tenant, client_timeout, upload_time, name, revision } => {
                 match revision {
                     None => start(ASKED, id.0),
                     Some(revision) => {
@@ -271,60 +271,60 @@
                 }
                 put(out, u64::from(*class));
                 put_some(out, tenant.map(u64::from));
-                put(out, *left);
-                put(out, *sending);
+                put(out, *client_timeout);
+                put(out, *upload_time);
                 put_bytes(out, name.start.as_bytes());
                 out.extend_from_slice(&name.hash.to_le_bytes());
             }
-            Self::Sent { id, attempt, server, timeout } => {
+            Self::AttemptStarted { id, attempt, endpoint, timeout } => {
                 start(2, id.0);
                 out.push(attempt.0);
-                put(out, u64::from(server.0));
+                put(out, u64::from(endpoint.0));
                 put_some(out, *timeout);
             }
-            Self::Ended { id, attempt, server, outcome, took, dial, idle } => {
+            Self::AttemptEnded { id, attempt, endpoint, outcome, duration, connect_time, connection_idle } => {
                 start(3, id.0);
                 out.push(attempt.0);
-                put(out, u64::from(server.0));
-                out.push(place(*outcome) as u8);
-                put(out, *took);
-                put(out, *dial);
-                put_some(out, *idle);
+                put(out, u64::from(endpoint.0));
+                out.push(outcome_index(*outcome) as u8);
+                put(out, *duration);
+                put(out, *connect_time);
+                put_some(out, *connection_idle);
             }
-            Self::Began { id, attempt } => {
+            Self::ResponseStarted { id, attempt } => {
                 start(4, id.0);
                 out.push(attempt.0);
             }
-            Self::Over { id, how } => {
+            Self::RequestEnded { id, outcome } => {
                 start(5, id.0);
-                out.push(RequestOutcome::ALL.iter().position(|known| known == how).unwrap_or_default() as u8);
+                out.push(RequestOutcome::ALL.iter().position(|known| known == outcome).unwrap_or_default() as u8);
             }
-            Self::Server { server, listed } => {
-                start(6, server.0);
-                out.push(ENDPOINT_STATES.iter().position(|known| known == listed).unwrap_or_default() as u8);
+            Self::EndpointStateChanged { endpoint, state } => {
+                start(6, endpoint.0);
+                out.push(ENDPOINT_STATES.iter().position(|known| known == state).unwrap_or_default() as u8);
             }
-            Self::Advice { avoid, rights } => {
-                start(7, *avoid);
-                put(out, u64::from(*rights));
+            Self::CapacityAdvice { endpoints_to_avoid, lease_grants } => {
+                start(7, *endpoints_to_avoid);
+                put(out, u64::from(*lease_grants));
             }
-            Self::Turned { class, why } => {
+            Self::RejectedByListener { class, reason } => {
                 start(8, u32::from(*class));
-                out.push(ListenerRejection::ALL.iter().position(|known| known == why).unwrap_or_default() as u8);
+                out.push(ListenerRejection::ALL.iter().position(|known| known == reason).unwrap_or_default() as u8);
             }
-            Self::Short(what) => {
+            Self::ResourceExhausted(what) => {
                 start(9, ExhaustedResource::ALL.iter().position(|known| known == what).unwrap_or_default() as u32);
             }
-            Self::Sharing { nodes, number } => {
+            Self::NodeShareChanged { nodes, node_index } => {
                 start(10, *nodes);
-                put(out, u64::from(*number));
+                put(out, u64::from(*node_index));
             }
-            Self::Member { name, from, to } => {
+            Self::MemberStateChanged { name, from, to } => {
                 start(11, u32::from(*to));
                 put_some(out, from.map(u64::from));
                 put_bytes(out, name.start.as_bytes());
                 out.extend_from_slice(&name.hash.to_le_bytes());
             }
-            Self::Note(note) => encode_note(note, out),
+            Self::Decision(note) => encode_note(note, out),
         }
     }
 
@@ -335,41 +335,41 @@
         let first = from.small::<u32>()?;
         let id = RequestId(first);
         Some(match tag {
-            ASKED | ASKED_UNDER_REVISION => Self::Asked {
+            ASKED | ASKED_UNDER_REVISION => Self::RequestAdmitted {
                 id,
                 revision: if tag == ASKED { None } else { Some(from.number()?) },
                 class: from.small()?,
                 tenant: from.some()?.map(u32::try_from).transpose().ok()?,
-                left: from.number()?,
-                sending: from.number()?,
+                client_timeout: from.number()?,
+                upload_time: from.number()?,
                 name: Name {
                     start: from.text()?.into(),
                     hash: u64::from_le_bytes(from.take(8)?.try_into().ok()?),
                 },
             },
-            2 => Self::Sent {
+            2 => Self::AttemptStarted {
                 id,
                 attempt: AttemptNo(from.byte()?),
-                server: EndpointId(from.small()?),
+                endpoint: EndpointId(from.small()?),
                 timeout: from.some()?,
             },
-            3 => Self::Ended {
+            3 => Self::AttemptEnded {
                 id,
                 attempt: AttemptNo(from.byte()?),
-                server: EndpointId(from.small()?),
+                endpoint: EndpointId(from.small()?),
                 outcome: at(&OUTCOMES, from.byte()?)?,
-                took: from.number()?,
-                dial: from.number()?,
-                idle: from.some()?,
+                duration: from.number()?,
+                connect_time: from.number()?,
+                connection_idle: from.some()?,
             },
-            4 => Self::Began { id, attempt: AttemptNo(from.byte()?) },
-            5 => Self::Over { id, how: at(&RequestOutcome::ALL, from.byte()?)? },
-            6 => Self::Server { server: EndpointId(first), listed: at(&ENDPOINT_STATES, from.byte()?)? },
-            7 => Self::Advice { avoid: first, rights: from.small()? },
-            8 => Self::Turned { class: u16::try_from(first).ok()?, why: at(&ListenerRejection::ALL, from.byte()?)? },
-            9 => Self::Short(at(&ExhaustedResource::ALL, u8::try_from(first).ok()?)?),
-            10 => Self::Sharing { nodes: first, number: from.small()? },
-            11 => Self::Member {
+            4 => Self::ResponseStarted { id, attempt: AttemptNo(from.byte()?) },
+            5 => Self::RequestEnded { id, outcome: at(&RequestOutcome::ALL, from.byte()?)? },
+            6 => Self::EndpointStateChanged { endpoint: EndpointId(first), state: at(&ENDPOINT_STATES, from.byte()?)? },
+            7 => Self::CapacityAdvice { endpoints_to_avoid: first, lease_grants: from.small()? },
+            8 => Self::RejectedByListener { class: u16::try_from(first).ok()?, reason: at(&ListenerRejection::ALL, from.byte()?)? },
+            9 => Self::ResourceExhausted(at(&ExhaustedResource::ALL, u8::try_from(first).ok()?)?),
+            10 => Self::NodeShareChanged { nodes: first, node_index: from.small()? },
+            11 => Self::MemberStateChanged {
                 to: u8::try_from(first).ok()?,
                 from: from.some()?.map(u8::try_from).transpose().ok()?,
                 name: Name {
@@ -377,7 +377,7 @@
                     hash: u64::from_le_bytes(from.take(8)?.try_into().ok()?),
                 },
             },
-            tag => Self::Note(decode_note(tag, first, from)?),
+            tag => Self::Decision(decode_note(tag, first, from)?),
         })
     }
 }
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -7,7 +7,7 @@
 use crate::recording::Dump;
 use crate::event::{Event, RequestOutcome};
 use crate::exported_names::Exported;
-use crate::request_timeline::Story;
+use crate::request_timeline::RequestTimeline;
 use crate::loss_cause::said;
 use crate::event_ring::{Record, records};
 use crate::bounded_text::plain;
@@ -29,26 +29,26 @@
     attempts: Vec<Attempt>,
 }
 
-fn told(dump: &Dump, story: &Story) -> Told {
-    let (events, _) = records(&story.page);
-    let from = events.first().map_or(story.at, |record| record.at);
-    let mut to = story.at.max(from);
+fn told(dump: &Dump, story: &RequestTimeline) -> Told {
+    let (events, _) = records(&story.encoded_events);
+    let from = events.first().map_or(story.ended_at, |record| record.at);
+    let mut to = story.ended_at.max(from);
     let (mut how, mut attempts) = (None, Vec::<Attempt>::new());
     for record in &events {
         match &record.event {
-            Event::Sent { attempt, server, .. } => attempts.push(Attempt {
+            Event::AttemptStarted { attempt, endpoint, .. } => attempts.push(Attempt {
                 number: attempt.0,
-                server: dump.head.server(story.pool, server.0),
+                server: dump.head.server(story.pool, endpoint.0),
                 from: record.at,
-                to: story.at.max(record.at),
+                to: story.ended_at.max(record.at),
                 outcome: None,
             }),
-            Event::Ended { attempt, outcome, .. } => {
+            Event::AttemptEnded { attempt, outcome, .. } => {
                 for one in attempts.iter_mut().filter(|one| one.number == attempt.0) {
                     (one.to, one.outcome) = (record.at.max(one.from), Some(*outcome));
                 }
             }
-            Event::Over { how: ended, .. } => {
+            Event::RequestEnded { outcome: ended, .. } => {
                 how.get_or_insert(*ended);
                 to = record.at;
             }
@@ -59,7 +59,7 @@
 }
 
 /// Eight bytes that name a span: the same dump gives the same ids.
-fn id(story: &Story, from: Nanos, part: u64) -> u64 {
+fn id(story: &RequestTimeline, from: Nanos, part: u64) -> u64 {
     pumicehead_policy::hash_ring::mix(
         story.name.hash ^ from.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15),
     )
@@ -94,7 +94,7 @@
             .events
             .iter()
             .filter_map(|record| match &record.event {
-                Event::Note(note) => Some(json!({
+                Event::Decision(note) => Some(json!({
                     "timeUnixNano": record.at.to_string(),
                     "name": format!("{:?}", Exported(note)),
                 })),
--- a/crates/flight-recorder/src/findings.rs
+++ b/crates/flight-recorder/src/findings.rs
@@ -13,7 +13,7 @@
 
 use crate::loss_ledger::{Accounts, Flow, LossKey, NOBODY, Served, ServerKey};
 use crate::recording::Head;
-use crate::event::{PoolId, outcome, place};
+use crate::event::{PoolId, outcome_at, outcome_index};
 use crate::loss_cause::{Cause, Micro, Where, said};
 use crate::timestamp;
 
@@ -153,7 +153,7 @@
 impl Pool {
     /// Share of attempts at one server, and at all others, that end in one of some ways.
     fn shares(&self, server: u32, ways: &[AttemptOutcome]) -> (f64, f64, u64) {
-        let count = |row: &Served| ways.iter().map(|way| row.ended[place(*way)]).sum::<u64>();
+        let count = |row: &Served| ways.iter().map(|way| row.ended[outcome_index(*way)]).sum::<u64>();
         let (mut own, mut others) = ((0, 0), (0, 0));
         for (id, row) in &self.servers {
             let sum = if *id == server { &mut own } else { &mut others };
@@ -174,7 +174,7 @@
 
     /// How slow a server's answers are against those of the others.
     fn slowness(&self, server: u32) -> f64 {
-        let answered = |row: &Served| row.ended[place(AttemptOutcome::Success)];
+        let answered = |row: &Served| row.ended[outcome_index(AttemptOutcome::Success)];
         let Some(row) = self.servers.get(&server).filter(|row| answered(row) >= ENOUGH) else {
             return 1.0;
         };
@@ -317,7 +317,7 @@
             | Cause::Left(Where::Client) => (Subject::Clients(pool), Matter::Bodies),
             Cause::NoTurn => (Subject::Pool(pool), Matter::Turns),
             Cause::Failed(at)
-                if outcome(usize::from(at)) == Some(AttemptOutcome::NotSent) && self.short[1] > 0 =>
+                if outcome_at(usize::from(at)) == Some(AttemptOutcome::NotSent) && self.short[1] > 0 =>
             {
                 (Subject::Node, Matter::Descriptors)
             }
@@ -327,7 +327,7 @@
             Cause::Late(Where::Connect) | Cause::OutOfTime(Where::Connect) | Cause::Left(Where::Connect) => {
                 (server, of_server.unwrap_or(Matter::SlowToConnect))
             }
-            Cause::Failed(at) => match (of_server, outcome(usize::from(at))) {
+            Cause::Failed(at) => match (of_server, outcome_at(usize::from(at))) {
                 (Some(matter), _) => (server, matter),
                 (None, Some(AttemptOutcome::Rejected)) => (Subject::Pool(pool), Matter::Crowded),
                 (None, Some(AttemptOutcome::TimedOut)) => (Subject::Pool(pool), Matter::Silent),
--- a/crates/flight-recorder/src/loss_cause.rs
+++ b/crates/flight-recorder/src/loss_cause.rs
@@ -6,7 +6,7 @@
 use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
 use pumicehead_policy::{AttemptNo, AttemptOutcome, EndpointId, Nanos};
 
-use crate::event::{Event, RequestOutcome, ListenerRejection, outcome, place};
+use crate::event::{Event, RequestOutcome, ListenerRejection, outcome_at, outcome_index};
 
 /// Millionths of worth.
 pub type Micro = u64;
@@ -123,7 +123,7 @@
             Self::WaitShare => write!(out, "refused: the queue was too long for its time"),
             Self::NearlyOut => write!(out, "refused: held until its time was nearly up"),
             Self::NoTurn => write!(out, "refused: its key's turn did not come"),
-            Self::Failed(at) => write!(out, "failed: {}", outcome(usize::from(*at)).map_or("unknown", said)),
+            Self::Failed(at) => write!(out, "failed: {}", outcome_at(usize::from(*at)).map_or("unknown", said)),
             Self::Late(at) => write!(out, "late: {at}"),
             Self::OutOfTime(at) => write!(out, "no answer in time: {at}"),
             Self::Left(at) => write!(out, "the client left: {at}"),
@@ -229,31 +229,31 @@
     /// Takes an event of it in.
     pub fn see(&mut self, at: Nanos, event: &Event) {
         match event {
-            Event::Note(DecisionEvent::Classified { priority_weight, objective_deadline, .. }) => {
+            Event::Decision(DecisionEvent::Classified { priority_weight, objective_deadline, .. }) => {
                 self.worth = micro(f64::from(*priority_weight));
                 self.aim_at = *objective_deadline;
             }
-            Event::Note(DecisionEvent::AnsweredWithoutEndpoint { reason, .. }) => self.rule = Some(*reason),
-            Event::Sent { attempt, server, .. } => {
+            Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { reason, .. }) => self.rule = Some(*reason),
+            Event::AttemptStarted { attempt, endpoint, .. } => {
                 self.sends += 1;
                 if let Some(since) = self.idle_since.take() {
                     self.waited += at.saturating_sub(since);
                 }
-                self.out.push((*attempt, *server, at));
+                self.out.push((*attempt, *endpoint, at));
             }
-            Event::Began { attempt, .. } => {
+            Event::ResponseStarted { attempt, .. } => {
                 if let Some(&(_, server, sent)) = self.out.iter().find(|(number, ..)| number == attempt) {
                     self.good = Some((server, at.saturating_sub(sent), 0));
                 }
             }
-            Event::Ended { attempt, server, outcome, took, dial, .. } => {
+            Event::AttemptEnded { attempt, endpoint, outcome, duration, connect_time, .. } => {
                 self.out.retain(|(number, ..)| number != attempt);
                 if *outcome == AttemptOutcome::Success {
-                    self.good.get_or_insert((*server, *took, *dial));
+                    self.good.get_or_insert((*endpoint, *duration, *connect_time));
                 } else if *outcome != AttemptOutcome::Cancelled || self.good.is_none() {
-                    let bad = Bad { server: *server, outcome: *outcome, took: *took };
+                    let bad = Bad { server: *endpoint, outcome: *outcome, took: *duration };
                     self.last = Some(bad);
-                    self.bad += took;
+                    self.bad += duration;
                     if self.worst.is_none_or(|worst| worst.took <= bad.took) {
                         self.worst = Some(bad);
                     }
@@ -331,7 +331,7 @@
             stop,
         };
         let (place, server) = self.spent(at);
-        let failed = |bad: Bad| (Cause::Failed(crate::event::place(bad.outcome) as u8), Some(bad.server));
+        let failed = |bad: Bad| (Cause::Failed(crate::event::outcome_index(bad.outcome) as u8), Some(bad.server));
         verdict(match (how, self.rule) {
             (RequestOutcome::Served, _) => (Cause::Late(place), server),
             (RequestOutcome::BodyFailed, _) => (Cause::Body, None),
@@ -353,5 +353,5 @@
 }
 
 fn place_of_error() -> u8 {
-    place(AttemptOutcome::Error) as u8
+    outcome_index(AttemptOutcome::Error) as u8
 }
--- a/crates/flight-recorder/src/metrics.rs
+++ b/crates/flight-recorder/src/metrics.rs
@@ -225,7 +225,7 @@
 
     /// An attempt has ended.
     pub fn attempt(&mut self, outcome: AttemptOutcome) {
-        let place = crate::event::place(outcome);
+        let place = crate::event::outcome_index(outcome);
         let registry = &self.registry;
         let counter = self.attempts[place].get_or_insert_with(|| {
             let key = Key::from_parts("pumicehead_attempts", vec![Label::new("outcome", said(outcome))]);
--- a/crates/flight-recorder/src/recorder.rs
+++ b/crates/flight-recorder/src/recorder.rs
@@ -6,8 +6,8 @@
 
 use crate::loss_ledger::{Accounts, FlowKey, LossKey, NOBODY, ServerKey};
 use crate::recording::{Head, PoolHead};
-use crate::event::{Event, RequestOutcome, PoolId, ExhaustedResource, ListenerRejection, place};
-pub use crate::request_timeline::{Class, Story};
+use crate::event::{Event, RequestOutcome, PoolId, ExhaustedResource, ListenerRejection, outcome_index};
+pub use crate::request_timeline::{ClassInfo, RequestTimeline};
 use crate::loss_cause::{Cause, Life, Verdict, micro};
 use crate::metrics::Meters;
 use crate::reservoir::Reservoir;
@@ -46,9 +46,9 @@
     Full,
 }
 
-impl Story {
+impl RequestTimeline {
     fn size(&self) -> usize {
-        STORY + self.page.len() + self.name.start.len()
+        STORY + self.encoded_events.len() + self.name.start.len()
     }
 }
 
@@ -78,7 +78,7 @@
     memory: usize,
     ring: Ring,
     /// Stories of requests that failed, were refused, were tried again or were slow; and of a fair sample of the rest.
-    kept: [Reservoir<Box<Story>>; 2],
+    kept: [Reservoir<Box<RequestTimeline>>; 2],
     accounts: Accounts,
     /// Boxed: tables and heaps move what they hold.
     open: FxHashMap<(PoolId, RequestId), Box<Open>>,
@@ -117,7 +117,7 @@
     }
 
     /// A pool with its classes; one that is known by its name goes on under its number.
-    pub fn pool(&mut self, name: &str, classes: &[Class]) -> PoolId {
+    pub fn pool(&mut self, name: &str, classes: &[ClassInfo]) -> PoolId {
         let place = self.head.pools.iter().position(|pool| pool.name == name).unwrap_or_else(|| {
             self.head.pools.push(PoolHead { name: name.into(), ..PoolHead::default() });
             self.head.pools.len() - 1
@@ -164,17 +164,17 @@
         event.encode(&mut scratch);
         self.ring.push(at, pool, &scratch);
         match event {
-            Event::Asked { id, class, tenant, sending, name, .. } => {
-                self.begin(at, (pool, *id), *class, *tenant, *sending, name);
+            Event::RequestAdmitted { id, class, tenant, upload_time, name, .. } => {
+                self.begin(at, (pool, *id), *class, *tenant, *upload_time, name);
             }
-            Event::Turned { class, why } => self.book_turned(at, pool, *class, *why),
-            Event::Short(what) => self.accounts.short[usize::from(*what == ExhaustedResource::UpstreamConnection)] += 1,
-            Event::Note(DecisionEvent::Ejected { endpoint, duration }) => {
+            Event::RejectedByListener { class, reason } => self.book_turned(at, pool, *class, *reason),
+            Event::ResourceExhausted(what) => self.accounts.short[usize::from(*what == ExhaustedResource::UpstreamConnection)] += 1,
+            Event::Decision(DecisionEvent::Ejected { endpoint, duration }) => {
                 let key = ServerKey { pool, server: endpoint.0 };
                 self.accounts.servers.at(at, key).aside += duration / 1_000;
             }
-            Event::Ended { server, outcome, took, dial, id, .. } => {
-                self.book_attempt(at, pool, *id, *server, *outcome, (*took, *dial));
+            Event::AttemptEnded { endpoint, outcome, duration, connect_time, id, .. } => {
+                self.book_attempt(at, pool, *id, *endpoint, *outcome, (*duration, *connect_time));
             }
             _ => {}
         }
@@ -187,7 +187,7 @@
     /// Whether it is worth a record: what is said again and again is not.
     fn is_worth(&mut self, at: Nanos, pool: PoolId, event: &Event) -> bool {
         match event {
-            Event::Note(DecisionEvent::NoEndpointAvailable { id, exclusions }) => {
+            Event::Decision(DecisionEvent::NoEndpointAvailable { id, exclusions }) => {
                 match self.open.get_mut(&(pool, *id)) {
                     Some(open) => {
                         open.hurdles.replace(*exclusions) != Some(*exclusions) || self.level == Level::Full
@@ -195,7 +195,7 @@
                     None => false,
                 }
             }
-            Event::Note(DecisionEvent::LimitChanged { endpoint, from, to, .. }) => {
+            Event::Decision(DecisionEvent::LimitChanged { endpoint, from, to, .. }) => {
                 self.accounts.servers.at(at, ServerKey { pool, server: endpoint.0 }).limit = *to;
                 if self.limits.len() >= LIMITS {
                     self.limits.clear();
@@ -207,7 +207,7 @@
                 }
                 moved
             }
-            Event::Note(DecisionEvent::AllLimitsChanged { factor, .. }) => {
+            Event::Decision(DecisionEvent::AllLimitsChanged { factor, .. }) => {
                 self.level == Level::Full || *factor > MOVED || *factor * MOVED < 1.0
             }
             _ => true,
@@ -259,11 +259,11 @@
             open.cut = true;
         }
         open.life.see(at, event);
-        if let Event::Over { how, .. } = event
+        if let Event::RequestEnded { outcome, .. } = event
             && open.verdict.is_none()
         {
-            let verdict = open.life.judge(at, *how);
-            open.verdict = Some((verdict, at, *how));
+            let verdict = open.life.judge(at, *outcome);
+            open.verdict = Some((verdict, at, *outcome));
             let class = open.class;
             self.book(at, key.0, class, &verdict);
         }
@@ -321,7 +321,7 @@
             }
         }
         let row = self.accounts.servers.at(at, ServerKey { pool, server: server.0 });
-        row.ended[place(outcome)] += 1;
+        row.ended[outcome_index(outcome)] += 1;
         row.dial += dial / 1_000;
         if outcome == AttemptOutcome::Success {
             row.good += micros;
@@ -355,14 +355,14 @@
         let size = STORY + open.page.len() + open.name.start.len();
         let kept = &mut self.kept[usize::from(!matters)];
         if let Some(priority) = kept.draw(weight, at, size) {
-            let story = Story {
+            let story = RequestTimeline {
                 pool: key.0,
                 class: open.class,
                 name: std::mem::take(&mut open.name),
-                at,
+                ended_at: at,
                 cause: verdict.cause,
-                page: open.page.as_slice().into(),
-                cut: open.cut,
+                encoded_events: open.page.as_slice().into(),
+                truncated: open.cut,
             };
             let size = story.size();
             kept.keep(priority, size, Box::new(story));
@@ -428,14 +428,14 @@
         let mut stories: Vec<_> = self.kept.iter().flat_map(Reservoir::iter).collect();
         stories.sort_by(|(one, _), (other, _)| other.total_cmp(one));
         // Requests that are open have no end yet, and are often those that are asked about.
-        let open = self.open.iter().map(|(&(pool, _), open)| Story {
+        let open = self.open.iter().map(|(&(pool, _), open)| RequestTimeline {
             pool,
             class: open.class,
             name: open.name.clone(),
-            at,
+            ended_at: at,
             cause: None,
-            page: open.page.as_slice().into(),
-            cut: open.cut,
+            encoded_events: open.page.as_slice().into(),
+            truncated: open.cut,
         });
         let open: Vec<_> = open.collect();
         let stories = stories.into_iter().map(|(_, story)| &**story).chain(&open);
--- a/crates/flight-recorder/src/recording.rs
+++ b/crates/flight-recorder/src/recording.rs
@@ -12,7 +12,7 @@
 use crate::loss_ledger::Accounts;
 use crate::wire_format::{Reader, put, put_bytes, put_some};
 use crate::event::PoolId;
-use crate::request_timeline::{Class, Story};
+use crate::request_timeline::{ClassInfo, RequestTimeline};
 use crate::loss_cause::Cause;
 use crate::event_ring::{Record, records};
 use crate::tenant_names::TenantNames;
@@ -88,14 +88,14 @@
     pub late_worth: f64,
 }
 
-impl From<&Class> for ClassHead {
-    fn from(class: &Class) -> Self {
+impl From<&ClassInfo> for ClassHead {
+    fn from(class: &ClassInfo) -> Self {
         Self {
             name: class.name.clone(),
-            aim_ns: class.aim,
+            aim_ns: class.latency_objective,
             deadline_ns: class.deadline,
-            worth: class.worth,
-            late_worth: class.late_worth,
+            worth: class.priority_weight,
+            late_worth: class.late_weight,
         }
     }
 }
@@ -186,7 +186,7 @@
     /// Its sums; `None` where they are damaged.
     pub accounts: Option<Accounts>,
     /// Its stories, those that matter most first.
-    pub stories: Vec<Story>,
+    pub stories: Vec<RequestTimeline>,
     /// Its events in the order of their times.
     pub records: Vec<Record>,
     /// Where it breaks off, if it does.
@@ -213,7 +213,7 @@
 pub fn write<'a>(
     head: &Head,
     accounts: &Accounts,
-    stories: impl Iterator<Item = &'a Story>,
+    stories: impl Iterator<Item = &'a RequestTimeline>,
     pages: impl Iterator<Item = &'a [u8]>,
 ) -> Vec<u8> {
     let mut out = MAGIC.to_vec();
@@ -227,12 +227,12 @@
         contents.clear();
         put(&mut contents, u64::from(story.pool.0));
         put(&mut contents, u64::from(story.class));
-        put(&mut contents, story.at);
+        put(&mut contents, story.ended_at);
         put_some(&mut contents, story.cause.map(|cause| u64::from(cause.code())));
-        contents.push(u8::from(story.cut));
+        contents.push(u8::from(story.truncated));
         put_bytes(&mut contents, story.name.start.as_bytes());
         contents.extend_from_slice(&story.name.hash.to_le_bytes());
-        put_bytes(&mut contents, &story.page);
+        put_bytes(&mut contents, &story.encoded_events);
         frame(&mut out, STORY, &contents);
     }
     for page in pages {
@@ -242,16 +242,16 @@
     out
 }
 
-fn story(contents: &[u8]) -> Option<Story> {
+fn story(contents: &[u8]) -> Option<RequestTimeline> {
     let mut from = Reader(contents);
-    Some(Story {
+    Some(RequestTimeline {
         pool: PoolId(from.small()?),
         class: from.small()?,
-        at: from.number()?,
+        ended_at: from.number()?,
         cause: from.some()?.map(|code| u8::try_from(code).map_or(Cause::Other, Cause::of)),
-        cut: from.byte()? != 0,
+        truncated: from.byte()? != 0,
         name: Name { start: from.text()?.into(), hash: u64::from_le_bytes(from.take(8)?.try_into().ok()?) },
-        page: from.bytes()?.into(),
+        encoded_events: from.bytes()?.into(),
     })
 }
 
@@ -304,9 +304,9 @@
 
     /// The stories of a request by the name that its client gave it, the newest first.
     #[must_use]
-    pub fn find(&self, name: &str) -> Vec<&Story> {
+    pub fn find(&self, name: &str) -> Vec<&RequestTimeline> {
         let mut found: Vec<_> = self.stories.iter().filter(|story| story.name.is(name)).collect();
-        found.sort_by_key(|story| std::cmp::Reverse(story.at));
+        found.sort_by_key(|story| std::cmp::Reverse(story.ended_at));
         found
     }
 }
--- a/crates/flight-recorder/src/request_timeline.rs
+++ b/crates/flight-recorder/src/request_timeline.rs
@@ -8,22 +8,22 @@
 
 /// What a pool's classes are.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct ClassInfo {
     /// Its name.
     pub name: String,
     /// Answers within this earn all.
-    pub aim: Nanos,
+    pub latency_objective: Nanos,
     /// Clients wait so long.
     pub deadline: Nanos,
     /// What a request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of it that a late answer earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
 }
 
 /// A request's story as it is kept.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Story {
+pub struct RequestTimeline {
     /// Its pool.
     pub pool: PoolId,
     /// Its class, by its place in the pool.
@@ -31,11 +31,11 @@
     /// What its client calls it.
     pub name: Name,
     /// When it ended.
-    pub at: Nanos,
+    pub ended_at: Nanos,
     /// What its loss was put down to, if it had one.
     pub cause: Option<Cause>,
     /// Its events as a page, to be read by [`crate::event_ring::records`].
-    pub page: Box<[u8]>,
+    pub encoded_events: Box<[u8]>,
     /// Some events did not fit.
-    pub cut: bool,
+    pub truncated: bool,
 }
--- a/crates/flight-recorder/src/timeline_text.rs
+++ b/crates/flight-recorder/src/timeline_text.rs
@@ -9,7 +9,7 @@
 
 use crate::recording::Head;
 use crate::event::{Event, RequestOutcome};
-use crate::request_timeline::Story;
+use crate::request_timeline::RequestTimeline;
 use crate::loss_cause::said;
 use crate::timestamp;
 use crate::event_ring::records;
@@ -65,18 +65,18 @@
 }
 
 /// What an event of a request says; nothing where it adds nothing to its neighbours.
-fn sentence(head: &Head, story: &Story, event: &Event) -> Option<String> {
+fn sentence(head: &Head, story: &RequestTimeline, event: &Event) -> Option<String> {
     let server = |id: u32| head.server(story.pool, id);
     Some(match event {
-        Event::Asked { class, tenant, left, sending, revision, .. } => {
+        Event::RequestAdmitted { class, tenant, client_timeout, upload_time, revision, .. } => {
             let mut text = format!(
                 "It came as `{}` to {}, and its client waits {}.",
                 head.class(story.pool, *class),
                 head.pool(story.pool),
-                timestamp::span(*left)
+                timestamp::span(*client_timeout)
             );
-            if *sending > 1_000_000 {
-                let _ = write!(text, " It took its client {} to send it.", timestamp::span(*sending));
+            if *upload_time > 1_000_000 {
+                let _ = write!(text, " It took its client {} to send it.", timestamp::span(*upload_time));
             }
             if let Some(tenant) = tenant {
                 let _ = write!(text, " Tenant: {}.", head.tenant(story.pool, *tenant));
@@ -86,14 +86,14 @@
             }
             text
         }
-        Event::Note(DecisionEvent::Classified { tier, priority_weight, .. }) => {
+        Event::Decision(DecisionEvent::Classified { tier, priority_weight, .. }) => {
             let tier = ["highest", "high", "medium", "low"].get(usize::from(*tier)).unwrap_or(&"unknown");
             format!("Ranked in the {tier} tier, worth {priority_weight}.")
         }
-        Event::Note(DecisionEvent::Queued { queued, .. }) => {
+        Event::Decision(DecisionEvent::Queued { queued, .. }) => {
             format!("No place for it yet; {queued} wait, it among them.")
         }
-        Event::Note(DecisionEvent::EndpointSelected {
+        Event::Decision(DecisionEvent::EndpointSelected {
             endpoint: id,
             score,
             runner_up,
@@ -115,29 +115,29 @@
             }
             text
         }
-        Event::Note(DecisionEvent::NoEndpointAvailable { exclusions, .. }) => match passed_over(exclusions) {
+        Event::Decision(DecisionEvent::NoEndpointAvailable { exclusions, .. }) => match passed_over(exclusions) {
             over if over.is_empty() => "All places of the node were taken.".into(),
             over => format!("No server would do: {over}."),
         },
-        Event::Note(DecisionEvent::AnsweredWithoutEndpoint { reason: why, pressure, .. }) => {
+        Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { reason: why, pressure, .. }) => {
             let mut text = format!("Given up: {}.", rule(*why));
             if *pressure > 0.0 {
                 let _ = write!(text, " The wait was {:.0}% of the time left.", pressure * 100.0);
             }
             text
         }
-        Event::Sent { attempt, server: id, timeout, .. } => {
+        Event::AttemptStarted { attempt, endpoint: id, timeout, .. } => {
             let timeout =
                 timeout.map_or(String::new(), |span| format!(", for {} at most", timestamp::span(span)));
             format!("Attempt {} to {}{timeout}.", attempt.0 + 1, server(id.0))
         }
-        Event::Ended { attempt, server: id, outcome, took, dial, idle, .. } => {
-            let dial = if *dial > 1_000_000 {
-                format!(", {} of it for a connection", timestamp::span(*dial))
+        Event::AttemptEnded { attempt, endpoint: id, outcome, duration, connect_time, connection_idle, .. } => {
+            let dial = if *connect_time > 1_000_000 {
+                format!(", {} of it for a connection", timestamp::span(*connect_time))
             } else {
                 String::new()
             };
-            let kept = match idle {
+            let kept = match connection_idle {
                 Some(idle) => format!(", on a connection that had been idle for {}", timestamp::span(*idle)),
                 None => String::new(),
             };
@@ -146,22 +146,22 @@
                 "Attempt {} at {}: {how} after {}{dial}{kept}.",
                 attempt.0 + 1,
                 server(id.0),
-                timestamp::span(*took)
+                timestamp::span(*duration)
             )
         }
-        Event::Began { attempt, .. } => {
+        Event::ResponseStarted { attempt, .. } => {
             format!("The answer of attempt {} began to pass through.", attempt.0 + 1)
         }
-        Event::Over { how, .. } => ending(*how).into(),
+        Event::RequestEnded { outcome, .. } => ending(*outcome).into(),
         _ => return None,
     })
 }
 
 /// A story, a line an event, each with the time since the request came.
 #[must_use]
-pub fn tell(head: &Head, story: &Story) -> String {
-    let (events, whole) = records(&story.page);
-    let begin = events.first().map_or(story.at, |record| record.at);
+pub fn tell(head: &Head, story: &RequestTimeline) -> String {
+    let (events, whole) = records(&story.encoded_events);
+    let begin = events.first().map_or(story.ended_at, |record| record.at);
     let mut out = format!("request {}, from {}\n", story.name.shown(), timestamp::shown(begin, head.start));
     let mut over = false;
     for record in &events {
@@ -169,9 +169,9 @@
             let since: Nanos = record.at.saturating_sub(begin);
             let _ = writeln!(out, "  +{:>10}  {sentence}", timestamp::span(since));
         }
-        over |= matches!(record.event, Event::Over { .. });
+        over |= matches!(record.event, Event::RequestEnded { .. });
     }
-    if story.cut || !whole {
+    if story.truncated || !whole {
         out += "  (some of its events did not fit and are left out)\n";
     }
     match story.cause {
--- a/crates/flight-recorder/tests/bounds.rs
+++ b/crates/flight-recorder/tests/bounds.rs
@@ -16,7 +16,7 @@
 
 fn calm(ring: &mut Ring, at: Nanos) {
     let mut bytes = Vec::new();
-    Event::Note(DecisionEvent::OverloadEnded).encode(&mut bytes);
+    Event::Decision(DecisionEvent::OverloadEnded).encode(&mut bytes);
     ring.push(at, PoolId(0), &bytes);
 }
 
@@ -189,7 +189,7 @@
     let mut day = Day::new(LEAST_MEMORY);
     let id = day.ask(0, &"\u{1b}[2J\"".repeat(16 << 10));
     for n in 0..100_000u32 {
-        day.tell(Event::Note(DecisionEvent::NoEndpointAvailable {
+        day.tell(Event::Decision(DecisionEvent::NoEndpointAvailable {
             id,
             exclusions: ExclusionReasons([(n % 7) as u8, 0, 0, 0, 0]),
         }));
@@ -201,7 +201,7 @@
     day.over(id, RequestOutcome::Failed);
     let dump = Dump::read(&day.recorder.dump(day.now, "test")).unwrap();
     let story = &dump.stories[0];
-    assert!(story.cut && story.page.len() <= 1_024);
+    assert!(story.truncated && story.encoded_events.len() <= 1_024);
     let text = pumicehead_flight_recorder::timeline_text::tell(&dump.head, story);
     assert!(text.lines().all(|line| !line.contains('\u{1b}')));
 }
--- a/crates/flight-recorder/tests/causes.rs
+++ b/crates/flight-recorder/tests/causes.rs
@@ -88,12 +88,12 @@
 #[test]
 fn a_node_short_of_descriptors_is_named() {
     let mut day = with_fifth(|day, class| {
-        day.tell(Event::Short(ExhaustedResource::DownstreamConnection));
-        day.tell(Event::Turned { class, why: ListenerRejection::ConnectionLimit });
+        day.tell(Event::ResourceExhausted(ExhaustedResource::DownstreamConnection));
+        day.tell(Event::RejectedByListener { class, reason: ListenerRejection::ConnectionLimit });
     });
     assert_eq!((first(&day).subject, first(&day).matter), (Subject::Node, Matter::Descriptors));
     day = with_fifth(|day, class| {
-        day.tell(Event::Short(ExhaustedResource::UpstreamConnection));
+        day.tell(Event::ResourceExhausted(ExhaustedResource::UpstreamConnection));
         day.one(class, 0, AttemptOutcome::NotSent, 0);
     });
     assert_eq!((first(&day).subject, first(&day).matter), (Subject::Node, Matter::Descriptors));
--- a/crates/flight-recorder/tests/common/mod.rs
+++ b/crates/flight-recorder/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use pumicehead_flight_recorder::event::{Event, RequestOutcome, PoolId};
-use pumicehead_flight_recorder::recorder::{Class, Recorder};
+use pumicehead_flight_recorder::recorder::{ClassInfo, Recorder};
 use pumicehead_flight_recorder::bounded_text::Name;
 use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
 use pumicehead_policy::*;
@@ -11,8 +11,8 @@
 pub const MS: Nanos = 1_000_000;
 pub const START: Nanos = 1_700_000_000 * SECOND;
 
-pub fn class(name: &str, aim: Nanos, worth: f64) -> Class {
-    Class { name: name.into(), aim, deadline: 4 * aim, worth, late_worth: 0.3 }
+pub fn class(name: &str, aim: Nanos, worth: f64) -> ClassInfo {
+    ClassInfo { name: name.into(), latency_objective: aim, deadline: 4 * aim, priority_weight: worth, late_weight: 0.3 }
 }
 
 /// A recorder with a pool of two classes, and the time.
@@ -28,7 +28,7 @@
         Self::of(memory, &[class("read", 100 * MS, 1.0), class("submit", 200 * MS, 10.0)])
     }
 
-    pub fn of(memory: usize, classes: &[Class]) -> Self {
+    pub fn of(memory: usize, classes: &[ClassInfo]) -> Self {
         let mut recorder = Recorder::new("n0", START, memory, 7);
         let pool = recorder.pool("web", classes);
         for server in 0..8 {
@@ -45,22 +45,22 @@
         let id = RequestId(self.next);
         self.next += 1;
         let name = Name::new(name);
-        self.tell(Event::Asked { id, class, tenant: None, left: SECOND, sending: 0, name, revision: None });
+        self.tell(Event::RequestAdmitted { id, class, tenant: None, client_timeout: SECOND, upload_time: 0, name, revision: None });
         id
     }
 
     pub fn send(&mut self, id: RequestId, attempt: u8, server: u32) {
         let (attempt, server) = (AttemptNo(attempt), EndpointId(server));
-        self.tell(Event::Sent { id, attempt, server, timeout: None });
+        self.tell(Event::AttemptStarted { id, attempt, endpoint: server, timeout: None });
     }
 
     pub fn end(&mut self, id: RequestId, attempt: u8, server: u32, outcome: AttemptOutcome, took: Nanos) {
         let (attempt, server) = (AttemptNo(attempt), EndpointId(server));
-        self.tell(Event::Ended { id, attempt, server, outcome, took, dial: 0, idle: None });
+        self.tell(Event::AttemptEnded { id, attempt, endpoint: server, outcome, duration: took, connect_time: 0, connection_idle: None });
     }
 
     pub fn over(&mut self, id: RequestId, how: RequestOutcome) {
-        self.tell(Event::Over { id, how });
+        self.tell(Event::RequestEnded { id, outcome: how });
     }
 
     /// A request with one attempt, which takes so long and ends so; refused or failed where that is not well.
@@ -74,7 +74,7 @@
         }
         self.end(id, 0, server, outcome, took);
         if outcome != AttemptOutcome::Success {
-            self.tell(Event::Note(DecisionEvent::AnsweredWithoutEndpoint {
+            self.tell(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
                 id,
                 reason: RejectionReason::NoRetry(NoRetryReason::NotIdempotent),
                 pressure: 0.0,
@@ -87,9 +87,9 @@
     pub fn refused(&mut self, class: u16, rule: RejectionReason) {
         let name = format!("r{}", self.next);
         let id = self.ask(class, &name);
-        self.tell(Event::Note(DecisionEvent::Queued { id, queued: 9 }));
+        self.tell(Event::Decision(DecisionEvent::Queued { id, queued: 9 }));
         self.now += MS;
-        self.tell(Event::Note(DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure: 0.5 }));
+        self.tell(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure: 0.5 }));
         self.over(id, RequestOutcome::Rejected);
     }
 }
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -40,47 +40,47 @@
                 ]
                 .map(RejectionReason::NoRetry),
             );
-    let outcomes = (0..8).filter_map(pumicehead_flight_recorder::event::outcome);
+    let outcomes = (0..8).filter_map(pumicehead_flight_recorder::event::outcome_at);
     let hows = [RequestOutcome::Served, RequestOutcome::ServedError, RequestOutcome::Rejected, RequestOutcome::Failed, RequestOutcome::DeadlineExceeded, RequestOutcome::BodyFailed, RequestOutcome::ClientDisconnected];
     let mut all = vec![
-        Event::Asked {
+        Event::RequestAdmitted {
             id,
             class: 9,
             tenant: Some(0),
-            left: 1,
-            sending: 2,
+            client_timeout: 1,
+            upload_time: 2,
             name: Name::new("é\0"),
             revision: None,
         },
-        Event::Asked {
+        Event::RequestAdmitted {
             id,
             class: 9,
             tenant: None,
-            left: u64::MAX,
-            sending: 0,
+            client_timeout: u64::MAX,
+            upload_time: 0,
             name: Name::default(),
             revision: Some(u64::MAX),
         },
-        Event::Sent { id, attempt, server, timeout: Some(5) },
-        Event::Began { id, attempt },
-        Event::Advice { avoid: 3, rights: 4 },
-        Event::Sharing { nodes: 277, number: 12 },
-        Event::Turned { class: 2, why: ListenerRejection::ConnectionLimit },
-        Event::Short(ExhaustedResource::UpstreamConnection),
-        Event::Member { name: Name::new("n7"), from: Some(0), to: 3 },
-        Event::Member {
+        Event::AttemptStarted { id, attempt, endpoint: server, timeout: Some(5) },
+        Event::ResponseStarted { id, attempt },
+        Event::CapacityAdvice { endpoints_to_avoid: 3, lease_grants: 4 },
+        Event::NodeShareChanged { nodes: 277, node_index: 12 },
+        Event::RejectedByListener { class: 2, reason: ListenerRejection::ConnectionLimit },
+        Event::ResourceExhausted(ExhaustedResource::UpstreamConnection),
+        Event::MemberStateChanged { name: Name::new("n7"), from: Some(0), to: 3 },
+        Event::MemberStateChanged {
             name: Name::new("a name that is longer than what is kept of names here, by some"),
             from: None,
             to: 0,
         },
-        Event::Note(DecisionEvent::Classified {
+        Event::Decision(DecisionEvent::Classified {
             id,
             tier: 3,
             priority_weight: 1.5,
             objective_deadline: START,
         }),
-        Event::Note(DecisionEvent::Queued { id, queued: 7 }),
-        Event::Note(DecisionEvent::EndpointSelected {
+        Event::Decision(DecisionEvent::Queued { id, queued: 7 }),
+        Event::Decision(DecisionEvent::EndpointSelected {
             id,
             endpoint: server,
             score: 0.1,
@@ -89,7 +89,7 @@
             limit: 1.0,
             exclusions: hurdles,
         }),
-        Event::Note(DecisionEvent::EndpointSelected {
+        Event::Decision(DecisionEvent::EndpointSelected {
             id,
             endpoint: server,
             score: 0.1,
@@ -98,43 +98,43 @@
             limit: 1.0,
             exclusions: hurdles,
         }),
-        Event::Note(DecisionEvent::NoEndpointAvailable { id, exclusions: hurdles }),
-        Event::Note(DecisionEvent::LimitChanged {
+        Event::Decision(DecisionEvent::NoEndpointAvailable { id, exclusions: hurdles }),
+        Event::Decision(DecisionEvent::LimitChanged {
             endpoint: server,
             from: 1.0,
             to: 2.0,
             reason: LimitChangeReason::Failure,
         }),
-        Event::Note(DecisionEvent::LimitChanged {
+        Event::Decision(DecisionEvent::LimitChanged {
             endpoint: server,
             from: 1.0,
             to: 2.0,
             reason: LimitChangeReason::ComparedLatency,
         }),
-        Event::Note(DecisionEvent::AllLimitsChanged { factor: 0.5, utilization: 2.0 }),
-        Event::Note(DecisionEvent::Ejected { endpoint: server, duration: 9 }),
-        Event::Note(DecisionEvent::Reinstated { endpoint: server }),
-        Event::Note(DecisionEvent::OutlierRatio { outliers: 1, total: 2, panic_mode: true }),
-        Event::Note(DecisionEvent::OverloadStarted { queued: 3 }),
-        Event::Note(DecisionEvent::OverloadEnded),
-        Event::Note(DecisionEvent::WatchLost),
-        Event::Note(DecisionEvent::WatchRestored),
+        Event::Decision(DecisionEvent::AllLimitsChanged { factor: 0.5, utilization: 2.0 }),
+        Event::Decision(DecisionEvent::Ejected { endpoint: server, duration: 9 }),
+        Event::Decision(DecisionEvent::Reinstated { endpoint: server }),
+        Event::Decision(DecisionEvent::OutlierRatio { outliers: 1, total: 2, panic_mode: true }),
+        Event::Decision(DecisionEvent::OverloadStarted { queued: 3 }),
+        Event::Decision(DecisionEvent::OverloadEnded),
+        Event::Decision(DecisionEvent::WatchLost),
+        Event::Decision(DecisionEvent::WatchRestored),
     ];
     all.extend(rules.map(|rule| {
-        Event::Note(DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure: f32::INFINITY })
+        Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure: f32::INFINITY })
     }));
-    all.extend(outcomes.map(|outcome| Event::Ended {
+    all.extend(outcomes.map(|outcome| Event::AttemptEnded {
         id,
         attempt,
-        server,
+        endpoint: server,
         outcome,
-        took: 5,
-        dial: 2,
-        idle: Some(7),
+        duration: 5,
+        connect_time: 2,
+        connection_idle: Some(7),
     }));
-    all.extend(hows.map(|how| Event::Over { id, how }));
+    all.extend(hows.map(|how| Event::RequestEnded { id, outcome: how }));
     all.extend(
-        [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed].map(|listed| Event::Server { server, listed }),
+        [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed].map(|listed| Event::EndpointStateChanged { endpoint: server, state: listed }),
     );
     for event in all {
         let mut bytes = Vec::new();
--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -9,10 +9,10 @@
 use common::*;
 use pumicehead_flight_recorder::breakdown::Breakdown;
 use pumicehead_flight_recorder::recording::{ClassHead, Dump, Head, PoolHead, write};
-use pumicehead_flight_recorder::event::{Event, RequestOutcome, PoolId, ExhaustedResource, ListenerRejection, outcome};
+use pumicehead_flight_recorder::event::{Event, RequestOutcome, PoolId, ExhaustedResource, ListenerRejection, outcome_at};
 use pumicehead_flight_recorder::export::{chrome, otlp};
 use pumicehead_flight_recorder::loss_cause::{Cause, Where};
-use pumicehead_flight_recorder::recorder::{Class, Level, Recorder, Story};
+use pumicehead_flight_recorder::recorder::{ClassInfo, Level, Recorder, RequestTimeline};
 use pumicehead_flight_recorder::event_ring::{Ring, append};
 use pumicehead_flight_recorder::bounded_text::Name;
 use pumicehead_policy::decision_event::{
@@ -145,12 +145,12 @@
 /// Every event but notes, with each value that it may hold of a fixed set.
 fn every_event() -> Vec<Event> {
     let (id, server, attempt) = (ID, SERVER, ATTEMPT);
-    let asked = |tenant, sending, name: &str, revision| Event::Asked {
+    let asked = |tenant, sending, name: &str, revision| Event::RequestAdmitted {
         id,
         class: 1,
         tenant,
-        left: 2 * SECOND,
-        sending,
+        client_timeout: 2 * SECOND,
+        upload_time: sending,
         name: Name::new(name),
         revision,
     };
@@ -158,32 +158,32 @@
     let mut all = vec![
         asked(Some(70_000), 2 * MS, "req-7", Some(4)),
         asked(None, 0, long, None),
-        Event::Sent { id, attempt, server, timeout: Some(80 * MS) },
-        Event::Sent { id, attempt: AttemptNo(2), server, timeout: None },
-        Event::Began { id, attempt },
-        Event::Advice { avoid: 3, rights: 4 },
-        Event::Sharing { nodes: 277, number: 12 },
-        Event::Turned { class: 1, why: ListenerRejection::RequestLimit },
-        Event::Turned { class: 1, why: ListenerRejection::ConnectionLimit },
-        Event::Short(ExhaustedResource::DownstreamConnection),
-        Event::Short(ExhaustedResource::UpstreamConnection),
-        Event::Member { name: Name::new("n7"), from: Some(0), to: 3 },
-        Event::Member { name: Name::new(long), from: None, to: 0 },
+        Event::AttemptStarted { id, attempt, endpoint: server, timeout: Some(80 * MS) },
+        Event::AttemptStarted { id, attempt: AttemptNo(2), endpoint: server, timeout: None },
+        Event::ResponseStarted { id, attempt },
+        Event::CapacityAdvice { endpoints_to_avoid: 3, lease_grants: 4 },
+        Event::NodeShareChanged { nodes: 277, node_index: 12 },
+        Event::RejectedByListener { class: 1, reason: ListenerRejection::RequestLimit },
+        Event::RejectedByListener { class: 1, reason: ListenerRejection::ConnectionLimit },
+        Event::ResourceExhausted(ExhaustedResource::DownstreamConnection),
+        Event::ResourceExhausted(ExhaustedResource::UpstreamConnection),
+        Event::MemberStateChanged { name: Name::new("n7"), from: Some(0), to: 3 },
+        Event::MemberStateChanged { name: Name::new(long), from: None, to: 0 },
     ];
-    let outcomes = (0..8).filter_map(outcome);
-    all.extend(outcomes.enumerate().map(|(number, outcome)| Event::Ended {
+    let outcomes = (0..8).filter_map(outcome_at);
+    all.extend(outcomes.enumerate().map(|(number, outcome)| Event::AttemptEnded {
         id,
         attempt: AttemptNo(number as u8),
-        server,
+        endpoint: server,
         outcome,
-        took: 30 * MS,
-        dial: if number % 2 == 0 { 0 } else { 2 * MS },
-        idle: (number % 3 == 0).then_some(7 * SECOND),
+        duration: 30 * MS,
+        connect_time: if number % 2 == 0 { 0 } else { 2 * MS },
+        connection_idle: (number % 3 == 0).then_some(7 * SECOND),
     }));
     let hows = [RequestOutcome::Served, RequestOutcome::ServedError, RequestOutcome::Rejected, RequestOutcome::Failed, RequestOutcome::DeadlineExceeded, RequestOutcome::BodyFailed, RequestOutcome::ClientDisconnected];
-    all.extend(hows.map(|how| Event::Over { id, how }));
+    all.extend(hows.map(|how| Event::RequestEnded { id, outcome: how }));
     let listed = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
-    all.extend(listed.map(|listed| Event::Server { server, listed }));
+    all.extend(listed.map(|listed| Event::EndpointStateChanged { endpoint: server, state: listed }));
     all
 }
 
@@ -199,7 +199,7 @@
     all
 }
 
-fn story(name: &str, cause: Option<Cause>, events: &[Event]) -> Story {
+fn story(name: &str, cause: Option<Cause>, events: &[Event]) -> RequestTimeline {
     let mut last = START + SECOND;
     let mut page = last.to_le_bytes().to_vec();
     let mut at = last;
@@ -210,7 +210,7 @@
         append(&mut page, &mut last, at, PoolId(0), &bytes);
     }
     let cut = name.ends_with("cut");
-    Story { pool: PoolId(0), class: 1, name: Name::new(name), at, cause, page: page.into(), cut }
+    RequestTimeline { pool: PoolId(0), class: 1, name: Name::new(name), ended_at: at, cause, encoded_events: page.into(), truncated: cut }
 }
 
 /// A recording with every event, every note and every cause in it, put together by hand.
@@ -241,13 +241,13 @@
     ];
     head.tenants = [(70_000, "late"), (3, "early")].map(|(id, name)| (id, name.into())).into_iter().collect();
     (head.wrapped, head.untold) = (11, 5);
-    let events: Vec<_> = every_event().into_iter().chain(every_note().into_iter().map(Event::Note)).collect();
+    let events: Vec<_> = every_event().into_iter().chain(every_note().into_iter().map(Event::Decision)).collect();
     let mut stories = vec![
         story("every-event", Some(Cause::Other), &events),
         story("open", None, &events[..3]),
         story("cut", None, &events[..1]),
     ];
-    let some = [events[0].clone(), Event::Over { id: ID, how: RequestOutcome::DeadlineExceeded }];
+    let some = [events[0].clone(), Event::RequestEnded { id: ID, outcome: RequestOutcome::DeadlineExceeded }];
     stories.extend(every_cause().into_iter().map(|cause| {
         let name = format!("lost-{}", cause.code());
         story(&name, Some(cause), &some)
@@ -263,7 +263,7 @@
     write(&head, day.recorder.accounts(), stories.iter(), pages.into_iter().rev())
 }
 
-fn next_pool(day: &mut Day, name: &str, classes: &[Class]) {
+fn next_pool(day: &mut Day, name: &str, classes: &[ClassInfo]) {
     day.pool = day.recorder.pool(name, classes);
     for server in 0..5 {
         day.recorder.name(day.pool, EndpointId(server), &format!("{name}-{server}"));
@@ -313,7 +313,7 @@
         day.now += 110 * MS;
         let (attempt, server, outcome) = (AttemptNo(0), EndpointId(4), AttemptOutcome::Success);
         let (took, dial) = (110 * MS, 100 * MS);
-        day.tell(Event::Ended { id, attempt, server, outcome, took, dial, idle: None });
+        day.tell(Event::AttemptEnded { id, attempt, endpoint: server, outcome, duration: took, connect_time: dial, connection_idle: None });
         day.over(id, RequestOutcome::Served);
     }
     next_pool(&mut day, "tight", &[class("read", 100 * MS, 1.0), class("hasty", 5 * MS, 10.0)]);
@@ -344,7 +344,7 @@
             day.now += 5 * MS;
             day.end(id, attempt, u32::from(attempt), outcome, 5 * MS);
         }
-        day.tell(Event::Note(DecisionEvent::AnsweredWithoutEndpoint {
+        day.tell(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
             id,
             reason: RejectionReason::NoRetry(NoRetryReason::AttemptsExhausted),
             pressure: 0.0,
@@ -362,19 +362,19 @@
         day.end(id, 0, 2, AttemptOutcome::Cancelled, 400 * MS);
     });
     for why in [ListenerRejection::RequestLimit, ListenerRejection::ConnectionLimit] {
-        (0..3).for_each(|_| day.tell(Event::Turned { class: 0, why }));
+        (0..3).for_each(|_| day.tell(Event::RejectedByListener { class: 0, reason: why }));
     }
     // The node's shortage of descriptors would be put down as the cause of every attempt that was not sent.
-    day.tell(Event::Short(ExhaustedResource::DownstreamConnection));
-    day.tell(Event::Note(DecisionEvent::Ejected { endpoint: SERVER, duration: 1_500 * MS }));
-    day.tell(Event::Note(DecisionEvent::LimitChanged {
+    day.tell(Event::ResourceExhausted(ExhaustedResource::DownstreamConnection));
+    day.tell(Event::Decision(DecisionEvent::Ejected { endpoint: SERVER, duration: 1_500 * MS }));
+    day.tell(Event::Decision(DecisionEvent::LimitChanged {
         endpoint: SERVER,
         from: 1.0,
         to: 2.5,
         reason: LimitChangeReason::ComparedLatency,
     }));
     let id = day.ask(1, "still open");
-    day.tell(Event::Note(DecisionEvent::Queued { id, queued: 1 }));
+    day.tell(Event::Decision(DecisionEvent::Queued { id, queued: 1 }));
     day
 }
 
@@ -399,7 +399,7 @@
 #[test]
 fn an_older_recording_holds_the_same_events() {
     let dump = read("every_event.rec");
-    let events: Vec<_> = every_event().into_iter().chain(every_note().into_iter().map(Event::Note)).collect();
+    let events: Vec<_> = every_event().into_iter().chain(every_note().into_iter().map(Event::Decision)).collect();
     let read: Vec<_> = dump.records.iter().map(|record| record.event.clone()).collect();
     assert_eq!(read, events);
     let causes: Vec<_> = dump.stories.iter().skip(3).map(|story| story.cause.unwrap()).collect();
@@ -428,17 +428,17 @@
     let mut at = START;
     for (number, event) in every_event().into_iter().enumerate() {
         at += 10 * MS;
-        if let Event::Over { how, .. } = event {
+        if let Event::RequestEnded { outcome, .. } = event {
             let id = RequestId(100 + number as u32);
             let name = Name::new(&format!("r{number}"));
             let (tenant, left, revision) = (None, SECOND, None);
             recorder.record(
                 at,
                 pool,
-                &Event::Asked { id, class: 0, tenant, left, sending: 0, name, revision },
+                &Event::RequestAdmitted { id, class: 0, tenant, client_timeout: left, upload_time: 0, name, revision },
             );
             at += 20 * MS;
-            recorder.record(at, pool, &Event::Over { id, how });
+            recorder.record(at, pool, &Event::RequestEnded { id, outcome: outcome });
         } else {
             recorder.record(at, pool, &event);
         }
--- a/crates/node/src/eyes.rs
+++ b/crates/node/src/eyes.rs
@@ -10,7 +10,7 @@
 
 use pumicehead_admin::call::{Amount, Call, no, yes};
 use pumicehead_flight_recorder::event::PoolId;
-use pumicehead_flight_recorder::recorder::{Class, Level, Recorder};
+use pumicehead_flight_recorder::recorder::{ClassInfo, Level, Recorder};
 use pumicehead_policy::{Settings, TenantId};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task;
@@ -82,12 +82,12 @@
 
     /// A pool's way to the recorder, with the names of its classes in the order of its settings.
     pub fn tap(&self, pool: &str, settings: &Settings, classes: &[String]) -> RecorderSink {
-        let class = |(name, class): (&String, &pumicehead_policy::Class)| Class {
+        let class = |(name, class): (&String, &pumicehead_policy::Class)| ClassInfo {
             name: name.clone(),
-            aim: class.latency_objective,
+            latency_objective: class.latency_objective,
             deadline: class.deadline,
-            worth: class.priority_weight,
-            late_worth: class.late_weight,
+            priority_weight: class.priority_weight,
+            late_weight: class.late_weight,
         };
         let classes: Vec<_> = classes.iter().zip(&settings.classes).map(class).collect();
         let pool = self.recorder.with(|recorder| recorder.pool(pool, &classes));
--- a/crates/node/src/fleet/event_loop.rs
+++ b/crates/node/src/fleet/event_loop.rs
@@ -88,7 +88,7 @@
                 info!(target: "fleet", fleet = %self.name, members, "joined the fleet");
             }
             Event::StateChanged { name, from, to, reporter } => {
-                self.recorder.record(&RecorderEvent::Member {
+                self.recorder.record(&RecorderEvent::MemberStateChanged {
                     name: Name::new(&name),
                     from: from.map(recorded_code),
                     to: recorded_code(to),
--- a/crates/node/src/net/downstream/accept.rs
+++ b/crates/node/src/net/downstream/accept.rs
@@ -60,7 +60,7 @@
                 Err(error) => {
                     warn!(target: "front", %error, "accept failed");
                     if let Some(recorder) = self.recorder.get() {
-                        recorder.record(&Event::Short(ExhaustedResource::DownstreamConnection));
+                        recorder.record(&Event::ResourceExhausted(ExhaustedResource::DownstreamConnection));
                     }
                     self.budget.evict_one();
                     sleep(ACCEPT_RETRY_DELAY).await;
--- a/crates/node/src/net/pool_handle.rs
+++ b/crates/node/src/net/pool_handle.rs
@@ -56,7 +56,7 @@
     /// Records that a listener rejected a request of this class without asking the pool.
     pub fn record_local_rejection(&self, class: usize, why: ListenerRejection) {
         if let Some(recorder) = &self.recorder {
-            recorder.record(&Event::Turned { class: class as u16, why });
+            recorder.record(&Event::RejectedByListener { class: class as u16, reason: why });
         }
     }
 
--- a/crates/node/src/net/pool_loop/attempts.rs
+++ b/crates/node/src/net/pool_loop/attempts.rs
@@ -29,7 +29,7 @@
         let now = self.now();
         let Some(in_flight) = self.in_flight.get(&id) else { return };
         let attempt = AttemptNo(in_flight.attempts.len() as u8);
-        self.record(&RecordedEvent::Sent { id, attempt, server: endpoint, timeout });
+        self.record(&RecordedEvent::AttemptStarted { id, attempt, endpoint: endpoint, timeout });
         let end = timeout.map_or(in_flight.deadline, |timeout| in_flight.deadline.min(now + timeout));
         let may_start = in_flight.responder.is_some() && now < end && !in_flight.upload_has_started();
         let Some(connector) = self.directory.connector(endpoint).filter(|_| may_start).cloned() else {
@@ -75,14 +75,14 @@
         in_flight.attempts.push(None);
         let outcome = AttemptOutcome::NotSent;
         let final_answer = in_flight.responder.is_none();
-        self.record(&RecordedEvent::Ended {
+        self.record(&RecordedEvent::AttemptEnded {
             id,
             attempt,
-            server: endpoint,
+            endpoint: endpoint,
             outcome,
-            took: 0,
-            dial: 0,
-            idle: None,
+            duration: 0,
+            connect_time: 0,
+            connection_idle: None,
         });
         self.events.push_back(Event::AttemptEnded(AttemptEnded {
             id,
@@ -102,7 +102,7 @@
         attempt: AttemptNo,
         response: UpstreamResponse,
     ) {
-        self.record(&RecordedEvent::Began { id, attempt });
+        self.record(&RecordedEvent::ResponseStarted { id, attempt });
         if self.respond(id, FinalResponse::Upstream(response)) {
             self.events.push_back(Event::ResponseStarted { id, attempt });
         }
@@ -145,17 +145,17 @@
         duration: Nanos,
         result: &AttemptResult,
     ) {
-        self.record(&RecordedEvent::Ended {
+        self.record(&RecordedEvent::AttemptEnded {
             id,
             attempt,
-            server: endpoint,
+            endpoint: endpoint,
             outcome: result.outcome,
-            took: duration,
-            dial: result.connect_time.as_nanos() as Nanos,
-            idle: result.idle_time.map(|idle| idle.as_nanos() as Nanos),
+            duration: duration,
+            connect_time: result.connect_time.as_nanos() as Nanos,
+            connection_idle: result.idle_time.map(|idle| idle.as_nanos() as Nanos),
         });
         if result.connection_limit_reached {
-            self.record(&RecordedEvent::Short(ExhaustedResource::UpstreamConnection));
+            self.record(&RecordedEvent::ResourceExhausted(ExhaustedResource::UpstreamConnection));
         }
     }
 
--- a/crates/node/src/net/pool_loop/mod.rs
+++ b/crates/node/src/net/pool_loop/mod.rs
@@ -184,7 +184,7 @@
                 self.log_decision(decision);
             }
             if let Some(recorder) = self.recorder.as_ref().filter(|recorder| recorder.is_recording()) {
-                recorder.record_at(now, &RecordedEvent::Note(*decision));
+                recorder.record_at(now, &RecordedEvent::Decision(*decision));
             }
         }
     }
--- a/crates/node/src/net/pool_loop/requests.rs
+++ b/crates/node/src/net/pool_loop/requests.rs
@@ -47,12 +47,12 @@
 
     fn record_request(&self, id: RequestId, request: &ProxyRequest) {
         if let Some(recorder) = self.recorder.as_ref().filter(|recorder| recorder.is_recording()) {
-            recorder.record(&RecordedEvent::Asked {
+            recorder.record(&RecordedEvent::RequestAdmitted {
                 id,
                 class: request.class as u16,
                 tenant: request.tenant.map(|tenant| tenant.0),
-                left: request.time_left.as_nanos() as Nanos,
-                sending: request.body_read_time.as_nanos() as Nanos,
+                client_timeout: request.time_left.as_nanos() as Nanos,
+                upload_time: request.body_read_time.as_nanos() as Nanos,
                 name: bounded_text::Name::new(&request.correlation_id),
                 revision: request.revision,
             });
@@ -64,7 +64,7 @@
         let Some(in_flight) = self.in_flight.get_mut(&id) else { return false };
         let Some(responder) = in_flight.responder.take() else { return false };
         in_flight.request.finished.set(true);
-        self.record(&RecordedEvent::Over { id, how: recorded_outcome(&response) });
+        self.record(&RecordedEvent::RequestEnded { id, outcome: recorded_outcome(&response) });
         // Fails where the client has disconnected.
         let _ = responder.send(response);
         self.release_if_done(id);
--- a/crates/node/src/net/recorder_sink.rs
+++ b/crates/node/src/net/recorder_sink.rs
@@ -99,7 +99,7 @@
         if let Some(name) = name {
             self.shared.with(|recorder| recorder.name(self.pool, info.id, name));
         }
-        self.record(&Event::Server { server: info.id, listed: info.state });
+        self.record(&Event::EndpointStateChanged { endpoint: info.id, state: info.state });
     }
 
     /// Remembers an endpoint's state; returns whether it has changed.
--- a/crates/node/tests/eyes.rs
+++ b/crates/node/tests/eyes.rs
@@ -38,9 +38,9 @@
 }
 
 fn rules(dump: &Dump) -> Vec<RejectionReason> {
-    let events = dump.stories.iter().flat_map(|story| records(&story.page).0);
+    let events = dump.stories.iter().flat_map(|story| records(&story.encoded_events).0);
     let rules = events.filter_map(|record| match record.event {
-        Event::Note(DecisionEvent::AnsweredWithoutEndpoint { reason, .. }) => Some(reason),
+        Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { reason, .. }) => Some(reason),
         _ => None,
     });
     rules.collect()
--- a/crates/node/tests/reloads.rs
+++ b/crates/node/tests/reloads.rs
@@ -199,9 +199,9 @@
     let mut revisions: Vec<_> = dump
         .stories
         .iter()
-        .flat_map(|story| records(&story.page).0)
+        .flat_map(|story| records(&story.encoded_events).0)
         .filter_map(|record| match record.event {
-            Event::Asked { revision, .. } => Some(revision),
+            Event::RequestAdmitted { revision, .. } => Some(revision),
             _ => None,
         })
         .collect();
--- a/crates/node/tests/tenants.rs
+++ b/crates/node/tests/tenants.rs
@@ -175,7 +175,7 @@
     let most = FIRST + RATE * started.elapsed().as_secs_f64();
     let dump = recording(&node);
     let worths = dump.records.iter().filter_map(|record| match record.event {
-        Event::Note(DecisionEvent::Classified { priority_weight, .. }) => Some(priority_weight),
+        Event::Decision(DecisionEvent::Classified { priority_weight, .. }) => Some(priority_weight),
         _ => None,
     });
     let (within, over): (Vec<_>, Vec<_>) = worths.partition(|worth| *worth >= 1.0);
@@ -209,7 +209,7 @@
     let most = FIRST + RATE * started.elapsed().as_secs_f64();
     let dump = recording(&node);
     let worths = dump.records.iter().filter_map(|record| match record.event {
-        Event::Note(DecisionEvent::Classified { priority_weight, .. }) => Some(priority_weight),
+        Event::Decision(DecisionEvent::Classified { priority_weight, .. }) => Some(priority_weight),
         _ => None,
     });
     let (within, over): (Vec<_>, Vec<_>) = worths.partition(|worth| *worth >= 1.0);
