--- a/crates/flight-recorder/src/bounded_text.rs
+++ b/crates/flight-recorder/src/bounded_text.rs
@@ -9,31 +9,31 @@
 
 /// A name that somebody else chose: its beginning, and a hash of all of it, by which the whole name finds it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Name {
+pub struct BoundedName {
     /// At most [`LONGEST`] bytes.
-    pub start: Box<str>,
+    pub prefix: Box<str>,
     /// Of the whole.
     pub hash: u64,
 }
 
-impl Name {
+impl BoundedName {
     /// Of a text of any length.
     #[must_use]
     pub fn new(text: &str) -> Self {
-        Self { start: text[..text.floor_char_boundary(LONGEST)].into(), hash: hash(text) }
+        Self { prefix: text[..text.floor_char_boundary(LONGEST)].into(), hash: hash(text) }
     }
 
     /// Whether it is the name of `text`.
     #[must_use]
     pub fn is(&self, text: &str) -> bool {
-        self.hash == hash(text) && text.starts_with(&*self.start)
+        self.hash == hash(text) && text.starts_with(&*self.prefix)
     }
 
     /// As it is shown.
     #[must_use]
     pub fn shown(&self) -> String {
-        let cut = if hash(&self.start) == self.hash { "" } else { "..." };
-        plain(&self.start) + cut
+        let cut = if hash(&self.prefix) == self.hash { "" } else { "..." };
+        plain(&self.prefix) + cut
     }
 }
 
@@ -71,12 +71,12 @@
     #[test]
     fn names_of_any_kind_are_found_and_shown_safely() {
         let long = "\u{1b}[2J\"x\n".repeat(10_000);
-        let name = Name::new(&long);
-        assert!(name.start.len() <= LONGEST && name.is(&long) && !name.is(&long[1..]));
+        let name = BoundedName::new(&long);
+        assert!(name.prefix.len() <= LONGEST && name.is(&long) && !name.is(&long[1..]));
         assert!(name.shown().chars().all(|sign| !sign.is_control()) && name.shown().ends_with("..."));
-        assert_eq!(Name::new("9b1f").shown(), "9b1f");
+        assert_eq!(BoundedName::new("9b1f").shown(), "9b1f");
         assert_eq!(html("<a href='x'>&\"\u{202e}"), "&lt;a href=&#39;x&#39;&gt;&amp;\\\"\\u{202e}");
-        let short = Name::new(&"é".repeat(40));
-        assert!(short.start.len() <= LONGEST);
+        let short = BoundedName::new(&"é".repeat(40));
+        assert!(short.prefix.len() <= LONGEST);
     }
 }
--- a/crates/flight-recorder/src/breakdown.rs
+++ b/crates/flight-recorder/src/breakdown.rs
@@ -5,9 +5,9 @@
 
 use pumicehead_policy::Nanos;
 
-use crate::loss_ledger::{Accounts, Loss, LossKey, NOBODY};
-use crate::recording::{Dump, Head};
-use crate::loss_cause::{Cause, Micro};
+use crate::loss_cause::{LossCause, MicroWeight};
+use crate::loss_ledger::{LossKey, LossLedger, LossTotals, NO_ENDPOINT};
+use crate::recording::{Recording, RecordingHeader};
 use crate::timestamp;
 
 /// Rows of a view that are shown.
@@ -15,13 +15,13 @@
 
 /// One row.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct BreakdownRow {
     /// What it is about.
-    pub what: String,
+    pub label: String,
     /// What was lost.
-    pub lost: Micro,
+    pub lost: MicroWeight,
     /// By so many requests.
-    pub count: u64,
+    pub requests: u64,
 }
 
 /// A span's losses.
@@ -36,26 +36,28 @@
     /// Requests that ended in it.
     pub requests: u64,
     /// What they were worth.
-    pub asked: Micro,
+    pub offered: MicroWeight,
     /// What was earned.
-    pub earned: Micro,
+    pub earned: MicroWeight,
     /// Views, with their names.
-    pub views: Vec<(&'static str, Vec<Part>)>,
+    pub views: Vec<(&'static str, Vec<BreakdownRow>)>,
 }
 
 fn view<K: Ord>(
-    rows: &[(Nanos, LossKey, Loss)],
+    rows: &[(Nanos, LossKey, LossTotals)],
     by: impl Fn(Nanos, &LossKey) -> K,
     shown: impl Fn(&K) -> String,
-) -> Vec<Part> {
-    let mut sums: BTreeMap<K, Loss> = BTreeMap::new();
+) -> Vec<BreakdownRow> {
+    let mut sums: BTreeMap<K, LossTotals> = BTreeMap::new();
     for (at, key, loss) in rows {
         let sum = sums.entry(by(*at, key)).or_default();
         sum.lost = sum.lost.saturating_add(loss.lost);
-        sum.count = sum.count.saturating_add(loss.count);
+        sum.requests = sum.requests.saturating_add(loss.requests);
     }
-    let mut parts: Vec<_> =
-        sums.iter().map(|(key, sum)| Part { what: shown(key), lost: sum.lost, count: sum.count }).collect();
+    let mut parts: Vec<_> = sums
+        .iter()
+        .map(|(key, sum)| BreakdownRow { label: shown(key), lost: sum.lost, requests: sum.requests })
+        .collect();
     parts.sort_by_key(|part| std::cmp::Reverse(part.lost));
     parts
 }
@@ -63,28 +65,29 @@
 impl Breakdown {
     /// Of a dump, from and to the moments named; wider where the sums are coarser.
     #[must_use]
-    pub fn of(dump: &Dump, from: Nanos, to: Nanos) -> Option<Self> {
-        dump.accounts.as_ref().map(|accounts| Self::sum(&dump.head, accounts, from, to))
+    pub fn of(dump: &Recording, from: Nanos, to: Nanos) -> Option<Self> {
+        dump.ledger.as_ref().map(|accounts| Self::sum(&dump.head, accounts, from, to))
     }
 
     /// Of sums.
     #[must_use]
-    pub fn sum(head: &Head, accounts: &Accounts, from: Nanos, to: Nanos) -> Self {
+    pub fn sum(head: &RecordingHeader, accounts: &LossLedger, from: Nanos, to: Nanos) -> Self {
         let (from, to) = accounts.aligned(from, to);
-        let rows: Vec<_> = accounts.losses.within(from, to).map(|(at, key, loss)| (at, key, *loss)).collect();
+        let rows: Vec<_> =
+            accounts.losses.rows_between(from, to).map(|(at, key, loss)| (at, key, *loss)).collect();
         let mut sum = (0u64, 0u64, 0u64);
-        for (_, _, flow) in accounts.flows.within(from, to) {
-            sum.0 = sum.0.saturating_add(flow.count);
-            sum.1 = sum.1.saturating_add(flow.asked);
+        for (_, _, flow) in accounts.traffic.rows_between(from, to) {
+            sum.0 = sum.0.saturating_add(flow.requests);
+            sum.1 = sum.1.saturating_add(flow.offered);
             sum.2 = sum.2.saturating_add(flow.earned);
         }
         let server = |key: &(crate::event::PoolId, u32)| match key.1 {
-            NOBODY => "no server".to_owned(),
+            NO_ENDPOINT => "no server".to_owned(),
             server => head.server(key.0, server),
         };
         let views = vec![
-            ("cause", view(&rows, |_, key| Cause::of(key.cause), Cause::to_string)),
-            ("server", view(&rows, |_, key| (key.pool, key.server), server)),
+            ("cause", view(&rows, |_, key| LossCause::of(key.cause), LossCause::to_string)),
+            ("server", view(&rows, |_, key| (key.pool, key.endpoint), server)),
             (
                 "class",
                 view(
@@ -93,21 +96,21 @@
                     |&(pool, class)| format!("{} in {}", head.class(pool, class), head.pool(pool)),
                 ),
             ),
-            ("moment", view(&rows, |at, _| at, |at| timestamp::shown(*at, head.start))),
+            ("moment", view(&rows, |at, _| at, |at| timestamp::format_timestamp(*at, head.start))),
         ];
-        Self { from, to, start: head.start, requests: sum.0, asked: sum.1, earned: sum.2, views }
+        Self { from, to, start: head.start, requests: sum.0, offered: sum.1, earned: sum.2, views }
     }
 
     /// What was lost.
     #[must_use]
-    pub fn lost(&self) -> Micro {
-        self.asked.saturating_sub(self.earned)
+    pub fn lost(&self) -> MicroWeight {
+        self.offered.saturating_sub(self.earned)
     }
 
     /// The same of two spans side by side, as shares of what each was asked.
     #[must_use]
-    pub fn beside(&self, other: &Self) -> String {
-        let share = |lost: Micro, of: &Self| 100.0 * lost as f64 / (of.asked as f64).max(1.0);
+    pub fn compare(&self, other: &Self) -> String {
+        let share = |lost: MicroWeight, of: &Self| 100.0 * lost as f64 / (of.offered as f64).max(1.0);
         let mut out = format!(
             "lost of the worth asked: {:.2}% against {:.2}%\n",
             share(self.lost(), self),
@@ -116,9 +119,9 @@
         for ((name, one), (_, two)) in
             self.views.iter().zip(&other.views).filter(|((name, _), _)| *name != "moment")
         {
-            let mut all: BTreeMap<&str, (Micro, Micro)> = BTreeMap::new();
-            one.iter().for_each(|part| all.entry(&part.what).or_default().0 = part.lost);
-            two.iter().for_each(|part| all.entry(&part.what).or_default().1 = part.lost);
+            let mut all: BTreeMap<&str, (MicroWeight, MicroWeight)> = BTreeMap::new();
+            one.iter().for_each(|part| all.entry(&part.label).or_default().0 = part.lost);
+            two.iter().for_each(|part| all.entry(&part.label).or_default().1 = part.lost);
             let mut rows: Vec<_> = all
                 .into_iter()
                 .map(|(what, (one, two))| (what, share(one, self), share(two, other)))
@@ -135,15 +138,19 @@
 
 impl fmt::Display for Breakdown {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let worth = |micro: Micro| micro as f64 / 1e6;
-        let share = |lost: Micro| 100.0 * lost as f64 / (self.asked as f64).max(1.0);
-        let until = if self.to == Nanos::MAX { "its end".into() } else { timestamp::shown(self.to, self.start) };
-        writeln!(out, "from {} to {until}:", timestamp::shown(self.from, self.start))?;
+        let worth = |micro: MicroWeight| micro as f64 / 1e6;
+        let share = |lost: MicroWeight| 100.0 * lost as f64 / (self.offered as f64).max(1.0);
+        let until = if self.to == Nanos::MAX {
+            "its end".into()
+        } else {
+            timestamp::format_timestamp(self.to, self.start)
+        };
+        writeln!(out, "from {} to {until}:", timestamp::format_timestamp(self.from, self.start))?;
         writeln!(
             out,
             "{} requests worth {:.1}; earned {:.1}, lost {:.1} ({:.2}%)",
             self.requests,
-            worth(self.asked),
+            worth(self.offered),
             worth(self.earned),
             worth(self.lost()),
             share(self.lost())
@@ -154,8 +161,13 @@
             }
             writeln!(out, "by {name}:")?;
             for part in parts.iter().take(SHOWN) {
-                let Part { what, lost, count } = part;
-                writeln!(out, "  {:10.1} {:6.2}%  {count:7} requests  {what}", worth(*lost), share(*lost))?;
+                let BreakdownRow { label, lost, requests } = part;
+                writeln!(
+                    out,
+                    "  {:10.1} {:6.2}%  {requests:7} requests  {label}",
+                    worth(*lost),
+                    share(*lost)
+                )?;
             }
             let rest = parts.iter().skip(SHOWN);
             let (lost, count) = rest.fold((0, 0), |(lost, n), part| (lost + part.lost, n + 1));
--- a/crates/flight-recorder/src/event.rs
+++ b/crates/flight-recorder/src/event.rs
@@ -8,8 +8,8 @@
 };
 use pumicehead_policy::{AttemptNo, AttemptOutcome, EndpointId, EndpointState, Nanos, RequestId};
 
+use crate::bounded_text::BoundedName;
 use crate::wire_format::{Reader, put, put_bytes, put_f32, put_some};
-use crate::bounded_text::Name;
 
 /// A pool, by its place in the head of a dump.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -35,8 +35,15 @@
 }
 
 impl RequestOutcome {
-    const ALL: [Self; 7] =
-        [Self::Served, Self::ServedError, Self::Rejected, Self::Failed, Self::DeadlineExceeded, Self::BodyFailed, Self::ClientDisconnected];
+    const ALL: [Self; 7] = [
+        Self::Served,
+        Self::ServedError,
+        Self::Rejected,
+        Self::Failed,
+        Self::DeadlineExceeded,
+        Self::BodyFailed,
+        Self::ClientDisconnected,
+    ];
 }
 
 /// Why a front turned a request away that no pool has seen.
@@ -85,7 +92,7 @@
         /// How long it took the client to send it.
         upload_time: Nanos,
         /// What its client calls it.
-        name: Name,
+        name: BoundedName,
         /// The revision of the configuration that it was admitted under; none on nodes that have but one, and in
         /// recordings of versions that did not record it.
         revision: Option<u64>,
@@ -167,7 +174,7 @@
     /// A member of the fleet is held for something else: states by their numbers, alive 0, stalled 1, suspect 2, dead 3, left 4.
     MemberStateChanged {
         /// Which.
-        name: Name,
+        name: BoundedName,
         /// Before; `None`: it was not known.
         from: Option<u8>,
         /// Now.
@@ -273,7 +280,7 @@
                 put_some(out, tenant.map(u64::from));
                 put(out, *client_timeout);
                 put(out, *upload_time);
-                put_bytes(out, name.start.as_bytes());
+                put_bytes(out, name.prefix.as_bytes());
                 out.extend_from_slice(&name.hash.to_le_bytes());
             }
             Self::AttemptStarted { id, attempt, endpoint, timeout } => {
@@ -282,7 +289,15 @@
                 put(out, u64::from(endpoint.0));
                 put_some(out, *timeout);
             }
-            Self::AttemptEnded { id, attempt, endpoint, outcome, duration, connect_time, connection_idle } => {
+            Self::AttemptEnded {
+                id,
+                attempt,
+                endpoint,
+                outcome,
+                duration,
+                connect_time,
+                connection_idle,
+            } => {
                 start(3, id.0);
                 out.push(attempt.0);
                 put(out, u64::from(endpoint.0));
@@ -297,7 +312,9 @@
             }
             Self::RequestEnded { id, outcome } => {
                 start(5, id.0);
-                out.push(RequestOutcome::ALL.iter().position(|known| known == outcome).unwrap_or_default() as u8);
+                out.push(
+                    RequestOutcome::ALL.iter().position(|known| known == outcome).unwrap_or_default() as u8
+                );
             }
             Self::EndpointStateChanged { endpoint, state } => {
                 start(6, endpoint.0);
@@ -309,10 +326,15 @@
             }
             Self::RejectedByListener { class, reason } => {
                 start(8, u32::from(*class));
-                out.push(ListenerRejection::ALL.iter().position(|known| known == reason).unwrap_or_default() as u8);
+                out.push(
+                    ListenerRejection::ALL.iter().position(|known| known == reason).unwrap_or_default() as u8
+                );
             }
             Self::ResourceExhausted(what) => {
-                start(9, ExhaustedResource::ALL.iter().position(|known| known == what).unwrap_or_default() as u32);
+                start(
+                    9,
+                    ExhaustedResource::ALL.iter().position(|known| known == what).unwrap_or_default() as u32,
+                );
             }
             Self::NodeShareChanged { nodes, node_index } => {
                 start(10, *nodes);
@@ -321,7 +343,7 @@
             Self::MemberStateChanged { name, from, to } => {
                 start(11, u32::from(*to));
                 put_some(out, from.map(u64::from));
-                put_bytes(out, name.start.as_bytes());
+                put_bytes(out, name.prefix.as_bytes());
                 out.extend_from_slice(&name.hash.to_le_bytes());
             }
             Self::Decision(note) => encode_note(note, out),
@@ -342,8 +364,8 @@
                 tenant: from.some()?.map(u32::try_from).transpose().ok()?,
                 client_timeout: from.number()?,
                 upload_time: from.number()?,
-                name: Name {
-                    start: from.text()?.into(),
+                name: BoundedName {
+                    prefix: from.text()?.into(),
                     hash: u64::from_le_bytes(from.take(8)?.try_into().ok()?),
                 },
             },
@@ -364,16 +386,22 @@
             },
             4 => Self::ResponseStarted { id, attempt: AttemptNo(from.byte()?) },
             5 => Self::RequestEnded { id, outcome: at(&RequestOutcome::ALL, from.byte()?)? },
-            6 => Self::EndpointStateChanged { endpoint: EndpointId(first), state: at(&ENDPOINT_STATES, from.byte()?)? },
+            6 => Self::EndpointStateChanged {
+                endpoint: EndpointId(first),
+                state: at(&ENDPOINT_STATES, from.byte()?)?,
+            },
             7 => Self::CapacityAdvice { endpoints_to_avoid: first, lease_grants: from.small()? },
-            8 => Self::RejectedByListener { class: u16::try_from(first).ok()?, reason: at(&ListenerRejection::ALL, from.byte()?)? },
+            8 => Self::RejectedByListener {
+                class: u16::try_from(first).ok()?,
+                reason: at(&ListenerRejection::ALL, from.byte()?)?,
+            },
             9 => Self::ResourceExhausted(at(&ExhaustedResource::ALL, u8::try_from(first).ok()?)?),
             10 => Self::NodeShareChanged { nodes: first, node_index: from.small()? },
             11 => Self::MemberStateChanged {
                 to: u8::try_from(first).ok()?,
                 from: from.some()?.map(u8::try_from).transpose().ok()?,
-                name: Name {
-                    start: from.text()?.into(),
+                name: BoundedName {
+                    prefix: from.text()?.into(),
                     hash: u64::from_le_bytes(from.take(8)?.try_into().ok()?),
                 },
             },
--- a/crates/flight-recorder/src/event_ring.rs
+++ b/crates/flight-recorder/src/event_ring.rs
@@ -5,8 +5,8 @@
 
 use pumicehead_policy::Nanos;
 
-use crate::wire_format::{Reader, put};
 use crate::event::{Event, PoolId};
+use crate::wire_format::{Reader, put};
 
 /// Bytes of a page: what is lost at once when the ring wraps. A record takes some 20 bytes.
 pub const PAGE: usize = 4 << 10;
@@ -17,7 +17,7 @@
 
 /// Events in the order of their times.
 #[derive(Debug)]
-pub struct Ring {
+pub struct EventRing {
     pages: VecDeque<Vec<u8>>,
     most: usize,
     /// The time of the last record of the newest page.
@@ -39,7 +39,7 @@
     pub event: Event,
 }
 
-impl Ring {
+impl EventRing {
     /// Of at most so many bytes, two pages at the least.
     #[must_use]
     pub fn new(memory: usize) -> Self {
@@ -63,7 +63,7 @@
             self.turn(at);
         }
         let Some(page) = self.pages.back_mut() else { return };
-        append(page, &mut self.last, at, pool, event);
+        append_record(page, &mut self.last, at, pool, event);
         if let Some(count) = self.counts.back_mut() {
             *count += 1;
         }
@@ -103,7 +103,7 @@
 }
 
 /// Appends a record to a page or a story that began at `last` or whose last record is of then.
-pub fn append(page: &mut Vec<u8>, last: &mut Nanos, at: Nanos, pool: PoolId, event: &[u8]) {
+pub fn append_record(page: &mut Vec<u8>, last: &mut Nanos, at: Nanos, pool: PoolId, event: &[u8]) {
     let steps = at.saturating_sub(*last) / UNIT;
     *last += steps * UNIT;
     put(page, event.len() as u64);
@@ -114,7 +114,7 @@
 
 /// The records of a page or a story, as far as they can be read, and whether that is all.
 #[must_use]
-pub fn records(page: &[u8]) -> (Vec<Record>, bool) {
+pub fn decode_records(page: &[u8]) -> (Vec<Record>, bool) {
     let mut from = Reader(page);
     let mut all = Vec::new();
     let Some(start) = from.take(8).and_then(|bytes| bytes.try_into().ok()) else {
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -4,13 +4,13 @@
 use pumicehead_policy::{AttemptOutcome, Nanos};
 use serde_json::{Value, json};
 
-use crate::recording::Dump;
+use crate::bounded_text::plain;
 use crate::event::{Event, RequestOutcome};
+use crate::event_ring::{Record, decode_records};
 use crate::exported_names::Exported;
+use crate::loss_cause::outcome_text;
+use crate::recording::Recording;
 use crate::request_timeline::RequestTimeline;
-use crate::loss_cause::said;
-use crate::event_ring::{Record, records};
-use crate::bounded_text::plain;
 
 /// An attempt as both forms show it.
 struct Attempt {
@@ -29,8 +29,8 @@
     attempts: Vec<Attempt>,
 }
 
-fn told(dump: &Dump, story: &RequestTimeline) -> Told {
-    let (events, _) = records(&story.encoded_events);
+fn told(dump: &Recording, story: &RequestTimeline) -> Told {
+    let (events, _) = decode_records(&story.encoded_events);
     let from = events.first().map_or(story.ended_at, |record| record.at);
     let mut to = story.ended_at.max(from);
     let (mut how, mut attempts) = (None, Vec::<Attempt>::new());
@@ -72,14 +72,14 @@
 
 /// OTLP/JSON, a line a request.
 #[must_use]
-pub fn otlp(dump: &Dump) -> String {
+pub fn otlp(dump: &Recording) -> String {
     let mut out = String::new();
     let resource = json!({ "attributes": [
         attribute("service.name", "pumicehead"),
         attribute("service.instance.id", &plain(&dump.head.node)),
         attribute("service.version", &plain(&dump.head.program)),
     ] });
-    for story in &dump.stories {
+    for story in &dump.timelines {
         let one = told(dump, story);
         let trace = format!("{:016x}{:016x}", story.name.hash, id(story, one.from, u64::MAX));
         let root = format!("{:016x}", id(story, one.from, 0));
@@ -114,7 +114,7 @@
                 "startTimeUnixNano": attempt.from.to_string(), "endTimeUnixNano": attempt.to.to_string(),
                 "attributes": [
                     attribute("server.address", &attempt.server),
-                    attribute("pumicehead.outcome", attempt.outcome.map_or("still out", said)),
+                    attribute("pumicehead.outcome", attempt.outcome.map_or("still out", outcome_text)),
                 ],
                 "status": { "code": if bad { 2 } else { 0 } },
             }));
@@ -131,13 +131,13 @@
 
 /// Chrome's trace events: a row a request, with its attempts below it.
 #[must_use]
-pub fn chrome(dump: &Dump) -> String {
+pub fn chrome(dump: &Recording) -> String {
     let micros = |at: Nanos| at.saturating_sub(dump.head.start) as f64 / 1e3;
     let mut events = vec![json!({
         "ph": "M", "name": "process_name", "pid": 1, "tid": 0,
         "args": { "name": format!("pumicehead {}", plain(&dump.head.node)) },
     })];
-    for (row, story) in dump.stories.iter().enumerate() {
+    for (row, story) in dump.timelines.iter().enumerate() {
         let one = told(dump, story);
         let tid = row + 1;
         let span = |name: &str, from: Nanos, to: Nanos, args: Value| {
@@ -156,7 +156,7 @@
             }),
         ));
         for attempt in &one.attempts {
-            let outcome = attempt.outcome.map_or("still out", said);
+            let outcome = attempt.outcome.map_or("still out", outcome_text);
             events.push(span(&attempt.server, attempt.from, attempt.to, json!({ "outcome": outcome })));
         }
     }
--- a/crates/flight-recorder/src/findings.rs
+++ b/crates/flight-recorder/src/findings.rs
@@ -11,10 +11,10 @@
 
 use pumicehead_policy::{AttemptOutcome, Nanos};
 
-use crate::loss_ledger::{Accounts, Flow, LossKey, NOBODY, Served, ServerKey};
-use crate::recording::Head;
 use crate::event::{PoolId, outcome_at, outcome_index};
-use crate::loss_cause::{Cause, Micro, Where, said};
+use crate::loss_cause::{LossCause, MicroWeight, RequestPhase, outcome_text};
+use crate::loss_ledger::{EndpointKey, EndpointTotals, LossKey, LossLedger, NO_ENDPOINT, TrafficTotals};
+use crate::recording::RecordingHeader;
 use crate::timestamp;
 
 /// A server is at fault where the share of its attempts that end badly in one way is over this multiple of the others' ...
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
     /// A server.
-    Server(PoolId, u32),
+    Endpoint(PoolId, u32),
     /// A class, by its place in its pool.
     Class(PoolId, u16),
     /// All servers of a pool.
@@ -53,35 +53,35 @@
 
 /// What is the matter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Matter {
+pub enum Symptom {
     /// Attempts get no answer.
-    Silent,
+    Unresponsive,
     /// Connections break.
-    Resets,
+    ConnectionResets,
     /// It answers with errors.
-    Errors,
+    ErrorResponses,
     /// It turns requests away.
-    TurnsAway,
+    RejectsRequests,
     /// It takes no connections.
     Unreachable,
     /// It answers far more slowly than others.
-    Slow,
+    SlowResponses,
     /// Connections to it take long.
-    SlowToConnect,
+    SlowConnects,
     /// Its answers can't come in the time that it states.
-    TooTight,
+    ObjectiveTooShort,
     /// There are too few descriptors.
-    Descriptors,
+    DescriptorsExhausted,
     /// It holds as many requests as it may.
-    Held,
+    RequestLimitReached,
     /// More is asked than there is room for.
-    Crowded,
+    Overloaded,
     /// Requests of one key wait for each other.
-    Turns,
+    KeyOrderWaits,
     /// Clients leave before their answer.
-    Leave,
+    ClientDisconnects,
     /// Bodies are slow or break off.
-    Bodies,
+    BodyFailures,
     /// Nothing that has a name here.
     Other,
 }
@@ -91,7 +91,7 @@
     #[must_use]
     pub fn exported_name(self) -> String {
         match self {
-            Self::Server(pool, server) => format!("Server({}, {server})", exported_pool(pool)),
+            Self::Endpoint(pool, server) => format!("Server({}, {server})", exported_pool(pool)),
             Self::Class(pool, class) => format!("Class({}, {class})", exported_pool(pool)),
             Self::Pool(pool) => format!("Pool({})", exported_pool(pool)),
             Self::Node => "Node".to_owned(),
@@ -104,25 +104,25 @@
     format!("PoolId({})", pool.0)
 }
 
-impl Matter {
+impl Symptom {
     /// Its name in the JSON of `pumicehead why`, which stays whatever the variant is called.
     #[must_use]
     pub fn exported_name(self) -> &'static str {
         match self {
-            Self::Silent => "Silent",
-            Self::Resets => "Resets",
-            Self::Errors => "Errors",
-            Self::TurnsAway => "TurnsAway",
+            Self::Unresponsive => "Silent",
+            Self::ConnectionResets => "Resets",
+            Self::ErrorResponses => "Errors",
+            Self::RejectsRequests => "TurnsAway",
             Self::Unreachable => "Unreachable",
-            Self::Slow => "Slow",
-            Self::SlowToConnect => "SlowToConnect",
-            Self::TooTight => "TooTight",
-            Self::Descriptors => "Descriptors",
-            Self::Held => "Held",
-            Self::Crowded => "Crowded",
-            Self::Turns => "Turns",
-            Self::Leave => "Leave",
-            Self::Bodies => "Bodies",
+            Self::SlowResponses => "Slow",
+            Self::SlowConnects => "SlowToConnect",
+            Self::ObjectiveTooShort => "TooTight",
+            Self::DescriptorsExhausted => "Descriptors",
+            Self::RequestLimitReached => "Held",
+            Self::Overloaded => "Crowded",
+            Self::KeyOrderWaits => "Turns",
+            Self::ClientDisconnects => "Leave",
+            Self::BodyFailures => "Bodies",
             Self::Other => "Other",
         }
     }
@@ -134,11 +134,11 @@
     /// Who or what.
     pub subject: Subject,
     /// What is the matter.
-    pub matter: Matter,
+    pub symptom: Symptom,
     /// Worth put down to it.
-    pub lost: Micro,
+    pub lost: MicroWeight,
     /// By so many requests, where a request that is put down in parts counts for the largest.
-    pub count: u64,
+    pub requests: u64,
     /// In words, with the evidence.
     pub text: String,
 }
@@ -146,14 +146,16 @@
 /// Sums of one pool over the span.
 #[derive(Default)]
 struct Pool {
-    servers: BTreeMap<u32, Served>,
-    classes: BTreeMap<u16, Flow>,
+    servers: BTreeMap<u32, EndpointTotals>,
+    classes: BTreeMap<u16, TrafficTotals>,
 }
 
 impl Pool {
     /// Share of attempts at one server, and at all others, that end in one of some ways.
     fn shares(&self, server: u32, ways: &[AttemptOutcome]) -> (f64, f64, u64) {
-        let count = |row: &Served| ways.iter().map(|way| row.ended[outcome_index(*way)]).sum::<u64>();
+        let count = |row: &EndpointTotals| {
+            ways.iter().map(|way| row.attempts_by_outcome[outcome_index(*way)]).sum::<u64>()
+        };
         let (mut own, mut others) = ((0, 0), (0, 0));
         for (id, row) in &self.servers {
             let sum = if *id == server { &mut own } else { &mut others };
@@ -165,7 +167,7 @@
 
     fn is_own(&self, server: u32, ways: &[AttemptOutcome]) -> bool {
         let (own, others, count) = self.shares(server, ways);
-        let attempts = self.servers.get(&server).map_or(0, Served::attempts);
+        let attempts = self.servers.get(&server).map_or(0, EndpointTotals::attempts);
         // Chernoff's bound on so many or more of a binomial count: (e n p / k)^k.
         let expected = attempts as f64 * others.max(LEAST_SHARE);
         let chance = (std::f64::consts::E * expected / count.max(1) as f64).powf(count as f64);
@@ -174,11 +176,11 @@
 
     /// How slow a server's answers are against those of the others.
     fn slowness(&self, server: u32) -> f64 {
-        let answered = |row: &Served| row.ended[outcome_index(AttemptOutcome::Success)];
+        let answered = |row: &EndpointTotals| row.attempts_by_outcome[outcome_index(AttemptOutcome::Success)];
         let Some(row) = self.servers.get(&server).filter(|row| answered(row) >= ENOUGH) else {
             return 1.0;
         };
-        let mean = |row: &Served| row.stretch as f64 / answered(row).max(1) as f64;
+        let mean = |row: &EndpointTotals| row.relative_latency_permille as f64 / answered(row).max(1) as f64;
         let mut others: Vec<_> = self
             .servers
             .iter()
@@ -191,13 +193,13 @@
     }
 
     /// What is the matter with a server, if anything, the gravest first.
-    fn matter(&self, server: u32) -> Option<Matter> {
-        let ways: [(&[AttemptOutcome], Matter); 5] = [
-            (&[AttemptOutcome::TimedOut, AttemptOutcome::Cancelled], Matter::Silent),
-            (&[AttemptOutcome::Reset], Matter::Resets),
-            (&[AttemptOutcome::ConnectFailed], Matter::Unreachable),
-            (&[AttemptOutcome::Error], Matter::Errors),
-            (&[AttemptOutcome::Rejected], Matter::TurnsAway),
+    fn matter(&self, server: u32) -> Option<Symptom> {
+        let ways: [(&[AttemptOutcome], Symptom); 5] = [
+            (&[AttemptOutcome::TimedOut, AttemptOutcome::Cancelled], Symptom::Unresponsive),
+            (&[AttemptOutcome::Reset], Symptom::ConnectionResets),
+            (&[AttemptOutcome::ConnectFailed], Symptom::Unreachable),
+            (&[AttemptOutcome::Error], Symptom::ErrorResponses),
+            (&[AttemptOutcome::Rejected], Symptom::RejectsRequests),
         ];
         let own = ways.into_iter().filter(|(ways, _)| self.is_own(server, ways));
         let gravest = own.max_by(|(one, _), (other, _)| {
@@ -210,8 +212,8 @@
         let slow = self.slowness(server) >= SLOW;
         match gravest.map(|(_, matter)| matter) {
             // Called back for being late, and answering all the same: that is slow, not silent.
-            Some(Matter::Silent) if slow && self.answers(server) > 0.5 => Some(Matter::Slow),
-            None if slow => Some(Matter::Slow),
+            Some(Symptom::Unresponsive) if slow && self.answers(server) > 0.5 => Some(Symptom::SlowResponses),
+            None if slow => Some(Symptom::SlowResponses),
             matter => matter,
         }
     }
@@ -221,28 +223,34 @@
     }
 
     /// Microseconds for which a server's places were taken for nothing.
-    fn waste(&self, server: u32, row: &Served) -> u64 {
+    fn waste(&self, server: u32, row: &EndpointTotals) -> u64 {
         if self.matter(server).is_none() {
             return 0;
         }
         let slow = self.slowness(server);
-        let extra = if slow >= SLOW { row.good as f64 * (1.0 - 1.0 / slow) } else { 0.0 };
-        row.bad.saturating_add(extra as u64)
+        let extra = if slow >= SLOW { row.answered_us as f64 * (1.0 - 1.0 / slow) } else { 0.0 };
+        row.unanswered_us.saturating_add(extra as u64)
     }
 
     /// Whether a class states a time that its answers can't come in, while others are answered.
     fn is_tight(&self, class: u16, aim: Nanos, deadline: Nanos) -> bool {
         let Some(flow) = self.classes.get(&class) else { return false };
         // The aim is what the worth goes by, whatever the deadline.
-        if flow.answered >= ENOUGH && flow.least.saturating_sub(1).saturating_mul(1_000) > aim {
+        if flow.answered_attempts >= ENOUGH
+            && flow.fastest_us_plus_one.saturating_sub(1).saturating_mul(1_000) > aim
+        {
             return true;
         }
-        let all = flow.answered + flow.unanswered;
+        let all = flow.answered_attempts + flow.unanswered_attempts;
         let others = self.classes.iter().filter(|(other, _)| **other != class);
         let (answered, tried, took) = others.fold((0, 0, 0), |(a, t, s), (_, other)| {
-            (a + other.answered, t + other.answered + other.unanswered, s + other.took)
+            (
+                a + other.answered_attempts,
+                t + other.answered_attempts + other.unanswered_attempts,
+                s + other.answered_us,
+            )
         });
-        let starved = all >= ENOUGH && (flow.answered as f64) < UNANSWERED * all as f64;
+        let starved = all >= ENOUGH && (flow.answered_attempts as f64) < UNANSWERED * all as f64;
         let fine = tried >= ENOUGH && answered as f64 >= ANSWERING * tried as f64;
         // What others are answered in on average is more than it allows.
         starved && fine && took.saturating_mul(1_000) / answered.max(1) > deadline.min(aim) / 2
@@ -251,29 +259,32 @@
 
 /// The state of one reading.
 struct Reading<'a> {
-    head: &'a Head,
+    head: &'a RecordingHeader,
     short: [u64; 2],
     pools: BTreeMap<PoolId, Pool>,
-    found: BTreeMap<(Subject, Matter), (Micro, u64)>,
+    found: BTreeMap<(Subject, Symptom), (MicroWeight, u64)>,
 }
 
 /// The findings of a span, the largest first.
 #[must_use]
-pub fn find(head: &Head, accounts: &Accounts, from: Nanos, to: Nanos) -> Vec<Finding> {
+pub fn find(head: &RecordingHeader, accounts: &LossLedger, from: Nanos, to: Nanos) -> Vec<Finding> {
     let (from, to) = accounts.aligned(from, to);
     let mut pools: BTreeMap<PoolId, Pool> = BTreeMap::new();
-    for (_, ServerKey { pool, server }, row) in accounts.servers.within(from, to) {
-        crate::loss_ledger::Row::add(pools.entry(pool).or_default().servers.entry(server).or_default(), row);
+    for (_, EndpointKey { pool, endpoint }, row) in accounts.endpoints.rows_between(from, to) {
+        crate::loss_ledger::Row::add(
+            pools.entry(pool).or_default().servers.entry(endpoint).or_default(),
+            row,
+        );
     }
-    for (_, key, row) in accounts.flows.within(from, to) {
+    for (_, key, row) in accounts.traffic.rows_between(from, to) {
         crate::loss_ledger::Row::add(
             pools.entry(key.pool).or_default().classes.entry(key.class).or_default(),
             row,
         );
     }
-    let mut reading = Reading { head, short: accounts.short, pools, found: BTreeMap::new() };
-    for (_, key, loss) in accounts.losses.within(from, to) {
-        reading.put_down(key, loss.lost, loss.count);
+    let mut reading = Reading { head, short: accounts.resource_exhaustions, pools, found: BTreeMap::new() };
+    for (_, key, loss) in accounts.losses.rows_between(from, to) {
+        reading.put_down(key, loss.lost, loss.requests);
     }
     reading.note_waste();
     let mut all: Vec<_> = reading
@@ -281,79 +292,91 @@
         .iter()
         .map(|(&(subject, matter), &(lost, count))| Finding {
             subject,
-            matter,
+            symptom: matter,
             lost,
-            count,
+            requests: count,
             text: reading.say(subject, matter),
         })
         .collect();
-    all.sort_by_key(|one| std::cmp::Reverse((one.lost, one.count)));
+    all.sort_by_key(|one| std::cmp::Reverse((one.lost, one.requests)));
     all
 }
 
 impl Reading<'_> {
-    fn book(&mut self, subject: Subject, matter: Matter, lost: Micro, count: u64) {
+    fn book(&mut self, subject: Subject, matter: Symptom, lost: MicroWeight, count: u64) {
         let row = self.found.entry((subject, matter)).or_default();
         row.0 = row.0.saturating_add(lost);
         row.1 = row.1.saturating_add(count);
     }
 
-    fn put_down(&mut self, key: LossKey, lost: Micro, count: u64) {
+    fn put_down(&mut self, key: LossKey, lost: MicroWeight, count: u64) {
         let pool = key.pool;
         let class =
             self.head.pools.get(usize::from(pool.0)).and_then(|p| p.classes.get(usize::from(key.class)));
         let (aim, deadline) =
-            class.map_or((Nanos::MAX, Nanos::MAX), |class| (class.aim_ns, class.deadline_ns));
+            class.map_or((Nanos::MAX, Nanos::MAX), |class| (class.latency_objective_ns, class.deadline_ns));
         let known = self.pools.get(&pool);
         let tight = known.is_some_and(|known| known.is_tight(key.class, aim, deadline));
-        let of_server = known.filter(|_| key.server != NOBODY).and_then(|known| known.matter(key.server));
-        let server = Subject::Server(pool, key.server);
-        let (subject, matter) = match Cause::of(key.cause) {
-            Cause::Turned(true) => (Subject::Node, Matter::Descriptors),
-            Cause::Turned(false) => (Subject::Node, Matter::Held),
-            Cause::Body
-            | Cause::Late(Where::Client)
-            | Cause::OutOfTime(Where::Client)
-            | Cause::Left(Where::Client) => (Subject::Clients(pool), Matter::Bodies),
-            Cause::NoTurn => (Subject::Pool(pool), Matter::Turns),
-            Cause::Failed(at)
+        let of_server =
+            known.filter(|_| key.endpoint != NO_ENDPOINT).and_then(|known| known.matter(key.endpoint));
+        let server = Subject::Endpoint(pool, key.endpoint);
+        let (subject, matter) = match LossCause::of(key.cause) {
+            LossCause::RejectedByListener(true) => (Subject::Node, Symptom::DescriptorsExhausted),
+            LossCause::RejectedByListener(false) => (Subject::Node, Symptom::RequestLimitReached),
+            LossCause::BodyFailed
+            | LossCause::ObjectiveMissed(RequestPhase::Upload)
+            | LossCause::DeadlineExceeded(RequestPhase::Upload)
+            | LossCause::ClientDisconnected(RequestPhase::Upload) => {
+                (Subject::Clients(pool), Symptom::BodyFailures)
+            }
+            LossCause::KeyOrderTimeout => (Subject::Pool(pool), Symptom::KeyOrderWaits),
+            LossCause::AttemptFailed(at)
                 if outcome_at(usize::from(at)) == Some(AttemptOutcome::NotSent) && self.short[1] > 0 =>
             {
-                (Subject::Node, Matter::Descriptors)
+                (Subject::Node, Symptom::DescriptorsExhausted)
             }
-            Cause::Other => (Subject::Pool(pool), Matter::Other),
+            LossCause::Other => (Subject::Pool(pool), Symptom::Other),
             // A class that states too short a time makes every server look silent.
-            _ if tight => (Subject::Class(pool, key.class), Matter::TooTight),
-            Cause::Late(Where::Connect) | Cause::OutOfTime(Where::Connect) | Cause::Left(Where::Connect) => {
-                (server, of_server.unwrap_or(Matter::SlowToConnect))
+            _ if tight => (Subject::Class(pool, key.class), Symptom::ObjectiveTooShort),
+            LossCause::ObjectiveMissed(RequestPhase::Connect)
+            | LossCause::DeadlineExceeded(RequestPhase::Connect)
+            | LossCause::ClientDisconnected(RequestPhase::Connect) => {
+                (server, of_server.unwrap_or(Symptom::SlowConnects))
             }
-            Cause::Failed(at) => match (of_server, outcome_at(usize::from(at))) {
+            LossCause::AttemptFailed(at) => match (of_server, outcome_at(usize::from(at))) {
                 (Some(matter), _) => (server, matter),
-                (None, Some(AttemptOutcome::Rejected)) => (Subject::Pool(pool), Matter::Crowded),
-                (None, Some(AttemptOutcome::TimedOut)) => (Subject::Pool(pool), Matter::Silent),
-                (None, Some(AttemptOutcome::Reset)) => (Subject::Pool(pool), Matter::Resets),
-                (None, Some(AttemptOutcome::Error)) => (Subject::Pool(pool), Matter::Errors),
-                (None, Some(AttemptOutcome::ConnectFailed)) => (Subject::Pool(pool), Matter::Unreachable),
-                _ => (Subject::Pool(pool), Matter::Other),
+                (None, Some(AttemptOutcome::Rejected)) => (Subject::Pool(pool), Symptom::Overloaded),
+                (None, Some(AttemptOutcome::TimedOut)) => (Subject::Pool(pool), Symptom::Unresponsive),
+                (None, Some(AttemptOutcome::Reset)) => (Subject::Pool(pool), Symptom::ConnectionResets),
+                (None, Some(AttemptOutcome::Error)) => (Subject::Pool(pool), Symptom::ErrorResponses),
+                (None, Some(AttemptOutcome::ConnectFailed)) => (Subject::Pool(pool), Symptom::Unreachable),
+                _ => (Subject::Pool(pool), Symptom::Other),
             },
-            Cause::Late(Where::Server | Where::Earlier)
-            | Cause::OutOfTime(Where::Server | Where::Earlier)
-            | Cause::Left(Where::Server | Where::Earlier) => match of_server {
-                Some(matter) => (server, matter),
-                None => return self.put_down_queue(pool, lost, count),
-            },
-            Cause::WaitShare | Cause::NearlyOut | Cause::Late(_) | Cause::OutOfTime(_) => {
+            LossCause::ObjectiveMissed(RequestPhase::Endpoint | RequestPhase::EarlierAttempts)
+            | LossCause::DeadlineExceeded(RequestPhase::Endpoint | RequestPhase::EarlierAttempts)
+            | LossCause::ClientDisconnected(RequestPhase::Endpoint | RequestPhase::EarlierAttempts) => {
+                match of_server {
+                    Some(matter) => (server, matter),
+                    None => return self.put_down_queue(pool, lost, count),
+                }
+            }
+            LossCause::QueueTooLong
+            | LossCause::QueueTimeout
+            | LossCause::ObjectiveMissed(_)
+            | LossCause::DeadlineExceeded(_) => {
                 return self.put_down_queue(pool, lost, count);
             }
-            Cause::Left(Where::Queue) => (Subject::Clients(pool), Matter::Leave),
+            LossCause::ClientDisconnected(RequestPhase::Queue) => {
+                (Subject::Clients(pool), Symptom::ClientDisconnects)
+            }
         };
         self.book(subject, matter, lost, count);
     }
 
     /// Puts a loss for want of room down to those who took it for nothing.
-    fn put_down_queue(&mut self, pool: PoolId, lost: Micro, count: u64) {
+    fn put_down_queue(&mut self, pool: PoolId, lost: MicroWeight, count: u64) {
         let Some(known) = self.pools.get(&pool) else {
-            return self.book(Subject::Pool(pool), Matter::Crowded, lost, count);
+            return self.book(Subject::Pool(pool), Symptom::Overloaded, lost, count);
         };
         let wastes: Vec<_> = known
             .servers
@@ -362,19 +385,20 @@
             .filter(|(waste, ..)| *waste > 0)
             .collect();
         let wasted: u64 = wastes.iter().map(|(waste, ..)| waste).sum();
-        let busy: u64 = known.servers.values().map(|row| row.good.saturating_add(row.bad)).sum();
+        let busy: u64 =
+            known.servers.values().map(|row| row.answered_us.saturating_add(row.unanswered_us)).sum();
         if wasted == 0 || (wasted as f64) < WASTE * busy as f64 {
-            return self.book(Subject::Pool(pool), Matter::Crowded, lost, count);
+            return self.book(Subject::Pool(pool), Symptom::Overloaded, lost, count);
         }
         let mut left = lost;
         let largest = wastes.iter().max_by_key(|(waste, ..)| *waste).copied();
         for (waste, id, matter) in wastes.into_iter().filter(|row| Some(*row) != largest) {
-            let part = (u128::from(lost) * u128::from(waste) / u128::from(wasted)) as Micro;
+            let part = (u128::from(lost) * u128::from(waste) / u128::from(wasted)) as MicroWeight;
             left -= part;
-            self.book(Subject::Server(pool, id), matter, part, 0);
+            self.book(Subject::Endpoint(pool, id), matter, part, 0);
         }
         if let Some((_, id, matter)) = largest {
-            self.book(Subject::Server(pool, id), matter, left, count);
+            self.book(Subject::Endpoint(pool, id), matter, left, count);
         }
     }
 
@@ -382,8 +406,8 @@
     fn note_waste(&mut self) {
         let mut more = Vec::new();
         for (&pool, known) in &self.pools {
-            for &id in known.servers.keys().filter(|id| **id != NOBODY) {
-                more.extend(known.matter(id).map(|matter| (Subject::Server(pool, id), matter)));
+            for &id in known.servers.keys().filter(|id| **id != NO_ENDPOINT) {
+                more.extend(known.matter(id).map(|matter| (Subject::Endpoint(pool, id), matter)));
             }
         }
         for (subject, matter) in more {
@@ -391,10 +415,10 @@
         }
     }
 
-    fn say(&self, subject: Subject, matter: Matter) -> String {
+    fn say(&self, subject: Subject, matter: Symptom) -> String {
         let percent = |share: f64| format!("{:.1}%", 100.0 * share);
         match subject {
-            Subject::Server(pool, id) => {
+            Subject::Endpoint(pool, id) => {
                 let name = format!("server {} of {}", self.head.server(pool, id), self.head.pool(pool));
                 let Some(known) = self.pools.get(&pool) else { return format!("{name} {matter}") };
                 let beside = |ways: &[AttemptOutcome]| {
@@ -402,12 +426,14 @@
                     format!("{} of its attempts, {} at the others", percent(own), percent(others))
                 };
                 let evidence = match matter {
-                    Matter::Silent => beside(&[AttemptOutcome::TimedOut, AttemptOutcome::Cancelled]),
-                    Matter::Resets => beside(&[AttemptOutcome::Reset]),
-                    Matter::Errors => beside(&[AttemptOutcome::Error]),
-                    Matter::TurnsAway => beside(&[AttemptOutcome::Rejected]),
-                    Matter::Unreachable => beside(&[AttemptOutcome::ConnectFailed]),
-                    Matter::Slow => format!("{:.1} times the time that others take", known.slowness(id)),
+                    Symptom::Unresponsive => beside(&[AttemptOutcome::TimedOut, AttemptOutcome::Cancelled]),
+                    Symptom::ConnectionResets => beside(&[AttemptOutcome::Reset]),
+                    Symptom::ErrorResponses => beside(&[AttemptOutcome::Error]),
+                    Symptom::RejectsRequests => beside(&[AttemptOutcome::Rejected]),
+                    Symptom::Unreachable => beside(&[AttemptOutcome::ConnectFailed]),
+                    Symptom::SlowResponses => {
+                        format!("{:.1} times the time that others take", known.slowness(id))
+                    }
                     _ => String::new(),
                 };
                 if evidence.is_empty() {
@@ -420,10 +446,12 @@
                 let head =
                     self.head.pools.get(usize::from(pool.0)).and_then(|p| p.classes.get(usize::from(class)));
                 let flow = self.pools.get(&pool).and_then(|known| known.classes.get(&class));
-                let (aim, deadline) = head.map_or((0, 0), |class| (class.aim_ns, class.deadline_ns));
-                let least = flow.map_or(0, |flow| flow.least.saturating_sub(1).saturating_mul(1_000));
+                let (aim, deadline) =
+                    head.map_or((0, 0), |class| (class.latency_objective_ns, class.deadline_ns));
+                let least =
+                    flow.map_or(0, |flow| flow.fastest_us_plus_one.saturating_sub(1).saturating_mul(1_000));
                 let best = if least > 0 {
-                    format!("the fastest took {}", timestamp::span(least))
+                    format!("the fastest took {}", timestamp::format_duration(least))
                 } else {
                     "none came".into()
                 };
@@ -431,14 +459,14 @@
                     "class {} of {} {matter}: aim {}, deadline {}, and of its answers {best}",
                     self.head.class(pool, class),
                     self.head.pool(pool),
-                    timestamp::span(aim),
-                    timestamp::span(deadline)
+                    timestamp::format_duration(aim),
+                    timestamp::format_duration(deadline)
                 )
             }
             Subject::Pool(pool) => format!("pool {}: {}", self.head.pool(pool), matter.of_all()),
             Subject::Node => {
                 let [accept, dial] = self.short;
-                let evidence = if matter == Matter::Descriptors {
+                let evidence = if matter == Symptom::DescriptorsExhausted {
                     format!(" (none for a client {accept} times, for a server {dial} times)")
                 } else {
                     String::new()
@@ -450,35 +478,35 @@
     }
 }
 
-impl Matter {
+impl Symptom {
     fn of_all(self) -> &'static str {
         match self {
-            Self::Silent => said(AttemptOutcome::TimedOut),
-            Self::Resets => "connections to all servers break alike",
-            Self::Errors => "all servers answer with errors alike",
+            Self::Unresponsive => outcome_text(AttemptOutcome::TimedOut),
+            Self::ConnectionResets => "connections to all servers break alike",
+            Self::ErrorResponses => "all servers answer with errors alike",
             Self::Unreachable => "no server takes connections",
-            Self::Crowded | Self::TurnsAway => "more was asked than its servers had room for",
-            Self::Turns => "requests of one key waited for each other",
-            Self::Leave => "they left before their answer",
-            Self::Bodies => "bodies were slow, too long or broke off",
+            Self::Overloaded | Self::RejectsRequests => "more was asked than its servers had room for",
+            Self::KeyOrderWaits => "requests of one key waited for each other",
+            Self::ClientDisconnects => "they left before their answer",
+            Self::BodyFailures => "bodies were slow, too long or broke off",
             _ => "other causes",
         }
     }
 }
 
-impl fmt::Display for Matter {
+impl fmt::Display for Symptom {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
-            Self::Silent => "is silent",
-            Self::Resets => "breaks connections off",
-            Self::Errors => "answers with errors",
-            Self::TurnsAway => "turns requests away",
+            Self::Unresponsive => "is silent",
+            Self::ConnectionResets => "breaks connections off",
+            Self::ErrorResponses => "answers with errors",
+            Self::RejectsRequests => "turns requests away",
             Self::Unreachable => "takes no connections",
-            Self::Slow => "is slow",
-            Self::SlowToConnect => "is slow to take connections",
-            Self::TooTight => "states a time in which its answers can't come",
-            Self::Descriptors => "has too few descriptors",
-            Self::Held => "holds as many requests as it may",
+            Self::SlowResponses => "is slow",
+            Self::SlowConnects => "is slow to take connections",
+            Self::ObjectiveTooShort => "states a time in which its answers can't come",
+            Self::DescriptorsExhausted => "has too few descriptors",
+            Self::RequestLimitReached => "holds as many requests as it may",
             other => other.of_all(),
         })
     }
--- a/crates/flight-recorder/src/html_report.rs
+++ b/crates/flight-recorder/src/html_report.rs
@@ -5,13 +5,13 @@
 use plotters::prelude::*;
 use pumicehead_policy::{Nanos, SECOND};
 
-use crate::loss_ledger::{Accounts, NOBODY};
+use crate::bounded_text::html;
 use crate::breakdown::Breakdown;
-use crate::findings;
-use crate::recording::Dump;
 use crate::event::PoolId;
+use crate::findings;
+use crate::loss_ledger::{LossLedger, NO_ENDPOINT};
+use crate::recording::Recording;
 use crate::timeline_text;
-use crate::bounded_text::html;
 
 /// Servers with a line and a band of their own: those with the most attempts.
 const SERVERS: usize = 12;
@@ -102,24 +102,26 @@
     Ok(svg)
 }
 
-fn busiest(accounts: &Accounts) -> Vec<(PoolId, u32)> {
+fn busiest(accounts: &LossLedger) -> Vec<(PoolId, u32)> {
     let mut sums: BTreeMap<(PoolId, u32), u64> = BTreeMap::new();
-    for (_, key, row) in accounts.servers.within(0, Nanos::MAX).filter(|(_, key, _)| key.server != NOBODY) {
-        *sums.entry((key.pool, key.server)).or_default() += row.attempts();
+    for (_, key, row) in
+        accounts.endpoints.rows_between(0, Nanos::MAX).filter(|(_, key, _)| key.endpoint != NO_ENDPOINT)
+    {
+        *sums.entry((key.pool, key.endpoint)).or_default() += row.attempts();
     }
     let mut all: Vec<_> = sums.into_iter().collect();
     all.sort_by_key(|&(key, count)| (std::cmp::Reverse(count), key));
     all.into_iter().take(SERVERS).map(|(key, _)| key).collect()
 }
 
-fn pictures(dump: &Dump, accounts: &Accounts) -> Result<String, Fault> {
+fn pictures(dump: &Recording, accounts: &LossLedger) -> Result<String, Fault> {
     let start = dump.head.start;
     let end = seconds(dump.head.at, start);
-    let width = accounts.flows.width() as f64 / SECOND as f64;
+    let width = accounts.traffic.width() as f64 / SECOND as f64;
     let mut worth: BTreeMap<Nanos, (f64, f64)> = BTreeMap::new();
-    for (at, _, flow) in accounts.flows.within(0, Nanos::MAX) {
+    for (at, _, flow) in accounts.traffic.rows_between(0, Nanos::MAX) {
         let sum = worth.entry(at).or_default();
-        *sum = (sum.0 + flow.asked as f64 / 1e6, sum.1 + flow.earned as f64 / 1e6);
+        *sum = (sum.0 + flow.offered as f64 / 1e6, sum.1 + flow.earned as f64 / 1e6);
     }
     let line = |of: fn(&(f64, f64)) -> f64| -> Points {
         worth.iter().map(|(at, sums)| (seconds(*at, start), of(sums) / width)).collect()
@@ -127,22 +129,22 @@
     let both = [("asked".to_owned(), line(|sums| sums.0)), ("earned".to_owned(), line(|sums| sums.1))];
     let mut out = lines("Worth a second", "worth", &both, end)?;
     let (mut limits, mut rows) = (Vec::new(), Vec::new());
-    let width = accounts.servers.width() as f64 / SECOND as f64;
+    let width = accounts.endpoints.width() as f64 / SECOND as f64;
     for (pool, id) in busiest(accounts) {
         let name = dump.head.server(pool, id);
         let of = || {
-            let own = move |key: &crate::loss_ledger::ServerKey| (key.pool, key.server) == (pool, id);
-            accounts.servers.within(0, Nanos::MAX).filter(move |(_, key, _)| own(key))
+            let own = move |key: &crate::loss_ledger::EndpointKey| (key.pool, key.endpoint) == (pool, id);
+            accounts.endpoints.rows_between(0, Nanos::MAX).filter(move |(_, key, _)| own(key))
         };
-        let points = of().filter(|(_, _, row)| row.limit > 0.0);
+        let points = of().filter(|(_, _, row)| row.concurrency_limit > 0.0);
         limits.push((
             name.clone(),
-            points.map(|(at, _, row)| (seconds(at, start), f64::from(row.limit))).collect(),
+            points.map(|(at, _, row)| (seconds(at, start), f64::from(row.concurrency_limit))).collect(),
         ));
         let spans = of().map(|(at, _, row)| {
             let from = seconds(at, start);
-            let bad = 1.0 - row.ended[0] as f64 / row.attempts().max(1) as f64;
-            (from, from + width, if row.attempts() == 0 { 0.0 } else { bad }, row.aside as f64 / 1e6)
+            let bad = 1.0 - row.attempts_by_outcome[0] as f64 / row.attempts().max(1) as f64;
+            (from, from + width, if row.attempts() == 0 { 0.0 } else { bad }, row.ejected_us as f64 / 1e6)
         });
         rows.push((name, spans.collect()));
     }
@@ -154,7 +156,7 @@
 
 /// The page. A picture that can't be drawn is left out, and the text says so.
 #[must_use]
-pub fn write(dump: &Dump) -> String {
+pub fn write(dump: &Recording) -> String {
     let title = html(&format!("pumicehead {}", dump.head.node));
     let mut out = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{title}</title>\
@@ -169,7 +171,7 @@
             damage.at, damage.of
         );
     }
-    if let Some(accounts) = &dump.accounts {
+    if let Some(accounts) = &dump.ledger {
         out += "<h2>Causes</h2><ol>";
         for finding in findings::find(&dump.head, accounts, 0, Nanos::MAX).iter().take(8) {
             out += &format!("<li>lost {:.1}: {}</li>", finding.lost as f64 / 1e6, html(&finding.text));
@@ -181,8 +183,8 @@
         out += &format!("<h2>What was lost</h2><pre>{}</pre>", lines_of(&breakdown.to_string()));
     }
     out += "<h2>Some requests</h2>";
-    for one in dump.stories.iter().filter(|story| story.cause.is_some()).take(STORIES) {
-        out += &format!("<pre>{}</pre>", lines_of(&timeline_text::tell(&dump.head, one)));
+    for one in dump.timelines.iter().filter(|story| story.cause.is_some()).take(STORIES) {
+        out += &format!("<pre>{}</pre>", lines_of(&timeline_text::render(&dump.head, one)));
     }
     out + "</html>\n"
 }
--- a/crates/flight-recorder/src/lib.rs
+++ b/crates/flight-recorder/src/lib.rs
@@ -9,23 +9,23 @@
 //! Free of I/O and of clocks: events come with their times, in nanoseconds of the node's own clock, which counts from
 //! the Unix time of its start and never jumps.
 
-pub mod loss_ledger;
+pub mod bounded_text;
 pub mod breakdown;
-pub mod wire_format;
-pub mod findings;
-pub mod recording;
 pub mod event;
+pub mod event_ring;
 pub mod export;
 mod exported_names;
-pub mod request_timeline;
-pub mod loss_cause;
-pub mod metrics;
-pub mod timestamp;
+pub mod findings;
 pub mod html_report;
 pub mod log_rate_limit;
+pub mod loss_cause;
+pub mod loss_ledger;
+pub mod metrics;
 pub mod recorder;
+pub mod recording;
+pub mod request_timeline;
 pub mod reservoir;
-pub mod event_ring;
-pub mod timeline_text;
 pub mod tenant_names;
-pub mod bounded_text;
+pub mod timeline_text;
+pub mod timestamp;
+pub mod wire_format;
--- a/crates/flight-recorder/src/log_rate_limit.rs
+++ b/crates/flight-recorder/src/log_rate_limit.rs
@@ -5,11 +5,11 @@
 use pumicehead_policy::{Nanos, SECOND};
 
 /// Messages of one kind in a span that are told one by one: enough to see what differs among them.
-pub const FIRST: u32 = 10;
+pub const MESSAGES_PER_INTERVAL: u32 = 10;
 /// The span.
-pub const SPAN: Nanos = 10 * SECOND;
+pub const INTERVAL: Nanos = 10 * SECOND;
 /// Kinds that are told apart; places in the code are some hundred at most. What comes beyond counts as one kind.
-pub const KINDS: usize = 512;
+pub const MAX_KINDS: usize = 512;
 
 #[derive(Clone, Copy, Debug)]
 struct Kind {
@@ -20,36 +20,41 @@
 
 /// Messages that were held back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct More {
+pub struct SuppressedMessages {
     /// Their kind.
     pub kind: u64,
     /// How many.
     pub count: u64,
     /// In so long.
-    pub span: Nanos,
+    pub interval: Nanos,
 }
 
 /// The counts.
 #[derive(Debug, Default)]
-pub struct Quota {
+pub struct LogRateLimiter {
     kinds: BTreeMap<u64, Kind>,
     held: usize,
 }
 
-impl Quota {
+impl LogRateLimiter {
     /// Whether a message of a kind is to be told at `now`. What was held back of a span before is given with it.
-    pub fn take(&mut self, kind: u64, now: Nanos) -> (bool, Option<More>) {
-        let kind = if self.kinds.len() >= KINDS && !self.kinds.contains_key(&kind) { u64::MAX } else { kind };
+    pub fn take(&mut self, kind: u64, now: Nanos) -> (bool, Option<SuppressedMessages>) {
+        let kind =
+            if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(&kind) { u64::MAX } else { kind };
         let fresh = Kind { since: now, count: 0, more: 0 };
         let known = self.kinds.entry(kind).or_insert(fresh);
         let mut before = None;
-        if now >= known.since.saturating_add(SPAN) {
-            before = (known.more > 0).then_some(More { kind, count: known.more, span: now - known.since });
+        if now >= known.since.saturating_add(INTERVAL) {
+            before = (known.more > 0).then_some(SuppressedMessages {
+                kind,
+                count: known.more,
+                interval: now - known.since,
+            });
             self.held -= usize::from(known.more > 0);
             *known = fresh;
         }
         known.count = known.count.saturating_add(1);
-        let told = known.count <= FIRST;
+        let told = known.count <= MESSAGES_PER_INTERVAL;
         if !told {
             self.held += usize::from(known.more == 0);
             known.more += 1;
@@ -59,14 +64,14 @@
 
     /// What was held back in spans that have ended by `now`: to be asked now and then, or the last of a kind would
     /// never be heard of.
-    pub fn ended(&mut self, now: Nanos) -> Vec<More> {
+    pub fn ended(&mut self, now: Nanos) -> Vec<SuppressedMessages> {
         if self.held == 0 {
             return Vec::new();
         }
         let mut all = Vec::new();
         for (&kind, known) in &mut self.kinds {
-            if known.more > 0 && now >= known.since.saturating_add(SPAN) {
-                all.push(More { kind, count: known.more, span: now - known.since });
+            if known.more > 0 && now >= known.since.saturating_add(INTERVAL) {
+                all.push(SuppressedMessages { kind, count: known.more, interval: now - known.since });
                 *known = Kind { since: now, count: 0, more: 0 };
             }
         }
@@ -81,32 +86,35 @@
 
     #[test]
     fn a_million_of_one_kind_are_a_few_lines_and_a_count() {
-        let mut quota = Quota::default();
+        let mut quota = LogRateLimiter::default();
         let told = (0..1_000_000u64).filter(|n| quota.take(1, n * 1_000).0).count();
-        assert_eq!(told, FIRST as usize);
+        assert_eq!(told, MESSAGES_PER_INTERVAL as usize);
         assert_eq!(quota.take(2, 0), (true, None), "another kind is not held back");
-        assert_eq!(quota.ended(SPAN - 1), []);
-        let more = More { kind: 1, count: 999_990, span: SPAN };
-        assert_eq!((quota.ended(SPAN), quota.ended(SPAN)), (vec![more], vec![]));
-        assert_eq!(quota.take(1, SPAN), (true, None));
+        assert_eq!(quota.ended(INTERVAL - 1), []);
+        let more = SuppressedMessages { kind: 1, count: 999_990, interval: INTERVAL };
+        assert_eq!((quota.ended(INTERVAL), quota.ended(INTERVAL)), (vec![more], vec![]));
+        assert_eq!(quota.take(1, INTERVAL), (true, None));
     }
 
     #[test]
     fn what_was_held_back_comes_with_the_next() {
-        let mut quota = Quota::default();
+        let mut quota = LogRateLimiter::default();
         (0..15).for_each(|_| {
             quota.take(7, 5);
         });
-        assert_eq!(quota.take(7, SPAN + 9), (true, Some(More { kind: 7, count: 5, span: SPAN + 4 })));
-        assert_eq!(quota.ended(9 * SPAN), []);
+        assert_eq!(
+            quota.take(7, INTERVAL + 9),
+            (true, Some(SuppressedMessages { kind: 7, count: 5, interval: INTERVAL + 4 }))
+        );
+        assert_eq!(quota.ended(9 * INTERVAL), []);
     }
 
     #[test]
     fn kinds_are_bounded() {
-        let mut quota = Quota::default();
+        let mut quota = LogRateLimiter::default();
         (0..100_000).for_each(|kind| {
             quota.take(kind, 0);
         });
-        assert!(quota.kinds.len() <= KINDS + 1);
+        assert!(quota.kinds.len() <= MAX_KINDS + 1);
     }
 }
--- a/crates/flight-recorder/src/loss_cause.rs
+++ b/crates/flight-recorder/src/loss_cause.rs
@@ -6,76 +6,76 @@
 use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
 use pumicehead_policy::{AttemptNo, AttemptOutcome, EndpointId, Nanos};
 
-use crate::event::{Event, RequestOutcome, ListenerRejection, outcome_at, outcome_index};
+use crate::event::{Event, ListenerRejection, RequestOutcome, outcome_at, outcome_index};
 
 /// Millionths of worth.
-pub type Micro = u64;
+pub type MicroWeight = u64;
 
-/// A worth in [`Micro`]; what is no number is none.
+/// A worth in [`MicroWeight`]; what is no number is none.
 #[must_use]
-pub fn micro(worth: f64) -> Micro {
+pub fn to_micro_weight(worth: f64) -> MicroWeight {
     // Casting holds at the ends of the range.
-    (worth * 1e6).round() as Micro
+    (worth * 1e6).round() as MicroWeight
 }
 
 /// Where a request's time went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Where {
+pub enum RequestPhase {
     /// To its client, until all of it was here.
-    Client,
+    Upload,
     /// To waiting for a server with room.
     Queue,
     /// To attempts before the last, which ended badly.
-    Earlier,
+    EarlierAttempts,
     /// To getting a connection for the last attempt.
     Connect,
     /// To the server of the last attempt.
-    Server,
+    Endpoint,
 }
 
-impl Where {
-    const ALL: [Self; 5] = [Self::Client, Self::Queue, Self::Earlier, Self::Connect, Self::Server];
+impl RequestPhase {
+    const ALL: [Self; 5] = [Self::Upload, Self::Queue, Self::EarlierAttempts, Self::Connect, Self::Endpoint];
 }
 
 /// What a loss is put down to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Cause {
+pub enum LossCause {
     /// Refused: its tier's queue was too long.
-    WaitShare,
+    QueueTooLong,
     /// Refused: held until its time was nearly up.
-    NearlyOut,
+    QueueTimeout,
     /// Refused: its key's turn did not come.
-    NoTurn,
+    KeyOrderTimeout,
     /// Its last attempt ended so, by the place of the outcome, and there was no other.
-    Failed(u8),
+    AttemptFailed(u8),
     /// Served after its aim.
-    Late(Where),
+    ObjectiveMissed(RequestPhase),
     /// No answer by its deadline.
-    OutOfTime(Where),
+    DeadlineExceeded(RequestPhase),
     /// Its client left before it had an answer.
-    Left(Where),
+    ClientDisconnected(RequestPhase),
     /// Its body was too slow, too long or broke off.
-    Body,
+    BodyFailed,
     /// A front turned it away.
-    Turned(bool),
+    RejectedByListener(bool),
     /// What has no row of its own.
     Other,
 }
 
-impl Cause {
+impl LossCause {
     /// As a number that stays the same across versions.
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
-            Self::WaitShare => 0,
-            Self::NearlyOut => 1,
-            Self::NoTurn => 2,
-            Self::Failed(place) => 10 + place,
-            Self::Late(place) => 20 + place as u8,
-            Self::OutOfTime(place) => 30 + place as u8,
-            Self::Left(place) => 40 + place as u8,
-            Self::Body => 50,
-            Self::Turned(connections) => 60 + u8::from(connections),
+            Self::QueueTooLong => 0,
+            Self::QueueTimeout => 1,
+            Self::KeyOrderTimeout => 2,
+            Self::AttemptFailed(place) => 10 + place,
+            Self::ObjectiveMissed(place) => 20 + place as u8,
+            Self::DeadlineExceeded(place) => 30 + place as u8,
+            Self::ClientDisconnected(place) => 40 + place as u8,
+            Self::BodyFailed => 50,
+            Self::RejectedByListener(connections) => 60 + u8::from(connections),
             Self::Other => 255,
         }
     }
@@ -83,17 +83,17 @@
     /// Of a number; one that is not known is another cause.
     #[must_use]
     pub fn of(code: u8) -> Self {
-        let place = |start: u8| Where::ALL.get(usize::from(code - start)).copied();
+        let place = |start: u8| RequestPhase::ALL.get(usize::from(code - start)).copied();
         match code {
-            0 => Self::WaitShare,
-            1 => Self::NearlyOut,
-            2 => Self::NoTurn,
-            10..=17 => Self::Failed(code - 10),
-            20..=24 => place(20).map_or(Self::Other, Self::Late),
-            30..=34 => place(30).map_or(Self::Other, Self::OutOfTime),
-            40..=44 => place(40).map_or(Self::Other, Self::Left),
-            50 => Self::Body,
-            60 | 61 => Self::Turned(code == 61),
+            0 => Self::QueueTooLong,
+            1 => Self::QueueTimeout,
+            2 => Self::KeyOrderTimeout,
+            10..=17 => Self::AttemptFailed(code - 10),
+            20..=24 => place(20).map_or(Self::Other, Self::ObjectiveMissed),
+            30..=34 => place(30).map_or(Self::Other, Self::DeadlineExceeded),
+            40..=44 => place(40).map_or(Self::Other, Self::ClientDisconnected),
+            50 => Self::BodyFailed,
+            60 | 61 => Self::RejectedByListener(code == 61),
             _ => Self::Other,
         }
     }
@@ -101,35 +101,37 @@
     /// Of a front's reason.
     #[must_use]
     pub fn turned(why: ListenerRejection) -> Self {
-        Self::Turned(why == ListenerRejection::ConnectionLimit)
+        Self::RejectedByListener(why == ListenerRejection::ConnectionLimit)
     }
 }
 
-impl fmt::Display for Where {
+impl fmt::Display for RequestPhase {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
-            Self::Client => "its client was slow to send it",
+            Self::Upload => "its client was slow to send it",
             Self::Queue => "it waited for a server with room",
-            Self::Earlier => "earlier attempts took the time",
+            Self::EarlierAttempts => "earlier attempts took the time",
             Self::Connect => "a connection took long",
-            Self::Server => "the server took long",
+            Self::Endpoint => "the server took long",
         })
     }
 }
 
-impl fmt::Display for Cause {
+impl fmt::Display for LossCause {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::WaitShare => write!(out, "refused: the queue was too long for its time"),
-            Self::NearlyOut => write!(out, "refused: held until its time was nearly up"),
-            Self::NoTurn => write!(out, "refused: its key's turn did not come"),
-            Self::Failed(at) => write!(out, "failed: {}", outcome_at(usize::from(*at)).map_or("unknown", said)),
-            Self::Late(at) => write!(out, "late: {at}"),
-            Self::OutOfTime(at) => write!(out, "no answer in time: {at}"),
-            Self::Left(at) => write!(out, "the client left: {at}"),
-            Self::Body => write!(out, "failed: its body was too slow, too long or broke off"),
-            Self::Turned(false) => write!(out, "turned away: the node holds as many as it may"),
-            Self::Turned(true) => write!(out, "turned away: no place for another connection"),
+            Self::QueueTooLong => write!(out, "refused: the queue was too long for its time"),
+            Self::QueueTimeout => write!(out, "refused: held until its time was nearly up"),
+            Self::KeyOrderTimeout => write!(out, "refused: its key's turn did not come"),
+            Self::AttemptFailed(at) => {
+                write!(out, "failed: {}", outcome_at(usize::from(*at)).map_or("unknown", outcome_text))
+            }
+            Self::ObjectiveMissed(at) => write!(out, "late: {at}"),
+            Self::DeadlineExceeded(at) => write!(out, "no answer in time: {at}"),
+            Self::ClientDisconnected(at) => write!(out, "the client left: {at}"),
+            Self::BodyFailed => write!(out, "failed: its body was too slow, too long or broke off"),
+            Self::RejectedByListener(false) => write!(out, "turned away: the node holds as many as it may"),
+            Self::RejectedByListener(true) => write!(out, "turned away: no place for another connection"),
             Self::Other => write!(out, "other causes"),
         }
     }
@@ -137,7 +139,7 @@
 
 /// How an attempt ended, in words.
 #[must_use]
-pub fn said(outcome: AttemptOutcome) -> &'static str {
+pub fn outcome_text(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Success => "answered",
         AttemptOutcome::Error => "answered with an error",
@@ -152,114 +154,117 @@
 
 /// A loss as it is booked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct LossAssessment {
     /// What it was worth.
-    pub asked: Micro,
+    pub offered: MicroWeight,
     /// What of it was earned.
-    pub earned: Micro,
+    pub earned: MicroWeight,
     /// What the rest is put down to, where there is a rest.
-    pub cause: Option<Cause>,
+    pub cause: Option<LossCause>,
     /// The server that carries it, where one does.
-    pub server: Option<EndpointId>,
+    pub endpoint: Option<EndpointId>,
     /// Why there was no further attempt, where that was asked.
-    pub stop: Option<NoRetryReason>,
+    pub no_retry_reason: Option<NoRetryReason>,
 }
 
-impl Verdict {
+impl LossAssessment {
     /// What was lost.
     #[must_use]
-    pub fn lost(&self) -> Micro {
-        self.asked.saturating_sub(self.earned)
+    pub fn lost(&self) -> MicroWeight {
+        self.offered.saturating_sub(self.earned)
     }
 }
 
 /// An attempt that ended badly.
 #[derive(Clone, Copy, Debug)]
-struct Bad {
-    server: EndpointId,
+struct FailedAttempt {
+    endpoint: EndpointId,
     outcome: AttemptOutcome,
-    took: Nanos,
+    duration: Nanos,
 }
 
 /// The life of a request, as far as its loss goes.
 #[derive(Clone, Debug)]
-pub struct Life {
-    asked_at: Nanos,
-    sending: Nanos,
-    worth: Micro,
-    late_worth: f64,
-    aim_at: Nanos,
-    rule: Option<RejectionReason>,
+pub struct RequestProgress {
+    admitted_at: Nanos,
+    upload_time: Nanos,
+    priority_weight: MicroWeight,
+    late_weight: f64,
+    objective_deadline: Nanos,
+    rejection: Option<RejectionReason>,
     /// Attempts out: number, server, sent.
-    out: Vec<(AttemptNo, EndpointId, Nanos)>,
-    sends: u32,
+    in_flight: Vec<(AttemptNo, EndpointId, Nanos)>,
+    attempts_started: u32,
     /// Waiting with no attempt out, so far, and since when.
-    waited: Nanos,
-    idle_since: Option<Nanos>,
+    queue_time: Nanos,
+    queued_since: Option<Nanos>,
     /// The worst of those that ended badly, and the last.
-    worst: Option<Bad>,
-    last: Option<Bad>,
-    bad: Nanos,
+    longest_failure: Option<FailedAttempt>,
+    last_failure: Option<FailedAttempt>,
+    failed_time: Nanos,
     /// The one that was answered: server, time, of that for its connection.
     good: Option<(EndpointId, Nanos, Nanos)>,
 }
 
-impl Life {
+impl RequestProgress {
     /// Of one that came at `at`, with the worth and the aim of its class until the module says more.
     #[must_use]
     pub fn new(at: Nanos, sending: Nanos, worth: f64, late_worth: f64, aim: Nanos) -> Self {
         Self {
-            asked_at: at,
-            sending,
-            worth: micro(worth),
-            late_worth,
-            aim_at: at.saturating_add(aim),
-            rule: None,
-            out: Vec::new(),
-            sends: 0,
-            waited: 0,
-            idle_since: Some(at),
-            worst: None,
-            last: None,
-            bad: 0,
+            admitted_at: at,
+            upload_time: sending,
+            priority_weight: to_micro_weight(worth),
+            late_weight: late_worth,
+            objective_deadline: at.saturating_add(aim),
+            rejection: None,
+            in_flight: Vec::new(),
+            attempts_started: 0,
+            queue_time: 0,
+            queued_since: Some(at),
+            longest_failure: None,
+            last_failure: None,
+            failed_time: 0,
             good: None,
         }
     }
 
     /// Takes an event of it in.
-    pub fn see(&mut self, at: Nanos, event: &Event) {
+    pub fn observe(&mut self, at: Nanos, event: &Event) {
         match event {
             Event::Decision(DecisionEvent::Classified { priority_weight, objective_deadline, .. }) => {
-                self.worth = micro(f64::from(*priority_weight));
-                self.aim_at = *objective_deadline;
+                self.priority_weight = to_micro_weight(f64::from(*priority_weight));
+                self.objective_deadline = *objective_deadline;
+            }
+            Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { reason, .. }) => {
+                self.rejection = Some(*reason)
             }
-            Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { reason, .. }) => self.rule = Some(*reason),
             Event::AttemptStarted { attempt, endpoint, .. } => {
-                self.sends += 1;
-                if let Some(since) = self.idle_since.take() {
-                    self.waited += at.saturating_sub(since);
+                self.attempts_started += 1;
+                if let Some(since) = self.queued_since.take() {
+                    self.queue_time += at.saturating_sub(since);
                 }
-                self.out.push((*attempt, *endpoint, at));
+                self.in_flight.push((*attempt, *endpoint, at));
             }
             Event::ResponseStarted { attempt, .. } => {
-                if let Some(&(_, server, sent)) = self.out.iter().find(|(number, ..)| number == attempt) {
+                if let Some(&(_, server, sent)) = self.in_flight.iter().find(|(number, ..)| number == attempt)
+                {
                     self.good = Some((server, at.saturating_sub(sent), 0));
                 }
             }
             Event::AttemptEnded { attempt, endpoint, outcome, duration, connect_time, .. } => {
-                self.out.retain(|(number, ..)| number != attempt);
+                self.in_flight.retain(|(number, ..)| number != attempt);
                 if *outcome == AttemptOutcome::Success {
                     self.good.get_or_insert((*endpoint, *duration, *connect_time));
                 } else if *outcome != AttemptOutcome::Cancelled || self.good.is_none() {
-                    let bad = Bad { server: *endpoint, outcome: *outcome, took: *duration };
-                    self.last = Some(bad);
-                    self.bad += duration;
-                    if self.worst.is_none_or(|worst| worst.took <= bad.took) {
-                        self.worst = Some(bad);
+                    let bad = FailedAttempt { endpoint: *endpoint, outcome: *outcome, duration: *duration };
+                    self.last_failure = Some(bad);
+                    self.failed_time += duration;
+                    if self.longest_failure.is_none_or(|worst| worst.duration <= bad.duration) {
+                        self.longest_failure = Some(bad);
                     }
                 }
-                if self.out.is_empty() {
-                    self.idle_since = Some(at);
+                if self.in_flight.is_empty() {
+                    self.queued_since = Some(at);
                 }
             }
             _ => {}
@@ -268,85 +273,93 @@
 
     /// Attempts that are still out.
     #[must_use]
-    pub fn out(&self) -> usize {
-        self.out.len()
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.len()
     }
 
     /// Attempts that were made.
     #[must_use]
-    pub fn sends(&self) -> u32 {
-        self.sends
+    pub fn attempts_started(&self) -> u32 {
+        self.attempts_started
     }
 
     /// When it came.
     #[must_use]
-    pub fn asked_at(&self) -> Nanos {
-        self.asked_at
+    pub fn admitted_at(&self) -> Nanos {
+        self.admitted_at
     }
 
     /// The share of the time to its aim that had passed by `at`.
     #[must_use]
-    pub fn used(&self, at: Nanos) -> f64 {
-        let aim = self.aim_at.saturating_sub(self.asked_at).max(1);
-        at.saturating_sub(self.asked_at) as f64 / aim as f64
+    pub fn objective_used(&self, at: Nanos) -> f64 {
+        let aim = self.objective_deadline.saturating_sub(self.admitted_at).max(1);
+        at.saturating_sub(self.admitted_at) as f64 / aim as f64
     }
 
     /// Where its time went by `at`, and the server that carries it.
-    fn spent(&self, at: Nanos) -> (Where, Option<EndpointId>) {
-        let idle = self.idle_since.map_or(0, |since| at.saturating_sub(since));
-        let oldest = self.out.first().map(|&(_, server, sent)| (server, at.saturating_sub(sent), 0));
+    fn dominant_phase(&self, at: Nanos) -> (RequestPhase, Option<EndpointId>) {
+        let idle = self.queued_since.map_or(0, |since| at.saturating_sub(since));
+        let oldest = self.in_flight.first().map(|&(_, server, sent)| (server, at.saturating_sub(sent), 0));
         let last = self.good.or(oldest);
         let (served, dial) = last.map_or((0, 0), |(_, took, dial)| (took.saturating_sub(dial), dial));
         let spans = [
-            (self.sending, Where::Client),
-            (self.waited + if self.good.is_some() { 0 } else { idle }, Where::Queue),
-            (self.bad, Where::Earlier),
-            (dial, Where::Connect),
-            (served, Where::Server),
+            (self.upload_time, RequestPhase::Upload),
+            (self.queue_time + if self.good.is_some() { 0 } else { idle }, RequestPhase::Queue),
+            (self.failed_time, RequestPhase::EarlierAttempts),
+            (dial, RequestPhase::Connect),
+            (served, RequestPhase::Endpoint),
         ];
-        let most = spans.into_iter().max_by_key(|&(span, _)| span).map_or(Where::Queue, |(_, place)| place);
+        let most =
+            spans.into_iter().max_by_key(|&(span, _)| span).map_or(RequestPhase::Queue, |(_, place)| place);
         let server = match most {
-            Where::Client | Where::Queue => None,
-            Where::Earlier => self.worst.map(|bad| bad.server),
-            Where::Connect | Where::Server => last.map(|(server, ..)| server),
+            RequestPhase::Upload | RequestPhase::Queue => None,
+            RequestPhase::EarlierAttempts => self.longest_failure.map(|bad| bad.endpoint),
+            RequestPhase::Connect | RequestPhase::Endpoint => last.map(|(server, ..)| server),
         };
         (most, server)
     }
 
     /// What it came to, with its final answer at `at`.
     #[must_use]
-    pub fn judge(&self, at: Nanos, how: RequestOutcome) -> Verdict {
-        let late = at > self.aim_at;
+    pub fn assess(&self, at: Nanos, how: RequestOutcome) -> LossAssessment {
+        let late = at > self.objective_deadline;
         let earned = match how {
-            RequestOutcome::Served if late => micro(self.worth as f64 / 1e6 * self.late_worth).min(self.worth),
-            RequestOutcome::Served => self.worth,
+            RequestOutcome::Served if late => {
+                to_micro_weight(self.priority_weight as f64 / 1e6 * self.late_weight)
+                    .min(self.priority_weight)
+            }
+            RequestOutcome::Served => self.priority_weight,
             _ => 0,
         };
-        let stop = if let Some(RejectionReason::NoRetry(stop)) = self.rule { Some(stop) } else { None };
-        let verdict = |(cause, server)| Verdict {
-            asked: self.worth,
+        let stop = if let Some(RejectionReason::NoRetry(stop)) = self.rejection { Some(stop) } else { None };
+        let verdict = |(cause, server)| LossAssessment {
+            offered: self.priority_weight,
             earned,
-            cause: Some(cause).filter(|_| earned < self.worth),
-            server,
-            stop,
+            cause: Some(cause).filter(|_| earned < self.priority_weight),
+            endpoint: server,
+            no_retry_reason: stop,
         };
-        let (place, server) = self.spent(at);
-        let failed = |bad: Bad| (Cause::Failed(crate::event::outcome_index(bad.outcome) as u8), Some(bad.server));
-        verdict(match (how, self.rule) {
-            (RequestOutcome::Served, _) => (Cause::Late(place), server),
-            (RequestOutcome::BodyFailed, _) => (Cause::Body, None),
-            (RequestOutcome::ClientDisconnected, _) => (Cause::Left(place), server),
-            (RequestOutcome::ServedError, _) => self.last.map_or((Cause::Failed(place_of_error()), server), failed),
-            (_, Some(RejectionReason::QueueTooLong)) => (Cause::WaitShare, None),
-            (_, Some(RejectionReason::QueueTimeout)) => (Cause::NearlyOut, None),
-            (_, Some(RejectionReason::KeyOrderTimeout)) => (Cause::NoTurn, None),
+        let (place, server) = self.dominant_phase(at);
+        let failed = |bad: FailedAttempt| {
+            (LossCause::AttemptFailed(crate::event::outcome_index(bad.outcome) as u8), Some(bad.endpoint))
+        };
+        verdict(match (how, self.rejection) {
+            (RequestOutcome::Served, _) => (LossCause::ObjectiveMissed(place), server),
+            (RequestOutcome::BodyFailed, _) => (LossCause::BodyFailed, None),
+            (RequestOutcome::ClientDisconnected, _) => (LossCause::ClientDisconnected(place), server),
+            (RequestOutcome::ServedError, _) => {
+                self.last_failure.map_or((LossCause::AttemptFailed(place_of_error()), server), failed)
+            }
+            (_, Some(RejectionReason::QueueTooLong)) => (LossCause::QueueTooLong, None),
+            (_, Some(RejectionReason::QueueTimeout)) => (LossCause::QueueTimeout, None),
+            (_, Some(RejectionReason::KeyOrderTimeout)) => (LossCause::KeyOrderTimeout, None),
             (_, Some(RejectionReason::NoRetry(_))) => {
-                self.last.map_or((Cause::OutOfTime(place), server), failed)
+                self.last_failure.map_or((LossCause::DeadlineExceeded(place), server), failed)
             }
-            (_, None) => match self.last {
+            (_, None) => match self.last_failure {
                 // Nothing was out any more: what ended last is what failed.
-                Some(bad) if self.out.is_empty() => failed(bad),
-                _ => (Cause::OutOfTime(place), server),
+                Some(bad) if self.in_flight.is_empty() => failed(bad),
+                _ => (LossCause::DeadlineExceeded(place), server),
             },
         })
     }
--- a/crates/flight-recorder/src/loss_ledger.rs
+++ b/crates/flight-recorder/src/loss_ledger.rs
@@ -6,9 +6,9 @@
 
 use pumicehead_policy::{Nanos, SECOND};
 
-use crate::wire_format::{Reader, put, put_f32};
 use crate::event::PoolId;
-use crate::loss_cause::Micro;
+use crate::loss_cause::MicroWeight;
+use crate::wire_format::{Reader, put, put_f32};
 
 /// Rows that add up.
 pub trait Row: Default + Clone {
@@ -32,14 +32,14 @@
 
 /// Rows by slot and key.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Table<K, V> {
+pub struct SlotTable<K, V> {
     start: Nanos,
     width: Nanos,
     most: usize,
     rows: BTreeMap<(u32, K), V>,
 }
 
-impl<K: Key, V: Row> Table<K, V> {
+impl<K: Key, V: Row> SlotTable<K, V> {
     /// Empty, from `start` on, with room for so many rows.
     #[must_use]
     pub fn new(start: Nanos, most: usize) -> Self {
@@ -51,7 +51,7 @@
     }
 
     /// The row of a moment and a key, to be added to.
-    pub fn at(&mut self, at: Nanos, key: K) -> &mut V {
+    pub fn row_mut(&mut self, at: Nanos, key: K) -> &mut V {
         let mut key = key;
         while self.rows.len() >= self.most && !self.rows.contains_key(&(self.slot(at), key)) {
             if self.rows.keys().next_back().is_some_and(|&(slot, _)| slot > 0) || self.slot(at) > 0 {
@@ -60,7 +60,7 @@
                 key = K::OTHER;
                 break;
             } else {
-                self.fold();
+                self.fold_into_other();
             }
         }
         self.rows.entry((self.slot(at), key)).or_default()
@@ -75,7 +75,7 @@
     }
 
     /// Puts one row of the first slot under "other".
-    fn fold(&mut self) {
+    fn fold_into_other(&mut self) {
         if let Some((_, row)) = self.rows.pop_last() {
             self.rows.entry((0, K::OTHER)).or_default().add(&row);
         }
@@ -100,7 +100,7 @@
     }
 
     /// Rows of slots that begin in a span, with the time at which their slot begins.
-    pub fn within(&self, from: Nanos, to: Nanos) -> impl Iterator<Item = (Nanos, K, &V)> {
+    pub fn rows_between(&self, from: Nanos, to: Nanos) -> impl Iterator<Item = (Nanos, K, &V)> {
         self.rows.iter().filter_map(move |(&(slot, key), row)| {
             let at = self.start.saturating_add(u64::from(slot).saturating_mul(self.width));
             (from <= at && at < to).then_some((at, key, row))
@@ -140,20 +140,21 @@
     /// The cause's code.
     pub cause: u8,
     /// The server that carries it; `u32::MAX` where none does.
-    pub server: u32,
+    pub endpoint: u32,
 }
 
 /// No server.
-pub const NOBODY: u32 = u32::MAX;
+pub const NO_ENDPOINT: u32 = u32::MAX;
 
 impl Key for LossKey {
-    const OTHER: Self = Self { pool: PoolId(u16::MAX), class: u16::MAX, cause: u8::MAX, server: NOBODY };
+    const OTHER: Self =
+        Self { pool: PoolId(u16::MAX), class: u16::MAX, cause: u8::MAX, endpoint: NO_ENDPOINT };
 
     fn write(&self, out: &mut Vec<u8>) {
         put(out, u64::from(self.pool.0));
         put(out, u64::from(self.class));
         out.push(self.cause);
-        put(out, u64::from(self.server));
+        put(out, u64::from(self.endpoint));
     }
 
     fn read(from: &mut Reader<'_>) -> Option<Self> {
@@ -161,46 +162,46 @@
             pool: PoolId(from.small()?),
             class: from.small()?,
             cause: from.byte()?,
-            server: from.small()?,
+            endpoint: from.small()?,
         })
     }
 }
 
 /// Losses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Loss {
+pub struct LossTotals {
     /// Requests.
-    pub count: u64,
+    pub requests: u64,
     /// What they lost.
-    pub lost: Micro,
+    pub lost: MicroWeight,
 }
 
-impl Row for Loss {
+impl Row for LossTotals {
     fn add(&mut self, other: &Self) {
-        self.count = self.count.saturating_add(other.count);
+        self.requests = self.requests.saturating_add(other.requests);
         self.lost = self.lost.saturating_add(other.lost);
     }
 
     fn write(&self, out: &mut Vec<u8>) {
-        put(out, self.count);
+        put(out, self.requests);
         put(out, self.lost);
     }
 
     fn read(from: &mut Reader<'_>) -> Option<Self> {
-        Some(Self { count: from.number()?, lost: from.number()? })
+        Some(Self { requests: from.number()?, lost: from.number()? })
     }
 }
 
 /// What traffic is booked under: a pool and a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct FlowKey {
+pub struct TrafficKey {
     /// The pool.
     pub pool: PoolId,
     /// The class, by its place in the pool.
     pub class: u16,
 }
 
-impl Key for FlowKey {
+impl Key for TrafficKey {
     const OTHER: Self = Self { pool: PoolId(u16::MAX), class: u16::MAX };
 
     fn write(&self, out: &mut Vec<u8>) {
@@ -215,54 +216,74 @@
 
 /// Traffic, booked at its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Flow {
+pub struct TrafficTotals {
     /// Requests.
-    pub count: u64,
+    pub requests: u64,
     /// What they were worth.
-    pub asked: Micro,
+    pub offered: MicroWeight,
     /// What was earned of it.
-    pub earned: Micro,
+    pub earned: MicroWeight,
     /// Attempts that were answered well.
-    pub answered: u64,
+    pub answered_attempts: u64,
     /// Attempts that ended otherwise.
-    pub unanswered: u64,
+    pub unanswered_attempts: u64,
     /// Microseconds that the answered ones took.
-    pub took: u64,
+    pub answered_us: u64,
     /// The least of them, and one more; 0 where there is none.
-    pub least: u64,
+    pub fastest_us_plus_one: u64,
     /// Requests that waited for room, and microseconds of it.
     pub waited: u64,
 }
 
-impl Row for Flow {
+impl Row for TrafficTotals {
     fn add(&mut self, other: &Self) {
-        self.count = self.count.saturating_add(other.count);
-        self.asked = self.asked.saturating_add(other.asked);
+        self.requests = self.requests.saturating_add(other.requests);
+        self.offered = self.offered.saturating_add(other.offered);
         self.earned = self.earned.saturating_add(other.earned);
-        self.answered = self.answered.saturating_add(other.answered);
-        self.unanswered = self.unanswered.saturating_add(other.unanswered);
-        self.took = self.took.saturating_add(other.took);
+        self.answered_attempts = self.answered_attempts.saturating_add(other.answered_attempts);
+        self.unanswered_attempts = self.unanswered_attempts.saturating_add(other.unanswered_attempts);
+        self.answered_us = self.answered_us.saturating_add(other.answered_us);
         self.waited = self.waited.saturating_add(other.waited);
-        self.least = match (self.least, other.least) {
+        self.fastest_us_plus_one = match (self.fastest_us_plus_one, other.fastest_us_plus_one) {
             (0, some) | (some, 0) => some,
             (one, other) => one.min(other),
         };
     }
 
     fn write(&self, out: &mut Vec<u8>) {
-        let Self { count, asked, earned, answered, unanswered, took, least, waited } = *self;
-        [count, asked, earned, answered, unanswered, took, least, waited].iter().for_each(|n| put(out, *n));
+        let Self {
+            requests,
+            offered,
+            earned,
+            answered_attempts,
+            unanswered_attempts,
+            answered_us,
+            fastest_us_plus_one,
+            waited,
+        } = *self;
+        [
+            requests,
+            offered,
+            earned,
+            answered_attempts,
+            unanswered_attempts,
+            answered_us,
+            fastest_us_plus_one,
+            waited,
+        ]
+        .iter()
+        .for_each(|n| put(out, *n));
     }
 
     fn read(from: &mut Reader<'_>) -> Option<Self> {
         Some(Self {
-            count: from.number()?,
-            asked: from.number()?,
+            requests: from.number()?,
+            offered: from.number()?,
             earned: from.number()?,
-            answered: from.number()?,
-            unanswered: from.number()?,
-            took: from.number()?,
-            least: from.number()?,
+            answered_attempts: from.number()?,
+            unanswered_attempts: from.number()?,
+            answered_us: from.number()?,
+            fastest_us_plus_one: from.number()?,
             waited: from.number()?,
         })
     }
@@ -270,70 +291,85 @@
 
 /// What a server's work is booked under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ServerKey {
+pub struct EndpointKey {
     /// The pool.
     pub pool: PoolId,
     /// The server.
-    pub server: u32,
+    pub endpoint: u32,
 }
 
-impl Key for ServerKey {
-    const OTHER: Self = Self { pool: PoolId(u16::MAX), server: NOBODY };
+impl Key for EndpointKey {
+    const OTHER: Self = Self { pool: PoolId(u16::MAX), endpoint: NO_ENDPOINT };
 
     fn write(&self, out: &mut Vec<u8>) {
         put(out, u64::from(self.pool.0));
-        put(out, u64::from(self.server));
+        put(out, u64::from(self.endpoint));
     }
 
     fn read(from: &mut Reader<'_>) -> Option<Self> {
-        Some(Self { pool: PoolId(from.small()?), server: from.small()? })
+        Some(Self { pool: PoolId(from.small()?), endpoint: from.small()? })
     }
 }
 
 /// A server's work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Served {
+pub struct EndpointTotals {
     /// Attempts that ended, by the place of their outcome.
-    pub ended: [u64; 8],
+    pub attempts_by_outcome: [u64; 8],
     /// Thousandths of what the class takes elsewhere that answered ones took, added up.
-    pub stretch: u64,
+    pub relative_latency_permille: u64,
     /// Microseconds of answered ones.
-    pub good: u64,
+    pub answered_us: u64,
     /// Microseconds of those without an answer: its places were taken for nothing.
-    pub bad: u64,
+    pub unanswered_us: u64,
     /// Microseconds spent on connections.
-    pub dial: u64,
+    pub connect_us: u64,
     /// Microseconds it was set aside for, as far as was decided in the slot.
-    pub aside: u64,
+    pub ejected_us: u64,
     /// The last limit that was seen.
-    pub limit: f32,
+    pub concurrency_limit: f32,
 }
 
-impl Served {
+impl EndpointTotals {
     /// All attempts.
     #[must_use]
     pub fn attempts(&self) -> u64 {
-        self.ended.iter().fold(0, |sum, n| sum.saturating_add(*n))
+        self.attempts_by_outcome.iter().fold(0, |sum, n| sum.saturating_add(*n))
     }
 }
 
-impl Row for Served {
+impl Row for EndpointTotals {
     fn add(&mut self, other: &Self) {
-        self.ended.iter_mut().zip(other.ended).for_each(|(sum, more)| *sum = sum.saturating_add(more));
-        self.stretch = self.stretch.saturating_add(other.stretch);
-        self.good = self.good.saturating_add(other.good);
-        self.bad = self.bad.saturating_add(other.bad);
-        self.dial = self.dial.saturating_add(other.dial);
-        self.aside = self.aside.saturating_add(other.aside);
-        if other.limit > 0.0 {
-            self.limit = other.limit;
+        self.attempts_by_outcome
+            .iter_mut()
+            .zip(other.attempts_by_outcome)
+            .for_each(|(sum, more)| *sum = sum.saturating_add(more));
+        self.relative_latency_permille =
+            self.relative_latency_permille.saturating_add(other.relative_latency_permille);
+        self.answered_us = self.answered_us.saturating_add(other.answered_us);
+        self.unanswered_us = self.unanswered_us.saturating_add(other.unanswered_us);
+        self.connect_us = self.connect_us.saturating_add(other.connect_us);
+        self.ejected_us = self.ejected_us.saturating_add(other.ejected_us);
+        if other.concurrency_limit > 0.0 {
+            self.concurrency_limit = other.concurrency_limit;
         }
     }
 
     fn write(&self, out: &mut Vec<u8>) {
-        let Self { ended, stretch, good, bad, dial, aside, limit } = *self;
-        ended.iter().chain(&[stretch, good, bad, dial, aside]).for_each(|n| put(out, *n));
-        put_f32(out, limit);
+        let Self {
+            attempts_by_outcome,
+            relative_latency_permille,
+            answered_us,
+            unanswered_us,
+            connect_us,
+            ejected_us,
+            concurrency_limit,
+        } = *self;
+        attempts_by_outcome
+            .iter()
+            .chain(&[relative_latency_permille, answered_us, unanswered_us, connect_us, ejected_us])
+            .for_each(|n| put(out, *n));
+        put_f32(out, concurrency_limit);
     }
 
     fn read(from: &mut Reader<'_>) -> Option<Self> {
@@ -342,28 +378,28 @@
             *count = from.number()?;
         }
         Some(Self {
-            ended,
-            stretch: from.number()?,
-            good: from.number()?,
-            bad: from.number()?,
-            dial: from.number()?,
-            aside: from.number()?,
-            limit: from.f32()?,
+            attempts_by_outcome: ended,
+            relative_latency_permille: from.number()?,
+            answered_us: from.number()?,
+            unanswered_us: from.number()?,
+            connect_us: from.number()?,
+            ejected_us: from.number()?,
+            concurrency_limit: from.f32()?,
         })
     }
 }
 
 /// All tables.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Accounts {
+pub struct LossLedger {
     /// What was lost.
-    pub losses: Table<LossKey, Loss>,
+    pub losses: SlotTable<LossKey, LossTotals>,
     /// What was asked and earned.
-    pub flows: Table<FlowKey, Flow>,
+    pub traffic: SlotTable<TrafficKey, TrafficTotals>,
     /// What servers did.
-    pub servers: Table<ServerKey, Served>,
+    pub endpoints: SlotTable<EndpointKey, EndpointTotals>,
     /// How often the node ran out of descriptors: for clients, for servers.
-    pub short: [u64; 2],
+    pub resource_exhaustions: [u64; 2],
 }
 
 /// Bytes that rows take with their place in a tree, at most.
@@ -371,28 +407,28 @@
 const FLOW_ROW: usize = 128;
 const SERVER_ROW: usize = 208;
 
-impl Accounts {
+impl LossLedger {
     /// Empty, in so many bytes: half for servers, of which there are most, and a quarter for each of the others.
     #[must_use]
     pub fn new(start: Nanos, memory: usize) -> Self {
         Self {
-            losses: Table::new(start, memory / 4 / LOSS_ROW),
-            flows: Table::new(start, memory / 4 / FLOW_ROW),
-            servers: Table::new(start, memory / 2 / SERVER_ROW),
-            short: [0; 2],
+            losses: SlotTable::new(start, memory / 4 / LOSS_ROW),
+            traffic: SlotTable::new(start, memory / 4 / FLOW_ROW),
+            endpoints: SlotTable::new(start, memory / 2 / SERVER_ROW),
+            resource_exhaustions: [0; 2],
         }
     }
 
     /// Bytes that its rows take.
     #[must_use]
     pub fn memory(&self) -> usize {
-        self.losses.len() * LOSS_ROW + self.flows.len() * FLOW_ROW + self.servers.len() * SERVER_ROW
+        self.losses.len() * LOSS_ROW + self.traffic.len() * FLOW_ROW + self.endpoints.len() * SERVER_ROW
     }
 
     /// A span widened to where slots of all tables begin.
     #[must_use]
     pub fn aligned(&self, from: Nanos, to: Nanos) -> (Nanos, Nanos) {
-        let width = self.losses.width.max(self.flows.width).max(self.servers.width);
+        let width = self.losses.width.max(self.traffic.width).max(self.endpoints.width);
         let start = self.losses.start;
         let steps = |at: Nanos| at.saturating_sub(start) / width;
         let begin = start.saturating_add(steps(from).saturating_mul(width));
@@ -403,18 +439,18 @@
     /// Appends all of it.
     pub fn write(&self, out: &mut Vec<u8>) {
         self.losses.write(out);
-        self.flows.write(out);
-        self.servers.write(out);
-        self.short.iter().for_each(|n| put(out, *n));
+        self.traffic.write(out);
+        self.endpoints.write(out);
+        self.resource_exhaustions.iter().for_each(|n| put(out, *n));
     }
 
     /// Reads what was appended.
     pub fn read(from: &mut Reader<'_>) -> Option<Self> {
         Some(Self {
-            losses: Table::read(from)?,
-            flows: Table::read(from)?,
-            servers: Table::read(from)?,
-            short: [from.number()?, from.number()?],
+            losses: SlotTable::read(from)?,
+            traffic: SlotTable::read(from)?,
+            endpoints: SlotTable::read(from)?,
+            resource_exhaustions: [from.number()?, from.number()?],
         })
     }
 }
--- a/crates/flight-recorder/src/metrics.rs
+++ b/crates/flight-recorder/src/metrics.rs
@@ -13,9 +13,9 @@
 };
 use pumicehead_policy::{AttemptOutcome, Nanos, SECOND};
 
-use crate::event::{RequestOutcome, ListenerRejection};
-use crate::loss_cause::said;
-use crate::bounded_text::{Name, plain};
+use crate::bounded_text::{BoundedName, plain};
+use crate::event::{ListenerRejection, RequestOutcome};
+use crate::loss_cause::outcome_text;
 
 /// Classes that have rows of their own; the rest count as "other".
 pub const CLASSES: usize = 32;
@@ -50,14 +50,14 @@
 
 impl Shared {
     /// Adds a time, and shows the bucket by this request where it has shown another for a while.
-    fn add(&self, seconds: f64, name: &Name, at: Nanos) {
+    fn add(&self, seconds: f64, name: &BoundedName, at: Nanos) {
         // A holder that panicked left whole numbers behind.
         let mut times = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         times.record(seconds);
         let bucket = BOUNDS.iter().position(|bound| seconds <= *bound).unwrap_or(BOUNDS.len());
         let shown = &mut times.exemplars[bucket];
         if shown.as_ref().is_none_or(|shown| at >= shown.at.saturating_add(SHOWN_FOR)) {
-            *shown = Some(Exemplar { name: plain(&name.start), seconds, at });
+            *shown = Some(Exemplar { name: plain(&name.prefix), seconds, at });
         }
     }
 }
@@ -181,7 +181,7 @@
 
 /// The node's series.
 #[derive(Default)]
-pub struct Meters {
+pub struct RequestMetrics {
     registry: Registry,
     /// By pool and class; those beyond the bound are where [`OTHER`] is.
     classes: BTreeMap<(u16, u16), ClassMeters>,
@@ -190,7 +190,7 @@
 
 const HOWS: [&str; 7] = ["served", "served_fault", "refused", "failed", "late", "body", "left"];
 
-impl Meters {
+impl RequestMetrics {
     fn class(&mut self, key: (u16, u16), names: (&str, &str)) -> &mut ClassMeters {
         let full = self.classes.len() >= CLASSES && !self.classes.contains_key(&key);
         let (key, names) = if full { (OTHER, ("other", "other")) } else { (key, names) };
@@ -208,7 +208,14 @@
     }
 
     /// A request has ended.
-    pub fn request(&mut self, of: ((u16, u16), (&str, &str)), how: RequestOutcome, took: Nanos, name: &Name, at: Nanos) {
+    pub fn request(
+        &mut self,
+        of: ((u16, u16), (&str, &str)),
+        how: RequestOutcome,
+        took: Nanos,
+        name: &BoundedName,
+        at: Nanos,
+    ) {
         let meters = self.class(of.0, of.1);
         meters.ended[how as usize].increment(1);
         let seconds = took as f64 / SECOND as f64;
@@ -228,7 +235,8 @@
         let place = crate::event::outcome_index(outcome);
         let registry = &self.registry;
         let counter = self.attempts[place].get_or_insert_with(|| {
-            let key = Key::from_parts("pumicehead_attempts", vec![Label::new("outcome", said(outcome))]);
+            let key =
+                Key::from_parts("pumicehead_attempts", vec![Label::new("outcome", outcome_text(outcome))]);
             registry.register_counter(&key, &META)
         });
         counter.increment(1);
@@ -257,10 +265,16 @@
 
     #[test]
     fn the_text_counts_and_points_to_requests() {
-        let mut meters = Meters::default();
-        let name = Name::new("a\"b\n");
+        let mut meters = RequestMetrics::default();
+        let name = BoundedName::new("a\"b\n");
         for took in [3, 30, 30_000] {
-            meters.request(((0, 0), ("web", "read")), RequestOutcome::Served, took * 1_000_000, &name, SECOND);
+            meters.request(
+                ((0, 0), ("web", "read")),
+                RequestOutcome::Served,
+                took * 1_000_000,
+                &name,
+                SECOND,
+            );
         }
         meters.request(((0, 0), ("web", "read")), RequestOutcome::Rejected, 1_000, &name, SECOND);
         meters.attempt(AttemptOutcome::Reset);
@@ -281,10 +295,16 @@
 
     #[test]
     fn classes_beyond_the_bound_count_as_other() {
-        let mut meters = Meters::default();
+        let mut meters = RequestMetrics::default();
         for class in 0..1_000 {
             let name = format!("c{class}");
-            meters.request(((0, class), ("web", &name)), RequestOutcome::Served, 1_000, &Name::new("x"), 0);
+            meters.request(
+                ((0, class), ("web", &name)),
+                RequestOutcome::Served,
+                1_000,
+                &BoundedName::new("x"),
+                0,
+            );
         }
         assert_eq!(meters.classes.len(), CLASSES + 1);
         assert!(meters.text().contains("{pool=\"other\",class=\"other\",how=\"served\"} 968"));
--- a/crates/flight-recorder/src/recorder.rs
+++ b/crates/flight-recorder/src/recorder.rs
@@ -4,16 +4,16 @@
 use pumicehead_policy::{AttemptOutcome, EndpointId, Nanos, RequestId, SECOND};
 use rustc_hash::FxHashMap;
 
-use crate::loss_ledger::{Accounts, FlowKey, LossKey, NOBODY, ServerKey};
-use crate::recording::{Head, PoolHead};
-use crate::event::{Event, RequestOutcome, PoolId, ExhaustedResource, ListenerRejection, outcome_index};
+use crate::bounded_text::BoundedName;
+use crate::event::{Event, ExhaustedResource, ListenerRejection, PoolId, RequestOutcome, outcome_index};
+use crate::event_ring::{EventRing, append_record};
+use crate::loss_cause::{LossAssessment, LossCause, RequestProgress, to_micro_weight};
+use crate::loss_ledger::{EndpointKey, LossKey, LossLedger, NO_ENDPOINT, TrafficKey};
+use crate::metrics::RequestMetrics;
+use crate::recording::{PoolHeader, RecordingHeader};
 pub use crate::request_timeline::{ClassInfo, RequestTimeline};
-use crate::loss_cause::{Cause, Life, Verdict, micro};
-use crate::metrics::Meters;
 use crate::reservoir::Reservoir;
-use crate::event_ring::{Ring, append};
 use crate::tenant_names::TenantNames;
-use crate::bounded_text::Name;
 
 /// Most that the story of one request takes: some forty events. What comes beyond is in the ring alone.
 const LONGEST_STORY: usize = 1_024;
@@ -48,19 +48,19 @@
 
 impl RequestTimeline {
     fn size(&self) -> usize {
-        STORY + self.encoded_events.len() + self.name.start.len()
+        STORY + self.encoded_events.len() + self.name.prefix.len()
     }
 }
 
 struct Open {
-    life: Life,
+    life: RequestProgress,
     class: u16,
     tenant: Option<u32>,
-    name: Name,
+    name: BoundedName,
     page: Vec<u8>,
     last: Nanos,
     cut: bool,
-    verdict: Option<(Verdict, Nanos, RequestOutcome)>,
+    verdict: Option<(LossAssessment, Nanos, RequestOutcome)>,
     hurdles: Option<ExclusionReasons>,
 }
 
@@ -73,19 +73,19 @@
 
 /// The recorder of a node.
 pub struct Recorder {
-    head: Head,
+    head: RecordingHeader,
     level: Level,
     memory: usize,
-    ring: Ring,
+    ring: EventRing,
     /// Stories of requests that failed, were refused, were tried again or were slow; and of a fair sample of the rest.
     kept: [Reservoir<Box<RequestTimeline>>; 2],
-    accounts: Accounts,
+    accounts: LossLedger,
     /// Boxed: tables and heaps move what they hold.
     open: FxHashMap<(PoolId, RequestId), Box<Open>>,
     open_size: usize,
     groups: FxHashMap<(PoolId, u16, u32), Group>,
     limits: FxHashMap<(PoolId, EndpointId), f32>,
-    meters: Meters,
+    meters: RequestMetrics,
     scratch: Vec<u8>,
     spare: Vec<Vec<u8>>,
     untold: u64,
@@ -99,17 +99,17 @@
         let memory = memory.max(LEAST_MEMORY);
         let stories = memory / 8 * 3;
         Self {
-            head: Head::new(node, start),
+            head: RecordingHeader::new(node, start),
             level: Level::On,
             memory,
-            ring: Ring::new(memory / 8 * 3),
+            ring: EventRing::new(memory / 8 * 3),
             kept: [Reservoir::new(stories / 3 * 2, seed), Reservoir::new(stories / 3, seed ^ 1)],
-            accounts: Accounts::new(start, memory / 8),
+            accounts: LossLedger::new(start, memory / 8),
             open: FxHashMap::default(),
             open_size: 0,
             groups: FxHashMap::default(),
             limits: FxHashMap::default(),
-            meters: Meters::default(),
+            meters: RequestMetrics::default(),
             scratch: Vec::with_capacity(256),
             spare: Vec::new(),
             untold: 0,
@@ -119,7 +119,7 @@
     /// A pool with its classes; one that is known by its name goes on under its number.
     pub fn pool(&mut self, name: &str, classes: &[ClassInfo]) -> PoolId {
         let place = self.head.pools.iter().position(|pool| pool.name == name).unwrap_or_else(|| {
-            self.head.pools.push(PoolHead { name: name.into(), ..PoolHead::default() });
+            self.head.pools.push(PoolHeader { name: name.into(), ..PoolHeader::default() });
             self.head.pools.len() - 1
         });
         let pool = &mut self.head.pools[place];
@@ -168,10 +168,13 @@
                 self.begin(at, (pool, *id), *class, *tenant, *upload_time, name);
             }
             Event::RejectedByListener { class, reason } => self.book_turned(at, pool, *class, *reason),
-            Event::ResourceExhausted(what) => self.accounts.short[usize::from(*what == ExhaustedResource::UpstreamConnection)] += 1,
+            Event::ResourceExhausted(what) => {
+                self.accounts.resource_exhaustions
+                    [usize::from(*what == ExhaustedResource::UpstreamConnection)] += 1
+            }
             Event::Decision(DecisionEvent::Ejected { endpoint, duration }) => {
-                let key = ServerKey { pool, server: endpoint.0 };
-                self.accounts.servers.at(at, key).aside += duration / 1_000;
+                let key = EndpointKey { pool, endpoint: endpoint.0 };
+                self.accounts.endpoints.row_mut(at, key).ejected_us += duration / 1_000;
             }
             Event::AttemptEnded { endpoint, outcome, duration, connect_time, id, .. } => {
                 self.book_attempt(at, pool, *id, *endpoint, *outcome, (*duration, *connect_time));
@@ -196,7 +199,10 @@
                 }
             }
             Event::Decision(DecisionEvent::LimitChanged { endpoint, from, to, .. }) => {
-                self.accounts.servers.at(at, ServerKey { pool, server: endpoint.0 }).limit = *to;
+                self.accounts
+                    .endpoints
+                    .row_mut(at, EndpointKey { pool, endpoint: endpoint.0 })
+                    .concurrency_limit = *to;
                 if self.limits.len() >= LIMITS {
                     self.limits.clear();
                 }
@@ -221,28 +227,29 @@
         class: u16,
         tenant: Option<u32>,
         sending: Nanos,
-        name: &Name,
+        name: &BoundedName,
     ) {
-        if self.open_size + OPEN + name.start.len() > self.memory / 8 {
+        if self.open_size + OPEN + name.prefix.len() > self.memory / 8 {
             self.untold += 1;
             return;
         }
         let known = self.class(key.0, class);
-        let (worth, late, aim) = known.map_or((1.0, 0.0, Nanos::MAX), |c| (c.worth, c.late_worth, c.aim_ns));
+        let (worth, late, aim) = known
+            .map_or((1.0, 0.0, Nanos::MAX), |c| (c.priority_weight, c.late_weight, c.latency_objective_ns));
         let last = at / crate::event_ring::UNIT * crate::event_ring::UNIT;
         let mut page = self.spare.pop().unwrap_or_default();
         page.extend_from_slice(&last.to_le_bytes());
-        let life = Life::new(at, sending, worth, late, aim);
+        let life = RequestProgress::new(at, sending, worth, late, aim);
         let name = name.clone();
-        self.open_size += OPEN + name.start.len() + page.len();
+        self.open_size += OPEN + name.prefix.len() + page.len();
         let open = Open { life, class, tenant, name, page, last, cut: false, verdict: None, hurdles: None };
         if let Some(old) = self.open.insert(key, Box::new(open)) {
             // Numbers come round; one whose end was never told makes way.
-            self.open_size -= OPEN + old.name.start.len() + old.page.len();
+            self.open_size -= OPEN + old.name.prefix.len() + old.page.len();
         }
     }
 
-    fn class(&self, pool: PoolId, class: u16) -> Option<&crate::recording::ClassHead> {
+    fn class(&self, pool: PoolId, class: u16) -> Option<&crate::recording::ClassHeader> {
         self.head.pools.get(usize::from(pool.0))?.classes.get(usize::from(class))
     }
 
@@ -253,44 +260,48 @@
         let before = open.page.len();
         // A record's own numbers take ten bytes or so.
         if before + bytes.len() + 16 <= LONGEST_STORY && self.open_size + bytes.len() + 16 <= most {
-            append(&mut open.page, &mut open.last, at, key.0, bytes);
+            append_record(&mut open.page, &mut open.last, at, key.0, bytes);
             self.open_size += open.page.len() - before;
         } else {
             open.cut = true;
         }
-        open.life.see(at, event);
+        open.life.observe(at, event);
         if let Event::RequestEnded { outcome, .. } = event
             && open.verdict.is_none()
         {
-            let verdict = open.life.judge(at, *outcome);
+            let verdict = open.life.assess(at, *outcome);
             open.verdict = Some((verdict, at, *outcome));
             let class = open.class;
             self.book(at, key.0, class, &verdict);
         }
         let Some(open) = self.open.get(&key) else { return };
-        if open.verdict.is_some() && open.life.out() == 0 {
+        if open.verdict.is_some() && open.life.in_flight() == 0 {
             self.close(key);
         }
     }
 
     /// Books a request's end.
-    fn book(&mut self, at: Nanos, pool: PoolId, class: u16, verdict: &Verdict) {
-        let flow = self.accounts.flows.at(at, FlowKey { pool, class });
-        flow.count += 1;
-        flow.asked += verdict.asked;
+    fn book(&mut self, at: Nanos, pool: PoolId, class: u16, verdict: &LossAssessment) {
+        let flow = self.accounts.traffic.row_mut(at, TrafficKey { pool, class });
+        flow.requests += 1;
+        flow.offered += verdict.offered;
         flow.earned += verdict.earned;
         if let Some(cause) = verdict.cause {
-            let server = verdict.server.map_or(NOBODY, |server| server.0);
-            let loss = self.accounts.losses.at(at, LossKey { pool, class, cause: cause.code(), server });
-            loss.count += 1;
+            let server = verdict.endpoint.map_or(NO_ENDPOINT, |server| server.0);
+            let loss = self
+                .accounts
+                .losses
+                .row_mut(at, LossKey { pool, class, cause: cause.code(), endpoint: server });
+            loss.requests += 1;
             loss.lost += verdict.lost();
         }
     }
 
     fn book_turned(&mut self, at: Nanos, pool: PoolId, class: u16, why: ListenerRejection) {
-        let worth = self.class(pool, class).map_or(0, |class| micro(class.worth));
-        let cause = Some(Cause::turned(why));
-        let verdict = Verdict { asked: worth, earned: 0, cause, server: None, stop: None };
+        let worth = self.class(pool, class).map_or(0, |class| to_micro_weight(class.priority_weight));
+        let cause = Some(LossCause::turned(why));
+        let verdict =
+            LossAssessment { offered: worth, earned: 0, cause, endpoint: None, no_retry_reason: None };
         self.book(at, pool, class, &verdict);
         self.meters.turned(why);
     }
@@ -308,26 +319,30 @@
         let class = self.open.get(&(pool, id)).map(|open| open.class);
         let mut stretch = 0;
         if let Some(class) = class {
-            let flow = self.accounts.flows.at(at, FlowKey { pool, class });
+            let flow = self.accounts.traffic.row_mut(at, TrafficKey { pool, class });
             if outcome == AttemptOutcome::Success {
-                flow.answered += 1;
-                flow.took += micros;
-                flow.least = if flow.least == 0 { micros + 1 } else { flow.least.min(micros + 1) };
-                let mean = (flow.took / flow.answered).max(1);
+                flow.answered_attempts += 1;
+                flow.answered_us += micros;
+                flow.fastest_us_plus_one = if flow.fastest_us_plus_one == 0 {
+                    micros + 1
+                } else {
+                    flow.fastest_us_plus_one.min(micros + 1)
+                };
+                let mean = (flow.answered_us / flow.answered_attempts).max(1);
                 // A stretch over a hundred says no more than a hundred.
                 stretch = (micros * 1_000 / mean).min(100_000);
             } else {
-                flow.unanswered += 1;
+                flow.unanswered_attempts += 1;
             }
         }
-        let row = self.accounts.servers.at(at, ServerKey { pool, server: server.0 });
-        row.ended[outcome_index(outcome)] += 1;
-        row.dial += dial / 1_000;
+        let row = self.accounts.endpoints.row_mut(at, EndpointKey { pool, endpoint: server.0 });
+        row.attempts_by_outcome[outcome_index(outcome)] += 1;
+        row.connect_us += dial / 1_000;
         if outcome == AttemptOutcome::Success {
-            row.good += micros;
-            row.stretch += stretch;
+            row.answered_us += micros;
+            row.relative_latency_permille += stretch;
         } else {
-            row.bad += micros;
+            row.unanswered_us += micros;
         }
         self.meters.attempt(outcome);
     }
@@ -335,24 +350,26 @@
     /// The request is over, and no attempt of it is out.
     fn close(&mut self, key: (PoolId, RequestId)) {
         let Some(mut open) = self.open.remove(&key) else { return };
-        self.open_size -= OPEN + open.name.start.len() + open.page.len();
+        self.open_size -= OPEN + open.name.prefix.len() + open.page.len();
         let Some((verdict, at, how)) = open.verdict else { return };
-        let used = open.life.used(at);
-        let took = at.saturating_sub(open.life.asked_at());
+        let used = open.life.objective_used(at);
+        let took = at.saturating_sub(open.life.admitted_at());
         let pool = self.head.pools.get(usize::from(key.0.0));
         let class = pool.and_then(|pool| pool.classes.get(usize::from(open.class)));
         if let (Some(pool), Some(class)) = (pool, class) {
             let of = ((key.0.0, open.class), (pool.name.as_str(), class.name.as_str()));
             self.meters.request(of, how, took, &open.name, at);
         }
-        let matters = verdict.cause.is_some() || open.life.sends() > 1 || used > SLOW;
+        let matters = verdict.cause.is_some() || open.life.attempts_started() > 1 || used > SLOW;
         let weight = match how {
-            RequestOutcome::Served if !matters => self.rarity((key.0, open.class, open.tenant.unwrap_or(u32::MAX)), at),
+            RequestOutcome::Served if !matters => {
+                self.rarity((key.0, open.class, open.tenant.unwrap_or(u32::MAX)), at)
+            }
             RequestOutcome::Served if verdict.cause.is_none() => 1.0,
             RequestOutcome::Served | RequestOutcome::Rejected => 2.0,
             _ => 4.0,
         };
-        let size = STORY + open.page.len() + open.name.start.len();
+        let size = STORY + open.page.len() + open.name.prefix.len();
         let kept = &mut self.kept[usize::from(!matters)];
         if let Some(priority) = kept.draw(weight, at, size) {
             let story = RequestTimeline {
@@ -402,7 +419,7 @@
 
     /// The sums so far.
     #[must_use]
-    pub fn accounts(&self) -> &Accounts {
+    pub fn accounts(&self) -> &LossLedger {
         &self.accounts
     }
 
@@ -413,7 +430,7 @@
     }
 
     /// The metrics, for gauges of the node's own.
-    pub fn meters(&mut self) -> &mut Meters {
+    pub fn meters(&mut self) -> &mut RequestMetrics {
         &mut self.meters
     }
 
@@ -423,8 +440,8 @@
         let mut head = self.head.clone();
         head.at = at;
         head.reason = reason.into();
-        head.wrapped = self.ring.wrapped();
-        head.untold = self.untold;
+        head.overwritten_events = self.ring.wrapped();
+        head.untracked_requests = self.untold;
         let mut stories: Vec<_> = self.kept.iter().flat_map(Reservoir::iter).collect();
         stories.sort_by(|(one, _), (other, _)| other.total_cmp(one));
         // Requests that are open have no end yet, and are often those that are asked about.
--- a/crates/flight-recorder/src/recording.rs
+++ b/crates/flight-recorder/src/recording.rs
@@ -9,14 +9,14 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::loss_ledger::Accounts;
-use crate::wire_format::{Reader, put, put_bytes, put_some};
+use crate::bounded_text::BoundedName;
 use crate::event::PoolId;
+use crate::event_ring::{Record, decode_records};
+use crate::loss_cause::LossCause;
+use crate::loss_ledger::LossLedger;
 use crate::request_timeline::{ClassInfo, RequestTimeline};
-use crate::loss_cause::Cause;
-use crate::event_ring::{Record, records};
 use crate::tenant_names::TenantNames;
-use crate::bounded_text::Name;
+use crate::wire_format::{Reader, put, put_bytes, put_some};
 
 /// The first bytes.
 pub const MAGIC: &[u8; 8] = b"PHEADREC";
@@ -36,7 +36,7 @@
 /// What a dump is of.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Head {
+pub struct RecordingHeader {
     /// The node's name.
     pub node: String,
     /// The version of the program.
@@ -48,59 +48,65 @@
     /// Why.
     pub reason: String,
     /// Its pools, by their numbers.
-    pub pools: Vec<PoolHead>,
+    pub pools: Vec<PoolHeader>,
     /// Its tenants' names.
     pub tenants: TenantNames,
     /// Events that had made way in the ring.
-    pub wrapped: u64,
+    #[serde(rename = "wrapped")]
+    pub overwritten_events: u64,
     /// Requests whose stories were not followed for lack of memory.
-    pub untold: u64,
+    #[serde(rename = "untold")]
+    pub untracked_requests: u64,
 }
 
 /// A pool.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct PoolHead {
+pub struct PoolHeader {
     /// Its name.
     pub name: String,
     /// Its classes, by their places.
-    pub classes: Vec<ClassHead>,
-    /// Its tenants by their ids, in recordings of versions that named them for each pool; now [`Head::tenants`] has them.
+    pub classes: Vec<ClassHeader>,
+    /// Its tenants by their ids, in recordings of versions that named them for each pool; now [`RecordingHeader::tenants`] has them.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<String>,
     /// Its servers' names by their ids, in the order in which they were first heard of.
-    pub servers: Vec<(u32, String)>,
+    #[serde(rename = "servers")]
+    pub endpoints: Vec<(u32, String)>,
 }
 
 /// A class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct ClassHead {
+pub struct ClassHeader {
     /// Its name.
     pub name: String,
     /// Its aim.
-    pub aim_ns: Nanos,
+    #[serde(rename = "aim_ns")]
+    pub latency_objective_ns: Nanos,
     /// Its deadline.
     pub deadline_ns: Nanos,
     /// Its worth.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// The share of it that a late answer earns.
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub late_weight: f64,
 }
 
-impl From<&ClassInfo> for ClassHead {
+impl From<&ClassInfo> for ClassHeader {
     fn from(class: &ClassInfo) -> Self {
         Self {
             name: class.name.clone(),
-            aim_ns: class.latency_objective,
+            latency_objective_ns: class.latency_objective,
             deadline_ns: class.deadline,
-            worth: class.priority_weight,
-            late_worth: class.late_weight,
+            priority_weight: class.priority_weight,
+            late_weight: class.late_weight,
         }
     }
 }
 
-impl Head {
+impl RecordingHeader {
     /// Of a node.
     #[must_use]
     pub fn new(node: &str, start: Nanos) -> Self {
@@ -132,29 +138,29 @@
     #[must_use]
     pub fn server(&self, pool: PoolId, server: u32) -> String {
         let pool = self.pools.get(usize::from(pool.0));
-        let name = pool.and_then(|pool| pool.servers.iter().find(|(id, _)| *id == server));
+        let name = pool.and_then(|pool| pool.endpoints.iter().find(|(id, _)| *id == server));
         name.map_or_else(|| format!("#{server}"), |(_, name)| crate::bounded_text::plain(name))
     }
 }
 
-impl PoolHead {
+impl PoolHeader {
     pub(crate) fn name_server(&mut self, id: u32, name: &str) {
-        if let Some(known) = self.servers.iter_mut().find(|(known, _)| *known == id) {
+        if let Some(known) = self.endpoints.iter_mut().find(|(known, _)| *known == id) {
             if known.1 != name {
                 known.1 = name.into();
             }
             return;
         }
-        if self.servers.len() >= NAMED {
-            self.servers.remove(0);
+        if self.endpoints.len() >= NAMED {
+            self.endpoints.remove(0);
         }
-        self.servers.push((id, name.into()));
+        self.endpoints.push((id, name.into()));
     }
 }
 
 /// Why a file is no dump.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum DumpError {
+pub enum RecordingError {
     /// It begins otherwise.
     #[error("not a recording of pumicehead")]
     Magic,
@@ -180,13 +186,13 @@
 
 /// A dump as far as it can be read.
 #[derive(Clone, Debug)]
-pub struct Dump {
+pub struct Recording {
     /// What it is of.
-    pub head: Head,
+    pub head: RecordingHeader,
     /// Its sums; `None` where they are damaged.
-    pub accounts: Option<Accounts>,
+    pub ledger: Option<LossLedger>,
     /// Its stories, those that matter most first.
-    pub stories: Vec<RequestTimeline>,
+    pub timelines: Vec<RequestTimeline>,
     /// Its events in the order of their times.
     pub records: Vec<Record>,
     /// Where it breaks off, if it does.
@@ -211,8 +217,8 @@
 
 /// A dump's bytes. Pages come as they are to be written: the newest first, so that a damaged tail costs the oldest.
 pub fn write<'a>(
-    head: &Head,
-    accounts: &Accounts,
+    head: &RecordingHeader,
+    accounts: &LossLedger,
     stories: impl Iterator<Item = &'a RequestTimeline>,
     pages: impl Iterator<Item = &'a [u8]>,
 ) -> Vec<u8> {
@@ -230,7 +236,7 @@
         put(&mut contents, story.ended_at);
         put_some(&mut contents, story.cause.map(|cause| u64::from(cause.code())));
         contents.push(u8::from(story.truncated));
-        put_bytes(&mut contents, story.name.start.as_bytes());
+        put_bytes(&mut contents, story.name.prefix.as_bytes());
         contents.extend_from_slice(&story.name.hash.to_le_bytes());
         put_bytes(&mut contents, &story.encoded_events);
         frame(&mut out, STORY, &contents);
@@ -248,9 +254,12 @@
         pool: PoolId(from.small()?),
         class: from.small()?,
         ended_at: from.number()?,
-        cause: from.some()?.map(|code| u8::try_from(code).map_or(Cause::Other, Cause::of)),
+        cause: from.some()?.map(|code| u8::try_from(code).map_or(LossCause::Other, LossCause::of)),
         truncated: from.byte()? != 0,
-        name: Name { start: from.text()?.into(), hash: u64::from_le_bytes(from.take(8)?.try_into().ok()?) },
+        name: BoundedName {
+            prefix: from.text()?.into(),
+            hash: u64::from_le_bytes(from.take(8)?.try_into().ok()?),
+        },
         encoded_events: from.bytes()?.into(),
     })
 }
@@ -264,33 +273,33 @@
     (sum(kind, contents) == told).then_some((kind, contents))
 }
 
-impl Dump {
+impl Recording {
     /// Reads a file.
     ///
     /// # Errors
-    /// Why it is no dump, or none of this version. Damage behind the head is no error, and told in [`Dump::damage`].
-    pub fn read(bytes: &[u8]) -> Result<Self, DumpError> {
+    /// Why it is no dump, or none of this version. Damage behind the head is no error, and told in [`Recording::damage`].
+    pub fn read(bytes: &[u8]) -> Result<Self, RecordingError> {
         if bytes.len() > LONGEST {
-            return Err(DumpError::TooLong(bytes.len()));
+            return Err(RecordingError::TooLong(bytes.len()));
         }
         let mut from = Reader(bytes);
         if from.take(MAGIC.len()) != Some(MAGIC) {
-            return Err(DumpError::Magic);
+            return Err(RecordingError::Magic);
         }
         let version = from.take(2).map_or(0, |two| u16::from_le_bytes([two[0], two[1]]));
         if version == 0 || version > VERSION {
-            return Err(DumpError::Version(version));
+            return Err(RecordingError::Version(version));
         }
-        let Some((HEAD, head)) = next(&mut from) else { return Err(DumpError::Head) };
-        let head = serde_json::from_slice(head).map_err(|_| DumpError::Head)?;
-        let mut dump = Self { head, accounts: None, stories: Vec::new(), records: Vec::new(), damage: None };
+        let Some((HEAD, head)) = next(&mut from) else { return Err(RecordingError::Head) };
+        let head = serde_json::from_slice(head).map_err(|_| RecordingError::Head)?;
+        let mut dump = Self { head, ledger: None, timelines: Vec::new(), records: Vec::new(), damage: None };
         loop {
             let at = bytes.len() - from.0.len();
             match next(&mut from) {
                 Some((END, _)) => break,
-                Some((SUMS, contents)) => dump.accounts = Accounts::read(&mut Reader(contents)),
-                Some((STORY, contents)) => dump.stories.extend(story(contents)),
-                Some((PAGE, contents)) => dump.records.extend(records(contents).0),
+                Some((SUMS, contents)) => dump.ledger = LossLedger::read(&mut Reader(contents)),
+                Some((STORY, contents)) => dump.timelines.extend(story(contents)),
+                Some((PAGE, contents)) => dump.records.extend(decode_records(contents).0),
                 Some(_) => {}
                 None => {
                     dump.damage = Some(Damage { at, of: bytes.len() });
@@ -305,7 +314,7 @@
     /// The stories of a request by the name that its client gave it, the newest first.
     #[must_use]
     pub fn find(&self, name: &str) -> Vec<&RequestTimeline> {
-        let mut found: Vec<_> = self.stories.iter().filter(|story| story.name.is(name)).collect();
+        let mut found: Vec<_> = self.timelines.iter().filter(|story| story.name.is(name)).collect();
         found.sort_by_key(|story| std::cmp::Reverse(story.ended_at));
         found
     }
--- a/crates/flight-recorder/src/request_timeline.rs
+++ b/crates/flight-recorder/src/request_timeline.rs
@@ -2,9 +2,9 @@
 
 use pumicehead_policy::Nanos;
 
+use crate::bounded_text::BoundedName;
 use crate::event::PoolId;
-use crate::loss_cause::Cause;
-use crate::bounded_text::Name;
+use crate::loss_cause::LossCause;
 
 /// What a pool's classes are.
 #[derive(Clone, Debug, PartialEq)]
@@ -29,11 +29,11 @@
     /// Its class, by its place in the pool.
     pub class: u16,
     /// What its client calls it.
-    pub name: Name,
+    pub name: BoundedName,
     /// When it ended.
     pub ended_at: Nanos,
     /// What its loss was put down to, if it had one.
-    pub cause: Option<Cause>,
+    pub cause: Option<LossCause>,
     /// Its events as a page, to be read by [`crate::event_ring::records`].
     pub encoded_events: Box<[u8]>,
     /// Some events did not fit.
--- a/crates/flight-recorder/src/timeline_text.rs
+++ b/crates/flight-recorder/src/timeline_text.rs
@@ -7,12 +7,12 @@
 };
 use pumicehead_policy::{AttemptOutcome, Nanos};
 
-use crate::recording::Head;
 use crate::event::{Event, RequestOutcome};
+use crate::event_ring::decode_records;
+use crate::loss_cause::outcome_text;
+use crate::recording::RecordingHeader;
 use crate::request_timeline::RequestTimeline;
-use crate::loss_cause::said;
 use crate::timestamp;
-use crate::event_ring::records;
 
 fn hurdle(hurdle: ExclusionReason) -> &'static str {
     match hurdle {
@@ -59,13 +59,15 @@
         RequestOutcome::Rejected => "The client was told to come back later; nothing had happened.",
         RequestOutcome::Failed => "The client was told that it failed.",
         RequestOutcome::DeadlineExceeded => "The client was told that its time was up.",
-        RequestOutcome::BodyFailed => "The client was told that its body was too slow, too long or broken off.",
+        RequestOutcome::BodyFailed => {
+            "The client was told that its body was too slow, too long or broken off."
+        }
         RequestOutcome::ClientDisconnected => "The client had left.",
     }
 }
 
 /// What an event of a request says; nothing where it adds nothing to its neighbours.
-fn sentence(head: &Head, story: &RequestTimeline, event: &Event) -> Option<String> {
+fn sentence(head: &RecordingHeader, story: &RequestTimeline, event: &Event) -> Option<String> {
     let server = |id: u32| head.server(story.pool, id);
     Some(match event {
         Event::RequestAdmitted { class, tenant, client_timeout, upload_time, revision, .. } => {
@@ -73,10 +75,14 @@
                 "It came as `{}` to {}, and its client waits {}.",
                 head.class(story.pool, *class),
                 head.pool(story.pool),
-                timestamp::span(*client_timeout)
+                timestamp::format_duration(*client_timeout)
             );
             if *upload_time > 1_000_000 {
-                let _ = write!(text, " It took its client {} to send it.", timestamp::span(*upload_time));
+                let _ = write!(
+                    text,
+                    " It took its client {} to send it.",
+                    timestamp::format_duration(*upload_time)
+                );
             }
             if let Some(tenant) = tenant {
                 let _ = write!(text, " Tenant: {}.", head.tenant(story.pool, *tenant));
@@ -115,10 +121,12 @@
             }
             text
         }
-        Event::Decision(DecisionEvent::NoEndpointAvailable { exclusions, .. }) => match passed_over(exclusions) {
-            over if over.is_empty() => "All places of the node were taken.".into(),
-            over => format!("No server would do: {over}."),
-        },
+        Event::Decision(DecisionEvent::NoEndpointAvailable { exclusions, .. }) => {
+            match passed_over(exclusions) {
+                over if over.is_empty() => "All places of the node were taken.".into(),
+                over => format!("No server would do: {over}."),
+            }
+        }
         Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { reason: why, pressure, .. }) => {
             let mut text = format!("Given up: {}.", rule(*why));
             if *pressure > 0.0 {
@@ -127,26 +135,37 @@
             text
         }
         Event::AttemptStarted { attempt, endpoint: id, timeout, .. } => {
-            let timeout =
-                timeout.map_or(String::new(), |span| format!(", for {} at most", timestamp::span(span)));
+            let timeout = timeout
+                .map_or(String::new(), |span| format!(", for {} at most", timestamp::format_duration(span)));
             format!("Attempt {} to {}{timeout}.", attempt.0 + 1, server(id.0))
         }
-        Event::AttemptEnded { attempt, endpoint: id, outcome, duration, connect_time, connection_idle, .. } => {
+        Event::AttemptEnded {
+            attempt,
+            endpoint: id,
+            outcome,
+            duration,
+            connect_time,
+            connection_idle,
+            ..
+        } => {
             let dial = if *connect_time > 1_000_000 {
-                format!(", {} of it for a connection", timestamp::span(*connect_time))
+                format!(", {} of it for a connection", timestamp::format_duration(*connect_time))
             } else {
                 String::new()
             };
             let kept = match connection_idle {
-                Some(idle) => format!(", on a connection that had been idle for {}", timestamp::span(*idle)),
+                Some(idle) => {
+                    format!(", on a connection that had been idle for {}", timestamp::format_duration(*idle))
+                }
                 None => String::new(),
             };
-            let how = if *outcome == AttemptOutcome::NotSent { "was never sent" } else { said(*outcome) };
+            let how =
+                if *outcome == AttemptOutcome::NotSent { "was never sent" } else { outcome_text(*outcome) };
             format!(
                 "Attempt {} at {}: {how} after {}{dial}{kept}.",
                 attempt.0 + 1,
                 server(id.0),
-                timestamp::span(*duration)
+                timestamp::format_duration(*duration)
             )
         }
         Event::ResponseStarted { attempt, .. } => {
@@ -159,15 +178,16 @@
 
 /// A story, a line an event, each with the time since the request came.
 #[must_use]
-pub fn tell(head: &Head, story: &RequestTimeline) -> String {
-    let (events, whole) = records(&story.encoded_events);
+pub fn render(head: &RecordingHeader, story: &RequestTimeline) -> String {
+    let (events, whole) = decode_records(&story.encoded_events);
     let begin = events.first().map_or(story.ended_at, |record| record.at);
-    let mut out = format!("request {}, from {}\n", story.name.shown(), timestamp::shown(begin, head.start));
+    let mut out =
+        format!("request {}, from {}\n", story.name.shown(), timestamp::format_timestamp(begin, head.start));
     let mut over = false;
     for record in &events {
         if let Some(sentence) = sentence(head, story, &record.event) {
             let since: Nanos = record.at.saturating_sub(begin);
-            let _ = writeln!(out, "  +{:>10}  {sentence}", timestamp::span(since));
+            let _ = writeln!(out, "  +{:>10}  {sentence}", timestamp::format_duration(since));
         }
         over |= matches!(record.event, Event::RequestEnded { .. });
     }
--- a/crates/flight-recorder/src/timestamp.rs
+++ b/crates/flight-recorder/src/timestamp.rs
@@ -8,14 +8,14 @@
 /// A text that names no moment.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is no moment: seconds since the node's start (12.5), or a time of day in UTC (13:05:20)")]
-pub struct NoMoment(String);
+pub struct TimestampError(String);
 
 /// Reads seconds since `start`, or the first such time of day in UTC that is not before `start`.
 ///
 /// # Errors
-/// [`NoMoment`].
-pub fn parse(text: &str, start: Nanos) -> Result<Nanos, NoMoment> {
-    let fault = || NoMoment(crate::bounded_text::plain(&text.chars().take(40).collect::<String>()));
+/// [`TimestampError`].
+pub fn parse(text: &str, start: Nanos) -> Result<Nanos, TimestampError> {
+    let fault = || TimestampError(crate::bounded_text::plain(&text.chars().take(40).collect::<String>()));
     let seconds = |part: &str| {
         let plain = !part.is_empty() && part.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
         part.parse::<f64>().ok().filter(|n| plain && n.is_finite() && *n < 1e9)
@@ -46,7 +46,7 @@
 
 /// A moment as seconds since the start and the time of day in UTC.
 #[must_use]
-pub fn shown(at: Nanos, start: Nanos) -> String {
+pub fn format_timestamp(at: Nanos, start: Nanos) -> String {
     let since = at.saturating_sub(start) as f64 / SECOND as f64;
     let of_day = at / SECOND % DAY;
     format!("{since:.3} s ({:02}:{:02}:{:02})", of_day / 3_600, of_day / 60 % 60, of_day % 60)
@@ -54,7 +54,7 @@
 
 /// A span in the unit that suits it.
 #[must_use]
-pub fn span(span: Nanos) -> String {
+pub fn format_duration(span: Nanos) -> String {
     match span {
         0..1_000_000 => format!("{} us", span / 1_000),
         1_000_000..SECOND => format!("{:.1} ms", span as f64 / 1e6),
@@ -79,7 +79,10 @@
         {
             assert!(parse(bad, start).is_err(), "{bad}");
         }
-        assert_eq!(shown(start + 2 * SECOND, start), "2.000 s (13:05:12)");
-        assert_eq!([span(900), span(1_500_000), span(2 * SECOND)], ["0 us", "1.5 ms", "2.00 s"]);
+        assert_eq!(format_timestamp(start + 2 * SECOND, start), "2.000 s (13:05:12)");
+        assert_eq!(
+            [format_duration(900), format_duration(1_500_000), format_duration(2 * SECOND)],
+            ["0 us", "1.5 ms", "2.00 s"]
+        );
     }
 }
--- a/crates/flight-recorder/tests/bounds.rs
+++ b/crates/flight-recorder/tests/bounds.rs
@@ -4,17 +4,17 @@
 
 use common::*;
 use proptest::prelude::*;
-use pumicehead_flight_recorder::loss_ledger::{Key, Loss, LossKey, Row, Table};
 use pumicehead_flight_recorder::breakdown::Breakdown;
-use pumicehead_flight_recorder::recording::Dump;
-use pumicehead_flight_recorder::event::{Event, RequestOutcome, PoolId};
+use pumicehead_flight_recorder::event::{Event, PoolId, RequestOutcome};
+use pumicehead_flight_recorder::event_ring::{EventRing, PAGE, decode_records};
+use pumicehead_flight_recorder::loss_ledger::{Key, LossKey, LossTotals, Row, SlotTable};
 use pumicehead_flight_recorder::recorder::{LEAST_MEMORY, Level};
+use pumicehead_flight_recorder::recording::Recording;
 use pumicehead_flight_recorder::reservoir::{DECAY, Reservoir};
-use pumicehead_flight_recorder::event_ring::{PAGE, Ring, records};
 use pumicehead_policy::decision_event::{DecisionEvent, ExclusionReasons, RejectionReason};
 use pumicehead_policy::*;
 
-fn calm(ring: &mut Ring, at: Nanos) {
+fn calm(ring: &mut EventRing, at: Nanos) {
     let mut bytes = Vec::new();
     Event::Decision(DecisionEvent::OverloadEnded).encode(&mut bytes);
     ring.push(at, PoolId(0), &bytes);
@@ -26,7 +26,7 @@
     /// The ring is never over its memory, and what it holds is the newest run of events, whole.
     #[test]
     fn a_ring_keeps_the_newest(memory in 0usize..100_000, steps in proptest::collection::vec(0u64..3_000_000, 0..5_000)) {
-        let mut ring = Ring::new(memory);
+        let mut ring = EventRing::new(memory);
         let (mut at, mut all) = (START, Vec::new());
         for step in steps {
             at += step * 1_000;
@@ -34,7 +34,7 @@
             calm(&mut ring, at);
             prop_assert!(ring.memory() <= memory.max(2 * PAGE));
         }
-        let held: Vec<_> = ring.pages().flat_map(|page| records(page).0).map(|record| record.at).collect();
+        let held: Vec<_> = ring.pages().flat_map(|page| decode_records(page).0).map(|record| record.at).collect();
         prop_assert_eq!(held.len() as u64 + ring.wrapped(), all.len() as u64);
         prop_assert_eq!(&all[all.len() - held.len()..], &held[..]);
     }
@@ -42,17 +42,17 @@
     /// Sums stay exact however the table has to give way.
     #[test]
     fn tables_lose_nothing(most in 2usize..40, rows in proptest::collection::vec((0u64..10_000, 0u16..20, 0u64..1_000_000), 1..400)) {
-        let mut table: Table<LossKey, Loss> = Table::new(START, most);
-        let mut sum = Loss::default();
+        let mut table: SlotTable<LossKey, LossTotals> = SlotTable::new(START, most);
+        let mut sum = LossTotals::default();
         for (second, class, lost) in rows {
             let key = LossKey { class, ..LossKey::OTHER };
-            let loss = Loss { count: 1, lost };
-            table.at(START + second * SECOND, key).add(&loss);
+            let loss = LossTotals { requests: 1, lost };
+            table.row_mut(START + second * SECOND, key).add(&loss);
             sum.add(&loss);
             prop_assert!(table.len() <= most + 1);
         }
-        let mut held = Loss::default();
-        table.within(0, Nanos::MAX).for_each(|(_, _, loss)| held.add(loss));
+        let mut held = LossTotals::default();
+        table.rows_between(0, Nanos::MAX).for_each(|(_, _, loss)| held.add(loss));
         prop_assert_eq!(held, sum);
     }
 
@@ -75,13 +75,13 @@
             day.now += pause * MS;
             prop_assert!(day.recorder.memory() <= day.recorder.most_memory());
         }
-        let dump = Dump::read(&day.recorder.dump(day.now, "test")).unwrap();
+        let dump = Recording::read(&day.recorder.dump(day.now, "test")).unwrap();
         let whole = Breakdown::of(&dump, 0, Nanos::MAX).unwrap();
         for (name, parts) in &whole.views {
             let sum: u64 = parts.iter().map(|part| part.lost).sum();
             prop_assert_eq!(sum, whole.lost(), "by {}", name);
         }
-        let accounts = dump.accounts.as_ref().unwrap();
+        let accounts = dump.ledger.as_ref().unwrap();
         let (_, middle) = accounts.aligned(START, START + cut * SECOND);
         let halves = [(0, middle), (middle, Nanos::MAX)].map(|(a, b)| Breakdown::of(&dump, a, b).unwrap());
         prop_assert_eq!(halves[0].lost() + halves[1].lost(), whole.lost());
@@ -152,13 +152,13 @@
     assert!(day.now >= START + 3_600 * SECOND);
     let file = day.recorder.dump(day.now, "test");
     assert!(file.len() < 2 << 20, "{}", file.len());
-    let dump = Dump::read(&file).unwrap();
+    let dump = Recording::read(&file).unwrap();
     let whole = Breakdown::of(&dump, 0, Nanos::MAX).unwrap();
     assert_eq!((whole.requests, whole.lost()), (6_000_000, 120_000 * 1_000_000));
     // The sample is fair to the class that fails and to the other, and both kinds of end are there.
     assert!(
-        dump.stories.iter().any(|story| story.cause.is_none())
-            && dump.stories.iter().any(|s| s.cause.is_some())
+        dump.timelines.iter().any(|story| story.cause.is_none())
+            && dump.timelines.iter().any(|s| s.cause.is_some())
     );
 }
 
@@ -173,10 +173,10 @@
     }
     day.end(id, 0, 3, AttemptOutcome::TimedOut, 20 * SECOND);
     day.over(id, RequestOutcome::DeadlineExceeded);
-    let dump = Dump::read(&day.recorder.dump(day.now, "test")).unwrap();
-    assert!(dump.head.wrapped > 0);
+    let dump = Recording::read(&day.recorder.dump(day.now, "test")).unwrap();
+    assert!(dump.head.overwritten_events > 0);
     let story = dump.find("the long one")[0];
-    let text = pumicehead_flight_recorder::timeline_text::tell(&dump.head, story);
+    let text = pumicehead_flight_recorder::timeline_text::render(&dump.head, story);
     assert!(
         text.contains("It came as `submit`") && text.contains("Attempt 1 at s-3: no answer in time"),
         "{text}"
@@ -199,10 +199,10 @@
         assert!(day.recorder.memory() <= LEAST_MEMORY);
     }
     day.over(id, RequestOutcome::Failed);
-    let dump = Dump::read(&day.recorder.dump(day.now, "test")).unwrap();
-    let story = &dump.stories[0];
+    let dump = Recording::read(&day.recorder.dump(day.now, "test")).unwrap();
+    let story = &dump.timelines[0];
     assert!(story.truncated && story.encoded_events.len() <= 1_024);
-    let text = pumicehead_flight_recorder::timeline_text::tell(&dump.head, story);
+    let text = pumicehead_flight_recorder::timeline_text::render(&dump.head, story);
     assert!(text.lines().all(|line| !line.contains('\u{1b}')));
 }
 
@@ -214,8 +214,8 @@
         day.ask(0, &format!("{n}"));
         assert!(day.recorder.memory() <= LEAST_MEMORY);
     }
-    let dump = Dump::read(&day.recorder.dump(day.now, "test")).unwrap();
-    assert!(dump.head.untold > 9_000);
+    let dump = Recording::read(&day.recorder.dump(day.now, "test")).unwrap();
+    assert!(dump.head.untracked_requests > 9_000);
     day.recorder.set_level(Level::Off);
     day.one(0, 0, AttemptOutcome::Reset, MS);
     assert!(day.recorder.accounts().losses.is_empty(), "off is off");
--- a/crates/flight-recorder/tests/causes.rs
+++ b/crates/flight-recorder/tests/causes.rs
@@ -3,15 +3,15 @@
 mod common;
 
 use common::*;
-use pumicehead_flight_recorder::findings::{Finding, Matter, Subject, find};
-use pumicehead_flight_recorder::recording::Dump;
-use pumicehead_flight_recorder::event::{Event, RequestOutcome, ExhaustedResource, ListenerRejection};
+use pumicehead_flight_recorder::event::{Event, ExhaustedResource, ListenerRejection, RequestOutcome};
+use pumicehead_flight_recorder::findings::{Finding, Subject, Symptom, find};
+use pumicehead_flight_recorder::recording::Recording;
 use pumicehead_policy::decision_event::RejectionReason;
 use pumicehead_policy::*;
 
 fn first(day: &Day) -> Finding {
-    let dump = Dump::read(&day.recorder.dump(day.now, "test")).unwrap();
-    find(&dump.head, dump.accounts.as_ref().unwrap(), 0, Nanos::MAX).remove(0)
+    let dump = Recording::read(&day.recorder.dump(day.now, "test")).unwrap();
+    find(&dump.head, dump.ledger.as_ref().unwrap(), 0, Nanos::MAX).remove(0)
 }
 
 /// Ten calm rounds over four servers, with a fifth of another kind.
@@ -30,16 +30,16 @@
 #[test]
 fn a_server_at_fault_is_named_with_its_fault() {
     let faults = [
-        (AttemptOutcome::TimedOut, Matter::Silent),
-        (AttemptOutcome::Reset, Matter::Resets),
-        (AttemptOutcome::Error, Matter::Errors),
-        (AttemptOutcome::ConnectFailed, Matter::Unreachable),
-        (AttemptOutcome::Rejected, Matter::TurnsAway),
+        (AttemptOutcome::TimedOut, Symptom::Unresponsive),
+        (AttemptOutcome::Reset, Symptom::ConnectionResets),
+        (AttemptOutcome::Error, Symptom::ErrorResponses),
+        (AttemptOutcome::ConnectFailed, Symptom::Unreachable),
+        (AttemptOutcome::Rejected, Symptom::RejectsRequests),
     ];
     for (outcome, matter) in faults {
         let day = with_fifth(|day, class| day.one(class, 4, outcome, 150 * MS));
         let found = first(&day);
-        assert_eq!((found.subject, found.matter), (Subject::Server(day.pool, 4), matter), "{found:?}");
+        assert_eq!((found.subject, found.symptom), (Subject::Endpoint(day.pool, 4), matter), "{found:?}");
         assert!(
             found.text.contains("s-4") && found.text.contains("100.0% of its attempts, 0.0%"),
             "{}",
@@ -47,7 +47,10 @@
         );
     }
     let day = with_fifth(|day, class| day.one(class, 4, AttemptOutcome::Success, 250 * MS));
-    assert_eq!((first(&day).subject, first(&day).matter), (Subject::Server(day.pool, 4), Matter::Slow));
+    assert_eq!(
+        (first(&day).subject, first(&day).symptom),
+        (Subject::Endpoint(day.pool, 4), Symptom::SlowResponses)
+    );
 }
 
 /// What waits behind a silent server is put down to it; what waits behind busy ones is not.
@@ -59,13 +62,13 @@
         day.refused(class, RejectionReason::QueueTimeout);
     });
     let found = first(&day);
-    assert_eq!((found.subject, found.matter), (Subject::Server(day.pool, 4), Matter::Silent));
-    assert!(found.count >= 600, "refusals are in it: {found:?}");
+    assert_eq!((found.subject, found.symptom), (Subject::Endpoint(day.pool, 4), Symptom::Unresponsive));
+    assert!(found.requests >= 600, "refusals are in it: {found:?}");
     day = with_fifth(|day, class| {
         day.one(class, 0, AttemptOutcome::Success, 22 * MS);
         day.refused(class, RejectionReason::QueueTooLong);
     });
-    assert_eq!((first(&day).subject, first(&day).matter), (Subject::Pool(day.pool), Matter::Crowded));
+    assert_eq!((first(&day).subject, first(&day).symptom), (Subject::Pool(day.pool), Symptom::Overloaded));
 }
 
 #[test]
@@ -76,13 +79,19 @@
         day.one(0, n % 4, AttemptOutcome::Success, 20 * MS);
         day.one(1, n % 4, AttemptOutcome::TimedOut, 20 * MS);
     }
-    assert_eq!((first(&day).subject, first(&day).matter), (Subject::Class(day.pool, 1), Matter::TooTight));
+    assert_eq!(
+        (first(&day).subject, first(&day).symptom),
+        (Subject::Class(day.pool, 1), Symptom::ObjectiveTooShort)
+    );
     let mut day = Day::of(256 << 10, &classes);
     for n in 0..200 {
         day.one(0, n % 4, AttemptOutcome::Success, 20 * MS);
         day.one(1, n % 4, AttemptOutcome::Success, 20 * MS);
     }
-    assert_eq!((first(&day).subject, first(&day).matter), (Subject::Class(day.pool, 1), Matter::TooTight));
+    assert_eq!(
+        (first(&day).subject, first(&day).symptom),
+        (Subject::Class(day.pool, 1), Symptom::ObjectiveTooShort)
+    );
 }
 
 #[test]
@@ -91,12 +100,12 @@
         day.tell(Event::ResourceExhausted(ExhaustedResource::DownstreamConnection));
         day.tell(Event::RejectedByListener { class, reason: ListenerRejection::ConnectionLimit });
     });
-    assert_eq!((first(&day).subject, first(&day).matter), (Subject::Node, Matter::Descriptors));
+    assert_eq!((first(&day).subject, first(&day).symptom), (Subject::Node, Symptom::DescriptorsExhausted));
     day = with_fifth(|day, class| {
         day.tell(Event::ResourceExhausted(ExhaustedResource::UpstreamConnection));
         day.one(class, 0, AttemptOutcome::NotSent, 0);
     });
-    assert_eq!((first(&day).subject, first(&day).matter), (Subject::Node, Matter::Descriptors));
+    assert_eq!((first(&day).subject, first(&day).symptom), (Subject::Node, Symptom::DescriptorsExhausted));
 }
 
 #[test]
@@ -106,7 +115,10 @@
         let outcome = if n % 3 == 0 { AttemptOutcome::Reset } else { AttemptOutcome::Success };
         day.one(0, n % 4, outcome, 20 * MS);
     }
-    assert_eq!((first(&day).subject, first(&day).matter), (Subject::Pool(day.pool), Matter::Resets));
+    assert_eq!(
+        (first(&day).subject, first(&day).symptom),
+        (Subject::Pool(day.pool), Symptom::ConnectionResets)
+    );
 }
 
 #[test]
@@ -118,5 +130,8 @@
         day.over(id, RequestOutcome::ClientDisconnected);
         day.one(0, 1, AttemptOutcome::Success, 20 * MS);
     }
-    assert_eq!((first(&day).subject, first(&day).matter), (Subject::Clients(day.pool), Matter::Leave));
+    assert_eq!(
+        (first(&day).subject, first(&day).symptom),
+        (Subject::Clients(day.pool), Symptom::ClientDisconnects)
+    );
 }
--- a/crates/flight-recorder/tests/common/mod.rs
+++ b/crates/flight-recorder/tests/common/mod.rs
@@ -2,9 +2,9 @@
 
 #![allow(dead_code)]
 
-use pumicehead_flight_recorder::event::{Event, RequestOutcome, PoolId};
+use pumicehead_flight_recorder::bounded_text::BoundedName;
+use pumicehead_flight_recorder::event::{Event, PoolId, RequestOutcome};
 use pumicehead_flight_recorder::recorder::{ClassInfo, Recorder};
-use pumicehead_flight_recorder::bounded_text::Name;
 use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
 use pumicehead_policy::*;
 
@@ -12,7 +12,13 @@
 pub const START: Nanos = 1_700_000_000 * SECOND;
 
 pub fn class(name: &str, aim: Nanos, worth: f64) -> ClassInfo {
-    ClassInfo { name: name.into(), latency_objective: aim, deadline: 4 * aim, priority_weight: worth, late_weight: 0.3 }
+    ClassInfo {
+        name: name.into(),
+        latency_objective: aim,
+        deadline: 4 * aim,
+        priority_weight: worth,
+        late_weight: 0.3,
+    }
 }
 
 /// A recorder with a pool of two classes, and the time.
@@ -44,8 +50,16 @@
     pub fn ask(&mut self, class: u16, name: &str) -> RequestId {
         let id = RequestId(self.next);
         self.next += 1;
-        let name = Name::new(name);
-        self.tell(Event::RequestAdmitted { id, class, tenant: None, client_timeout: SECOND, upload_time: 0, name, revision: None });
+        let name = BoundedName::new(name);
+        self.tell(Event::RequestAdmitted {
+            id,
+            class,
+            tenant: None,
+            client_timeout: SECOND,
+            upload_time: 0,
+            name,
+            revision: None,
+        });
         id
     }
 
@@ -56,7 +70,15 @@
 
     pub fn end(&mut self, id: RequestId, attempt: u8, server: u32, outcome: AttemptOutcome, took: Nanos) {
         let (attempt, server) = (AttemptNo(attempt), EndpointId(server));
-        self.tell(Event::AttemptEnded { id, attempt, endpoint: server, outcome, duration: took, connect_time: 0, connection_idle: None });
+        self.tell(Event::AttemptEnded {
+            id,
+            attempt,
+            endpoint: server,
+            outcome,
+            duration: took,
+            connect_time: 0,
+            connection_idle: None,
+        });
     }
 
     pub fn over(&mut self, id: RequestId, how: RequestOutcome) {
@@ -89,7 +111,11 @@
         let id = self.ask(class, &name);
         self.tell(Event::Decision(DecisionEvent::Queued { id, queued: 9 }));
         self.now += MS;
-        self.tell(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure: 0.5 }));
+        self.tell(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
+            id,
+            reason: rule,
+            pressure: 0.5,
+        }));
         self.over(id, RequestOutcome::Rejected);
     }
 }
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -4,12 +4,14 @@
 
 use common::*;
 use proptest::prelude::*;
-use pumicehead_flight_recorder::wire_format::Reader;
-use pumicehead_flight_recorder::recording::{Dump, DumpError, sum};
-use pumicehead_flight_recorder::event::{Event, RequestOutcome, PoolId, ExhaustedResource, ListenerRejection};
+use pumicehead_flight_recorder::bounded_text::BoundedName;
+use pumicehead_flight_recorder::event::{
+    Event, ExhaustedResource, ListenerRejection, PoolId, RequestOutcome,
+};
 use pumicehead_flight_recorder::export::{chrome, otlp};
 use pumicehead_flight_recorder::recorder::Recorder;
-use pumicehead_flight_recorder::bounded_text::Name;
+use pumicehead_flight_recorder::recording::{Recording, RecordingError, sum};
+use pumicehead_flight_recorder::wire_format::Reader;
 use pumicehead_policy::decision_event::{
     DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RejectionReason,
 };
@@ -41,7 +43,15 @@
                 .map(RejectionReason::NoRetry),
             );
     let outcomes = (0..8).filter_map(pumicehead_flight_recorder::event::outcome_at);
-    let hows = [RequestOutcome::Served, RequestOutcome::ServedError, RequestOutcome::Rejected, RequestOutcome::Failed, RequestOutcome::DeadlineExceeded, RequestOutcome::BodyFailed, RequestOutcome::ClientDisconnected];
+    let hows = [
+        RequestOutcome::Served,
+        RequestOutcome::ServedError,
+        RequestOutcome::Rejected,
+        RequestOutcome::Failed,
+        RequestOutcome::DeadlineExceeded,
+        RequestOutcome::BodyFailed,
+        RequestOutcome::ClientDisconnected,
+    ];
     let mut all = vec![
         Event::RequestAdmitted {
             id,
@@ -49,7 +59,7 @@
             tenant: Some(0),
             client_timeout: 1,
             upload_time: 2,
-            name: Name::new("é\0"),
+            name: BoundedName::new("é\0"),
             revision: None,
         },
         Event::RequestAdmitted {
@@ -58,7 +68,7 @@
             tenant: None,
             client_timeout: u64::MAX,
             upload_time: 0,
-            name: Name::default(),
+            name: BoundedName::default(),
             revision: Some(u64::MAX),
         },
         Event::AttemptStarted { id, attempt, endpoint: server, timeout: Some(5) },
@@ -67,9 +77,9 @@
         Event::NodeShareChanged { nodes: 277, node_index: 12 },
         Event::RejectedByListener { class: 2, reason: ListenerRejection::ConnectionLimit },
         Event::ResourceExhausted(ExhaustedResource::UpstreamConnection),
-        Event::MemberStateChanged { name: Name::new("n7"), from: Some(0), to: 3 },
+        Event::MemberStateChanged { name: BoundedName::new("n7"), from: Some(0), to: 3 },
         Event::MemberStateChanged {
-            name: Name::new("a name that is longer than what is kept of names here, by some"),
+            name: BoundedName::new("a name that is longer than what is kept of names here, by some"),
             from: None,
             to: 0,
         },
@@ -134,7 +144,8 @@
     }));
     all.extend(hows.map(|how| Event::RequestEnded { id, outcome: how }));
     all.extend(
-        [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed].map(|listed| Event::EndpointStateChanged { endpoint: server, state: listed }),
+        [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed]
+            .map(|listed| Event::EndpointStateChanged { endpoint: server, state: listed }),
     );
     for event in all {
         let mut bytes = Vec::new();
@@ -148,11 +159,11 @@
 
 #[test]
 fn a_dump_says_what_was_recorded() {
-    let dump = Dump::read(&small()).unwrap();
-    assert_eq!((dump.damage, dump.stories.len()), (None, 4));
+    let dump = Recording::read(&small()).unwrap();
+    assert_eq!((dump.damage, dump.timelines.len()), (None, 4));
     assert_eq!((dump.head.node.as_str(), dump.head.reason.as_str()), ("n0", "test"));
     let failed = dump.find("r1")[0];
-    let text = pumicehead_flight_recorder::timeline_text::tell(&dump.head, failed);
+    let text = pumicehead_flight_recorder::timeline_text::render(&dump.head, failed);
     for part in
         ["`submit`", "Attempt 1 to s-2.", "the connection broke after 30.0 ms", "must not take effect twice"]
     {
@@ -169,25 +180,28 @@
 #[test]
 fn damage_at_every_byte() {
     let whole = small();
-    let all = Dump::read(&whole).unwrap();
+    let all = Recording::read(&whole).unwrap();
     for cut in 0..whole.len() {
-        match Dump::read(&whole[..cut]) {
+        match Recording::read(&whole[..cut]) {
             Ok(dump) => {
                 assert!(dump.damage.is_some_and(|damage| damage.at <= cut));
-                assert!(dump.stories.iter().zip(&all.stories).all(|(one, other)| one == other));
+                assert!(dump.timelines.iter().zip(&all.timelines).all(|(one, other)| one == other));
             }
             Err(error) => {
-                assert!(matches!(error, DumpError::Magic | DumpError::Version(_) | DumpError::Head))
+                assert!(matches!(
+                    error,
+                    RecordingError::Magic | RecordingError::Version(_) | RecordingError::Head
+                ))
             }
         }
     }
     for at in 0..whole.len() {
         let mut turned = whole.clone();
         turned[at] ^= 0x41;
-        if let Ok(dump) = Dump::read(&turned) {
-            let same = dump.stories.iter().all(|story| all.stories.contains(story))
+        if let Ok(dump) = Recording::read(&turned) {
+            let same = dump.timelines.iter().all(|story| all.timelines.contains(story))
                 && dump.records.iter().all(|record| all.records.contains(record))
-                && dump.accounts.is_none_or(|accounts| Some(accounts) == all.accounts);
+                && dump.ledger.is_none_or(|accounts| Some(accounts) == all.ledger);
             assert!(same && dump.damage.is_some(), "{at}");
         }
     }
@@ -195,11 +209,11 @@
 
 #[test]
 fn other_versions_and_other_files() {
-    assert_eq!(Dump::read(b"").unwrap_err(), DumpError::Magic);
-    assert_eq!(Dump::read(b"GIF89a, and more").unwrap_err(), DumpError::Magic);
+    assert_eq!(Recording::read(b"").unwrap_err(), RecordingError::Magic);
+    assert_eq!(Recording::read(b"GIF89a, and more").unwrap_err(), RecordingError::Magic);
     let mut later = small();
     later[8] = 2;
-    assert_eq!(Dump::read(&later).unwrap_err(), DumpError::Version(2));
+    assert_eq!(Recording::read(&later).unwrap_err(), RecordingError::Version(2));
     // A head of before some fields were there, then a frame of a kind that came later.
     let head = br#"{"node":"old","start":5,"pools":[{"name":"web"}],"field":"unheard of"}"#;
     let mut file = b"PHEADREC\x01\x00".to_vec();
@@ -209,8 +223,8 @@
         file.extend_from_slice(&sum(kind, contents).to_le_bytes());
         file.extend_from_slice(contents);
     }
-    let dump = Dump::read(&file).unwrap();
-    assert_eq!((dump.head.node.as_str(), dump.damage, dump.accounts.is_none()), ("old", None, true));
+    let dump = Recording::read(&file).unwrap();
+    assert_eq!((dump.head.node.as_str(), dump.damage, dump.ledger.is_none()), ("old", None, true));
 }
 
 /// Guards that tenants are named once for all pools, by their ids, and that recordings which name them for each pool, by
@@ -229,7 +243,7 @@
     };
     let old =
         br#"{"node":"old","pools":[{"name":"web","tenants":["acme","b"]},{"name":"other","tenants":["c"]}]}"#;
-    let old = Dump::read(&file(old)).unwrap().head;
+    let old = Recording::read(&file(old)).unwrap().head;
     assert_eq!([0, 1, 2].map(|id| old.tenant(PoolId(0), id)), ["acme", "b", "2"]);
     assert_eq!(old.tenant(PoolId(1), 0), "c");
 
@@ -237,7 +251,7 @@
     let mut recorder = Recorder::new("n0", 0, 1 << 20, 1);
     recorder.pool("web", &[]);
     recorder.name_tenants(names.into_iter().collect());
-    let new = Dump::read(&recorder.dump(1, "test")).unwrap().head;
+    let new = Recording::read(&recorder.dump(1, "test")).unwrap().head;
     assert_eq!([3, 70_000, 0].map(|id| new.tenant(PoolId(0), id)), ["early", "late", "0"]);
     assert!(new.pools[0].tenants.is_empty());
 }
@@ -246,10 +260,10 @@
     #[test]
     fn noise_is_never_more_than_an_error(noise in proptest::collection::vec(any::<u8>(), 0..2_000)) {
         let mut file = small();
-        let _ = Dump::read(&noise);
+        let _ = Recording::read(&noise);
         let at = noise.len() % file.len();
         file.splice(at.., noise.iter().copied());
-        if let Ok(dump) = Dump::read(&file) {
+        if let Ok(dump) = Recording::read(&file) {
             let _ = (otlp(&dump), chrome(&dump), pumicehead_flight_recorder::html_report::write(&dump));
         }
     }
@@ -257,7 +271,7 @@
 
 #[test]
 fn exports_have_the_public_forms() {
-    let dump = Dump::read(&small()).unwrap();
+    let dump = Recording::read(&small()).unwrap();
     let lines = otlp(&dump);
     assert_eq!(lines.lines().count(), 4);
     for line in lines.lines() {
--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -7,14 +7,16 @@
 use std::path::{Path, PathBuf};
 
 use common::*;
+use pumicehead_flight_recorder::bounded_text::BoundedName;
 use pumicehead_flight_recorder::breakdown::Breakdown;
-use pumicehead_flight_recorder::recording::{ClassHead, Dump, Head, PoolHead, write};
-use pumicehead_flight_recorder::event::{Event, RequestOutcome, PoolId, ExhaustedResource, ListenerRejection, outcome_at};
+use pumicehead_flight_recorder::event::{
+    Event, ExhaustedResource, ListenerRejection, PoolId, RequestOutcome, outcome_at,
+};
+use pumicehead_flight_recorder::event_ring::{EventRing, append_record};
 use pumicehead_flight_recorder::export::{chrome, otlp};
-use pumicehead_flight_recorder::loss_cause::{Cause, Where};
+use pumicehead_flight_recorder::loss_cause::{LossCause, RequestPhase};
 use pumicehead_flight_recorder::recorder::{ClassInfo, Level, Recorder, RequestTimeline};
-use pumicehead_flight_recorder::event_ring::{Ring, append};
-use pumicehead_flight_recorder::bounded_text::Name;
+use pumicehead_flight_recorder::recording::{ClassHeader, PoolHeader, Recording, RecordingHeader, write};
 use pumicehead_policy::decision_event::{
     DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RejectionReason,
 };
@@ -151,7 +153,7 @@
         tenant,
         client_timeout: 2 * SECOND,
         upload_time: sending,
-        name: Name::new(name),
+        name: BoundedName::new(name),
         revision,
     };
     let long = "a name that is longer than what is kept of names here, by some";
@@ -167,8 +169,8 @@
         Event::RejectedByListener { class: 1, reason: ListenerRejection::ConnectionLimit },
         Event::ResourceExhausted(ExhaustedResource::DownstreamConnection),
         Event::ResourceExhausted(ExhaustedResource::UpstreamConnection),
-        Event::MemberStateChanged { name: Name::new("n7"), from: Some(0), to: 3 },
-        Event::MemberStateChanged { name: Name::new(long), from: None, to: 0 },
+        Event::MemberStateChanged { name: BoundedName::new("n7"), from: Some(0), to: 3 },
+        Event::MemberStateChanged { name: BoundedName::new(long), from: None, to: 0 },
     ];
     let outcomes = (0..8).filter_map(outcome_at);
     all.extend(outcomes.enumerate().map(|(number, outcome)| Event::AttemptEnded {
@@ -180,7 +182,15 @@
         connect_time: if number % 2 == 0 { 0 } else { 2 * MS },
         connection_idle: (number % 3 == 0).then_some(7 * SECOND),
     }));
-    let hows = [RequestOutcome::Served, RequestOutcome::ServedError, RequestOutcome::Rejected, RequestOutcome::Failed, RequestOutcome::DeadlineExceeded, RequestOutcome::BodyFailed, RequestOutcome::ClientDisconnected];
+    let hows = [
+        RequestOutcome::Served,
+        RequestOutcome::ServedError,
+        RequestOutcome::Rejected,
+        RequestOutcome::Failed,
+        RequestOutcome::DeadlineExceeded,
+        RequestOutcome::BodyFailed,
+        RequestOutcome::ClientDisconnected,
+    ];
     all.extend(hows.map(|how| Event::RequestEnded { id, outcome: how }));
     let listed = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
     all.extend(listed.map(|listed| Event::EndpointStateChanged { endpoint: server, state: listed }));
@@ -188,18 +198,29 @@
 }
 
 /// Every cause of a loss.
-fn every_cause() -> Vec<Cause> {
-    let places = [Where::Client, Where::Queue, Where::Earlier, Where::Connect, Where::Server];
-    let mut all = vec![Cause::WaitShare, Cause::NearlyOut, Cause::NoTurn];
-    all.extend((0..8).map(Cause::Failed));
-    all.extend(places.map(Cause::Late));
-    all.extend(places.map(Cause::OutOfTime));
-    all.extend(places.map(Cause::Left));
-    all.extend([Cause::Body, Cause::Turned(false), Cause::Turned(true), Cause::Other]);
+fn every_cause() -> Vec<LossCause> {
+    let places = [
+        RequestPhase::Upload,
+        RequestPhase::Queue,
+        RequestPhase::EarlierAttempts,
+        RequestPhase::Connect,
+        RequestPhase::Endpoint,
+    ];
+    let mut all = vec![LossCause::QueueTooLong, LossCause::QueueTimeout, LossCause::KeyOrderTimeout];
+    all.extend((0..8).map(LossCause::AttemptFailed));
+    all.extend(places.map(LossCause::ObjectiveMissed));
+    all.extend(places.map(LossCause::DeadlineExceeded));
+    all.extend(places.map(LossCause::ClientDisconnected));
+    all.extend([
+        LossCause::BodyFailed,
+        LossCause::RejectedByListener(false),
+        LossCause::RejectedByListener(true),
+        LossCause::Other,
+    ]);
     all
 }
 
-fn story(name: &str, cause: Option<Cause>, events: &[Event]) -> RequestTimeline {
+fn story(name: &str, cause: Option<LossCause>, events: &[Event]) -> RequestTimeline {
     let mut last = START + SECOND;
     let mut page = last.to_le_bytes().to_vec();
     let mut at = last;
@@ -207,43 +228,52 @@
         let mut bytes = Vec::new();
         event.encode(&mut bytes);
         at += MS;
-        append(&mut page, &mut last, at, PoolId(0), &bytes);
+        append_record(&mut page, &mut last, at, PoolId(0), &bytes);
     }
     let cut = name.ends_with("cut");
-    RequestTimeline { pool: PoolId(0), class: 1, name: Name::new(name), ended_at: at, cause, encoded_events: page.into(), truncated: cut }
+    RequestTimeline {
+        pool: PoolId(0),
+        class: 1,
+        name: BoundedName::new(name),
+        ended_at: at,
+        cause,
+        encoded_events: page.into(),
+        truncated: cut,
+    }
 }
 
 /// A recording with every event, every note and every cause in it, put together by hand.
 fn every_event_recording() -> Vec<u8> {
-    let class = |name: &str, worth| ClassHead {
+    let class = |name: &str, worth| ClassHeader {
         name: name.into(),
-        aim_ns: 100 * MS,
+        latency_objective_ns: 100 * MS,
         deadline_ns: SECOND,
-        worth,
-        late_worth: 0.3,
+        priority_weight: worth,
+        late_weight: 0.3,
     };
-    let mut head = Head::new("n\"0", START);
+    let mut head = RecordingHeader::new("n\"0", START);
     head.at = START + 60 * SECOND;
     head.reason = "asked by a call".into();
     head.pools = vec![
-        PoolHead {
+        PoolHeader {
             name: "web".into(),
             classes: vec![class("read", 1.0), class("submit", 10.0)],
             tenants: Vec::new(),
-            servers: vec![(3, "s-3".into()), (4, "s-4".into())],
+            endpoints: vec![(3, "s-3".into()), (4, "s-4".into())],
         },
-        PoolHead {
+        PoolHeader {
             name: "old".into(),
             classes: Vec::new(),
             tenants: vec!["acme".into()],
-            servers: Vec::new(),
+            endpoints: Vec::new(),
         },
     ];
     head.tenants = [(70_000, "late"), (3, "early")].map(|(id, name)| (id, name.into())).into_iter().collect();
-    (head.wrapped, head.untold) = (11, 5);
-    let events: Vec<_> = every_event().into_iter().chain(every_note().into_iter().map(Event::Decision)).collect();
+    (head.overwritten_events, head.untracked_requests) = (11, 5);
+    let events: Vec<_> =
+        every_event().into_iter().chain(every_note().into_iter().map(Event::Decision)).collect();
     let mut stories = vec![
-        story("every-event", Some(Cause::Other), &events),
+        story("every-event", Some(LossCause::Other), &events),
         story("open", None, &events[..3]),
         story("cut", None, &events[..1]),
     ];
@@ -252,7 +282,7 @@
         let name = format!("lost-{}", cause.code());
         story(&name, Some(cause), &some)
     }));
-    let mut ring = Ring::new(8 << 10);
+    let mut ring = EventRing::new(8 << 10);
     for (number, event) in events.iter().enumerate() {
         let mut bytes = Vec::new();
         event.encode(&mut bytes);
@@ -313,7 +343,15 @@
         day.now += 110 * MS;
         let (attempt, server, outcome) = (AttemptNo(0), EndpointId(4), AttemptOutcome::Success);
         let (took, dial) = (110 * MS, 100 * MS);
-        day.tell(Event::AttemptEnded { id, attempt, endpoint: server, outcome, duration: took, connect_time: dial, connection_idle: None });
+        day.tell(Event::AttemptEnded {
+            id,
+            attempt,
+            endpoint: server,
+            outcome,
+            duration: took,
+            connect_time: dial,
+            connection_idle: None,
+        });
         day.over(id, RequestOutcome::Served);
     }
     next_pool(&mut day, "tight", &[class("read", 100 * MS, 1.0), class("hasty", 5 * MS, 10.0)]);
@@ -378,14 +416,17 @@
     day
 }
 
-fn read(name: &str) -> Dump {
-    let dump = Dump::read(&stored(name)).unwrap();
+fn read(name: &str) -> Recording {
+    let dump = Recording::read(&stored(name)).unwrap();
     assert_eq!(dump.damage, None, "{name}");
     dump
 }
 
-fn told(dump: &Dump) -> String {
-    let all = dump.stories.iter().map(|story| pumicehead_flight_recorder::timeline_text::tell(&dump.head, story));
+fn told(dump: &Recording) -> String {
+    let all = dump
+        .timelines
+        .iter()
+        .map(|story| pumicehead_flight_recorder::timeline_text::render(&dump.head, story));
     all.collect::<Vec<_>>().join("\n")
 }
 
@@ -399,10 +440,11 @@
 #[test]
 fn an_older_recording_holds_the_same_events() {
     let dump = read("every_event.rec");
-    let events: Vec<_> = every_event().into_iter().chain(every_note().into_iter().map(Event::Decision)).collect();
+    let events: Vec<_> =
+        every_event().into_iter().chain(every_note().into_iter().map(Event::Decision)).collect();
     let read: Vec<_> = dump.records.iter().map(|record| record.event.clone()).collect();
     assert_eq!(read, events);
-    let causes: Vec<_> = dump.stories.iter().skip(3).map(|story| story.cause.unwrap()).collect();
+    let causes: Vec<_> = dump.timelines.iter().skip(3).map(|story| story.cause.unwrap()).collect();
     assert_eq!(causes, every_cause());
 }
 
@@ -430,12 +472,20 @@
         at += 10 * MS;
         if let Event::RequestEnded { outcome, .. } = event {
             let id = RequestId(100 + number as u32);
-            let name = Name::new(&format!("r{number}"));
+            let name = BoundedName::new(&format!("r{number}"));
             let (tenant, left, revision) = (None, SECOND, None);
             recorder.record(
                 at,
                 pool,
-                &Event::RequestAdmitted { id, class: 0, tenant, client_timeout: left, upload_time: 0, name, revision },
+                &Event::RequestAdmitted {
+                    id,
+                    class: 0,
+                    tenant,
+                    client_timeout: left,
+                    upload_time: 0,
+                    name,
+                    revision,
+                },
             );
             at += 20 * MS;
             recorder.record(at, pool, &Event::RequestEnded { id, outcome: outcome });
--- a/crates/node/src/eyes.rs
+++ b/crates/node/src/eyes.rs
@@ -230,7 +230,9 @@
 
     fn at_panic(&self, what: &str) {
         let Some(folder) = self.folder() else { return };
-        if let Some(bytes) = self.dump(&format!("panic: {}", pumicehead_flight_recorder::bounded_text::plain(what))) {
+        if let Some(bytes) =
+            self.dump(&format!("panic: {}", pumicehead_flight_recorder::bounded_text::plain(what)))
+        {
             // There is nothing left to do where this fails.
             let _ = RecordingFile::new(folder, self.node, self.next()).write(&bytes);
         }
--- a/crates/node/src/fleet/event_loop.rs
+++ b/crates/node/src/fleet/event_loop.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
+use pumicehead_flight_recorder::bounded_text::BoundedName;
 use pumicehead_flight_recorder::event::Event as RecorderEvent;
-use pumicehead_flight_recorder::bounded_text::Name;
 use pumicehead_membership::settings::MAX_DATAGRAM_BYTES;
 use pumicehead_membership::{Event, MS, MemberState, Nanos, Output, SECOND};
 use pumicehead_policy::NodeShare;
@@ -89,7 +89,7 @@
             }
             Event::StateChanged { name, from, to, reporter } => {
                 self.recorder.record(&RecorderEvent::MemberStateChanged {
-                    name: Name::new(&name),
+                    name: BoundedName::new(&name),
                     from: from.map(recorded_code),
                     to: recorded_code(to),
                 });
--- a/crates/node/src/log/mod.rs
+++ b/crates/node/src/log/mod.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use pumicehead_flight_recorder::log_rate_limit::{KINDS, More, Quota};
+use pumicehead_flight_recorder::log_rate_limit::{LogRateLimiter, MAX_KINDS, SuppressedMessages};
 use tracing::{Event, Level, Subscriber};
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::layer::{Context, SubscriberExt};
@@ -37,7 +37,7 @@
 const LONGEST_NAME: usize = 60;
 
 struct State {
-    quota: Quota,
+    quota: LogRateLimiter,
     /// The first message of each kind, for the line that says how many more there were.
     names: BTreeMap<u64, String>,
 }
@@ -89,7 +89,7 @@
 }
 
 fn begin_to(sink: Arc<dyn Sink>) -> (Log, FlushOnDrop) {
-    let state = State { quota: Quota::default(), names: BTreeMap::new() };
+    let state = State { quota: LogRateLimiter::default(), names: BTreeMap::new() };
     let shared = Arc::new(Shared {
         form: Mutex::new(Form::Text),
         state: Mutex::new(state),
@@ -156,9 +156,9 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn write_more(&self, name: Option<&str>, More { count, span, .. }: More) {
+    fn write_more(&self, name: Option<&str>, SuppressedMessages { count, interval, .. }: SuppressedMessages) {
         let name = name.unwrap_or("messages");
-        let message = format!("{name}: and {count} more like it in {:.0} s", span as f64 / 1e9);
+        let message = format!("{name}: and {count} more like it in {:.0} s", interval as f64 / 1e9);
         self.write(Level::INFO, "log", &Fields::of(message));
     }
 
@@ -190,7 +190,7 @@
             let (told, before) = state.quota.take(kind, now);
             if told {
                 event.record(&mut fields);
-                if state.names.len() < KINDS {
+                if state.names.len() < MAX_KINDS {
                     let name = || fields.message.chars().take(LONGEST_NAME).collect();
                     state.names.entry(kind).or_insert_with(name);
                 }
--- a/crates/node/src/net/pool_loop/messages.rs
+++ b/crates/node/src/net/pool_loop/messages.rs
@@ -40,7 +40,10 @@
     }
 
     fn set_node_share(&mut self, share: NodeShare) {
-        self.record(&RecordedEvent::NodeShareChanged { nodes: share.node_count, node_index: share.node_index });
+        self.record(&RecordedEvent::NodeShareChanged {
+            nodes: share.node_count,
+            node_index: share.node_index,
+        });
         self.events.push_back(Event::NodeShare(share));
     }
 }
--- a/crates/node/src/net/pool_loop/mod.rs
+++ b/crates/node/src/net/pool_loop/mod.rs
@@ -16,8 +16,8 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Weak;
 
-use pumicehead_flight_recorder::event::Event as RecordedEvent;
 use pumicehead_flight_recorder::bounded_text::plain;
+use pumicehead_flight_recorder::event::Event as RecordedEvent;
 use pumicehead_policy::decision_event::DecisionEvent;
 use pumicehead_policy::{
     Balancer, Discovery, EndpointId, Event, Nanos, RequestId, SECOND, Settings, WarmState,
--- a/crates/node/src/net/pool_loop/requests.rs
+++ b/crates/node/src/net/pool_loop/requests.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use pumicehead_flight_recorder::event::{Event as RecordedEvent, RequestOutcome};
 use pumicehead_flight_recorder::bounded_text;
+use pumicehead_flight_recorder::event::{Event as RecordedEvent, RequestOutcome};
 use pumicehead_policy::{ClassId, Event, Nanos, NewRequest, RequestId, SECOND};
 use tokio::time::Instant;
 
@@ -53,7 +53,7 @@
                 tenant: request.tenant.map(|tenant| tenant.0),
                 client_timeout: request.time_left.as_nanos() as Nanos,
                 upload_time: request.body_read_time.as_nanos() as Nanos,
-                name: bounded_text::Name::new(&request.correlation_id),
+                name: bounded_text::BoundedName::new(&request.correlation_id),
                 revision: request.revision,
             });
         }
--- a/crates/node/src/why.rs
+++ b/crates/node/src/why.rs
@@ -10,7 +10,7 @@
 use clap::{Args, ValueEnum};
 use pumicehead_flight_recorder::breakdown::Breakdown;
 use pumicehead_flight_recorder::findings::{Finding, find};
-use pumicehead_flight_recorder::recording::{Dump, LONGEST};
+use pumicehead_flight_recorder::recording::{LONGEST, Recording};
 use pumicehead_flight_recorder::{export as forms, html_report, timeline_text, timestamp};
 use pumicehead_policy::Nanos;
 use serde_json::json;
@@ -55,14 +55,14 @@
     Html,
 }
 
-fn open(file: &Path) -> Result<Dump, Box<dyn Error>> {
+fn open(file: &Path) -> Result<Recording, Box<dyn Error>> {
     let named = |error: &dyn std::fmt::Display| format!("{}: {error}", file.display());
     let length = fs::metadata(file).map_err(|error| named(&error))?.len();
     if length > LONGEST as u64 {
         return Err(named(&format!("{length} bytes, more than {LONGEST}")).into());
     }
     let bytes = fs::read(file).map_err(|error| named(&error))?;
-    let dump = Dump::read(&bytes).map_err(|error| named(&error))?;
+    let dump = Recording::read(&bytes).map_err(|error| named(&error))?;
     if let Some(damage) = dump.damage {
         let text = format!("damaged from byte {} of {} on; what comes before is read", damage.at, damage.of);
         error(&format!("pumicehead: {}", named(&text)));
@@ -85,8 +85,8 @@
     let end = end.ok_or_else(|| format!("{address}: no answer of a node"))?;
     let line = String::from_utf8_lossy(&answer[..end]).into_owned();
     let length = line.strip_prefix("OK ").and_then(|length| length.parse::<usize>().ok());
-    let length =
-        length.ok_or_else(|| format!("{address}: {}", pumicehead_flight_recorder::bounded_text::plain(&line)))?;
+    let length = length
+        .ok_or_else(|| format!("{address}: {}", pumicehead_flight_recorder::bounded_text::plain(&line)))?;
     let file = &answer[end + 1..];
     if file.len() != length {
         return Err(format!("{address}: {} of {length} bytes came", file.len()).into());
@@ -121,14 +121,14 @@
             return tell_request(&dump, request);
         }
         let (from, to) = self.span(&dump)?;
-        let accounts = dump.accounts.as_ref().ok_or("the recording's sums are damaged")?;
+        let accounts = dump.ledger.as_ref().ok_or("the recording's sums are damaged")?;
         let breakdown = Breakdown::sum(&dump.head, accounts, from, to);
         let found = find(&dump.head, accounts, from, to);
         if let Some(other) = &self.diff {
             let other = open(other)?;
             let (from, to) = self.span(&other)?;
             let beside = Breakdown::of(&other, from, to).ok_or("the other recording's sums are damaged")?;
-            print(&breakdown.beside(&beside));
+            print(&breakdown.compare(&beside));
             return Ok(());
         }
         if self.json {
@@ -141,9 +141,9 @@
             Some(first) => print(&format!("largest cause: {}\n", first.text)),
         }
         for one in found.iter().take(FINDINGS) {
-            print(&format!("  {:10.1}  {:7} requests  {}\n", one.lost as f64 / 1e6, one.count, one.text));
+            print(&format!("  {:10.1}  {:7} requests  {}\n", one.lost as f64 / 1e6, one.requests, one.text));
         }
-        let examples = dump.stories.iter().filter(|story| story.cause.is_some()).take(STORIES);
+        let examples = dump.timelines.iter().filter(|story| story.cause.is_some()).take(STORIES);
         let names: Vec<_> = examples.map(|story| story.name.shown()).collect();
         if !names.is_empty() {
             print(&format!("some of them: {}\n", names.join(", ")));
@@ -151,7 +151,7 @@
         Ok(())
     }
 
-    fn span(&self, dump: &Dump) -> Result<(Nanos, Nanos), timestamp::NoMoment> {
+    fn span(&self, dump: &Recording) -> Result<(Nanos, Nanos), timestamp::TimestampError> {
         match self.between.as_deref() {
             Some([from, to]) => {
                 Ok((timestamp::parse(from, dump.head.start)?, timestamp::parse(to, dump.head.start)?))
@@ -161,33 +161,35 @@
     }
 }
 
-fn tell_request(dump: &Dump, request: &str) -> Result<(), Box<dyn Error>> {
+fn tell_request(dump: &Recording, request: &str) -> Result<(), Box<dyn Error>> {
     let found = dump.find(request);
     if found.is_empty() {
-        let kept = dump.stories.len();
-        let name = pumicehead_flight_recorder::bounded_text::plain(&request.chars().take(60).collect::<String>());
+        let kept = dump.timelines.len();
+        let name =
+            pumicehead_flight_recorder::bounded_text::plain(&request.chars().take(60).collect::<String>());
         return Err(format!("no story of `{name}` among the {kept} that were kept").into());
     }
     for story in found.into_iter().take(STORIES) {
-        print(&timeline_text::tell(&dump.head, story));
+        print(&timeline_text::render(&dump.head, story));
     }
     Ok(())
 }
 
 fn json(breakdown: &Breakdown, found: &[Finding]) -> String {
     let parts = breakdown.views.iter().map(|(name, parts)| {
-        let rows =
-            parts.iter().map(|part| json!({ "what": part.what, "lost": part.lost, "requests": part.count }));
+        let rows = parts
+            .iter()
+            .map(|part| json!({ "what": part.label, "lost": part.lost, "requests": part.requests }));
         ((*name).to_owned(), rows.collect::<Vec<_>>().into())
     });
     let found = found.iter().map(|one| {
         json!({
-            "subject": one.subject.exported_name(), "matter": one.matter.exported_name(),
-            "lost": one.lost, "requests": one.count, "text": one.text,
+            "subject": one.subject.exported_name(), "matter": one.symptom.exported_name(),
+            "lost": one.lost, "requests": one.requests, "text": one.text,
         })
     });
     json!({
-        "requests": breakdown.requests, "asked": breakdown.asked, "earned": breakdown.earned,
+        "requests": breakdown.requests, "asked": breakdown.offered, "earned": breakdown.earned,
         "lost": breakdown.lost(), "by": parts.collect::<serde_json::Map<_, _>>(),
         "findings": found.collect::<Vec<_>>(),
     })
--- a/crates/node/tests/eyes.rs
+++ b/crates/node/tests/eyes.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use pumicehead_flight_recorder::breakdown::Breakdown;
-use pumicehead_flight_recorder::recording::Dump;
 use pumicehead_flight_recorder::event::Event;
-use pumicehead_flight_recorder::event_ring::records;
+use pumicehead_flight_recorder::event_ring::decode_records;
+use pumicehead_flight_recorder::recording::Recording;
 use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
 use pumicehead_testbed::program::{LIMIT, Standalone, built, temporary, wait_for};
 use pumicehead_testbed::scripted::*;
@@ -23,7 +23,7 @@
 }
 
 /// The recording of whoever takes calls there.
-fn recording(calls: SocketAddr) -> Dump {
+fn recording(calls: SocketAddr) -> Recording {
     let mut caller = TcpStream::connect(calls).unwrap();
     caller.set_read_timeout(Some(LIMIT)).unwrap();
     caller.write_all(b"TRACE\n").unwrap();
@@ -34,11 +34,11 @@
     let mut file = Vec::new();
     answer.read_to_end(&mut file).unwrap();
     assert_eq!(file.len(), length);
-    Dump::read(&file).unwrap()
+    Recording::read(&file).unwrap()
 }
 
-fn rules(dump: &Dump) -> Vec<RejectionReason> {
-    let events = dump.stories.iter().flat_map(|story| records(&story.encoded_events).0);
+fn rules(dump: &Recording) -> Vec<RejectionReason> {
+    let events = dump.timelines.iter().flat_map(|story| decode_records(&story.encoded_events).0);
     let rules = events.filter_map(|record| match record.event {
         Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { reason, .. }) => Some(reason),
         _ => None,
@@ -189,10 +189,10 @@
     assert_eq!(node.call("FILTER warn,discovery=trace"), "OK\n");
     assert_eq!(node.call("RECORD off"), "OK\n");
     node.ask(&request("read", ""));
-    assert!(recording(node.calls()).stories.is_empty());
+    assert!(recording(node.calls()).timelines.is_empty());
     assert_eq!(node.call("RECORD full"), "OK\n");
     node.ask(&request("read", ""));
-    assert_eq!(recording(node.calls()).stories.len(), 1);
+    assert_eq!(recording(node.calls()).timelines.len(), 1);
 }
 
 /// Guards recordings on a signal: few of them, whole, also where two processes share the folder.
@@ -221,7 +221,7 @@
         wait_for("two at most", || files().len() <= 2);
     }
     for file in files() {
-        let dump = Dump::read(&std::fs::read(file).unwrap()).unwrap();
+        let dump = Recording::read(&std::fs::read(file).unwrap()).unwrap();
         assert_eq!((dump.damage, dump.head.reason.as_str()), (None, "asked by a signal"));
     }
     std::fs::remove_dir_all(&kept).unwrap();
@@ -280,7 +280,7 @@
     let mut client = Client::connect(node.address());
     client.write("POST /run HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx");
     assert_eq!(client.read().unwrap().status(), 504);
-    wait_for("its story", || !recording(calls).stories.is_empty());
+    wait_for("its story", || !recording(calls).timelines.is_empty());
     let dump = recording(calls);
     let sums = Breakdown::of(&dump, 0, u64::MAX).unwrap().to_string();
     assert!(sums.contains("hasty in boards") && sums.contains("100.00%"), "{sums}");
--- a/crates/node/tests/reloads.rs
+++ b/crates/node/tests/reloads.rs
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_flight_recorder::recording::Dump;
 use pumicehead_flight_recorder::event::Event;
-use pumicehead_flight_recorder::event_ring::records;
+use pumicehead_flight_recorder::event_ring::decode_records;
+use pumicehead_flight_recorder::recording::Recording;
 use pumicehead_testbed::program::{LIMIT, Standalone, wait_for};
 use pumicehead_testbed::scripted::{Act, Backend, Client, Crowd, Message, ok, refusing};
 
@@ -195,11 +195,11 @@
     assert_eq!(early.read().expect("an answer").status(), 200);
     let answer = call(calls, "TRACE");
     let line = answer.iter().position(|&byte| byte == b'\n').expect("a first line");
-    let dump = Dump::read(&answer[line + 1..]).expect("a recording");
+    let dump = Recording::read(&answer[line + 1..]).expect("a recording");
     let mut revisions: Vec<_> = dump
-        .stories
+        .timelines
         .iter()
-        .flat_map(|story| records(&story.encoded_events).0)
+        .flat_map(|story| decode_records(&story.encoded_events).0)
         .filter_map(|record| match record.event {
             Event::RequestAdmitted { revision, .. } => Some(revision),
             _ => None,
--- a/crates/node/tests/tenants.rs
+++ b/crates/node/tests/tenants.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Instant;
 
-use pumicehead_flight_recorder::recording::Dump;
 use pumicehead_flight_recorder::event::Event;
+use pumicehead_flight_recorder::recording::Recording;
 use pumicehead_flight_recorder::timeline_text;
 use pumicehead_policy::decision_event::DecisionEvent;
 use pumicehead_testbed::program::{LIMIT, Standalone, wait_for};
@@ -136,7 +136,7 @@
 }
 
 /// The recording of whoever takes calls there.
-fn recording(node: &Standalone) -> Dump {
+fn recording(node: &Standalone) -> Recording {
     wait_for("calls", || node.said("takes calls on") == 1);
     let calls = {
         let log = node.log.lock().unwrap();
@@ -149,7 +149,7 @@
     answer.read_line(&mut String::new()).unwrap();
     let mut file = Vec::new();
     answer.read_to_end(&mut file).unwrap();
-    Dump::read(&file).unwrap()
+    Recording::read(&file).unwrap()
 }
 
 /// Guards that a tenant which has used up its allowance gains nothing by being removed and added again: it goes on with what
@@ -181,7 +181,7 @@
     let (within, over): (Vec<_>, Vec<_>) = worths.partition(|worth| *worth >= 1.0);
     assert_eq!(within.len() + over.len(), 40);
     assert!(!within.is_empty() && within.len() as f64 <= most, "{} of {most}", within.len());
-    let told = dump.stories.iter().map(|told| timeline_text::tell(&dump.head, told));
+    let told = dump.timelines.iter().map(|told| timeline_text::render(&dump.head, told));
     assert!(told.into_iter().any(|told| told.contains("Tenant: greedy.")));
 }
 
@@ -215,6 +215,6 @@
     let (within, over): (Vec<_>, Vec<_>) = worths.partition(|worth| *worth >= 1.0);
     assert_eq!(within.len() + over.len(), 40);
     assert!(!within.is_empty() && within.len() as f64 <= most, "{} of {most}", within.len());
-    let mut told = dump.stories.iter().map(|told| timeline_text::tell(&dump.head, told));
+    let mut told = dump.timelines.iter().map(|told| timeline_text::render(&dump.head, told));
     assert!(told.any(|told| told.contains("Tenant: greedy.")));
 }
--- a/crates/node/tests/unit/eyes.rs
+++ b/crates/node/tests/unit/eyes.rs
@@ -15,7 +15,7 @@
         assert!(broke.is_err());
     });
     let file = fs::read_dir(&folder).unwrap().next().unwrap().unwrap().path();
-    let dump = pumicehead_flight_recorder::recording::Dump::read(&fs::read(file).unwrap()).unwrap();
+    let dump = pumicehead_flight_recorder::recording::Recording::read(&fs::read(file).unwrap()).unwrap();
     assert!(dump.head.reason.contains("on purpose"), "{}", dump.head.reason);
     fs::remove_dir_all(&folder).unwrap();
 }
