--- a/crates/testbed/src/measure/eyes.rs
+++ b/crates/testbed/src/measure/eyes.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use pumicehead_flight_recorder::findings::{Finding, Matter, Subject, find};
-use pumicehead_flight_recorder::recording::Dump;
+use pumicehead_flight_recorder::findings::{Finding, Subject, Symptom, find};
+use pumicehead_flight_recorder::recording::Recording;
 use pumicehead_load_generator::engine::{Progress, Protocol, Setup, run};
 use pumicehead_load_generator::mix::{Mix, Plan as Drawn};
 use pumicehead_load_generator::schedule::{Arrivals, Schedule};
@@ -167,7 +167,7 @@
     limits: &'static str,
     /// Connections that ask nothing more and stay.
     idle: usize,
-    named: fn(&Dump, &Finding) -> bool,
+    named: fn(&Recording, &Finding) -> bool,
 }
 
 const CLASSES: &str = "class read { aim 200ms; deadline 400ms; repeats safe }\n\
@@ -184,10 +184,10 @@
     Duration::from_millis(30 + CALLS.fetch_add(1, Ordering::Relaxed) * 17 % 41)
 }
 
-fn odd_server(dump: &Dump, finding: &Finding, matter: Matter) -> bool {
+fn odd_server(dump: &Recording, finding: &Finding, matter: Symptom) -> bool {
     let last = format!("s{}", SERVERS - 1);
-    finding.matter == matter
-        && matches!(finding.subject, Subject::Server(pool, id) if dump.head.server(pool, id) == last)
+    finding.symptom == matter
+        && matches!(finding.subject, Subject::Endpoint(pool, id) if dump.head.server(pool, id) == last)
 }
 
 const FAULTS: [Fault; 5] = [
@@ -198,7 +198,7 @@
         classes: CLASSES,
         limits: "held 2000",
         idle: 0,
-        named: |dump, finding| odd_server(dump, finding, Matter::Silent),
+        named: |dump, finding| odd_server(dump, finding, Symptom::Unresponsive),
     },
     Fault {
         name: "a server that breaks connections off",
@@ -210,7 +210,7 @@
         classes: CLASSES,
         limits: "held 2000",
         idle: 0,
-        named: |dump, finding| odd_server(dump, finding, Matter::Resets),
+        named: |dump, finding| odd_server(dump, finding, Symptom::ConnectionResets),
     },
     Fault {
         name: "a server twice as slow",
@@ -226,7 +226,7 @@
                   class submit { aim 110ms; deadline 400ms; worth 10; repeats unsafe }",
         limits: "held 2000",
         idle: 0,
-        named: |dump, finding| odd_server(dump, finding, Matter::Slow),
+        named: |dump, finding| odd_server(dump, finding, Symptom::SlowResponses),
     },
     Fault {
         name: "a listener short of descriptors",
@@ -235,7 +235,9 @@
         classes: CLASSES,
         limits: "held 2000; descriptors 128",
         idle: 60,
-        named: |_, finding| (finding.subject, finding.matter) == (Subject::Node, Matter::Descriptors),
+        named: |_, finding| {
+            (finding.subject, finding.symptom) == (Subject::Node, Symptom::DescriptorsExhausted)
+        },
     },
     Fault {
         name: "a class with a wrong deadline",
@@ -248,7 +250,7 @@
         named: |dump, finding| {
             let class = matches!(finding.subject,
                 Subject::Class(pool, class) if dump.head.class(pool, class) == "submit");
-            class && finding.matter == Matter::TooTight
+            class && finding.symptom == Symptom::ObjectiveTooShort
         },
     },
 ];
@@ -268,7 +270,7 @@
         load(node.address(), fault.idle);
         let begun = Instant::now();
         let dump = recording(calls)?;
-        let accounts = dump.accounts.as_ref().ok_or_else(|| io::Error::other("no sums"))?;
+        let accounts = dump.ledger.as_ref().ok_or_else(|| io::Error::other("no sums"))?;
         let found = find(&dump.head, accounts, 0, u64::MAX);
         let took = begun.elapsed().as_secs_f64();
         let named = found.first().is_some_and(|first| first.lost > 0 && (fault.named)(&dump, first));
@@ -282,12 +284,12 @@
     Ok(())
 }
 
-fn recording(calls: SocketAddr) -> io::Result<Dump> {
+fn recording(calls: SocketAddr) -> io::Result<Recording> {
     let mut answer = call(calls, "TRACE")?;
     answer.read_line(&mut String::new())?;
     let mut file = Vec::new();
     answer.read_to_end(&mut file)?;
-    Dump::read(&file).map_err(io::Error::other)
+    Recording::read(&file).map_err(io::Error::other)
 }
 
 /// Clients that ask both classes in turn, beside so many connections that ask once and stay.
