--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -4,13 +4,13 @@
 use pumicehead_policy::{AttemptOutcome, Nanos};
 use serde_json::{Value, json};
 
-use crate::dump::Dump;
-use crate::event::{Event, How};
-use crate::export_names::Exported;
-use crate::kept::Story;
-use crate::loss::said;
-use crate::ring::{Record, records};
-use crate::text::plain;
+use crate::bounded_text::plain;
+use crate::event::{Event, RequestOutcome};
+use crate::event_ring::{Record, decode_records};
+use crate::exported_names::Exported;
+use crate::loss_cause::outcome_text;
+use crate::recording::Recording;
+use crate::request_timeline::RequestTimeline;
 
 /// An attempt as both forms show it.
 struct Attempt {
@@ -25,30 +25,30 @@
     events: Vec<Record>,
     from: Nanos,
     to: Nanos,
-    how: Option<How>,
+    how: Option<RequestOutcome>,
     attempts: Vec<Attempt>,
 }
 
-fn told(dump: &Dump, story: &Story) -> Told {
-    let (events, _) = records(&story.page);
-    let from = events.first().map_or(story.at, |record| record.at);
-    let mut to = story.at.max(from);
+fn told(dump: &Recording, story: &RequestTimeline) -> Told {
+    let (events, _) = decode_records(&story.encoded_events);
+    let from = events.first().map_or(story.ended_at, |record| record.at);
+    let mut to = story.ended_at.max(from);
     let (mut how, mut attempts) = (None, Vec::<Attempt>::new());
     for record in &events {
         match &record.event {
-            Event::Sent { attempt, server, .. } => attempts.push(Attempt {
+            Event::AttemptStarted { attempt, endpoint, .. } => attempts.push(Attempt {
                 number: attempt.0,
-                server: dump.head.server(story.pool, server.0),
+                server: dump.head.server(story.pool, endpoint.0),
                 from: record.at,
-                to: story.at.max(record.at),
+                to: story.ended_at.max(record.at),
                 outcome: None,
             }),
-            Event::Ended { attempt, outcome, .. } => {
+            Event::AttemptEnded { attempt, outcome, .. } => {
                 for one in attempts.iter_mut().filter(|one| one.number == attempt.0) {
                     (one.to, one.outcome) = (record.at.max(one.from), Some(*outcome));
                 }
             }
-            Event::Over { how: ended, .. } => {
+            Event::RequestEnded { outcome: ended, .. } => {
                 how.get_or_insert(*ended);
                 to = record.at;
             }
@@ -59,7 +59,7 @@
 }
 
 /// Eight bytes that name a span: the same dump gives the same ids.
-fn id(story: &Story, from: Nanos, part: u64) -> u64 {
+fn id(story: &RequestTimeline, from: Nanos, part: u64) -> u64 {
     pumicehead_policy::hash_ring::mix(
         story.name.hash ^ from.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15),
     )
@@ -72,18 +72,18 @@
 
 /// OTLP/JSON, a line a request.
 #[must_use]
-pub fn otlp(dump: &Dump) -> String {
+pub fn otlp(dump: &Recording) -> String {
     let mut out = String::new();
     let resource = json!({ "attributes": [
         attribute("service.name", "pumicehead"),
         attribute("service.instance.id", &plain(&dump.head.node)),
         attribute("service.version", &plain(&dump.head.program)),
     ] });
-    for story in &dump.stories {
+    for story in &dump.timelines {
         let one = told(dump, story);
         let trace = format!("{:016x}{:016x}", story.name.hash, id(story, one.from, u64::MAX));
         let root = format!("{:016x}", id(story, one.from, 0));
-        let failed = !matches!(one.how, Some(How::Served) | None);
+        let failed = !matches!(one.how, Some(RequestOutcome::Served) | None);
         let mut attributes = vec![
             attribute("pumicehead.request", &story.name.shown()),
             attribute("pumicehead.pool", &plain(dump.head.pool(story.pool))),
@@ -94,7 +94,7 @@
             .events
             .iter()
             .filter_map(|record| match &record.event {
-                Event::Note(note) => Some(json!({
+                Event::Decision(note) => Some(json!({
                     "timeUnixNano": record.at.to_string(),
                     "name": format!("{:?}", Exported(note)),
                 })),
@@ -114,7 +114,7 @@
                 "startTimeUnixNano": attempt.from.to_string(), "endTimeUnixNano": attempt.to.to_string(),
                 "attributes": [
                     attribute("server.address", &attempt.server),
-                    attribute("pumicehead.outcome", attempt.outcome.map_or("still out", said)),
+                    attribute("pumicehead.outcome", attempt.outcome.map_or("still out", outcome_text)),
                 ],
                 "status": { "code": if bad { 2 } else { 0 } },
             }));
@@ -131,13 +131,13 @@
 
 /// Chrome's trace events: a row a request, with its attempts below it.
 #[must_use]
-pub fn chrome(dump: &Dump) -> String {
+pub fn chrome(dump: &Recording) -> String {
     let micros = |at: Nanos| at.saturating_sub(dump.head.start) as f64 / 1e3;
     let mut events = vec![json!({
         "ph": "M", "name": "process_name", "pid": 1, "tid": 0,
         "args": { "name": format!("pumicehead {}", plain(&dump.head.node)) },
     })];
-    for (row, story) in dump.stories.iter().enumerate() {
+    for (row, story) in dump.timelines.iter().enumerate() {
         let one = told(dump, story);
         let tid = row + 1;
         let span = |name: &str, from: Nanos, to: Nanos, args: Value| {
@@ -156,7 +156,7 @@
             }),
         ));
         for attempt in &one.attempts {
-            let outcome = attempt.outcome.map_or("still out", said);
+            let outcome = attempt.outcome.map_or("still out", outcome_text);
             events.push(span(&attempt.server, attempt.from, attempt.to, json!({ "outcome": outcome })));
         }
     }
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -4,12 +4,14 @@
 
 use common::*;
 use proptest::prelude::*;
-use pumicehead_flight_recorder::bytes::Reader;
-use pumicehead_flight_recorder::dump::{Dump, DumpError, sum};
-use pumicehead_flight_recorder::event::{Event, How, Listed, PoolId, Short, Turned};
+use pumicehead_flight_recorder::bounded_text::BoundedName;
+use pumicehead_flight_recorder::event::{
+    Event, ExhaustedResource, ListenerRejection, PoolId, RequestOutcome,
+};
 use pumicehead_flight_recorder::export::{chrome, otlp};
 use pumicehead_flight_recorder::recorder::Recorder;
-use pumicehead_flight_recorder::text::Name;
+use pumicehead_flight_recorder::recording::{Recording, RecordingError, sum};
+use pumicehead_flight_recorder::wire_format::Reader;
 use pumicehead_policy::decision_event::{
     DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RejectionReason,
 };
@@ -40,47 +42,55 @@
                 ]
                 .map(RejectionReason::NoRetry),
             );
-    let outcomes = (0..8).filter_map(pumicehead_flight_recorder::event::outcome);
-    let hows = [How::Served, How::ServedFault, How::Refused, How::Failed, How::Late, How::Body, How::Left];
+    let outcomes = (0..8).filter_map(pumicehead_flight_recorder::event::outcome_at);
+    let hows = [
+        RequestOutcome::Served,
+        RequestOutcome::ServedError,
+        RequestOutcome::Rejected,
+        RequestOutcome::Failed,
+        RequestOutcome::DeadlineExceeded,
+        RequestOutcome::BodyFailed,
+        RequestOutcome::ClientDisconnected,
+    ];
     let mut all = vec![
-        Event::Asked {
+        Event::RequestAdmitted {
             id,
             class: 9,
             tenant: Some(0),
-            left: 1,
-            sending: 2,
-            name: Name::new("é\0"),
+            client_timeout: 1,
+            upload_time: 2,
+            name: BoundedName::new("é\0"),
             revision: None,
         },
-        Event::Asked {
+        Event::RequestAdmitted {
             id,
             class: 9,
             tenant: None,
-            left: u64::MAX,
-            sending: 0,
-            name: Name::default(),
+            client_timeout: u64::MAX,
+            upload_time: 0,
+            name: BoundedName::default(),
             revision: Some(u64::MAX),
         },
-        Event::Sent { id, attempt, server, timeout: Some(5) },
-        Event::Began { id, attempt },
-        Event::Advice { avoid: 3, rights: 4 },
-        Event::Sharing { nodes: 277, number: 12 },
-        Event::Turned { class: 2, why: Turned::Connections },
-        Event::Short(Short::Dial),
-        Event::Member { name: Name::new("n7"), from: Some(0), to: 3 },
-        Event::Member {
-            name: Name::new("a name that is longer than what is kept of names here, by some"),
+        Event::AttemptStarted { id, attempt, endpoint: server, timeout: Some(5) },
+        Event::ResponseStarted { id, attempt },
+        Event::CapacityAdvice { endpoints_to_avoid: 3, lease_grants: 4 },
+        Event::NodeShareChanged { nodes: 277, node_index: 12 },
+        Event::RejectedByListener { class: 2, reason: ListenerRejection::ConnectionLimit },
+        Event::ResourceExhausted(ExhaustedResource::UpstreamConnection),
+        Event::MemberStateChanged { name: BoundedName::new("n7"), from: Some(0), to: 3 },
+        Event::MemberStateChanged {
+            name: BoundedName::new("a name that is longer than what is kept of names here, by some"),
             from: None,
             to: 0,
         },
-        Event::Note(DecisionEvent::Classified {
+        Event::Decision(DecisionEvent::Classified {
             id,
             tier: 3,
             priority_weight: 1.5,
             objective_deadline: START,
         }),
-        Event::Note(DecisionEvent::Queued { id, queued: 7 }),
-        Event::Note(DecisionEvent::EndpointSelected {
+        Event::Decision(DecisionEvent::Queued { id, queued: 7 }),
+        Event::Decision(DecisionEvent::EndpointSelected {
             id,
             endpoint: server,
             score: 0.1,
@@ -89,7 +99,7 @@
             limit: 1.0,
             exclusions: hurdles,
         }),
-        Event::Note(DecisionEvent::EndpointSelected {
+        Event::Decision(DecisionEvent::EndpointSelected {
             id,
             endpoint: server,
             score: 0.1,
@@ -98,43 +108,44 @@
             limit: 1.0,
             exclusions: hurdles,
         }),
-        Event::Note(DecisionEvent::NoEndpointAvailable { id, exclusions: hurdles }),
-        Event::Note(DecisionEvent::LimitChanged {
+        Event::Decision(DecisionEvent::NoEndpointAvailable { id, exclusions: hurdles }),
+        Event::Decision(DecisionEvent::LimitChanged {
             endpoint: server,
             from: 1.0,
             to: 2.0,
             reason: LimitChangeReason::Failure,
         }),
-        Event::Note(DecisionEvent::LimitChanged {
+        Event::Decision(DecisionEvent::LimitChanged {
             endpoint: server,
             from: 1.0,
             to: 2.0,
             reason: LimitChangeReason::ComparedLatency,
         }),
-        Event::Note(DecisionEvent::AllLimitsChanged { factor: 0.5, utilization: 2.0 }),
-        Event::Note(DecisionEvent::Ejected { endpoint: server, duration: 9 }),
-        Event::Note(DecisionEvent::Reinstated { endpoint: server }),
-        Event::Note(DecisionEvent::OutlierRatio { outliers: 1, total: 2, panic_mode: true }),
-        Event::Note(DecisionEvent::OverloadStarted { queued: 3 }),
-        Event::Note(DecisionEvent::OverloadEnded),
-        Event::Note(DecisionEvent::WatchLost),
-        Event::Note(DecisionEvent::WatchRestored),
+        Event::Decision(DecisionEvent::AllLimitsChanged { factor: 0.5, utilization: 2.0 }),
+        Event::Decision(DecisionEvent::Ejected { endpoint: server, duration: 9 }),
+        Event::Decision(DecisionEvent::Reinstated { endpoint: server }),
+        Event::Decision(DecisionEvent::OutlierRatio { outliers: 1, total: 2, panic_mode: true }),
+        Event::Decision(DecisionEvent::OverloadStarted { queued: 3 }),
+        Event::Decision(DecisionEvent::OverloadEnded),
+        Event::Decision(DecisionEvent::WatchLost),
+        Event::Decision(DecisionEvent::WatchRestored),
     ];
     all.extend(rules.map(|rule| {
-        Event::Note(DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure: f32::INFINITY })
+        Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure: f32::INFINITY })
     }));
-    all.extend(outcomes.map(|outcome| Event::Ended {
+    all.extend(outcomes.map(|outcome| Event::AttemptEnded {
         id,
         attempt,
-        server,
+        endpoint: server,
         outcome,
-        took: 5,
-        dial: 2,
-        idle: Some(7),
+        duration: 5,
+        connect_time: 2,
+        connection_idle: Some(7),
     }));
-    all.extend(hows.map(|how| Event::Over { id, how }));
+    all.extend(hows.map(|how| Event::RequestEnded { id, outcome: how }));
     all.extend(
-        [Listed::Ready, Listed::Draining, Listed::Gone].map(|listed| Event::Server { server, listed }),
+        [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed]
+            .map(|listed| Event::EndpointStateChanged { endpoint: server, state: listed }),
     );
     for event in all {
         let mut bytes = Vec::new();
@@ -148,18 +159,18 @@
 
 #[test]
 fn a_dump_says_what_was_recorded() {
-    let dump = Dump::read(&small()).unwrap();
-    assert_eq!((dump.damage, dump.stories.len()), (None, 4));
+    let dump = Recording::read(&small()).unwrap();
+    assert_eq!((dump.damage, dump.timelines.len()), (None, 4));
     assert_eq!((dump.head.node.as_str(), dump.head.reason.as_str()), ("n0", "test"));
     let failed = dump.find("r1")[0];
-    let text = pumicehead_flight_recorder::story::tell(&dump.head, failed);
+    let text = pumicehead_flight_recorder::timeline_text::render(&dump.head, failed);
     for part in
         ["`submit`", "Attempt 1 to s-2.", "the connection broke after 30.0 ms", "must not take effect twice"]
     {
         assert!(text.contains(part), "{part}\n{text}");
     }
     assert!(dump.find("r9").is_empty());
-    let page = pumicehead_flight_recorder::page::write(&dump);
+    let page = pumicehead_flight_recorder::html_report::write(&dump);
     assert!(page.contains("<svg") && page.contains("The client was told"), "pictures and stories");
     // The name of SVG itself is the only address in it: nothing is fetched.
     assert_eq!(page.matches("://").count(), page.matches("http://www.w3.org/2000/svg").count());
@@ -169,25 +180,28 @@
 #[test]
 fn damage_at_every_byte() {
     let whole = small();
-    let all = Dump::read(&whole).unwrap();
+    let all = Recording::read(&whole).unwrap();
     for cut in 0..whole.len() {
-        match Dump::read(&whole[..cut]) {
+        match Recording::read(&whole[..cut]) {
             Ok(dump) => {
                 assert!(dump.damage.is_some_and(|damage| damage.at <= cut));
-                assert!(dump.stories.iter().zip(&all.stories).all(|(one, other)| one == other));
+                assert!(dump.timelines.iter().zip(&all.timelines).all(|(one, other)| one == other));
             }
             Err(error) => {
-                assert!(matches!(error, DumpError::Magic | DumpError::Version(_) | DumpError::Head))
+                assert!(matches!(
+                    error,
+                    RecordingError::Magic | RecordingError::Version(_) | RecordingError::Head
+                ))
             }
         }
     }
     for at in 0..whole.len() {
         let mut turned = whole.clone();
         turned[at] ^= 0x41;
-        if let Ok(dump) = Dump::read(&turned) {
-            let same = dump.stories.iter().all(|story| all.stories.contains(story))
+        if let Ok(dump) = Recording::read(&turned) {
+            let same = dump.timelines.iter().all(|story| all.timelines.contains(story))
                 && dump.records.iter().all(|record| all.records.contains(record))
-                && dump.accounts.is_none_or(|accounts| Some(accounts) == all.accounts);
+                && dump.ledger.is_none_or(|accounts| Some(accounts) == all.ledger);
             assert!(same && dump.damage.is_some(), "{at}");
         }
     }
@@ -195,11 +209,11 @@
 
 #[test]
 fn other_versions_and_other_files() {
-    assert_eq!(Dump::read(b"").unwrap_err(), DumpError::Magic);
-    assert_eq!(Dump::read(b"GIF89a, and more").unwrap_err(), DumpError::Magic);
+    assert_eq!(Recording::read(b"").unwrap_err(), RecordingError::Magic);
+    assert_eq!(Recording::read(b"GIF89a, and more").unwrap_err(), RecordingError::Magic);
     let mut later = small();
     later[8] = 2;
-    assert_eq!(Dump::read(&later).unwrap_err(), DumpError::Version(2));
+    assert_eq!(Recording::read(&later).unwrap_err(), RecordingError::Version(2));
     // A head of before some fields were there, then a frame of a kind that came later.
     let head = br#"{"node":"old","start":5,"pools":[{"name":"web"}],"field":"unheard of"}"#;
     let mut file = b"PHEADREC\x01\x00".to_vec();
@@ -209,8 +223,8 @@
         file.extend_from_slice(&sum(kind, contents).to_le_bytes());
         file.extend_from_slice(contents);
     }
-    let dump = Dump::read(&file).unwrap();
-    assert_eq!((dump.head.node.as_str(), dump.damage, dump.accounts.is_none()), ("old", None, true));
+    let dump = Recording::read(&file).unwrap();
+    assert_eq!((dump.head.node.as_str(), dump.damage, dump.ledger.is_none()), ("old", None, true));
 }
 
 /// Guards that tenants are named once for all pools, by their ids, and that recordings which name them for each pool, by
@@ -229,7 +243,7 @@
     };
     let old =
         br#"{"node":"old","pools":[{"name":"web","tenants":["acme","b"]},{"name":"other","tenants":["c"]}]}"#;
-    let old = Dump::read(&file(old)).unwrap().head;
+    let old = Recording::read(&file(old)).unwrap().head;
     assert_eq!([0, 1, 2].map(|id| old.tenant(PoolId(0), id)), ["acme", "b", "2"]);
     assert_eq!(old.tenant(PoolId(1), 0), "c");
 
@@ -237,7 +251,7 @@
     let mut recorder = Recorder::new("n0", 0, 1 << 20, 1);
     recorder.pool("web", &[]);
     recorder.name_tenants(names.into_iter().collect());
-    let new = Dump::read(&recorder.dump(1, "test")).unwrap().head;
+    let new = Recording::read(&recorder.dump(1, "test")).unwrap().head;
     assert_eq!([3, 70_000, 0].map(|id| new.tenant(PoolId(0), id)), ["early", "late", "0"]);
     assert!(new.pools[0].tenants.is_empty());
 }
@@ -246,18 +260,18 @@
     #[test]
     fn noise_is_never_more_than_an_error(noise in proptest::collection::vec(any::<u8>(), 0..2_000)) {
         let mut file = small();
-        let _ = Dump::read(&noise);
+        let _ = Recording::read(&noise);
         let at = noise.len() % file.len();
         file.splice(at.., noise.iter().copied());
-        if let Ok(dump) = Dump::read(&file) {
-            let _ = (otlp(&dump), chrome(&dump), pumicehead_flight_recorder::page::write(&dump));
+        if let Ok(dump) = Recording::read(&file) {
+            let _ = (otlp(&dump), chrome(&dump), pumicehead_flight_recorder::html_report::write(&dump));
         }
     }
 }
 
 #[test]
 fn exports_have_the_public_forms() {
-    let dump = Dump::read(&small()).unwrap();
+    let dump = Recording::read(&small()).unwrap();
     let lines = otlp(&dump);
     assert_eq!(lines.lines().count(), 4);
     for line in lines.lines() {
--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -7,14 +7,16 @@
 use std::path::{Path, PathBuf};
 
 use common::*;
+use pumicehead_flight_recorder::bounded_text::BoundedName;
 use pumicehead_flight_recorder::breakdown::Breakdown;
-use pumicehead_flight_recorder::dump::{ClassHead, Dump, Head, PoolHead, write};
-use pumicehead_flight_recorder::event::{Event, How, Listed, PoolId, Short, Turned, outcome};
+use pumicehead_flight_recorder::event::{
+    Event, ExhaustedResource, ListenerRejection, PoolId, RequestOutcome, outcome_at,
+};
+use pumicehead_flight_recorder::event_ring::{EventRing, append_record};
 use pumicehead_flight_recorder::export::{chrome, otlp};
-use pumicehead_flight_recorder::loss::{Cause, Where};
-use pumicehead_flight_recorder::recorder::{Class, Level, Recorder, Story};
-use pumicehead_flight_recorder::ring::{Ring, append};
-use pumicehead_flight_recorder::text::Name;
+use pumicehead_flight_recorder::loss_cause::{LossCause, RequestPhase};
+use pumicehead_flight_recorder::recorder::{ClassInfo, Level, Recorder, RequestTimeline};
+use pumicehead_flight_recorder::recording::{ClassHeader, PoolHeader, Recording, RecordingHeader, write};
 use pumicehead_policy::decision_event::{
     DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RejectionReason,
 };
@@ -145,61 +147,80 @@
 /// Every event but notes, with each value that it may hold of a fixed set.
 fn every_event() -> Vec<Event> {
     let (id, server, attempt) = (ID, SERVER, ATTEMPT);
-    let asked = |tenant, sending, name: &str, revision| Event::Asked {
+    let asked = |tenant, sending, name: &str, revision| Event::RequestAdmitted {
         id,
         class: 1,
         tenant,
-        left: 2 * SECOND,
-        sending,
-        name: Name::new(name),
+        client_timeout: 2 * SECOND,
+        upload_time: sending,
+        name: BoundedName::new(name),
         revision,
     };
     let long = "a name that is longer than what is kept of names here, by some";
     let mut all = vec![
         asked(Some(70_000), 2 * MS, "req-7", Some(4)),
         asked(None, 0, long, None),
-        Event::Sent { id, attempt, server, timeout: Some(80 * MS) },
-        Event::Sent { id, attempt: AttemptNo(2), server, timeout: None },
-        Event::Began { id, attempt },
-        Event::Advice { avoid: 3, rights: 4 },
-        Event::Sharing { nodes: 277, number: 12 },
-        Event::Turned { class: 1, why: Turned::Held },
-        Event::Turned { class: 1, why: Turned::Connections },
-        Event::Short(Short::Accept),
-        Event::Short(Short::Dial),
-        Event::Member { name: Name::new("n7"), from: Some(0), to: 3 },
-        Event::Member { name: Name::new(long), from: None, to: 0 },
+        Event::AttemptStarted { id, attempt, endpoint: server, timeout: Some(80 * MS) },
+        Event::AttemptStarted { id, attempt: AttemptNo(2), endpoint: server, timeout: None },
+        Event::ResponseStarted { id, attempt },
+        Event::CapacityAdvice { endpoints_to_avoid: 3, lease_grants: 4 },
+        Event::NodeShareChanged { nodes: 277, node_index: 12 },
+        Event::RejectedByListener { class: 1, reason: ListenerRejection::RequestLimit },
+        Event::RejectedByListener { class: 1, reason: ListenerRejection::ConnectionLimit },
+        Event::ResourceExhausted(ExhaustedResource::DownstreamConnection),
+        Event::ResourceExhausted(ExhaustedResource::UpstreamConnection),
+        Event::MemberStateChanged { name: BoundedName::new("n7"), from: Some(0), to: 3 },
+        Event::MemberStateChanged { name: BoundedName::new(long), from: None, to: 0 },
     ];
-    let outcomes = (0..8).filter_map(outcome);
-    all.extend(outcomes.enumerate().map(|(number, outcome)| Event::Ended {
+    let outcomes = (0..8).filter_map(outcome_at);
+    all.extend(outcomes.enumerate().map(|(number, outcome)| Event::AttemptEnded {
         id,
         attempt: AttemptNo(number as u8),
-        server,
+        endpoint: server,
         outcome,
-        took: 30 * MS,
-        dial: if number % 2 == 0 { 0 } else { 2 * MS },
-        idle: (number % 3 == 0).then_some(7 * SECOND),
+        duration: 30 * MS,
+        connect_time: if number % 2 == 0 { 0 } else { 2 * MS },
+        connection_idle: (number % 3 == 0).then_some(7 * SECOND),
     }));
-    let hows = [How::Served, How::ServedFault, How::Refused, How::Failed, How::Late, How::Body, How::Left];
-    all.extend(hows.map(|how| Event::Over { id, how }));
-    let listed = [Listed::Ready, Listed::Draining, Listed::Gone];
-    all.extend(listed.map(|listed| Event::Server { server, listed }));
+    let hows = [
+        RequestOutcome::Served,
+        RequestOutcome::ServedError,
+        RequestOutcome::Rejected,
+        RequestOutcome::Failed,
+        RequestOutcome::DeadlineExceeded,
+        RequestOutcome::BodyFailed,
+        RequestOutcome::ClientDisconnected,
+    ];
+    all.extend(hows.map(|how| Event::RequestEnded { id, outcome: how }));
+    let listed = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
+    all.extend(listed.map(|listed| Event::EndpointStateChanged { endpoint: server, state: listed }));
     all
 }
 
 /// Every cause of a loss.
-fn every_cause() -> Vec<Cause> {
-    let places = [Where::Client, Where::Queue, Where::Earlier, Where::Connect, Where::Server];
-    let mut all = vec![Cause::WaitShare, Cause::NearlyOut, Cause::NoTurn];
-    all.extend((0..8).map(Cause::Failed));
-    all.extend(places.map(Cause::Late));
-    all.extend(places.map(Cause::OutOfTime));
-    all.extend(places.map(Cause::Left));
-    all.extend([Cause::Body, Cause::Turned(false), Cause::Turned(true), Cause::Other]);
+fn every_cause() -> Vec<LossCause> {
+    let places = [
+        RequestPhase::Upload,
+        RequestPhase::Queue,
+        RequestPhase::EarlierAttempts,
+        RequestPhase::Connect,
+        RequestPhase::Endpoint,
+    ];
+    let mut all = vec![LossCause::QueueTooLong, LossCause::QueueTimeout, LossCause::KeyOrderTimeout];
+    all.extend((0..8).map(LossCause::AttemptFailed));
+    all.extend(places.map(LossCause::ObjectiveMissed));
+    all.extend(places.map(LossCause::DeadlineExceeded));
+    all.extend(places.map(LossCause::ClientDisconnected));
+    all.extend([
+        LossCause::BodyFailed,
+        LossCause::RejectedByListener(false),
+        LossCause::RejectedByListener(true),
+        LossCause::Other,
+    ]);
     all
 }
 
-fn story(name: &str, cause: Option<Cause>, events: &[Event]) -> Story {
+fn story(name: &str, cause: Option<LossCause>, events: &[Event]) -> RequestTimeline {
     let mut last = START + SECOND;
     let mut page = last.to_le_bytes().to_vec();
     let mut at = last;
@@ -207,52 +228,61 @@
         let mut bytes = Vec::new();
         event.encode(&mut bytes);
         at += MS;
-        append(&mut page, &mut last, at, PoolId(0), &bytes);
+        append_record(&mut page, &mut last, at, PoolId(0), &bytes);
     }
     let cut = name.ends_with("cut");
-    Story { pool: PoolId(0), class: 1, name: Name::new(name), at, cause, page: page.into(), cut }
+    RequestTimeline {
+        pool: PoolId(0),
+        class: 1,
+        name: BoundedName::new(name),
+        ended_at: at,
+        cause,
+        encoded_events: page.into(),
+        truncated: cut,
+    }
 }
 
 /// A recording with every event, every note and every cause in it, put together by hand.
 fn every_event_recording() -> Vec<u8> {
-    let class = |name: &str, worth| ClassHead {
+    let class = |name: &str, worth| ClassHeader {
         name: name.into(),
-        aim_ns: 100 * MS,
+        latency_objective_ns: 100 * MS,
         deadline_ns: SECOND,
-        worth,
-        late_worth: 0.3,
+        priority_weight: worth,
+        late_weight: 0.3,
     };
-    let mut head = Head::new("n\"0", START);
+    let mut head = RecordingHeader::new("n\"0", START);
     head.at = START + 60 * SECOND;
     head.reason = "asked by a call".into();
     head.pools = vec![
-        PoolHead {
+        PoolHeader {
             name: "web".into(),
             classes: vec![class("read", 1.0), class("submit", 10.0)],
             tenants: Vec::new(),
-            servers: vec![(3, "s-3".into()), (4, "s-4".into())],
+            endpoints: vec![(3, "s-3".into()), (4, "s-4".into())],
         },
-        PoolHead {
+        PoolHeader {
             name: "old".into(),
             classes: Vec::new(),
             tenants: vec!["acme".into()],
-            servers: Vec::new(),
+            endpoints: Vec::new(),
         },
     ];
     head.tenants = [(70_000, "late"), (3, "early")].map(|(id, name)| (id, name.into())).into_iter().collect();
-    (head.wrapped, head.untold) = (11, 5);
-    let events: Vec<_> = every_event().into_iter().chain(every_note().into_iter().map(Event::Note)).collect();
+    (head.overwritten_events, head.untracked_requests) = (11, 5);
+    let events: Vec<_> =
+        every_event().into_iter().chain(every_note().into_iter().map(Event::Decision)).collect();
     let mut stories = vec![
-        story("every-event", Some(Cause::Other), &events),
+        story("every-event", Some(LossCause::Other), &events),
         story("open", None, &events[..3]),
         story("cut", None, &events[..1]),
     ];
-    let some = [events[0].clone(), Event::Over { id: ID, how: How::Late }];
+    let some = [events[0].clone(), Event::RequestEnded { id: ID, outcome: RequestOutcome::DeadlineExceeded }];
     stories.extend(every_cause().into_iter().map(|cause| {
         let name = format!("lost-{}", cause.code());
         story(&name, Some(cause), &some)
     }));
-    let mut ring = Ring::new(8 << 10);
+    let mut ring = EventRing::new(8 << 10);
     for (number, event) in events.iter().enumerate() {
         let mut bytes = Vec::new();
         event.encode(&mut bytes);
@@ -263,7 +293,7 @@
     write(&head, day.recorder.accounts(), stories.iter(), pages.into_iter().rev())
 }
 
-fn next_pool(day: &mut Day, name: &str, classes: &[Class]) {
+fn next_pool(day: &mut Day, name: &str, classes: &[ClassInfo]) {
     day.pool = day.recorder.pool(name, classes);
     for server in 0..5 {
         day.recorder.name(day.pool, EndpointId(server), &format!("{name}-{server}"));
@@ -313,8 +343,16 @@
         day.now += 110 * MS;
         let (attempt, server, outcome) = (AttemptNo(0), EndpointId(4), AttemptOutcome::Success);
         let (took, dial) = (110 * MS, 100 * MS);
-        day.tell(Event::Ended { id, attempt, server, outcome, took, dial, idle: None });
-        day.over(id, How::Served);
+        day.tell(Event::AttemptEnded {
+            id,
+            attempt,
+            endpoint: server,
+            outcome,
+            duration: took,
+            connect_time: dial,
+            connection_idle: None,
+        });
+        day.over(id, RequestOutcome::Served);
     }
     next_pool(&mut day, "tight", &[class("read", 100 * MS, 1.0), class("hasty", 5 * MS, 10.0)]);
     for n in 0..60 {
@@ -330,7 +368,7 @@
     rounds(&mut day, 5, |day| day.refused(1, RejectionReason::KeyOrderTimeout));
     next_pool(&mut day, "clients", &usual);
     rounds(&mut day, 5, |day| {
-        for how in [How::Left, How::Body] {
+        for how in [RequestOutcome::ClientDisconnected, RequestOutcome::BodyFailed] {
             let id = day.ask(1, "impatient");
             day.now += 10 * MS;
             day.over(id, how);
@@ -344,48 +382,51 @@
             day.now += 5 * MS;
             day.end(id, attempt, u32::from(attempt), outcome, 5 * MS);
         }
-        day.tell(Event::Note(DecisionEvent::AnsweredWithoutEndpoint {
+        day.tell(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
             id,
             reason: RejectionReason::NoRetry(NoRetryReason::AttemptsExhausted),
             pressure: 0.0,
         }));
-        day.over(id, How::Failed);
+        day.over(id, RequestOutcome::Failed);
         let id = day.ask(0, "faulty");
         day.send(id, 0, 2);
         day.now += 20 * MS;
         day.end(id, 0, 2, AttemptOutcome::Success, 20 * MS);
-        day.over(id, How::ServedFault);
+        day.over(id, RequestOutcome::ServedError);
         let id = day.ask(0, "out of time");
         day.send(id, 0, 2);
         day.now += 400 * MS;
-        day.over(id, How::Late);
+        day.over(id, RequestOutcome::DeadlineExceeded);
         day.end(id, 0, 2, AttemptOutcome::Cancelled, 400 * MS);
     });
-    for why in [Turned::Held, Turned::Connections] {
-        (0..3).for_each(|_| day.tell(Event::Turned { class: 0, why }));
+    for why in [ListenerRejection::RequestLimit, ListenerRejection::ConnectionLimit] {
+        (0..3).for_each(|_| day.tell(Event::RejectedByListener { class: 0, reason: why }));
     }
     // The node's shortage of descriptors would be put down as the cause of every attempt that was not sent.
-    day.tell(Event::Short(Short::Accept));
-    day.tell(Event::Note(DecisionEvent::Ejected { endpoint: SERVER, duration: 1_500 * MS }));
-    day.tell(Event::Note(DecisionEvent::LimitChanged {
+    day.tell(Event::ResourceExhausted(ExhaustedResource::DownstreamConnection));
+    day.tell(Event::Decision(DecisionEvent::Ejected { endpoint: SERVER, duration: 1_500 * MS }));
+    day.tell(Event::Decision(DecisionEvent::LimitChanged {
         endpoint: SERVER,
         from: 1.0,
         to: 2.5,
         reason: LimitChangeReason::ComparedLatency,
     }));
     let id = day.ask(1, "still open");
-    day.tell(Event::Note(DecisionEvent::Queued { id, queued: 1 }));
+    day.tell(Event::Decision(DecisionEvent::Queued { id, queued: 1 }));
     day
 }
 
-fn read(name: &str) -> Dump {
-    let dump = Dump::read(&stored(name)).unwrap();
+fn read(name: &str) -> Recording {
+    let dump = Recording::read(&stored(name)).unwrap();
     assert_eq!(dump.damage, None, "{name}");
     dump
 }
 
-fn told(dump: &Dump) -> String {
-    let all = dump.stories.iter().map(|story| pumicehead_flight_recorder::story::tell(&dump.head, story));
+fn told(dump: &Recording) -> String {
+    let all = dump
+        .timelines
+        .iter()
+        .map(|story| pumicehead_flight_recorder::timeline_text::render(&dump.head, story));
     all.collect::<Vec<_>>().join("\n")
 }
 
@@ -399,10 +440,11 @@
 #[test]
 fn an_older_recording_holds_the_same_events() {
     let dump = read("every_event.rec");
-    let events: Vec<_> = every_event().into_iter().chain(every_note().into_iter().map(Event::Note)).collect();
+    let events: Vec<_> =
+        every_event().into_iter().chain(every_note().into_iter().map(Event::Decision)).collect();
     let read: Vec<_> = dump.records.iter().map(|record| record.event.clone()).collect();
     assert_eq!(read, events);
-    let causes: Vec<_> = dump.stories.iter().skip(3).map(|story| story.cause.unwrap()).collect();
+    let causes: Vec<_> = dump.timelines.iter().skip(3).map(|story| story.cause.unwrap()).collect();
     assert_eq!(causes, every_cause());
 }
 
@@ -428,17 +470,25 @@
     let mut at = START;
     for (number, event) in every_event().into_iter().enumerate() {
         at += 10 * MS;
-        if let Event::Over { how, .. } = event {
+        if let Event::RequestEnded { outcome, .. } = event {
             let id = RequestId(100 + number as u32);
-            let name = Name::new(&format!("r{number}"));
+            let name = BoundedName::new(&format!("r{number}"));
             let (tenant, left, revision) = (None, SECOND, None);
             recorder.record(
                 at,
                 pool,
-                &Event::Asked { id, class: 0, tenant, left, sending: 0, name, revision },
+                &Event::RequestAdmitted {
+                    id,
+                    class: 0,
+                    tenant,
+                    client_timeout: left,
+                    upload_time: 0,
+                    name,
+                    revision,
+                },
             );
             at += 20 * MS;
-            recorder.record(at, pool, &Event::Over { id, how });
+            recorder.record(at, pool, &Event::RequestEnded { id, outcome: outcome });
         } else {
             recorder.record(at, pool, &event);
         }
--- a/crates/node/src/eyes.rs
+++ b/crates/node/src/eyes.rs
@@ -10,7 +10,7 @@
 
 use pumicehead_admin::call::{Amount, Call, no, yes};
 use pumicehead_flight_recorder::event::PoolId;
-use pumicehead_flight_recorder::recorder::{Class, Level, Recorder};
+use pumicehead_flight_recorder::recorder::{ClassInfo, Level, Recorder};
 use pumicehead_policy::{Settings, TenantId};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task;
@@ -82,12 +82,12 @@
 
     /// A pool's way to the recorder, with the names of its classes in the order of its settings.
     pub fn tap(&self, pool: &str, settings: &Settings, classes: &[String]) -> RecorderSink {
-        let class = |(name, class): (&String, &pumicehead_policy::Class)| Class {
+        let class = |(name, class): (&String, &pumicehead_policy::Class)| ClassInfo {
             name: name.clone(),
-            aim: class.latency_objective,
+            latency_objective: class.latency_objective,
             deadline: class.deadline,
-            worth: class.priority_weight,
-            late_worth: class.late_weight,
+            priority_weight: class.priority_weight,
+            late_weight: class.late_weight,
         };
         let classes: Vec<_> = classes.iter().zip(&settings.classes).map(class).collect();
         let pool = self.recorder.with(|recorder| recorder.pool(pool, &classes));
@@ -230,7 +230,9 @@
 
     fn at_panic(&self, what: &str) {
         let Some(folder) = self.folder() else { return };
-        if let Some(bytes) = self.dump(&format!("panic: {}", pumicehead_flight_recorder::text::plain(what))) {
+        if let Some(bytes) =
+            self.dump(&format!("panic: {}", pumicehead_flight_recorder::bounded_text::plain(what)))
+        {
             // There is nothing left to do where this fails.
             let _ = RecordingFile::new(folder, self.node, self.next()).write(&bytes);
         }
--- a/crates/node/src/net/pool_loop/mod.rs
+++ b/crates/node/src/net/pool_loop/mod.rs
@@ -16,8 +16,8 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Weak;
 
+use pumicehead_flight_recorder::bounded_text::plain;
 use pumicehead_flight_recorder::event::Event as RecordedEvent;
-use pumicehead_flight_recorder::text::plain;
 use pumicehead_policy::decision_event::DecisionEvent;
 use pumicehead_policy::{Balancer, Discovery, EndpointId, Event, Nanos, RequestId, Settings, WarmState};
 use rustc_hash::FxHashMap;
@@ -179,7 +179,7 @@
                 self.log_decision(decision);
             }
             if let Some(recorder) = self.recorder.as_ref().filter(|recorder| recorder.is_recording()) {
-                recorder.record_at(now, &RecordedEvent::Note(*decision));
+                recorder.record_at(now, &RecordedEvent::Decision(*decision));
             }
         }
     }
