--- a/crates/flight-recorder/src/story.rs
+++ b/crates/flight-recorder/src/timeline_text.rs
@@ -7,12 +7,12 @@
 };
 use pumicehead_policy::{AttemptOutcome, Nanos};
 
-use crate::dump::Head;
-use crate::event::{Event, How};
-use crate::kept::Story;
-use crate::loss::said;
-use crate::moment;
-use crate::ring::records;
+use crate::event::{Event, RequestOutcome};
+use crate::event_ring::decode_records;
+use crate::loss_cause::outcome_text;
+use crate::recording::RecordingHeader;
+use crate::request_timeline::RequestTimeline;
+use crate::timestamp;
 
 fn hurdle(hurdle: ExclusionReason) -> &'static str {
     match hurdle {
@@ -52,31 +52,37 @@
     }
 }
 
-fn ending(how: How) -> &'static str {
+fn ending(how: RequestOutcome) -> &'static str {
     match how {
-        How::Served => "The client got the server's answer.",
-        How::ServedFault => "The client got the server's answer, which speaks of a fault.",
-        How::Refused => "The client was told to come back later; nothing had happened.",
-        How::Failed => "The client was told that it failed.",
-        How::Late => "The client was told that its time was up.",
-        How::Body => "The client was told that its body was too slow, too long or broken off.",
-        How::Left => "The client had left.",
+        RequestOutcome::Served => "The client got the server's answer.",
+        RequestOutcome::ServedError => "The client got the server's answer, which speaks of a fault.",
+        RequestOutcome::Rejected => "The client was told to come back later; nothing had happened.",
+        RequestOutcome::Failed => "The client was told that it failed.",
+        RequestOutcome::DeadlineExceeded => "The client was told that its time was up.",
+        RequestOutcome::BodyFailed => {
+            "The client was told that its body was too slow, too long or broken off."
+        }
+        RequestOutcome::ClientDisconnected => "The client had left.",
     }
 }
 
 /// What an event of a request says; nothing where it adds nothing to its neighbours.
-fn sentence(head: &Head, story: &Story, event: &Event) -> Option<String> {
+fn sentence(head: &RecordingHeader, story: &RequestTimeline, event: &Event) -> Option<String> {
     let server = |id: u32| head.server(story.pool, id);
     Some(match event {
-        Event::Asked { class, tenant, left, sending, revision, .. } => {
+        Event::RequestAdmitted { class, tenant, client_timeout, upload_time, revision, .. } => {
             let mut text = format!(
                 "It came as `{}` to {}, and its client waits {}.",
                 head.class(story.pool, *class),
                 head.pool(story.pool),
-                moment::span(*left)
+                timestamp::format_duration(*client_timeout)
             );
-            if *sending > 1_000_000 {
-                let _ = write!(text, " It took its client {} to send it.", moment::span(*sending));
+            if *upload_time > 1_000_000 {
+                let _ = write!(
+                    text,
+                    " It took its client {} to send it.",
+                    timestamp::format_duration(*upload_time)
+                );
             }
             if let Some(tenant) = tenant {
                 let _ = write!(text, " Tenant: {}.", head.tenant(story.pool, *tenant));
@@ -86,14 +92,14 @@
             }
             text
         }
-        Event::Note(DecisionEvent::Classified { tier, priority_weight, .. }) => {
+        Event::Decision(DecisionEvent::Classified { tier, priority_weight, .. }) => {
             let tier = ["highest", "high", "medium", "low"].get(usize::from(*tier)).unwrap_or(&"unknown");
             format!("Ranked in the {tier} tier, worth {priority_weight}.")
         }
-        Event::Note(DecisionEvent::Queued { queued, .. }) => {
+        Event::Decision(DecisionEvent::Queued { queued, .. }) => {
             format!("No place for it yet; {queued} wait, it among them.")
         }
-        Event::Note(DecisionEvent::EndpointSelected {
+        Event::Decision(DecisionEvent::EndpointSelected {
             endpoint: id,
             score,
             runner_up,
@@ -115,63 +121,77 @@
             }
             text
         }
-        Event::Note(DecisionEvent::NoEndpointAvailable { exclusions, .. }) => match passed_over(exclusions) {
-            over if over.is_empty() => "All places of the node were taken.".into(),
-            over => format!("No server would do: {over}."),
-        },
-        Event::Note(DecisionEvent::AnsweredWithoutEndpoint { reason: why, pressure, .. }) => {
+        Event::Decision(DecisionEvent::NoEndpointAvailable { exclusions, .. }) => {
+            match passed_over(exclusions) {
+                over if over.is_empty() => "All places of the node were taken.".into(),
+                over => format!("No server would do: {over}."),
+            }
+        }
+        Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { reason: why, pressure, .. }) => {
             let mut text = format!("Given up: {}.", rule(*why));
             if *pressure > 0.0 {
                 let _ = write!(text, " The wait was {:.0}% of the time left.", pressure * 100.0);
             }
             text
         }
-        Event::Sent { attempt, server: id, timeout, .. } => {
-            let timeout =
-                timeout.map_or(String::new(), |span| format!(", for {} at most", moment::span(span)));
+        Event::AttemptStarted { attempt, endpoint: id, timeout, .. } => {
+            let timeout = timeout
+                .map_or(String::new(), |span| format!(", for {} at most", timestamp::format_duration(span)));
             format!("Attempt {} to {}{timeout}.", attempt.0 + 1, server(id.0))
         }
-        Event::Ended { attempt, server: id, outcome, took, dial, idle, .. } => {
-            let dial = if *dial > 1_000_000 {
-                format!(", {} of it for a connection", moment::span(*dial))
+        Event::AttemptEnded {
+            attempt,
+            endpoint: id,
+            outcome,
+            duration,
+            connect_time,
+            connection_idle,
+            ..
+        } => {
+            let dial = if *connect_time > 1_000_000 {
+                format!(", {} of it for a connection", timestamp::format_duration(*connect_time))
             } else {
                 String::new()
             };
-            let kept = match idle {
-                Some(idle) => format!(", on a connection that had been idle for {}", moment::span(*idle)),
+            let kept = match connection_idle {
+                Some(idle) => {
+                    format!(", on a connection that had been idle for {}", timestamp::format_duration(*idle))
+                }
                 None => String::new(),
             };
-            let how = if *outcome == AttemptOutcome::NotSent { "was never sent" } else { said(*outcome) };
+            let how =
+                if *outcome == AttemptOutcome::NotSent { "was never sent" } else { outcome_text(*outcome) };
             format!(
                 "Attempt {} at {}: {how} after {}{dial}{kept}.",
                 attempt.0 + 1,
                 server(id.0),
-                moment::span(*took)
+                timestamp::format_duration(*duration)
             )
         }
-        Event::Began { attempt, .. } => {
+        Event::ResponseStarted { attempt, .. } => {
             format!("The answer of attempt {} began to pass through.", attempt.0 + 1)
         }
-        Event::Over { how, .. } => ending(*how).into(),
+        Event::RequestEnded { outcome, .. } => ending(*outcome).into(),
         _ => return None,
     })
 }
 
 /// A story, a line an event, each with the time since the request came.
 #[must_use]
-pub fn tell(head: &Head, story: &Story) -> String {
-    let (events, whole) = records(&story.page);
-    let begin = events.first().map_or(story.at, |record| record.at);
-    let mut out = format!("request {}, from {}\n", story.name.shown(), moment::shown(begin, head.start));
+pub fn render(head: &RecordingHeader, story: &RequestTimeline) -> String {
+    let (events, whole) = decode_records(&story.encoded_events);
+    let begin = events.first().map_or(story.ended_at, |record| record.at);
+    let mut out =
+        format!("request {}, from {}\n", story.name.shown(), timestamp::format_timestamp(begin, head.start));
     let mut over = false;
     for record in &events {
         if let Some(sentence) = sentence(head, story, &record.event) {
             let since: Nanos = record.at.saturating_sub(begin);
-            let _ = writeln!(out, "  +{:>10}  {sentence}", moment::span(since));
+            let _ = writeln!(out, "  +{:>10}  {sentence}", timestamp::format_duration(since));
         }
-        over |= matches!(record.event, Event::Over { .. });
+        over |= matches!(record.event, Event::RequestEnded { .. });
     }
-    if story.cut || !whole {
+    if story.truncated || !whole {
         out += "  (some of its events did not fit and are left out)\n";
     }
     match story.cause {
