--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of `pumicehead-testbed`, by which the program of the former name goes too.
+//! The command line of `pumicehead-testbed`, and of `pumicehead-rig`, its former name.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use crate::measure::{ALL, Plan, capacity, storm};
+use crate::measure::{ALL, Plan, capacity, chaos};
 use crate::report::Report;
 use crate::standin::{StandIn, Work};
 use clap::{Parser, Subcommand, ValueEnum};
@@ -21,16 +21,16 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves board servers' stand-ins until it is ended.
+    /// Serves stand-ins of the backend servers until it is stopped.
     StandIn {
         /// Where, on loopback.
         #[arg(required = true)]
         addresses: Vec<SocketAddr>,
-        /// Milliseconds that each request takes.
+        /// Time that each request takes, in milliseconds.
         #[arg(long, default_value_t = 5)]
         takes_ms: u64,
     },
-    /// What a node and a fleet carry: slopes by each factor, and all factors at once, beside the budgets.
+    /// Capacity of a node and a fleet: slopes by each factor, and all factors at once, beside the budgets.
     Capacity {
         #[command(flatten)]
         options: Options,
@@ -48,16 +48,19 @@
     Config(Options),
     /// The node's cost beside a bare relay, and how it grows.
     Cost(Options),
-    /// What watching costs, and whether a recording names a fault that was put in.
-    Eyes(Options),
     /// FastCGI beside HTTP: the parity table, costs, memory.
     Fastcgi(Options),
     /// Many nodes and servers in virtual time.
     Fleet(Options),
-    /// The fleet's view of itself: detection, wrongs, healing and bytes, beside heartbeats to all.
-    View(Options),
+    /// Membership: crash detection, false positives, convergence and traffic, beside heartbeats to all.
+    #[command(alias = "view")]
+    Membership(Options),
+    /// What the flight recorder costs, and whether a recording names a fault that was injected.
+    #[command(alias = "eyes")]
+    Recorder(Options),
     /// Fleets of processes under crashes, stalls and bad links.
-    Storm {
+    #[command(alias = "storm")]
+    Chaos {
         #[command(flatten)]
         options: Options,
         /// Another build of the node, played in turn with this one.
@@ -100,7 +103,7 @@
     json: bool,
 }
 
-/// Parses the arguments and carries the command out; 2 is returned where it fails.
+/// Parses the arguments and runs the command. The exit code is 1 where a claim does not hold, and 2 where the command fails.
 pub fn main() -> ExitCode {
     let done = match Arguments::parse().command {
         Command::StandIn { addresses, takes_ms } => stand_in(&addresses, takes_ms),
@@ -111,12 +114,12 @@
         }
         Command::Config(options) => measure("config", &options),
         Command::Cost(options) => measure("cost", &options),
-        Command::Eyes(options) => measure("eyes", &options),
         Command::Fastcgi(options) => measure("fastcgi", &options),
         Command::Fleet(options) => measure("fleet", &options),
-        Command::View(options) => measure("view", &options),
-        Command::Storm { options, beside } => {
-            storm::measure(options.plan(), beside.as_deref()).map(|report| show(&report, &options))
+        Command::Membership(options) => measure("membership", &options),
+        Command::Recorder(options) => measure("recorder", &options),
+        Command::Chaos { options, beside } => {
+            chaos::measure(options.plan(), beside.as_deref()).map(|report| show(&report, &options))
         }
     };
     done.unwrap_or_else(|error| {
--- a/crates/testbed/src/measure/fleet.rs
+++ b/crates/testbed/src/measure/fleet.rs
@@ -1,6 +1,7 @@
-//! What nodes that decide alone pay as they become many, in virtual time with real decision modules.
+//! What nodes that decide alone lose as they become many, and what planners change, in virtual time.
 
 use std::io;
+use std::mem;
 
 use pumicehead_policy::SECOND;
 
@@ -8,133 +9,163 @@
 use crate::report::Report;
 use crate::simulation::{Counters, Health, Simulation, SimulationConfig};
 
-/// Nodes and servers, side by side; all at the same load of the servers.
+/// Numbers of nodes and servers; all at the same load of the servers.
 const SIZES: [(u32, u32); 5] = [(4, 50), (50, 50), (200, 50), (200, 250), (1_250, 250)];
+/// Arrival rate of requests as a share of the servers' capacity.
 const LOAD: f64 = 0.7;
+/// Requests per second that a warm server can process.
+const SERVER_RATE: f64 = 30.0;
 const PLANNERS: usize = 3;
-/// Seconds until things settle, and of trouble.
-const SETTLE: u64 = 8;
-const TROUBLE: u64 = 6;
+/// Time until limits and connections settle, in seconds.
+const SETTLE_S: u64 = 8;
+/// Time of each fault, in seconds.
+const FAULT_S: u64 = 6;
+/// By so much shares of two spans of one run may differ at random, in percent.
+const VARIATION_PERCENT: f64 = 1.0;
 
-/// Shares of two spans of the same config differ by so much by chance, in percent.
-const NOISE: f64 = 1.0;
+const COLUMNS: [&str; 13] = [
+    "nodes",
+    "planners",
+    "servers",
+    "in aim %",
+    "refused %",
+    "failed %",
+    "conns a server",
+    "failing: sends a s before",
+    "in 1st s",
+    "in last s",
+    "cold: in aim %",
+    "fallen",
+    "kB/s of levels",
+];
 
-/// Runs it.
+/// Results at one size.
+struct SizeResult {
+    config: SimulationConfig,
+    /// Servers that fail in `fault`.
+    failing: u32,
+    without_faults: Counters,
+    fault: Counters,
+    restarts: Counters,
+}
+
+/// Runs the measurement.
 ///
 /// # Errors
 /// None; measurements have one form.
 pub fn measure(plan: Plan) -> io::Result<Report> {
-    let columns = [
-        "nodes",
-        "planners",
-        "servers",
-        "in aim %",
-        "refused %",
-        "failed %",
-        "conns a server",
-        "failing: sends a s before",
-        "in 1st s",
-        "in last s",
-        "cold: in aim %",
-        "fallen",
-        "kB/s of levels",
-    ];
-    let mut report = Report::new("fleet", &columns);
-    let mut broken = 0;
-    let (mut connections, mut failing_sends) = (Vec::new(), Vec::new());
-    let both = SIZES.into_iter().flat_map(|size| [(size, 0), (size, PLANNERS)]);
-    for ((nodes, servers), planners) in both {
-        let config =
-            SimulationConfig { seed: plan.seed, nodes, servers, load: LOAD, load_reports: false, planners };
-        let mut simulation = Simulation::new(config);
-        simulation.run(SETTLE * SECOND);
-        let calm = std::mem::take(&mut simulation.counters);
-        // One in fifty servers begins to fail, fast.
-        let failing = (servers / 50).max(1);
-        (0..failing).for_each(|server| simulation.servers[server as usize].health = Health::Failing);
-        simulation.run(TROUBLE * SECOND);
-        let trouble = std::mem::take(&mut simulation.counters);
-        // One in ten of the others restarts at the same instant.
-        let cold = servers / 10;
-        (failing..failing + cold).for_each(|server| simulation.restart(server as usize));
-        simulation.run(TROUBLE * SECOND);
-        let after = std::mem::take(&mut simulation.counters);
-        let share = |part: u64, counters: &Counters| {
-            format!("{:.2}", 100.0 * part as f64 / counters.requests.max(1) as f64)
-        };
-        let usual = f64::from(failing) * LOAD * 30.0;
-        let second = |place: u64| {
-            let first = trouble.node_server_pairs.keys().next().copied().unwrap_or_default();
-            trouble.attempts_at_unhealthy.get(&(first + place - 1)).copied().unwrap_or_default()
-        };
-        let pairs =
-            calm.node_server_pairs.values().last().copied().unwrap_or_default() as f64 / f64::from(servers);
-        connections.push(pairs);
-        failing_sends.push(second(TROUBLE - 1));
-        report.row(&[
-            nodes.to_string(),
-            planners.to_string(),
-            servers.to_string(),
-            share(calm.within_objective, &calm),
-            share(calm.rejected, &calm),
-            share(calm.failed, &calm),
-            format!("{pairs:.1}"),
-            format!("{usual:.0}"),
-            second(1).to_string(),
-            second(TROUBLE - 1).to_string(),
-            share(after.within_objective, &after),
-            after.overloaded_cold.to_string(),
-            (calm.planner_bytes / SETTLE / 1_000).to_string(),
-        ]);
-        for counters in [&calm, &trouble, &after] {
-            broken += counters.violations();
+    let mut report = Report::new("fleet", &COLUMNS);
+    let mut violations = 0;
+    let mut results = Vec::new();
+    for (nodes, servers) in SIZES {
+        for planners in [0, PLANNERS] {
+            let result = simulate(config(plan, nodes, servers, planners));
+            report.row(&result.cells());
+            violations += result.violations();
+            results.push(result);
         }
     }
-    let (alone, guided) =
-        failing_sends.iter().skip(failing_sends.len() - 2).fold((0, 0), |(_, last), &next| (last, next));
+    let last_second = |result: &SizeResult| result.attempts_at_failing(FAULT_S - 1);
+    let [.., alone, guided] = &results[..] else { return Ok(report) };
+    let (alone, guided) = (last_second(alone), last_second(guided));
     report.figure("late_sends_to_failing_alone", alone);
     report.figure("late_sends_to_failing_guided", guided);
     report.claim(guided < alone, "a failing server is left sooner with planners, with the most nodes");
-    lose_planners(plan, &mut report, &mut broken);
-    report.figure("rules_broken", broken);
-    report.figure("connections_a_server", format!("{:.1}", connections.last().copied().unwrap_or_default()));
-    report.claim(broken == 0, "no rule is broken");
+    violations += lose_planners(plan, &mut report);
+    report.figure("rules_broken", violations);
+    let connections = results.last().map_or(0.0, SizeResult::connections_per_server);
+    report.figure("connections_a_server", format!("{connections:.1}"));
+    report.claim(violations == 0, "no rule is broken");
     Ok(report)
 }
 
-/// What is served before all planners are lost, while they are, and after they are back.
-fn lose_planners(plan: Plan, report: &mut Report, broken: &mut u64) {
-    let config = SimulationConfig {
-        seed: plan.seed,
-        nodes: 200,
-        servers: 250,
-        load: LOAD,
-        load_reports: false,
-        planners: PLANNERS,
-    };
+fn config(plan: Plan, nodes: u32, servers: u32, planners: usize) -> SimulationConfig {
+    SimulationConfig { seed: plan.seed, nodes, servers, load: LOAD, load_reports: false, planners }
+}
+
+/// Runs without faults, then with one in fifty servers failing, then with one in ten of the others restarted.
+fn simulate(config: SimulationConfig) -> SizeResult {
     let mut simulation = Simulation::new(config);
-    simulation.run(SETTLE * SECOND);
-    let mut shares = Vec::new();
-    for (place, name) in ["with planners", "all lost", "all back"].into_iter().enumerate() {
-        match place {
-            1 => simulation.stop_planners(),
-            2 => simulation.start_planners(),
-            _ => {}
-        }
+    simulation.run(SETTLE_S * SECOND);
+    let without_faults = mem::take(&mut simulation.counters);
+    let failing = (config.servers / 50).max(1);
+    (0..failing).for_each(|server| simulation.servers[server as usize].health = Health::Failing);
+    simulation.run(FAULT_S * SECOND);
+    let fault = mem::take(&mut simulation.counters);
+    let restarted = config.servers / 10;
+    (failing..failing + restarted).for_each(|server| simulation.restart(server as usize));
+    simulation.run(FAULT_S * SECOND);
+    let restarts = mem::take(&mut simulation.counters);
+    SizeResult { config, failing, without_faults, fault, restarts }
+}
+
+impl SizeResult {
+    /// Pairs of a node and a server with an attempt in the last second without faults, by server.
+    fn connections_per_server(&self) -> f64 {
+        let pairs = self.without_faults.node_server_pairs.values().last().copied().unwrap_or_default();
+        pairs as f64 / f64::from(self.config.servers)
+    }
+
+    /// Attempts at failing servers in a second of the fault, from 1.
+    fn attempts_at_failing(&self, second: u64) -> u64 {
+        let first = self.fault.node_server_pairs.keys().next().copied().unwrap_or_default();
+        self.fault.attempts_at_unhealthy.get(&(first + second - 1)).copied().unwrap_or_default()
+    }
+
+    fn violations(&self) -> u64 {
+        [&self.without_faults, &self.fault, &self.restarts].map(Counters::violations).iter().sum()
+    }
+
+    fn cells(&self) -> [String; COLUMNS.len()] {
+        let percent = |part: u64, counters: &Counters| {
+            format!("{:.2}", 100.0 * part as f64 / counters.requests.max(1) as f64)
+        };
+        let (calm, restarts) = (&self.without_faults, &self.restarts);
+        let attempts_before = f64::from(self.failing) * LOAD * SERVER_RATE;
+        [
+            self.config.nodes.to_string(),
+            self.config.planners.to_string(),
+            self.config.servers.to_string(),
+            percent(calm.within_objective, calm),
+            percent(calm.rejected, calm),
+            percent(calm.failed, calm),
+            format!("{:.1}", self.connections_per_server()),
+            format!("{attempts_before:.0}"),
+            self.attempts_at_failing(1).to_string(),
+            self.attempts_at_failing(FAULT_S - 1).to_string(),
+            percent(restarts.within_objective, restarts),
+            restarts.overloaded_cold.to_string(),
+            (calm.planner_bytes / SETTLE_S / 1_000).to_string(),
+        ]
+    }
+}
+
+/// Adds what is served before all planners are lost, while they are, and after their return. Returns the violations.
+fn lose_planners(plan: Plan, report: &mut Report) -> u64 {
+    let mut simulation = Simulation::new(config(plan, 200, 250, PLANNERS));
+    simulation.run(SETTLE_S * SECOND);
+    let mut violations = 0;
+    let mut phase = |simulation: &mut Simulation, name: &str| {
         simulation.counters = Counters::default();
-        simulation.run(SETTLE * SECOND);
-        let counters = std::mem::take(&mut simulation.counters);
+        simulation.run(SETTLE_S * SECOND);
+        let counters = mem::take(&mut simulation.counters);
         let share = 100.0 * counters.within_objective as f64 / counters.requests.max(1) as f64;
         report.row(&[format!(
             "200 nodes, 250 servers, {name}: {share:.2}% in the aim, {} refused",
             counters.rejected
         )]);
-        *broken += counters.violations();
-        shares.push(share);
-    }
-    report.figure("in_aim_with_lost_back", format!("{:.2}/{:.2}/{:.2}", shares[0], shares[1], shares[2]));
+        violations += counters.violations();
+        share
+    };
+    let with = phase(&mut simulation, "with planners");
+    simulation.stop_planners();
+    let lost = phase(&mut simulation, "all lost");
+    simulation.start_planners();
+    let back = phase(&mut simulation, "all back");
+    report.figure("in_aim_with_lost_back", format!("{with:.2}/{lost:.2}/{back:.2}"));
     report.claim(
-        shares[1] > shares[0] - NOISE && shares[2] > shares[0] - NOISE,
+        lost > with - VARIATION_PERCENT && back > with - VARIATION_PERCENT,
         "no service is lost with the planners",
     );
+    violations
 }
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -1,13 +1,14 @@
 //! Measurements that anyone can run, each in a module of its own.
 
 pub mod capacity;
+pub mod chaos;
+mod chaos_program;
 pub mod config;
 pub mod cost;
-pub mod eyes;
 pub mod fastcgi;
 pub mod fleet;
-pub mod storm;
-pub mod view;
+pub mod membership;
+pub mod recorder;
 
 use std::io;
 
@@ -25,12 +26,12 @@
 /// A measurement by its name.
 pub type Measurement = fn(Plan) -> io::Result<Report>;
 
-/// All measurements that take no more than a plan; `capacity` and `storm` take more.
+/// All measurements that take no more than a plan; `capacity` and `chaos` take more.
 pub const ALL: [(&str, Measurement); 6] = [
     ("config", config::measure),
     ("cost", cost::measure),
-    ("eyes", eyes::measure),
     ("fastcgi", fastcgi::measure),
     ("fleet", fleet::measure),
-    ("view", view::measure),
+    ("membership", membership::measure),
+    ("recorder", recorder::measure),
 ];
--- /dev/null
+++ b/crates/testbed/src/measure/recorder/mod.rs
@@ -0,0 +1,27 @@
+//! What the flight recorder costs a node, and whether a recording names a fault that was injected.
+
+mod cost;
+mod faults;
+mod node;
+
+use std::io;
+
+use super::Plan;
+use crate::program::build_node;
+use crate::report::Report;
+
+/// Servers behind the node; in [`faults`] the last one is the faulty one.
+const SERVERS: usize = 4;
+
+/// Runs the measurement.
+///
+/// # Errors
+/// A node that does not build, or answers that do not come.
+pub fn measure(plan: Plan) -> io::Result<Report> {
+    build_node()?;
+    let columns = ["what", "us cpu a request", "ratio", "first cause named", "s to it"];
+    let mut report = Report::new("eyes", &columns);
+    cost::measure(plan, &mut report)?;
+    faults::measure(&mut report)?;
+    Ok(report)
+}
--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -1,6 +1,6 @@
-//! Two levels in virtual time, with real decision modules: the four rules through faults on both levels.
+//! Nodes with real decision modules, servers and planners in virtual time: no invariant breaks under faults of either.
 //!
-//! A failing seed is printed; `SEED=n cargo test -p pumicehead-testbed --test simulation` plays it alone.
+//! A failing seed is printed; `SEED=n cargo test -p pumicehead-testbed --test simulation` runs it alone.
 
 use pumicehead_policy::{Nanos, SECOND};
 use pumicehead_testbed::simulation::{Counters, Health, Job, Server, Simulation, SimulationConfig};
@@ -28,10 +28,14 @@
 fn check(counters: &Counters, seed: u64) {
     let broken =
         (counters.unanswered, counters.ran_twice, counters.sent_past_drain, counters.overloaded_cold);
-    assert_eq!(broken, (0, 0, 0, 0), "seed {seed}: lost, twice, past a drain, pushed over");
+    assert_eq!(
+        broken,
+        (0, 0, 0, 0),
+        "seed {seed}: unanswered, ran twice, sent past a drain, overloaded while cold"
+    );
 }
 
-/// One thing goes wrong, or right again.
+/// Breaks or repairs one thing at random.
 fn fault(simulation: &mut Simulation, rng: &mut Pcg64Mcg) {
     let server = (rng.next_u64() % 30) as usize;
     match rng.next_u64() % 7 {
@@ -45,9 +49,10 @@
     }
 }
 
-/// Guards the four rules on two levels: faults of servers and of planners in any order.
+/// Each request gets one final answer, none that is not idempotent runs twice, drains are respected, and no cold server is
+/// overloaded, whatever fails in whatever order.
 #[test]
-fn the_rules_hold_through_faults_on_both_levels() {
+fn no_invariant_breaks_under_faults_of_servers_and_planners() {
     for seed in seeds() {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut simulation = Simulation::new(config(seed, if seed % 4 == 3 { 0 } else { 3 }));
@@ -56,7 +61,7 @@
             fault(&mut simulation, &mut rng);
             simulation.run(rng.next_u64() % SECOND + SECOND / 10);
         }
-        // Until the last request has had its time.
+        // Until the deadline of the last request has passed.
         simulation.run(7 * SECOND);
         check(&simulation.counters, seed);
         let answered = simulation.counters.served + simulation.counters.rejected + simulation.counters.failed;
@@ -68,9 +73,9 @@
     }
 }
 
-/// Guards replays: the same seed is the same config.
+/// A run can be repeated by its seed.
 #[test]
-fn a_seed_plays_the_same_day_again() {
+fn same_seed_gives_the_same_run() {
     let play = || {
         let mut simulation = Simulation::new(config(5, 3));
         simulation.run(4 * SECOND);
@@ -81,9 +86,9 @@
     assert_eq!(play(), play());
 }
 
-/// Guards the loss of all planners mid-traffic, and their return at once: none of it costs service.
+/// The loss of all planners under traffic, and their return as new processes, leave the served share as it was.
 #[test]
-fn all_planners_may_go_and_come_back() {
+fn losing_all_planners_costs_no_service() {
     let mut simulation = Simulation::new(SimulationConfig { nodes: 60, ..config(1, 3) });
     simulation.run(6 * SECOND);
     let mut shares = Vec::new();
@@ -98,13 +103,13 @@
         check(&simulation.counters, 1);
         shares.push(simulation.counters.served as f64 / simulation.counters.requests as f64);
     }
-    // Some have come before and are served in it, or the other way round.
+    // Requests that span two phases are counted as requests of one and as served of the other.
     assert!(shares.iter().all(|share| *share > 0.98), "{shares:?}");
 }
 
-/// Guards what the second level is for: a server that fails at a few requests a minute from each of many nodes.
+/// A server whose failures each of many nodes sees only now and then is avoided by all sooner with planners.
 #[test]
-fn what_many_see_reaches_those_who_have_not() {
+fn planners_spread_failures_that_each_node_sees_rarely() {
     let sends = |planners| {
         let mut simulation =
             Simulation::new(SimulationConfig { nodes: 400, servers: 60, ..config(2, planners) });
@@ -120,17 +125,17 @@
     assert!(guided * 2 < alone, "{guided} attempts with planners, {alone} without");
 }
 
-/// Guards a start of many servers at one instant, announced to all, while rights to them are lent and granted: it is of use
-/// only if some get more than they lend, and none is pushed over.
+/// Servers that start at the same instant are used by leases on their warm-up capacity: some nodes are granted more than they
+/// lend, and no server is overloaded.
 #[test]
-fn servers_that_start_at_once_are_asked_by_right_and_not_pushed_over() {
+fn servers_that_start_together_are_not_overloaded() {
     for seed in 0..4 {
         let mut simulation =
             Simulation::new(SimulationConfig { nodes: 200, servers: 60, load: 0.7, ..config(seed, 3) });
         simulation.run(8 * SECOND);
         (0..12).for_each(|server| simulation.restart(server));
         simulation.run(5 * SECOND);
-        // Mid-way all planners go: what they granted ends, what was lent comes back.
+        // Without planners grants expire, and loans return to their nodes.
         simulation.stop_planners();
         simulation.run(8 * SECOND);
         check(&simulation.counters, seed);
@@ -138,15 +143,15 @@
     }
 }
 
-/// Guards the checks themselves: the model does fall when it is pushed, and only while it is cold.
+/// The model crashes under overload while it is cold, and only then; a restart loses its jobs.
 #[test]
-fn a_cold_server_falls_when_it_is_pushed() {
+fn cold_server_crashes_under_overload() {
     let at = 100 * SECOND;
     let mut server = Server::warm();
     assert!(!(0..1_000).any(|n: Nanos| server.on_arrival(at + n)));
     server.restart(at);
-    let fell = (1..1_000).find(|&n| server.on_arrival(at + n));
-    assert_eq!(fell, Some(16), "2.5 times a fifth of 30 requests in a second");
+    let crashed_at = (1..1_000).find(|&n| server.on_arrival(at + n));
+    assert_eq!(crashed_at, Some(16), "2.5 times a fifth of 30 requests in a second");
     let job = Job { node: 0, id: 1, attempt: 0 };
     let number = server.admit(job);
     assert!(server.start(number));
