--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -488,7 +488,7 @@
                 },
             );
             at += 20 * MS;
-            recorder.record(at, pool, &Event::RequestEnded { id, outcome: outcome });
+            recorder.record(at, pool, &Event::RequestEnded { id, outcome });
         } else {
             recorder.record(at, pool, &event);
         }
--- a/crates/node/src/net/pool_loop/attempts.rs
+++ b/crates/node/src/net/pool_loop/attempts.rs
@@ -38,7 +38,7 @@
         let now = self.now();
         let Some(in_flight) = self.in_flight.get(&id) else { return };
         let attempt = AttemptNo(in_flight.attempts.len() as u8);
-        self.record(&RecordedEvent::AttemptStarted { id, attempt, endpoint: endpoint, timeout });
+        self.record(&RecordedEvent::AttemptStarted { id, attempt, endpoint, timeout });
         let end = timeout.map_or(in_flight.deadline, |timeout| in_flight.deadline.min(now + timeout));
         let may_start = in_flight.responder.is_some() && now < end && !in_flight.upload_has_started();
         let Some(connector) = self.directory.connector(endpoint).filter(|_| may_start).cloned() else {
@@ -86,7 +86,7 @@
         self.record(&RecordedEvent::AttemptEnded {
             id,
             attempt,
-            endpoint: endpoint,
+            endpoint,
             outcome,
             duration: 0,
             connect_time: 0,
