--- a/crates/node/tests/parity.rs
+++ b/crates/node/tests/parity.rs
@@ -12,9 +12,10 @@
 
 #[test]
 fn all_pairings_end_alike() {
-    let (table, faults) = compare_all();
-    assert!(table.len() >= 35);
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    let results = compare_all();
+    assert!(results.len() >= 35);
+    let differences: Vec<_> = results.into_iter().flat_map(|scenario| scenario.differences).collect();
+    assert!(differences.is_empty(), "{}", differences.join("\n"));
 }
 
 /// Guards the client that goes away: its attempt is called back, and nothing is sent again.
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -11,13 +11,13 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// No connection.
+    /// The connection could not be opened.
     #[error("connect: {0}")]
     Connect(#[from] std::io::Error),
-    /// It broke, or what came was no HTTP.
+    /// The connection broke, or what was received is not HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
 }
@@ -34,17 +34,17 @@
 }
 
 impl Client {
-    /// One without a connection yet.
+    /// A client that has no connection yet.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self { address, open: None }
     }
 
-    /// Sends a request and reads the whole answer. A kept connection that has ended by now is replaced; one that
-    /// ends under the request is an error.
+    /// Sends a request and reads the whole response. A kept connection that has been closed is replaced; one that breaks
+    /// during the request is an error.
     ///
     /// # Errors
-    /// No connection, or a broken one.
+    /// [`ClientError`]: no connection, or a broken one.
     pub async fn ask(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Bytes>, ClientError> {
         let kept = match self.open.take() {
             Some(mut open) => open.sender.ready().await.is_ok().then_some(open),
--- a/crates/testbed/src/hollow/counts.rs
+++ b/crates/testbed/src/hollow/counts.rs
@@ -1,5 +1,4 @@
-//! What members send, counted where it arrives: the sender's own figures are not needed, so real processes and hollow nodes are
-//! counted alike.
+//! Counts the messages of members at their receivers, so that real processes and hollow nodes are counted alike.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -9,7 +8,7 @@
 use pumicehead_membership::MemberId;
 use pumicehead_membership::wire::{DatagramKind, FrameKind};
 
-/// Kinds of datagrams that are told apart.
+/// Kinds of datagrams that are counted, with their names.
 pub const KINDS: [(DatagramKind, &str); 5] = [
     (DatagramKind::Gossip, "gossip"),
     (DatagramKind::Ping, "ping"),
@@ -17,9 +16,9 @@
     (DatagramKind::Ack, "ack"),
     (DatagramKind::Nack, "nack"),
 ];
-/// Heads of a datagram over UDP and IPv4, in bytes.
+/// Bytes of the UDP and IPv4 headers of a datagram.
 pub const DATAGRAM_HEADS: u64 = 28;
-/// The length that stands before a frame, in bytes.
+/// Bytes of the length before a frame.
 pub const FRAME_HEAD: u64 = 4;
 /// Steps of an exchange over a stream.
 const STEPS: usize = FrameKind::Reject as usize + 1;
@@ -33,12 +32,12 @@
     kind: i32,
 }
 
-/// What arrived from one member.
+/// Messages received from one member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Received {
     /// Datagrams, in the order of [`KINDS`].
     pub datagrams: [u64; KINDS.len()],
-    /// Their bytes, without heads.
+    /// Their bytes, without headers.
     pub datagram_bytes: u64,
     /// Frames of streams, by [`FrameKind`].
     pub frames: [u64; STEPS],
@@ -60,7 +59,7 @@
     }
 }
 
-/// Counts what arrives at all hollow nodes of a process, by sender.
+/// Counts the messages that all hollow nodes of a process receive, by sender.
 #[derive(Debug, Default)]
 pub struct PeerCounts {
     on: AtomicBool,
@@ -68,25 +67,25 @@
 }
 
 impl PeerCounts {
-    /// Begins to count from zero.
+    /// Starts to count from zero.
     pub fn start(&self) {
         self.lock().clear();
         self.on.store(true, Ordering::Relaxed);
     }
 
-    /// Stops; what was counted, by the sender's key.
+    /// Stops, and returns the counts by the sender's id.
     pub fn stop(&self) -> HashMap<u64, Received> {
         self.on.store(false, Ordering::Relaxed);
         std::mem::take(&mut *self.lock())
     }
 
-    /// What was counted of a member until now.
+    /// The counts of a member so far.
     #[must_use]
     pub fn of(&self, name: &str) -> Received {
         self.lock().get(&sender(name)).copied().unwrap_or_default()
     }
 
-    /// A datagram has arrived.
+    /// Counts a received datagram.
     pub fn datagram(&self, bytes: &[u8]) {
         self.count(bytes, |received, kind| {
             if let Some(count) = received.datagrams.get_mut(kind) {
@@ -96,7 +95,7 @@
         });
     }
 
-    /// A frame has arrived over a stream.
+    /// Counts a frame received over a stream.
     pub fn frame(&self, bytes: &[u8]) {
         self.count(bytes, |received, kind| {
             if let Some(count) = received.frames.get_mut(kind) {
@@ -110,7 +109,7 @@
         if !self.on.load(Ordering::Relaxed) {
             return;
         }
-        // Bytes that are no message count for nobody.
+        // Bytes that are no message are not counted.
         let Ok(head) = Head::decode(bytes) else { return };
         let kind = usize::try_from(head.kind).unwrap_or(usize::MAX);
         add(self.lock().entry(head.from).or_default(), kind);
@@ -121,7 +120,7 @@
     }
 }
 
-/// The key of a name as messages carry it.
+/// The id of a member in messages.
 pub(super) fn sender(name: &str) -> u64 {
     MemberId::from_name(name).0
 }
@@ -135,32 +134,32 @@
     frame_bytes: AtomicU64,
 }
 
-/// The same at one moment.
+/// A snapshot of [`Traffic`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sent {
     /// Datagrams.
     pub datagrams: u64,
     /// Frames over streams.
     pub frames: u64,
-    /// Bytes of both, with the heads of UDP and IPv4 and the lengths of frames; the heads of TCP are not counted.
+    /// Bytes of both, with UDP and IPv4 headers and frame lengths, without TCP headers.
     pub bytes: u64,
 }
 
 impl Sent {
-    /// Messages of both sorts.
+    /// Datagrams and frames.
     #[must_use]
     pub fn messages(&self) -> u64 {
         self.datagrams + self.frames
     }
 
-    /// Adds another node's.
+    /// Adds another snapshot.
     pub fn add(&mut self, other: Sent) {
         self.datagrams += other.datagrams;
         self.frames += other.frames;
         self.bytes += other.bytes;
     }
 
-    /// What came since an earlier moment.
+    /// The difference to an earlier snapshot.
     #[must_use]
     pub fn since(&self, earlier: Sent) -> Sent {
         Sent {
@@ -172,19 +171,19 @@
 }
 
 impl Traffic {
-    /// A datagram was sent.
+    /// Counts a sent datagram.
     pub fn datagram(&self, bytes: usize) {
         self.datagrams.fetch_add(1, Ordering::Relaxed);
         self.datagram_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// A frame was sent.
+    /// Counts a sent frame.
     pub fn frame(&self, bytes: usize) {
         self.frames.fetch_add(1, Ordering::Relaxed);
         self.frame_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// All until now.
+    /// The current snapshot.
     #[must_use]
     pub fn sent(&self) -> Sent {
         let (datagrams, frames) =
--- a/crates/testbed/src/hollow/event_loops.rs
+++ b/crates/testbed/src/hollow/event_loops.rs
@@ -20,7 +20,7 @@
 pub(super) struct EventLoops(Vec<EventLoop>);
 
 impl EventLoops {
-    /// Starts so many.
+    /// Starts this many event loops.
     pub fn start(count: usize) -> io::Result<Self> {
         (0..count).map(|_| EventLoop::start()).collect::<io::Result<_>>().map(Self)
     }
--- a/crates/testbed/src/hollow/mixed.rs
+++ b/crates/testbed/src/hollow/mixed.rs
@@ -17,11 +17,11 @@
 
 /// The fleet's name.
 const FLEET: &str = "hollow";
-/// All nodes have one zone: zones play no part in what the machine sends.
+/// The zone of all nodes; zones have no effect on what the machine sends.
 const ZONE: &str = "a";
 /// Threads that all hollow nodes share.
 const THREADS: usize = 2;
-/// Between two looks at the hollow nodes' views.
+/// Interval at which the state of the hollow nodes is polled.
 const POLL: Duration = Duration::from_millis(20);
 /// Hollow nodes that serve as seeds, beside the first real one.
 const HOLLOW_SEEDS: usize = 2;
@@ -47,10 +47,10 @@
     pub real: usize,
 }
 
-/// What happened while views settled.
+/// What happened while the member tables converged.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Settled {
-    /// Until all held the same; `None`: not within the limit.
+    /// Time until all were equal; `None` beyond the limit.
     pub after: Option<Duration>,
     /// What the hollow nodes sent meanwhile.
     pub sent: Sent,
@@ -82,7 +82,7 @@
 }
 
 impl MixedFleet {
-    /// Starts a fleet of so many real and hollow nodes, at least one of each.
+    /// Starts a fleet of `real` and `hollow` nodes, at least one of each.
     ///
     /// # Errors
     /// Processes or sockets that can't be had.
@@ -157,13 +157,13 @@
         &self.hollow
     }
 
-    /// Nodes of both sorts.
+    /// Number of real and hollow nodes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.real.len() + self.hollow.len()
     }
 
-    /// Whether there are none, which never is.
+    /// Whether there are no nodes; never true.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
@@ -189,7 +189,7 @@
         self.hollow.iter().map(|node| node.view_bytes()).sum()
     }
 
-    /// Times that hollow nodes noticed that this process had stood still.
+    /// Event loop stalls that hollow nodes detected.
     #[must_use]
     pub fn stalls(&self) -> u64 {
         self.hollow.iter().map(|node| node.stalls()).sum()
@@ -212,7 +212,7 @@
             .all(|node| node.view().is_ok_and(|view| view.there == self.len() && view.fingerprint == shown))
     }
 
-    /// Waits until all hold the same, and counts what is sent meanwhile.
+    /// Waits until all tables are equal, and counts what is sent meanwhile.
     #[must_use]
     pub fn settle(&self, limit: Duration) -> Settled {
         let mut settled = Settled::default();
@@ -220,7 +220,7 @@
         settled
     }
 
-    /// The same; the time runs from an earlier moment, and what was counted since is added to.
+    /// Like [`Self::settle`] with an earlier start time, adding to what was counted since.
     fn settle_since(&self, start: Instant, limit: Duration, settled: &mut Settled) {
         let mut second = Second::begin(self);
         while start.elapsed() < limit {
@@ -237,7 +237,7 @@
         second.end(settled);
     }
 
-    /// Waits until no hollow node has changes to pass on, and tells how long that took; `None`: not within the limit.
+    /// Waits until no hollow node has updates to gossip. Returns how long that took; `None` beyond the limit.
     #[must_use]
     pub fn wait_quiet(&self, limit: Duration) -> Option<Duration> {
         let start = Instant::now();
@@ -284,7 +284,7 @@
     /// Kills the last real node, and waits until all others hold it dead.
     ///
     /// # Errors
-    /// Some did not within the limit.
+    /// [`NotDetected`] where some do not within the limit.
     pub fn kill_real(&mut self, limit: Duration) -> Result<Detection, NotDetected> {
         let Some(mut killed) = self.real.pop() else { return Err(NotDetected { hollow: 0, real: 0 }) };
         let name = killed.name().to_owned();
@@ -315,8 +315,8 @@
         }
     }
 
-    /// Restarts so many hollow nodes at once, the seeds not among them: each tells that it goes, and comes back under its name
-    /// after a pause. Waits until all hold the same again.
+    /// Restarts `many` hollow nodes at once, without the seeds: each announces that it leaves, and starts under the same name
+    /// after a pause. Waits until all tables are equal again.
     ///
     /// # Errors
     /// Sockets that can't be had.
@@ -351,7 +351,7 @@
     }
 
     fn end(&self, settled: &mut Settled) {
-        // A shorter span is no second: its bytes count as they are.
+        // Bytes of a shorter span are not extrapolated.
         let span = self.began.elapsed().as_secs_f64().max(1.0);
         let mut all = Sent::default();
         let mut most = 0;
--- a/crates/testbed/src/hollow/node.rs
+++ b/crates/testbed/src/hollow/node.rs
@@ -59,7 +59,7 @@
     pub fleet: String,
     /// Its zone.
     pub zone: String,
-    /// Members that it asks first.
+    /// Addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
     /// For its random numbers.
     pub seed: u64,
@@ -81,7 +81,7 @@
     pub(super) open_streams: AtomicUsize,
     pub(super) traffic: Traffic,
     pub(super) peers: Arc<PeerCounts>,
-    /// Times that the machine noticed that its process had stood still.
+    /// Stalls of the event loop that the machine detected.
     stalls: AtomicU64,
     tasks: Mutex<JoinSet<()>>,
 }
@@ -91,7 +91,7 @@
 }
 
 impl HollowNode {
-    /// Binds on loopback and begins to ask the seeds. To be called within a runtime.
+    /// Binds on loopback and starts to join by the seeds. Must be called within a runtime.
     ///
     /// # Errors
     /// No port, or a setup that the machine does not take.
@@ -153,7 +153,7 @@
         self.traffic.sent()
     }
 
-    /// Times that it noticed that its process had stood still.
+    /// Stalls of the event loop that it detected.
     #[must_use]
     pub fn stalls(&self) -> u64 {
         self.stalls.load(Ordering::Relaxed)
@@ -166,7 +166,7 @@
         (member.table().fingerprint(), member.table().active_count())
     }
 
-    /// Whether it has changes to pass on to others.
+    /// Whether it has updates to gossip.
     #[must_use]
     pub fn is_passing_on(&self) -> bool {
         self.member().has_pending_broadcasts()
@@ -184,12 +184,12 @@
         self.member().table().get(MemberId::from_name(name)).map(|held| held.state)
     }
 
-    /// Ends it as a crash does: without a word.
+    /// Stops it as a crash does, without a message.
     pub fn kill(&self) {
         lock(&self.tasks).abort_all();
     }
 
-    /// Ends it in order: it tells some members that it goes.
+    /// Stops it in order: it announces to some members that it leaves.
     pub fn leave(&self) {
         self.member().leave(self.clock.now());
         let outputs: Vec<_> = self.member().take_outputs().collect();
@@ -230,7 +230,7 @@
             let next = self.member().next_timer().min(sharing_at);
             tokio::select! {
                 came = self.datagrams.recv_from(&mut bytes) => {
-                    // An error tells that an earlier datagram was refused: the missing answer says the same.
+                    // The error of an earlier datagram that was refused; its missing ack has the same effect.
                     if let Ok((count, from)) = came {
                         self.peers.datagram(&bytes[..count]);
                         self.member().on_datagram(self.now(), from, &bytes[..count]);
--- a/crates/testbed/src/hollow/process.rs
+++ b/crates/testbed/src/hollow/process.rs
@@ -17,7 +17,7 @@
 use super::event_loops::thread_cpu_seconds;
 use crate::program::{LIMIT, built, memory, temporary};
 
-/// Starts the node, tells its process id, and ends it and its file when the standard input does.
+/// Starts the node, prints its process id, and ends the node and removes its file at the end of standard input.
 const GUARD: &str =
     r#""$0" run "$1" </dev/null & echo $!; read _; kill -KILL $! 2>/dev/null; wait; rm -f "$1""#;
 /// Between two looks at a log.
@@ -118,7 +118,7 @@
         &self.name
     }
 
-    /// Its view, asked where it takes calls.
+    /// Its member table, from the admin listener.
     ///
     /// # Errors
     /// No answer, or one that is no view.
@@ -126,7 +126,7 @@
         Ok(serde_json::from_str(&self.ask("FLEET members")?)?)
     }
 
-    /// Whether it holds a member dead, asked where it takes calls: its log tells of many like changes only later.
+    /// Whether it holds a member dead, from the admin listener: the log is rate-limited, and too late for this.
     ///
     /// # Errors
     /// No answer, or one that is about no member.
--- a/crates/testbed/src/measure/capacity/mod.rs
+++ b/crates/testbed/src/measure/capacity/mod.rs
@@ -48,7 +48,7 @@
     pub part: Part,
 }
 
-/// Runs it.
+/// Runs the measurement.
 ///
 /// # Errors
 /// Programs that do not build, start or answer.
--- a/crates/testbed/src/measure/capacity/probe.rs
+++ b/crates/testbed/src/measure/capacity/probe.rs
@@ -1,5 +1,5 @@
-//! Measures a node's event loop: from outside by a client that asks what needs no backend, and by the processor time of
-//! the loop's thread between two sleeps.
+//! Measures a node's event loop: from outside by requests that need no backend, and by the processor time of the loop's
+//! thread between two sleeps.
 
 use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,23 +12,23 @@
 use super::procfs;
 use crate::scripted::Message;
 
-/// Between an answer and the next request.
+/// Pause between a response and the next request.
 const PROBE_GAP: Duration = Duration::from_millis(1);
-/// Between two readings of the loop's processor time.
+/// Interval between readings of the loop's processor time.
 const SAMPLE_GAP: Duration = Duration::from_micros(300);
-/// A node that takes longer over any answer has failed.
+/// Timeout of a response.
 const ANSWER_LIMIT: Duration = Duration::from_secs(30);
-/// A path that no route has: the node answers it by itself, with 404.
+/// A path without a route, which the node answers with 404 by itself.
 const UNKNOWN_PATH: &str = "/unknown";
 
-/// A client that asks one request after another on one connection.
+/// A client that sends one request after another on one connection.
 pub struct ProbeClient {
     stream: TcpStream,
     input: BufReader<TcpStream>,
 }
 
 impl ProbeClient {
-    /// Connects.
+    /// Opens the connection.
     ///
     /// # Errors
     /// Those of the system.
@@ -39,7 +39,7 @@
         Ok(Self { input: BufReader::new(stream.try_clone()?), stream })
     }
 
-    /// The status of an answer to a read.
+    /// Sends a GET request and returns the status code of the response.
     ///
     /// # Errors
     /// A connection that ends first.
@@ -50,10 +50,10 @@
         Ok(answer.status())
     }
 
-    /// How long the node takes over an answer of its own.
+    /// Returns the latency of a response that the node gives by itself.
     ///
     /// # Errors
-    /// A connection that ends, or another answer.
+    /// A connection that ends, or another response.
     pub fn time_own_answer(&mut self) -> io::Result<Duration> {
         let start = Instant::now();
         match self.ask(UNKNOWN_PATH, "")? {
@@ -63,29 +63,29 @@
     }
 }
 
-/// What was seen of a loop over some time.
+/// Measurements of an event loop over some time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoopTimes {
-    /// The longest time that the node took over an answer of its own. Includes waits for a processor, of the node and of
-    /// the client.
+    /// The longest latency of a response that the node gives by itself. Includes time in which the node or the client waited
+    /// for a processor.
     pub longest_answer: Duration,
-    /// Processor time of the loop's thread between two of its sleeps, the longest; at least this. Free of such waits.
+    /// A lower bound of the longest processor time of the loop's thread between two sleeps. Without waits for a processor.
     pub longest_turn: Duration,
-    /// Answers.
+    /// Number of responses.
     pub answers: u64,
 }
 
-/// Watches the processor time of a node's loop on a thread until it is stopped; asks the node nothing.
+/// Samples the processor time of a node's loop on a thread until it is stopped; sends the node nothing.
 pub struct TurnWatch {
     over: Arc<AtomicBool>,
     sampler: JoinHandle<io::Result<Duration>>,
 }
 
 impl TurnWatch {
-    /// Begins.
+    /// Starts to sample.
     ///
     /// # Errors
-    /// A process that the system does not tell of.
+    /// A process that `/proc` does not have.
     pub fn start(process: u32) -> io::Result<Self> {
         let first = read_turns(process)?;
         let over = Arc::new(AtomicBool::new(false));
@@ -94,17 +94,17 @@
         Ok(Self { over, sampler })
     }
 
-    /// Ends it: the longest turn, at least.
+    /// Stops, and returns a lower bound of the longest turn.
     ///
     /// # Errors
-    /// A process that the system told nothing of.
+    /// A process that `/proc` does not have.
     pub fn stop(self) -> io::Result<Duration> {
         self.over.store(true, Ordering::Relaxed);
         self.sampler.join().map_err(|_| io::Error::other("a thread failed"))?
     }
 }
 
-/// Watches a node's loop from outside as well until it is stopped.
+/// Measures a node's loop by requests and by its processor time until it is stopped.
 pub struct LoopWatch {
     over: Arc<AtomicBool>,
     client: JoinHandle<io::Result<(Duration, u64)>>,
@@ -112,7 +112,7 @@
 }
 
 impl LoopWatch {
-    /// Begins, with a connection that is open and has been used.
+    /// Starts to measure, after a first request on the connection.
     ///
     /// # Errors
     /// A node that does not answer.
@@ -126,10 +126,10 @@
         Ok(Self { over, client, turns })
     }
 
-    /// Ends it.
+    /// Stops, and returns the measurements.
     ///
     /// # Errors
-    /// A node that did not answer, or that the system told nothing of.
+    /// A node that did not answer, or that `/proc` does not have.
     pub fn stop(self) -> io::Result<LoopTimes> {
         self.over.store(true, Ordering::Relaxed);
         let client = self.client.join().map_err(|_| io::Error::other("a thread failed"))?;
@@ -139,7 +139,7 @@
     }
 }
 
-/// Asks in a closed loop: the longest answer, and how many there were.
+/// Sends requests in a closed loop. Returns the longest latency and the number of responses.
 fn ask_until(over: &AtomicBool, probe: &mut ProbeClient) -> io::Result<(Duration, u64)> {
     let (mut longest, mut answers) = (Duration::ZERO, 0);
     loop {
@@ -152,7 +152,7 @@
     }
 }
 
-/// Reads the loop's processor time and how often it slept; a span between readings with several sleeps counts by its mean.
+/// Samples the loop's processor time and its number of sleeps.
 fn sample_until(over: &AtomicBool, process: u32, first: TurnReading) -> io::Result<Duration> {
     let mut turns = TurnTracker::new(first);
     loop {
@@ -165,21 +165,21 @@
 }
 
 fn read_turns(process: u32) -> io::Result<TurnReading> {
-    // Sleeps first: time that is used between the two reads then counts to the turn that is under way.
+    // Sleeps first: processor time used between the two reads is then attributed to the current turn.
     let sleeps = procfs::sleeps(process, process)?;
     Ok(TurnReading { sleeps, used: procfs::thread_time(process, process)? })
 }
 
-/// A reading of a thread.
+/// A sample of a thread.
 #[derive(Clone, Copy, Debug)]
 pub struct TurnReading {
-    /// How often it went to sleep.
+    /// Number of its sleeps.
     pub sleeps: u64,
     /// Its processor time.
     pub used: Duration,
 }
 
-/// The longest processor time of a thread between two sleeps, from readings now and then.
+/// A lower bound of the longest processor time of a thread between two sleeps, from samples.
 #[derive(Clone, Copy, Debug)]
 pub struct TurnTracker {
     anchor: TurnReading,
@@ -187,14 +187,13 @@
 }
 
 impl TurnTracker {
-    /// From a first reading on.
+    /// Starts from a first sample.
     #[must_use]
     pub fn new(first: TurnReading) -> Self {
         Self { anchor: first, longest: Duration::ZERO }
     }
 
-    /// Takes a later reading. Where the thread slept several times since the last sleep that was seen, the mean counts,
-    /// which is no more than the longest.
+    /// Takes a later sample. Where the thread slept several times in between, the mean counts, which is at most the longest.
     pub fn add(&mut self, reading: TurnReading) {
         let sleeps = reading.sleeps.saturating_sub(self.anchor.sleeps);
         if sleeps == 0 {
@@ -206,7 +205,7 @@
         self.anchor = reading;
     }
 
-    /// The longest so far; the true one is this or more.
+    /// The lower bound so far.
     #[must_use]
     pub fn longest(&self) -> Duration {
         self.longest
--- a/crates/testbed/src/measure/capacity/procfs.rs
+++ b/crates/testbed/src/measure/capacity/procfs.rs
@@ -1,4 +1,4 @@
-//! What the system tells of a process: its memory, and the processor time of its threads.
+//! Memory of a process and processor time of its threads, from `/proc`.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -47,7 +47,7 @@
         self.threads.iter().map(|(thread, used)| used.saturating_sub(before.thread(*thread))).sum()
     }
 
-    /// The same of the first thread, which runs the event loop.
+    /// Processor time of the first thread, which runs the event loop.
     #[must_use]
     pub fn loop_since(&self, before: &Self) -> Duration {
         self.thread(self.process).saturating_sub(before.thread(self.process))
--- a/crates/testbed/src/measure/config.rs
+++ b/crates/testbed/src/measure/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: how long checks take, what a match costs, and whether reloads under load lose anything.
+//! The configuration: time of a check, time of a route match, and requests lost by reloads under load.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -30,21 +30,21 @@
 const INCLUDES: usize = 200;
 /// Sizes of the compared matchers.
 const SIZES: [usize; 3] = [10, 1_000, 10_000];
-/// A match among 10,000 routes may cost so many times that among 10: the trie is the same depth, but lies in memory
-/// that is not in the cache.
+/// Most time of a match among 10,000 routes, as a multiple of one among 10: the trie has the same depth, but does not fit in the
+/// cache.
 const MOST_RATIO: f64 = 6.0;
-/// A check that takes longer is in the way of an editor.
+/// Most time of a check, which editors run as the user types.
 const MOST_CHECK: Duration = Duration::from_secs(2);
-/// Queries that a matcher is asked in turn.
+/// Number of different queries.
 const QUERIES: usize = 512;
-/// How often each figure is taken; the least counts, the machine being noisy.
+/// Rounds of each measurement; the least value counts, as noise of the machine only adds.
 const ROUNDS: usize = 5;
-/// Between two reloads: long enough that each configuration serves.
+/// Pause between two reloads, in which each configuration serves requests.
 const PAUSE: Duration = Duration::from_millis(50);
-/// Clients under which configurations are read again.
+/// Clients that send requests during the reloads.
 const CLIENTS: usize = 16;
 
-/// Runs it.
+/// Runs the measurement.
 ///
 /// # Errors
 /// Files or programs that can't be used.
@@ -153,7 +153,7 @@
     let mut fast = [f64::MAX; SIZES.len()];
     let mut plain = [f64::MAX; SIZES.len()];
     let mut same = true;
-    // In turns, so that a noisy moment meets all sizes alike.
+    // In turns, so that noise of the machine meets all sizes alike.
     for _ in 0..ROUNDS * if plan.long { 5 } else { 1 } {
         for (place, (matcher, routes, asked)) in sets.iter().enumerate() {
             let all = |find: &dyn Fn(&Query<'_>) -> Option<usize>, times: usize| {
@@ -289,7 +289,7 @@
     Ok(())
 }
 
-/// One client: asks, one request at a time, until it is over.
+/// Runs a client that sends one request at a time until the reloads are over.
 async fn ask_on(address: std::net::SocketAddr, number: usize, seed: u64, tally: Rc<Tally>) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed.wrapping_add(number as u64));
     let mut client = Client::new(address);
@@ -308,7 +308,7 @@
         tally.asked.set(tally.asked.get() + 1);
         match client.ask(request).await {
             Ok(response) if response.status().is_success() => {
-                // A server's answer names the unit that it was made for.
+                // A stand-in's response has the unit of its request.
                 if !String::from_utf8_lossy(response.body()).contains(&unit) {
                     tally.lost.borrow_mut().push(format!("{unit}: another's answer"));
                 }
--- a/crates/testbed/src/measure/cost.rs
+++ b/crates/testbed/src/measure/cost.rs
@@ -1,5 +1,5 @@
-//! What the node costs beside a relay that only forwards bytes, which is the least that any proxy can cost, and how
-//! that grows with servers and connections.
+//! Processor time of a request in the node beside a relay that only forwards bytes, the least that any proxy can cost, and
+//! its growth with servers and connections.
 
 use std::fmt::Write as _;
 use std::io::{self, Read, Write};
@@ -20,30 +20,30 @@
 use crate::program::{Standalone, Tool, build, build_node, cpu_seconds, memory, temporary};
 use crate::report::Report;
 
-/// Load at which costs are compared, a second: well under what one core does.
+/// Load at which costs are compared, in requests per second; one core has capacity for much more.
 const RATE: f64 = 4_000.0;
-/// How long each is asked at a time.
+/// Length of a load on one target.
 const SPAN: Nanos = SECOND * 6 / 10;
-/// Rounds in which all that is compared takes its turn; the median of them counts. The machine's speed changes from
-/// second to second, by more than what is compared.
+/// Rounds in which the targets take turns; the median counts. The speed of a shared machine varies from second to second by
+/// more than the differences that are measured.
 const ROUNDS: usize = 3;
-/// The highest rate that is tried.
+/// The highest rate of the search, in requests per second.
 const TOP_RATE: f64 = 64_000.0;
-/// How near to the highest rate that is held the search comes, as a ratio.
+/// The search ends where the lowest rate that fails is within this ratio of the highest that does not.
 const NEAR: f64 = 1.2;
 /// Numbers of servers and of connections.
 const SERVERS: [usize; 4] = [10, 50, 250, 1_000];
 const CONNECTIONS: [usize; 3] = [10, 1_000, 5_000];
-/// The node may cost so many times the relay's processor time a request ...
+/// Most processor time of a request in the node, as a multiple of the relay's.
 const MOST_COST: f64 = 2.0;
-/// ... and so many times more with the most servers than with the fewest.
+/// Most growth of it from the fewest servers to the most, as a ratio.
 const MOST_GROWTH: f64 = 1.1;
-/// What p99 must stay inside, in microseconds: the aim of the quicker class.
+/// Limit of the p99 latency in microseconds: the latency objective of the quicker class.
 const AIM_US: u64 = 600_000;
-/// The core of what is measured. The generator has the others.
+/// The core that the measured process is pinned to; the load generator has the others.
 const CORE: usize = 0;
 
-/// Runs it.
+/// Runs the measurement.
 ///
 /// # Errors
 /// Programs that do not build or start.
@@ -59,14 +59,16 @@
     Ok(report)
 }
 
-/// What one target of a comparison has cost in each round, and what the requests of all of them met.
+/// A target of a comparison, with its results.
 struct Turns {
     name: String,
     target: SocketAddr,
     pid: Option<u32>,
-    /// How many times as long as it is asked it is warmed up.
+    /// Length of its warm-up, in multiples of [`SPAN`].
     warm: u64,
+    /// Processor time of a request by round, in microseconds.
     costs: Vec<f64>,
+    /// Results of the last round.
     last: Option<Summary>,
 }
 
@@ -82,10 +84,10 @@
     }
 }
 
-/// All of them in turn, round after round.
+/// Loads the targets in turn, round after round, and adds a row for each.
 fn take_turns(plan: Run, rounds: usize, all: &mut [Turns], report: &mut Report) -> io::Result<()> {
     for turns in &*all {
-        // Limits are learned, connections come up: with a thousand servers, more of them.
+        // Limits settle and connections are opened, more of them with a thousand servers.
         ask(plan, turns.target, RATE, SPAN * turns.warm, None)?;
     }
     for _ in 0..rounds {
@@ -103,7 +105,7 @@
     Ok(())
 }
 
-/// A process with so many stand-in servers.
+/// Starts a process with `count` stand-in servers.
 fn servers(count: usize) -> io::Result<Tool> {
     let mut arguments = vec!["stand-in".to_owned(), "--service".into(), "1ms".into()];
     arguments.extend((0..count).map(|_| "127.0.0.1:0".to_owned()));
@@ -133,7 +135,7 @@
     Ok((node, file))
 }
 
-/// Asks a target at a rate; the results, and the processor time a request of a process in microseconds.
+/// Loads a target at a rate. Returns the results, and the processor time of a request in the process `pid`, in microseconds.
 fn ask(
     plan: Run,
     target: SocketAddr,
@@ -201,7 +203,7 @@
     Ok(())
 }
 
-/// The highest rate at which a target keeps p99 in the aim: doubled until it does not, then halved down to [`NEAR`].
+/// Returns the highest rate at which a target's p99 is within [`AIM_US`], by doubling and then bisection down to [`NEAR`].
 fn highest(plan: Run, turns: &Turns, report: &mut Report) -> io::Result<f64> {
     let (mut held, mut broken) = (RATE, f64::INFINITY);
     let mut breaks = None;
@@ -214,7 +216,7 @@
             broken = rate;
             breaks = Some(summary);
         }
-        // What is still on its way is not the next rate's.
+        // Requests in flight must not count for the next rate.
         thread::sleep(Duration::from_millis(50));
     }
     let what = turns.name.split(',').next().unwrap_or_default();
@@ -236,7 +238,7 @@
             Turns { warm: 1 + count as u64 / 300, ..turns }
         })
         .collect();
-    // What more sockets cost by themselves: a relay to the fewest and to the most.
+    // The cost of more sockets by themselves: a relay to the fewest servers and to the most.
     let ends = [&servers[0], &servers[SERVERS.len() - 1]];
     let relays = ends.map(|servers| relay(&servers.addresses));
     for (relay, servers) in relays.iter().zip(ends) {
@@ -261,7 +263,7 @@
     Ok(())
 }
 
-/// Processor time and memory beside connections that stay open after an answer.
+/// Measures processor time and memory with idle client connections.
 fn connections(plan: Run, servers: &Tool, report: &mut Report) -> io::Result<()> {
     let nodes = CONNECTIONS.iter().map(|_| node(&servers.addresses)).collect::<io::Result<Vec<_>>>()?;
     let (mut all, mut open, mut lines) = (Vec::new(), Vec::new(), Vec::new());
--- a/crates/testbed/src/measure/fastcgi.rs
+++ b/crates/testbed/src/measure/fastcgi.rs
@@ -2,31 +2,34 @@
 //! a thousand requests on one connection take.
 
 use std::io;
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 
+use pumicehead_fastcgi::record::Kind;
+
 use super::Plan;
-use crate::parity::{compare_all, pairings, text};
+use crate::parity::{Seen, compare_all, pairings, text};
 use crate::program::{Standalone, build_node};
 use crate::report::Report;
 use crate::scripted_backend::{Act, Protocol, ProtocolClient, ScriptedBackends, ScriptedRequest, served};
 
-/// Clients that ask one request after another.
+/// Clients that send one request after another.
 const CLIENTS: usize = 8;
-/// How long each pairing is asked, a round.
+/// Length of the load on each pairing in a round.
 const ROUND: Duration = Duration::from_millis(1_500);
-/// Rounds in which the pairings take turns: a noisy moment meets them alike.
+/// Rounds in which the pairings take turns, so that noise of the machine meets them alike.
 const ROUNDS: usize = 3;
-/// FastCGI on both sides may cost so many times HTTP's processor time a request.
+/// Most processor time of a request with FastCGI on both sides, as a multiple of that with HTTP.
 const MOST_COST: f64 = 1.2;
-/// Requests that are open at once on one connection.
+/// Open requests on one connection.
 const MULTIPLEXED: u16 = 1_000;
-/// Most memory that these may take, beside what the node takes by itself.
+/// Most memory that these may take, in bytes.
 const MOST_MEMORY: u64 = 32 << 20;
 
-/// Runs it.
+/// Runs the measurement.
 ///
 /// # Errors
 /// A node that does not build.
@@ -41,26 +44,32 @@
 
 /// Final status, attempts and effects of each scenario under each pairing.
 fn parity(report: &mut Report) {
-    let (table, faults) = compare_all();
-    for (name, seen) in &table {
-        let mut row = vec![(*name).to_owned()];
-        row.extend(seen.iter().map(|seen| format!("{} / {} / {}", seen.status, seen.attempts, seen.effects)));
+    let results = compare_all();
+    for scenario in &results {
+        let cell = |seen: &Seen| format!("{} / {} / {}", seen.status, seen.attempts, seen.effects);
+        let mut row = vec![scenario.name.to_owned()];
+        row.extend(scenario.seen.iter().map(cell));
         report.row(&row);
     }
-    report.figure("scenarios", table.len());
-    report.figure("differences", faults.len());
-    let first = faults.first().cloned().unwrap_or_default();
-    report.claim(faults.is_empty(), format!("all scenarios end alike; the first that does not: {first}"));
+    let differences: Vec<_> = results.iter().flat_map(|scenario| &scenario.differences).collect();
+    report.figure("scenarios", results.len());
+    report.figure("differences", differences.len());
+    let first = differences.first().map_or("", |first| first.as_str());
+    report
+        .claim(differences.is_empty(), format!("all scenarios end alike; the first that does not: {first}"));
 }
 
-/// What one pairing took.
+/// Results of one pairing.
 #[derive(Default)]
 struct Cost {
     /// Latencies, in microseconds.
     took: Vec<u64>,
+    /// Time under load, in seconds.
     seconds: f64,
+    /// Processor time, in seconds.
     cpu: f64,
-    odd: usize,
+    /// Responses other than 200.
+    not_served: usize,
 }
 
 fn costs(plan: Plan, report: &mut Report) -> io::Result<()> {
@@ -73,17 +82,17 @@
     }
     let mut costs: Vec<Cost> = nodes.iter().map(|_| Cost::default()).collect();
     for (front, node) in &nodes {
-        // Limits are learned, and connections come up.
+        // Limits settle and connections are opened.
         load(*front, node, Duration::from_millis(500))?;
     }
     for _ in 0..ROUNDS * if plan.long { 5 } else { 1 } {
         for ((front, node), cost) in nodes.iter().zip(&mut costs) {
             let (cpu, start) = (node.cpu_seconds(), Instant::now());
-            let (took, odd) = load(*front, node, ROUND)?;
+            let load = load(*front, node, ROUND)?;
             cost.seconds += start.elapsed().as_secs_f64();
             cost.cpu += node.cpu_seconds() - cpu;
-            cost.took.extend(took);
-            cost.odd += odd;
+            cost.took.extend(load.latencies_us);
+            cost.not_served += load.not_served;
         }
     }
     let mut row = |name: &str, figure: &dyn Fn(&mut Cost) -> f64, digits: usize| {
@@ -102,8 +111,8 @@
     report.figure("cpu_us_fastcgi", format!("{both:.1}"));
     report.figure("cpu_ratio", format!("{ratio:.2}"));
     report.claim(ratio <= MOST_COST, format!("FastCGI on both sides costs at most {MOST_COST} times HTTP"));
-    let odd: usize = costs.iter().map(|cost| cost.odd).sum();
-    report.claim(odd == 0, format!("every request is served; {odd} were not"));
+    let not_served: usize = costs.iter().map(|cost| cost.not_served).sum();
+    report.claim(not_served == 0, format!("every request is served; {not_served} were not"));
     Ok(())
 }
 
@@ -113,35 +122,45 @@
     list.get(place.min(list.len().saturating_sub(1))).copied().unwrap_or_default() as f64
 }
 
-/// Asks a node for a time: latencies, and how many answers were other than 200.
-fn load(front: Protocol, node: &Standalone, span: Duration) -> io::Result<(Vec<u64>, usize)> {
-    let over = Arc::new(AtomicBool::new(false));
+/// Results of a load.
+#[derive(Default)]
+struct LoadResult {
+    latencies_us: Vec<u64>,
+    /// Responses other than 200.
+    not_served: usize,
+}
+
+/// Loads a node for a span with [`CLIENTS`] connections.
+fn load(front: Protocol, node: &Standalone, span: Duration) -> io::Result<LoadResult> {
+    let stopped = Arc::new(AtomicBool::new(false));
     let address = node.address();
     let clients: Vec<_> = (0..CLIENTS)
         .map(|_| {
-            let over = over.clone();
-            thread::spawn(move || -> io::Result<(Vec<u64>, usize)> {
-                let mut client = ProtocolClient::connect(address, front)?;
-                let (mut took, mut odd) = (Vec::new(), 0);
-                while !over.load(Ordering::Relaxed) {
-                    let start = Instant::now();
-                    let answer = client.ask("GET", "/boards/any", "X-Unit: 1\r\n", b"");
-                    took.push(start.elapsed().as_micros() as u64);
-                    odd += usize::from(answer.status != 200);
-                }
-                Ok((took, odd))
-            })
+            let stopped = stopped.clone();
+            thread::spawn(move || send_until_stopped(address, front, &stopped))
         })
         .collect();
     thread::sleep(span);
-    over.store(true, Ordering::Relaxed);
-    let (mut all, mut odd) = (Vec::new(), 0);
+    stopped.store(true, Ordering::Relaxed);
+    let mut all = LoadResult::default();
     for client in clients {
-        let (took, wrong) = client.join().map_err(|_| io::Error::other("a client failed"))??;
-        all.extend(took);
-        odd += wrong;
+        let result = client.join().map_err(|_| io::Error::other("a client failed"))??;
+        all.latencies_us.extend(result.latencies_us);
+        all.not_served += result.not_served;
+    }
+    Ok(all)
+}
+
+fn send_until_stopped(address: SocketAddr, front: Protocol, stopped: &AtomicBool) -> io::Result<LoadResult> {
+    let mut client = ProtocolClient::connect(address, front)?;
+    let mut result = LoadResult::default();
+    while !stopped.load(Ordering::Relaxed) {
+        let start = Instant::now();
+        let answer = client.ask("GET", "/boards/any", "X-Unit: 1\r\n", b"");
+        result.latencies_us.push(start.elapsed().as_micros() as u64);
+        result.not_served += usize::from(answer.status != 200);
     }
-    Ok((all, odd))
+    Ok(result)
 }
 
 fn memory(report: &mut Report) -> io::Result<()> {
@@ -155,17 +174,14 @@
     for _ in 0..MULTIPLEXED {
         client.send("POST", "/runs/any", "X-Unit: 1\r\n", &[b'x'; 4_096])?;
     }
-    // Output ends, and ends of requests.
+    // Each response ends in a record of its own, behind its output.
     let mut ends = 0;
     while ends < usize::from(MULTIPLEXED) {
         let records = client.records(1);
         if records.is_empty() {
             break;
         }
-        ends += records
-            .iter()
-            .filter(|record| record.kind == pumicehead_fastcgi::record::Kind::EndRequest)
-            .count();
+        ends += records.iter().filter(|record| record.kind == Kind::EndRequest).count();
     }
     let more = node.peak_memory().saturating_sub(before);
     let mib = |bytes: u64| format!("{:.1}", bytes as f64 / f64::from(1 << 20));
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -1,4 +1,4 @@
-//! Measurements that anyone can run, each in a module of its own.
+//! Measurements of the command line, each in a module of its own.
 
 pub mod capacity;
 pub mod chaos;
@@ -17,9 +17,9 @@
 /// How a measurement is run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// For random numbers.
+    /// Seed of random numbers.
     pub seed: u64,
-    /// More of everything.
+    /// A longer run with more sizes and rounds.
     pub long: bool,
 }
 
--- /dev/null
+++ b/crates/testbed/src/program/listening.rs
@@ -0,0 +1,51 @@
+//! Programs that print the addresses of their listeners.
+
+use std::io::{self, BufRead, BufReader};
+use std::net::SocketAddr;
+use std::process::{Child, Stdio};
+
+use super::{built, pinned};
+
+/// A running program that prints where it listens; it is killed on drop.
+pub struct Tool {
+    child: Child,
+    /// Addresses of its listeners, in the order of its output.
+    pub addresses: Vec<SocketAddr>,
+}
+
+impl Tool {
+    /// Starts a built program, pinned to `core` where one is given, and waits for its listeners.
+    ///
+    /// # Errors
+    /// A program that is not built, or that ends before it has them.
+    pub fn start(
+        name: &str,
+        arguments: &[String],
+        core: Option<usize>,
+        listeners: usize,
+    ) -> io::Result<Self> {
+        let mut command = pinned(&built(name)?, core);
+        let mut child = command.args(arguments).stdout(Stdio::piped()).spawn()?;
+        let output = child.stdout.take().ok_or(io::ErrorKind::BrokenPipe)?;
+        let mut lines = BufReader::new(output).lines();
+        let mut addresses = Vec::new();
+        while addresses.len() < listeners {
+            let line = lines.next().ok_or(io::ErrorKind::UnexpectedEof)??;
+            addresses.extend(line.rsplit(' ').next().and_then(|address| address.parse::<SocketAddr>().ok()));
+        }
+        Ok(Self { child, addresses })
+    }
+
+    /// Process id.
+    #[must_use]
+    pub fn pid(&self) -> u32 {
+        self.child.id()
+    }
+}
+
+impl Drop for Tool {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! What a measurement prints: a table, then one line with its figures and whether the claims hold.
+//! Reports of measurements: a table, then a line with the figures and whether all claims hold.
 
 use std::fmt::Write;
 
@@ -13,7 +13,7 @@
 }
 
 impl Report {
-    /// A report without rows; the table's first row names its columns.
+    /// A report without rows; `columns` are the heads of its table.
     #[must_use]
     pub fn new(name: &'static str, columns: &[&str]) -> Self {
         let head = columns.iter().map(|column| (*column).to_owned()).collect();
@@ -30,20 +30,20 @@
         self.figures.push((name, value.to_string()));
     }
 
-    /// A claim; what does not hold is named.
+    /// Checks a claim; one that does not hold is listed in the report.
     pub fn claim(&mut self, holds: bool, what: impl Into<String>) {
         if !holds {
             self.short.push(what.into());
         }
     }
 
-    /// Whether all claims hold.
+    /// Returns whether all claims hold.
     #[must_use]
     pub fn is_ok(&self) -> bool {
         self.short.is_empty()
     }
 
-    /// As text.
+    /// The report as text.
     #[must_use]
     pub fn text(&self) -> String {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or_default();
@@ -55,7 +55,7 @@
         let mut out = String::new();
         for row in &self.rows {
             for (place, (cell, width)) in row.iter().zip(&widths).enumerate() {
-                // Names to the left, figures to the right.
+                // The first column is aligned left, the others right.
                 let _ =
                     if place == 0 { write!(out, "{cell:<width$}") } else { write!(out, "  {cell:>width$}") };
             }
@@ -73,7 +73,7 @@
         out
     }
 
-    /// As one JSON object.
+    /// The report as one JSON object.
     #[must_use]
     pub fn json(&self) -> String {
         let figures: serde_json::Map<_, _> = self
--- a/crates/testbed/src/standin.rs
+++ b/crates/testbed/src/standin.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a board server over HTTP/1.1 that keeps a record of what took effect.
+//! A stand-in for a backend server over HTTP/1.1 that records which requests took effect.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -19,24 +19,24 @@
 use tokio::runtime::Builder;
 use tokio::task::{LocalSet, spawn_local};
 
-/// The header by which clients of the rig name a unit of work: its effect may happen once.
+/// The header by which clients of the testbed name a unit of work, whose effect may happen once.
 pub const UNIT: &str = "x-unit";
 
-/// What a server has done.
+/// What a stand-in has processed.
 #[derive(Debug, Default)]
 pub struct Record {
-    /// Requests that came whole.
+    /// Complete requests.
     pub requests: u64,
     /// How often each unit of work that changes something took effect.
     pub effects: HashMap<String, u32>,
 }
 
-/// How a server works.
+/// How a stand-in processes requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Work {
-    /// How long each request takes.
+    /// Processing time of a request.
     pub takes: Duration,
-    /// Bytes of each answer.
+    /// Size of a response, in bytes.
     pub answer: usize,
 }
 
@@ -46,19 +46,19 @@
     }
 }
 
-/// A running stand-in; it runs as long as the process does.
+/// A running stand-in; it runs until the process ends.
 pub struct StandIn {
-    /// Where.
+    /// Where it listens.
     pub address: SocketAddr,
-    /// What it has done.
+    /// What it has processed.
     pub record: Arc<Mutex<Record>>,
 }
 
 impl StandIn {
-    /// Starts one on a thread of its own.
+    /// Starts a stand-in on a thread of its own.
     ///
     /// # Errors
-    /// Where its address can't be listened on.
+    /// An address that can't be listened on.
     pub fn start(address: SocketAddr, work: Work) -> io::Result<Self> {
         let record = Arc::new(Mutex::new(Record::default()));
         let (sender, bound) = mpsc::channel();
@@ -79,7 +79,7 @@
         Ok(Self { address, record })
     }
 
-    /// Requests that came whole.
+    /// Number of complete requests.
     #[must_use]
     pub fn requests(&self) -> u64 {
         self.record.lock().map_or(0, |record| record.requests)
@@ -96,7 +96,7 @@
         let record = record.clone();
         spawn_local(async move {
             let service = service_fn(move |request| answer(request, work, record.clone()));
-            // However it ends: the record has what matters.
+            // Errors of a connection are the client's to notice; the record is complete without them.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
