--- a/crates/node/tests/standalone.rs
+++ b/crates/node/tests/standalone.rs
@@ -405,6 +405,10 @@
     clients.iter_mut().for_each(|client| client.write(&get("/boards/slow", "")));
     wait_for("both requests", || server[0].count() + server[1].count() == 2);
     node.signal("TERM");
+    // A signal is handled some time after it was sent. A listener that refuses shows that its drain is under way.
+    for address in node.addresses() {
+        wait_for("a closed listener", || std::net::TcpStream::connect(address).is_err());
+    }
     gate.store(true, Ordering::SeqCst);
     for client in &mut clients {
         let answer = client.read().unwrap();
