--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -13,9 +13,9 @@
 use pumicehead_config::model::{Fleet as Block, Node};
 use pumicehead_flight_recorder::event::Event as Told;
 use pumicehead_flight_recorder::text::Name;
-use pumicehead_membership::member::{BadSetup, Event, Member, Output, Setup};
-use pumicehead_membership::settings::LARGEST_DATAGRAM;
-use pumicehead_membership::{Card, SECOND, Settings};
+use pumicehead_membership::settings::MAX_DATAGRAM_BYTES;
+use pumicehead_membership::{Event, Membership, MembershipConfig, MembershipError, Output};
+use pumicehead_membership::{MemberRecord, SECOND, Settings};
 use pumicehead_policy::{Nanos, NodeShare};
 use thiserror::Error;
 use tokio::net::{TcpListener, UdpSocket};
@@ -26,7 +26,7 @@
 
 use crate::eyes::Eyes;
 use crate::net::clock::Clock;
-use crate::net::tap::Tap;
+use crate::net::recorder_sink::RecorderSink;
 
 /// How often the number of nodes is looked at, and the node's load told: both change slowly.
 const LOOK: Nanos = SECOND;
@@ -50,15 +50,15 @@
     },
     /// What it would say of itself.
     #[error("fleet: {0}")]
-    Setup(#[from] BadSetup),
+    Setup(#[from] MembershipError),
 }
 
 /// A member of a fleet.
 pub struct Fleet {
     name: String,
-    member: RefCell<Member>,
+    member: RefCell<Membership>,
     clock: Clock,
-    tap: Tap,
+    tap: RecorderSink,
     datagrams: UdpSocket,
     /// Something was put into the machine from outside of its own loop.
     touched: Notify,
@@ -78,26 +78,26 @@
         let failed = |source| FleetError::Listen { address: block.address, source };
         let (streams, datagrams) = bind(block.address).await.map_err(failed)?;
         let address = streams.local_addr().map_err(failed)?;
-        let card = Card {
+        let card = MemberRecord {
             name: node.name.clone(),
             // Later starts have later epochs, on one machine; where its clock went back, the fleet says so at the join.
-            epoch: clock.began() / 1_000_000,
+            epoch: clock.started_at() / 1_000_000,
             address: block.told_as.unwrap_or(address).to_string(),
             zone: node.zones[node.zone].clone(),
-            program: env!("CARGO_PKG_VERSION").into(),
-            offers: vec!["view".into()],
-            ..Card::default()
+            program_version: env!("CARGO_PKG_VERSION").into(),
+            capabilities: vec!["view".into()],
+            ..MemberRecord::default()
         };
-        let setup = Setup {
+        let setup = MembershipConfig {
             settings: Settings::default(),
-            fleet: block.name.clone(),
-            card,
+            fleet_name: block.name.clone(),
+            record: card,
             seeds: block.seeds.clone(),
-            reach: block.reach.clone(),
-            nodes: node.nodes,
-            seed,
+            address_overrides: block.reach.clone(),
+            initial_node_count: node.nodes,
+            rng_seed: seed,
         };
-        let member = Member::new(setup, clock.now())?;
+        let member = Membership::new(setup, clock.now())?;
         info!(target: "fleet", "{} of {} speaks on {address}", node.name, block.name);
         let fleet = Rc::new(Self {
             name: block.name.clone(),
@@ -125,11 +125,11 @@
         let member = self.member.borrow();
         let table = member.table();
         vec![
-            ("pumicehead_fleet_members", table.there() as f64),
+            ("pumicehead_fleet_members", table.active_count() as f64),
             ("pumicehead_fleet_known", table.len() as f64),
-            ("pumicehead_fleet_health", f64::from(member.health())),
-            ("pumicehead_fleet_cut", f64::from(u8::from(member.is_cut()))),
-            ("pumicehead_fleet_bytes_sent", member.sent() as f64),
+            ("pumicehead_fleet_health", f64::from(member.health_multiplier())),
+            ("pumicehead_fleet_cut", f64::from(u8::from(member.is_isolated()))),
+            ("pumicehead_fleet_bytes_sent", member.bytes_sent() as f64),
             ("pumicehead_fleet_refused", self.refused.get() as f64),
         ]
     }
@@ -149,7 +149,7 @@
 
     /// Staff empty this node, or have it back at work; the fleet is told.
     pub fn set_lame(&self, lame: bool) {
-        self.member.borrow_mut().set_lame(self.clock.now(), lame);
+        self.member.borrow_mut().set_lame_duck(self.clock.now(), lame);
         self.touched.notify_one();
     }
 
@@ -163,7 +163,7 @@
     /// Says that it goes.
     pub async fn leave(&self) {
         self.member.borrow_mut().leave(self.clock.now());
-        let outputs: Vec<_> = self.member.borrow_mut().outputs().collect();
+        let outputs: Vec<_> = self.member.borrow_mut().take_outputs().collect();
         for output in outputs {
             if let Output::Datagram { to, bytes } = output {
                 let _ = self.datagrams.send_to(&bytes, to).await;
@@ -173,7 +173,7 @@
     }
 
     async fn run(self: Rc<Self>) {
-        let mut bytes = vec![0; LARGEST_DATAGRAM + 1];
+        let mut bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
         let mut look = self.clock.now();
         loop {
             self.carry_out();
@@ -182,7 +182,7 @@
                 look = now + LOOK;
                 self.look(now);
             }
-            let next = self.member.borrow().next().min(look);
+            let next = self.member.borrow().next_timer().min(look);
             tokio::select! {
                 came = self.datagrams.recv_from(&mut bytes) => match came {
                     Ok((count, from)) => {
@@ -191,9 +191,9 @@
                     // Somebody refused an earlier one: that is no news here, a question without an answer is.
                     Err(error) => debug!(target: "fleet", "datagrams: {error}"),
                 },
-                () = sleep_until(self.clock.instant(next)) => {
+                () = sleep_until(self.clock.instant_at(next)) => {
                     let now = self.clock.now();
-                    if self.member.borrow().next() <= now {
+                    if self.member.borrow().next_timer() <= now {
                         self.member.borrow_mut().on_timer(now);
                     }
                 }
@@ -204,15 +204,18 @@
 
     fn look(&self, now: Nanos) {
         let mut member = self.member.borrow_mut();
-        if !member.is_joined() || member.card().number == 0 || member.is_over() {
+        if !member.is_joined() || member.record().node_number == 0 || member.is_stopped() {
             return;
         }
-        let sharing = Some(NodeShare { node_index: member.card().number - 1, node_count: member.nodes(now) });
+        let sharing = Some(NodeShare {
+            node_index: member.record().node_number - 1,
+            node_count: member.node_count(now),
+        });
         self.sharing.send_if_modified(|known| std::mem::replace(known, sharing) != sharing);
     }
 
     fn carry_out(self: &Rc<Self>) {
-        let outputs: Vec<_> = self.member.borrow_mut().outputs().collect();
+        let outputs: Vec<_> = self.member.borrow_mut().take_outputs().collect();
         for output in outputs {
             match output {
                 Output::Datagram { to, bytes } => {
@@ -221,10 +224,10 @@
                         debug!(target: "fleet", "datagram to {to}: {error}");
                     }
                 }
-                Output::Check { seq, to, frame } => {
+                Output::StreamProbe { seq, to, frame } => {
                     drop(task::spawn_local(stream::check(self.clone(), seq, to, frame)))
                 }
-                Output::Sync { to, frame } => {
+                Output::PushPull { to, frame } => {
                     drop(task::spawn_local(stream::compare(self.clone(), to, frame)))
                 }
                 Output::Event(event) => self.tell(event),
@@ -235,24 +238,26 @@
     fn tell(&self, event: Event) {
         match event {
             Event::Joined { members } => info!(target: "fleet", "joined {}: {members} members", self.name),
-            Event::Moved { name, from, to, witness } => {
-                let number = |state: pumicehead_membership::State| state.number() as u8;
+            Event::StateChanged { name, from, to, reporter } => {
+                let number = |state: pumicehead_membership::MemberState| state.code() as u8;
                 let (from_number, to_number) = (from.map(number), number(to));
                 self.tap.record(&Told::Member { name: Name::new(&name), from: from_number, to: to_number });
-                let from = from.map_or("new", pumicehead_membership::State::word);
-                info!(target: "fleet", "{name}: {from} -> {}, says {witness}", to.word());
+                let from = from.map_or("new", pumicehead_membership::MemberState::as_str);
+                info!(target: "fleet", "{name}: {from} -> {}, says {reporter}", to.as_str());
+            }
+            Event::ReachabilityChanged { name, reachable: true } => {
+                info!(target: "fleet", "{name} is reached from here again")
             }
-            Event::Reach { name, here: true } => info!(target: "fleet", "{name} is reached from here again"),
-            Event::Reach { name, here: false } => {
+            Event::ReachabilityChanged { name, reachable: false } => {
                 warn!(target: "fleet", "{name} is not reached from here, though others reach it or this node is cut off");
             }
-            Event::Stood(span) => {
+            Event::ProcessStalled { duration: span } => {
                 warn!(target: "fleet", "stood still for {:.1} s", span as f64 / SECOND as f64);
             }
-            Event::Superseded { by } => {
+            Event::Superseded { address: by } => {
                 warn!(target: "fleet", "a later process has this node's name, at {by}: this one is no member any more");
             }
-            Event::Refused { from, why } => {
+            Event::PeerRejected { address: from, error: why } => {
                 self.refused.set(self.refused.get() + 1);
                 warn!(target: "fleet", "{from} is refused: {why}");
             }
--- a/crates/node/src/net/link.rs
+++ b/crates/node/src/net/counting_stream.rs
@@ -18,7 +18,7 @@
 
 /// A shared socket; the descriptor closes with its last clone.
 #[derive(Clone)]
-pub struct Link(Rc<Shared>);
+pub struct CountingStream(Rc<StreamState>);
 
 /// Either kind of stream.
 enum Socket {
@@ -86,7 +86,7 @@
 /// A counter that others read.
 pub type Counter = Rc<Cell<u64>>;
 
-struct Shared {
+struct StreamState {
     stream: Socket,
     written: Cell<u64>,
     came: Cell<u64>,
@@ -94,13 +94,13 @@
     blocked: Cell<bool>,
     /// Once so much is written, the counter goes up by one.
     mark: RefCell<Option<(u64, Counter)>>,
-    tap: Option<RefCell<Tap>>,
+    tap: Option<RefCell<HeadCapture>>,
 }
 
 /// The head of the next request as it came. The HTTP library drops a `Content-Length` beside a
 /// `Transfer-Encoding` without a word, so its headers can't tell of a request that hides another.
 #[derive(Default)]
-struct Tap {
+struct HeadCapture {
     head: Vec<u8>,
     /// Bytes of the last request's body that are still to come.
     skip: u64,
@@ -108,7 +108,7 @@
     since: Option<Instant>,
 }
 
-impl Tap {
+impl HeadCapture {
     fn take(&mut self, bytes: &[u8]) {
         let skipped = bytes.len().min(usize::try_from(self.skip).unwrap_or(usize::MAX));
         self.skip -= skipped as u64;
@@ -122,7 +122,7 @@
 
 /// What lies unread in a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum UnreadState {
     /// Nothing; the connection is open.
     Nothing,
     /// Bytes.
@@ -131,15 +131,15 @@
     End,
 }
 
-impl Link {
+impl CountingStream {
     /// Takes a connected socket over.
     pub fn new(stream: TcpStream) -> Self {
         Self::with(stream, None)
     }
 
     /// The same of this machine's own kind.
-    pub fn unix(stream: UnixStream) -> Self {
-        Self(Rc::new(Shared {
+    pub fn from_unix(stream: UnixStream) -> Self {
+        Self(Rc::new(StreamState {
             stream: Socket::Unix(stream),
             written: Cell::new(0),
             came: Cell::new(0),
@@ -150,15 +150,15 @@
     }
 
     /// One that requests come in on: their heads can be had as they came.
-    pub fn tapped(stream: TcpStream) -> Self {
+    pub fn capturing_heads(stream: TcpStream) -> Self {
         Self::with(stream, Some(RefCell::default()))
     }
 
-    fn with(stream: TcpStream, tap: Option<RefCell<Tap>>) -> Self {
+    fn with(stream: TcpStream, tap: Option<RefCell<HeadCapture>>) -> Self {
         // Small messages must not wait for acknowledgements. A socket that can't be set up is dead, which
         // its first use will tell.
         let _ = stream.set_nodelay(true);
-        Self(Rc::new(Shared {
+        Self(Rc::new(StreamState {
             stream: Socket::Tcp(stream),
             written: Cell::new(0),
             came: Cell::new(0),
@@ -179,7 +179,7 @@
     }
 
     /// So many bytes are the body of the request whose head was taken.
-    pub fn skip(&self, body: u64) {
+    pub fn skip_body(&self, body: u64) {
         let Some(tap) = &self.0.tap else { return };
         let mut tap = tap.borrow_mut();
         let mut came = std::mem::take(&mut tap.head);
@@ -191,12 +191,12 @@
     }
 
     /// Since when part of a head has been here.
-    pub fn begun(&self) -> Option<Instant> {
+    pub fn head_started_at(&self) -> Option<Instant> {
         self.0.tap.as_ref()?.borrow().since
     }
 
     /// Writes what fits at once: a last word on a connection that the HTTP library has no answer on.
-    pub fn last_word(&self, text: &[u8]) {
+    pub fn write_best_effort(&self, text: &[u8]) {
         let _ = self.0.stream.try_write(text);
     }
 
@@ -207,39 +207,39 @@
 
     /// Has the system hold back as little as it can for a client that does not read.
     #[cfg(test)]
-    pub fn shrink(&self) {
+    pub fn shrink_send_buffer(&self) {
         self.0.stream.as_ref().set_send_buffer_size(1).unwrap();
     }
 
     /// Bytes that have been read so far.
-    pub fn came(&self) -> u64 {
+    pub fn bytes_read(&self) -> u64 {
         self.0.came.get()
     }
 
     /// Bytes that the kernel has taken so far.
-    pub fn written(&self) -> u64 {
+    pub fn bytes_written(&self) -> u64 {
         self.0.written.get()
     }
 
     /// Counts one more once `size` bytes from now on are written.
     pub fn count_at(&self, size: u64, counter: &Counter) {
-        *self.0.mark.borrow_mut() = Some((self.written() + size, counter.clone()));
+        *self.0.mark.borrow_mut() = Some((self.bytes_written() + size, counter.clone()));
     }
 
     /// Asks the kernel, not the event loop, which may not have seen the latest yet.
-    pub fn unread(&self) -> Unread {
+    pub fn unread(&self) -> UnreadState {
         match self.0.stream.as_ref().peek(&mut [MaybeUninit::uninit()]) {
-            Ok(0) => Unread::End,
-            Ok(_) => Unread::Bytes,
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => Unread::Nothing,
-            Err(_) => Unread::End,
+            Ok(0) => UnreadState::End,
+            Ok(_) => UnreadState::Bytes,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => UnreadState::Nothing,
+            Err(_) => UnreadState::End,
         }
     }
 
     /// Waits until the other side has closed, or will send no more. The kernel tells of that whatever lies unread before
     /// it: the HTTP library looks for the end only where it holds no bytes of a next request, and a client that sent some
     /// and left went unnoticed until its answer.
-    pub async fn ended(&self) {
+    pub async fn peer_closed(&self) {
         match self.0.stream.ended().await {
             Ok(ready) if ready.is_read_closed() => {}
             // Not an end: who reads is told of the fault.
@@ -248,8 +248,8 @@
     }
 
     /// Whether the other side's end has come, as far as the event loop has been told.
-    pub fn has_ended(&self) -> bool {
-        std::pin::pin!(self.ended()).poll(&mut Context::from_waker(Waker::noop())).is_ready()
+    pub fn has_peer_closed(&self) -> bool {
+        std::pin::pin!(self.peer_closed()).poll(&mut Context::from_waker(Waker::noop())).is_ready()
     }
 
     /// Tells the other side that nothing more comes.
@@ -259,7 +259,7 @@
 
     /// Reads and drops what the other side still sends until it closes. Closing on unread bytes resets the
     /// connection, and a reset can overtake the answer that was just written.
-    pub async fn linger(&self) {
+    pub async fn drain_until_closed(&self) {
         let (mut scrap, mut dropped) = ([0; 4096], 0);
         while dropped < LINGER_BYTES && self.0.stream.readable().await.is_ok() {
             match self.0.stream.try_read(&mut scrap) {
@@ -287,7 +287,7 @@
     end
 }
 
-impl AsyncRead for Link {
+impl AsyncRead for CountingStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.stream.poll_read_ready(cx))?;
@@ -313,7 +313,7 @@
     }
 }
 
-impl Link {
+impl CountingStream {
     fn poll_try(
         &self,
         cx: &mut Context<'_>,
@@ -339,7 +339,7 @@
     }
 }
 
-impl AsyncWrite for Link {
+impl AsyncWrite for CountingStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_try(cx, |stream| stream.try_write(buf))
     }
--- a/crates/node/src/net/tap.rs
+++ b/crates/node/src/net/recorder_sink.rs
@@ -8,26 +8,26 @@
 use pumicehead_policy::{EndpointId, EndpointState, EndpointUpdate};
 use rustc_hash::FxHashMap;
 
-use super::clock::Clock;
+use crate::net::clock::Clock;
 
 /// Servers whose last condition is remembered, so that a list that says the same again is no news.
 const MOST_LISTED: usize = 20_000;
 
 /// A node's recorder; all that tell it something are on one thread.
 #[derive(Clone)]
-pub struct Shared(Rc<SharedState>);
+pub struct SharedRecorder(Rc<SharedRecorderState>);
 
-struct SharedState {
+struct SharedRecorderState {
     recorder: RefCell<Recorder>,
     /// As in the recorder, to be read without a borrow.
     level: Cell<Level>,
 }
 
-impl Shared {
+impl SharedRecorder {
     /// Around a recorder.
     pub fn new(recorder: Recorder) -> Self {
         let level = Cell::new(recorder.level());
-        Self(Rc::new(SharedState { recorder: RefCell::new(recorder), level }))
+        Self(Rc::new(SharedRecorderState { recorder: RefCell::new(recorder), level }))
     }
 
     /// How much is recorded from now on.
@@ -44,27 +44,27 @@
 
 /// A pool's way to the recorder.
 #[derive(Clone)]
-pub struct Tap {
-    shared: Shared,
+pub struct RecorderSink {
+    shared: SharedRecorder,
     clock: Clock,
     pool: PoolId,
     listed: Rc<RefCell<FxHashMap<EndpointId, Listed>>>,
 }
 
-impl Tap {
+impl RecorderSink {
     /// For a pool.
-    pub fn new(shared: &Shared, clock: Clock, pool: PoolId) -> Self {
+    pub fn new(shared: &SharedRecorder, clock: Clock, pool: PoolId) -> Self {
         Self { shared: shared.clone(), clock, pool, listed: Rc::default() }
     }
 
     /// Whether anything is recorded.
-    pub fn is_on(&self) -> bool {
+    pub fn is_recording(&self) -> bool {
         self.shared.0.level.get() != Level::Off
     }
 
     /// Records an event now.
     pub fn record(&self, event: &Event) {
-        if self.is_on() {
+        if self.is_recording() {
             self.record_at(self.clock.now(), event);
         }
     }
@@ -75,7 +75,11 @@
     }
 
     /// Records what is new in a list.
-    pub fn list<'a>(&self, change: &EndpointUpdate, name: impl Fn(EndpointId) -> Option<&'a str>) {
+    pub fn record_endpoints<'a>(
+        &self,
+        change: &EndpointUpdate,
+        name: impl Fn(EndpointId) -> Option<&'a str>,
+    ) {
         let (EndpointUpdate::Snapshot(infos)
         | EndpointUpdate::Restored(infos)
         | EndpointUpdate::Delta(infos)) = change
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -24,17 +24,17 @@
 use crate::calls::{self, MOST_CALLERS};
 use crate::eyes::{self, Eyes, Saving};
 use crate::log::{Log, LoopWriter};
+use crate::net::admin_overrides::AdminOverrides;
 use crate::net::clock::{Clock, unix_ns};
-use crate::net::connections::Connections;
-use crate::net::core::{Core, Setup, Source, WORTH};
-use crate::net::front::budget::Budget;
-use crate::net::front::{self, Ending, Front, Options};
-use crate::net::handle::Held;
-use crate::net::hands::Hands;
-use crate::net::http::answer::Reader;
-use crate::net::http::upstream::Upstream;
-use crate::net::room::Room;
-use crate::net::verdict::Reading;
+use crate::net::downstream::connection_budget::ConnectionBudget;
+use crate::net::downstream::{self, DownstreamListener, DrainReason, ListenerOptions};
+use crate::net::memory_budget::MemoryBudget;
+use crate::net::pool_handle::ActiveRequestIds;
+use crate::net::pool_loop::{EndpointSource, PoolConfig, PoolLoop, WARM_STATE_MAX_AGE};
+use crate::net::upstream::connection_registry::ConnectionRegistry;
+use crate::net::upstream::http::response_reader::ResponseReader;
+use crate::net::upstream::http::transport::HttpTransport;
+use crate::net::upstream::response_classification::StatusPolicy;
 use crate::places::Places;
 use admin::Admin;
 use admission::Platform;
@@ -69,9 +69,9 @@
     let on = |address, error| format!("listen on {address}: {error}");
     let listener = match inherited {
         Some(listener) => listener,
-        None => front::listen(config.listen).map_err(|error| on(config.listen, error))?,
+        None => downstream::listen(config.listen).map_err(|error| on(config.listen, error))?,
     };
-    let staff = config.admin.map(|address| front::listen(address).map_err(|error| on(address, error)));
+    let staff = config.admin.map(|address| downstream::listen(address).map_err(|error| on(address, error)));
     let staff = staff.transpose()?;
     info!(target: "node", "{} listens on {}", config.name, listener.local_addr()?);
     if let Some(staff) = &staff {
@@ -80,13 +80,14 @@
     let others = if staff.is_some() { 1 + MOST_CALLERS } else { 0 };
     let places = Places::of(config.sockets, 1 + others);
     let figures = Rc::new(Figures::new(config.boot.classes.iter().map(|class| class.name.clone())));
-    let hands = Rc::new(Hands::default());
+    let hands = Rc::new(AdminOverrides::default());
     let folder = env::var_os("TMPDIR").map(PathBuf::from);
     // Only where a next process may start beside this one.
     let handover = folder.as_ref().filter(|_| shared).map(|folder| Handover::new(folder, &config.name));
     let left = handover.as_ref().and_then(Handover::read);
     // A word that has long been left is nobody's: whoever left it has ended, and staff have gone on.
-    let lame = left.as_ref().is_some_and(|left| left.lame && left.knowledge.age(unix_ns()) <= WORTH);
+    let lame =
+        left.as_ref().is_some_and(|left| left.lame && left.knowledge.age(unix_ns()) <= WARM_STATE_MAX_AGE);
     for name in left.iter().flat_map(|left| &left.listed) {
         hands.listed.borrow_mut().add(name);
     }
@@ -108,60 +109,60 @@
     let tap = eyes.tap("platform", &config.settings, &names);
     let ceilings = &config.boot.ceilings;
     let span = Duration::from_nanos;
-    let room = Room::new(config.memory / LONG_SHARE);
-    let reader = Reader {
-        reading: Reading::Platform,
-        longest: LONGEST,
-        longest_unstated: LONGEST,
-        room: room.clone(),
-        passes: true,
+    let room = MemoryBudget::new(config.memory / LONG_SHARE);
+    let reader = ResponseReader {
+        status_policy: StatusPolicy::Platform,
+        max_body: LONGEST,
+        max_unsized_body: LONGEST,
+        memory: room.clone(),
+        streaming: true,
     };
-    let connections = Connections::new(places.servers);
+    let connections = ConnectionRegistry::new(places.servers);
     let (dial, idle) = (span(ceilings.dial_timeout_ns), span(ceilings.conn_idle_ns));
-    let setup = Setup {
+    let setup = PoolConfig {
         settings: config.settings.clone(),
         seed: config.seed,
         zones: config.boot.zones.clone(),
-        source: Source::Watch {
-            discovery: config.discovery,
-            known: Some(config.known.clone()),
-            at_once: shared,
+        endpoints: EndpointSource::Watch {
+            address: config.discovery,
+            last_list: Some(config.known.clone()),
+            poll_at_start: shared,
         },
-        transport: Upstream::new(connections, dial, idle, reader, figures.upstream_requests.clone()),
-        hands: hands.clone(),
-        learned: left.map(|left| left.knowledge),
+        transport: HttpTransport::new(connections, dial, idle, reader, figures.upstream_requests.clone()),
+        overrides: hands.clone(),
+        warm_state: left.map(|left| left.knowledge),
         clock: eyes.clock(),
-        tap: Some(tap.clone()),
+        recorder: Some(tap.clone()),
     };
-    let held = Held::default();
-    let (core, handle) = Core::new(setup, held.clone());
+    let held = ActiveRequestIds::default();
+    let (core, handle) = PoolLoop::new(setup, held.clone());
     let longest = config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-    let options = Options {
-        patience: PATIENCE,
-        keep: KEEP,
-        longest_body: LONGEST_BODY,
-        passes: Some(LONGEST),
-        most_held: ceilings.most_held,
-        last_deadline: span(longest).min(LAST_DEADLINE),
-        healthz: true,
-        advice: config.settings.retry_after_hint(),
+    let options = ListenerOptions {
+        request_timeout: PATIENCE,
+        idle_timeout: KEEP,
+        max_buffered_body: LONGEST_BODY,
+        max_streamed_body: Some(LONGEST),
+        max_active_requests: ceilings.most_held,
+        max_request_deadline: span(longest).min(LAST_DEADLINE),
+        serves_health_check: true,
+        retry_after: config.settings.retry_after_hint(),
     };
     let admission = Rc::new(Platform::new(&config, handle.clone()));
-    let budget = Budget::new(places.clients, config.sockets);
+    let budget = ConnectionBudget::new(places.clients, config.sockets);
     let to_core = handle.clone();
-    let front = Front::new(
+    let front = DownstreamListener::new(
         admission,
         held.clone(),
         options,
         budget,
-        move || to_core.give_up(),
+        move || to_core.fail_all(),
         figures.clone(),
         room,
     );
-    front.set_tap(tap);
+    front.set_recorder(tap);
     if shared {
-        front.set_shared();
-        front.set_lame(lame);
+        front.set_socket_shared();
+        front.set_lame_duck(lame);
     }
     let core = task::spawn_local(core.run());
     if let Some(staff) = staff {
@@ -197,7 +198,7 @@
     });
     let stop = async move {
         term.recv().await;
-        Ending::Process
+        DrainReason::Process
     };
     tokio::select! {
         () = front.run(listener, stop) => Ok(()),
--- a/crates/node/src/standalone/pools.rs
+++ b/crates/node/src/standalone/pools.rs
@@ -11,15 +11,15 @@
 
 use super::site::SiteError;
 use crate::eyes::Eyes;
-use crate::net::connections::Connections;
-use crate::net::core::{Core, Setup, Source};
-use crate::net::discovery::{Health, Host, List};
-use crate::net::handle::{Handle, Held};
-use crate::net::http::answer::Reader;
-use crate::net::room::Room;
-use crate::net::transport::Transport;
-use crate::net::verdict::Reading;
-use crate::net::{fastcgi, http};
+use crate::net::discovery::{EndpointList, ListedEndpoint, ListedState};
+use crate::net::memory_budget::MemoryBudget;
+use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
+use crate::net::pool_loop::{EndpointSource, PoolConfig, PoolLoop};
+use crate::net::upstream::connection_registry::ConnectionRegistry;
+use crate::net::upstream::http::response_reader::ResponseReader;
+use crate::net::upstream::response_classification::StatusPolicy;
+use crate::net::upstream::transport::Transport;
+use crate::net::upstream::{fastcgi, http};
 
 /// Classes that a pool no longer serves stay in its settings, so that the others keep their places: so many more than
 /// there are in the file, then the pool begins anew.
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Endpoints {
     /// The file has them.
-    Fixed(List),
+    Fixed(EndpointList),
     /// A service at this address lists them.
     Discovery(std::net::SocketAddr),
 }
@@ -129,27 +129,27 @@
             Members::Discovery { address, .. } => return Self::Discovery(*address),
             Members::Static(servers) => servers,
         };
-        let hosts = servers.iter().map(|server| Host {
-            host: server.name.clone(),
-            dial: server.address.clone(),
-            site: config.node.zones[server.zone].clone(),
-            block: server.cell,
-            health: Health::Active,
-            share: server.weight as f32,
-            born_ms: 0,
+        let hosts = servers.iter().map(|server| ListedEndpoint {
+            name: server.name.clone(),
+            address: server.address.clone(),
+            zone: config.node.zones[server.zone].clone(),
+            cell: server.cell,
+            state: ListedState::Ready,
+            weight: server.weight as f32,
+            started_at_ms: 0,
         });
-        Self::Fixed(List { seq: 0, whole: true, hosts: hosts.collect() })
+        Self::Fixed(EndpointList { version: 0, complete: true, endpoints: hosts.collect() })
     }
 }
 
 /// What all pools of a node share.
 pub struct PoolContext {
     /// Connections to servers.
-    pub connections: Rc<Connections>,
+    pub connections: Rc<ConnectionRegistry>,
     /// Memory for the held parts of long bodies.
-    pub room: Arc<Room>,
+    pub room: Arc<MemoryBudget>,
     /// Requests without a final answer.
-    pub held: Held,
+    pub held: ActiveRequestIds,
     /// Recorder and log.
     pub eyes: Rc<Eyes>,
     /// For random numbers.
@@ -158,22 +158,30 @@
 
 impl PoolContext {
     /// Starts the loop of a pool that is at `place` in its configuration.
-    pub fn start(&self, name: &str, place: usize, identity: &PoolIdentity, endpoints: Endpoints) -> Handle {
-        let setup = Setup {
+    pub fn start(
+        &self,
+        name: &str,
+        place: usize,
+        identity: &PoolIdentity,
+        endpoints: Endpoints,
+    ) -> PoolHandle {
+        let setup = PoolConfig {
             settings: identity.settings.clone(),
             seed: self.seed.wrapping_add(place as u64),
             zones: identity.connection.zones.clone(),
-            source: match endpoints {
-                Endpoints::Fixed(list) => Source::Fixed(list),
-                Endpoints::Discovery(discovery) => Source::Watch { discovery, known: None, at_once: false },
+            endpoints: match endpoints {
+                Endpoints::Fixed(list) => EndpointSource::Fixed(list),
+                Endpoints::Discovery(discovery) => {
+                    EndpointSource::Watch { address: discovery, last_list: None, poll_at_start: false }
+                }
             },
             transport: self.transport(&identity.connection),
-            hands: Rc::default(),
-            learned: None,
+            overrides: Rc::default(),
+            warm_state: None,
             clock: self.eyes.clock(),
-            tap: Some(self.eyes.tap(name, &identity.settings, &identity.classes)),
+            recorder: Some(self.eyes.tap(name, &identity.settings, &identity.classes)),
         };
-        let (core, handle) = Core::new(setup, self.held.clone());
+        let (core, handle) = PoolLoop::new(setup, self.held.clone());
         task::spawn_local(core.run());
         handle
     }
@@ -184,25 +192,31 @@
         let (connections, room) = (self.connections.clone(), self.room.clone());
         match settings.protocol {
             Protocol::Http => {
-                let reader = Reader {
-                    reading: Reading::Gateway,
-                    longest: settings.answer_body,
-                    longest_unstated: settings.answer_body,
-                    passes: false,
-                    room,
+                let reader = ResponseReader {
+                    status_policy: StatusPolicy::Gateway,
+                    max_body: settings.answer_body,
+                    max_unsized_body: settings.answer_body,
+                    streaming: false,
+                    memory: room,
                 };
-                http::upstream::Upstream::new(connections, dial_timeout, conn_idle, reader, Rc::default())
-            }
-            Protocol::FastCgi => {
-                let settings = fastcgi::upstream::Settings {
+                http::transport::HttpTransport::new(
+                    connections,
                     dial_timeout,
                     conn_idle,
-                    longest: settings.answer_body,
-                    room,
+                    reader,
+                    Rc::default(),
+                )
+            }
+            Protocol::FastCgi => {
+                let settings = fastcgi::transport::FastCgiSettings {
+                    connect_timeout: dial_timeout,
+                    server_idle_timeout: conn_idle,
+                    max_body: settings.answer_body,
+                    memory: room,
                     script: settings.script.clone(),
                     root: settings.root.clone(),
                 };
-                fastcgi::upstream::Upstream::new(connections, settings)
+                fastcgi::transport::FastCgiTransport::new(connections, settings)
             }
         }
     }
--- a/crates/node/src/standalone/site.rs
+++ b/crates/node/src/standalone/site.rs
@@ -22,11 +22,11 @@
 use crate::calls::MOST_CALLERS;
 use crate::eyes::Eyes;
 use crate::fleet;
-use crate::net::connections::Connections;
-use crate::net::front::budget::Budget;
-use crate::net::front::{Ending, Front};
-use crate::net::handle::{Handle, Held};
-use crate::net::room::Room;
+use crate::net::downstream::connection_budget::ConnectionBudget;
+use crate::net::downstream::{DownstreamListener, DrainReason};
+use crate::net::memory_budget::MemoryBudget;
+use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
+use crate::net::upstream::connection_registry::ConnectionRegistry;
 use crate::places::Places;
 
 /// Long answers may take this part of the memory: the rest of it is for connections and requests.
@@ -60,7 +60,7 @@
 struct Running {
     active: Arc<NodeConfig>,
     /// The loops of its pools, by name.
-    pools: HashMap<String, Handle>,
+    pools: HashMap<String, PoolHandle>,
     listeners: Vec<RunningListener>,
 }
 
@@ -68,7 +68,7 @@
 pub struct Site {
     gateway: Rc<Gateway>,
     pools: PoolContext,
-    budget: Rc<Budget>,
+    budget: Rc<ConnectionBudget>,
     running: RefCell<Running>,
     /// How many nodes share the servers, where the fleet says so.
     sharing: Cell<Option<NodeShare>>,
@@ -94,9 +94,9 @@
         // Hash tables are seeded from the system's source of randomness.
         let seed = RandomState::new().build_hasher().finish();
         let pools = PoolContext {
-            connections: Connections::new(places.servers),
-            room: Room::new((config.limits.memory / LONG_SHARE) as usize),
-            held: Held::default(),
+            connections: ConnectionRegistry::new(places.servers),
+            room: MemoryBudget::new((config.limits.memory / LONG_SHARE) as usize),
+            held: ActiveRequestIds::default(),
             eyes,
             seed,
         };
@@ -109,7 +109,7 @@
             Running { pools: names.zip(handles).collect(), listeners: Vec::new(), active: active.clone() };
         let site = Rc::new(Self {
             gateway: Gateway::new(live, seed, recorder),
-            budget: Budget::new(places.clients, config.limits.descriptors),
+            budget: ConnectionBudget::new(places.clients, config.limits.descriptors),
             pools,
             running: RefCell::new(running),
             sharing: Cell::new(None),
@@ -156,7 +156,7 @@
     }
 
     /// Carries out what becomes of each pool; the loops, in the order of the configuration.
-    fn change_pools(&self, next: &NodeConfig, steps: Vec<PoolStep>) -> Vec<Handle> {
+    fn change_pools(&self, next: &NodeConfig, steps: Vec<PoolStep>) -> Vec<PoolHandle> {
         let mut running = self.running.borrow_mut();
         let mut former = std::mem::take(&mut running.pools);
         let mut handles = Vec::with_capacity(steps.len());
@@ -191,10 +191,10 @@
     }
 
     /// Starts a pool that knows how many nodes share its servers.
-    fn start_shared_pool(&self, next: &NodeConfig, place: usize, endpoints: Endpoints) -> Handle {
+    fn start_shared_pool(&self, next: &NodeConfig, place: usize, endpoints: Endpoints) -> PoolHandle {
         let handle = start_pool(&self.pools, next, place, endpoints);
         if let Some(sharing) = self.sharing.get() {
-            handle.share(sharing);
+            handle.set_node_share(sharing);
         }
         handle
     }
@@ -209,15 +209,15 @@
         }
     }
 
-    fn front(self: &Rc<Self>, config: &Config) -> Rc<Front> {
+    fn front(self: &Rc<Self>, config: &Config) -> Rc<DownstreamListener> {
         // The fronts belong to the site: it may not be kept by them.
         let site = Rc::downgrade(self);
         let give_up = move || {
             if let Some(site) = site.upgrade() {
-                site.running.borrow().pools.values().for_each(Handle::give_up);
+                site.running.borrow().pools.values().for_each(PoolHandle::fail_all);
             }
         };
-        let front = Front::new(
+        let front = DownstreamListener::new(
             self.gateway.clone(),
             self.pools.held.clone(),
             listeners::options(config),
@@ -226,8 +226,8 @@
             Rc::default(),
             self.pools.room.clone(),
         );
-        front.set_tap(self.pools.eyes.front_tap());
-        front.set_lame(self.draining.get());
+        front.set_recorder(self.pools.eyes.front_tap());
+        front.set_lame_duck(self.draining.get());
         front
     }
 
@@ -239,7 +239,7 @@
         let (kept, gone): (Vec<_>, Vec<_>) = running.listeners.drain(..).partition(stays);
         running.listeners = kept;
         for listener in gone {
-            listener.stop(Ending::Listener);
+            listener.stop(DrainReason::Listener);
         }
     }
 
@@ -254,13 +254,13 @@
     /// So many nodes share the servers of all pools from now on.
     pub fn share(&self, sharing: NodeShare) {
         self.sharing.set(Some(sharing));
-        self.running.borrow().pools.values().for_each(|pool| pool.share(sharing));
+        self.running.borrow().pools.values().for_each(|pool| pool.set_node_share(sharing));
     }
 
     /// Staff empty this node, or have it back at work: connections of clients end with their next answers.
     pub fn set_draining(&self, draining: bool) {
         self.draining.set(draining);
-        self.running.borrow().listeners.iter().for_each(|listener| listener.front.set_lame(draining));
+        self.running.borrow().listeners.iter().for_each(|listener| listener.front.set_lame_duck(draining));
     }
 
     /// Whether staff empty it.
@@ -285,7 +285,7 @@
         let active = self.active();
         let (mut listed, mut unavailable) = (0, 0);
         for handle in handles {
-            let members = handle.look().await;
+            let members = handle.endpoint_counts().await;
             listed += members.listed;
             unavailable += members.unavailable;
         }
@@ -302,24 +302,25 @@
     pub async fn end(&self) {
         let listeners = std::mem::take(&mut self.running.borrow_mut().listeners);
         // All are told before any is waited for.
-        let ending: Vec<_> = listeners.into_iter().map(|listener| listener.stop(Ending::Process)).collect();
+        let ending: Vec<_> =
+            listeners.into_iter().map(|listener| listener.stop(DrainReason::Process)).collect();
         for done in ending {
             let _ = done.await;
         }
     }
 }
 
-fn start_pool(pools: &PoolContext, revision: &NodeConfig, place: usize, endpoints: Endpoints) -> Handle {
+fn start_pool(pools: &PoolContext, revision: &NodeConfig, place: usize, endpoints: Endpoints) -> PoolHandle {
     let name = &revision.config.settings().pools[place].name;
     pools.start(name, place, &revision.identities[place], endpoints)
 }
 
-fn update_pool(pool: &Handle, settings: Option<Box<Settings>>, endpoints: Option<Endpoints>) {
+fn update_pool(pool: &PoolHandle, settings: Option<Box<Settings>>, endpoints: Option<Endpoints>) {
     if let Some(settings) = settings {
-        pool.retune(settings);
+        pool.update_settings(settings);
     }
     match endpoints {
-        Some(Endpoints::Fixed(list)) => pool.set_servers(list),
+        Some(Endpoints::Fixed(list)) => pool.set_endpoints(list),
         Some(Endpoints::Discovery(address)) => pool.move_discovery(address),
         None => {}
     }
