--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,8 +1,9 @@
-//! What staff can ask of a running node: the calls, the figures, and the book of servers taken out by hand.
+//! Admin interface of a running node: its commands, its statistics, and the backends that operators have disabled.
 //!
-//! Free of I/O and of clocks: lines and texts come in and go out, times are handed over in Unix milliseconds of one
-//! machine. Sockets and the file of the book are the node's (`platform/admin`).
+//! Free of I/O and of clocks: lines and texts come in and go out, and the caller passes Unix milliseconds of one machine's
+//! clock. The node owns the socket (`admin_listener`) and the state file (`platform/state_file`).
 
-pub mod book;
-pub mod call;
-pub mod figures;
+pub mod command;
+pub mod disabled_backends;
+pub mod known_backends;
+pub mod stats;
--- /dev/null
+++ b/crates/admin/tests/admin.rs
@@ -0,0 +1,171 @@
+//! Commands, statistics and the set of disabled backends, without a socket or a clock.
+
+use proptest::prelude::*;
+use pumicehead_admin::command::{Command, CommandError, MAX_LINE_BYTES, MAX_NAME_BYTES};
+use pumicehead_admin::disabled_backends::{
+    BackendState, DisabledBackends, ENABLED_RETENTION_MS, MAX_DISABLED, StoredFormError, TooManyDisabledError,
+};
+use pumicehead_admin::known_backends::{KnownBackends, MAX_KNOWN, UnknownBackendError};
+use pumicehead_admin::stats::{Gauges, RequestOutcome, Stats, increment};
+
+#[test]
+fn commands_parse_with_any_line_end() {
+    for end in ["", "\n", "\r\n", "  \r\n"] {
+        let read = |line: &str| Command::parse(format!("{line}{end}").as_bytes());
+        assert_eq!(read("PING"), Ok(Command::Ping));
+        assert_eq!(read("INFO"), Ok(Command::Info));
+        assert_eq!(read("LAMEDUCK"), Ok(Command::LameDuck));
+        assert_eq!(read("REJOIN"), Ok(Command::Rejoin));
+        assert_eq!(read("DETACH s-1"), Ok(Command::DisableBackend("s-1".into())));
+        assert_eq!(read("ATTACH  s-1"), Ok(Command::EnableBackend("s-1".into())));
+    }
+}
+
+#[test]
+fn lines_that_are_no_command_have_one_reason() {
+    let read = |line: &str| Command::parse(line.as_bytes()).unwrap_err();
+    assert_eq!(read("\r\n"), CommandError::Empty);
+    assert_eq!(read("DETACH"), CommandError::MissingBackend("DETACH"));
+    assert_eq!(read("ATTACH a b"), CommandError::MissingBackend("ATTACH"));
+    assert_eq!(read("PING me"), CommandError::UnexpectedArguments("PING"));
+    assert_eq!(read("ping"), CommandError::Unknown("ping".into()));
+    assert_eq!(read("\u{1b}[2Jx"), CommandError::Unknown("[2Jx".into()), "nothing that steers a terminal");
+    assert_eq!(read(&format!("DETACH {}", "s".repeat(MAX_NAME_BYTES + 1))), CommandError::InvalidName);
+    assert_eq!(read(&"x".repeat(MAX_LINE_BYTES + 1)), CommandError::TooLong);
+    assert_eq!(Command::parse(b"DETACH \xff"), Err(CommandError::NotUtf8));
+}
+
+#[test]
+fn stats_are_written_as_statsd_lines() {
+    let stats = Stats::new(["board-read".to_owned(), "run-submit".to_owned()]);
+    stats.record_outcome(0, RequestOutcome::Completed);
+    stats.record_outcome(0, RequestOutcome::Completed);
+    stats.record_outcome(1, RequestOutcome::Failed);
+    stats.record_outcome(1, RequestOutcome::Rejected);
+    stats.record_outcome(2, RequestOutcome::Completed);
+    increment(&stats.upstream_requests);
+    let text = stats.statsd_text(Gauges { pending: 3, members: 8, members_unavailable: 1 });
+    assert_eq!(
+        text.lines().collect::<Vec<_>>(),
+        [
+            "node.downstream_requests.board-read.completed:2|c",
+            "node.downstream_requests.board-read.rejected:0|c",
+            "node.downstream_requests.board-read.failed:0|c",
+            "node.downstream_requests.run-submit.completed:0|c",
+            "node.downstream_requests.run-submit.rejected:1|c",
+            "node.downstream_requests.run-submit.failed:1|c",
+            "node.upstream_requests:1|c",
+            "node.pending:3|g",
+            "node.members:8|g",
+            "node.members_unavailable:1|g",
+            "node.config_reloads:0|c",
+            "node.config_reload_errors:0|c",
+        ]
+    );
+}
+
+const NEVER_OUT: BackendState = BackendState::Enabled { started_ms: 5 };
+
+#[test]
+fn a_backend_is_disabled_until_enabled_and_restarts_its_slow_start() {
+    let mut disabled = DisabledBackends::default();
+    assert_eq!(disabled.state("a", 5), NEVER_OUT);
+    disabled.disable("a", 100).unwrap();
+    disabled.disable("a", 200).unwrap();
+    assert_eq!((disabled.state("a", 5), disabled.state("b", 5)), (BackendState::Disabled, NEVER_OUT));
+    // Whatever discovery says, also that it has started again.
+    assert_eq!(disabled.state("a", 150), BackendState::Disabled);
+    disabled.enable("a", 300);
+    // Dated before it was taken out: nothing says when it was restarted, the call back is the latest.
+    assert_eq!(disabled.state("a", 5), BackendState::Enabled { started_ms: 300 });
+    // Dated after that: the list knows of the restart.
+    assert_eq!(disabled.state("a", 150), BackendState::Enabled { started_ms: 150 });
+    assert_eq!(disabled.state("a", 400), BackendState::Enabled { started_ms: 400 });
+    // One call back was enough, and another changes nothing.
+    disabled.enable("a", 900);
+    assert_eq!(disabled.state("a", 5), BackendState::Enabled { started_ms: 300 });
+    // Never out: a call back is no news of a restart.
+    disabled.enable("b", 900);
+    assert_eq!(disabled.state("b", 5), NEVER_OUT);
+    disabled.disable("a", 1_000).unwrap();
+    assert_eq!(disabled.state("a", 400), BackendState::Disabled);
+}
+
+#[test]
+fn entries_are_bounded_and_only_enabled_ones_expire() {
+    let mut disabled = DisabledBackends::default();
+    for n in 0..MAX_DISABLED {
+        disabled.disable(&format!("s{n}"), 1).unwrap();
+    }
+    assert_eq!(disabled.disable("more", 2), Err(TooManyDisabledError));
+    assert_eq!(disabled.disable("s7", 2), Ok(()), "it is out already");
+    disabled.enable("s7", 10);
+    assert_eq!(disabled.disable("more", 9 + ENABLED_RETENTION_MS), Err(TooManyDisabledError));
+    assert_eq!(disabled.disable("more", 10 + ENABLED_RETENTION_MS), Ok(()));
+    assert_eq!(disabled.state("s8", 0), BackendState::Disabled);
+}
+
+#[test]
+fn backends_that_were_never_listed_are_unknown() {
+    let mut listed = KnownBackends::default();
+    assert_eq!(listed.check("a"), Err(UnknownBackendError("a".into())));
+    listed.add("a");
+    assert_eq!(listed.check("a"), Ok(()));
+    (0..MAX_KNOWN).for_each(|n| listed.add(&format!("b{n}")));
+    assert_eq!(listed.check("b7"), Ok(()));
+    assert!(listed.check("a").is_err(), "bounded");
+}
+
+#[test]
+fn damaged_stored_forms_are_errors() {
+    for text in
+        ["", "{", "[]", "{\"v\":2,\"servers\":{}}", "{\"v\":1}", "{\"v\":1,\"servers\":{\"a\":{\"out\":-1}}}"]
+    {
+        let read = DisabledBackends::from_stored(text.as_bytes());
+        assert!(
+            matches!(read, Err(StoredFormError::Json(_) | StoredFormError::Version { found: 2 })),
+            "{text}"
+        );
+    }
+    assert!(
+        DisabledBackends::from_stored(b"{\"v\":1,\"servers\":{},\"later\":1}").is_ok(),
+        "fields of later versions are skipped"
+    );
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
+
+    /// Whatever is called in whatever order: the last call on a server decides, a text brings the same disabled back, and the
+    /// birth of a server that came back is never before that of the list.
+    #[test]
+    fn the_last_command_on_a_backend_decides(calls in prop::collection::vec((0..4u8, any::<bool>(), 1..1_000u64), 0..40), born in 0..2_000u64) {
+        let mut disabled = DisabledBackends::default();
+        let (mut now, mut last) = (1_000, [None; 4]);
+        for (server, out, later) in calls {
+            now += later;
+            let name = format!("s{server}");
+            if out { disabled.disable(&name, now).unwrap() } else { disabled.enable(&name, now) }
+            last[usize::from(server)] = Some(out);
+        }
+        for (server, last) in last.iter().enumerate() {
+            match (disabled.state(&format!("s{server}"), born), last) {
+                (BackendState::Disabled, out) => prop_assert_eq!(*out, Some(true)),
+                (BackendState::Enabled { started_ms }, out) => {
+                    prop_assert_ne!(*out, Some(true));
+                    prop_assert!(started_ms >= born && started_ms <= now.max(born));
+                }
+            }
+        }
+        let again = DisabledBackends::from_stored(disabled.to_stored().as_bytes()).unwrap();
+        prop_assert!(disabled.changed(&again).is_empty());
+        prop_assert_eq!(again, disabled);
+    }
+
+    /// No bytes make the readers fail in another way than they say.
+    #[test]
+    fn any_bytes_can_be_read(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+        let _ = Command::parse(&bytes);
+        let _ = DisabledBackends::from_stored(&bytes);
+    }
+}
--- a/crates/chaos/src/run/process.rs
+++ b/crates/chaos/src/run/process.rs
@@ -101,7 +101,7 @@
                 fleet = fleet.or(after(" speaks on "));
                 clients = clients.or(after(" listens on "));
                 // The last of what it says of addresses.
-                if let (Some(clients), Some(calls)) = (clients, after(" takes calls on ")) {
+                if let (Some(clients), Some(calls)) = (clients, after(" takes admin commands on ")) {
                     return Some(Listens { clients, calls, fleet });
                 }
             }
--- /dev/null
+++ b/crates/node/src/admin_listener.rs
@@ -0,0 +1,110 @@
+//! Listener for admin commands: one command line and one reply for each connection.
+
+use std::cell::RefCell;
+use std::collections::VecDeque;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+
+use pumicehead_admin::command::{Command, MAX_LINE_BYTES, error_reply};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::{self, AbortHandle};
+use tokio::time::{sleep, timeout};
+use tracing::warn;
+
+/// Connections at once. One more closes the oldest.
+const MAX_CONNECTIONS: usize = 8;
+/// Descriptors that the listener and its connections may hold.
+pub const MAX_DESCRIPTORS: usize = 1 + MAX_CONNECTIONS;
+/// Time for a client to send its line, and again to read the reply.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time to read a reply of at least [`LONG_REPLY_BYTES`].
+const LONG_REPLY_TIMEOUT: Duration = Duration::from_secs(60);
+/// A reply is long from this length on, in bytes.
+const LONG_REPLY_BYTES: usize = 256 << 10;
+/// How long bytes that the client still sends are read after the reply ...
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// ... and how many of them.
+const MAX_LINGER_BYTES: u64 = 64 << 10;
+/// Pause after a failed accept, as for lack of descriptors.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Carries out admin commands.
+pub trait CommandHandler: 'static {
+    /// Carries out a command and returns the whole reply.
+    fn handle(&self, command: Command) -> impl Future<Output = Vec<u8>>;
+}
+
+/// Tasks of the open connections, the oldest first.
+#[derive(Default)]
+struct Connections(RefCell<VecDeque<AbortHandle>>);
+
+/// Accepts connections for as long as the process lives.
+pub async fn serve(handler: Rc<impl CommandHandler>, listener: TcpListener) {
+    let connections = Connections::default();
+    loop {
+        let stream = match listener.accept().await {
+            Ok((stream, _)) => stream,
+            Err(error) => {
+                warn!(target: "admin", %error, "accept failed");
+                sleep(ACCEPT_RETRY_INTERVAL).await;
+                continue;
+            }
+        };
+        let handler = handler.clone();
+        let connection = task::spawn_local(async move {
+            // An I/O error concerns this operator's connection alone, which is closed now.
+            let _ = serve_connection(&*handler, stream).await;
+        });
+        connections.add(connection.abort_handle());
+    }
+}
+
+async fn serve_connection(handler: &impl CommandHandler, mut stream: TcpStream) -> io::Result<()> {
+    let Ok(line) = timeout(CLIENT_TIMEOUT, read_line(&mut stream)).await else { return Ok(()) };
+    let reply = match line?.as_deref().map(Command::parse) {
+        Some(Ok(command)) => handler.handle(command).await,
+        Some(Err(error)) => error_reply(&error.to_string()).into_bytes(),
+        None => error_reply("the line has no end").into_bytes(),
+    };
+    let reply_timeout = if reply.len() >= LONG_REPLY_BYTES { LONG_REPLY_TIMEOUT } else { CLIENT_TIMEOUT };
+    timeout(reply_timeout, stream.write_all(&reply)).await??;
+    stream.shutdown().await?;
+    // Closing with unread bytes resets the connection, and the reset can overtake the reply.
+    let mut rest = stream.take(MAX_LINGER_BYTES);
+    let _ = timeout(LINGER_TIMEOUT, tokio::io::copy(&mut rest, &mut tokio::io::sink())).await;
+    Ok(())
+}
+
+impl Connections {
+    fn add(&self, connection: AbortHandle) {
+        let mut connections = self.0.borrow_mut();
+        connections.retain(|connection| !connection.is_finished());
+        if connections.len() >= MAX_CONNECTIONS
+            && let Some(oldest) = connections.pop_front()
+        {
+            oldest.abort();
+        }
+        connections.push_back(connection);
+    }
+}
+
+/// Reads a line; `None` where the connection ends before it, since half a name may be another backend's. A line that is
+/// too long is cut at a length that is still too long.
+async fn read_line(stream: &mut TcpStream) -> io::Result<Option<Vec<u8>>> {
+    let mut line = Vec::new();
+    while line.len() <= MAX_LINE_BYTES {
+        let mut chunk = [0; MAX_LINE_BYTES];
+        let count = stream.read(&mut chunk).await?;
+        if count == 0 {
+            return Ok(None);
+        }
+        let end = chunk[..count].iter().position(|&byte| byte == b'\n');
+        line.extend_from_slice(&chunk[..end.unwrap_or(count)]);
+        if end.is_some() {
+            break;
+        }
+    }
+    Ok(Some(line))
+}
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -15,8 +15,8 @@
 use pumicehead_config::{Checked, Config, Files, Severity, Sources, check};
 
 use crate::report::{Format, print, report};
-use crate::standalone::Reading;
-use crate::{fleet_cli, log, why};
+use crate::standalone::LoadedConfig;
+use crate::{fleet_cli, log, recording_cli};
 
 /// A configuration with mistakes.
 const MISTAKES: u8 = 1;
@@ -58,14 +58,14 @@
         out: PathBuf,
     },
     /// Says why, from a recording: what became of one request, or what worth was lost to.
-    Why(why::Why),
+    Why(recording_cli::AnalyzeArguments),
     /// Writes a recording in a form that other viewers open.
     Export {
         /// The recording.
         file: PathBuf,
         /// Which form.
         #[arg(long = "as", value_enum)]
-        form: why::ExportForm,
+        form: recording_cli::ExportForm,
     },
     /// The fleet as a running node sees it.
     Fleet {
@@ -120,20 +120,20 @@
 pub fn carry_out(command: Command) -> Result<ExitCode, Box<dyn Error>> {
     match command {
         Command::Run { file, record } => {
-            let reading = Reading::of(file.clone())?;
-            let checked = reading.checked();
+            let loaded = LoadedConfig::load_first(file.clone())?;
+            let checked = loaded.checked();
             report(&checked.sources, &checked.diagnostics, Format::Text);
             if checked.config.is_none() {
                 return Ok(ExitCode::from(MISTAKES));
             }
-            let (log, _flush) = log::begin_with_thread();
-            crate::block_on(crate::standalone::serve(file, reading, record, log))?;
+            let (log, _flush) = log::start_with_thread();
+            crate::block_on(crate::standalone::serve(file, loaded, record, log))?;
             Ok(ExitCode::SUCCESS)
         }
-        Command::Trace { address, out } => why::fetch(address, &out).map(|()| ExitCode::SUCCESS),
+        Command::Trace { address, out } => recording_cli::fetch(address, &out).map(|()| ExitCode::SUCCESS),
         Command::Why(why) => why.tell().map(|()| ExitCode::SUCCESS),
         Command::Fleet { question } => fleet_cli::tell(&question).map(|()| ExitCode::SUCCESS),
-        Command::Export { file, form } => why::export(&file, form).map(|()| ExitCode::SUCCESS),
+        Command::Export { file, form } => recording_cli::export(&file, form).map(|()| ExitCode::SUCCESS),
         Command::Check { files, format, deny_warnings } => Ok(check_all(&files, format, deny_warnings)),
         Command::Fmt { files, check } => format_all(&files, check),
         Command::Diff { old, new } => Ok(compare(&old, &new)),
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use pumicehead_admin::call::{Call, no};
+use pumicehead_admin::command::{Command, error_reply};
 use pumicehead_config::model::{Fleet as Block, Node};
 use pumicehead_flight_recorder::event::Event as Told;
 use pumicehead_flight_recorder::text::Name;
@@ -24,7 +24,7 @@
 use tokio::time::{sleep, sleep_until};
 use tracing::{debug, info, warn};
 
-use crate::eyes::Eyes;
+use crate::introspection::Introspection;
 use crate::net::clock::Clock;
 use crate::net::recorder_sink::RecorderSink;
 
@@ -73,8 +73,13 @@
     ///
     /// # Errors
     /// An address that can't be listened on, or a name that can't be one.
-    pub async fn start(block: &Block, node: &Node, eyes: &Eyes, seed: u64) -> Result<Rc<Self>, FleetError> {
-        let clock = eyes.clock();
+    pub async fn start(
+        block: &Block,
+        node: &Node,
+        introspection: &Introspection,
+        seed: u64,
+    ) -> Result<Rc<Self>, FleetError> {
+        let clock = introspection.clock();
         let failed = |source| FleetError::Listen { address: block.address, source };
         let (streams, datagrams) = bind(block.address).await.map_err(failed)?;
         let address = streams.local_addr().map_err(failed)?;
@@ -102,8 +107,8 @@
         let fleet = Rc::new(Self {
             name: block.name.clone(),
             member: RefCell::new(member),
-            clock: eyes.clock(),
-            tap: eyes.front_tap(),
+            clock: introspection.clock(),
+            tap: introspection.node_recorder(),
             datagrams,
             touched: Notify::new(),
             sharing: watch::Sender::new(None),
@@ -135,13 +140,14 @@
     }
 
     /// The answer to a call that is about the fleet; `None` where it is about something else.
-    pub fn answer(&self, call: &Call) -> Option<String> {
+    pub fn answer(&self, call: &Command) -> Option<String> {
         let mut member = self.member.borrow_mut();
         let now = self.clock.now();
         match call {
-            Call::Members => Some(told::members(&self.name, &mut member, now)),
-            Call::WhyMember(node) => Some(
-                told::why(&member, now, node).unwrap_or_else(|| no(&format!("nobody here knows `{node}`"))),
+            Command::Members => Some(told::members(&self.name, &mut member, now)),
+            Command::ExplainMember(node) => Some(
+                told::why(&member, now, node)
+                    .unwrap_or_else(|| error_reply(&format!("nobody here knows `{node}`"))),
             ),
             _ => None,
         }
--- /dev/null
+++ b/crates/node/src/introspection/mod.rs
@@ -0,0 +1,272 @@
+//! What an operator can ask a running node about itself: its flight recording, its metrics and its log. Recordings are also
+//! written to a folder on SIGUSR1 and on a panic.
+
+mod recording_file;
+
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use pumicehead_admin::command::{Command, RecordingLevel, error_reply, ok_reply};
+use pumicehead_flight_recorder::event::PoolId;
+use pumicehead_flight_recorder::recorder::{Class, Level, Recorder};
+use pumicehead_policy::{Settings, TenantId};
+use tokio::signal::unix::{SignalKind, signal};
+use tokio::task;
+use tokio::time::sleep;
+use tracing::{info, warn};
+
+use crate::log::Log;
+use crate::net::clock::Clock;
+use crate::net::endpoint_directory::unseeded_hash;
+use crate::net::recorder_sink::{RecorderSink, SharedRecorder};
+use recording_file::RecordingFile;
+
+/// How often suppressed and dropped log lines are reported.
+const LOG_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// The recorder's default part of a node's memory: 1 MiB of 32 MiB.
+pub const MEMORY_DIVISOR: usize = 32;
+/// Most memory that the recorder takes by default, in bytes.
+pub const MAX_DEFAULT_MEMORY_BYTES: usize = 4 << 20;
+
+/// Why a recording was written, as the recording's head stores it.
+const REASON_SIGNAL: &str = "asked by a signal";
+const REASON_COMMAND: &str = "asked by a call";
+/// Start of the reason after a panic; its message follows.
+const REASON_PANIC: &str = "panic";
+
+thread_local! {
+    /// For the panic hook, which gets no arguments of ours.
+    static FOR_PANIC_HOOK: RefCell<Option<Rc<Introspection>>> = const { RefCell::new(None) };
+}
+
+/// Where recordings are written on a signal or a panic, and by whom.
+pub enum RecordingDestination {
+    /// There is no folder for them.
+    None,
+    /// The event loop writes them in slices, for a process without other threads and a folder in memory.
+    EventLoop(PathBuf),
+    /// A thread of the runtime writes them: a disk may be slow.
+    BlockingThread(PathBuf),
+}
+
+/// Recorder, metrics and log of a node.
+pub struct Introspection {
+    recorder: SharedRecorder,
+    clock: Clock,
+    log: Log,
+    destination: RecordingDestination,
+    /// Hash of the node's name, for file names.
+    node_hash: u64,
+    files_written: Cell<u32>,
+    reported_dropped_lines: Cell<usize>,
+}
+
+impl Introspection {
+    /// For a node of this name, with `memory` bytes for its recorder.
+    pub fn new(
+        node: &str,
+        clock: Clock,
+        memory: usize,
+        seed: u64,
+        log: Log,
+        destination: RecordingDestination,
+    ) -> Rc<Self> {
+        Rc::new(Self {
+            recorder: SharedRecorder::new(Recorder::new(node, clock.started_at(), memory, seed)),
+            clock,
+            log,
+            destination,
+            node_hash: unseeded_hash(node.as_bytes()),
+            files_written: Cell::new(0),
+            reported_dropped_lines: Cell::new(0),
+        })
+    }
+
+    /// The log.
+    pub fn log(&self) -> &Log {
+        &self.log
+    }
+
+    /// The clock of all event loops of the node.
+    pub fn clock(&self) -> Clock {
+        self.clock
+    }
+
+    /// A pool's access to the recorder, with the names of its classes in the order of its settings.
+    pub fn pool_recorder(&self, pool: &str, settings: &Settings, classes: &[String]) -> RecorderSink {
+        let class = |(name, class): (&String, &pumicehead_policy::Class)| Class {
+            name: name.clone(),
+            aim: class.latency_objective,
+            deadline: class.deadline,
+            worth: class.priority_weight,
+            late_worth: class.late_weight,
+        };
+        let classes: Vec<_> = classes.iter().zip(&settings.classes).map(class).collect();
+        let pool = self.recorder.with(|recorder| recorder.pool(pool, &classes));
+        RecorderSink::new(&self.recorder, self.clock, pool.unwrap_or(PoolId(u16::MAX)))
+    }
+
+    /// Sets the names of the tenants of all pools.
+    pub fn set_tenant_names(&self, names: impl Iterator<Item = (TenantId, Arc<str>)>) {
+        let names = names.map(|(id, name)| (id.0, name)).collect();
+        self.recorder.with(|recorder| recorder.name_tenants(names));
+    }
+
+    /// Access to the recorder for events that belong to no pool.
+    pub fn node_recorder(&self) -> RecorderSink {
+        RecorderSink::new(&self.recorder, self.clock, PoolId(0))
+    }
+
+    /// Changes how much is recorded.
+    pub fn set_recording_level(&self, level: Level) {
+        self.recorder.set_level(level);
+    }
+
+    /// The recording as the bytes of a file; `None` while the recorder is in use, as in a panic.
+    fn recording(&self, reason: &str) -> Option<Vec<u8>> {
+        self.recorder.with(|recorder| recorder.dump(self.clock.now(), reason))
+    }
+
+    /// OpenMetrics text with these gauges added.
+    fn metrics(&self, gauges: &[(&'static str, f64)]) -> String {
+        let text = self.recorder.with(|recorder| {
+            let (memory, max_memory) = (recorder.memory() as f64, recorder.most_memory() as f64);
+            let meters = recorder.meters();
+            gauges.iter().for_each(|(name, value)| meters.gauge(name, *value));
+            meters.gauge("pumicehead_recorder_bytes", memory);
+            meters.gauge("pumicehead_recorder_most_bytes", max_memory);
+            meters.gauge("pumicehead_log_lines_dropped", self.log.dropped() as f64);
+            recorder.prometheus()
+        });
+        text.unwrap_or_else(|| "# EOF\n".into())
+    }
+
+    /// Starts the tasks of a process: reports about the log, and a recording on each SIGUSR1 and on a panic.
+    ///
+    /// # Errors
+    /// A signal handler that can't be installed.
+    pub fn start(self: &Rc<Self>) -> io::Result<()> {
+        let mut usr1 = signal(SignalKind::user_defined1())?;
+        let introspection = self.clone();
+        task::spawn_local(async move {
+            loop {
+                tokio::select! {
+                    received = usr1.recv() => match received {
+                        Some(()) => introspection.write_recording(REASON_SIGNAL).await,
+                        None => return,
+                    },
+                    () = sleep(LOG_REPORT_INTERVAL) => introspection.report_on_log(),
+                }
+            }
+        });
+        self.install_panic_hook();
+        Ok(())
+    }
+
+    fn install_panic_hook(self: &Rc<Self>) {
+        FOR_PANIC_HOOK.with(|slot| *slot.borrow_mut() = Some(self.clone()));
+        let previous = std::panic::take_hook();
+        std::panic::set_hook(Box::new(move |panic| {
+            previous(panic);
+            let introspection = FOR_PANIC_HOOK
+                .with(|slot| slot.try_borrow().ok().and_then(|introspection| introspection.clone()));
+            if let Some(introspection) = introspection {
+                introspection.write_recording_at_panic(&panic.to_string());
+            }
+        }));
+    }
+
+    /// The reply to a command about recorder, metrics or log; `None` for all others.
+    pub async fn reply(
+        &self,
+        command: &Command,
+        gauges: impl AsyncFn() -> Vec<(&'static str, f64)>,
+    ) -> Option<Vec<u8>> {
+        Some(match command {
+            Command::Recording => match self.recording(REASON_COMMAND) {
+                Some(file) => [ok_reply(&file.len().to_string()).into_bytes(), file].concat(),
+                None => error_reply("the recorder is in use").into_bytes(),
+            },
+            Command::Metrics => self.metrics(&gauges().await).into_bytes(),
+            Command::LogFilter(filter) => self.set_log_filter(filter).into_bytes(),
+            Command::RecordingLevel(level) => {
+                self.set_recording_level(match level {
+                    RecordingLevel::Off => Level::Off,
+                    RecordingLevel::On => Level::On,
+                    RecordingLevel::Full => Level::Full,
+                });
+                ok_reply("").into_bytes()
+            }
+            _ => return None,
+        })
+    }
+
+    fn set_log_filter(&self, filter: &str) -> String {
+        match self.log.set_filter(filter) {
+            Ok(()) => {
+                info!(target: "log", "log filter changed: {filter}");
+                ok_reply("")
+            }
+            Err(error) => error_reply(&error.to_string()),
+        }
+    }
+
+    fn report_on_log(&self) {
+        self.log.report_suppressed();
+        let dropped = self.log.dropped();
+        if dropped > self.reported_dropped_lines.replace(dropped) {
+            warn!(target: "log", dropped, "log lines dropped: the reader of standard error does not keep up");
+        }
+    }
+
+    async fn write_recording(&self, reason: &str) {
+        let Some((folder, bytes)) = self.folder().zip(self.recording(reason)) else {
+            warn!(target: "recording", "recording not written: there is no folder for recordings");
+            return;
+        };
+        let file = RecordingFile::new(folder, self.node_hash, self.next_file_number());
+        let written = match self.destination {
+            RecordingDestination::BlockingThread(_) => {
+                task::spawn_blocking(move || file.write(&bytes)).await.map_err(io::Error::other).flatten()
+            }
+            RecordingDestination::EventLoop(_) | RecordingDestination::None => {
+                file.write_in_slices(&bytes).await
+            }
+        };
+        match written {
+            Ok(path) => info!(target: "recording", path = %path.display(), "recording written"),
+            Err(error) => warn!(target: "recording", %error, "recording not written"),
+        }
+    }
+
+    fn folder(&self) -> Option<&Path> {
+        match &self.destination {
+            RecordingDestination::None => None,
+            RecordingDestination::EventLoop(folder) | RecordingDestination::BlockingThread(folder) => {
+                Some(folder)
+            }
+        }
+    }
+
+    fn next_file_number(&self) -> u32 {
+        self.files_written.set(self.files_written.get() + 1);
+        self.files_written.get()
+    }
+
+    fn write_recording_at_panic(&self, message: &str) {
+        let Some(folder) = self.folder() else { return };
+        let reason = format!("{REASON_PANIC}: {}", pumicehead_flight_recorder::text::plain(message));
+        if let Some(bytes) = self.recording(&reason) {
+            // The process panics already: an error here has nowhere to go.
+            let _ = RecordingFile::new(folder, self.node_hash, self.next_file_number()).write(&bytes);
+        }
+    }
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/introspection.rs"]
+mod tests;
--- a/crates/node/src/log/filter.rs
+++ b/crates/node/src/log/filter.rs
@@ -7,24 +7,24 @@
 use tracing_subscriber::filter::Targets;
 
 /// Longest filter that is parsed, in bytes: a dozen targets with their levels.
-const LONGEST_FILTER: usize = 300;
+const MAX_FILTER_BYTES: usize = 300;
 /// Most characters of a bad filter that its error repeats.
-const LONGEST_QUOTE: usize = 60;
+const MAX_QUOTED_CHARS: usize = 60;
 /// The filter in force until another one is set.
-pub const USUAL: &str = "info";
+pub const DEFAULT_FILTER: &str = "info";
 
 /// A filter that can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is no filter: write levels, for all or for a room, such as `info` or `warn,discovery=debug`")]
-pub struct BadFilter(String);
+pub struct FilterError(String);
 
 /// Parses a filter: a level, or levels of targets, separated by commas.
 ///
 /// # Errors
-/// [`BadFilter`].
-pub fn filter(text: &str) -> Result<Targets, BadFilter> {
-    let fault = || BadFilter(plain(&text.chars().take(LONGEST_QUOTE).collect::<String>()));
-    if text.len() > LONGEST_FILTER || !text.split(',').all(is_directive) {
+/// [`FilterError`].
+pub fn filter(text: &str) -> Result<Targets, FilterError> {
+    let fault = || FilterError(plain(&text.chars().take(MAX_QUOTED_CHARS).collect::<String>()));
+    if text.len() > MAX_FILTER_BYTES || !text.split(',').all(is_directive) {
         return Err(fault());
     }
     Targets::from_str(text).map_err(|_| fault())
--- a/crates/node/src/log/format.rs
+++ b/crates/node/src/log/format.rs
@@ -8,14 +8,14 @@
 use tracing::field::{Field, Visit};
 
 /// Longest text of a message or a field, in bytes; what goes beyond is cut.
-pub const LONGEST: usize = 2_048;
+pub const MAX_FIELD_BYTES: usize = 2_048;
 /// Longest line with its line feed, in bytes. Up to this a write to a pipe is atomic (POSIX, `write`): lines of
 /// processes that share standard error never run into each other.
-pub const LONGEST_LINE: usize = PIPE_BUF;
+pub const MAX_LINE_BYTES: usize = PIPE_BUF;
 
 /// How lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum LogFormat {
     /// For people.
     #[default]
     Text,
@@ -34,7 +34,7 @@
 
 impl Fields {
     /// A message without other fields.
-    pub fn of(message: String) -> Self {
+    pub fn with_message(message: String) -> Self {
         Self { message, others: Vec::new() }
     }
 
@@ -45,29 +45,29 @@
 
 impl Visit for Fields {
     fn record_str(&mut self, field: &Field, value: &str) {
-        self.put(field, cut(plain(value), LONGEST));
+        self.put(field, cut(plain(value), MAX_FIELD_BYTES));
     }
 
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         // A message comes this way, already put together.
-        self.put(field, cut(without_control(&format!("{value:?}")), LONGEST));
+        self.put(field, cut(without_control(&format!("{value:?}")), MAX_FIELD_BYTES));
     }
 }
 
-/// The line of an event that happened at `unix_ms`, with its line feed; at most [`LONGEST_LINE`] bytes.
-pub fn line(form: Form, unix_ms: u64, level: Level, target: &str, fields: &Fields) -> String {
+/// The line of an event that happened at `unix_ms`, with its line feed; at most [`MAX_LINE_BYTES`] bytes.
+pub fn line(form: LogFormat, unix_ms: u64, level: Level, target: &str, fields: &Fields) -> String {
     let mut line = match form {
-        Form::Text => text(unix_ms, level, target, fields),
-        Form::Json => json(unix_ms, level, target, fields),
+        LogFormat::Text => text(unix_ms, level, target, fields),
+        LogFormat::Json => json(unix_ms, level, target, fields),
     };
-    line = cut(line, LONGEST_LINE - 1);
+    line = cut(line, MAX_LINE_BYTES - 1);
     line.push('\n');
     line
 }
 
 /// A line of plain text from outside an event, on the same terms.
 pub fn plain_line(text: &str) -> String {
-    let mut line = cut(without_control(text), LONGEST_LINE - 1);
+    let mut line = cut(without_control(text), MAX_LINE_BYTES - 1);
     line.push('\n');
     line
 }
@@ -82,10 +82,10 @@
 
 /// An object that is cut is no object: its values are shortened until all of it fits.
 fn json(unix_ms: u64, level: Level, target: &str, fields: &Fields) -> String {
-    let mut longest_value = LONGEST;
+    let mut longest_value = MAX_FIELD_BYTES;
     loop {
         let object = json_with(longest_value, unix_ms, level, target, fields);
-        if object.len() < LONGEST_LINE || longest_value == 0 {
+        if object.len() < MAX_LINE_BYTES || longest_value == 0 {
             return object;
         }
         longest_value /= 2;
--- a/crates/node/src/log/loop_sink.rs
+++ b/crates/node/src/log/loop_sink.rs
@@ -4,8 +4,8 @@
 //! What it costs: a line is two system calls on the loop, `poll` and `write`. A reader that stops costs lines and never
 //! time. A slow disk as standard error does cost time, since a regular file is always said to be writable and a write to
 //! it waits for the disk where the kernel has no room for more dirty pages. It can't be avoided without a thread; it is
-//! held within a share of the loop's time instead ([`REST`]): after a write that took long, lines only wait for
-//! [`REST`] times as long as it took.
+//! held within a share of the loop's time instead ([`SLOW_WRITE_PAUSE_FACTOR`]): after a write that took long, lines only wait for
+//! [`SLOW_WRITE_PAUSE_FACTOR`] times as long as it took.
 
 use std::collections::VecDeque;
 use std::io;
@@ -17,24 +17,24 @@
 use tokio::time::sleep;
 
 use super::output::Output;
-use super::sink::{Sink, WAITING};
+use super::sink::{MAX_QUEUED_LINES, Sink};
 
 /// Most lines that are written in one go: some 0.1 ms of the loop's time.
-const MOST_AT_ONCE: usize = 32;
+const MAX_LINES_PER_TURN: usize = 32;
 /// A write that takes longer was slow: to a pipe or into memory it takes some microseconds.
-const SLOW: Duration = Duration::from_millis(1);
+const SLOW_WRITE: Duration = Duration::from_millis(1);
 /// Pause after a slow write, as a multiple of what it took: the log takes a twentieth of the loop's time at most.
-const REST: u32 = 20;
+const SLOW_WRITE_PAUSE_FACTOR: u32 = 20;
 /// Longest such pause.
-const LONGEST_REST: Duration = Duration::from_secs(10);
+const MAX_SLOW_WRITE_PAUSE: Duration = Duration::from_secs(10);
 /// First pause until a descriptor that did not take a line is asked again, and the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(10);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(250);
 
 /// The sink; see the module.
 pub struct LoopSink {
     queue: Mutex<Queue>,
-    /// Wakes [`LoopSink::write_what_waits`].
+    /// Wakes [`LoopSink::write_queued`].
     waits: Notify,
 }
 
@@ -46,31 +46,31 @@
             lines: VecDeque::new(),
             written_of_first: 0,
             dropped: 0,
-            rests_until: None,
+            paused_until: None,
         };
         Arc::new(Self { queue: Mutex::new(queue), waits: Notify::new() })
     }
 
     /// Writes what could not be written at the time of its event, for as long as the loop runs. It wakes only while a
     /// line waits.
-    pub async fn write_what_waits(self: Arc<Self>) {
+    pub async fn write_queued(self: Arc<Self>) {
         loop {
             self.waits.notified().await;
-            let mut pause = FIRST_PAUSE;
+            let mut pause = MIN_RETRY_PAUSE;
             loop {
                 // The lock is not held over a pause.
                 let (state, has_written) = self.write_some();
                 if has_written {
-                    pause = FIRST_PAUSE;
+                    pause = MIN_RETRY_PAUSE;
                 }
                 match state {
                     State::Empty => break,
                     State::More => yield_now().await,
                     State::NotReady => {
                         sleep(pause).await;
-                        pause = (pause * 2).min(LONGEST_PAUSE);
+                        pause = (pause * 2).min(MAX_RETRY_PAUSE);
                     }
-                    State::Rests(left) => sleep(left).await,
+                    State::Paused(left) => sleep(left).await,
                 }
             }
         }
@@ -124,15 +124,15 @@
 enum State {
     /// Nothing waits.
     Empty,
-    /// Lines wait, and the descriptor may take more.
+    /// LineLayer wait, and the descriptor may take more.
     More,
-    /// Lines wait, and the descriptor takes none now.
+    /// LineLayer wait, and the descriptor takes none now.
     NotReady,
-    /// Lines wait until a slow write has been made up for, in so long.
-    Rests(Duration),
+    /// LineLayer wait until a slow write has been made up for, in so long.
+    Paused(Duration),
 }
 
-/// Lines that wait, and where they go. At most [`WAITING`] lines.
+/// LineLayer that wait, and where they go. At most [`MAX_QUEUED_LINES`] lines.
 struct Queue {
     output: Box<dyn Output>,
     lines: VecDeque<Box<str>>,
@@ -140,16 +140,16 @@
     /// whoever reads sees whole lines.
     written_of_first: usize,
     dropped: usize,
-    rests_until: Option<Instant>,
+    paused_until: Option<Instant>,
 }
 
 impl Queue {
     /// Puts a line behind those that wait, or drops it, and writes what the descriptor takes.
     fn take(&mut self, line: &str) {
-        if self.lines.len() >= WAITING {
+        if self.lines.len() >= MAX_QUEUED_LINES {
             self.write_some();
         }
-        if self.lines.len() >= WAITING {
+        if self.lines.len() >= MAX_QUEUED_LINES {
             self.dropped += 1;
             return;
         }
@@ -159,21 +159,22 @@
 
     /// Writes as many lines as the descriptor takes without a wait, and as belong into one turn of the loop.
     fn write_some(&mut self) -> State {
-        for _ in 0..MOST_AT_ONCE {
+        for _ in 0..MAX_LINES_PER_TURN {
             if self.lines.is_empty() {
                 return State::Empty;
             }
             let now = Instant::now();
-            if let Some(left) = self.rests_until.map(|until| until.saturating_duration_since(now))
+            if let Some(left) = self.paused_until.map(|until| until.saturating_duration_since(now))
                 && !left.is_zero()
             {
-                return State::Rests(left);
+                return State::Paused(left);
             }
             if !self.output.is_ready(Duration::ZERO) || !self.write_first() {
                 return State::NotReady;
             }
             let took = now.elapsed();
-            self.rests_until = (took > SLOW).then(|| now + took + (took * REST).min(LONGEST_REST));
+            self.paused_until = (took > SLOW_WRITE)
+                .then(|| now + took + (took * SLOW_WRITE_PAUSE_FACTOR).min(MAX_SLOW_WRITE_PAUSE));
         }
         if self.lines.is_empty() { State::Empty } else { State::More }
     }
--- a/crates/node/src/log/mod.rs
+++ b/crates/node/src/log/mod.rs
@@ -1,8 +1,8 @@
 //! The log: lines to standard error, for people or for machines, that never keep the loop waiting for a reader.
 //!
 //! Where whoever reads stops reading, lines are dropped and counted; of one kind of message the first few in ten seconds
-//! are logged, and then how many more there were. On the platform the event loop writes them ([`begin_on_loop`]), and
-//! a standalone node has a thread that does ([`begin_with_thread`]).
+//! are logged, and then how many more there were. On the platform the event loop writes them ([`start_on_event_loop`]), and
+//! a standalone node has a thread that does ([`start_with_thread`]).
 
 mod filter;
 mod format;
@@ -22,9 +22,9 @@
 use tracing_subscriber::layer::{Context, SubscriberExt};
 use tracing_subscriber::{Layer, Registry, reload};
 
-pub use filter::BadFilter;
-use filter::{USUAL, filter};
-pub use format::Form;
+pub use filter::FilterError;
+use filter::{DEFAULT_FILTER, filter};
+pub use format::LogFormat;
 use format::{Fields, line, plain_line};
 use loop_sink::LoopSink;
 use output::Descriptor;
@@ -32,9 +32,9 @@
 
 /// Longest that the end of the process, or a panic, waits for the reader of the log. Of what the platform leaves
 /// between the last answer and SIGKILL (0.7 s) most is left.
-const LONGEST_FLUSH: Duration = Duration::from_millis(200);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 /// Most characters of a message that name its kind.
-const LONGEST_NAME: usize = 60;
+const MAX_KIND_NAME_CHARS: usize = 60;
 
 struct State {
     quota: Quota,
@@ -43,7 +43,7 @@
 }
 
 struct Shared {
-    form: Mutex<Form>,
+    form: Mutex<LogFormat>,
     state: Mutex<State>,
     began: Instant,
     sink: Arc<dyn Sink>,
@@ -61,7 +61,7 @@
 
 impl Drop for FlushOnDrop {
     fn drop(&mut self) {
-        self.0.flush(LONGEST_FLUSH);
+        self.0.flush(FLUSH_TIMEOUT);
     }
 }
 
@@ -71,33 +71,33 @@
 impl LoopWriter {
     /// Writes for as long as the loop runs. It wakes only while a line waits.
     pub async fn run(self) {
-        self.0.write_what_waits().await;
+        self.0.write_queued().await;
     }
 }
 
 /// Begins a log that a thread of its own writes. Of the logs that a process begins only the first gets its events.
-pub fn begin_with_thread() -> (Log, FlushOnDrop) {
-    begin_to(Arc::new(ThreadSink::new(io::stderr())))
+pub fn start_with_thread() -> (Log, FlushOnDrop) {
+    start_with_sink(Arc::new(ThreadSink::new(io::stderr())))
 }
 
 /// Begins a log that has no thread: whoever logs writes, and the [`LoopWriter`] what is left. Panics go there as well.
-pub fn begin_on_loop() -> (Log, FlushOnDrop, LoopWriter) {
+pub fn start_on_event_loop() -> (Log, FlushOnDrop, LoopWriter) {
     let sink = LoopSink::new(Descriptor(io::stderr()));
-    panic::set_hook(sink.clone(), LONGEST_FLUSH);
-    let (log, flush) = begin_to(sink.clone());
+    panic::set_hook(sink.clone(), FLUSH_TIMEOUT);
+    let (log, flush) = start_with_sink(sink.clone());
     (log, flush, LoopWriter(sink))
 }
 
-fn begin_to(sink: Arc<dyn Sink>) -> (Log, FlushOnDrop) {
+fn start_with_sink(sink: Arc<dyn Sink>) -> (Log, FlushOnDrop) {
     let state = State { quota: Quota::default(), names: BTreeMap::new() };
     let shared = Arc::new(Shared {
-        form: Mutex::new(Form::Text),
+        form: Mutex::new(LogFormat::Text),
         state: Mutex::new(state),
         began: Instant::now(),
         sink: sink.clone(),
     });
-    let (targets, handle) = reload::Layer::new(filter(USUAL).unwrap_or_default());
-    let subscriber = Registry::default().with(Lines(shared.clone()).with_filter(targets));
+    let (targets, handle) = reload::Layer::new(filter(DEFAULT_FILTER).unwrap_or_default());
+    let subscriber = Registry::default().with(LineLayer(shared.clone()).with_filter(targets));
     // Where another one is set already, this one's lines go there.
     let _ = tracing::subscriber::set_global_default(subscriber);
     let set = move |targets| {
@@ -111,19 +111,19 @@
     /// Goes over to another filter.
     ///
     /// # Errors
-    /// [`BadFilter`]; the old one stays.
-    pub fn set_filter(&self, text: &str) -> Result<(), BadFilter> {
+    /// [`FilterError`]; the old one stays.
+    pub fn set_filter(&self, text: &str) -> Result<(), FilterError> {
         (self.filter)(filter(text)?);
         Ok(())
     }
 
     /// Goes over to another form.
-    pub fn set_form(&self, form: Form) {
+    pub fn set_format(&self, form: LogFormat) {
         *self.shared.form.lock().unwrap_or_else(PoisonError::into_inner) = form;
     }
 
     /// Logs how many messages were held back in spans that have ended; to be called now and then.
-    pub fn look(&self) {
+    pub fn report_suppressed(&self) {
         let now = self.shared.now();
         let ended = {
             let mut state = self.shared.state();
@@ -140,7 +140,7 @@
         self.shared.sink.write(&plain_line(text));
     }
 
-    /// Lines that were dropped since nobody read them.
+    /// LineLayer that were dropped since nobody read them.
     pub fn dropped(&self) -> usize {
         self.shared.sink.dropped()
     }
@@ -159,7 +159,7 @@
     fn write_more(&self, name: Option<&str>, More { count, span, .. }: More) {
         let name = name.unwrap_or("messages");
         let message = format!("{name}: and {count} more like it in {:.0} s", span as f64 / 1e9);
-        self.write(Level::INFO, "log", &Fields::of(message));
+        self.write(Level::INFO, "log", &Fields::with_message(message));
     }
 
     fn write(&self, level: Level, target: &str, fields: &Fields) {
@@ -174,9 +174,9 @@
 }
 
 /// The layer that makes a line of each event.
-struct Lines(Arc<Shared>);
+struct LineLayer(Arc<Shared>);
 
-impl<S: Subscriber> Layer<S> for Lines {
+impl<S: Subscriber> Layer<S> for LineLayer {
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
         let metadata = event.metadata();
         // A place in the code is a kind.
@@ -191,7 +191,7 @@
             if told {
                 event.record(&mut fields);
                 if state.names.len() < KINDS {
-                    let name = || fields.message.chars().take(LONGEST_NAME).collect();
+                    let name = || fields.message.chars().take(MAX_KIND_NAME_CHARS).collect();
                     state.names.entry(kind).or_insert_with(name);
                 }
             }
--- a/crates/node/src/log/panic.rs
+++ b/crates/node/src/log/panic.rs
@@ -11,7 +11,7 @@
 
 use tracing::Level;
 
-use super::format::{Fields, Form, line, plain_line};
+use super::format::{Fields, LogFormat, line, plain_line};
 use super::loop_sink::LoopSink;
 use super::unix_ms;
 
@@ -25,7 +25,8 @@
     let thread = thread::current();
     let message = format!("thread '{}' {panic}", thread.name().unwrap_or("<unnamed>"));
     let message = plain_line(&message).trim_end().to_owned();
-    let mut lines = vec![line(Form::Text, unix_ms(), Level::ERROR, "panic", &Fields::of(message))];
+    let mut lines =
+        vec![line(LogFormat::Text, unix_ms(), Level::ERROR, "panic", &Fields::with_message(message))];
     let backtrace = Backtrace::capture();
     if backtrace.status() == BacktraceStatus::Captured {
         lines.extend(backtrace.to_string().lines().map(plain_line));
--- a/crates/node/src/log/sink.rs
+++ b/crates/node/src/log/sink.rs
@@ -7,14 +7,14 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard};
 
 /// Most lines that wait to be written: a burst at a start or in a fault, and some 100 KiB at the most usual length.
-pub const WAITING: usize = 1_000;
+pub const MAX_QUEUED_LINES: usize = 1_000;
 
 /// Takes lines and writes them in their order, whole, or drops and counts them.
 pub trait Sink: Send + Sync {
     /// Takes a line, which ends in a line feed.
     fn write(&self, line: &str);
 
-    /// Lines that were dropped so far.
+    /// LineLayer that were dropped so far.
     fn dropped(&self) -> usize;
 
     /// Writes what waits, for so long at the most. To be called before the process ends: a sink need not take lines
@@ -34,7 +34,7 @@
     /// Starts the thread.
     pub fn new(output: impl io::Write + Send + 'static) -> Self {
         let builder = NonBlockingBuilder::default();
-        let builder = builder.lossy(true).buffered_lines_limit(WAITING).thread_name("log");
+        let builder = builder.lossy(true).buffered_lines_limit(MAX_QUEUED_LINES).thread_name("log");
         let (writer, guard) = builder.finish(output);
         let dropped = writer.error_counter();
         Self { writer, dropped, guard: Mutex::new(Some(guard)) }
--- a/crates/node/src/net/admin_overrides.rs
+++ b/crates/node/src/net/admin_overrides.rs
@@ -2,13 +2,14 @@
 
 use std::cell::RefCell;
 
-use pumicehead_admin::book::{Book, Listed};
+use pumicehead_admin::disabled_backends::DisabledBackends;
+use pumicehead_admin::known_backends::KnownBackends;
 
 /// Shared by whoever is called and the loops.
 #[derive(Default)]
 pub struct AdminOverrides {
     /// Who is out.
-    pub book: RefCell<Book>,
+    pub disabled: RefCell<DisabledBackends>,
     /// Who was ever listed.
-    pub listed: RefCell<Listed>,
+    pub known: RefCell<KnownBackends>,
 }
--- a/crates/node/src/net/downstream/mod.rs
+++ b/crates/node/src/net/downstream/mod.rs
@@ -23,7 +23,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use pumicehead_admin::figures::{Figures, Outcome};
+use pumicehead_admin::stats::{RequestOutcome, Stats};
 use pumicehead_config::model::Protocol;
 use pumicehead_flight_recorder::event::{Event, Short, Turned};
 use pumicehead_policy::Nanos;
@@ -99,7 +99,7 @@
     lame: Cell<Option<Instant>>,
     /// Other processes accept from the same socket.
     shared: Cell<bool>,
-    figures: Rc<Figures>,
+    stats: Rc<Stats>,
     /// Memory for the held parts of long bodies.
     room: Arc<MemoryBudget>,
     /// What new connections speak.
@@ -139,7 +139,7 @@
         options: ListenerOptions,
         budget: Rc<ConnectionBudget>,
         give_up: impl Fn() + 'static,
-        figures: Rc<Figures>,
+        stats: Rc<Stats>,
         room: Arc<MemoryBudget>,
     ) -> Rc<Self> {
         Rc::new(Self {
@@ -151,7 +151,7 @@
             over: Cell::new(false),
             lame: Cell::new(None),
             shared: Cell::new(false),
-            figures,
+            stats,
             room,
             protocol: Cell::new(Protocol::Http),
             give_up: Box::new(give_up),
@@ -410,7 +410,7 @@
         }
         if extra || self.over.get() || self.is_full() {
             pool.record_local_rejection(class, if extra { Turned::Connections } else { Turned::Held });
-            self.figures.ended(class, Outcome::Rejected);
+            self.stats.record_outcome(class, RequestOutcome::Rejected);
             return response::refusal(&style, self.options.get().retry_after);
         }
         (request.upstream.body, request.upstream.upload) = came.into_parts();
@@ -418,14 +418,14 @@
             Some(mut given) => {
                 match &mut given {
                     FinalResponse::Upstream(served) if served.body.is_stream() => {
-                        let figures = self.figures.clone();
+                        let stats = self.stats.clone();
                         served.body.on_end(move |ended| match ended {
-                            StreamEnd::Complete => figures.ended(class, Outcome::Completed),
-                            StreamEnd::UpstreamFailed => figures.ended(class, Outcome::Failed),
+                            StreamEnd::Complete => stats.record_outcome(class, RequestOutcome::Completed),
+                            StreamEnd::UpstreamFailed => stats.record_outcome(class, RequestOutcome::Failed),
                             StreamEnd::ClientDisconnected => {}
                         });
                     }
-                    given => self.figures.ended(class, given.outcome()),
+                    given => self.stats.record_outcome(class, given.outcome()),
                 }
                 response::response(&style, given)
             }
--- a/crates/node/src/net/endpoint_directory.rs
+++ b/crates/node/src/net/endpoint_directory.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pumicehead_admin::book::Stand;
+use pumicehead_admin::disabled_backends::BackendState;
 use pumicehead_policy::{CellId, EndpointId, EndpointInfo, EndpointState, EndpointUpdate, Nanos, ZoneId};
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use thiserror::Error;
@@ -69,10 +69,10 @@
     /// A listed server as staff have it.
     fn by_hand(&self, listed: &ListedEndpoint) -> ListedEndpoint {
         let mut host = listed.clone();
-        match self.hands.book.borrow().stand(&host.name, host.started_at_ms) {
-            Stand::Out if host.state == ListedState::Ready => host.state = ListedState::Draining,
-            Stand::Out => {}
-            Stand::In { born_ms } => host.started_at_ms = born_ms,
+        match self.hands.disabled.borrow().state(&host.name, host.started_at_ms) {
+            BackendState::Disabled if host.state == ListedState::Ready => host.state = ListedState::Draining,
+            BackendState::Disabled => {}
+            BackendState::Enabled { started_ms: born_ms } => host.started_at_ms = born_ms,
         }
         host
     }
@@ -154,7 +154,7 @@
     }
 
     fn learn(&mut self, listed: ListedEndpoint, zone: ZoneId) -> EndpointInfo {
-        self.hands.listed.borrow_mut().add(&listed.name);
+        self.hands.known.borrow_mut().add(&listed.name);
         let host = self.by_hand(&listed);
         let id = self.id(&host.name);
         let info = EndpointInfo {
--- a/crates/node/src/net/exchange.rs
+++ b/crates/node/src/net/exchange.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode, Uri};
-use pumicehead_admin::figures::Outcome;
+use pumicehead_admin::stats::RequestOutcome;
 use pumicehead_policy::{Nanos, TenantId};
 
 use crate::net::response_body::ResponseBody;
@@ -86,16 +86,16 @@
 
 impl FinalResponse {
     /// What it counts as.
-    pub fn outcome(&self) -> Outcome {
+    pub fn outcome(&self) -> RequestOutcome {
         match self {
-            Self::Upstream(served) if served.status.is_server_error() => Outcome::Failed,
-            Self::Upstream(_) => Outcome::Completed,
-            Self::Rejected(_) => Outcome::Rejected,
+            Self::Upstream(served) if served.status.is_server_error() => RequestOutcome::Failed,
+            Self::Upstream(_) => RequestOutcome::Completed,
+            Self::Rejected(_) => RequestOutcome::Rejected,
             Self::Failed
             | Self::DeadlineExceeded
             | Self::BodyIncomplete
             | Self::BodyTooLong
-            | Self::ClientDisconnected => Outcome::Failed,
+            | Self::ClientDisconnected => RequestOutcome::Failed,
         }
     }
 }
--- a/crates/node/src/platform/admin.rs
+++ b/crates/node/src/platform/admin.rs
@@ -1,185 +1,200 @@
-//! What staff's calls do to the platform's node. What a line means is `pumicehead-admin`'s to say.
+//! Admin commands of the platform's node, and the tasks that keep its state files current.
 
-use std::io;
+use std::error::Error;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use pumicehead_admin::book::{Book, UnixMs};
-use pumicehead_admin::call::{Call, no, yes};
-use pumicehead_admin::figures::{Figures, Now};
+use pumicehead_admin::command::{Command, error_reply, ok_reply};
+use pumicehead_admin::disabled_backends::{DisabledBackends, UnixMs};
+use pumicehead_admin::stats::{Gauges, Stats};
 use tokio::sync::Mutex;
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-use super::handover::{Handover, Left};
-use super::keep::Keep;
-use crate::calls::Answers;
-use crate::eyes::Eyes;
+use super::state_file::StateFile;
+use super::warm_state_handover::{HandoverError, HandoverFile, HandoverRecord};
+use crate::admin_listener::CommandHandler;
+use crate::introspection::Introspection;
 use crate::net::admin_overrides::AdminOverrides;
 use crate::net::downstream::DownstreamListener;
 use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
 
-/// Longest that a call is kept from its answer by another one that changes the book.
-const TURN_WAIT: Duration = Duration::from_millis(800);
-/// How often the file of the book is looked at: another process of this node may have been called.
-const LOOK: Duration = Duration::from_millis(200);
-/// How often what was learned is written down: a new version believes it less the older it is, and starts at any time.
-const HAND_OVER: Duration = Duration::from_secs(1);
-
-/// What calls are about.
-pub struct Admin {
-    /// The loop of the servers.
-    pub core: PoolHandle,
-    /// The front of the clients.
-    pub front: Rc<DownstreamListener>,
-    /// Requests in hand.
-    pub held: ActiveRequestIds,
-    /// Counts.
-    pub figures: Rc<Figures>,
-    /// Servers out by hand.
-    pub hands: Rc<AdminOverrides>,
-    /// Where that is kept; without a place for it, in memory alone. One call changes it at a time.
-    pub keep: Mutex<Option<Keep>>,
-    /// What the next process is to know of this one, where there may be one.
-    pub handover: Option<Handover>,
-    /// What it can be asked about itself.
-    pub eyes: Rc<Eyes>,
+/// Longest wait of a command for another one that changes the state file.
+const UPDATE_TURN_TIMEOUT: Duration = Duration::from_millis(800);
+/// How often the state file is checked for changes by other processes of this node.
+const STATE_FILE_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// How often the warm state is written. The next process may start at any time, and trusts it less the older it is.
+const HANDOVER_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Carries out admin commands.
+pub struct AdminHandler {
+    /// The pool of all backends.
+    pub pool: PoolHandle,
+    /// The listener for clients.
+    pub listener: Rc<DownstreamListener>,
+    /// Requests in flight.
+    pub active_requests: ActiveRequestIds,
+    /// Counters.
+    pub stats: Rc<Stats>,
+    /// Disabled backends, shared with the pool.
+    pub overrides: Rc<AdminOverrides>,
+    /// State file of the disabled backends; without one they are in memory alone. One command changes it at a time.
+    pub state_file: Mutex<Option<StateFile>>,
+    /// Where the warm state is left for the next process, if there may be one.
+    pub handover_file: Option<HandoverFile>,
+    /// Recorder, metrics and log.
+    pub introspection: Rc<Introspection>,
 }
 
-impl Admin {
-    /// Reads the book's file whenever another process has changed it.
-    pub async fn follow(self: Rc<Self>) {
+impl AdminHandler {
+    /// Reads the state file whenever another process has changed it. Never returns.
+    pub async fn follow_state_file(self: Rc<Self>) {
         loop {
-            sleep(LOOK).await;
-            if let Some(keep) = &mut *self.keep.lock().await {
-                match keep.changed() {
-                    Ok(Some(book)) => self.go_by(book),
+            sleep(STATE_FILE_POLL_INTERVAL).await;
+            if let Some(state_file) = &mut *self.state_file.lock().await {
+                match state_file.read_if_changed() {
+                    Ok(Some(disabled)) => self.set_disabled(disabled),
                     Ok(None) => {}
-                    Err(error) => warn!(target: "calls", "servers taken out: {error}"),
+                    Err(error) => warn!(target: "admin", %error, "disabled backends not read"),
                 }
             }
         }
     }
 
-    /// Leaves what this process has learned for the next one, until it ends.
-    pub async fn hand_over(self: Rc<Self>) {
-        let Some(handover) = &self.handover else { return };
-        while !self.front.is_draining() {
-            sleep(HAND_OVER).await;
-            if let Err(error) = self.leave(handover).await {
-                warn!(target: "upgrade", "what this process has learned is not left for the next: {error}");
+    /// Writes the warm state at [`HANDOVER_INTERVAL`] until this process drains or can't write it.
+    pub async fn write_warm_state(self: Rc<Self>) {
+        let Some(file) = &self.handover_file else { return };
+        while !self.listener.is_draining() {
+            sleep(HANDOVER_INTERVAL).await;
+            if let Err(error) = self.write_handover(file).await {
+                warn!(target: "upgrade", %error, "warm state not written; the next process starts cold");
                 return;
             }
         }
     }
 
-    async fn leave(&self, handover: &Handover) -> io::Result<()> {
-        let Some(knowledge) = self.core.warm_state().await else { return Ok(()) };
-        let listed = self.hands.listed.borrow().names().map(str::to_owned).collect();
-        handover.write(&Left { listed, knowledge, lame: self.front.is_lame_duck() })
+    async fn write_handover(&self, file: &HandoverFile) -> Result<(), HandoverError> {
+        let Some(warm_state) = self.pool.warm_state().await else { return Ok(()) };
+        let known_backends = self.overrides.known.borrow().names().map(str::to_owned).collect();
+        file.write(&HandoverRecord { known_backends, warm_state, lame_duck: self.listener.is_lame_duck() })
     }
 
-    /// Empties the node or takes it back to work. The next process must know before the caller does: it may start at
-    /// any time from then on.
-    async fn set_lame(&self, lame: bool) -> String {
-        self.front.set_lame_duck(lame);
-        let left = match &self.handover {
-            Some(handover) => self.leave(handover).await,
+    /// Enters or leaves lame-duck mode. The handover is written before the reply: the next process may start at any time
+    /// after it.
+    async fn set_lame_duck(&self, lame_duck: bool) -> String {
+        self.listener.set_lame_duck(lame_duck);
+        let written = match &self.handover_file {
+            Some(file) => self.write_handover(file).await,
             None => Ok(()),
         };
-        match left {
-            Ok(()) => yes(""),
-            Err(error) => yes(&format!("but a next process will not know: {error}")),
+        match written {
+            Ok(()) => ok_reply(""),
+            Err(error) => {
+                let cause = error.source().map_or_else(|| error.to_string(), ToString::to_string);
+                ok_reply(&format!("but a next process will not know: {cause}"))
+            }
         }
     }
 
-    async fn text(&self, call: Call) -> String {
-        match call {
-            Call::Ping if self.front.is_draining() => no("this process ends"),
-            Call::Ping if self.core.endpoint_counts().await.listed == 0 => no("no server is known yet"),
-            Call::Ping if self.front.is_lame_duck() => yes("serves what comes, and is emptied"),
-            Call::Ping => yes(""),
-            Call::Info => {
-                let members = self.core.endpoint_counts().await;
-                let now = Now {
-                    pending: self.held.count(),
-                    members: members.listed,
-                    members_unavailable: members.unavailable,
-                };
-                self.figures.text(now) + "END\n"
+    async fn reply(&self, command: Command) -> String {
+        match command {
+            Command::Ping => self.ping().await,
+            Command::Info => self.stats.statsd_text(self.gauges().await) + "END\n",
+            Command::LameDuck => self.set_lame_duck(true).await,
+            Command::Rejoin => self.set_lame_duck(false).await,
+            Command::DisableBackend(backend) => self.set_backend_disabled(&backend, true).await,
+            Command::EnableBackend(backend) => self.set_backend_disabled(&backend, false).await,
+            Command::Members | Command::ExplainMember(_) => {
+                error_reply("this node shares nothing with others")
+            }
+            Command::Config => error_reply("this node's configuration has no revisions"),
+            // Introspection has answered these.
+            Command::Recording | Command::Metrics | Command::LogFilter(_) | Command::RecordingLevel(_) => {
+                String::new()
             }
-            Call::LameDuck => self.set_lame(true).await,
-            Call::Rejoin => self.set_lame(false).await,
-            Call::Detach(server) => self.set_out(&server, true).await,
-            Call::Attach(server) => self.set_out(&server, false).await,
-            Call::Members | Call::WhyMember(_) => no("this node shares nothing with others"),
-            Call::Config => no("this node's configuration has no revisions"),
-            // The eyes' own.
-            Call::Trace | Call::Metrics | Call::Filter(_) | Call::Record(_) => String::new(),
         }
     }
 
-    /// What is in hand now.
-    async fn gauges(&self) -> [(&'static str, f64); 3] {
-        let members = self.core.endpoint_counts().await;
-        [
-            ("pumicehead_requests_open", self.held.count() as f64),
-            ("pumicehead_servers", members.listed as f64),
-            ("pumicehead_servers_unavailable", members.unavailable as f64),
+    async fn ping(&self) -> String {
+        if self.listener.is_draining() {
+            return error_reply("this process ends");
+        }
+        if self.pool.endpoint_counts().await.listed == 0 {
+            return error_reply("no server is known yet");
+        }
+        ok_reply(if self.listener.is_lame_duck() { "serves what comes, and is emptied" } else { "" })
+    }
+
+    async fn gauges(&self) -> Gauges {
+        let endpoints = self.pool.endpoint_counts().await;
+        Gauges {
+            pending: self.active_requests.count(),
+            members: endpoints.listed,
+            members_unavailable: endpoints.unavailable,
+        }
+    }
+
+    /// The gauges under the names of the metrics.
+    async fn metric_gauges(&self) -> Vec<(&'static str, f64)> {
+        let gauges = self.gauges().await;
+        vec![
+            ("pumicehead_requests_open", gauges.pending as f64),
+            ("pumicehead_servers", gauges.members as f64),
+            ("pumicehead_servers_unavailable", gauges.members_unavailable as f64),
         ]
     }
 
-    async fn set_out(&self, server: &str, out: bool) -> String {
-        let known = self.hands.book.borrow().knows(server);
-        if let Err(error) = self.hands.listed.borrow().check(server)
-            && !known
+    async fn set_backend_disabled(&self, backend: &str, disable: bool) -> String {
+        let has_entry = self.overrides.disabled.borrow().contains(backend);
+        if let Err(error) = self.overrides.known.borrow().check(backend)
+            && !has_entry
         {
-            return no(&error.to_string());
+            return error_reply(&error.to_string());
         }
-        let Ok(mut keep) = timeout(TURN_WAIT, self.keep.lock()).await else {
-            return no("other calls take too long");
+        let Ok(mut state_file) = timeout(UPDATE_TURN_TIMEOUT, self.state_file.lock()).await else {
+            return error_reply("other calls take too long");
         };
-        let change = |book: &mut Book| {
-            if out {
-                return book.detach(server, unix_ms());
+        let change = |disabled: &mut DisabledBackends| {
+            if disable {
+                return disabled.disable(backend, unix_ms());
             }
-            book.attach(server, unix_ms());
+            disabled.enable(backend, unix_ms());
             Ok(())
         };
-        let mut book = self.hands.book.borrow().clone();
-        let changed = match &mut *keep {
-            Some(keep) => keep.change(&book, change).await.map_err(|error| error.to_string()),
-            None => change(&mut book).map(|()| book).map_err(|error| error.to_string()),
+        let mut disabled = self.overrides.disabled.borrow().clone();
+        let changed = match &mut *state_file {
+            Some(state_file) => state_file.update(&disabled, change).await,
+            None => change(&mut disabled).map(|()| disabled).map_err(Into::into),
         };
         match changed {
-            Ok(book) => {
-                self.go_by(book);
-                yes("")
+            Ok(disabled) => {
+                self.set_disabled(disabled);
+                ok_reply("")
             }
-            Err(error) => no(&error),
+            Err(error) => error_reply(&error.to_string()),
         }
     }
 
-    fn go_by(&self, book: Book) {
-        let names = self.hands.book.borrow().changed(&book);
-        *self.hands.book.borrow_mut() = book;
+    fn set_disabled(&self, disabled: DisabledBackends) {
+        let names = self.overrides.disabled.borrow().changed(&disabled);
+        *self.overrides.disabled.borrow_mut() = disabled;
         if !names.is_empty() {
-            self.core.refresh_overrides(names.into_iter().collect());
+            self.pool.refresh_overrides(names.into_iter().collect());
         }
     }
 }
 
-impl Answers for Admin {
-    async fn answer(&self, call: Call) -> Vec<u8> {
-        match self.eyes.answer(&call, async || self.gauges().await.to_vec()).await {
-            Some(answer) => answer,
-            None => self.text(call).await.into_bytes(),
+impl CommandHandler for AdminHandler {
+    async fn handle(&self, command: Command) -> Vec<u8> {
+        match self.introspection.reply(&command, async || self.metric_gauges().await).await {
+            Some(reply) => reply,
+            None => self.reply(command).await.into_bytes(),
         }
     }
 }
 
-/// The machine's clock: the book's times are for the processes of one machine.
+/// The machine's clock: times in the state file are compared by the processes of one machine.
 fn unix_ms() -> UnixMs {
-    let span = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/node/src/platform/admission.rs
+++ b/crates/node/src/platform/admission.rs
@@ -37,13 +37,13 @@
 }
 
 /// Knows the platform's requests.
-pub struct Platform {
+pub struct PlatformAdmission {
     core: PoolHandle,
     classes: Vec<ClassRule>,
     tenants: FxHashMap<String, TenantId>,
 }
 
-impl Platform {
+impl PlatformAdmission {
     /// With the classes and tenants of a configuration.
     pub fn new(config: &Config, core: PoolHandle) -> Self {
         let (boot, settings) = (&config.boot, &config.settings);
@@ -65,7 +65,7 @@
     }
 }
 
-impl Admission for Platform {
+impl Admission for PlatformAdmission {
     fn admit(&self, head: RequestHead<'_>) -> Result<AdmittedRequest, RequestError> {
         let headers = &head.headers;
         // In absolute form (RFC 9112 section 3.2.2) it is addressed twice; what goes on is in origin form.
--- a/crates/node/src/platform/config.rs
+++ b/crates/node/src/platform/config.rs
@@ -139,7 +139,7 @@
 ///
 /// # Errors
 /// The first thing that is missing or malformed.
-pub fn moved() -> Result<SocketAddr, ConfigError> {
+pub fn reload_discovery_address() -> Result<SocketAddr, ConfigError> {
     let file = read()?;
     file.settings.settings()?;
     parse("discovery", &file.discovery.ok_or_else(|| fault("discovery", "missing"))?)
--- a/crates/node/src/why.rs
+++ b/crates/node/src/recording_cli.rs
@@ -28,7 +28,7 @@
 
 /// What is asked of a recording.
 #[derive(Args)]
-pub struct Why {
+pub struct AnalyzeArguments {
     /// The recording.
     file: PathBuf,
     /// What its client called the request.
@@ -99,7 +99,7 @@
 /// Writes a recording in another form to standard output.
 ///
 /// # Errors
-/// Why it can't be read.
+/// AnalyzeArguments it can't be read.
 pub fn export(file: &Path, form: ExportForm) -> Result<(), Box<dyn Error>> {
     let dump = open(file)?;
     print(&match form {
@@ -110,11 +110,11 @@
     Ok(())
 }
 
-impl Why {
+impl AnalyzeArguments {
     /// Tells it.
     ///
     /// # Errors
-    /// Why it can't be told.
+    /// AnalyzeArguments it can't be told.
     pub fn tell(&self) -> Result<(), Box<dyn Error>> {
         let dump = open(&self.file)?;
         if let Some(request) = &self.request {
--- a/crates/node/src/standalone/touched.rs
+++ b/crates/node/src/standalone/affected_pools.rs
@@ -1,38 +1,38 @@
-//! Which pools a delta has to do with: the others are not even looked at.
+//! Pools that a change of the configuration concerns. All others keep their identity without a comparison.
 
 use std::collections::HashSet;
 
 use pumicehead_resources::{Change, Delta, Name, Resource, ResourceId, Snapshot};
 
-/// The pools that a change has to do with.
+/// Pools that a change concerns.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Touched {
-    /// All of them.
+pub enum AffectedPools {
+    /// All pools.
     All,
-    /// Those of these names.
+    /// The pools of these names.
     Some(HashSet<Name>),
 }
 
-impl Touched {
-    /// Those of a delta between two states.
+impl AffectedPools {
+    /// Pools that the delta between two states concerns.
     #[must_use]
-    pub fn by(delta: &Delta, old: &Snapshot, new: &Snapshot) -> Self {
+    pub fn of_delta(delta: &Delta, old: &Snapshot, new: &Snapshot) -> Self {
         let mut pools = HashSet::new();
         let mut classes = HashSet::new();
         for change in &delta.changes {
             let id = match change {
                 Change::Set(resource) => resource.id(),
                 Change::Remove(id) => id.clone(),
-                // Which of two routes is asked first is the matcher's concern alone.
+                // The order of routes concerns the route matcher alone.
                 Change::Place { .. } => continue,
             };
             match id {
-                // Every pool knows the zones, the tenants and some of the bounds.
+                // The settings of every pool have the zones, the tenants and some limits.
                 ResourceId::Node | ResourceId::Tenant(_) => return Self::All,
                 ResourceId::Listener(_) => {}
                 ResourceId::Pool(name) | ResourceId::Backend { pool: name, .. } => drop(pools.insert(name)),
                 ResourceId::Class(name) => drop(classes.insert(name)),
-                // A pool's classes are those of the routes that lead to it.
+                // The classes of a pool are those of its routes.
                 id @ ResourceId::Route(_) => {
                     pools.extend([old, new].into_iter().filter_map(|state| pool_of(state, &id)));
                 }
@@ -63,5 +63,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/touched.rs"]
+#[path = "../../tests/unit/affected_pools.rs"]
 mod tests;
--- /dev/null
+++ b/crates/node/src/standalone/config_revision.rs
@@ -0,0 +1,63 @@
+//! A revision of the configuration with all that is derived from it.
+
+use std::sync::Arc;
+
+use pumicehead_config::kept::KeptConfig;
+use pumicehead_config::model::Config;
+use pumicehead_policy::Nanos;
+use pumicehead_policy::tenant_ids::TenantIds;
+use pumicehead_resources::{Digest, Revision};
+
+use super::error::ApplyError;
+use super::pool_identity::PoolIdentity;
+use super::request_table::RequestTable;
+
+/// A revision of the configuration with all that is derived from it. Immutable and `Send`; it holds no source texts and no
+/// syntax trees.
+pub struct ConfigRevision {
+    /// Number in this process.
+    pub revision: Revision,
+    /// Digest of the whole state.
+    pub digest: Digest,
+    /// The settings.
+    pub config: KeptConfig,
+    /// Identities of the pools, in the order of the configuration.
+    pub pool_identities: Vec<Arc<PoolIdentity>>,
+    /// The routes and what requests need of them.
+    pub table: Arc<RequestTable>,
+    /// Ids of the tenants.
+    pub tenants: TenantIds,
+}
+
+impl ConfigRevision {
+    /// The first revision of a process. `now` is the time of the event loop.
+    ///
+    /// # Errors
+    /// [`ApplyError::InvalidSettings`].
+    pub fn first(config: &Config, digest: Digest, now: Nanos) -> Result<Self, ApplyError> {
+        let mut tenants = TenantIds::default();
+        tenants.update(config.policy_tenants(), now);
+        let identity = |pool_index| PoolIdentity::new(config, pool_index, tenants.shares()).map(Arc::new);
+        let pool_identities = (0..config.pools.len()).map(identity).collect::<Result<Vec<_>, _>>()?;
+        Ok(Self::new(Revision::default().next(), digest, config, pool_identities, tenants))
+    }
+
+    /// A revision whose pools have these identities, in the order of the configuration.
+    pub fn new(
+        revision: Revision,
+        digest: Digest,
+        config: &Config,
+        pool_identities: Vec<Arc<PoolIdentity>>,
+        tenants: TenantIds,
+    ) -> Self {
+        let classes: Vec<_> = pool_identities.iter().map(|identity| identity.classes.as_slice()).collect();
+        let table = Arc::new(RequestTable::new(revision, config, &classes, &tenants));
+        let config = KeptConfig::new(config, table.routes().clone());
+        Self { revision, digest, config, pool_identities, table, tenants }
+    }
+
+    /// Index of the pool of this name.
+    pub fn pool_index(&self, name: &str) -> Option<usize> {
+        self.config.settings().pools.iter().position(|pool| pool.name == name)
+    }
+}
--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -1,169 +1,168 @@
-//! A node of its own: one configuration file, any number of listeners and pools, plain HTTP clients.
+//! A standalone node: one configuration file, any number of listeners and pools, plain HTTP clients.
 
-mod admission;
-mod difference;
+mod admin;
+mod affected_pools;
+mod config_diff;
+mod config_loader;
+mod config_revision;
+mod error;
 mod listeners;
-mod pools;
-mod reading;
-mod record;
+mod pool_endpoints;
+mod pool_factory;
+mod pool_identity;
 mod reload;
-mod revision;
-mod site;
-mod touched;
+mod request_table;
+mod route_admission;
+mod runtime;
+mod traffic_recorder;
+mod transition;
 
 use std::error::Error;
 use std::hash::{BuildHasher, Hasher, RandomState};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicehead_admin::call::{Call, no, yes};
-use pumicehead_config::model::Observe;
+use pumicehead_config::model::{Config, Observe};
 use pumicehead_flight_recorder::recorder::Level;
 use pumicehead_policy::NodeShare;
+use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 use tokio::task;
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-use crate::calls::{self, Answers};
-use crate::eyes::{Eyes, Saving};
+use crate::admin_listener;
 use crate::fleet::Fleet;
-use crate::log::{Form, Log};
+use crate::introspection::{Introspection, RecordingDestination};
+use crate::log::{Log, LogFormat};
 use crate::net::clock::Clock;
 use crate::net::downstream;
-pub use reading::Reading;
-use record::Recorder;
+use admin::AdminHandler;
+pub use config_loader::LoadedConfig;
 use reload::reload_on;
-use site::Site;
+use runtime::Runtime;
+use traffic_recorder::TrafficRecorder;
 
-/// How often the fleet may be told of this node's load; it passes on far less of it.
-const LOAD: Duration = Duration::from_secs(1);
+/// How often the fleet gets this node's load. The fleet sends far fewer of the values to other nodes.
+const LOAD_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Serves what a file says until SIGTERM; SIGHUP reads it again. `reading` is what the file said at the start. What is
-/// asked is written to `record`.
+/// A configuration can't be served.
+#[derive(Debug, thiserror::Error)]
+enum StartError {
+    /// The configuration has mistakes.
+    #[error("the configuration can't be used")]
+    InvalidConfig,
+    /// The traffic recording can't be started.
+    #[error("record to {path}: {source}", path = .path.display())]
+    TrafficRecorder {
+        /// The file.
+        path: PathBuf,
+        /// The operating system's error.
+        source: std::io::Error,
+    },
+}
+
+/// Serves a configuration until SIGTERM; SIGHUP reloads the file. `loaded` is its content at the start. Client requests are
+/// recorded to the file `record`.
 ///
 /// # Errors
-/// What keeps it from starting.
+/// What keeps the node from starting.
 pub async fn serve(
     path: PathBuf,
-    reading: Reading,
+    loaded: LoadedConfig,
     record: Option<PathBuf>,
     log: Log,
 ) -> Result<(), Box<dyn Error>> {
-    let mut term = signal(SignalKind::terminate())?;
+    let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
-    let config = reading.checked().config.as_ref().ok_or("the configuration can't be used")?;
-    let recorder = record
-        .map(|file| Recorder::start(&file).map_err(|error| format!("record to {}: {error}", file.display())));
-    let observe = &config.observe;
-    set_log(&log, observe);
-    let folder = Some(observe.recordings.clone()).filter(|folder| !folder.as_os_str().is_empty());
-    // Hash tables are seeded from the system's source of randomness.
-    let seed = RandomState::new().build_hasher().finish();
-    let (memory, calls) = (observe.recorder, observe.calls);
-    let saving = folder.map_or(Saving::Nowhere, Saving::OffLoop);
-    let eyes = Eyes::new(&config.node.name, Clock::start(), memory as usize, seed, log, saving);
-    if memory == 0 {
-        eyes.set_level(Level::Off);
-    }
-    eyes.open()?;
-    let listener = calls
-        .map(|address| downstream::listen(address).map_err(|error| format!("listen on {address}: {error}")));
-    let listener = listener.transpose()?;
+    let config = loaded.checked().config.as_ref().ok_or(StartError::InvalidConfig)?;
+    let traffic_recorder = record.as_deref().map(start_traffic_recorder).transpose()?;
+    configure_log(&log, &config.observe);
+    let seed = random_seed();
+    let introspection = start_introspection(config, seed, log)?;
+    let admin_socket = config.observe.calls.map(listen_for_admin).transpose()?;
     let fleet = match &config.fleet {
-        Some(block) => Some(Fleet::start(block, &config.node, &eyes, seed).await?),
+        Some(block) => Some(Fleet::start(block, &config.node, &introspection, seed).await?),
         None => None,
     };
-    let digest =
-        reading.difference().ok_or("the configuration was not compared")?.map_err(Clone::clone)?.digest;
-    let site = Site::start(config, digest, recorder.transpose()?, eyes)?;
-    // The node keeps copies: no text and no tree.
-    drop(reading);
+    let digest = loaded.diff().ok_or(StartError::InvalidConfig)?.map_err(Clone::clone)?.digest;
+    let runtime = Runtime::start(config, digest, random_seed(), traffic_recorder, introspection)?;
+    // The node has copied what it needs; the texts and syntax trees are freed here.
+    drop(loaded);
     if let Some(fleet) = &fleet {
-        task::spawn_local(share(site.clone(), fleet.sharing()));
-        task::spawn_local(tell_load(site.clone(), fleet.clone()));
+        task::spawn_local(update_node_share(runtime.clone(), fleet.sharing()));
+        task::spawn_local(update_load(runtime.clone(), fleet.clone()));
     }
-    if let Some(listener) = listener {
-        info!(target: "node", "takes calls on {}", listener.local_addr()?);
-        let staff = Rc::new(Staff { site: site.clone(), fleet: fleet.clone() });
-        task::spawn_local(calls::serve(staff, listener));
+    if let Some(socket) = admin_socket {
+        info!(target: "node", "takes admin commands on {}", socket.local_addr()?);
+        let handler = AdminHandler { runtime: runtime.clone(), fleet: fleet.clone() };
+        task::spawn_local(admin_listener::serve(Rc::new(handler), socket));
     }
-    let reloads = task::spawn_local(reload_on(site.clone(), path, async move || hangup.recv().await));
-    term.recv().await;
-    // A reload that is half done would bind listeners anew.
+    let reloads = task::spawn_local(reload_on(runtime.clone(), path, async move || hangup.recv().await));
+    terminate.recv().await;
+    // A reload under way would bind new listeners.
     reloads.abort();
     if let Some(fleet) = fleet {
         fleet.leave().await;
     }
-    site.end().await;
+    runtime.drain().await;
     Ok(())
 }
 
-/// What the log tells and how, as a file has it.
-fn set_log(log: &Log, observe: &Observe) {
-    log.set_form(if observe.json { Form::Json } else { Form::Text });
-    if let Err(error) = log.set_filter(&observe.log) {
-        warn!(target: "settings", "log: {error}");
-    }
+fn start_traffic_recorder(path: &Path) -> Result<TrafficRecorder, StartError> {
+    TrafficRecorder::start(path)
+        .map_err(|source| StartError::TrafficRecorder { path: path.to_owned(), source })
 }
 
-/// Tells all pools how many nodes share their servers, whenever that changes.
-async fn share(site: Rc<Site>, mut sharing: watch::Receiver<Option<NodeShare>>) {
-    while sharing.changed().await.is_ok() {
-        let now = *sharing.borrow_and_update();
-        if let Some(now) = now {
-            site.share(now);
-        }
+fn start_introspection(config: &Config, seed: u64, log: Log) -> Result<Rc<Introspection>, Box<dyn Error>> {
+    let observe = &config.observe;
+    let destination = if observe.recordings.as_os_str().is_empty() {
+        RecordingDestination::None
+    } else {
+        RecordingDestination::BlockingThread(observe.recordings.clone())
+    };
+    let memory = observe.recorder as usize;
+    let introspection = Introspection::new(&config.node.name, Clock::start(), memory, seed, log, destination);
+    if memory == 0 {
+        introspection.set_recording_level(Level::Off);
     }
+    introspection.start()?;
+    Ok(introspection)
 }
 
-/// Tells the fleet how much this node has to do.
-async fn tell_load(site: Rc<Site>, fleet: Rc<Fleet>) {
-    loop {
-        sleep(LOAD).await;
-        fleet.set_load(site.load());
-    }
+fn listen_for_admin(address: std::net::SocketAddr) -> Result<TcpListener, error::ApplyError> {
+    downstream::listen(address).map_err(|source| error::ApplyError::Listen { address, source })
 }
 
-/// Who answers staff.
-struct Staff {
-    site: Rc<Site>,
-    fleet: Option<Rc<Fleet>>,
+/// A seed from the system's randomness, which hash tables take theirs from.
+fn random_seed() -> u64 {
+    RandomState::new().build_hasher().finish()
+}
+
+/// Sets format and filter of the log by a configuration.
+fn configure_log(log: &Log, observe: &Observe) {
+    log.set_format(if observe.json { LogFormat::Json } else { LogFormat::Text });
+    if let Err(error) = log.set_filter(&observe.log) {
+        warn!(target: "settings", %error, "log filter not changed");
+    }
 }
 
-impl Answers for Staff {
-    async fn answer(&self, call: Call) -> Vec<u8> {
-        let gauges = async || {
-            let mut all = self.site.gauges().await;
-            all.extend(self.fleet.iter().flat_map(|fleet| fleet.gauges()));
-            all
-        };
-        if let Some(answer) = self.site.eyes().answer(&call, gauges).await {
-            return answer;
+/// Passes this node's share of the endpoints to all pools whenever it changes.
+async fn update_node_share(runtime: Rc<Runtime>, mut node_share: watch::Receiver<Option<NodeShare>>) {
+    while node_share.changed().await.is_ok() {
+        let current = *node_share.borrow_and_update();
+        if let Some(current) = current {
+            runtime.set_node_share(current);
         }
-        let text = match (&call, &self.fleet) {
-            (Call::Ping, _) if self.site.is_draining() => yes("serves what comes, and is emptied"),
-            (Call::Ping, _) => yes(""),
-            (Call::LameDuck | Call::Rejoin, fleet) => {
-                let draining = call == Call::LameDuck;
-                self.site.set_draining(draining);
-                if let Some(fleet) = fleet {
-                    fleet.set_lame(draining);
-                }
-                yes("")
-            }
-            (Call::Config, _) => {
-                let active = self.site.active();
-                yes(&format!("revision {} digest {}", active.revision, active.digest))
-            }
-            (Call::Members | Call::WhyMember(_), Some(fleet)) => fleet.answer(&call).unwrap_or_default(),
-            (Call::Members | Call::WhyMember(_), None) => no("the configuration has no block `fleet`"),
-            _ => no(
-                "calls here are PING, LAMEDUCK, REJOIN, TRACE, METRICS, FILTER LEVELS, RECORD off|on|full, CONFIG, FLEET members, FLEET why NODE",
-            ),
-        };
-        text.into_bytes()
+    }
+}
+
+/// Passes this node's load to the fleet, for as long as the process lives.
+async fn update_load(runtime: Rc<Runtime>, fleet: Rc<Fleet>) {
+    loop {
+        sleep(LOAD_UPDATE_INTERVAL).await;
+        fleet.set_load(runtime.load());
     }
 }
--- /dev/null
+++ b/crates/node/src/standalone/pool_endpoints.rs
@@ -0,0 +1,49 @@
+//! Where a pool's endpoints come from, by its configuration.
+
+use std::net::SocketAddr;
+
+use pumicehead_config::model::{Config, Members};
+
+use crate::net::discovery::{EndpointList, ListedEndpoint, ListedState};
+use crate::net::pool_loop::EndpointSource;
+
+/// Where a pool's endpoints come from.
+#[derive(Clone, Debug, PartialEq)]
+pub enum PoolEndpoints {
+    /// The configuration lists them.
+    Static(EndpointList),
+    /// Discovery at this address lists them.
+    Discovery(SocketAddr),
+}
+
+impl PoolEndpoints {
+    /// Endpoints of the pool at this index of a configuration.
+    #[must_use]
+    pub fn new(config: &Config, pool_index: usize) -> Self {
+        let servers = match &config.pools[pool_index].members {
+            Members::Discovery { address, .. } => return Self::Discovery(*address),
+            Members::Static(servers) => servers,
+        };
+        let endpoints = servers.iter().map(|server| ListedEndpoint {
+            name: server.name.clone(),
+            address: server.address.clone(),
+            zone: config.node.zones[server.zone].clone(),
+            cell: server.cell,
+            state: ListedState::Ready,
+            weight: server.weight as f32,
+            started_at_ms: 0,
+        });
+        Self::Static(EndpointList { version: 0, complete: true, endpoints: endpoints.collect() })
+    }
+
+    /// The source in the form that a new pool loop takes.
+    #[must_use]
+    pub fn into_source(self) -> EndpointSource {
+        match self {
+            Self::Static(list) => EndpointSource::Fixed(list),
+            Self::Discovery(address) => {
+                EndpointSource::Watch { address, last_list: None, poll_at_start: false }
+            }
+        }
+    }
+}
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -1,7 +1,7 @@
-//! SIGHUP: the file is read, checked and compared on a thread of its own, and what changed is applied on the loop.
+//! Reload at SIGHUP: the file is read, checked and compared on threads of their own, and the changes are applied on the
+//! event loop.
 //!
-//! One reading is under way at a time. Signals that come meanwhile count as one further reading, which begins after the
-//! one under way is applied, and so sees the newest file. Nothing is applied before all of a revision is there.
+//! One reload runs at a time. Signals that arrive meanwhile cause one further reload after it, which sees the newest file.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -13,88 +13,98 @@
 use tokio::task;
 use tracing::{info, warn};
 
-use super::difference::Difference;
-use super::reading::{Reading, ReadingError};
-use super::revision::{NodeConfig, Transition};
-use super::site::{Site, SiteError};
+use super::config_diff::ConfigDiff;
+use super::config_loader::{LoadError, LoadedConfig};
+use super::config_revision::ConfigRevision;
+use super::error::ApplyError;
+use super::runtime::Runtime;
+use super::transition::Transition;
 use crate::report::{Format, report};
 
-/// What keeps a file without mistakes from being used.
+/// Why a reload can't be prepared.
 #[derive(Debug, Error)]
 enum PrepareError {
     #[error(transparent)]
-    Reading(#[from] ReadingError),
+    Load(#[from] LoadError),
     #[error(transparent)]
-    Site(#[from] SiteError),
+    Apply(#[from] ApplyError),
 }
 
-/// A file that was read and can be used.
-struct Prepared {
-    reading: Reading,
+/// A reload that is ready to be applied.
+struct PreparedReload {
+    loaded: LoadedConfig,
     transition: Transition,
 }
 
-/// Reads the file again at each signal.
-pub async fn reload_on(site: Rc<Site>, path: PathBuf, mut next: impl AsyncFnMut() -> Option<()>) {
-    while next().await.is_some() {
-        reload(&site, path.clone()).await;
+/// Reloads the file each time that `next_signal` returns `Some`.
+pub async fn reload_on(
+    runtime: Rc<Runtime>,
+    path: PathBuf,
+    mut next_signal: impl AsyncFnMut() -> Option<()>,
+) {
+    while next_signal().await.is_some() {
+        reload(&runtime, path.clone()).await;
     }
 }
 
-async fn reload(site: &Rc<Site>, path: PathBuf) {
-    let (current, now) = (site.active(), site.eyes().clock().now());
+async fn reload(runtime: &Rc<Runtime>, path: PathBuf) {
+    let (current, now) = (runtime.revision(), runtime.introspection().clock().now());
     let mut prepared = match task::spawn_blocking(move || prepare(path, current, now)).await {
         Ok(Some(prepared)) => prepared,
-        // It has said why.
+        // The reason is in the log already.
         Ok(None) => return,
-        Err(error) => return warn!(target: "settings", "reload: the old configuration stays: {error}"),
+        Err(error) => return log_rejected(&error),
     };
-    let former = site.active();
-    let applied = site.apply(&mut prepared.transition);
-    // The log lines of thousands of changes, and freeing what was in force, take time that no request should wait for.
+    let former = runtime.revision();
+    let applied = runtime.apply(&mut prepared.transition);
+    // Log lines of thousands of changes, and freeing the former revision, would block the event loop.
     let finish = move || finish(&prepared, applied, former);
     if let Err(error) = task::spawn_blocking(finish).await {
-        warn!(target: "settings", "reload: {error}");
+        warn!(target: "settings", %error, "reload: its report failed");
     }
 }
 
-/// Reads, checks and compares; `None` where the file can't be used, which is reported.
-fn prepare(path: PathBuf, current: Arc<NodeConfig>, now: Nanos) -> Option<Prepared> {
-    match prepare_next(path, &current, now) {
+fn log_rejected(error: &dyn std::error::Error) {
+    warn!(target: "settings", %error, "reload: the old configuration stays");
+}
+
+/// Loads and compares the file; `None` where it can't be used, which is logged.
+fn prepare(path: PathBuf, current: Arc<ConfigRevision>, now: Nanos) -> Option<PreparedReload> {
+    match try_prepare(path, &current, now) {
         Ok(Some(prepared)) => return Some(prepared),
         Ok(None) => warn!(target: "settings", "reload: the old configuration stays"),
-        Err(error) => warn!(target: "settings", "reload: the old configuration stays: {error}"),
+        Err(error) => log_rejected(&error),
     }
     None
 }
 
-/// `None` where the file has mistakes, which are shown.
-fn prepare_next(
+/// `None` where the file has mistakes, which are reported.
+fn try_prepare(
     path: PathBuf,
-    current: &Arc<NodeConfig>,
+    current: &Arc<ConfigRevision>,
     now: Nanos,
-) -> Result<Option<Prepared>, PrepareError> {
-    let reading = Reading::against(path, current.clone())?;
-    let checked = reading.checked();
+) -> Result<Option<PreparedReload>, PrepareError> {
+    let loaded = LoadedConfig::load_next(path, current.clone())?;
+    let checked = loaded.checked();
     report(&checked.sources, &checked.diagnostics, Format::Text);
-    let (Some(config), Some(difference)) = (&checked.config, reading.difference()) else { return Ok(None) };
-    let difference = difference.map_err(|fault| SiteError::Unsound(fault.clone()))?;
-    let transition = Transition::prepare(current, config, difference, now)?;
-    Ok(Some(Prepared { reading, transition }))
+    let (Some(config), Some(diff)) = (&checked.config, loaded.diff()) else { return Ok(None) };
+    let diff = diff.map_err(|fault| ApplyError::InvalidResources(fault.clone()))?;
+    let transition = Transition::prepare(current, config, diff, now)?;
+    Ok(Some(PreparedReload { loaded, transition }))
 }
 
-/// Reports what was done, and frees what is no longer in force.
-fn finish(prepared: &Prepared, applied: Result<(), SiteError>, former: Arc<NodeConfig>) {
+/// Logs what was changed, and frees what is no longer in force.
+fn finish(prepared: &PreparedReload, applied: Result<(), ApplyError>, former: Arc<ConfigRevision>) {
     drop(former);
     if let Err(error) = applied {
-        return warn!(target: "settings", "reload: the old configuration stays: {error}");
+        return log_rejected(&error);
     }
-    let Some(Ok(Difference { changes, .. })) = prepared.reading.difference() else { return };
-    let sources = &prepared.reading.checked().sources;
+    let Some(Ok(ConfigDiff { changes, .. })) = prepared.loaded.diff() else { return };
+    let sources = &prepared.loaded.checked().sources;
     for change in changes {
         info!(target: "settings", "reload: {}", Shown { change, sources });
     }
-    let NodeConfig { revision, digest, .. } = &*prepared.transition.next;
+    let ConfigRevision { revision, digest, .. } = &*prepared.transition.next;
     let (count, counts) = (changes.len(), prepared.transition.counts);
     info!(target: "settings", "reload: done, {count} changes; revision {revision}, digest {digest}; {counts}");
 }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -41,7 +41,7 @@
     seeds: &[SocketAddr],
 ) -> (Standalone, SocketAddr, SocketAddr) {
     let node = Standalone::start(&text(name, server, fleet, seeds), 1);
-    let (speaks, calls) = (at(&node, " speaks on "), at(&node, " takes calls on "));
+    let (speaks, calls) = (at(&node, " speaks on "), at(&node, " takes admin commands on "));
     (node, speaks, calls)
 }
 
@@ -184,7 +184,7 @@
     assert!(!done.status.success() && said.contains("for the fleet"), "{said}");
     let alone = good.split("fleet {").next().unwrap().to_owned();
     let node = Standalone::start(&alone, 1);
-    let (code, _, said) = cli(&["members", &at(&node, " takes calls on ").to_string()]);
+    let (code, _, said) = cli(&["members", &at(&node, " takes admin commands on ").to_string()]);
     assert!(code == Some(2) && said.contains("no block `fleet`"), "{said}");
     let _ = std::fs::remove_file(file);
 }
--- a/crates/node/tests/eyes.rs
+++ b/crates/node/tests/introspection.rs
@@ -131,9 +131,9 @@
 
 /// Where a standalone node takes calls.
 fn calls_of(node: &Standalone) -> SocketAddr {
-    wait_for("calls", || node.said("takes calls on") == 1);
+    wait_for("calls", || node.said("takes admin commands on") == 1);
     let log = node.log.lock().unwrap();
-    log.iter().find_map(|line| line.split_once("takes calls on ")?.1.parse().ok()).unwrap()
+    log.iter().find_map(|line| line.split_once("takes admin commands on ")?.1.parse().ok()).unwrap()
 }
 
 /// Guards that one request's story is told by the name that its client gave it, whatever that is.
@@ -285,5 +285,5 @@
     let sums = Breakdown::of(&dump, 0, u64::MAX).unwrap().to_string();
     assert!(sums.contains("hasty in boards") && sums.contains("100.00%"), "{sums}");
     node.reload(&text.replace("calls 127.0.0.1:0", "calls 127.0.0.1:0; log warn,settings=info"));
-    assert_eq!(node.said("wait for the next start"), 0);
+    assert_eq!(node.said("at the next start"), 0);
 }
--- a/crates/node/tests/log.rs
+++ b/crates/node/tests/log.rs
@@ -110,7 +110,7 @@
         let (time, rest) = line.split_once(' ').unwrap();
         let level = rest.split_whitespace().next().unwrap();
         assert!(time.len() == 24 && time.ends_with('Z') && ["INFO", "WARN"].contains(&level), "{line}");
-        let (_, levels) = line.split_once("told from now on: info,")?;
+        let (_, levels) = line.split_once("log filter changed: info,")?;
         levels.trim_matches('x').strip_suffix("=info").map(|number| number.parse().unwrap())
     };
     text.lines().filter_map(number).collect()
--- a/crates/node/tests/record.rs
+++ b/crates/node/tests/record.rs
@@ -32,7 +32,7 @@
     }
     node.signal("TERM");
     assert_eq!(node.wait().code(), Some(0));
-    assert_eq!(node.said("recorded 3 requests, left out 0"), 1);
+    assert_eq!(node.said("traffic recording ended requests=3 dropped=0"), 1);
     let text = fs::read_to_string(&record).unwrap();
     let played = parse(&text, Replay { speed: 1.0, copies: 1, gaps: false }).unwrap();
     let seen: Vec<_> =
--- a/crates/node/tests/reloads.rs
+++ b/crates/node/tests/reloads.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration of a running standalone node, on loopback sockets: what is untouched stays untouched,
+//! Changes of the configuration of a running standalone node, on loopback sockets: what is untouched stays kept,
 //! each revision is applied whole or not at all, and requests that are out end by the rules they were admitted under.
 
 use std::fmt::Write as _;
@@ -100,23 +100,23 @@
     // Its meaning is the same.
     node.reload(&format!("# nothing new\n{}", before.replace("; ", ";\n  ")));
     wait_for("no change", || node.said("0 changes; revision 1,") == 1);
-    assert_eq!(node.said("pools: 2 untouched, 0 changed in place, 0 begun anew"), 1);
+    assert_eq!(node.said("pools: 2 kept, 0 updated, 0 started"), 1);
     let grown = text(
         &(pool("one", &[("a", one.address), ("c", more.address)]) + &pool("two", &[("b", two.address)])),
     );
     node.reload(&grown);
     assert_eq!(node.said("revision 2,"), 1);
-    assert_eq!(node.said("pools: 1 untouched, 1 changed in place, 0 begun anew"), 1);
+    assert_eq!(node.said("pools: 1 kept, 1 updated, 0 started"), 1);
     // Other routes of the same classes need other decisions of no pool, and neither does another order.
     node.reload(&grown.replace("path /two/**", "path /second/**"));
-    assert_eq!(node.said("pools: 2 untouched, 0 changed in place, 0 begun anew"), 2);
+    assert_eq!(node.said("pools: 2 kept, 0 updated, 0 started"), 2);
     assert_eq!((ask(&node, "/second/x").status(), ask(&node, "/two/x").status()), (200, 404));
     // A class that is new in a pool, and one whose worth changed, are taken in place.
     node.reload(
         &grown.replace("class submit; pool one", "class submit; pool two").replace("aim 5s", "aim 4s"),
     );
-    assert_eq!(node.said("pools: 0 untouched, 2 changed in place, 0 begun anew"), 1);
-    assert_eq!(node.said("begun anew") - node.said("0 begun anew"), 0);
+    assert_eq!(node.said("pools: 0 kept, 2 updated, 0 started"), 1);
+    assert_eq!(node.said("started") - node.said("0 started"), 0);
 }
 
 /// Guards the order of routes: another order is a change of its own, and touches no pool.
@@ -135,7 +135,7 @@
     node.reload(&format!("{base}{second}{first}"));
     assert_eq!(ask(&node, "/some/x").body, b"one");
     assert_eq!(node.said("now before route"), 1);
-    assert_eq!(node.said("pools: 2 untouched, 0 changed in place, 0 begun anew"), 1);
+    assert_eq!(node.said("pools: 2 kept, 0 updated, 0 started"), 1);
     let (revision, other) = in_force(calls);
     assert_eq!(revision, 2);
     assert_ne!(other, digest);
@@ -274,7 +274,7 @@
         wait_for("the one that is out", || seen("/slow-cut") == 1);
         let after = before.replace("deadline 20s; repeats safe", &format!("deadline 20s; {rule}"));
         node.reload(&after);
-        assert_eq!(node.said("pools: 0 untouched, 0 changed in place, 2 begun anew"), 1, "{rule}");
+        assert_eq!(node.said("pools: 0 kept, 0 updated, 2 started"), 1, "{rule}");
         gate.store(true, Ordering::SeqCst);
         // It was admitted as safe: it is sent again, and refused when that has no end.
         assert_eq!(early.read().expect("an answer").status(), 503);
@@ -315,10 +315,10 @@
     });
     node.reload(&pools(&[fixed_one.clone(), mover("west")], std::slice::from_ref(&fixed_two)));
     assert_eq!(node.said("zone east -> west"), 1);
-    assert_eq!(node.said("pools: 1 untouched, 1 changed in place, 0 begun anew"), 1);
+    assert_eq!(node.said("pools: 1 kept, 1 updated, 0 started"), 1);
     // In place of the one that was there: it is reached by its new pool, or nothing is.
     node.reload(&pools(&[fixed_one], &[mover("west")]));
-    assert_eq!(node.said("pools: 0 untouched, 2 changed in place, 0 begun anew"), 1);
+    assert_eq!(node.said("pools: 0 kept, 2 updated, 0 started"), 1);
     let before = moving.count();
     for _ in 0..20 {
         assert_eq!(ask(&node, "/one/x").body, b"one");
@@ -463,7 +463,7 @@
         thread::sleep(Duration::from_millis(100));
     }
     let answers = crowd.end();
-    assert_eq!(node.said("pools: 1 untouched, 1 changed in place, 0 begun anew"), RELOADS as usize);
+    assert_eq!(node.said("pools: 1 kept, 1 updated, 0 started"), RELOADS as usize);
     assert!(answers.len() > 100, "{}", answers.len());
     assert!(answers.iter().all(|status| *status == 200), "{answers:?}");
 }
--- a/crates/node/tests/stored_forms.rs
+++ b/crates/node/tests/stored_forms.rs
@@ -225,7 +225,7 @@
     let server = Backend::start(|_| ok("x"));
     let node =
         Standalone::start(&stored("fleet_node.conf").replace("SERVER", &server.address.to_string()), 1);
-    let calls = said_address(&node, " takes calls on ");
+    let calls = said_address(&node, " takes admin commands on ");
     let mut client = Client::connect(node.address());
     client.write("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
     assert_eq!(client.read().unwrap().status(), 200);
--- a/crates/node/tests/tenants.rs
+++ b/crates/node/tests/tenants.rs
@@ -137,10 +137,12 @@
 
 /// The recording of whoever takes calls there.
 fn recording(node: &Standalone) -> Dump {
-    wait_for("calls", || node.said("takes calls on") == 1);
+    wait_for("calls", || node.said("takes admin commands on") == 1);
     let calls = {
         let log = node.log.lock().unwrap();
-        log.iter().find_map(|line| line.split_once("takes calls on ")?.1.parse::<SocketAddr>().ok()).unwrap()
+        log.iter()
+            .find_map(|line| line.split_once("takes admin commands on ")?.1.parse::<SocketAddr>().ok())
+            .unwrap()
     };
     let mut caller = TcpStream::connect(calls).unwrap();
     caller.set_read_timeout(Some(LIMIT)).unwrap();
--- a/crates/node/tests/unit/touched.rs
+++ b/crates/node/tests/unit/affected_pools.rs
@@ -1,4 +1,4 @@
-//! Which pools a change has to do with.
+//! Pools that a change concerns.
 
 use std::sync::Arc;
 
@@ -44,18 +44,18 @@
     checked.config.expect("a sound configuration")
 }
 
-fn touched(from: &str, to: &str) -> Touched {
+fn affected(from: &str, to: &str) -> AffectedPools {
     let (old, new) = (config(from).snapshot().unwrap(), config(to).snapshot().unwrap());
     let delta = old.difference(&new);
-    Touched::by(&delta, &old, &new)
+    AffectedPools::of_delta(&delta, &old, &new)
 }
 
-fn pools(names: &[&str]) -> Touched {
-    Touched::Some(names.iter().map(|name| Arc::from(*name)).collect())
+fn pools(names: &[&str]) -> AffectedPools {
+    AffectedPools::Some(names.iter().map(|name| Arc::from(*name)).collect())
 }
 
 #[test]
-fn a_change_touches_the_pools_that_it_has_to_do_with() {
+fn a_change_affects_only_the_pools_it_concerns() {
     let cases: &[(&str, &str, &[&str])] = &[
         ("127.0.0.1:9002", "127.0.0.1:9009", &["two"]),
         ("127.0.0.1:9002; zone b", "127.0.0.1:9002; zone a", &["two"]),
@@ -71,7 +71,7 @@
         ("address 127.0.0.1:8080", "address 127.0.0.1:8081", &[]),
     ];
     for (from, to, expected) in cases {
-        assert_eq!(touched(BASE, &BASE.replace(from, to)), pools(expected), "{from} -> {to}");
+        assert_eq!(affected(BASE, &BASE.replace(from, to)), pools(expected), "{from} -> {to}");
     }
 }
 
@@ -80,7 +80,7 @@
     let first = "route first { path /a/**; class read; pool one }\n";
     let moved = BASE.replace(first, "") + first;
     assert_ne!(BASE, moved);
-    assert_eq!(touched(BASE, &moved), pools(&[]));
+    assert_eq!(affected(BASE, &moved), pools(&[]));
 }
 
 #[test]
@@ -88,13 +88,13 @@
     for (from, to) in
         [("rate 100/s", "rate 90/s"), ("zones a b;", "zones a b c;"), ("tenant acme", "tenant other")]
     {
-        assert_eq!(touched(BASE, &BASE.replace(from, to)), Touched::All, "{from} -> {to}");
+        assert_eq!(affected(BASE, &BASE.replace(from, to)), AffectedPools::All, "{from} -> {to}");
     }
 }
 
 #[test]
 fn no_change_touches_nothing() {
     let state = config(BASE).snapshot().unwrap();
-    assert_eq!(Touched::by(&Delta::default(), &state, &state), pools(&[]));
-    assert_eq!(touched(BASE, &format!("# a comment\n{BASE}")), pools(&[]));
+    assert_eq!(AffectedPools::of_delta(&Delta::default(), &state, &state), pools(&[]));
+    assert_eq!(affected(BASE, &format!("# a comment\n{BASE}")), pools(&[]));
 }
--- a/crates/node/tests/unit/downstream.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -124,7 +124,7 @@
         serves_health_check: false,
         retry_after: None,
     };
-    let figures = Rc::new(Figures::new(["submit".to_owned()]));
+    let stats = Rc::new(Stats::new(["submit".to_owned()]));
     let admission = Rc::new(Open(handle, Cell::new(0)));
     DownstreamListener::new(
         admission,
@@ -132,7 +132,7 @@
         options,
         ConnectionBudget::new(100, 400),
         || (),
-        figures,
+        stats,
         MemoryBudget::new(1 << 20),
     )
 }
--- a/crates/node/tests/unit/eyes.rs
+++ b/crates/node/tests/unit/introspection.rs
@@ -1,16 +1,25 @@
+use std::fs;
+
+use super::recording_file::{MAX_FILES, RecordingFile};
 use super::*;
 
-/// Guards the last word of a process that breaks: its recording, with why.
 #[test]
 fn a_panic_leaves_a_recording() {
     let folder = std::env::temp_dir().join(format!("pumicehead-panic-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
-    let (log, _flush) = crate::log::begin_with_thread();
+    let (log, _flush) = crate::log::start_with_thread();
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().build_local(tokio::runtime::LocalOptions::default()).unwrap();
     runtime.block_on(async {
-        let eyes = Eyes::new("n0", Clock::start(), 1 << 20, 1, log, Saving::OffLoop(folder.clone()));
-        eyes.open().unwrap();
+        let introspection = Introspection::new(
+            "n0",
+            Clock::start(),
+            1 << 20,
+            1,
+            log,
+            RecordingDestination::BlockingThread(folder.clone()),
+        );
+        introspection.start().unwrap();
         let broke = task::spawn_local(async { panic!("on purpose, in a test") }).await;
         assert!(broke.is_err());
     });
@@ -21,8 +30,8 @@
 }
 
 #[test]
-fn a_folder_holds_few_recordings_of_a_node() {
-    let folder = std::env::temp_dir().join(format!("pumicehead-eyes-{}", std::process::id()));
+fn a_folder_keeps_the_newest_recordings_of_a_node() {
+    let folder = std::env::temp_dir().join(format!("pumicehead-introspection-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
     fs::write(folder.join("other.rec"), "x").unwrap();
     for number in 0..9 {
@@ -30,7 +39,7 @@
         assert_eq!(fs::read(path).unwrap(), b"abc");
     }
     RecordingFile::new(&folder, 8, 0).write(b"abc").unwrap();
-    assert_eq!(fs::read_dir(&folder).unwrap().count(), KEPT + 2);
+    assert_eq!(fs::read_dir(&folder).unwrap().count(), MAX_FILES + 2);
     fs::remove_dir_all(&folder).unwrap();
     assert!(RecordingFile::new(&folder, 7, 1).write(b"abc").is_err());
 }
--- a/crates/node/tests/unit/log.rs
+++ b/crates/node/tests/unit/log.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::log::format::{LONGEST, LONGEST_LINE, utc};
-use crate::log::sink::WAITING;
+use crate::log::format::{MAX_FIELD_BYTES, MAX_LINE_BYTES, utc};
+use crate::log::sink::MAX_QUEUED_LINES;
 
 #[test]
 fn filters_are_levels_of_rooms() {
@@ -28,12 +28,12 @@
         }
     }
     let (go_on, stuck) = std::sync::mpsc::channel();
-    let (log, flush) = begin_to(Arc::new(ThreadSink::new(Stuck(stuck))));
-    for n in 0..10 * WAITING {
-        log.shared.write(Level::INFO, "test", &Fields::of(format!("line {n}")));
+    let (log, flush) = start_with_sink(Arc::new(ThreadSink::new(Stuck(stuck))));
+    for n in 0..10 * MAX_QUEUED_LINES {
+        log.shared.write(Level::INFO, "test", &Fields::with_message(format!("line {n}")));
     }
     // One is being written, and as many wait as may.
-    assert!(log.dropped() >= 9 * WAITING - 1, "{}", log.dropped());
+    assert!(log.dropped() >= 9 * MAX_QUEUED_LINES - 1, "{}", log.dropped());
     drop(go_on);
     drop(flush);
 }
@@ -51,17 +51,19 @@
 /// form, and one as JSON stays an object.
 #[test]
 fn no_line_is_longer_than_an_atomic_write() {
-    for text in ["x".repeat(LONGEST), "\"\\".repeat(LONGEST / 2), "é".repeat(LONGEST / 2)] {
+    for text in
+        ["x".repeat(MAX_FIELD_BYTES), "\"\\".repeat(MAX_FIELD_BYTES / 2), "é".repeat(MAX_FIELD_BYTES / 2)]
+    {
         for others in 0..20 {
             let names = ["one", "two", "three", "four"].into_iter().cycle();
             let others: Vec<_> = names.take(others).map(|name| (name, text.clone())).collect();
             let fields = Fields { message: text.clone(), others };
-            for form in [Form::Text, Form::Json] {
+            for form in [LogFormat::Text, LogFormat::Json] {
                 let line = line(form, 0, Level::INFO, "test", &fields);
-                assert!(line.len() <= LONGEST_LINE, "{} bytes", line.len());
+                assert!(line.len() <= MAX_LINE_BYTES, "{} bytes", line.len());
                 assert_eq!(line.matches('\n').count(), 1);
                 let inner = line.strip_suffix('\n').expect("a line feed at its end");
-                if form == Form::Json {
+                if form == LogFormat::Json {
                     let object: serde_json::Value = serde_json::from_str(inner).unwrap();
                     assert_eq!(object["level"], "INFO");
                 }
@@ -69,7 +71,7 @@
         }
     }
     let line = plain_line(&"a line\n".repeat(2_000));
-    assert!(line.len() <= LONGEST_LINE && line.matches('\n').count() == 1, "{line}");
+    assert!(line.len() <= MAX_LINE_BYTES && line.matches('\n').count() == 1, "{line}");
 }
 
 /// Guards the end of the process: what waits is written when the guard is dropped, and waits for the reader a moment.
@@ -88,7 +90,7 @@
         }
     }
     let got = Arc::new(Mutex::new(String::new()));
-    let (log, flush) = begin_to(LoopSink::new(Late(got.clone())));
+    let (log, flush) = start_with_sink(LoopSink::new(Late(got.clone())));
     log.write_plain("one");
     log.write_plain("two");
     assert_eq!(*got.lock().unwrap(), "");
--- a/crates/node/tests/unit/loop_sink.rs
+++ b/crates/node/tests/unit/loop_sink.rs
@@ -26,7 +26,7 @@
     format!("line {number} {}\n", "x".repeat(number % 300))
 }
 
-/// Lines in the order of their numbers and each whole; their numbers.
+/// LineLayer in the order of their numbers and each whole; their numbers.
 fn numbers(text: &str) -> Vec<usize> {
     assert!(text.is_empty() || text.ends_with('\n'), "the last line is cut");
     let numbers: Vec<usize> = text
@@ -45,12 +45,12 @@
 /// Once the reader goes on it gets whole lines in their order.
 #[test]
 fn a_reader_that_stops_costs_lines_and_no_time() {
-    const LINES: usize = 10 * WAITING;
+    const LINES: usize = 10 * MAX_QUEUED_LINES;
     let (sink, mut reader) = small_pipe();
     // It would not come to its end if one write waited.
     (0..LINES).for_each(|number| sink.write(&numbered(number)));
     let dropped = sink.dropped();
-    assert!(dropped >= LINES - WAITING - PIPE_BUF / numbered(0).len(), "{dropped}");
+    assert!(dropped >= LINES - MAX_QUEUED_LINES - PIPE_BUF / numbered(0).len(), "{dropped}");
     let read = thread::spawn(move || {
         let mut text = String::new();
         reader.read_to_string(&mut text).unwrap();
@@ -64,7 +64,7 @@
     drop(sink);
     let numbers = numbers(&read.join().unwrap());
     assert_eq!(numbers.len() + dropped, LINES + 10);
-    assert_eq!(numbers[..WAITING], (0..WAITING).collect::<Vec<_>>());
+    assert_eq!(numbers[..MAX_QUEUED_LINES], (0..MAX_QUEUED_LINES).collect::<Vec<_>>());
     assert_eq!(numbers.last(), Some(&(LINES + 9)));
 }
 
@@ -72,7 +72,7 @@
 #[test]
 fn a_flush_does_not_wait_for_ever() {
     let (sink, _reader) = small_pipe();
-    (0..WAITING).for_each(|number| sink.write(&numbered(number)));
+    (0..MAX_QUEUED_LINES).for_each(|number| sink.write(&numbered(number)));
     sink.flush(Duration::from_millis(20));
     assert!(!sink.queue().lines.is_empty());
 }
@@ -133,13 +133,13 @@
     let writes = Arc::new(AtomicUsize::new(0));
     let sink = LoopSink::new(Slow(writes.clone()));
     let start = Instant::now();
-    (0..WAITING).for_each(|number| sink.write(&numbered(number)));
-    let most = 1 + start.elapsed().as_micros() / (WRITE * REST).as_micros();
+    (0..MAX_QUEUED_LINES).for_each(|number| sink.write(&numbered(number)));
+    let most = 1 + start.elapsed().as_micros() / (WRITE * SLOW_WRITE_PAUSE_FACTOR).as_micros();
     assert!(
         (1..=most).contains(&(writes.load(Ordering::SeqCst) as u128)),
         "{writes:?} writes, {most} at most"
     );
-    assert!(matches!(sink.queue().write_some(), State::Rests(left) if !left.is_zero()));
+    assert!(matches!(sink.queue().write_some(), State::Paused(left) if !left.is_zero()));
     // The end does not rest.
     let before = writes.load(Ordering::SeqCst);
     sink.flush(WRITE * 3);
@@ -160,7 +160,7 @@
         lines.map(|line| line.unwrap() + "\n").collect::<String>()
     });
     let written = runtime.block_on(async {
-        let writer = tokio::task::spawn_local(sink.clone().write_what_waits());
+        let writer = tokio::task::spawn_local(sink.clone().write_queued());
         let done = async {
             while !sink.queue().lines.is_empty() {
                 sleep(Duration::from_millis(1)).await
--- a/crates/testbed/src/hollow/process.rs
+++ b/crates/testbed/src/hollow/process.rs
@@ -95,7 +95,7 @@
         let nowhere = ([127, 0, 0, 1], 0).into();
         let mut node = Self { name: name.into(), guard, pid, file, log, address: nowhere, calls: nowhere };
         node.address = node.listens(" speaks on ")?;
-        node.calls = node.listens(" takes calls on ")?;
+        node.calls = node.listens(" takes admin commands on ")?;
         Ok(node)
     }
 
--- a/crates/testbed/src/measure/eyes.rs
+++ b/crates/testbed/src/measure/eyes.rs
@@ -68,9 +68,9 @@
 }
 
 fn calls(node: &Standalone) -> SocketAddr {
-    wait_for("calls", || node.said("takes calls on") == 1);
+    wait_for("calls", || node.said("takes admin commands on") == 1);
     let log = node.log.lock().map(|log| log.clone()).unwrap_or_default();
-    let found = log.iter().find_map(|line| line.split_once("takes calls on ")?.1.parse().ok());
+    let found = log.iter().find_map(|line| line.split_once("takes admin commands on ")?.1.parse().ok());
     found.unwrap_or_else(|| node.address())
 }
 
