--- a/crates/node/src/log/filter.rs
+++ b/crates/node/src/log/filter.rs
@@ -1,4 +1,4 @@
-//! Filters: which levels of which targets are logged.
+//! The log filter: which levels of which targets are logged.
 
 use std::str::FromStr;
 
@@ -6,14 +6,14 @@
 use thiserror::Error;
 use tracing_subscriber::filter::Targets;
 
-/// Longest filter that is parsed, in bytes: a dozen targets with their levels.
+/// Longest filter in bytes, enough for a dozen targets with their levels.
 const MAX_FILTER_BYTES: usize = 300;
-/// Most characters of a bad filter that its error repeats.
+/// Characters of an invalid filter that its error repeats.
 const MAX_QUOTED_CHARS: usize = 60;
-/// The filter in force until another one is set.
+/// The filter at the start of a process.
 pub const DEFAULT_FILTER: &str = "info";
 
-/// A filter that can't be used.
+/// The text is not a filter.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is no filter: write levels, for all or for a room, such as `info` or `warn,discovery=debug`")]
 pub struct FilterError(String);
@@ -22,15 +22,16 @@
 ///
 /// # Errors
 /// [`FilterError`].
-pub fn filter(text: &str) -> Result<Targets, FilterError> {
-    let fault = || FilterError(plain(&text.chars().take(MAX_QUOTED_CHARS).collect::<String>()));
+pub fn parse_filter(text: &str) -> Result<Targets, FilterError> {
+    let invalid = || FilterError(plain(&text.chars().take(MAX_QUOTED_CHARS).collect::<String>()));
     if text.len() > MAX_FILTER_BYTES || !text.split(',').all(is_directive) {
-        return Err(fault());
+        return Err(invalid());
     }
-    Targets::from_str(text).map_err(|_| fault())
+    Targets::from_str(text).map_err(|_| invalid())
 }
 
-/// The library reads an empty part as "all", and a word that is no level as a target: neither is what was meant.
+/// Whether a part is a level or `TARGET=LEVEL`. The library takes an empty part for "all" and an unknown level for a target,
+/// both of which are mistakes here.
 fn is_directive(part: &str) -> bool {
     const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
     let (target, level) = part.split_once('=').unwrap_or(("", part));
--- a/crates/node/src/log/format.rs
+++ b/crates/node/src/log/format.rs
@@ -1,4 +1,4 @@
-//! Formats: how an event becomes one line, which is never longer than what a pipe takes in one piece.
+//! Line formats. A line is never longer than what a pipe takes atomically.
 
 use std::fmt::{self, Write};
 
@@ -7,33 +7,36 @@
 use tracing::Level;
 use tracing::field::{Field, Visit};
 
-/// Longest text of a message or a field, in bytes; what goes beyond is cut.
+/// Longest text of a message or a field in bytes; longer ones are cut.
 pub const MAX_FIELD_BYTES: usize = 2_048;
-/// Longest line with its line feed, in bytes. Up to this a write to a pipe is atomic (POSIX, `write`): lines of
-/// processes that share standard error never run into each other.
+/// Longest line in bytes, with its line feed. Writes of up to this length to a pipe are atomic (POSIX, `write`), so that
+/// lines of processes that share standard error are never mixed.
 pub const MAX_LINE_BYTES: usize = PIPE_BUF;
 
-/// How lines are written.
+/// Key of the target in JSON lines, which log pipelines read.
+const TARGET_KEY: &str = "room";
+
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object for each line.
     Json,
 }
 
-/// The text of an event and its other fields.
+/// Message and fields of an event.
 #[derive(Debug, Default)]
 pub struct Fields {
     /// The message.
     pub message: String,
-    /// Names and values of the others, in their order.
+    /// Names and values of the other fields, in their order.
     pub others: Vec<(&'static str, String)>,
 }
 
 impl Fields {
-    /// A message without other fields.
+    /// A message without fields.
     pub fn with_message(message: String) -> Self {
         Self { message, others: Vec::new() }
     }
@@ -49,12 +52,12 @@
     }
 
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        // A message comes this way, already put together.
-        self.put(field, cut(without_control(&format!("{value:?}")), MAX_FIELD_BYTES));
+        // The library passes formatted messages here.
+        self.put(field, cut(without_control_characters(&format!("{value:?}")), MAX_FIELD_BYTES));
     }
 }
 
-/// The line of an event that happened at `unix_ms`, with its line feed; at most [`MAX_LINE_BYTES`] bytes.
+/// The line of an event at `unix_ms`, with its line feed; at most [`MAX_LINE_BYTES`] long.
 pub fn line(form: LogFormat, unix_ms: u64, level: Level, target: &str, fields: &Fields) -> String {
     let mut line = match form {
         LogFormat::Text => text(unix_ms, level, target, fields),
@@ -65,9 +68,9 @@
     line
 }
 
-/// A line of plain text from outside an event, on the same terms.
+/// A line of plain text that is no event, with the same limit.
 pub fn plain_line(text: &str) -> String {
-    let mut line = cut(without_control(text), MAX_LINE_BYTES - 1);
+    let mut line = cut(without_control_characters(text), MAX_LINE_BYTES - 1);
     line.push('\n');
     line
 }
@@ -80,7 +83,7 @@
     line
 }
 
-/// An object that is cut is no object: its values are shortened until all of it fits.
+/// Shortens the values until the object fits: a line that is cut would not be JSON.
 fn json(unix_ms: u64, level: Level, target: &str, fields: &Fields) -> String {
     let mut longest_value = MAX_FIELD_BYTES;
     loop {
@@ -97,14 +100,14 @@
     let mut object = serde_json::Map::new();
     object.insert("time".into(), utc(unix_ms).into());
     object.insert("level".into(), level.to_string().into());
-    object.insert("room".into(), target.into());
+    object.insert(TARGET_KEY.into(), target.into());
     object.insert("message".into(), value(&fields.message));
     object.extend(fields.others.iter().map(|(name, text)| ((*name).to_owned(), value(text))));
     serde_json::Value::Object(object).to_string()
 }
 
-fn without_control(text: &str) -> String {
-    text.chars().map(|sign| if sign.is_control() { ' ' } else { sign }).collect()
+fn without_control_characters(text: &str) -> String {
+    text.chars().map(|character| if character.is_control() { ' ' } else { character }).collect()
 }
 
 fn cut(mut text: String, longest: usize) -> String {
@@ -112,7 +115,7 @@
     text
 }
 
-/// A time as RFC 3339 has it.
+/// Unix milliseconds as an RFC 3339 time in UTC.
 pub fn utc(unix_ms: u64) -> String {
     let (days, of_day) = (unix_ms / 86_400_000, unix_ms % 86_400_000);
     // Days since 1 March 0000, in years that end with February ("chrono-compatible low-level date algorithms", Hinnant).
--- a/crates/node/src/log/loop_sink.rs
+++ b/crates/node/src/log/loop_sink.rs
@@ -1,11 +1,10 @@
-//! A sink without a thread: lines are written by the thread that logs, the event loop's, where the descriptor takes
-//! them at once, and wait within a bound where it does not.
+//! A sink without a thread: the thread that logs, the event loop's, writes lines that the descriptor takes at once, and
+//! queues a bounded number of others.
 //!
-//! What it costs: a line is two system calls on the loop, `poll` and `write`. A reader that stops costs lines and never
-//! time. A slow disk as standard error does cost time, since a regular file is always said to be writable and a write to
-//! it waits for the disk where the kernel has no room for more dirty pages. It can't be avoided without a thread; it is
-//! held within a share of the loop's time instead ([`SLOW_WRITE_PAUSE_FACTOR`]): after a write that took long, lines only wait for
-//! [`SLOW_WRITE_PAUSE_FACTOR`] times as long as it took.
+//! A line costs the loop two system calls, `poll` and `write`. A reader that stops costs lines but no time. A slow disk as
+//! standard error costs time: `poll` reports a regular file as always writable, and a write to it blocks while the kernel
+//! has no room for dirty pages. That time is bounded to a fraction of the loop's: after a slow write, lines are only queued
+//! for [`SLOW_WRITE_PAUSE_FACTOR`] times as long as it took.
 
 use std::collections::VecDeque;
 use std::io;
@@ -19,23 +18,24 @@
 use super::output::Output;
 use super::sink::{MAX_QUEUED_LINES, Sink};
 
-/// Most lines that are written in one go: some 0.1 ms of the loop's time.
+/// Lines that are written in one turn of the event loop, some 0.1 ms.
 const MAX_LINES_PER_TURN: usize = 32;
-/// A write that takes longer was slow: to a pipe or into memory it takes some microseconds.
+/// A longer write counts as slow; to a pipe or memory it takes some microseconds.
 const SLOW_WRITE: Duration = Duration::from_millis(1);
-/// Pause after a slow write, as a multiple of what it took: the log takes a twentieth of the loop's time at most.
+/// Pause after a slow write as a multiple of its duration: the log takes 1/20 of the loop's time at most.
 const SLOW_WRITE_PAUSE_FACTOR: u32 = 20;
-/// Longest such pause.
+/// Longest pause after a slow write.
 const MAX_SLOW_WRITE_PAUSE: Duration = Duration::from_secs(10);
-/// First pause until a descriptor that did not take a line is asked again, and the longest.
+/// First pause after the descriptor took no line; it doubles ...
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(10);
+/// ... up to this.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// The sink; see the module.
+/// The sink; see the module's documentation.
 pub struct LoopSink {
     queue: Mutex<Queue>,
     /// Wakes [`LoopSink::write_queued`].
-    waits: Notify,
+    line_queued: Notify,
 }
 
 impl LoopSink {
@@ -48,17 +48,16 @@
             dropped: 0,
             paused_until: None,
         };
-        Arc::new(Self { queue: Mutex::new(queue), waits: Notify::new() })
+        Arc::new(Self { queue: Mutex::new(queue), line_queued: Notify::new() })
     }
 
-    /// Writes what could not be written at the time of its event, for as long as the loop runs. It wakes only while a
-    /// line waits.
+    /// Writes queued lines, for as long as the event loop runs. It wakes only while lines are queued.
     pub async fn write_queued(self: Arc<Self>) {
         loop {
-            self.waits.notified().await;
+            self.line_queued.notified().await;
             let mut pause = MIN_RETRY_PAUSE;
             loop {
-                // The lock is not held over a pause.
+                // The lock is released before a pause.
                 let (state, has_written) = self.write_some();
                 if has_written {
                     pause = MIN_RETRY_PAUSE;
@@ -76,8 +75,8 @@
         }
     }
 
-    /// The same as [`Sink::flush`] after one more line, from a panic hook: where the panic comes out of this sink, it
-    /// does nothing.
+    /// Writes and flushes lines from a panic hook. It does nothing where the panic came out of this sink, which still
+    /// holds the lock.
     pub fn write_and_flush(&self, lines: &[String], limit: Duration) {
         let mut queue = match self.queue.try_lock() {
             Ok(queue) => queue,
@@ -88,7 +87,7 @@
         queue.flush(limit);
     }
 
-    /// How things stand after a turn, and whether a line was written in it: a reader that reads slowly is no stopped one.
+    /// Writes some lines; returns the state after it and whether any line was written, as a slow reader still reads.
     fn write_some(&self) -> (State, bool) {
         let mut queue = self.queue();
         let before = queue.lines.len();
@@ -106,7 +105,7 @@
         let mut queue = self.queue();
         queue.take(line);
         if !queue.lines.is_empty() {
-            self.waits.notify_one();
+            self.line_queued.notify_one();
         }
     }
 
@@ -119,32 +118,31 @@
     }
 }
 
-/// How things stand after some lines were written.
+/// State of the queue after some lines were written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Nothing waits.
+    /// No lines are queued.
     Empty,
-    /// LineLayer wait, and the descriptor may take more.
+    /// Lines are queued, and the descriptor may take more.
     More,
-    /// LineLayer wait, and the descriptor takes none now.
+    /// Lines are queued, and the descriptor takes none now.
     NotReady,
-    /// LineLayer wait until a slow write has been made up for, in so long.
+    /// Lines are queued for this long, after a slow write.
     Paused(Duration),
 }
 
-/// LineLayer that wait, and where they go. At most [`MAX_QUEUED_LINES`] lines.
+/// At most [`MAX_QUEUED_LINES`] lines, and where they go.
 struct Queue {
     output: Box<dyn Output>,
     lines: VecDeque<Box<str>>,
-    /// Bytes of the first line that were taken already, where a write was cut short. The rest of it comes next, so that
-    /// whoever reads sees whole lines.
+    /// Bytes of the first line that a partial write took. The rest of it comes next, so that readers see whole lines.
     written_of_first: usize,
     dropped: usize,
     paused_until: Option<Instant>,
 }
 
 impl Queue {
-    /// Puts a line behind those that wait, or drops it, and writes what the descriptor takes.
+    /// Queues a line, or drops it if the queue is full, and writes what the descriptor takes.
     fn take(&mut self, line: &str) {
         if self.lines.len() >= MAX_QUEUED_LINES {
             self.write_some();
@@ -157,7 +155,7 @@
         self.write_some();
     }
 
-    /// Writes as many lines as the descriptor takes without a wait, and as belong into one turn of the loop.
+    /// Writes lines that the descriptor takes without blocking, at most [`MAX_LINES_PER_TURN`].
     fn write_some(&mut self) -> State {
         for _ in 0..MAX_LINES_PER_TURN {
             if self.lines.is_empty() {
@@ -179,33 +177,33 @@
         if self.lines.is_empty() { State::Empty } else { State::More }
     }
 
-    /// Writes what is left of the first line, in one write. `false` where the descriptor takes nothing now.
+    /// Writes the rest of the first line in one write; `false` if the descriptor takes nothing now.
     fn write_first(&mut self) -> bool {
         let Some(first) = self.lines.front() else { return true };
         match self.output.write(&first.as_bytes()[self.written_of_first..]) {
-            // The mode is another process's to choose: it may be a non-blocking one.
+            // Another process may have made the descriptor non-blocking.
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
-            // Nobody reads any more, or the disk is full: it is the same for all that wait, one by one.
+            // The reader is gone or the disk is full: this line is dropped, and the next ones as they are tried.
             Err(_) => {
                 self.dropped += 1;
-                self.forget_first();
+                self.remove_first();
             }
             Ok(taken) => {
                 self.written_of_first += taken;
                 if self.written_of_first >= first.len() {
-                    self.forget_first();
+                    self.remove_first();
                 }
             }
         }
         true
     }
 
-    fn forget_first(&mut self) {
+    fn remove_first(&mut self) {
         self.lines.pop_front();
         self.written_of_first = 0;
     }
 
-    /// Writes all, and waits for the descriptor where it has to, for so long in sum.
+    /// Writes all queued lines, blocking on the descriptor for `limit` in sum.
     fn flush(&mut self, limit: Duration) {
         let start = Instant::now();
         while !self.lines.is_empty() {
--- a/crates/node/src/log/mod.rs
+++ b/crates/node/src/log/mod.rs
@@ -1,8 +1,8 @@
-//! The log: lines to standard error, for people or for machines, that never keep the loop waiting for a reader.
+//! The log: lines to standard error, as text or JSON, that never block the event loop on a slow reader.
 //!
-//! Where whoever reads stops reading, lines are dropped and counted; of one kind of message the first few in ten seconds
-//! are logged, and then how many more there were. On the platform the event loop writes them ([`start_on_event_loop`]), and
-//! a standalone node has a thread that does ([`start_with_thread`]).
+//! Lines that the reader does not take are dropped and counted. Messages of one kind are rate limited: the first few of an
+//! interval are logged, and then how many were suppressed. On the platform the event loop writes the lines
+//! ([`start_on_event_loop`]), and in a standalone node a thread ([`start_with_thread`]).
 
 mod filter;
 mod format;
@@ -13,7 +13,7 @@
 
 use std::collections::BTreeMap;
 use std::io;
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use pumicehead_flight_recorder::quota::{KINDS, More, Quota};
@@ -23,29 +23,29 @@
 use tracing_subscriber::{Layer, Registry, reload};
 
 pub use filter::FilterError;
-use filter::{DEFAULT_FILTER, filter};
+use filter::{DEFAULT_FILTER, parse_filter};
 pub use format::LogFormat;
 use format::{Fields, line, plain_line};
 use loop_sink::LoopSink;
 use output::Descriptor;
 use sink::{Sink, ThreadSink};
 
-/// Longest that the end of the process, or a panic, waits for the reader of the log. Of what the platform leaves
-/// between the last answer and SIGKILL (0.7 s) most is left.
+/// How long the end of the process, or a panic, waits for the reader of the log: a small part of the 0.7 s that the platform
+/// leaves between the last answer and SIGKILL.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Most characters of a message that name its kind.
+/// Characters of its first message that name a kind of message.
 const MAX_KIND_NAME_CHARS: usize = 60;
 
-struct State {
+struct RateLimitState {
     quota: Quota,
-    /// The first message of each kind, for the line that says how many more there were.
+    /// Start of the first message of each kind, for the line with the suppressed count.
     names: BTreeMap<u64, String>,
 }
 
 struct Shared {
     form: Mutex<LogFormat>,
-    state: Mutex<State>,
-    began: Instant,
+    rate_limit: Mutex<RateLimitState>,
+    started: Instant,
     sink: Arc<dyn Sink>,
 }
 
@@ -53,10 +53,10 @@
 #[derive(Clone)]
 pub struct Log {
     shared: Arc<Shared>,
-    filter: Arc<dyn Fn(Targets) + Send + Sync>,
+    replace_filter: Arc<dyn Fn(Targets) + Send + Sync>,
 }
 
-/// Flushes the log when it is dropped, for a moment at most.
+/// Flushes the log when it is dropped, within [`FLUSH_TIMEOUT`].
 pub struct FlushOnDrop(Arc<dyn Sink>);
 
 impl Drop for FlushOnDrop {
@@ -65,22 +65,22 @@
     }
 }
 
-/// Has the event loop write the lines that could not be written at the time of their event.
+/// Writes, on the event loop, the lines that could not be written at the time of their event.
 pub struct LoopWriter(Arc<LoopSink>);
 
 impl LoopWriter {
-    /// Writes for as long as the loop runs. It wakes only while a line waits.
+    /// Runs for as long as the event loop does. It wakes only while lines are queued.
     pub async fn run(self) {
         self.0.write_queued().await;
     }
 }
 
-/// Begins a log that a thread of its own writes. Of the logs that a process begins only the first gets its events.
+/// Starts a log that a thread of its own writes. Only the first log of a process gets its events.
 pub fn start_with_thread() -> (Log, FlushOnDrop) {
     start_with_sink(Arc::new(ThreadSink::new(io::stderr())))
 }
 
-/// Begins a log that has no thread: whoever logs writes, and the [`LoopWriter`] what is left. Panics go there as well.
+/// Starts a log without a thread: the thread that logs writes, and [`LoopWriter`] what is queued. Panics go there as well.
 pub fn start_on_event_loop() -> (Log, FlushOnDrop, LoopWriter) {
     let sink = LoopSink::new(Descriptor(io::stderr()));
     panic::set_hook(sink.clone(), FLUSH_TIMEOUT);
@@ -89,74 +89,74 @@
 }
 
 fn start_with_sink(sink: Arc<dyn Sink>) -> (Log, FlushOnDrop) {
-    let state = State { quota: Quota::default(), names: BTreeMap::new() };
+    let rate_limit = RateLimitState { quota: Quota::default(), names: BTreeMap::new() };
     let shared = Arc::new(Shared {
         form: Mutex::new(LogFormat::Text),
-        state: Mutex::new(state),
-        began: Instant::now(),
+        rate_limit: Mutex::new(rate_limit),
+        started: Instant::now(),
         sink: sink.clone(),
     });
-    let (targets, handle) = reload::Layer::new(filter(DEFAULT_FILTER).unwrap_or_default());
+    let (targets, handle) = reload::Layer::new(parse_filter(DEFAULT_FILTER).unwrap_or_default());
     let subscriber = Registry::default().with(LineLayer(shared.clone()).with_filter(targets));
-    // Where another one is set already, this one's lines go there.
+    // It fails where the process has a subscriber already, which then keeps the events.
     let _ = tracing::subscriber::set_global_default(subscriber);
     let set = move |targets| {
-        // It fails only once the subscriber is gone, which the process outlives at its very end.
+        // It fails only once the subscriber is dropped, at the end of the process.
         let _ = handle.reload(targets);
     };
-    (Log { shared, filter: Arc::new(set) }, FlushOnDrop(sink))
+    (Log { shared, replace_filter: Arc::new(set) }, FlushOnDrop(sink))
 }
 
 impl Log {
-    /// Goes over to another filter.
+    /// Replaces the filter.
     ///
     /// # Errors
-    /// [`FilterError`]; the old one stays.
+    /// [`FilterError`]; the old filter stays in force.
     pub fn set_filter(&self, text: &str) -> Result<(), FilterError> {
-        (self.filter)(filter(text)?);
+        (self.replace_filter)(parse_filter(text)?);
         Ok(())
     }
 
-    /// Goes over to another form.
+    /// Replaces the format.
     pub fn set_format(&self, form: LogFormat) {
         *self.shared.form.lock().unwrap_or_else(PoisonError::into_inner) = form;
     }
 
-    /// Logs how many messages were held back in spans that have ended; to be called now and then.
+    /// Logs the suppressed counts of intervals that have ended; must be called about once a second.
     pub fn report_suppressed(&self) {
         let now = self.shared.now();
         let ended = {
-            let mut state = self.shared.state();
+            let mut state = self.shared.rate_limit();
             let ended = state.quota.ended(now);
             ended.into_iter().map(|more| (state.names.get(&more.kind).cloned(), more)).collect::<Vec<_>>()
         };
         for (name, more) in ended {
-            self.shared.write_more(name.as_deref(), more);
+            self.shared.write_suppressed(name.as_deref(), more);
         }
     }
 
-    /// Writes a line of plain text, whatever the filter: the error that a process ends with.
+    /// Writes a line of plain text past the filter: the error that a process ends with.
     pub fn write_plain(&self, text: &str) {
         self.shared.sink.write(&plain_line(text));
     }
 
-    /// LineLayer that were dropped since nobody read them.
+    /// Lines dropped so far, for lack of a reader.
     pub fn dropped(&self) -> usize {
         self.shared.sink.dropped()
     }
 }
 
 impl Shared {
-    /// Since the log began, in nanoseconds.
+    /// Time since the start of the log, in nanoseconds.
     fn now(&self) -> u64 {
-        self.began.elapsed().as_nanos() as u64
+        self.started.elapsed().as_nanos() as u64
     }
 
-    fn state(&self) -> std::sync::MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    fn rate_limit(&self) -> MutexGuard<'_, RateLimitState> {
+        self.rate_limit.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn write_more(&self, name: Option<&str>, More { count, span, .. }: More) {
+    fn write_suppressed(&self, name: Option<&str>, More { count, span, .. }: More) {
         let name = name.unwrap_or("messages");
         let message = format!("{name}: and {count} more like it in {:.0} s", span as f64 / 1e9);
         self.write(Level::INFO, "log", &Fields::with_message(message));
@@ -168,39 +168,52 @@
     }
 }
 
-/// The time of day, in milliseconds since 1970.
+/// Unix time in milliseconds.
 fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// The layer that makes a line of each event.
+/// The layer that makes a line of each event within its rate limit.
 struct LineLayer(Arc<Shared>);
 
-impl<S: Subscriber> Layer<S> for LineLayer {
-    fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
+/// Whether an event is logged, and what its kind has suppressed in the interval before.
+struct RateLimitDecision {
+    is_logged: bool,
+    suppressed: Option<(Option<String>, More)>,
+}
+
+impl LineLayer {
+    /// Applies the rate limit; `fields` gets those of the event if it is logged.
+    fn apply_rate_limit(&self, event: &Event<'_>, fields: &mut Fields) -> RateLimitDecision {
         let metadata = event.metadata();
-        // A place in the code is a kind.
-        let place =
+        // Events of one source line are of one kind.
+        let source =
             format!("{}:{}", metadata.file().unwrap_or_default(), metadata.line().unwrap_or_default());
-        let kind = pumicehead_flight_recorder::text::hash(&place);
-        let mut fields = Fields::default();
-        let (told, before) = {
-            let now = self.0.now();
-            let mut state = self.0.state();
-            let (told, before) = state.quota.take(kind, now);
-            if told {
-                event.record(&mut fields);
-                if state.names.len() < KINDS {
-                    let name = || fields.message.chars().take(MAX_KIND_NAME_CHARS).collect();
-                    state.names.entry(kind).or_insert_with(name);
-                }
+        let kind = pumicehead_flight_recorder::text::hash(&source);
+        let now = self.0.now();
+        let mut state = self.0.rate_limit();
+        let (is_logged, suppressed) = state.quota.take(kind, now);
+        if is_logged {
+            event.record(fields);
+            if state.names.len() < KINDS {
+                let name = || fields.message.chars().take(MAX_KIND_NAME_CHARS).collect();
+                state.names.entry(kind).or_insert_with(name);
             }
-            (told, before.map(|more| (state.names.get(&kind).cloned(), more)))
-        };
-        if let Some((name, more)) = before {
-            self.0.write_more(name.as_deref(), more);
         }
-        if told {
+        let suppressed = suppressed.map(|more| (state.names.get(&kind).cloned(), more));
+        RateLimitDecision { is_logged, suppressed }
+    }
+}
+
+impl<S: Subscriber> Layer<S> for LineLayer {
+    fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
+        let mut fields = Fields::default();
+        let decision = self.apply_rate_limit(event, &mut fields);
+        if let Some((name, more)) = decision.suppressed {
+            self.0.write_suppressed(name.as_deref(), more);
+        }
+        if decision.is_logged {
+            let metadata = event.metadata();
             self.0.write(*metadata.level(), metadata.target(), &fields);
         }
     }
--- a/crates/node/src/log/panic.rs
+++ b/crates/node/src/log/panic.rs
@@ -1,7 +1,7 @@
 //! The panic hook of a process whose log is a [`LoopSink`].
 //!
-//! The usual hook writes to standard error however long that takes; where the reader has stopped the process would never
-//! end. This one has the message follow the lines that wait, within a bound of time.
+//! The default hook blocks on standard error: where its reader has stopped, the process would never end. This one queues the
+//! message behind other lines and flushes within a time limit.
 
 use std::backtrace::{Backtrace, BacktraceStatus};
 use std::panic::{self, PanicHookInfo};
@@ -15,12 +15,12 @@
 use super::loop_sink::LoopSink;
 use super::unix_ms;
 
-/// Replaces the hook: a panic is written to `sink`, which is flushed for `limit` at the most.
+/// Replaces the panic hook by one that writes to `sink` and flushes it for `limit` at most.
 pub fn set_hook(sink: Arc<LoopSink>, limit: Duration) {
     panic::set_hook(Box::new(move |panic| sink.write_and_flush(&lines(panic), limit)));
 }
 
-/// What the usual hook says, as lines of the log; the backtrace too where the environment asks for one.
+/// The text of the default hook as log lines, with a backtrace where the environment asks for one.
 fn lines(panic: &PanicHookInfo<'_>) -> Vec<String> {
     let thread = thread::current();
     let message = format!("thread '{}' {panic}", thread.name().unwrap_or("<unnamed>"));
--- a/crates/node/src/log/sink.rs
+++ b/crates/node/src/log/sink.rs
@@ -1,4 +1,4 @@
-//! Sinks: where lines go once they are put together. A sink never keeps whoever logs waiting for a reader.
+//! Sinks for finished lines. A sink never blocks the logging thread on a reader.
 
 use std::io;
 use std::sync::{Mutex, PoisonError};
@@ -6,27 +6,26 @@
 
 use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard};
 
-/// Most lines that wait to be written: a burst at a start or in a fault, and some 100 KiB at the most usual length.
+/// Lines that are queued at most: a burst at a start or in a fault, some 100 KiB at the usual length.
 pub const MAX_QUEUED_LINES: usize = 1_000;
 
-/// Takes lines and writes them in their order, whole, or drops and counts them.
+/// Writes lines whole and in order, or drops and counts them.
 pub trait Sink: Send + Sync {
-    /// Takes a line, which ends in a line feed.
+    /// Takes a line with its line feed.
     fn write(&self, line: &str);
 
-    /// LineLayer that were dropped so far.
+    /// Lines dropped so far.
     fn dropped(&self) -> usize;
 
-    /// Writes what waits, for so long at the most. To be called before the process ends: a sink need not take lines
-    /// after it.
+    /// Writes queued lines for `limit` at most. Called before the process ends: a sink need not take lines after it.
     fn flush(&self, limit: Duration);
 }
 
-/// Has a thread of its own do the writing: not even a slow disk keeps the loop waiting.
+/// Writes on a thread of its own, so that not even a slow disk blocks the event loop.
 pub struct ThreadSink {
     writer: NonBlocking,
     dropped: ErrorCounter,
-    /// Its end is the thread's, after it has written what waits.
+    /// Dropping it ends the thread, once that has written the queued lines.
     guard: Mutex<Option<WorkerGuard>>,
 }
 
@@ -43,7 +42,7 @@
 
 impl Sink for ThreadSink {
     fn write(&self, line: &str) {
-        // A channel's end: it takes the line or drops and counts it.
+        // This is a channel: it takes the line, or drops and counts it.
         let _ = io::Write::write_all(&mut self.writer.clone(), line.as_bytes());
     }
 
@@ -51,7 +50,7 @@
         self.dropped.dropped_lines()
     }
 
-    /// The library has limits of its own, of about a second.
+    /// The limit is the library's own, about a second.
     fn flush(&self, _: Duration) {
         drop(self.guard.lock().unwrap_or_else(PoisonError::into_inner).take());
     }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -29,11 +29,11 @@
             .map(|()| serve_platform())
             .map_err(Into::into)
     } else {
-        cli::carry_out(cli::Arguments::parse().command)
+        cli::run(cli::Arguments::parse().command)
     };
     done.unwrap_or_else(|error| {
         report::error(&format!("pumicehead: {error}"));
-        if on_platform { ExitCode::FAILURE } else { cli::failed() }
+        if on_platform { ExitCode::FAILURE } else { cli::failure() }
     })
 }
 
--- a/crates/node/src/platform/admin.rs
+++ b/crates/node/src/platform/admin.rs
@@ -11,6 +11,7 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
+use super::restored_state::RestoredState;
 use super::state_file::StateFile;
 use super::warm_state_handover::{HandoverError, HandoverFile, HandoverRecord};
 use crate::admin_listener::CommandHandler;
@@ -28,25 +29,41 @@
 
 /// Carries out admin commands.
 pub struct AdminHandler {
-    /// The pool of all backends.
-    pub pool: PoolHandle,
-    /// The listener for clients.
-    pub listener: Rc<DownstreamListener>,
-    /// Requests in flight.
-    pub active_requests: ActiveRequestIds,
-    /// Counters.
-    pub stats: Rc<Stats>,
+    pool: PoolHandle,
+    listener: Rc<DownstreamListener>,
+    active_requests: ActiveRequestIds,
+    stats: Rc<Stats>,
     /// Disabled backends, shared with the pool.
-    pub overrides: Rc<AdminOverrides>,
+    overrides: Rc<AdminOverrides>,
     /// State file of the disabled backends; without one they are in memory alone. One command changes it at a time.
-    pub state_file: Mutex<Option<StateFile>>,
+    state_file: Mutex<Option<StateFile>>,
     /// Where the warm state is left for the next process, if there may be one.
-    pub handover_file: Option<HandoverFile>,
-    /// Recorder, metrics and log.
-    pub introspection: Rc<Introspection>,
+    handover_file: Option<HandoverFile>,
+    introspection: Rc<Introspection>,
 }
 
 impl AdminHandler {
+    /// For a node with one pool and one listener for clients.
+    pub fn new(
+        pool: PoolHandle,
+        listener: Rc<DownstreamListener>,
+        active_requests: ActiveRequestIds,
+        stats: Rc<Stats>,
+        restored: RestoredState,
+        introspection: Rc<Introspection>,
+    ) -> Self {
+        Self {
+            pool,
+            listener,
+            active_requests,
+            stats,
+            overrides: restored.overrides,
+            state_file: Mutex::new(restored.state_file),
+            handover_file: restored.handover_file,
+            introspection,
+        }
+    }
+
     /// Reads the state file whenever another process has changed it. Never returns.
     pub async fn follow_state_file(self: Rc<Self>) {
         loop {
--- a/crates/node/src/platform/admission.rs
+++ b/crates/node/src/platform/admission.rs
@@ -1,4 +1,4 @@
-//! Requests as the platform's clients send them: the class in the path, all else in headers.
+//! Admission of the platform's requests: the class is in the path, everything else in headers.
 
 use std::time::Duration;
 
@@ -13,135 +13,157 @@
 use crate::net::exchange::{ProxyRequest, UpstreamRequest};
 use crate::net::pool_handle::PoolHandle;
 
-/// Longest that a client's word is taken for how long it waits.
-const LONGEST_WAIT: Duration = Duration::from_secs(600);
-/// Headers that go on; what else a client sends is for this connection, or for nobody.
-const FORWARDED: [&str; 9] = [
+/// Longest duration that a client may state.
+const MAX_STATED_DURATION: Duration = Duration::from_secs(600);
+const MICROS_PER_SECOND: f64 = 1e6;
+const MICROS_PER_MILLI: f64 = 1_000.0;
+
+const SERVICE_CLASS: &str = "x-service-class";
+const CORRELATION_ID: &str = "x-correlation-id";
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
+const ACCOUNT: &str = "x-account";
+const TIME_LEFT: &str = "x-time-left";
+const COST_HINT: &str = "x-weight-hint";
+/// Headers that go on to the endpoint.
+const FORWARDED_HEADERS: [&str; 9] = [
     "host",
     "content-type",
-    "x-correlation-id",
-    "idempotency-key",
-    "x-service-class",
-    "x-account",
+    CORRELATION_ID,
+    IDEMPOTENCY_KEY,
+    SERVICE_CLASS,
+    ACCOUNT,
     "x-repeat",
-    "x-weight-hint",
+    COST_HINT,
     "x-facts",
 ];
 
-/// What a class asks of its requests.
+/// What a class requires of its requests.
 struct ClassRule {
     name: String,
     method: Method,
-    keyed: bool,
+    requires_idempotency_key: bool,
     deadline: Duration,
 }
 
-/// Knows the platform's requests.
+impl ClassRule {
+    fn new(class: &BootClass, settings: &pumicehead_policy::Class) -> Self {
+        let requires_idempotency_key = matches!(settings.idempotency, Idempotency::IdempotencyKey { .. });
+        let method = match settings.idempotency {
+            Idempotency::Idempotent => Method::GET,
+            _ => Method::POST,
+        };
+        let deadline = Duration::from_nanos(settings.deadline);
+        Self { name: class.name.clone(), method, requires_idempotency_key, deadline }
+    }
+}
+
+/// Admits the platform's requests.
 pub struct PlatformAdmission {
-    core: PoolHandle,
+    pool: PoolHandle,
     classes: Vec<ClassRule>,
     tenants: FxHashMap<String, TenantId>,
 }
 
 impl PlatformAdmission {
     /// With the classes and tenants of a configuration.
-    pub fn new(config: &Config, core: PoolHandle) -> Self {
-        let (boot, settings) = (&config.boot, &config.settings);
-        let rule = |(index, class): (usize, &BootClass)| ClassRule {
-            name: class.name.clone(),
-            method: match settings.classes[index].idempotency {
-                Idempotency::Idempotent => Method::GET,
-                _ => Method::POST,
-            },
-            keyed: matches!(settings.classes[index].idempotency, Idempotency::IdempotencyKey { .. }),
-            deadline: Duration::from_nanos(settings.classes[index].deadline),
-        };
+    pub fn new(config: &Config, pool: PoolHandle) -> Self {
+        let classes = config.boot.classes.iter().zip(&config.settings.classes);
         let mut tenants = FxHashMap::default();
-        for (tenant, id) in boot.tenants.iter().zip(0..) {
-            // Of two of one name the first counts.
+        for (tenant, id) in config.boot.tenants.iter().zip(0..) {
+            // Of two tenants of one name the first counts.
             tenants.entry(tenant.name.clone()).or_insert(TenantId(id));
         }
-        Self { core, tenants, classes: boot.classes.iter().enumerate().map(rule).collect() }
+        Self {
+            pool,
+            tenants,
+            classes: classes.map(|(class, settings)| ClassRule::new(class, settings)).collect(),
+        }
     }
-}
 
-impl Admission for PlatformAdmission {
-    fn admit(&self, head: RequestHead<'_>) -> Result<AdmittedRequest, RequestError> {
-        let headers = &head.headers;
-        // In absolute form (RFC 9112 section 3.2.2) it is addressed twice; what goes on is in origin form.
-        if let Some(authority) = head.uri.authority() {
-            let host = headers.get(header::HOST).map(HeaderValue::as_bytes);
-            if host.is_none_or(|host| !host.eq_ignore_ascii_case(authority.as_str().as_bytes())) {
-                return Err(RequestError::UnknownTarget);
-            }
-        }
-        let target = head.uri.path_and_query().cloned().ok_or(RequestError::UnknownTarget)?;
-        let mut path = head.uri.path().strip_prefix('/').ok_or(RequestError::UnknownTarget)?.split('/');
-        let class = path.next().ok_or(RequestError::UnknownTarget)?;
-        let class =
-            self.classes.iter().position(|rule| rule.name == class).ok_or(RequestError::UnknownTarget)?;
-        let rule = &self.classes[class];
-        let named = required(headers, "x-service-class")?;
+    /// Index of the class that path, header and method name.
+    fn class(&self, class: &str, head: &RequestHead<'_>) -> Result<usize, RequestError> {
+        let index = self.classes.iter().position(|rule| rule.name == class);
+        let index = index.ok_or(RequestError::UnknownTarget)?;
+        let rule = &self.classes[index];
+        let named = required(&head.headers, SERVICE_CLASS)?;
         if !self.classes.iter().any(|other| other.name == named) {
             return Err(RequestError::UnknownTarget);
         }
         if named != rule.name {
-            return Err(RequestError::InvalidHeader("x-service-class".into()));
+            return Err(RequestError::InvalidHeader(SERVICE_CLASS.into()));
         }
         if *head.method != rule.method {
             return Err(RequestError::MethodNotAllowed(vec![rule.method.clone()]));
         }
-        let correlation = required(headers, "x-correlation-id")?;
-        if rule.keyed {
-            required(headers, "idempotency-key")?;
+        Ok(index)
+    }
+
+    fn tenant(&self, headers: &HeaderMap) -> Result<Option<TenantId>, RequestError> {
+        if self.tenants.is_empty() {
+            return Ok(None);
         }
-        let tenant = if self.tenants.is_empty() {
-            None
-        } else {
-            let account = required(headers, "x-account")?;
-            let known = self.tenants.get(account).copied();
-            Some(known.ok_or(RequestError::InvalidHeader("x-account".into()))?)
-        };
-        let left = required(headers, "x-time-left")?;
-        let left = span(left).ok_or(RequestError::InvalidHeader("x-time-left".into()))?;
-        let hint = match headers.get("x-weight-hint") {
-            None => None,
-            Some(value) => {
-                let hint = value.to_str().ok().and_then(|text| micros(text, 1.0));
-                Some(hint.ok_or(RequestError::InvalidHeader("x-weight-hint".into()))?.as_nanos() as Nanos)
-            }
-        };
-        let call = UpstreamRequest {
-            method: head.method.clone(),
-            uri: target.into(),
-            headers: forwarded(headers),
-            ..UpstreamRequest::default()
-        };
-        let ask = ProxyRequest {
-            correlation_id: correlation.into(),
+        let account = required(headers, ACCOUNT)?;
+        let known = self.tenants.get(account).copied();
+        known.map(Some).ok_or(RequestError::InvalidHeader(ACCOUNT.into()))
+    }
+}
+
+impl Admission for PlatformAdmission {
+    fn admit(&self, head: RequestHead<'_>) -> Result<AdmittedRequest, RequestError> {
+        check_absolute_form(&head)?;
+        let target = head.uri.path_and_query().cloned().ok_or(RequestError::UnknownTarget)?;
+        let mut path = head.uri.path().strip_prefix('/').ok_or(RequestError::UnknownTarget)?.split('/');
+        let class = self.class(path.next().ok_or(RequestError::UnknownTarget)?, &head)?;
+        let rule = &self.classes[class];
+        let headers = &head.headers;
+        let correlation_id = required(headers, CORRELATION_ID)?;
+        if rule.requires_idempotency_key {
+            required(headers, IDEMPOTENCY_KEY)?;
+        }
+        let tenant = self.tenant(headers)?;
+        let time_left = time_left(headers)?;
+        let request = ProxyRequest {
+            correlation_id: correlation_id.into(),
             class,
             tenant,
-            cost_hint: hint,
+            cost_hint: cost_hint(headers)?,
             ordering_key: path.next_back().filter(|key| !key.is_empty()).map(Into::into),
-            // Whatever the client says, nobody waits longer than its class does.
             revision: None,
-            time_left: left.min(rule.deadline),
+            // Whatever the client states, no request waits longer than its class allows.
+            time_left: time_left.min(rule.deadline),
             body_read_time: Duration::ZERO,
-            upstream: call,
+            upstream: UpstreamRequest {
+                method: head.method.clone(),
+                uri: target.into(),
+                headers: forwarded(headers),
+                ..UpstreamRequest::default()
+            },
         };
-        let bodiless = *head.method == Method::GET;
+        let must_be_empty = *head.method == Method::GET;
         Ok(AdmittedRequest {
-            pool: self.core.clone(),
-            request: ask,
+            pool: self.pool.clone(),
+            request,
             style: ResponseStyle::Platform,
-            must_be_empty: bodiless,
+            must_be_empty,
         })
     }
 }
 
+/// A target in absolute form (RFC 9112 section 3.2.2) must name the same host as the `Host` field: it goes on in origin
+/// form.
+fn check_absolute_form(head: &RequestHead<'_>) -> Result<(), RequestError> {
+    let Some(authority) = head.uri.authority() else { return Ok(()) };
+    let host = head.headers.get(header::HOST).map(HeaderValue::as_bytes);
+    if host.is_some_and(|host| host.eq_ignore_ascii_case(authority.as_str().as_bytes())) {
+        Ok(())
+    } else {
+        Err(RequestError::UnknownTarget)
+    }
+}
+
+/// The value of a header that must be there once: with two, the endpoint may take the other one.
 fn required<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, RequestError> {
     let mut values = headers.get_all(name).iter();
-    // A second one is as bad as none: who reads on may take the other.
     let (Some(value), None) = (values.next(), values.next()) else {
         return Err(RequestError::InvalidHeader(name.into()));
     };
@@ -149,23 +171,35 @@
     value.filter(|text| !text.is_empty()).ok_or(RequestError::InvalidHeader(name.into()))
 }
 
-/// A number and a unit: `m` milliseconds, `u` microseconds.
-fn span(text: &str) -> Option<Duration> {
-    if let Some(number) = text.strip_suffix('m') {
-        return micros(number, 1000.0);
-    }
-    micros(text.strip_suffix('u')?, 1.0)
+/// How long the client still waits: a number with `m` for milliseconds or `u` for microseconds.
+fn time_left(headers: &HeaderMap) -> Result<Duration, RequestError> {
+    let text = required(headers, TIME_LEFT)?;
+    let time_left = match text.strip_suffix('m') {
+        Some(millis) => parse_duration(millis, MICROS_PER_MILLI),
+        None => text.strip_suffix('u').and_then(|micros| parse_duration(micros, 1.0)),
+    };
+    time_left.ok_or(RequestError::InvalidHeader(TIME_LEFT.into()))
+}
+
+/// The expected work of a request in microseconds, if the client states it.
+fn cost_hint(headers: &HeaderMap) -> Result<Option<Nanos>, RequestError> {
+    let Some(value) = headers.get(COST_HINT) else { return Ok(None) };
+    let hint = value.to_str().ok().and_then(|micros| parse_duration(micros, 1.0));
+    let hint = hint.ok_or(RequestError::InvalidHeader(COST_HINT.into()))?;
+    Ok(Some(hint.as_nanos() as Nanos))
 }
 
-fn micros(number: &str, unit: f64) -> Option<Duration> {
-    let digits = number.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
-    let number: f64 = number.parse().ok().filter(|_| digits)?;
-    let span = Duration::try_from_secs_f64(number * unit / 1e6).unwrap_or(LONGEST_WAIT);
-    Some(span.min(LONGEST_WAIT))
+/// A decimal number of units, each of `unit_micros` microseconds; at most [`MAX_STATED_DURATION`].
+fn parse_duration(number: &str, unit_micros: f64) -> Option<Duration> {
+    let is_decimal = number.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    let number: f64 = number.parse().ok().filter(|_| is_decimal)?;
+    let duration = Duration::try_from_secs_f64(number * unit_micros / MICROS_PER_SECOND);
+    Some(duration.unwrap_or(MAX_STATED_DURATION).min(MAX_STATED_DURATION))
 }
 
 fn forwarded(headers: &HeaderMap) -> HeaderMap {
-    let named =
-        FORWARDED.iter().filter_map(|&name| Some((HeaderName::from_static(name), headers.get(name)?)));
-    named.map(|(name, value)| (name, value.clone())).collect()
+    let present = FORWARDED_HEADERS
+        .iter()
+        .filter_map(|&name| Some((HeaderName::from_static(name), headers.get(name)?.clone())));
+    present.collect()
 }
--- a/crates/node/src/platform/config.rs
+++ b/crates/node/src/platform/config.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start, by `EDGE_CONFIG` and the other `EDGE_*` variables.
+//! Configuration of the platform's node: the JSON file that `EDGE_CONFIG` names, and the other `EDGE_*` variables.
 
 use std::env;
 use std::fs;
@@ -12,13 +12,14 @@
 
 use crate::net::discovery::EndpointList;
 
-/// Descriptors that a node must have at the least to serve anything.
-const LEAST_SOCKETS: usize = 128;
+/// Fewest descriptors with which a node can serve.
+const MIN_DESCRIPTORS: usize = 128;
+const BYTES_PER_MIB: usize = 1 << 20;
 
-/// Why a node can't start.
+/// A configuration that can't be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// No configuration is named.
+    /// `EDGE_CONFIG` is not set.
     #[error("EDGE_CONFIG is not set: it names the configuration file")]
     Unset,
     /// The file can't be read.
@@ -26,7 +27,7 @@
     Read {
         /// Its path.
         path: String,
-        /// Why.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The file is not the expected JSON.
@@ -38,12 +39,12 @@
         source: serde_json::Error,
     },
     /// A value is missing or has no meaning.
-    #[error("configuration: `{name}` is {fault}")]
+    #[error("configuration: `{name}` is {problem}")]
     Value {
         /// Its name.
         name: &'static str,
-        /// What is wrong.
-        fault: String,
+        /// What is wrong with it.
+        problem: String,
     },
     /// The settings contradict themselves.
     #[error("configuration: {0}")]
@@ -51,7 +52,7 @@
 }
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -59,45 +60,49 @@
     seed: Option<String>,
     #[serde(default)]
     limits: Limits,
-    #[serde(default)]
-    known: Option<EndpointList>,
-    settings: Boot,
+    #[serde(default, rename = "known")]
+    last_list: Option<EndpointList>,
+    #[serde(rename = "settings")]
+    boot: Boot,
 }
 
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
-    sockets: usize,
-    memory_mb: usize,
+    #[serde(rename = "sockets")]
+    descriptors: usize,
+    /// In MiB.
+    #[serde(rename = "memory_mb")]
+    memory_mib: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { sockets: 1024, memory_mb: 64 }
+        Self { descriptors: 1024, memory_mib: 64 }
     }
 }
 
-/// A node's configuration, checked.
+/// A checked configuration.
 pub struct Config {
     /// Its name, for the log.
     pub name: String,
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where staff call, if anywhere.
+    /// Address for admin commands, if there is one.
     pub admin: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of random numbers.
     pub seed: u64,
-    /// Descriptors that it may hold.
-    pub sockets: usize,
-    /// Bytes of memory that it may hold.
-    pub memory: usize,
-    /// The list of backends as it last had it.
-    pub known: EndpointList,
-    /// The settings as written: names and limits.
+    /// Most file descriptors.
+    pub max_descriptors: usize,
+    /// Most memory in bytes.
+    pub max_memory: usize,
+    /// The endpoint list that the platform last knew.
+    pub last_list: EndpointList,
+    /// The settings as written, with names and limits.
     pub boot: Boot,
-    /// The settings as the module takes them.
+    /// The settings of the decision module.
     pub settings: Settings,
 }
 
@@ -108,13 +113,14 @@
     /// The first thing that is missing or malformed.
     pub fn load() -> Result<Self, ConfigError> {
         let file = read()?;
-        let mut settings = file.settings.settings()?;
-        // Nodes have no way to each other here: with notes off the module does without.
+        let mut settings = file.boot.settings()?;
+        // Nodes of the platform can't reach each other.
         settings.load_reports = false;
-        let seed = file.seed.ok_or_else(|| fault("seed", "missing"))?;
-        let sockets = file.limits.sockets;
-        if sockets < LEAST_SOCKETS {
-            return Err(fault("limits.sockets", &format!("{sockets}, less than {LEAST_SOCKETS}")));
+        let seed = file.seed.ok_or_else(|| invalid("seed", "missing"))?;
+        let max_descriptors = file.limits.descriptors;
+        if max_descriptors < MIN_DESCRIPTORS {
+            let problem = format!("{max_descriptors}, less than {MIN_DESCRIPTORS}");
+            return Err(invalid("limits.sockets", &problem));
         }
         Ok(Self {
             name: env::var("EDGE_NAME").ok().or(file.name).unwrap_or_default(),
@@ -124,43 +130,43 @@
                 Some(text) => Some(parse("admin", &text)?),
                 None => None,
             },
-            seed: u64::from_str_radix(&seed, 16).map_err(|error| fault("seed", &error.to_string()))?,
-            sockets,
-            memory: file.limits.memory_mb.saturating_mul(1 << 20),
-            known: file.known.unwrap_or_default(),
-            boot: file.settings,
+            seed: u64::from_str_radix(&seed, 16).map_err(|error| invalid("seed", &error.to_string()))?,
+            max_descriptors,
+            max_memory: file.limits.memory_mib.saturating_mul(BYTES_PER_MIB),
+            last_list: file.last_list.unwrap_or_default(),
+            boot: file.boot,
             settings,
         })
     }
 }
 
-/// Where discovery is by now, from the file alone: it has been written since the environment was set, and must
-/// be sound as a whole.
+/// Reads discovery's address from the file again. The environment is not consulted, since the file is newer; the file must
+/// be valid as a whole.
 ///
 /// # Errors
 /// The first thing that is missing or malformed.
 pub fn reload_discovery_address() -> Result<SocketAddr, ConfigError> {
     let file = read()?;
-    file.settings.settings()?;
-    parse("discovery", &file.discovery.ok_or_else(|| fault("discovery", "missing"))?)
+    file.boot.settings()?;
+    parse("discovery", &file.discovery.ok_or_else(|| invalid("discovery", "missing"))?)
 }
 
-fn read() -> Result<File, ConfigError> {
+fn read() -> Result<ConfigFile, ConfigError> {
     let path = env::var("EDGE_CONFIG").map_err(|_| ConfigError::Unset)?;
     let text =
         fs::read_to_string(&path).map_err(|source| ConfigError::Read { path: path.clone(), source })?;
     serde_json::from_str(&text).map_err(|source| ConfigError::Json { path, source })
 }
 
-fn fault(name: &'static str, fault: &str) -> ConfigError {
-    ConfigError::Value { name, fault: fault.into() }
+fn invalid(name: &'static str, problem: &str) -> ConfigError {
+    ConfigError::Value { name, problem: problem.into() }
 }
 
 fn address(name: &'static str, var: &str, file: Option<String>) -> Result<SocketAddr, ConfigError> {
-    let text = env::var(var).ok().or(file).ok_or_else(|| fault(name, "missing"))?;
+    let text = env::var(var).ok().or(file).ok_or_else(|| invalid(name, "missing"))?;
     parse(name, &text)
 }
 
 fn parse(name: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|_| fault(name, &format!("`{text}`, not an IP:port")))
+    text.parse().map_err(|_| invalid(name, &format!("`{text}`, not an IP:port")))
 }
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -19,7 +19,6 @@
 use pumicehead_policy::TenantId;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
-use tokio::sync::Mutex;
 use tokio::task;
 use tracing::{info, warn};
 
@@ -72,18 +71,13 @@
     let recorder = pool_recorder(&config, &introspection);
     let descriptors = descriptor_budget(&config, sockets.admin.is_some());
     let stats = Rc::new(Stats::new(config.boot.classes.iter().map(|class| class.name.clone())));
-    let memory = MemoryBudget::new(config.memory / STREAMED_BODY_MEMORY_DIVISOR);
-    let transport = upstream_transport(&config, &descriptors, &memory, &stats);
+    let memory = MemoryBudget::new(config.max_memory / STREAMED_BODY_MEMORY_DIVISOR);
     let pool_config = PoolConfig {
         settings: config.settings.clone(),
         seed: config.seed,
         zones: config.boot.zones.clone(),
-        endpoints: EndpointSource::Watch {
-            address: config.discovery,
-            last_list: Some(config.known.clone()),
-            poll_at_start: sockets.is_inherited,
-        },
-        transport,
+        endpoints: endpoint_source(&config, sockets.is_inherited),
+        transport: upstream_transport(&config, &descriptors, &memory, &stats),
         overrides: restored.overrides.clone(),
         warm_state: restored.warm_state.take(),
         clock: introspection.clock(),
@@ -99,16 +93,8 @@
     }
     let pool_loop = task::spawn_local(pool_loop.run());
     if let Some(socket) = sockets.admin {
-        let handler = AdminHandler {
-            pool: pool.clone(),
-            listener: listener.clone(),
-            active_requests,
-            stats: stats.clone(),
-            overrides: restored.overrides,
-            state_file: Mutex::new(restored.state_file),
-            handover_file: restored.handover_file,
-            introspection,
-        };
+        let (pool, listener, stats) = (pool.clone(), listener.clone(), stats.clone());
+        let handler = AdminHandler::new(pool, listener, active_requests, stats, restored, introspection);
         start_admin(handler, socket);
     }
     task::spawn_local(reload_on(hangup, pool, stats));
@@ -122,8 +108,19 @@
     }
 }
 
+/// Discovery as the source of endpoints. Beside another process of this node it is polled at the start: that process may
+/// know a newer list.
+fn endpoint_source(config: &Config, poll_at_start: bool) -> EndpointSource {
+    EndpointSource::Watch {
+        address: config.discovery,
+        last_list: Some(config.last_list.clone()),
+        poll_at_start,
+    }
+}
+
 fn start_introspection(config: &Config, log: Log) -> Result<Rc<Introspection>, Box<dyn Error>> {
-    let memory = (config.memory / introspection::MEMORY_DIVISOR).min(introspection::MAX_DEFAULT_MEMORY_BYTES);
+    let memory =
+        (config.max_memory / introspection::MEMORY_DIVISOR).min(introspection::MAX_DEFAULT_MEMORY_BYTES);
     let destination = state_folder().map_or(RecordingDestination::None, RecordingDestination::EventLoop);
     let introspection =
         Introspection::new(&config.name, Clock::start(), memory, config.seed, log, destination);
@@ -141,7 +138,7 @@
 
 fn descriptor_budget(config: &Config, has_admin: bool) -> DescriptorBudget {
     let admin = if has_admin { admin_listener::MAX_DESCRIPTORS } else { 0 };
-    DescriptorBudget::new(config.sockets, 1 + admin)
+    DescriptorBudget::new(config.max_descriptors, 1 + admin)
 }
 
 fn upstream_transport(
@@ -191,7 +188,7 @@
         Rc::new(PlatformAdmission::new(config, pool.clone())),
         active_requests.clone(),
         options,
-        ConnectionBudget::new(descriptors.downstream, config.sockets),
+        ConnectionBudget::new(descriptors.downstream, config.max_descriptors),
         move || failing_pool.fail_all(),
         stats.clone(),
         memory,
--- a/crates/node/src/platform/sockets.rs
+++ b/crates/node/src/platform/sockets.rs
@@ -1,15 +1,35 @@
 //! Sockets that the node listens on: one for clients, inherited or its own, and one for admin commands.
 
-use std::error::Error;
+use std::io;
 use std::net::SocketAddr;
 
+use thiserror::Error;
 use tokio::net::TcpListener;
 use tracing::info;
 
 use super::config::Config;
-use super::socket_activation;
+use super::socket_activation::{SocketActivationError, inherited_listener};
 use crate::net::downstream;
 
+/// The sockets can't be opened.
+#[derive(Debug, Error)]
+pub enum SocketsError {
+    /// The inherited socket can't be used.
+    #[error(transparent)]
+    Inherited(#[from] SocketActivationError),
+    /// An address can't be listened on.
+    #[error("listen on {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// The operating system's error.
+        source: io::Error,
+    },
+    /// The address of a socket can't be read.
+    #[error(transparent)]
+    LocalAddress(#[from] io::Error),
+}
+
 /// The listening sockets of the platform's node.
 pub struct Sockets {
     /// For clients.
@@ -24,9 +44,9 @@
     /// Takes over or binds the sockets of a configuration.
     ///
     /// # Errors
-    /// An inherited socket that can't be used, or an address that can't be listened on.
-    pub fn open(config: &Config) -> Result<Self, Box<dyn Error>> {
-        let inherited = socket_activation::inherited_listener()?;
+    /// [`SocketsError`].
+    pub fn open(config: &Config) -> Result<Self, SocketsError> {
+        let inherited = inherited_listener()?;
         let is_inherited = inherited.is_some();
         let clients = match inherited {
             Some(listener) => listener,
@@ -41,6 +61,6 @@
     }
 }
 
-fn listen(address: SocketAddr) -> Result<TcpListener, String> {
-    downstream::listen(address).map_err(|error| format!("listen on {address}: {error}"))
+fn listen(address: SocketAddr) -> Result<TcpListener, SocketsError> {
+    downstream::listen(address).map_err(|source| SocketsError::Listen { address, source })
 }
--- a/crates/node/src/recording_cli.rs
+++ b/crates/node/src/recording_cli.rs
@@ -1,4 +1,4 @@
-//! Recordings on the command line: fetched, read, written in other forms.
+//! Flight recordings on the command line: fetching, analysis and export.
 
 use std::error::Error;
 use std::fs;
@@ -10,44 +10,47 @@
 use clap::{Args, ValueEnum};
 use pumicehead_flight_recorder::breakdown::Breakdown;
 use pumicehead_flight_recorder::cause::{Finding, find};
-use pumicehead_flight_recorder::dump::{Dump, LONGEST};
-use pumicehead_flight_recorder::{export as forms, moment, page, story};
+use pumicehead_flight_recorder::dump::{Dump, LONGEST as MAX_RECORDING_BYTES};
+use pumicehead_flight_recorder::{export as forms, moment, page, story, text};
 use pumicehead_policy::Nanos;
 use serde_json::json;
 
 use crate::report::{error, print};
 
-/// A node writes its recording within some milliseconds; the rest is the way.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Longest first line of an answer.
-const LONGEST_LINE: usize = 1_024;
-/// Findings that are told.
-const FINDINGS: usize = 5;
-/// Stories of one name that are told.
-const STORIES: usize = 3;
+/// Timeout of a connection to a node, and of each read from it.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(60);
+/// Longest first line of a reply in bytes.
+const MAX_REPLY_LINE_BYTES: usize = 1_024;
+/// Findings that are printed.
+const MAX_FINDINGS: usize = 5;
+/// Request timelines, or names of requests, that are printed.
+const MAX_REQUESTS: usize = 3;
+/// Characters of an unknown request's name that the error repeats.
+const MAX_QUOTED_CHARS: usize = 60;
+const NANOS_PER_MILLI: f64 = 1e6;
 
-/// What is asked of a recording.
+/// Analysis of a recording.
 #[derive(Args)]
 pub struct AnalyzeArguments {
     /// The recording.
     file: PathBuf,
-    /// What its client called the request.
+    /// A request, by the name that its client gave it.
     request: Option<String>,
-    /// From one moment to another: seconds since the node's start, or times of day in UTC.
+    /// A time range: seconds since the node's start, or times of day in UTC.
     #[arg(long, num_args = 2, value_names = ["FROM", "TO"], conflicts_with = "request")]
     between: Option<Vec<String>>,
-    /// Another recording, to be set beside it.
+    /// Another recording to compare with.
     #[arg(long, value_name = "FILE", conflicts_with = "request")]
     diff: Option<PathBuf>,
-    /// Findings as one JSON object.
+    /// Print the findings as one JSON object.
     #[arg(long, conflicts_with = "request")]
     json: bool,
 }
 
-/// Forms that others open.
+/// Formats that other programs open.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum ExportForm {
-    /// OpenTelemetry's OTLP/JSON, a line a request.
+    /// OpenTelemetry's OTLP/JSON, a line for each request.
     Otlp,
     /// Chrome's trace events.
     Chrome,
@@ -55,51 +58,57 @@
     Html,
 }
 
+/// A time range, in the recording's time.
+#[derive(Clone, Copy)]
+struct TimeRange {
+    from: Nanos,
+    to: Nanos,
+}
+
 fn open(file: &Path) -> Result<Dump, Box<dyn Error>> {
-    let named = |error: &dyn std::fmt::Display| format!("{}: {error}", file.display());
-    let length = fs::metadata(file).map_err(|error| named(&error))?.len();
-    if length > LONGEST as u64 {
-        return Err(named(&format!("{length} bytes, more than {LONGEST}")).into());
+    let in_file = |error: &dyn std::fmt::Display| format!("{}: {error}", file.display());
+    let length = fs::metadata(file).map_err(|error| in_file(&error))?.len();
+    if length > MAX_RECORDING_BYTES as u64 {
+        return Err(in_file(&format!("{length} bytes, more than {MAX_RECORDING_BYTES}")).into());
     }
-    let bytes = fs::read(file).map_err(|error| named(&error))?;
-    let dump = Dump::read(&bytes).map_err(|error| named(&error))?;
+    let bytes = fs::read(file).map_err(|error| in_file(&error))?;
+    let dump = Dump::read(&bytes).map_err(|error| in_file(&error))?;
     if let Some(damage) = dump.damage {
         let text = format!("damaged from byte {} of {} on; what comes before is read", damage.at, damage.of);
-        error(&format!("pumicehead: {}", named(&text)));
+        error(&format!("pumicehead: {}", in_file(&text)));
     }
     Ok(dump)
 }
 
-/// Fetches a recording.
+/// Fetches the recording of a running node by an admin command, and writes it to a file.
 ///
 /// # Errors
-/// What keeps it from coming.
+/// A connection that fails, a reply that is an error or incomplete, or a file that can't be written.
 pub fn fetch(address: SocketAddr, out: &Path) -> Result<(), Box<dyn Error>> {
     let mut stream =
-        TcpStream::connect_timeout(&address, PATIENCE).map_err(|error| format!("{address}: {error}"))?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+        TcpStream::connect_timeout(&address, FETCH_TIMEOUT).map_err(|error| format!("{address}: {error}"))?;
+    stream.set_read_timeout(Some(FETCH_TIMEOUT))?;
     stream.write_all(b"TRACE\n")?;
-    let mut answer = Vec::new();
-    stream.take(LONGEST as u64 + LONGEST_LINE as u64).read_to_end(&mut answer)?;
-    let end = answer.iter().take(LONGEST_LINE).position(|&byte| byte == b'\n');
-    let end = end.ok_or_else(|| format!("{address}: no answer of a node"))?;
-    let line = String::from_utf8_lossy(&answer[..end]).into_owned();
+    let mut reply = Vec::new();
+    stream.take(MAX_RECORDING_BYTES as u64 + MAX_REPLY_LINE_BYTES as u64).read_to_end(&mut reply)?;
+    let line_end = reply.iter().take(MAX_REPLY_LINE_BYTES).position(|&byte| byte == b'\n');
+    let line_end = line_end.ok_or_else(|| format!("{address}: no answer of a node"))?;
+    let line = String::from_utf8_lossy(&reply[..line_end]).into_owned();
     let length = line.strip_prefix("OK ").and_then(|length| length.parse::<usize>().ok());
-    let length =
-        length.ok_or_else(|| format!("{address}: {}", pumicehead_flight_recorder::text::plain(&line)))?;
-    let file = &answer[end + 1..];
-    if file.len() != length {
-        return Err(format!("{address}: {} of {length} bytes came", file.len()).into());
+    let length = length.ok_or_else(|| format!("{address}: {}", text::plain(&line)))?;
+    let recording = &reply[line_end + 1..];
+    if recording.len() != length {
+        return Err(format!("{address}: {} of {length} bytes came", recording.len()).into());
     }
-    fs::write(out, file).map_err(|error| format!("{}: {error}", out.display()))?;
+    fs::write(out, recording).map_err(|error| format!("{}: {error}", out.display()))?;
     print(&format!("{}: {length} bytes\n", out.display()));
     Ok(())
 }
 
-/// Writes a recording in another form to standard output.
+/// Writes a recording in another format to standard output.
 ///
 /// # Errors
-/// AnalyzeArguments it can't be read.
+/// A recording that can't be read.
 pub fn export(file: &Path, form: ExportForm) -> Result<(), Box<dyn Error>> {
     let dump = open(file)?;
     print(&match form {
@@ -111,85 +120,96 @@
 }
 
 impl AnalyzeArguments {
-    /// Tells it.
+    /// Prints the timeline of a request, the causes of lost weight, or a comparison.
     ///
     /// # Errors
-    /// AnalyzeArguments it can't be told.
-    pub fn tell(&self) -> Result<(), Box<dyn Error>> {
+    /// A recording or time that can't be read, or a request that is not in the recording.
+    pub fn run(&self) -> Result<(), Box<dyn Error>> {
         let dump = open(&self.file)?;
         if let Some(request) = &self.request {
-            return tell_request(&dump, request);
+            return print_request(&dump, request);
         }
-        let (from, to) = self.span(&dump)?;
+        let range = self.time_range(&dump)?;
         let accounts = dump.accounts.as_ref().ok_or("the recording's sums are damaged")?;
-        let breakdown = Breakdown::sum(&dump.head, accounts, from, to);
-        let found = find(&dump.head, accounts, from, to);
+        let breakdown = Breakdown::sum(&dump.head, accounts, range.from, range.to);
         if let Some(other) = &self.diff {
-            let other = open(other)?;
-            let (from, to) = self.span(&other)?;
-            let beside = Breakdown::of(&other, from, to).ok_or("the other recording's sums are damaged")?;
-            print(&breakdown.beside(&beside));
-            return Ok(());
+            return self.print_comparison(&breakdown, other);
         }
+        let findings = find(&dump.head, accounts, range.from, range.to);
         if self.json {
-            print(&(json(&breakdown, &found) + "\n"));
-            return Ok(());
-        }
-        print(&breakdown.to_string());
-        match found.first() {
-            None => print("nothing was lost\n"),
-            Some(first) => print(&format!("largest cause: {}\n", first.text)),
-        }
-        for one in found.iter().take(FINDINGS) {
-            print(&format!("  {:10.1}  {:7} requests  {}\n", one.lost as f64 / 1e6, one.count, one.text));
-        }
-        let examples = dump.stories.iter().filter(|story| story.cause.is_some()).take(STORIES);
-        let names: Vec<_> = examples.map(|story| story.name.shown()).collect();
-        if !names.is_empty() {
-            print(&format!("some of them: {}\n", names.join(", ")));
+            print(&(json(&breakdown, &findings) + "\n"));
+        } else {
+            print_analysis(&dump, &breakdown, &findings);
         }
         Ok(())
     }
 
-    fn span(&self, dump: &Dump) -> Result<(Nanos, Nanos), moment::NoMoment> {
+    fn print_comparison(&self, breakdown: &Breakdown, other: &Path) -> Result<(), Box<dyn Error>> {
+        let other = open(other)?;
+        let range = self.time_range(&other)?;
+        let other = Breakdown::of(&other, range.from, range.to);
+        print(&breakdown.beside(&other.ok_or("the other recording's sums are damaged")?));
+        Ok(())
+    }
+
+    fn time_range(&self, dump: &Dump) -> Result<TimeRange, moment::NoMoment> {
         match self.between.as_deref() {
-            Some([from, to]) => {
-                Ok((moment::parse(from, dump.head.start)?, moment::parse(to, dump.head.start)?))
-            }
-            _ => Ok((0, Nanos::MAX)),
+            Some([from, to]) => Ok(TimeRange {
+                from: moment::parse(from, dump.head.start)?,
+                to: moment::parse(to, dump.head.start)?,
+            }),
+            _ => Ok(TimeRange { from: 0, to: Nanos::MAX }),
         }
     }
 }
 
-fn tell_request(dump: &Dump, request: &str) -> Result<(), Box<dyn Error>> {
+fn print_analysis(dump: &Dump, breakdown: &Breakdown, findings: &[Finding]) {
+    print(&breakdown.to_string());
+    match findings.first() {
+        None => print("nothing was lost\n"),
+        Some(first) => print(&format!("largest cause: {}\n", first.text)),
+    }
+    for finding in findings.iter().take(MAX_FINDINGS) {
+        let lost = finding.lost as f64 / NANOS_PER_MILLI;
+        print(&format!("  {lost:10.1}  {:7} requests  {}\n", finding.count, finding.text));
+    }
+    let examples = dump.stories.iter().filter(|story| story.cause.is_some()).take(MAX_REQUESTS);
+    let names: Vec<_> = examples.map(|story| story.name.shown()).collect();
+    if !names.is_empty() {
+        print(&format!("some of them: {}\n", names.join(", ")));
+    }
+}
+
+fn print_request(dump: &Dump, request: &str) -> Result<(), Box<dyn Error>> {
     let found = dump.find(request);
     if found.is_empty() {
-        let kept = dump.stories.len();
-        let name = pumicehead_flight_recorder::text::plain(&request.chars().take(60).collect::<String>());
-        return Err(format!("no story of `{name}` among the {kept} that were kept").into());
+        let recorded = dump.stories.len();
+        let name = text::plain(&request.chars().take(MAX_QUOTED_CHARS).collect::<String>());
+        return Err(format!("no story of `{name}` among the {recorded} that were kept").into());
     }
-    for story in found.into_iter().take(STORIES) {
-        print(&story::tell(&dump.head, story));
+    for timeline in found.into_iter().take(MAX_REQUESTS) {
+        print(&story::tell(&dump.head, timeline));
     }
     Ok(())
 }
 
-fn json(breakdown: &Breakdown, found: &[Finding]) -> String {
-    let parts = breakdown.views.iter().map(|(name, parts)| {
+/// The findings as JSON, with the stored names of subjects and causes.
+fn json(breakdown: &Breakdown, findings: &[Finding]) -> String {
+    let views = breakdown.views.iter().map(|(name, parts)| {
         let rows =
             parts.iter().map(|part| json!({ "what": part.what, "lost": part.lost, "requests": part.count }));
         ((*name).to_owned(), rows.collect::<Vec<_>>().into())
     });
-    let found = found.iter().map(|one| {
+    let findings = findings.iter().map(|finding| {
         json!({
-            "subject": one.subject.exported_name(), "matter": one.matter.exported_name(),
-            "lost": one.lost, "requests": one.count, "text": one.text,
+            "subject": finding.subject.exported_name(), "matter": finding.matter.exported_name(),
+            "lost": finding.lost, "requests": finding.count, "text": finding.text,
         })
     });
     json!({
         "requests": breakdown.requests, "asked": breakdown.asked, "earned": breakdown.earned,
-        "lost": breakdown.lost(), "by": parts.collect::<serde_json::Map<_, _>>(),
-        "findings": found.collect::<Vec<_>>(),
+        "lost": breakdown.lost(), "by": views.collect::<serde_json::Map<_, _>>(),
+        "findings": findings.collect::<Vec<_>>(),
     })
     .to_string()
 }
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -1,4 +1,4 @@
-//! What the command line says: results to standard output, mistakes to standard error.
+//! Output of the command line: results to standard output, diagnostics to standard error.
 
 use std::io::{IsTerminal, Write};
 
@@ -6,29 +6,29 @@
 use pumicehead_config::diag::{self, MOST_SHOWN};
 use pumicehead_config::{Diagnostic, Sources};
 
-/// How mistakes are written.
+/// Format of diagnostics.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// For people, with the source lines, to standard error.
+    /// Text with source lines, to standard error.
     Text,
-    /// For editors: one object a line, to standard output.
+    /// One JSON object for each line, to standard output.
     Json,
 }
 
-/// Writes messages, the first of very many.
+/// Writes diagnostics; as text, at most [`MOST_SHOWN`] of them.
 pub fn report(sources: &Sources, diagnostics: &[Diagnostic], format: Format) {
     match format {
         Format::Json => {
-            for one in diagnostics {
-                if let Ok(line) = serde_json::to_string(&diag::json(sources, one)) {
+            for diagnostic in diagnostics {
+                if let Ok(line) = serde_json::to_string(&diag::json(sources, diagnostic)) {
                     print(&(line + "\n"));
                 }
             }
         }
         Format::Text => {
-            let styled = std::io::stderr().is_terminal();
-            for one in diagnostics.iter().take(MOST_SHOWN) {
-                error(&format!("{}\n", diag::render(sources, one, styled)));
+            let is_styled = std::io::stderr().is_terminal();
+            for diagnostic in diagnostics.iter().take(MOST_SHOWN) {
+                error(&format!("{}\n", diag::render(sources, diagnostic, is_styled)));
             }
             if diagnostics.len() > MOST_SHOWN {
                 error(&format!("and {} more", diagnostics.len() - MOST_SHOWN));
@@ -37,12 +37,12 @@
     }
 }
 
-/// Whoever reads may have gone, as `head` does; that is no fault.
+/// Writes to standard output. A closed pipe, as with `head`, is not an error.
 pub fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-/// A line to standard error.
+/// Writes a line to standard error.
 pub fn error(text: &str) {
     let _ = writeln!(std::io::stderr(), "{text}");
 }
--- a/crates/node/tests/unit/log.rs
+++ b/crates/node/tests/unit/log.rs
@@ -5,10 +5,10 @@
 #[test]
 fn filters_are_levels_of_rooms() {
     for good in ["info", "off", "warn,discovery=debug", "front=trace,ERROR"] {
-        assert!(filter(good).is_ok(), "{good}");
+        assert!(parse_filter(good).is_ok(), "{good}");
     }
     for bad in ["", "loud", "info,", "front=", "front=loud", "a b=info", "\u{1b}[2J", &"info,".repeat(200)] {
-        let fault = filter(bad).unwrap_err().to_string();
+        let fault = parse_filter(bad).unwrap_err().to_string();
         assert!(fault.chars().all(|sign| !sign.is_control()) && fault.len() < 300, "{bad}");
     }
 }
--- a/crates/policy/tests/stored_forms.rs
+++ b/crates/policy/tests/stored_forms.rs
@@ -8,8 +8,8 @@
 use pumicehead_policy::decision_event::{
     DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RateLimitedLog, RejectionReason,
 };
-use pumicehead_policy::{EndpointId, RequestId, SECOND};
 use pumicehead_policy::load_reports::{Peers, write};
+use pumicehead_policy::{EndpointId, RequestId, SECOND};
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
