--- a/crates/node/tests/capacity.rs
+++ b/crates/node/tests/capacity.rs
@@ -26,7 +26,7 @@
 
 /// Guards that a node is started, asked and changed, and that each figure is read.
 #[test]
-fn a_small_node_is_measured() {
+fn a_small_node_reports_its_capacity() {
     let backends = backends();
     let samples = sample_all(&built("pumicehead").unwrap(), &[SIZE; 2], &addresses(&backends)).unwrap();
     assert_eq!(samples.len(), 2);
@@ -52,7 +52,7 @@
 
 /// Guards that a change is in force when that is said, and that one which can't be used is told.
 #[test]
-fn a_change_is_taken_or_refused() {
+fn a_change_is_applied_or_rejected() {
     let backends = backends();
     let addresses = addresses(&backends);
     let first = text(SIZE, &addresses, Variant::default());
@@ -65,7 +65,7 @@
 
 /// Guards that all requests of a schedule are counted, through the node and beside it, and all changes made.
 #[test]
-fn a_loaded_node_takes_its_changes() {
+fn a_loaded_node_applies_its_changes() {
     let backends = backends();
     let addresses = addresses(&backends);
     let second = Duration::from_secs(1);
@@ -87,7 +87,7 @@
 
 /// Guards the file against the program that operators check it with: no mistakes and no warnings.
 #[test]
-fn the_program_takes_the_file() {
+fn the_program_reads_the_sites_file() {
     let addresses = addresses(&backends());
     let file = temporary(".conf");
     fs::write(&file, text(SIZE, &addresses, Variant::default())).unwrap();
--- a/crates/node/tests/cli.rs
+++ b/crates/node/tests/cli.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn check_tells_mistakes_and_warnings_apart() {
+fn check_distinguishes_mistakes_and_warnings() {
     let sound = File::with(SOUND);
     assert_eq!(run(&["check", sound.name()]), (0, format!("{}: ok\n", sound.name()), String::new()));
     let broken = File::with(&SOUND.replace("600ms", "600"));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn messages_for_editors_are_one_object_a_line() {
+fn json_diagnostics_are_one_object_per_line() {
     let broken = File::with(&SOUND.replace("600ms", "600").replace("pool boards\n}", "pool bords\n}"));
     let (code, out, err) = run(&["check", "--format", "json", broken.name()]);
     assert_eq!((code, err.as_str()), (1, ""));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn fmt_writes_one_layout_and_leaves_what_it_cant_read() {
+fn fmt_rewrites_valid_files_and_leaves_invalid_ones() {
     let odd = SOUND.replace("    ", "\t").replace(" {", "   {  # note");
     let file = File::with(&odd);
     let (code, out, _) = run(&["fmt", "--check", file.name()]);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn diff_and_explain_say_what_they_find() {
+fn diff_and_explain_print_their_results() {
     let (old, new) = (File::with(SOUND), File::with(&SOUND.replace("aim 600ms", "aim 0.7s  # slower")));
     assert_eq!(run(&["diff", old.name(), old.name()]), (0, String::new(), String::new()));
     let expected = format!("class read: aim 600ms -> 700ms ({}:10); affects route read\n", new.name());
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn run_does_not_start_on_a_mistake_or_a_taken_address() {
+fn run_fails_on_an_invalid_configuration_or_a_taken_address() {
     let broken = File::with(&SOUND.replace("2s", "2"));
     let (code, _, err) = run(&["run", broken.name()]);
     assert!(code == 1 && err.contains("has no unit"), "{err}");
--- a/crates/node/tests/descriptor_reserve.rs
+++ b/crates/node/tests/descriptor_reserve.rs
@@ -107,7 +107,7 @@
 /// Guards all of it at once: clients that have asked before the crowd, others in the crowd, and the list after it; the servers
 /// hold as many connections as they may.
 #[test]
-fn idle_clients_leave_descriptors_for_servers_and_discovery() {
+fn idle_clients_leave_descriptors_for_backends_and_discovery() {
     let gate = Gate::default();
     let held = gate.clone();
     let old = Backend::start(move |message| match message.body.as_slice() {
--- a/crates/node/tests/introspection.rs
+++ b/crates/node/tests/introspection.rs
@@ -1,4 +1,4 @@
-//! What a node tells of itself, on loopback sockets: each reason by its name, a log that nobody reads, recordings.
+//! Introspection of a node on loopback sockets: recorded reasons, a log without a reader, recordings.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,13 +16,13 @@
 use pumicehead_testbed::scripted::*;
 
 fn folder() -> PathBuf {
-    let path = temporary(".eyes");
+    let path = temporary(".introspection");
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
-/// The recording of whoever takes calls there.
+/// The recording of the node with this admin address.
 fn recording(calls: SocketAddr) -> Dump {
     let mut caller = TcpStream::connect(calls).unwrap();
     caller.set_read_timeout(Some(LIMIT)).unwrap();
@@ -46,21 +46,21 @@
     rules.collect()
 }
 
-fn eyes(backends: &[&Backend]) -> Setup {
+fn recorded_node(backends: &[&Backend]) -> Setup {
     Setup { folder: Some(folder()), ..Setup::of(backends) }
 }
 
-/// Guards that each reason not to try again is told by its name.
+/// Guards that each reason not to retry is recorded by its name.
 #[test]
-fn reasons_not_to_try_again_have_names() {
+fn reasons_not_to_retry_are_recorded() {
     let resets =
         Backend::start(|_| Act::WriteAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n".into()));
-    let node = eyes(&[&resets]).start();
+    let node = recorded_node(&[&resets]).start();
     assert_eq!(node.ask(&request("submit", "x")).status(), 502);
     assert_eq!(rules(&recording(node.calls())), [RejectionReason::NoRetry(NoRetryReason::NotIdempotent)]);
 
     let errors: Vec<_> = (0..4).map(|_| Backend::start(|_| Act::Write(answer("500 Oh", "", "")))).collect();
-    let node = eyes(&errors.iter().collect::<Vec<_>>()).start();
+    let node = recorded_node(&errors.iter().collect::<Vec<_>>()).start();
     assert_eq!(node.ask(&request("read", "")).status(), 503, "nothing happened that may not happen again");
     assert_eq!(rules(&recording(node.calls())), [RejectionReason::NoRetry(NoRetryReason::AttemptsExhausted)]);
     wait_for("the end of the budget", || {
@@ -72,19 +72,19 @@
         thread::sleep(Duration::from_millis(450));
         Act::Write(answer("500 Oh", "", ""))
     });
-    let node = Setup { aim_ms: 400, ..eyes(&[&late]) }.start();
+    let node = Setup { aim_ms: 400, ..recorded_node(&[&late]) }.start();
     node.ask(&request("read", ""));
     assert_eq!(rules(&recording(node.calls())), [RejectionReason::NoRetry(NoRetryReason::NoTimeLeft)]);
 }
 
-/// Guards that refusals are told by their rules, and that what was lost adds up to what was not earned.
+/// Guards that rejections are recorded by their rules, and that the losses add up to the weight not earned.
 #[test]
-fn refusals_have_names_and_losses_add_up() {
+fn rejections_are_recorded_by_rule_and_losses_add_up() {
     let slow = Backend::start(|_| {
         thread::sleep(Duration::from_millis(150));
         ok("done")
     });
-    let node = Setup { aim_ms: 300, ..eyes(&[&slow]) }.start();
+    let node = Setup { aim_ms: 300, ..recorded_node(&[&slow]) }.start();
     let crowd = Crowd::start(&node, 40, "read");
     wait_for("a refusal by the queue", || {
         rules(&recording(node.calls())).contains(&RejectionReason::QueueTooLong)
@@ -108,9 +108,9 @@
     assert!(text.contains("# {request=\"9b1f") && text.ends_with("# EOF\n"));
 }
 
-/// Guards that what is held until its time is nearly up is told so.
+/// Guards that a request that is queued until its time is nearly up is recorded as such.
 #[test]
-fn what_is_held_too_long_says_so() {
+fn queue_timeouts_are_recorded() {
     let hung = Backend::start(|_| Act::Hang);
     let text = format!(
         "listener public {{ address 127.0.0.1:0 }}\npool boards {{ server s {{ address {} }} }}\n\
@@ -129,18 +129,18 @@
     drop(crowd);
 }
 
-/// Where a standalone node takes calls.
+/// The admin address of a standalone node.
 fn calls_of(node: &Standalone) -> SocketAddr {
     wait_for("calls", || node.said("takes admin commands on") == 1);
     let log = node.log.lock().unwrap();
     log.iter().find_map(|line| line.split_once("takes admin commands on ")?.1.parse().ok()).unwrap()
 }
 
-/// Guards that one request's story is told by the name that its client gave it, whatever that is.
+/// Guards that a request's timeline is found by the name that its client gave it, whatever that is.
 #[test]
-fn a_story_is_found_by_its_name() {
+fn a_request_timeline_is_found_by_the_clients_name() {
     let backend = Backend::start(|_| Act::Write(answer("500 Oh", "", "")));
-    let node = eyes(&[&backend]).start();
+    let node = recorded_node(&[&backend]).start();
     let odd = "\"quoted\\and <b>".to_owned() + &"long".repeat(1_000);
     let text = request("submit", "x").replace("X-Correlation-Id: 9b1f", &format!("X-Correlation-Id: {odd}"));
     let name = text.lines().find_map(|line| line.strip_prefix("X-Correlation-Id: ")).unwrap().to_owned();
@@ -168,11 +168,11 @@
     std::fs::remove_file(file).unwrap();
 }
 
-/// Guards filters: a bad one is told so and changes nothing, and the recorder can be stopped.
+/// Guards that an invalid filter is an error and changes nothing, and that the recorder can be stopped.
 #[test]
-fn filters_and_levels_are_changed_by_calls() {
+fn commands_change_log_filter_and_recording_level() {
     let backend = Backend::start(|_| ok("done"));
-    let node = eyes(&[&backend]).start();
+    let node = recorded_node(&[&backend]).start();
     for bad in [
         "FILTER",
         "FILTER loud",
@@ -197,7 +197,7 @@
 
 /// Guards recordings on a signal: few of them, whole, also where two processes share the folder.
 #[test]
-fn a_signal_leaves_a_recording() {
+fn sigusr1_writes_a_recording() {
     let backend = Backend::start(|_| ok("done"));
     let kept = folder();
     let start = || Setup { folder: Some(kept.clone()), ..Setup::of(&[&backend]) }.start();
@@ -227,9 +227,9 @@
     std::fs::remove_dir_all(&kept).unwrap();
 }
 
-/// Guards the loop against a reader of the log that goes away: requests are served, and calls answered.
+/// Guards the event loop against a reader of the log that goes away: requests and commands are answered.
 #[test]
-fn a_log_whose_reader_is_gone_stops_nothing() {
+fn a_log_without_a_reader_does_not_block_requests() {
     let backend = Backend::start(|_| ok("done"));
     let text = format!(
         "listener public {{ address 127.0.0.1:0 }}\npool boards {{ server s {{ address {} }} }}\n\
@@ -265,9 +265,9 @@
     std::fs::remove_file(file).unwrap();
 }
 
-/// Guards the standalone node's own eyes: pools, classes and routes have their names in its recording.
+/// Guards that pools, classes and routes have their names in the recording of a standalone node.
 #[test]
-fn a_standalone_node_has_eyes() {
+fn a_standalone_node_records_names_of_pools_classes_and_routes() {
     let backend = Backend::start(|_| Act::Hang);
     let text = format!(
         "listener public {{ address 127.0.0.1:0 }}\npool boards {{ server s {{ address {} }} }}\n\
--- a/crates/node/tests/log.rs
+++ b/crates/node/tests/log.rs
@@ -126,10 +126,10 @@
     names.into_iter().any(|path| path.extension().is_some_and(|end| end == "rec"))
 }
 
-/// Guards that the platform's process has one thread, whatever it does: under load, as it logs, reads its configuration
-/// again, answers calls and writes a recording.
+/// Guards that the platform's process has one thread, whatever it does: under load, as it logs, reloads its
+/// configuration, answers commands and writes a recording.
 #[test]
-fn the_platform_has_one_thread() {
+fn the_platform_process_has_one_thread() {
     let backend = Backend::start(|_| ok("done"));
     let folder = folder();
     let mut node = Setup { folder: Some(folder.clone()), ..Setup::of(&[&backend]) }.start();
@@ -162,10 +162,10 @@
     fs::remove_dir_all(folder).unwrap();
 }
 
-/// Guards the loop against a reader of the log that stops: requests and calls are answered, and what it reads later is whole
-/// lines in their order.
+/// Guards the event loop against a reader of the log that stops: requests and commands are answered, and the lines that it
+/// reads later are whole and in order.
 #[test]
-fn a_reader_of_the_log_that_stops_stops_nothing() {
+fn a_stopped_log_reader_does_not_block_requests() {
     let backend = Backend::start(|_| ok("done"));
     let node = Logged::start(&backend);
     let config = fs::read_to_string(&node.config).unwrap();
@@ -184,18 +184,18 @@
     assert!(numbers.len() >= 10 && numbers.is_sorted_by(|one, next| one < next), "{numbers:?}");
 }
 
-/// Guards the last lines before the end by SIGTERM: what waits is written.
+/// Guards the last lines before the end by SIGTERM: queued ones are written.
 #[test]
-fn the_lines_before_sigterm_are_written() {
+fn lines_before_sigterm_are_flushed() {
     let backend = Backend::start(|_| ok("done"));
     let node = Logged::start(&backend);
     (0..10).for_each(|number| node.log_line(number));
     assert_eq!(numbers(&node.end()), (0..10).collect::<Vec<_>>());
 }
 
-/// Guards the end against a reader that never goes on.
+/// Guards the exit against a reader that never resumes.
 #[test]
-fn the_end_does_not_wait_for_the_reader() {
+fn the_exit_does_not_wait_for_a_stopped_log_reader() {
     let backend = Backend::start(|_| ok("done"));
     let mut node = Logged::start(&backend);
     (0..10).for_each(|number| node.log_line(number));
@@ -203,9 +203,9 @@
     wait_for("the node's end", || node.child.try_wait().unwrap().is_some());
 }
 
-/// Guards the count of lines that nobody reads, and the node where whoever read has gone.
+/// Guards the count of dropped lines, and a node whose log reader is gone.
 #[test]
-fn lines_that_nobody_reads_are_counted() {
+fn dropped_log_lines_are_counted() {
     let backend = Backend::start(|_| ok("done"));
     let mut node = Logged::start(&backend);
     let (reader, writer) = pipe().unwrap();
--- a/crates/node/tests/memory.rs
+++ b/crates/node/tests/memory.rs
@@ -39,7 +39,7 @@
 /// Guards that a running node keeps its routes in a compact form and nothing of their text, places and trees: with
 /// these, a route took some 6,000 bytes.
 #[test]
-fn a_route_more_takes_little_memory_and_is_served() {
+fn an_added_route_takes_little_memory_and_is_served() {
     let backend = Backend::start(|_| ok("rank 1"));
     let small = Standalone::start(&text(FEW, &backend), 1);
     let large = Standalone::start(&text(MANY, &backend), 1);
--- a/crates/node/tests/operations.rs
+++ b/crates/node/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Daily operation on loopback sockets: staff call a running node, take servers out, empty it, start a new version.
+//! Daily operation on loopback sockets: admin commands, disabled backends, lame-duck mode, upgrades.
 
 use std::io::Write;
 use std::net::TcpListener;
@@ -22,10 +22,9 @@
     Setup { folder: Some(folder()), ..Setup::of(backends) }
 }
 
-/// Guards that calls are answered by their words, and what is none with a reason, while others hold their connections
-/// and say nothing, or half a line.
+/// Guards that commands are answered, and invalid ones with a reason, beside connections that send nothing or half a line.
 #[test]
-fn calls_are_answered_beside_callers_that_say_nothing() {
+fn commands_are_answered_beside_silent_admin_connections() {
     let backend = Backend::start(|_| ok("done"));
     let node = with_calls(&[&backend]).start();
     let holding: Vec<_> = (0..40)
@@ -51,9 +50,9 @@
     assert_eq!(node.ask(&request("read", "")).status(), 200);
 }
 
-/// Guards that figures tell what happened.
+/// Guards the counters of outcomes.
 #[test]
-fn figures_are_true() {
+fn stats_count_every_outcome() {
     let backend = Backend::start(|message| {
         if message.first.contains("submit") { Act::Write(answer("500 Oh", "", "")) } else { ok("done") }
     });
@@ -75,9 +74,9 @@
     wait_for("the good one", || figure("config_reloads") == Some(1));
 }
 
-/// Guards that an attempt counts once it is written, not when it ends, and that what waits for it is pending.
+/// Guards that an attempt counts once it is written, not when it ends, and that queued requests are pending.
 #[test]
-fn what_is_under_way_is_counted() {
+fn attempts_count_once_written_and_queued_requests_are_pending() {
     let backend = Backend::start(|_| Act::Hang);
     let node = with_calls(&[&backend]).start();
     let mut client = node.connect();
@@ -88,9 +87,9 @@
     wait_for("its end", || node.figure("node.pending") == Some(0));
 }
 
-/// Guards that a server out by hand gets nothing, whatever discovery says, until the one call back.
+/// Guards that a disabled backend gets nothing, whatever discovery says, until it is enabled once.
 #[test]
-fn a_server_out_by_hand_gets_nothing_until_it_is_called_back() {
+fn a_disabled_backend_gets_no_requests_until_enabled() {
     let (one, other) = (Backend::start(|_| ok("done")), Backend::start(|_| ok("done")));
     let discovery = Discovery::start();
     let node = Setup { discovery: discovery.address, ..with_calls(&[&one, &other]) }.start();
@@ -123,9 +122,9 @@
     drop(crowd);
 }
 
-/// Guards that a node whose servers are all out refuses, and does not send.
+/// Guards that a node whose backends are all disabled rejects requests and sends none.
 #[test]
-fn with_all_servers_out_requests_are_refused() {
+fn requests_are_rejected_when_all_backends_are_disabled() {
     let backend = Backend::start(|_| ok("done"));
     let node = Setup { aim_ms: 300, ..with_calls(&[&backend]) }.start();
     assert_eq!(node.call("DETACH s-0"), "OK\n");
@@ -134,9 +133,9 @@
     assert_eq!(backend.count(), 0);
 }
 
-/// Guards that a node which is emptied says no, still serves, closes every connection, and comes back.
+/// Guards that a node in lame-duck mode fails its health check, still serves, closes every connection, and rejoins.
 #[test]
-fn a_node_is_emptied_and_comes_back() {
+fn lame_duck_mode_closes_connections_until_rejoin() {
     let backend = Backend::start(|_| ok("done"));
     let mut node = with_calls(&[&backend]).start();
     let health = || node.ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status();
@@ -163,10 +162,10 @@
     assert_eq!(node.ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
 }
 
-/// Guards an upgrade: two processes on the platform's socket, no connection refused, no request lost, and what staff said
-/// to either holds for both, also once the first is gone.
+/// Guards an upgrade: two processes on the platform's socket, no connection refused, no request lost, and commands to either
+/// process take effect in both, also once the first has ended.
 #[test]
-fn a_new_version_takes_over_under_load() {
+fn a_new_process_takes_over_under_load_without_loss() {
     let (one, other) = (Backend::start(|_| ok("done")), Backend::start(|_| ok("done")));
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
@@ -203,10 +202,10 @@
     assert!(lost.is_empty() && statuses.iter().filter(|&&status| status == 200).count() > 200, "{lost:?}");
 }
 
-/// Guards that a process which takes over asks discovery at once: what its predecessor was told binds it. And that what was
-/// listed to that one is known to it.
+/// Guards that a process which takes over polls discovery at once, since it must respect drains that its predecessor knew,
+/// and that it knows the backends that were listed then.
 #[test]
-fn a_new_version_hears_of_drains_at_once() {
+fn a_new_process_polls_discovery_at_start() {
     let (one, other) = (Backend::start(|_| ok("done")), Backend::start(|_| ok("done")));
     let discovery = Discovery::start();
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -242,9 +241,9 @@
     assert!(new.call("ATTACH s-3").starts_with("ERR "));
 }
 
-/// Guards that a process without a place to keep the book, or with a damaged one, still serves and takes calls.
+/// Guards that a process without a folder for its state file, or with a damaged file, still serves and takes commands.
 #[test]
-fn a_damaged_book_does_not_keep_a_node_from_its_work() {
+fn a_missing_or_damaged_state_file_does_not_stop_a_node() {
     let backend = Backend::start(|_| ok("done"));
     let kept = folder();
     let first = Setup { folder: Some(kept.clone()), ..Setup::of(&[&backend]) }.start();
@@ -266,9 +265,9 @@
     wait_for("work, a no changes nothing", || first.ask(&request("read", "")).status() == 200);
 }
 
-/// Guards that a node which staff empty stays so across an upgrade, and comes back to work in one.
+/// Guards that lame-duck mode lasts across an upgrade, and so does its end.
 #[test]
-fn a_new_version_knows_that_the_node_is_emptied() {
+fn lame_duck_mode_survives_an_upgrade() {
     let backend = Backend::start(|_| ok("done"));
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let kept = folder();
--- a/crates/node/tests/platform.rs
+++ b/crates/node/tests/platform.rs
@@ -35,7 +35,7 @@
 /// Guards a start with no terminal, standard input closed, nowhere to write and fewer descriptors than it was promised:
 /// it serves, outlives a crowd that takes all of them, serves again and ends in order.
 #[test]
-fn it_starts_with_next_to_nothing() {
+fn it_starts_without_terminal_stdin_or_folder_and_with_few_descriptors() {
     let backend = Backend::start(|_| ok("done"));
     let mut node = Setup {
         // Nobody can write there, not even who may write anywhere.
@@ -78,7 +78,7 @@
 /// Guards what the platform refuses: the program asks for no way to start another or to copy within the kernel, and is
 /// linked so that a library can be loaded before it.
 #[test]
-fn the_program_asks_for_nothing_that_is_refused() {
+fn the_program_imports_nothing_that_the_platform_forbids() {
     let names = imports(&built("pumicehead").unwrap());
     assert!(
         names.contains("connect") && names.contains("getaddrinfo") || names.contains("bind"),
@@ -117,7 +117,7 @@
 /// Guards the same from outside, under load, through a reload and to the end: no child, no io_uring, no Unix socket that
 /// anybody could come to (the runtime has a pair of its own for signals). Where system calls can be watched, they are.
 #[test]
-fn it_stays_one_process_that_does_nothing_refused() {
+fn the_process_makes_no_forbidden_system_call() {
     let backend = Backend::start(|_| ok("done"));
     let calls = temporary(".calls");
     let watch = "clone,clone3,fork,vfork,execve,execveat,io_uring_setup,splice,vmsplice,sendfile,socket";
@@ -173,10 +173,10 @@
     }
 }
 
-/// Guards a node that knows nobody while discovery is down: what it can't place in time is refused, and once discovery is
-/// back it serves.
+/// Guards a node without endpoints while discovery is down: requests that time out in the queue are rejected, and once
+/// discovery is back it serves.
 #[test]
-fn a_node_that_knows_nobody_serves_once_discovery_is_back() {
+fn a_node_without_endpoints_serves_once_discovery_is_back() {
     let backend = Backend::start(|_| ok("done"));
     let at = refusing();
     let node = Setup { aim_ms: 300, known: list(1, true, &[]), discovery: at, ..Setup::of(&[]) }.start();
@@ -188,7 +188,7 @@
 }
 
 /// Guards a list that is old while discovery is down: half of the servers that it names have gone. Each request has three
-/// attempts, so none needs to be turned away.
+/// attempts, so none needs to be rejected.
 #[test]
 fn an_old_list_serves_while_discovery_is_down() {
     let backends: Vec<_> = (0..2).map(|_| Backend::start(|_| ok("done"))).collect();
@@ -207,7 +207,7 @@
 
 /// Guards the end while discovery is down, and a reload in the same instant, in both orders: what was taken is answered.
 #[test]
-fn the_end_comes_in_order_whatever_else_comes_with_it() {
+fn sigterm_with_a_reload_drains_in_either_order() {
     for signals in [["-HUP", "-TERM"], ["-TERM", "-HUP"]] {
         let (release, held) = mpsc::channel::<()>();
         // Two: a server is taken for one place until answers say more, and whether they do by then is a matter of time.
@@ -228,10 +228,10 @@
     }
 }
 
-/// Guards against a clock that jumps between two reads, as when the process stood still: what is past its time is
-/// answered, what has time left is served, and nobody is refused for it afterwards.
+/// Guards against a clock that jumps between two reads, as when the process was stopped: expired requests are
+/// answered, others are served, and none is rejected for it afterwards.
 #[test]
-fn a_jump_of_the_clock_costs_nobody_else() {
+fn a_clock_jump_fails_only_expired_requests() {
     let (release, held) = mpsc::channel::<()>();
     let backend = slow_or_quick(held);
     let node = Setup::of(&[&backend]).start();
@@ -256,7 +256,7 @@
 /// Guards the first instant after a start: hundreds of connections that were made while the program was not yet there each
 /// get an answer or a close, and the node serves on.
 #[test]
-fn hundreds_of_connections_in_the_first_instant_are_all_told() {
+fn connections_made_before_the_start_are_all_answered_or_closed() {
     let backend = Backend::start(|_| ok("done"));
     // Held by the platform: the kernel takes connections before the program runs.
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/node/tests/record.rs
+++ b/crates/node/tests/record.rs
@@ -7,7 +7,7 @@
 use pumicehead_testbed::scripted::{Backend, Client, ok};
 
 #[test]
-fn a_recorded_day_can_be_played() {
+fn recorded_traffic_can_be_replayed() {
     let server = Backend::start(|_| ok("served"));
     let (config, record) = (temporary(".conf"), temporary(".jsonl"));
     let text = format!(
--- a/crates/node/tests/reloads.rs
+++ b/crates/node/tests/reloads.rs
@@ -1,5 +1,6 @@
-//! Changes of the configuration of a running standalone node, on loopback sockets: what is untouched stays kept,
-//! each revision is applied whole or not at all, and requests that are out end by the rules they were admitted under.
+//! Changes of the configuration of a running standalone node, on loopback sockets: pools that a change does
+//! not concern keep their loops, each revision is applied whole or not at all, and requests in flight end under the rules
+//! that they were admitted under.
 
 use std::fmt::Write as _;
 use std::io::{Read, Write};
@@ -33,7 +34,7 @@
     )
 }
 
-/// The same with a place where staff call.
+/// The same with an admin address.
 fn with_calls(text: &str) -> (String, SocketAddr) {
     let address = refusing();
     (format!("{text}observe {{ calls {address}; recorder 1MiB }}\n"), address)
@@ -49,7 +50,7 @@
     client.read().expect("an answer")
 }
 
-/// The whole answer to a call of staff.
+/// The whole reply to an admin command.
 fn call(calls: SocketAddr, line: &str) -> Vec<u8> {
     let mut caller = TcpStream::connect(calls).expect("calls are taken");
     caller.set_read_timeout(Some(LIMIT)).expect("a time-out");
@@ -59,7 +60,7 @@
     answer
 }
 
-/// The revision in force with its digest, as staff are told.
+/// The revision in force with its digest, by the reply to `CONFIG`.
 fn in_force(calls: SocketAddr) -> (u64, String) {
     let answer = String::from_utf8(call(calls, "CONFIG")).expect("text");
     let words: Vec<_> = answer.split_whitespace().collect();
@@ -90,9 +91,9 @@
     client
 }
 
-/// Guards that a change touches only what it names.
+/// Guards that a change updates only what it names.
 #[test]
-fn a_change_touches_what_it_names() {
+fn a_change_updates_only_the_pools_it_names() {
     let (one, two, more) = (plain("one"), plain("two"), plain("more"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
     let before = text(&pools);
@@ -119,9 +120,9 @@
     assert_eq!(node.said("started") - node.said("0 started"), 0);
 }
 
-/// Guards the order of routes: another order is a change of its own, and touches no pool.
+/// Guards the order of routes: another order is a change of its own that concerns no pool.
 #[test]
-fn an_order_of_routes_that_changes_and_nothing_else() {
+fn reordered_routes_change_no_pool() {
     let (one, two) = (plain("one"), plain("two"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
     let (first, second) = (
@@ -145,9 +146,9 @@
 }
 
 /// Guards the digest: a node that came to a state by changes, and one that began with it in another form, say the same;
-/// the log, the metrics and staff are told alike.
+/// log, metrics and replies agree.
 #[test]
-fn the_digest_is_that_of_the_state_and_not_of_the_way_to_it() {
+fn the_digest_depends_on_the_state_alone() {
     let (one, two) = (plain("one"), plain("two"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
     let (base, calls) = with_calls(&text(&pools));
@@ -212,7 +213,7 @@
 /// Guards requests that a pool holds when it is removed: each has one answer, and its servers get nothing new once the
 /// drain is over.
 #[test]
-fn a_pool_is_removed_while_requests_are_held_for_it() {
+fn a_removed_pool_answers_its_queued_requests() {
     let gate = Arc::new(AtomicBool::new(false));
     let (one, two) = (gated(&gate, "one"), plain("two"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
@@ -242,7 +243,7 @@
 /// Guards a class that becomes unsafe, or ordered, while its requests are out: those end by the rules that they were
 /// admitted under, and new ones go by the new rules.
 #[test]
-fn a_class_becomes_unsafe_or_ordered_while_its_requests_are_out() {
+fn requests_in_flight_keep_the_class_rules_they_were_admitted_under() {
     for rule in ["repeats unsafe", "repeats safe; order key"] {
         let gate = Arc::new(AtomicBool::new(false));
         let cut = |gate: &Arc<AtomicBool>| {
@@ -291,7 +292,7 @@
 /// Guards a backend that moves to another pool under its name, or to another zone: its open requests are answered, and
 /// new ones reach it by its new pool alone.
 #[test]
-fn a_backend_moves_to_another_pool_or_zone_under_its_name() {
+fn a_backend_that_changes_pool_or_zone_answers_its_open_requests() {
     let gate = Arc::new(AtomicBool::new(false));
     let moving = gated(&gate, "moving");
     let (one, two) = (plain("one"), plain("two"));
@@ -333,7 +334,7 @@
 
 /// Guards a change that can't be used half way: of all that it names nothing stays, and the revision is the old one.
 #[test]
-fn a_change_that_cannot_be_used_leaves_nothing_behind() {
+fn a_rejected_change_leaves_the_old_revision_in_force() {
     let (one, two, other) = (plain("one"), plain("two"), plain("other"));
     let pools =
         |second: &Backend| pool("one", &[("a", one.address)]) + &pool("two", &[("b", second.address)]);
@@ -383,7 +384,7 @@
 /// Guards signals that come while a file is read: they count as one further reading, and the last file is in force in
 /// the end, as a node has it that never had another.
 #[test]
-fn changes_that_come_while_one_is_read_are_read_once_more() {
+fn signals_during_a_reload_cause_one_more_reload() {
     let (one, two) = (plain("one"), plain("two"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
     let (base, calls) = with_calls(&(text(&pools) + &many_routes(3_000)));
@@ -416,7 +417,7 @@
 /// Guards SIGTERM while a file is read: what was taken is answered, the process ends with 0, and nothing of the file is
 /// applied after that.
 #[test]
-fn sigterm_while_a_change_is_prepared() {
+fn sigterm_during_a_reload_drains_and_applies_nothing() {
     let gate = Arc::new(AtomicBool::new(false));
     let servers = [gated(&gate, "one"), gated(&gate, "one")];
     let two = plain("two");
@@ -446,7 +447,7 @@
 /// Guards a node under load whose file changes all the time in a pool that the load does not go to: not one request is
 /// refused or lost.
 #[test]
-fn a_signal_after_the_other_under_load_disturbs_no_other_pool() {
+fn repeated_reloads_under_load_disturb_no_other_pool() {
     let servers: Vec<_> = (0..4).map(|_| plain("one")).collect();
     let (two, three) = (plain("two"), plain("three"));
     let names = ["a", "b", "c", "d"];
--- a/crates/node/tests/restart_ready.rs
+++ b/crates/node/tests/restart_ready.rs
@@ -153,7 +153,7 @@
 
 /// Guards starts with discovery up and down, and nothing listening there.
 #[test]
-fn it_is_ready_with_discovery_up_and_down() {
+fn a_restart_is_ready_in_time_with_discovery_up_or_down() {
     for mode in ["subscribe", "automatic"] {
         for state in [State::Up, State::Refused] {
             restarts(state, mode, "-TERM");
@@ -164,7 +164,7 @@
 
 /// Guards starts with a discovery that takes calls and says nothing, or says something late.
 #[test]
-fn it_is_ready_with_discovery_silent_and_slow() {
+fn a_restart_is_ready_in_time_with_discovery_silent_or_slow() {
     restarts(State::Silent, "subscribe", "-TERM");
     restarts(State::Silent, "automatic", "-TERM");
     restarts(State::Slow, "subscribe", "-KILL");
@@ -172,6 +172,6 @@
 
 /// Guards starts behind hundreds of others at a discovery that works calls through in turn.
 #[test]
-fn it_is_ready_with_hundreds_of_others_calling() {
+fn a_restart_is_ready_in_time_behind_hundreds_of_discovery_clients() {
     restarts(State::Crowded, "subscribe", "-TERM");
 }
--- a/crates/node/tests/standalone.rs
+++ b/crates/node/tests/standalone.rs
@@ -94,7 +94,7 @@
 
 /// Guards that what can be read in two ways, or has no route, reaches no server.
 #[test]
-fn doubtful_and_unrouted_requests_reach_no_server() {
+fn ambiguous_and_unrouted_requests_reach_no_backend() {
     let server = Backend::start(|_| ok("x"));
     let node = Standalone::start(&text(&[&server], &[&server_elsewhere()], ""), 1);
     let cases = [
@@ -138,7 +138,7 @@
 
 /// Guards HEAD, 204 and 304, whose answers have no body whatever their fields say.
 #[test]
-fn answers_without_bodies_pass_as_they_are() {
+fn responses_without_bodies_pass_unchanged() {
     let server = Backend::start(|request| {
         let text = match request.first.split(' ').nth(1) {
             Some("/boards/head") => "HTTP/1.1 200 OK\r\nContent-Length: 7000\r\nETag: \"1\"\r\n\r\n",
@@ -166,7 +166,7 @@
 
 /// Guards that a body is asked for only where the request has a route.
 #[test]
-fn expectations_are_met_or_ended() {
+fn expect_continue_is_answered_only_for_routed_requests() {
     let server = Backend::start(|request| ok(&String::from_utf8_lossy(&request.body)));
     let node = Standalone::start(&text(&[&server], &[&server_elsewhere()], ""), 1);
     let head = |path: &str| {
@@ -189,7 +189,7 @@
 /// Guards rule 2: an unsafe request that may have run is not sent again; a server's own words on it are passed on.
 /// A safe one is tried again, and what never ran may always be.
 #[test]
-fn repeats_follow_the_class() {
+fn retries_follow_the_idempotency_of_the_class() {
     let fail = |request: &Message| match request.first.split(' ').nth(1) {
         Some("/boards/error" | "/runs/error") => Act::Write(answer("500 Oops", "X-Why: disk\r\n", "broken")),
         Some("/boards/cut" | "/runs/cut") => {
@@ -230,7 +230,7 @@
 
 /// Guards the silent server of an unsafe request: one attempt, and an answer when its time is up.
 #[test]
-fn a_silent_server_gets_an_unsafe_request_once() {
+fn a_silent_backend_gets_a_non_idempotent_request_once() {
     let (one, other) = (Backend::start(|_| Act::Hang), Backend::start(|_| Act::Hang));
     let short = text(&[&one, &other], &[&server_elsewhere()], "")
         .replace("deadline 20s; worth", "deadline 900ms; worth");
@@ -273,7 +273,7 @@
 
 /// Guards rule 3: what is gone from the file gets nothing new, as one server or as a pool, and ends what it has.
 #[test]
-fn servers_and_pools_that_are_gone_drain() {
+fn removed_backends_and_pools_drain() {
     let gate = Arc::new(AtomicBool::new(false));
     let server = || gated(&gate, "served");
     let (stays, leaves, pool) = (server(), server(), server());
@@ -309,7 +309,7 @@
 /// Guards listeners: a new one serves, one that is gone answers what it has, and an address that is taken keeps the
 /// whole old configuration.
 #[test]
-fn listeners_come_and_go() {
+fn added_listeners_serve_and_removed_ones_drain() {
     let gate = Arc::new(AtomicBool::new(false));
     let server = [gated(&gate, "served"), gated(&gate, "served")];
     let other = server_elsewhere();
@@ -339,7 +339,7 @@
 
 /// Guards a storm of signals under load: no answer is lost, and the node still reads its file.
 #[test]
-fn a_storm_of_signals_loses_nothing() {
+fn repeated_reload_signals_under_load_lose_no_answer() {
     let server = Backend::start(|_| ok("served"));
     let other = server_elsewhere();
     let before = text(&[&server], &[&other], "");
@@ -362,10 +362,10 @@
     assert_eq!(ask(&node, &get("/boards/x", "")).status(), 200);
 }
 
-/// Guards rule 4 where nobody tells of restarts: a server that refused connections and takes them again is cold, and
-/// gets little at first though the load would fill it.
+/// Guards rule 4 without a list of restarts: a backend that refused connections and accepts them again slow-starts, and
+/// gets few requests at first though the load would fill it.
 #[test]
-fn a_server_that_comes_back_is_cold() {
+fn a_restarted_backend_slow_starts() {
     let gauges = [Gauge::default(), Gauge::default()];
     let slow = |_| Duration::from_millis(20);
     let serve = |gauge: Gauge| move |_: &Message| gauge.serve(slow, |_| ok("served"));
@@ -395,7 +395,7 @@
 
 /// Guards the orderly end: what was taken is answered, and the process ends with 0.
 #[test]
-fn sigterm_answers_what_was_taken_on_all_listeners() {
+fn sigterm_drains_all_listeners() {
     let gate = Arc::new(AtomicBool::new(false));
     let server = [gated(&gate, "served"), gated(&gate, "served")];
     let other = server_elsewhere();
@@ -419,7 +419,7 @@
 
 /// Guards tenants and keys that headers name.
 #[test]
-fn tenants_and_keys_come_from_headers() {
+fn tenants_and_idempotency_keys_come_from_headers() {
     let seen = Arc::new(AtomicUsize::new(0));
     let count = seen.clone();
     let server = Backend::start(move |_| {
--- a/crates/node/tests/tenants.rs
+++ b/crates/node/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants that come, go and change by SIGHUP, on loopback sockets: no pool begins anew, no request is refused or lost.
+//! Tenants that come, go and change by SIGHUP, on loopback sockets: every pool keeps its loop, no request is refused or lost.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -49,9 +49,9 @@
     client.read().expect("an answer").status()
 }
 
-/// Guards that no change of tenants has a pool begin anew: its loop, which has what it has learned, keeps its one connection.
+/// Guards that a pool keeps its loop when tenants change: the loop, which holds the learned state, keeps its one connection.
 #[test]
-fn a_pool_keeps_its_loop_whatever_becomes_of_tenants() {
+fn tenant_changes_keep_the_pool_loop() {
     let servers = [Backend::start(|_| ok("done"))];
     let node = Standalone::start(&text(&servers, &[("acme", 100)]), 1);
     let changes: [&[(&str, u32)]; 6] = [
@@ -77,7 +77,7 @@
 /// Guards that tenants are added, changed, removed, and removed and added again with their requests out, while a pool is
 /// under load: no request is refused or lost, and each unsafe one runs once.
 #[test]
-fn tenants_change_under_load_and_nothing_is_lost() {
+fn tenant_changes_under_load_lose_no_request() {
     let (gate, runs) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let (open, count) = (gate.clone(), runs.clone());
     let start = |_| {
@@ -135,7 +135,7 @@
     assert_eq!(runs.load(Ordering::SeqCst), waiting.len(), "each unsafe request ran once");
 }
 
-/// The recording of whoever takes calls there.
+/// The recording of the node.
 fn recording(node: &Standalone) -> Dump {
     wait_for("calls", || node.said("takes admin commands on") == 1);
     let calls = {
@@ -155,9 +155,9 @@
 }
 
 /// Guards that a tenant which has used up its allowance gains nothing by being removed and added again: it goes on with what
-/// it had left, and its requests are told under its name.
+/// it had left, and its requests are recorded under its name.
 #[test]
-fn a_tenant_that_is_removed_and_back_has_what_it_had_left() {
+fn a_tenant_removed_and_added_again_keeps_its_used_quota() {
     /// What the tenant below earns: 12 a minute over all nodes.
     const RATE: f64 = 0.2;
     /// What it has at first: ten seconds of that.
@@ -188,9 +188,9 @@
 }
 
 /// Guards that a tenant that came by a reload goes on with what it had left when others come before it in the file, and is
-/// told under its name: its id is not its place.
+/// recorded under its name: its id is not its index.
 #[test]
-fn a_tenant_keeps_what_it_had_left_whatever_stands_before_it() {
+fn a_tenant_keeps_its_used_quota_when_others_come_before_it() {
     /// What the tenant below earns: 12 a minute over all nodes.
     const RATE: f64 = 0.2;
     /// What it has at first: ten seconds of that.
--- a/crates/node/tests/unit/log.rs
+++ b/crates/node/tests/unit/log.rs
@@ -3,7 +3,7 @@
 use crate::log::sink::MAX_QUEUED_LINES;
 
 #[test]
-fn filters_are_levels_of_rooms() {
+fn filters_are_levels_of_targets() {
     for good in ["info", "off", "warn,discovery=debug", "front=trace,ERROR"] {
         assert!(parse_filter(good).is_ok(), "{good}");
     }
@@ -15,7 +15,7 @@
 
 /// Guards the loop: where whoever reads has stopped, lines are dropped and counted, and nobody waits.
 #[test]
-fn a_reader_that_stops_costs_lines_alone() {
+fn a_stopped_reader_costs_only_lines() {
     struct Stuck(std::sync::mpsc::Receiver<()>);
     impl io::Write for Stuck {
         fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn times_are_those_of_the_calendar() {
+fn times_are_rfc_3339() {
     assert_eq!(utc(0), "1970-01-01T00:00:00.000Z");
     assert_eq!(utc(951_782_399_999), "2000-02-28T23:59:59.999Z");
     assert_eq!(utc(951_782_400_000), "2000-02-29T00:00:00.000Z");
@@ -76,7 +76,7 @@
 
 /// Guards the end of the process: what waits is written when the guard is dropped, and waits for the reader a moment.
 #[test]
-fn what_waits_is_written_at_the_end() {
+fn queued_lines_are_flushed_on_drop() {
     /// Takes lines only from a writer that is ready to wait.
     struct Late(Arc<Mutex<String>>);
     impl output::Output for Late {
--- a/crates/node/tests/unit/loop_sink.rs
+++ b/crates/node/tests/unit/loop_sink.rs
@@ -44,7 +44,7 @@
 /// Guards the loop against a reader that stops: nobody waits, as many lines wait as may, and each one beyond is counted.
 /// Once the reader goes on it gets whole lines in their order.
 #[test]
-fn a_reader_that_stops_costs_lines_and_no_time() {
+fn a_stopped_reader_costs_lines_but_no_time() {
     const LINES: usize = 10 * MAX_QUEUED_LINES;
     let (sink, mut reader) = small_pipe();
     // It would not come to its end if one write waited.
@@ -70,7 +70,7 @@
 
 /// Guards a flush against a reader that never comes back: it ends.
 #[test]
-fn a_flush_does_not_wait_for_ever() {
+fn a_flush_ends_at_its_limit() {
     let (sink, _reader) = small_pipe();
     (0..MAX_QUEUED_LINES).for_each(|number| sink.write(&numbered(number)));
     sink.flush(Duration::from_millis(20));
@@ -88,7 +88,7 @@
 
 /// Guards the rest of a line whose write was cut short, which a socket may do.
 #[test]
-fn a_line_that_was_cut_short_is_finished_first() {
+fn a_partially_written_line_is_finished_first() {
     /// Takes three bytes at a time, every other time nothing, into what is shared.
     struct Grudging(Arc<Mutex<Vec<u8>>>, bool);
     impl Output for Grudging {
@@ -116,7 +116,7 @@
 
 /// Guards the loop against a slow disk: however many lines there are, writing takes a small share of the time.
 #[test]
-fn a_slow_disk_gets_a_share_of_the_time() {
+fn a_slow_disk_takes_a_bounded_share_of_time() {
     const WRITE: Duration = Duration::from_millis(5);
     struct Slow(Arc<AtomicUsize>);
     impl Output for Slow {
@@ -149,7 +149,7 @@
 /// Guards what is written by the loop: a line that could not be written at its time is, without another event, once the
 /// reader goes on.
 #[test]
-fn the_loop_writes_what_waits() {
+fn the_event_loop_writes_queued_lines() {
     let (sink, reader) = small_pipe();
     (0..200).for_each(|number| sink.write(&numbered(number)));
     assert!(!sink.queue().lines.is_empty());
@@ -179,7 +179,7 @@
 
 /// Guards the last words of a process that panics while lines wait: they and the panic's message are written, in order.
 #[test]
-fn the_lines_before_a_panic_are_written() {
+fn lines_before_a_panic_are_written() {
     if env::var_os(CHILD).is_some() {
         panic_with_lines_waiting();
     }
