--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -8,7 +8,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use pumicehead_config::diff::{Shown, What, diff};
+use pumicehead_config::diff::{ChangeKind, DisplayChange, diff};
 use pumicehead_config::disk::Disk;
 use pumicehead_config::explain::{Request, explain};
 use pumicehead_config::format::format;
@@ -70,7 +70,7 @@
     /// Shows the fleet as a running node sees it.
     Fleet {
         #[command(subcommand)]
-        question: fleet_cli::Question,
+        question: fleet_cli::FleetCommand,
     },
     /// Checks configurations.
     Check {
@@ -122,7 +122,7 @@
         Command::Run { file, record } => serve(file, record),
         Command::Trace { address, out } => recording_cli::fetch(address, &out).map(|()| ExitCode::SUCCESS),
         Command::Why(arguments) => arguments.run().map(|()| ExitCode::SUCCESS),
-        Command::Fleet { question } => fleet_cli::tell(&question).map(|()| ExitCode::SUCCESS),
+        Command::Fleet { question } => fleet_cli::run(&question).map(|()| ExitCode::SUCCESS),
         Command::Export { file, form } => recording_cli::export(&file, form).map(|()| ExitCode::SUCCESS),
         Command::Check { files, format, deny_warnings } => Ok(check_all(&files, format, deny_warnings)),
         Command::Fmt { files, check } => format_all(&files, check),
@@ -235,8 +235,8 @@
     };
     let changes = diff(&old.config, &new.config);
     for change in &changes {
-        let sources = if change.what == What::Removed { &old.sources } else { &new.sources };
-        print(&format!("{}\n", Shown { change, sources }));
+        let sources = if change.kind == ChangeKind::Removed { &old.sources } else { &new.sources };
+        print(&format!("{}\n", DisplayChange { change, sources }));
     }
     if changes.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_DIFFERENCE) }
 }
--- a/crates/node/src/net/admin_overrides.rs
+++ b/crates/node/src/net/admin_overrides.rs
@@ -1,15 +1,15 @@
-//! Servers taken out by hand: the book that loops go by, and which names it may be about.
+//! Endpoints that operators have disabled or enabled by hand.
 
 use std::cell::RefCell;
 
 use pumicehead_admin::disabled_backends::DisabledBackends;
 use pumicehead_admin::known_backends::KnownBackends;
 
-/// Shared by whoever is called and the loops.
+/// Shared by the admin listener and the pool loops.
 #[derive(Default)]
 pub struct AdminOverrides {
-    /// Who is out.
+    /// The overrides, by name of the endpoint.
     pub disabled: RefCell<DisabledBackends>,
-    /// Who was ever listed.
+    /// All names that were ever listed.
     pub known: RefCell<KnownBackends>,
 }
--- a/crates/node/src/platform/admin.rs
+++ b/crates/node/src/platform/admin.rs
@@ -16,9 +16,10 @@
 use super::warm_state_handover::{HandoverError, HandoverFile, HandoverRecord};
 use crate::admin_listener::CommandHandler;
 use crate::introspection::Introspection;
+use crate::net::active_requests::ActiveRequestIds;
 use crate::net::admin_overrides::AdminOverrides;
 use crate::net::downstream::DownstreamListener;
-use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
+use crate::net::pool_handle::PoolHandle;
 
 /// Longest wait of a command for another one that changes the state file.
 const UPDATE_TURN_TIMEOUT: Duration = Duration::from_millis(800);
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -3,7 +3,7 @@
 use std::io::{IsTerminal, Write};
 
 use clap::ValueEnum;
-use pumicehead_config::diag::{self, MOST_SHOWN};
+use pumicehead_config::diagnostic::{self, MAX_SHOWN};
 use pumicehead_config::{Diagnostic, Sources};
 
 /// Format of diagnostics.
@@ -15,23 +15,23 @@
     Json,
 }
 
-/// Writes diagnostics; as text, at most [`MOST_SHOWN`] of them.
+/// Writes diagnostics; as text, at most [`MAX_SHOWN`] of them.
 pub fn report(sources: &Sources, diagnostics: &[Diagnostic], format: Format) {
     match format {
         Format::Json => {
             for diagnostic in diagnostics {
-                if let Ok(line) = serde_json::to_string(&diag::json(sources, diagnostic)) {
+                if let Ok(line) = serde_json::to_string(&diagnostic::json(sources, diagnostic)) {
                     print(&(line + "\n"));
                 }
             }
         }
         Format::Text => {
             let is_styled = std::io::stderr().is_terminal();
-            for diagnostic in diagnostics.iter().take(MOST_SHOWN) {
-                error(&format!("{}\n", diag::render(sources, diagnostic, is_styled)));
+            for diagnostic in diagnostics.iter().take(MAX_SHOWN) {
+                error(&format!("{}\n", diagnostic::render(sources, diagnostic, is_styled)));
             }
-            if diagnostics.len() > MOST_SHOWN {
-                error(&format!("and {} more", diagnostics.len() - MOST_SHOWN));
+            if diagnostics.len() > MAX_SHOWN {
+                error(&format!("and {} more", diagnostics.len() - MAX_SHOWN));
             }
         }
     }
--- a/crates/node/src/standalone/admin.rs
+++ b/crates/node/src/standalone/admin.rs
@@ -48,7 +48,7 @@
     fn set_lame_duck(&self, is_lame_duck: bool) -> String {
         self.runtime.set_lame_duck(is_lame_duck);
         if let Some(fleet) = &self.fleet {
-            fleet.set_lame(is_lame_duck);
+            fleet.set_lame_duck(is_lame_duck);
         }
         ok_reply("")
     }
--- a/crates/node/src/standalone/affected_pools.rs
+++ b/crates/node/src/standalone/affected_pools.rs
@@ -24,13 +24,13 @@
                 Change::Set(resource) => resource.id(),
                 Change::Remove(id) => id.clone(),
                 // The order of routes concerns the route matcher alone.
-                Change::Place { .. } => continue,
+                Change::MoveRoute { .. } => continue,
             };
             match id {
                 // The settings of every pool have the zones, the tenants and some limits.
                 ResourceId::Node | ResourceId::Tenant(_) => return Self::All,
                 ResourceId::Listener(_) => {}
-                ResourceId::Pool(name) | ResourceId::Backend { pool: name, .. } => drop(pools.insert(name)),
+                ResourceId::Pool(name) | ResourceId::Endpoint { pool: name, .. } => drop(pools.insert(name)),
                 ResourceId::Class(name) => drop(classes.insert(name)),
                 // The classes of a pool are those of its routes.
                 id @ ResourceId::Route(_) => {
--- a/crates/node/src/standalone/config_diff.rs
+++ b/crates/node/src/standalone/config_diff.rs
@@ -1,10 +1,10 @@
 //! How a loaded configuration differs from the one in force.
 
 use pumicehead_config::Span;
-use pumicehead_config::diff::{Change, What, diff_by};
-use pumicehead_config::kept::KeptConfig;
+use pumicehead_config::compact_config::CompactConfig;
+use pumicehead_config::diff::{Change, ChangeKind, diff_with_delta};
 use pumicehead_config::model::Config;
-use pumicehead_resources::{Digest, Fault, Snapshot};
+use pumicehead_resources::{Digest, Snapshot, ValidationError};
 
 use super::affected_pools::AffectedPools;
 
@@ -27,7 +27,7 @@
     ///
     /// # Errors
     /// A rule of the resource tables that the configuration breaks.
-    pub fn first(config: &Config) -> Result<Self, Fault> {
+    pub fn first(config: &Config) -> Result<Self, ValidationError> {
         Ok(Self {
             digest: config.snapshot()?.digest(),
             is_empty: false,
@@ -41,14 +41,14 @@
     ///
     /// # Errors
     /// A rule of the resource tables that a configuration breaks.
-    pub fn between(current: &KeptConfig, config: &Config) -> Result<Self, Fault> {
+    pub fn between(current: &CompactConfig, config: &Config) -> Result<Self, ValidationError> {
         let former = current.restore();
         let (old, new) = (former.snapshot()?, config.snapshot()?);
         let delta = old.difference(&new);
-        let mut changes = diff_by(&former, config, &delta);
+        let mut changes = diff_with_delta(&former, config, &delta);
         // The source texts of removed resources are gone: their spans point nowhere.
-        for removed in changes.iter_mut().filter(|change| change.what == What::Removed) {
-            removed.place = Span::default();
+        for removed in changes.iter_mut().filter(|change| change.kind == ChangeKind::Removed) {
+            removed.span = Span::default();
         }
         Ok(Self {
             digest: new.digest(),
@@ -64,17 +64,18 @@
 fn restart_required(old: &Snapshot, new: &Snapshot) -> Vec<&'static str> {
     let (old, new) = (old.node(), new.node());
     let (limits, new_limits) = (&old.limits, &new.limits);
-    let (observe, new_observe) = (&old.observe, &new.observe);
+    let (observe, new_observe) = (&old.observability, &new.observability);
     let mut settings = Vec::new();
-    if (limits.memory, limits.descriptors) != (new_limits.memory, new_limits.descriptors) {
+    if (limits.memory_bytes, limits.max_descriptors) != (new_limits.memory_bytes, new_limits.max_descriptors)
+    {
         settings.push("`memory` and `descriptors`");
     }
-    if (observe.calls, observe.recorder, &observe.recordings)
-        != (new_observe.calls, new_observe.recorder, &new_observe.recordings)
+    if (observe.admin_address, observe.recorder_bytes, &observe.recording_directory)
+        != (new_observe.admin_address, new_observe.recorder_bytes, &new_observe.recording_directory)
     {
         settings.push("`calls`, `recorder` and `recordings`");
     }
-    if old.fleet != new.fleet {
+    if old.cluster != new.cluster {
         settings.push("`fleet`");
     }
     settings
--- a/crates/node/src/standalone/config_loader.rs
+++ b/crates/node/src/standalone/config_loader.rs
@@ -10,7 +10,7 @@
 
 use pumicehead_config::disk::Disk;
 use pumicehead_config::{Checked, Config, check};
-use pumicehead_resources::Fault;
+use pumicehead_resources::ValidationError;
 use thiserror::Error;
 
 use super::config_diff::ConfigDiff;
@@ -31,7 +31,7 @@
 struct LoadResult {
     checked: Checked,
     /// `None` where the file has mistakes.
-    diff: Option<Result<ConfigDiff, Fault>>,
+    diff: Option<Result<ConfigDiff, ValidationError>>,
 }
 
 /// A checked configuration that its loader thread owns. What a node keeps of it must be copied.
@@ -60,7 +60,7 @@
 
     fn load(
         path: PathBuf,
-        compare: impl FnOnce(&Config) -> Result<ConfigDiff, Fault> + Send + 'static,
+        compare: impl FnOnce(&Config) -> Result<ConfigDiff, ValidationError> + Send + 'static,
     ) -> Result<Self, LoadError> {
         // Bounded channels allocate their slots here, so that this thread frees nothing that the other one allocated.
         let (result_sender, result_receiver) = mpsc::sync_channel(1);
@@ -85,7 +85,7 @@
     }
 
     /// The difference from the configuration in force; `None` where the file has mistakes.
-    pub fn diff(&self) -> Option<Result<&ConfigDiff, &Fault>> {
+    pub fn diff(&self) -> Option<Result<&ConfigDiff, &ValidationError>> {
         self.result.diff.as_ref().map(Result::as_ref)
     }
 }
--- a/crates/node/src/standalone/config_revision.rs
+++ b/crates/node/src/standalone/config_revision.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use pumicehead_config::kept::KeptConfig;
+use pumicehead_config::compact_config::CompactConfig;
 use pumicehead_config::model::Config;
 use pumicehead_policy::Nanos;
 use pumicehead_policy::tenant_ids::TenantIds;
@@ -20,7 +20,7 @@
     /// Digest of the whole state.
     pub digest: Digest,
     /// The settings.
-    pub config: KeptConfig,
+    pub config: CompactConfig,
     /// Identities of the pools, in the order of the configuration.
     pub pool_identities: Vec<Arc<PoolIdentity>>,
     /// The routes and what requests need of them.
@@ -52,7 +52,7 @@
     ) -> Self {
         let classes: Vec<_> = pool_identities.iter().map(|identity| identity.classes.as_slice()).collect();
         let table = Arc::new(RequestTable::new(revision, config, &classes, &tenants));
-        let config = KeptConfig::new(config, table.routes().clone());
+        let config = CompactConfig::new(config, table.routes().clone());
         Self { revision, digest, config, pool_identities, table, tenants }
     }
 
--- a/crates/node/src/standalone/pool_endpoints.rs
+++ b/crates/node/src/standalone/configured_endpoints.rs
@@ -2,27 +2,27 @@
 
 use std::net::SocketAddr;
 
-use pumicehead_config::model::{Config, Members};
+use pumicehead_config::model::{Config, PoolEndpoints};
 
 use crate::net::discovery::{EndpointList, ListedEndpoint, ListedState};
 use crate::net::pool_loop::EndpointSource;
 
 /// Where a pool's endpoints come from.
 #[derive(Clone, Debug, PartialEq)]
-pub enum PoolEndpoints {
+pub enum ConfiguredEndpoints {
     /// The configuration lists them.
     Static(EndpointList),
     /// Discovery at this address lists them.
     Discovery(SocketAddr),
 }
 
-impl PoolEndpoints {
+impl ConfiguredEndpoints {
     /// Endpoints of the pool at this index of a configuration.
     #[must_use]
     pub fn new(config: &Config, pool_index: usize) -> Self {
-        let servers = match &config.pools[pool_index].members {
-            Members::Discovery { address, .. } => return Self::Discovery(*address),
-            Members::Static(servers) => servers,
+        let servers = match &config.pools[pool_index].endpoints {
+            PoolEndpoints::Discovered { address, .. } => return Self::Discovery(*address),
+            PoolEndpoints::Static(servers) => servers,
         };
         let endpoints = servers.iter().map(|server| ListedEndpoint {
             name: server.name.clone(),
--- a/crates/node/src/standalone/error.rs
+++ b/crates/node/src/standalone/error.rs
@@ -18,7 +18,7 @@
     },
     /// The configuration breaks a rule of the resource tables.
     #[error(transparent)]
-    InvalidResources(#[from] pumicehead_resources::Fault),
+    InvalidResources(#[from] pumicehead_resources::ValidationError),
     /// The decision module can't use the settings of a pool.
     #[error("pool {pool}: {source}")]
     InvalidSettings {
--- a/crates/node/src/standalone/listeners.rs
+++ b/crates/node/src/standalone/listeners.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicehead_config::model::{Config, Limits, Protocol};
+use pumicehead_config::model::{Config, Protocol};
 use pumicehead_policy::{Nanos, SECOND};
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
@@ -72,16 +72,17 @@
 
 /// Options that all listeners of a configuration share.
 pub fn options(config: &Config) -> ListenerOptions {
-    let Limits { request_time, idle, request_body, held, .. } = config.limits;
-    let longest_deadline = config.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+    let limits = &config.limits;
+    let longest_deadline =
+        config.classes.iter().map(|class| class.settings.deadline).max().unwrap_or_default();
     ListenerOptions {
-        request_timeout: Duration::from_nanos(request_time),
-        idle_timeout: Duration::from_nanos(idle),
-        max_buffered_body: request_body as usize,
+        request_timeout: Duration::from_nanos(limits.request_timeout),
+        idle_timeout: Duration::from_nanos(limits.idle_timeout),
+        max_buffered_body: limits.max_request_body_bytes as usize,
         max_streamed_body: None,
-        max_active_requests: held,
+        max_active_requests: limits.max_active_requests,
         // A request may arrive as slowly as it may, and then wait for its deadline.
-        max_request_deadline: Duration::from_nanos(longest_deadline.saturating_add(request_time)),
+        max_request_deadline: Duration::from_nanos(longest_deadline.saturating_add(limits.request_timeout)),
         serves_health_check: false,
         retry_after: Some(RETRY_AFTER),
     }
--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -5,9 +5,9 @@
 mod config_diff;
 mod config_loader;
 mod config_revision;
+mod configured_endpoints;
 mod error;
 mod listeners;
-mod pool_endpoints;
 mod pool_factory;
 mod pool_identity;
 mod reload;
@@ -23,7 +23,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicehead_config::model::{Config, Observe};
+use pumicehead_config::model::{Config, Observability};
 use pumicehead_flight_recorder::recorder::Level;
 use pumicehead_policy::NodeShare;
 use tokio::net::TcpListener;
@@ -79,11 +79,11 @@
     let mut hangup = signal(SignalKind::hangup())?;
     let config = loaded.checked().config.as_ref().ok_or(StartError::InvalidConfig)?;
     let traffic_recorder = record.as_deref().map(start_traffic_recorder).transpose()?;
-    configure_log(&log, &config.observe);
+    configure_log(&log, &config.observability);
     let seed = random_seed();
     let introspection = start_introspection(config, seed, log)?;
-    let admin_socket = config.observe.calls.map(listen_for_admin).transpose()?;
-    let fleet = match &config.fleet {
+    let admin_socket = config.observability.admin_address.map(listen_for_admin).transpose()?;
+    let fleet = match &config.cluster {
         Some(block) => Some(Fleet::start(block, &config.node, &introspection, seed).await?),
         None => None,
     };
@@ -117,13 +117,13 @@
 }
 
 fn start_introspection(config: &Config, seed: u64, log: Log) -> Result<Rc<Introspection>, Box<dyn Error>> {
-    let observe = &config.observe;
-    let destination = if observe.recordings.as_os_str().is_empty() {
+    let observe = &config.observability;
+    let destination = if observe.recording_directory.as_os_str().is_empty() {
         RecordingDestination::None
     } else {
-        RecordingDestination::BlockingThread(observe.recordings.clone())
+        RecordingDestination::BlockingThread(observe.recording_directory.clone())
     };
-    let memory = observe.recorder as usize;
+    let memory = observe.recorder_bytes as usize;
     let introspection = Introspection::new(&config.node.name, Clock::start(), memory, seed, log, destination);
     if memory == 0 {
         introspection.set_recording_level(Level::Off);
@@ -142,9 +142,9 @@
 }
 
 /// Sets format and filter of the log by a configuration.
-fn configure_log(log: &Log, observe: &Observe) {
-    log.set_format(if observe.json { LogFormat::Json } else { LogFormat::Text });
-    if let Err(error) = log.set_filter(&observe.log) {
+fn configure_log(log: &Log, observe: &Observability) {
+    log.set_format(if observe.log_json { LogFormat::Json } else { LogFormat::Text });
+    if let Err(error) = log.set_filter(&observe.log_filter) {
         warn!(target: "settings", %error, "log filter not changed");
     }
 }
--- a/crates/node/src/standalone/pool_factory.rs
+++ b/crates/node/src/standalone/pool_factory.rs
@@ -8,11 +8,12 @@
 use tokio::task;
 
 use super::config_revision::ConfigRevision;
-use super::pool_endpoints::PoolEndpoints;
+use super::configured_endpoints::ConfiguredEndpoints;
 use super::pool_identity::ConnectionSettings;
 use crate::introspection::Introspection;
+use crate::net::active_requests::ActiveRequestIds;
 use crate::net::memory_budget::MemoryBudget;
-use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
+use crate::net::pool_handle::PoolHandle;
 use crate::net::pool_loop::{PoolConfig, PoolLoop};
 use crate::net::upstream::connection_registry::ConnectionRegistry;
 use crate::net::upstream::fastcgi::transport::{FastCgiSettings, FastCgiTransport};
@@ -41,7 +42,7 @@
         &self,
         revision: &ConfigRevision,
         pool_index: usize,
-        endpoints: PoolEndpoints,
+        endpoints: ConfiguredEndpoints,
     ) -> PoolHandle {
         let name = &revision.config.settings().pools[pool_index].name;
         let identity = &revision.pool_identities[pool_index];
--- a/crates/node/src/standalone/pool_identity.rs
+++ b/crates/node/src/standalone/pool_identity.rs
@@ -1,6 +1,6 @@
 //! Identity of a pool: what its learned state depends on, and when it can take a new configuration in place.
 
-use pumicehead_config::model::{Config, Members, Protocol};
+use pumicehead_config::model::{Config, PoolEndpoints, Protocol};
 use pumicehead_policy::tenant_shares::TenantShares;
 use pumicehead_policy::{Nanos, Settings};
 
@@ -63,13 +63,13 @@
             classes: classes.map(|class| config.classes[class].name.clone()).collect(),
             connection: ConnectionSettings {
                 zones: config.node.zones.clone(),
-                has_static_endpoints: matches!(pool.members, Members::Static(_)),
-                connect_timeout: pool.connect_timeout,
-                idle_timeout: pool.idle,
-                max_response_body: config.limits.answer_body,
-                protocol: pool.protocol,
-                script: pool.script.clone(),
-                root: pool.root.clone(),
+                has_static_endpoints: matches!(pool.endpoints, PoolEndpoints::Static(_)),
+                connect_timeout: pool.settings.connect_timeout,
+                idle_timeout: pool.settings.idle_timeout,
+                max_response_body: config.limits.max_response_body_bytes,
+                protocol: pool.settings.protocol,
+                script: pool.settings.script_name.clone(),
+                root: pool.settings.document_root.clone(),
             },
         })
     }
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pumicehead_config::diff::Shown;
+use pumicehead_config::diff::DisplayChange;
 use pumicehead_policy::Nanos;
 use thiserror::Error;
 use tokio::task;
@@ -102,7 +102,7 @@
     let Some(Ok(ConfigDiff { changes, .. })) = prepared.loaded.diff() else { return };
     let sources = &prepared.loaded.checked().sources;
     for change in changes {
-        info!(target: "settings", "reload: {}", Shown { change, sources });
+        info!(target: "settings", "reload: {}", DisplayChange { change, sources });
     }
     let ConfigRevision { revision, digest, .. } = &*prepared.transition.next;
     let (count, counts) = (changes.len(), prepared.transition.counts);
--- a/crates/node/src/standalone/request_table.rs
+++ b/crates/node/src/standalone/request_table.rs
@@ -6,7 +6,7 @@
 
 use hyper::Version;
 use hyper::header::{HeaderName, HeaderValue};
-use pumicehead_config::model::{Config, Protocol, Repeats};
+use pumicehead_config::model::{Config, Idempotency, Protocol};
 use pumicehead_config::route_table::RouteTable;
 use pumicehead_policy::TenantId;
 use pumicehead_policy::tenant_ids::{IdsByName, TenantIds};
@@ -50,17 +50,17 @@
     /// `pool_classes` are the names of the pool's classes, in the order of its settings.
     fn new(config: &Config, class: usize, pool: usize, pool_classes: &[String]) -> Self {
         let class = &config.classes[class];
-        let idempotency_key_header = match &class.repeats {
-            Repeats::Keyed { header, .. } => HeaderName::from_bytes(header.as_bytes()).ok(),
-            Repeats::Safe | Repeats::Unsafe => None,
+        let idempotency_key_header = match &class.settings.idempotency {
+            Idempotency::IdempotencyKey { header, .. } => HeaderName::from_bytes(header.as_bytes()).ok(),
+            Idempotency::Idempotent | Idempotency::NotIdempotent => None,
         };
         Self {
             pool,
             // The classes of a pool include those of all its routes.
             class: pool_classes.iter().position(|name| *name == class.name).unwrap_or_default(),
-            deadline: Duration::from_nanos(class.deadline),
+            deadline: Duration::from_nanos(class.settings.deadline),
             idempotency_key_header,
-            decodes_path: config.pools[pool].protocol == Protocol::FastCgi,
+            decodes_path: config.pools[pool].settings.protocol == Protocol::FastCgi,
         }
     }
 }
--- a/crates/node/src/standalone/route_admission.rs
+++ b/crates/node/src/standalone/route_admission.rs
@@ -8,7 +8,7 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, StatusCode, Uri, Version};
 use pumicehead_config::explain::key_of;
-use pumicehead_config::model::TenantOf;
+use pumicehead_config::model::TenantSource;
 use pumicehead_policy::TenantId;
 use pumicehead_route::{Found, Query, RequestPath, request_host};
 
@@ -150,9 +150,9 @@
 
 fn tenant(table: &RequestTable, route: usize, headers: &HeaderMap) -> Result<Option<TenantId>, RequestError> {
     match table.routes().tenant(route) {
-        TenantOf::None => Ok(None),
-        TenantOf::Fixed(index) => Ok(table.tenant(*index)),
-        TenantOf::Header(name) => {
+        TenantSource::None => Ok(None),
+        TenantSource::Fixed(index) => Ok(table.tenant(*index)),
+        TenantSource::Header(name) => {
             let invalid = || RequestError::InvalidHeader(name.clone().into());
             let field = HeaderName::from_bytes(name.as_bytes()).map_err(|_| invalid())?;
             let value = std::str::from_utf8(single_value(headers, &field)?).ok();
--- a/crates/node/src/standalone/runtime.rs
+++ b/crates/node/src/standalone/runtime.rs
@@ -12,9 +12,9 @@
 use tracing::{info, warn};
 
 use super::config_revision::ConfigRevision;
+use super::configured_endpoints::ConfiguredEndpoints;
 use super::error::ApplyError;
 use super::listeners::{self, BoundListener, RunningListener};
-use super::pool_endpoints::PoolEndpoints;
 use super::pool_factory::PoolFactory;
 use super::route_admission::{RouteAdmission, RoutingState};
 use super::traffic_recorder::TrafficRecorder;
@@ -23,10 +23,11 @@
 use crate::descriptor_budget::DescriptorBudget;
 use crate::fleet;
 use crate::introspection::Introspection;
+use crate::net::active_requests::ActiveRequestIds;
 use crate::net::downstream::connection_budget::ConnectionBudget;
 use crate::net::downstream::{DownstreamListener, DrainReason};
 use crate::net::memory_budget::MemoryBudget;
-use crate::net::pool_handle::{ActiveRequestIds, PoolHandle};
+use crate::net::pool_handle::PoolHandle;
 use crate::net::upstream::connection_registry::ConnectionRegistry;
 
 /// Streamed bodies may take this fraction of the memory; the rest is for connections and requests.
@@ -71,19 +72,20 @@
         let descriptors = descriptor_budget(config);
         let pool_factory = PoolFactory {
             connections: ConnectionRegistry::new(descriptors.upstream),
-            memory: MemoryBudget::new((config.limits.memory / STREAMED_BODY_MEMORY_DIVISOR) as usize),
+            memory: MemoryBudget::new((config.limits.memory_bytes / STREAMED_BODY_MEMORY_DIVISOR) as usize),
             active_requests: ActiveRequestIds::default(),
             introspection,
             seed,
         };
-        let start_pool = |index| pool_factory.start(&revision, index, PoolEndpoints::new(config, index));
+        let start_pool =
+            |index| pool_factory.start(&revision, index, ConfiguredEndpoints::new(config, index));
         let handles: Vec<_> = (0..config.pools.len()).map(start_pool).collect();
         let routing = RoutingState { table: revision.table.clone(), pools: handles.clone() };
         let names = config.pools.iter().map(|pool| pool.name.clone());
         let in_force = ConfigInForce { pools: names.zip(handles).collect(), listeners: Vec::new(), revision };
         let runtime = Rc::new(Self {
             admission: RouteAdmission::new(routing, seed, traffic_recorder),
-            connection_budget: ConnectionBudget::new(descriptors.downstream, config.limits.descriptors),
+            connection_budget: ConnectionBudget::new(descriptors.downstream, config.limits.max_descriptors),
             pool_factory,
             in_force: RefCell::new(in_force),
             node_share: Cell::new(None),
@@ -114,7 +116,7 @@
         for settings in &transition.restart_required {
             warn!(target: "settings", "reload: {settings} take effect at the next start");
         }
-        super::configure_log(self.introspection().log(), &config.observe);
+        super::configure_log(self.introspection().log(), &config.observability);
         if !Arc::ptr_eq(self.revision().tenants.by_name(), next.tenants.by_name()) {
             set_tenant_names(&next, self.introspection());
         }
@@ -158,8 +160,8 @@
                     pool.update_settings(settings);
                 }
                 match endpoints {
-                    Some(PoolEndpoints::Static(list)) => pool.set_endpoints(list),
-                    Some(PoolEndpoints::Discovery(address)) => pool.move_discovery(address),
+                    Some(ConfiguredEndpoints::Static(list)) => pool.set_endpoints(list),
+                    Some(ConfiguredEndpoints::Discovery(address)) => pool.move_discovery(address),
                     None => {}
                 }
                 pool
@@ -173,12 +175,17 @@
             }
             // A transition keeps or updates only pools of the revision in force, which are all running.
             (PoolStep::Keep | PoolStep::Update { .. }, None) => {
-                self.start_pool(next, index, PoolEndpoints::new(next.config.settings(), index))
+                self.start_pool(next, index, ConfiguredEndpoints::new(next.config.settings(), index))
             }
         }
     }
 
-    fn start_pool(&self, revision: &ConfigRevision, index: usize, endpoints: PoolEndpoints) -> PoolHandle {
+    fn start_pool(
+        &self,
+        revision: &ConfigRevision,
+        index: usize,
+        endpoints: ConfiguredEndpoints,
+    ) -> PoolHandle {
         let pool = self.pool_factory.start(revision, index, endpoints);
         if let Some(node_share) = self.node_share.get() {
             pool.set_node_share(node_share);
@@ -258,7 +265,7 @@
 
     /// Requests in flight, in [`LOAD_STEPS`]ths of the most that are allowed.
     pub fn load(&self) -> u32 {
-        let max_active = self.revision().config.settings().limits.held.max(1);
+        let max_active = self.revision().config.settings().limits.max_active_requests.max(1);
         (self.pool_factory.active_requests.count() * LOAD_STEPS / max_active).min(LOAD_STEPS) as u32
     }
 
@@ -304,7 +311,8 @@
 
 /// Descriptors for connections, after those of listeners, admin commands and the fleet.
 fn descriptor_budget(config: &Config) -> DescriptorBudget {
-    let admin = if config.observe.calls.is_some() { admin_listener::MAX_DESCRIPTORS } else { 0 };
-    let fleet = if config.fleet.is_some() { fleet::DESCRIPTORS } else { 0 };
-    DescriptorBudget::new(config.limits.descriptors, config.listeners.len() + admin + fleet)
+    let admin =
+        if config.observability.admin_address.is_some() { admin_listener::MAX_DESCRIPTORS } else { 0 };
+    let fleet = if config.cluster.is_some() { fleet::DESCRIPTORS } else { 0 };
+    DescriptorBudget::new(config.limits.max_descriptors, config.listeners.len() + admin + fleet)
 }
--- a/crates/node/src/standalone/transition.rs
+++ b/crates/node/src/standalone/transition.rs
@@ -10,8 +10,8 @@
 use super::affected_pools::AffectedPools;
 use super::config_diff::ConfigDiff;
 use super::config_revision::ConfigRevision;
+use super::configured_endpoints::ConfiguredEndpoints;
 use super::error::ApplyError;
-use super::pool_endpoints::PoolEndpoints;
 use super::pool_identity::PoolIdentity;
 
 /// What becomes of a pool.
@@ -23,10 +23,10 @@
         /// New settings, where they changed.
         settings: Option<Box<Settings>>,
         /// New endpoints, where they changed.
-        endpoints: Option<PoolEndpoints>,
+        endpoints: Option<ConfiguredEndpoints>,
     },
     /// A new loop starts; a former one of this name serves the requests that it has.
-    Start(PoolEndpoints),
+    Start(ConfiguredEndpoints),
 }
 
 /// How many pools a transition keeps, updates and starts.
@@ -120,7 +120,7 @@
         return Ok(PlannedPool { identity: current.pool_identities[former].clone(), step: PoolStep::Keep });
     }
     let identity = PoolIdentity::new(config, pool_index, tenants.shares())?;
-    let endpoints = PoolEndpoints::new(config, pool_index);
+    let endpoints = ConfiguredEndpoints::new(config, pool_index);
     let Some(former_index) = former_index else {
         return Ok(PlannedPool { identity: Arc::new(identity), step: PoolStep::Start(endpoints) });
     };
@@ -130,7 +130,7 @@
         return Ok(PlannedPool { identity: Arc::new(identity), step: PoolStep::Start(endpoints) });
     }
     let settings = (former.settings != in_place.settings).then(|| Box::new(in_place.settings.clone()));
-    let former_endpoints = PoolEndpoints::new(current.config.settings(), former_index);
+    let former_endpoints = ConfiguredEndpoints::new(current.config.settings(), former_index);
     let endpoints = Some(endpoints).filter(|new| *new != former_endpoints);
     let step = match (settings, endpoints) {
         (None, None) => PoolStep::Keep,
