--- a/crates/admin/tests/admin.rs
+++ b/crates/admin/tests/admin.rs
@@ -64,29 +64,29 @@
     );
 }
 
-const NEVER_OUT: BackendState = BackendState::Enabled { started_ms: 5 };
+const NEVER_DISABLED: BackendState = BackendState::Enabled { started_ms: 5 };
 
 #[test]
 fn a_backend_is_disabled_until_enabled_and_restarts_its_slow_start() {
     let mut disabled = DisabledBackends::default();
-    assert_eq!(disabled.state("a", 5), NEVER_OUT);
+    assert_eq!(disabled.state("a", 5), NEVER_DISABLED);
     disabled.disable("a", 100).unwrap();
     disabled.disable("a", 200).unwrap();
-    assert_eq!((disabled.state("a", 5), disabled.state("b", 5)), (BackendState::Disabled, NEVER_OUT));
+    assert_eq!((disabled.state("a", 5), disabled.state("b", 5)), (BackendState::Disabled, NEVER_DISABLED));
     // Whatever discovery says, also that it has started again.
     assert_eq!(disabled.state("a", 150), BackendState::Disabled);
     disabled.enable("a", 300);
-    // Dated before it was taken out: nothing says when it was restarted, the call back is the latest.
+    // Started before it was disabled: it may have restarted since, at the latest when it was enabled.
     assert_eq!(disabled.state("a", 5), BackendState::Enabled { started_ms: 300 });
     // Dated after that: the list knows of the restart.
     assert_eq!(disabled.state("a", 150), BackendState::Enabled { started_ms: 150 });
     assert_eq!(disabled.state("a", 400), BackendState::Enabled { started_ms: 400 });
-    // One call back was enough, and another changes nothing.
+    // A second enable changes nothing.
     disabled.enable("a", 900);
     assert_eq!(disabled.state("a", 5), BackendState::Enabled { started_ms: 300 });
-    // Never out: a call back is no news of a restart.
+    // Never disabled: an enable says nothing about a restart.
     disabled.enable("b", 900);
-    assert_eq!(disabled.state("b", 5), NEVER_OUT);
+    assert_eq!(disabled.state("b", 5), NEVER_DISABLED);
     disabled.disable("a", 1_000).unwrap();
     assert_eq!(disabled.state("a", 400), BackendState::Disabled);
 }
@@ -98,7 +98,7 @@
         disabled.disable(&format!("s{n}"), 1).unwrap();
     }
     assert_eq!(disabled.disable("more", 2), Err(TooManyDisabledError));
-    assert_eq!(disabled.disable("s7", 2), Ok(()), "it is out already");
+    assert_eq!(disabled.disable("s7", 2), Ok(()), "it is disabled already");
     disabled.enable("s7", 10);
     assert_eq!(disabled.disable("more", 9 + ENABLED_RETENTION_MS), Err(TooManyDisabledError));
     assert_eq!(disabled.disable("more", 10 + ENABLED_RETENTION_MS), Ok(()));
@@ -136,8 +136,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is called in whatever order: the last call on a server decides, a text brings the same disabled back, and the
-    /// birth of a server that came back is never before that of the list.
+    /// In any order of commands the last one on a backend decides, the stored form restores the set, and the start of an
+    /// enabled backend is never before that of the list.
     #[test]
     fn the_last_command_on_a_backend_decides(calls in prop::collection::vec((0..4u8, any::<bool>(), 1..1_000u64), 0..40), born in 0..2_000u64) {
         let mut disabled = DisabledBackends::default();
--- a/crates/node/tests/introspection.rs
+++ b/crates/node/tests/introspection.rs
@@ -23,8 +23,8 @@
 }
 
 /// The recording of the node with this admin address.
-fn recording(calls: SocketAddr) -> Dump {
-    let mut caller = TcpStream::connect(calls).unwrap();
+fn recording(admin: SocketAddr) -> Dump {
+    let mut caller = TcpStream::connect(admin).unwrap();
     caller.set_read_timeout(Some(LIMIT)).unwrap();
     caller.write_all(b"TRACE\n").unwrap();
     let mut answer = BufReader::new(caller);
@@ -120,18 +120,18 @@
         hung.address
     );
     let node = Standalone::start(&text, 1);
-    let calls = calls_of(&node);
+    let admin = admin_address(&node);
     // The highest tier is not refused for the length of its queue.
     let get = || "GET /high HTTP/1.1\r\nHost: a\r\n\r\n".to_owned();
     let crowd = Crowd::asking(node.address(), 12, get);
-    wait_for("a refusal by the clock", || rules(&recording(calls)).contains(&RejectionReason::QueueTimeout));
+    wait_for("a refusal by the clock", || rules(&recording(admin)).contains(&RejectionReason::QueueTimeout));
     drop(node);
     drop(crowd);
 }
 
 /// The admin address of a standalone node.
-fn calls_of(node: &Standalone) -> SocketAddr {
-    wait_for("calls", || node.said("takes admin commands on") == 1);
+fn admin_address(node: &Standalone) -> SocketAddr {
+    wait_for("the admin listener", || node.said("takes admin commands on") == 1);
     let log = node.log.lock().unwrap();
     log.iter().find_map(|line| line.split_once("takes admin commands on ")?.1.parse().ok()).unwrap()
 }
@@ -248,10 +248,10 @@
         assert!(line.starts_with('{') && line.trim_end().ends_with('}'), "{line}");
         line.rsplit("on ").next().unwrap().split('"').next().unwrap().parse::<SocketAddr>().unwrap()
     };
-    let (front, calls) = (address(), address());
+    let (front, admin) = (address(), address());
     drop(log);
     for level in ["info", "trace", "off", "trace"].repeat(10) {
-        let mut caller = TcpStream::connect(calls).unwrap();
+        let mut caller = TcpStream::connect(admin).unwrap();
         caller.set_read_timeout(Some(LIMIT)).unwrap();
         caller.write_all(format!("FILTER {level}\n").as_bytes()).unwrap();
         assert_eq!(std::io::read_to_string(caller).unwrap(), "OK\n");
@@ -276,12 +276,12 @@
         backend.address
     );
     let node = Standalone::start(&text, 1);
-    let calls = calls_of(&node);
+    let admin = admin_address(&node);
     let mut client = Client::connect(node.address());
     client.write("POST /run HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx");
     assert_eq!(client.read().unwrap().status(), 504);
-    wait_for("its story", || !recording(calls).stories.is_empty());
-    let dump = recording(calls);
+    wait_for("its story", || !recording(admin).stories.is_empty());
+    let dump = recording(admin);
     let sums = Breakdown::of(&dump, 0, u64::MAX).unwrap().to_string();
     assert!(sums.contains("hasty in boards") && sums.contains("100.00%"), "{sums}");
     node.reload(&text.replace("calls 127.0.0.1:0", "calls 127.0.0.1:0; log warn,settings=info"));
--- a/crates/node/tests/operations.rs
+++ b/crates/node/tests/operations.rs
@@ -18,7 +18,7 @@
     path
 }
 
-fn with_calls(backends: &[&Backend]) -> Setup {
+fn with_admin(backends: &[&Backend]) -> Setup {
     Setup { folder: Some(folder()), ..Setup::of(backends) }
 }
 
@@ -26,7 +26,7 @@
 #[test]
 fn commands_are_answered_beside_silent_admin_connections() {
     let backend = Backend::start(|_| ok("done"));
-    let node = with_calls(&[&backend]).start();
+    let node = with_admin(&[&backend]).start();
     let holding: Vec<_> = (0..40)
         .map(|n| {
             let mut caller = node.caller();
@@ -56,7 +56,7 @@
     let backend = Backend::start(|message| {
         if message.first.contains("submit") { Act::Write(answer("500 Oh", "", "")) } else { ok("done") }
     });
-    let node = with_calls(&[&backend]).start();
+    let node = with_admin(&[&backend]).start();
     for _ in 0..5 {
         assert_eq!(node.ask(&request("read", "")).status(), 200);
     }
@@ -78,7 +78,7 @@
 #[test]
 fn attempts_count_once_written_and_queued_requests_are_pending() {
     let backend = Backend::start(|_| Act::Hang);
-    let node = with_calls(&[&backend]).start();
+    let node = with_admin(&[&backend]).start();
     let mut client = node.connect();
     client.write(&request("submit", "x"));
     wait_for("the attempt", || node.figure("node.upstream_requests") == Some(1));
@@ -92,7 +92,7 @@
 fn a_disabled_backend_gets_no_requests_until_enabled() {
     let (one, other) = (Backend::start(|_| ok("done")), Backend::start(|_| ok("done")));
     let discovery = Discovery::start();
-    let node = Setup { discovery: discovery.address, ..with_calls(&[&one, &other]) }.start();
+    let node = Setup { discovery: discovery.address, ..with_admin(&[&one, &other]) }.start();
     let (_, lines) = discovery.next();
     let ask = |count| (0..count).for_each(|_| assert_eq!(node.ask(&request("read", "")).status(), 200));
     // One that is asked one thing at a time may do with one server.
@@ -126,7 +126,7 @@
 #[test]
 fn requests_are_rejected_when_all_backends_are_disabled() {
     let backend = Backend::start(|_| ok("done"));
-    let node = Setup { aim_ms: 300, ..with_calls(&[&backend]) }.start();
+    let node = Setup { aim_ms: 300, ..with_admin(&[&backend]) }.start();
     assert_eq!(node.call("DETACH s-0"), "OK\n");
     let answer = node.ask(&request("read", ""));
     assert!(matches!(answer.status(), 429 | 503) && answer.header("retry-after").is_some(), "{answer:?}");
@@ -137,7 +137,7 @@
 #[test]
 fn lame_duck_mode_closes_connections_until_rejoin() {
     let backend = Backend::start(|_| ok("done"));
-    let mut node = with_calls(&[&backend]).start();
+    let mut node = with_admin(&[&backend]).start();
     let health = || node.ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status();
     assert_eq!(health(), 200);
     let (mut asking, mut idle) = (node.connect(), node.connect());
--- a/crates/node/tests/reloads.rs
+++ b/crates/node/tests/reloads.rs
@@ -35,7 +35,7 @@
 }
 
 /// The same with an admin address.
-fn with_calls(text: &str) -> (String, SocketAddr) {
+fn with_admin(text: &str) -> (String, SocketAddr) {
     let address = refusing();
     (format!("{text}observe {{ calls {address}; recorder 1MiB }}\n"), address)
 }
@@ -51,8 +51,8 @@
 }
 
 /// The whole reply to an admin command.
-fn call(calls: SocketAddr, line: &str) -> Vec<u8> {
-    let mut caller = TcpStream::connect(calls).expect("calls are taken");
+fn admin_command(admin: SocketAddr, line: &str) -> Vec<u8> {
+    let mut caller = TcpStream::connect(admin).expect("an admin connection");
     caller.set_read_timeout(Some(LIMIT)).expect("a time-out");
     caller.write_all(format!("{line}\n").as_bytes()).expect("a line");
     let mut answer = Vec::new();
@@ -61,8 +61,8 @@
 }
 
 /// The revision in force with its digest, by the reply to `CONFIG`.
-fn in_force(calls: SocketAddr) -> (u64, String) {
-    let answer = String::from_utf8(call(calls, "CONFIG")).expect("text");
+fn in_force(admin: SocketAddr) -> (u64, String) {
+    let answer = String::from_utf8(admin_command(admin, "CONFIG")).expect("text");
     let words: Vec<_> = answer.split_whitespace().collect();
     let [ok, "revision", revision, "digest", digest] = words[..] else { panic!("{answer}") };
     assert_eq!(ok, "OK");
@@ -129,20 +129,20 @@
         "route all { path /*/x; class read; pool two }\n",
         "route some { path /some/*; class read; pool one }\n",
     );
-    let (base, calls) = with_calls(&text(&pools));
+    let (base, admin) = with_admin(&text(&pools));
     let node = Standalone::start(&format!("{base}{first}{second}"), 1);
     assert_eq!(ask(&node, "/some/x").body, b"two");
-    let (_, digest) = in_force(calls);
+    let (_, digest) = in_force(admin);
     node.reload(&format!("{base}{second}{first}"));
     assert_eq!(ask(&node, "/some/x").body, b"one");
     assert_eq!(node.said("now before route"), 1);
     assert_eq!(node.said("pools: 2 kept, 0 updated, 0 started"), 1);
-    let (revision, other) = in_force(calls);
+    let (revision, other) = in_force(admin);
     assert_eq!(revision, 2);
     assert_ne!(other, digest);
     // Back again it is the state that it was, under a number of its own.
     node.reload(&format!("{base}{first}{second}"));
-    assert_eq!(in_force(calls), (3, digest));
+    assert_eq!(in_force(admin), (3, digest));
 }
 
 /// Guards the digest: a node that came to a state by changes, and one that began with it in another form, say the same;
@@ -151,16 +151,16 @@
 fn the_digest_depends_on_the_state_alone() {
     let (one, two) = (plain("one"), plain("two"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
-    let (base, calls) = with_calls(&text(&pools));
+    let (base, admin) = with_admin(&text(&pools));
     let node = Standalone::start(&base, 1);
     let changed = base.replace("aim 5s", "aim 3s");
     node.reload(&changed);
     node.reload(&changed.replace("/submit/**", "/send/**"));
     node.reload(&changed);
-    let (revision, digest) = in_force(calls);
+    let (revision, digest) = in_force(admin);
     assert_eq!(revision, 4);
     assert!(node.said(&format!("revision 4, digest {digest}")) == 1);
-    let metrics = String::from_utf8(call(calls, "METRICS")).expect("text");
+    let metrics = String::from_utf8(admin_command(admin, "METRICS")).expect("text");
     assert!(metrics.contains("pumicehead_config_revision 4\n"), "{metrics}");
     let short = u64::from_str_radix(&digest[..13], 16).expect("a digest");
     let value = metrics.lines().find_map(|line| line.strip_prefix("pumicehead_config_digest "));
@@ -173,7 +173,7 @@
         others.chain(routes).map(|line| format!("# a comment\n{}\n", line.replace(' ', "  "))).collect();
     drop(node);
     let twin = Standalone::start(&other_form, 1);
-    assert_eq!(in_force(calls), (1, digest));
+    assert_eq!(in_force(admin), (1, digest));
     drop(twin);
 }
 
@@ -185,16 +185,16 @@
     let two = plain("two");
     let pools = pool("one", &[("a", servers[0].address), ("b", servers[1].address)])
         + &pool("two", &[("c", two.address)]);
-    let (base, calls) = with_calls(&text(&pools));
+    let (base, admin) = with_admin(&text(&pools));
     let node = Standalone::start(&base, 1);
-    call(calls, "RECORD full");
+    admin_command(admin, "RECORD full");
     let mut early = slow(&node, "/one/slow");
     wait_for("the slow request", || servers.iter().map(Backend::count).sum::<usize>() == 1);
     node.reload(&base.replace("aim 5s", "aim 3s"));
     assert_eq!(ask(&node, "/two/x").status(), 200);
     gate.store(true, Ordering::SeqCst);
     assert_eq!(early.read().expect("an answer").status(), 200);
-    let answer = call(calls, "TRACE");
+    let answer = admin_command(admin, "TRACE");
     let line = answer.iter().position(|&byte| byte == b'\n').expect("a first line");
     let dump = Dump::read(&answer[line + 1..]).expect("a recording");
     let mut revisions: Vec<_> = dump
@@ -338,9 +338,9 @@
     let (one, two, other) = (plain("one"), plain("two"), plain("other"));
     let pools =
         |second: &Backend| pool("one", &[("a", one.address)]) + &pool("two", &[("b", second.address)]);
-    let (before, calls) = with_calls(&text(&pools(&two)));
+    let (before, admin) = with_admin(&text(&pools(&two)));
     let node = Standalone::start(&before, 1);
-    let state = in_force(calls);
+    let state = in_force(admin);
     let taken = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let clash = taken.local_addr().expect("an address");
     let free = refusing();
@@ -353,7 +353,7 @@
     node.reload(&format!("{listeners}{change}"));
     assert_eq!(node.said(&format!("listen on {clash}")), 1);
     assert_eq!(node.said("reload: the old configuration stays"), 1);
-    assert_eq!(in_force(calls), state);
+    assert_eq!(in_force(admin), state);
     assert!(TcpStream::connect(free).is_err());
     assert_eq!((ask(&node, "/one/x").body, ask(&node, "/two/x").body), (b"one".to_vec(), b"two".to_vec()));
     assert_eq!(ask(&node, "/first/x").status(), 404);
@@ -361,7 +361,7 @@
     // Without the listeners it is used as a whole.
     drop(taken);
     node.reload(&change);
-    assert_eq!(in_force(calls).0, state.0 + 1);
+    assert_eq!(in_force(admin).0, state.0 + 1);
     assert_eq!((ask(&node, "/first/x").status(), ask(&node, "/one/x").status()), (200, 404));
     // A server that is new is cold, and may refuse at first.
     wait_for("the other server", || ask(&node, "/two/x").body == b"other");
@@ -387,7 +387,7 @@
 fn signals_during_a_reload_cause_one_more_reload() {
     let (one, two) = (plain("one"), plain("two"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
-    let (base, calls) = with_calls(&(text(&pools) + &many_routes(3_000)));
+    let (base, admin) = with_admin(&(text(&pools) + &many_routes(3_000)));
     let node = Standalone::start(&base, 1);
     let last = base.replace("path /two/**", "path /third/**");
     // Two in one moment, and a third while these are read.
@@ -407,11 +407,11 @@
     // Of 22 signals in a moment some became one.
     assert!(node.said("reload: done") < 22, "{}", node.said("reload: done"));
     assert_eq!((ask(&node, "/two/x").status(), ask(&node, "/second/x").status()), (404, 404));
-    let (revision, digest) = in_force(calls);
+    let (revision, digest) = in_force(admin);
     assert!(revision <= 4, "{revision}");
     drop(node);
     let _twin = Standalone::start(&last, 1);
-    assert_eq!(in_force(calls).1, digest);
+    assert_eq!(in_force(admin).1, digest);
 }
 
 /// Guards SIGTERM while a file is read: what was taken is answered, the process ends with 0, and nothing of the file is
--- a/crates/node/tests/tenants.rs
+++ b/crates/node/tests/tenants.rs
@@ -137,14 +137,14 @@
 
 /// The recording of the node.
 fn recording(node: &Standalone) -> Dump {
-    wait_for("calls", || node.said("takes admin commands on") == 1);
-    let calls = {
+    wait_for("the admin listener", || node.said("takes admin commands on") == 1);
+    let admin = {
         let log = node.log.lock().unwrap();
         log.iter()
             .find_map(|line| line.split_once("takes admin commands on ")?.1.parse::<SocketAddr>().ok())
             .unwrap()
     };
-    let mut caller = TcpStream::connect(calls).unwrap();
+    let mut caller = TcpStream::connect(admin).unwrap();
     caller.set_read_timeout(Some(LIMIT)).unwrap();
     caller.write_all(b"TRACE\n").unwrap();
     let mut answer = BufReader::new(caller);
--- a/crates/node/tests/unit/log.rs
+++ b/crates/node/tests/unit/log.rs
@@ -13,7 +13,7 @@
     }
 }
 
-/// Guards the loop: where whoever reads has stopped, lines are dropped and counted, and nobody waits.
+/// Guards the event loop: without a reader lines are dropped and counted, and writing does not block.
 #[test]
 fn a_stopped_reader_costs_only_lines() {
     struct Stuck(std::sync::mpsc::Receiver<()>);
@@ -32,7 +32,7 @@
     for n in 0..10 * MAX_QUEUED_LINES {
         log.shared.write(Level::INFO, "test", &Fields::with_message(format!("line {n}")));
     }
-    // One is being written, and as many wait as may.
+    // One is being written, and the queue is full.
     assert!(log.dropped() >= 9 * MAX_QUEUED_LINES - 1, "{}", log.dropped());
     drop(go_on);
     drop(flush);
@@ -74,7 +74,7 @@
     assert!(line.len() <= MAX_LINE_BYTES && line.matches('\n').count() == 1, "{line}");
 }
 
-/// Guards the end of the process: what waits is written when the guard is dropped, and waits for the reader a moment.
+/// Guards the end of the process: dropping the guard writes queued lines, and waits for the reader for a bounded time.
 #[test]
 fn queued_lines_are_flushed_on_drop() {
     /// Takes lines only from a writer that is ready to wait.
--- a/crates/node/tests/unit/loop_sink.rs
+++ b/crates/node/tests/unit/loop_sink.rs
@@ -26,7 +26,7 @@
     format!("line {number} {}\n", "x".repeat(number % 300))
 }
 
-/// LineLayer in the order of their numbers and each whole; their numbers.
+/// Returns the numbers of lines that must be whole and in order.
 fn numbers(text: &str) -> Vec<usize> {
     assert!(text.is_empty() || text.ends_with('\n'), "the last line is cut");
     let numbers: Vec<usize> = text
@@ -41,13 +41,14 @@
     numbers
 }
 
-/// Guards the loop against a reader that stops: nobody waits, as many lines wait as may, and each one beyond is counted.
+/// Guards the event loop against a reader that stops: writing does not block, the queue is bounded, and each dropped line
+/// is counted.
 /// Once the reader goes on it gets whole lines in their order.
 #[test]
 fn a_stopped_reader_costs_lines_but_no_time() {
     const LINES: usize = 10 * MAX_QUEUED_LINES;
     let (sink, mut reader) = small_pipe();
-    // It would not come to its end if one write waited.
+    // This would never end if a write blocked.
     (0..LINES).for_each(|number| sink.write(&numbered(number)));
     let dropped = sink.dropped();
     assert!(dropped >= LINES - MAX_QUEUED_LINES - PIPE_BUF / numbered(0).len(), "{dropped}");
@@ -68,7 +69,7 @@
     assert_eq!(numbers.last(), Some(&(LINES + 9)));
 }
 
-/// Guards a flush against a reader that never comes back: it ends.
+/// Guards a flush against a reader that never resumes.
 #[test]
 fn a_flush_ends_at_its_limit() {
     let (sink, _reader) = small_pipe();
@@ -77,7 +78,7 @@
     assert!(!sink.queue().lines.is_empty());
 }
 
-/// Guards the count where nobody reads any more, and that it is no end of the process.
+/// Guards the count of lines to a closed pipe, and that the process goes on.
 #[test]
 fn lines_to_a_closed_pipe_are_counted() {
     let (sink, reader) = small_pipe();
