--- a/crates/node/src/platform/admission.rs
+++ b/crates/node/src/platform/admission.rs
@@ -4,7 +4,7 @@
 
 use hyper::Method;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
-use pumicehead_policy::deployment_settings::BootClass;
+use pumicehead_policy::deployment_settings::ClassSettings;
 use pumicehead_policy::{Idempotency, Nanos, TenantId};
 use rustc_hash::FxHashMap;
 
@@ -46,7 +46,7 @@
 }
 
 impl ClassRule {
-    fn new(class: &BootClass, settings: &pumicehead_policy::Class) -> Self {
+    fn new(class: &ClassSettings, settings: &pumicehead_policy::Class) -> Self {
         let requires_idempotency_key = matches!(settings.idempotency, Idempotency::IdempotencyKey { .. });
         let method = match settings.idempotency {
             Idempotency::Idempotent => Method::GET,
@@ -67,9 +67,9 @@
 impl PlatformAdmission {
     /// With the classes and tenants of a configuration.
     pub fn new(config: &Config, pool: PoolHandle) -> Self {
-        let classes = config.boot.classes.iter().zip(&config.settings.classes);
+        let classes = config.deployment.classes.iter().zip(&config.settings.classes);
         let mut tenants = FxHashMap::default();
-        for (tenant, id) in config.boot.tenants.iter().zip(0..) {
+        for (tenant, id) in config.deployment.tenants.iter().zip(0..) {
             // Of two tenants of one name the first counts.
             tenants.entry(tenant.name.clone()).or_insert(TenantId(id));
         }
--- a/crates/node/src/platform/config.rs
+++ b/crates/node/src/platform/config.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use pumicehead_policy::deployment_settings::Boot;
+use pumicehead_policy::deployment_settings::DeploymentSettings;
 use pumicehead_policy::{Settings, SettingsError};
 use serde::Deserialize;
 use thiserror::Error;
@@ -63,7 +63,7 @@
     #[serde(default, rename = "known")]
     last_list: Option<EndpointList>,
     #[serde(rename = "settings")]
-    boot: Boot,
+    deployment: DeploymentSettings,
 }
 
 #[derive(Deserialize)]
@@ -101,7 +101,7 @@
     /// The endpoint list that the platform last knew.
     pub last_list: EndpointList,
     /// The settings as written, with names and limits.
-    pub boot: Boot,
+    pub deployment: DeploymentSettings,
     /// The settings of the decision module.
     pub settings: Settings,
 }
@@ -113,7 +113,7 @@
     /// The first thing that is missing or malformed.
     pub fn load() -> Result<Self, ConfigError> {
         let file = read()?;
-        let mut settings = file.boot.settings()?;
+        let mut settings = file.deployment.settings()?;
         // Nodes of the platform can't reach each other.
         settings.load_reports = false;
         let seed = file.seed.ok_or_else(|| invalid("seed", "missing"))?;
@@ -134,7 +134,7 @@
             max_descriptors,
             max_memory: file.limits.memory_mib.saturating_mul(BYTES_PER_MIB),
             last_list: file.last_list.unwrap_or_default(),
-            boot: file.boot,
+            deployment: file.deployment,
             settings,
         })
     }
@@ -147,7 +147,7 @@
 /// The first thing that is missing or malformed.
 pub fn reload_discovery_address() -> Result<SocketAddr, ConfigError> {
     let file = read()?;
-    file.boot.settings()?;
+    file.deployment.settings()?;
     parse("discovery", &file.discovery.ok_or_else(|| invalid("discovery", "missing"))?)
 }
 
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -71,12 +71,12 @@
     let introspection = start_introspection(&config, log)?;
     let recorder = pool_recorder(&config, &introspection);
     let descriptors = descriptor_budget(&config, sockets.admin.is_some());
-    let stats = Rc::new(Stats::new(config.boot.classes.iter().map(|class| class.name.clone())));
+    let stats = Rc::new(Stats::new(config.deployment.classes.iter().map(|class| class.name.clone())));
     let memory = MemoryBudget::new(config.max_memory / STREAMED_BODY_MEMORY_DIVISOR);
     let pool_config = PoolConfig {
         settings: config.settings.clone(),
         seed: config.seed,
-        zones: config.boot.zones.clone(),
+        zones: config.deployment.zones.clone(),
         endpoints: endpoint_source(&config, sockets.is_inherited),
         transport: upstream_transport(&config, &descriptors, &memory, &stats),
         overrides: restored.overrides.clone(),
@@ -131,8 +131,8 @@
 
 /// The way to the recorder of the one pool, with the names of classes and tenants.
 fn pool_recorder(config: &Config, introspection: &Introspection) -> RecorderSink {
-    let classes: Vec<_> = config.boot.classes.iter().map(|class| class.name.clone()).collect();
-    let tenants = (0..).map(TenantId).zip(&config.boot.tenants);
+    let classes: Vec<_> = config.deployment.classes.iter().map(|class| class.name.clone()).collect();
+    let tenants = (0..).map(TenantId).zip(&config.deployment.tenants);
     introspection.set_tenant_names(tenants.map(|(id, tenant)| (id, tenant.name.as_str().into())));
     introspection.pool_recorder("platform", &config.settings, &classes)
 }
@@ -155,7 +155,7 @@
         memory: memory.clone(),
         streaming: true,
     };
-    let ceilings = &config.boot.ceilings;
+    let ceilings = &config.deployment.ceilings;
     HttpTransport::new(
         ConnectionRegistry::new(descriptors.upstream),
         Duration::from_nanos(ceilings.dial_timeout_ns),
@@ -179,7 +179,7 @@
         idle_timeout: IDLE_TIMEOUT,
         max_buffered_body: MAX_BUFFERED_BODY_BYTES,
         max_streamed_body: Some(MAX_BODY_BYTES),
-        max_active_requests: config.boot.ceilings.most_held,
+        max_active_requests: config.deployment.ceilings.most_held,
         max_request_deadline: Duration::from_nanos(longest).min(MAX_DRAIN_DEADLINE),
         serves_health_check: true,
         retry_after: config.settings.retry_after_hint(),
--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -92,7 +92,7 @@
     // The node has copied what it needs; the texts and syntax trees are freed here.
     drop(loaded);
     if let Some(fleet) = &fleet {
-        task::spawn_local(update_node_share(runtime.clone(), fleet.sharing()));
+        task::spawn_local(update_node_share(runtime.clone(), fleet.node_share()));
         task::spawn_local(update_load(runtime.clone(), fleet.clone()));
     }
     if let Some(socket) = admin_socket {
