--- a/crates/fastcgi/src/client.rs
+++ b/crates/fastcgi/src/client.rs
@@ -42,7 +42,7 @@
 /// What has come.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The answer to [`Client::get_values`]; without any, where the application knows no such record.
+    /// The answer to [`Upload::get_values`]; without any, where the application knows no such record.
     Values(Values),
     /// A part of an answer.
     Stdout(RequestId, Bytes),
--- a/crates/node/src/log/format.rs
+++ b/crates/node/src/log/format.rs
@@ -1,4 +1,4 @@
-//! Formats: how an event becomes one line, which is never longer than what a pipe takes in one piece.
+//! Line formats. A line is never longer than what a pipe takes atomically.
 
 use std::fmt::{self, Write};
 
@@ -7,34 +7,37 @@
 use tracing::Level;
 use tracing::field::{Field, Visit};
 
-/// Longest text of a message or a field, in bytes; what goes beyond is cut.
-pub const LONGEST: usize = 2_048;
-/// Longest line with its line feed, in bytes. Up to this a write to a pipe is atomic (POSIX, `write`): lines of
-/// processes that share standard error never run into each other.
-pub const LONGEST_LINE: usize = PIPE_BUF;
+/// Longest text of a message or a field in bytes; longer ones are cut.
+pub const MAX_FIELD_BYTES: usize = 2_048;
+/// Longest line in bytes, with its line feed. Writes of up to this length to a pipe are atomic (POSIX, `write`), so that
+/// lines of processes that share standard error are never mixed.
+pub const MAX_LINE_BYTES: usize = PIPE_BUF;
 
-/// How lines are written.
+/// Key of the target in JSON lines, which log pipelines read.
+const TARGET_KEY: &str = "room";
+
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
-    /// For people.
+pub enum LogFormat {
+    /// Plain text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object for each line.
     Json,
 }
 
-/// The text of an event and its other fields.
+/// Message and fields of an event.
 #[derive(Debug, Default)]
 pub struct Fields {
     /// The message.
     pub message: String,
-    /// Names and values of the others, in their order.
+    /// Names and values of the other fields, in their order.
     pub others: Vec<(&'static str, String)>,
 }
 
 impl Fields {
-    /// A message without other fields.
-    pub fn of(message: String) -> Self {
+    /// A message without fields.
+    pub fn with_message(message: String) -> Self {
         Self { message, others: Vec::new() }
     }
 
@@ -45,29 +48,29 @@
 
 impl Visit for Fields {
     fn record_str(&mut self, field: &Field, value: &str) {
-        self.put(field, cut(plain(value), LONGEST));
+        self.put(field, cut(plain(value), MAX_FIELD_BYTES));
     }
 
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-        // A message comes this way, already put together.
-        self.put(field, cut(without_control(&format!("{value:?}")), LONGEST));
+        // The library passes formatted messages here.
+        self.put(field, cut(without_control_characters(&format!("{value:?}")), MAX_FIELD_BYTES));
     }
 }
 
-/// The line of an event that happened at `unix_ms`, with its line feed; at most [`LONGEST_LINE`] bytes.
-pub fn line(form: Form, unix_ms: u64, level: Level, target: &str, fields: &Fields) -> String {
+/// The line of an event at `unix_ms`, with its line feed; at most [`MAX_LINE_BYTES`] long.
+pub fn line(form: LogFormat, unix_ms: u64, level: Level, target: &str, fields: &Fields) -> String {
     let mut line = match form {
-        Form::Text => text(unix_ms, level, target, fields),
-        Form::Json => json(unix_ms, level, target, fields),
+        LogFormat::Text => text(unix_ms, level, target, fields),
+        LogFormat::Json => json(unix_ms, level, target, fields),
     };
-    line = cut(line, LONGEST_LINE - 1);
+    line = cut(line, MAX_LINE_BYTES - 1);
     line.push('\n');
     line
 }
 
-/// A line of plain text from outside an event, on the same terms.
+/// A line of plain text that is no event, with the same limit.
 pub fn plain_line(text: &str) -> String {
-    let mut line = cut(without_control(text), LONGEST_LINE - 1);
+    let mut line = cut(without_control_characters(text), MAX_LINE_BYTES - 1);
     line.push('\n');
     line
 }
@@ -80,12 +83,12 @@
     line
 }
 
-/// An object that is cut is no object: its values are shortened until all of it fits.
+/// Shortens the values until the object fits: a line that is cut would not be JSON.
 fn json(unix_ms: u64, level: Level, target: &str, fields: &Fields) -> String {
-    let mut longest_value = LONGEST;
+    let mut longest_value = MAX_FIELD_BYTES;
     loop {
         let object = json_with(longest_value, unix_ms, level, target, fields);
-        if object.len() < LONGEST_LINE || longest_value == 0 {
+        if object.len() < MAX_LINE_BYTES || longest_value == 0 {
             return object;
         }
         longest_value /= 2;
@@ -97,14 +100,14 @@
     let mut object = serde_json::Map::new();
     object.insert("time".into(), utc(unix_ms).into());
     object.insert("level".into(), level.to_string().into());
-    object.insert("room".into(), target.into());
+    object.insert(TARGET_KEY.into(), target.into());
     object.insert("message".into(), value(&fields.message));
     object.extend(fields.others.iter().map(|(name, text)| ((*name).to_owned(), value(text))));
     serde_json::Value::Object(object).to_string()
 }
 
-fn without_control(text: &str) -> String {
-    text.chars().map(|sign| if sign.is_control() { ' ' } else { sign }).collect()
+fn without_control_characters(text: &str) -> String {
+    text.chars().map(|character| if character.is_control() { ' ' } else { character }).collect()
 }
 
 fn cut(mut text: String, longest: usize) -> String {
@@ -112,7 +115,7 @@
     text
 }
 
-/// A time as RFC 3339 has it.
+/// Unix milliseconds as an RFC 3339 time in UTC.
 pub fn utc(unix_ms: u64) -> String {
     let (days, of_day) = (unix_ms / 86_400_000, unix_ms % 86_400_000);
     // Days since 1 March 0000, in years that end with February ("chrono-compatible low-level date algorithms", Hinnant).
--- a/crates/node/src/net/admin_overrides.rs
+++ b/crates/node/src/net/admin_overrides.rs
@@ -2,13 +2,14 @@
 
 use std::cell::RefCell;
 
-use pumicehead_admin::book::{Book, Listed};
+use pumicehead_admin::disabled_backends::DisabledBackends;
+use pumicehead_admin::known_backends::KnownBackends;
 
 /// Shared by the admin listener and the pool loops.
 #[derive(Default)]
 pub struct AdminOverrides {
     /// The overrides, by name of the endpoint.
-    pub book: RefCell<Book>,
+    pub disabled: RefCell<DisabledBackends>,
     /// All names that were ever listed.
-    pub listed: RefCell<Listed>,
+    pub known: RefCell<KnownBackends>,
 }
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -48,7 +48,7 @@
 fn start(name: &str, server: &Backend, fleet: &str, seeds: &[SocketAddr]) -> Member {
     let process = Standalone::start(&config(name, server, fleet, seeds), 1);
     let fleet = logged_address(&process, " fleet_address=");
-    let admin = logged_address(&process, " takes calls on ");
+    let admin = logged_address(&process, " takes admin commands on ");
     Member { process, fleet, admin }
 }
 
@@ -211,7 +211,7 @@
     assert!(!done.status.success() && printed.contains("for the fleet"), "{printed}");
     let alone = good.split("fleet {").next().unwrap().to_owned();
     let node = Standalone::start(&alone, 1);
-    let answer = fleet_command(&["members", &logged_address(&node, " takes calls on ").to_string()]);
+    let answer = fleet_command(&["members", &logged_address(&node, " takes admin commands on ").to_string()]);
     assert!(answer.code == Some(2) && answer.stderr.contains("no block `fleet`"), "{}", answer.stderr);
     let _ = std::fs::remove_file(file);
 }
--- a/crates/testbed/src/hollow/counts.rs
+++ b/crates/testbed/src/hollow/counts.rs
@@ -36,7 +36,7 @@
 /// What arrived from one member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Received {
-    /// Datagrams, in the order of [`KINDS`].
+    /// Datagrams, in the order of [`MAX_KINDS`].
     pub datagrams: [u64; KINDS.len()],
     /// Their bytes, without heads.
     pub datagram_bytes: u64,
