--- a/crates/chaos/src/run/node_process.rs
+++ b/crates/chaos/src/run/node_process.rs
@@ -19,7 +19,7 @@
 /// be played with another build of the node.
 const MEMBERSHIP_LISTENER_WORDS: [&str; 2] = [" fleet_address=", " speaks on "];
 const CLIENT_LISTENER_WORDS: [&str; 1] = [" listens on "];
-const ADMIN_LISTENER_WORDS: [&str; 1] = [" takes calls on "];
+const ADMIN_LISTENER_WORDS: [&str; 2] = [" takes admin commands on ", " takes calls on "];
 
 /// Where a node listens.
 #[derive(Clone, Copy, Debug)]
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pumicehead_admin::call::{Call, no};
+use pumicehead_admin::command::{Command, error_reply};
 use pumicehead_config::model::{Cluster as FleetConfig, Node};
 use pumicehead_membership::{
     MemberRecord, Membership, MembershipConfig, MembershipError, Nanos, Output, Settings,
@@ -25,7 +25,7 @@
 use tokio::time::sleep;
 use tracing::info;
 
-use crate::eyes::Eyes;
+use crate::introspection::Introspection;
 use crate::net::clock::Clock;
 use crate::net::recorder_sink::RecorderSink;
 
@@ -76,10 +76,10 @@
     pub async fn start(
         config: &FleetConfig,
         node: &Node,
-        eyes: &Eyes,
+        introspection: &Introspection,
         rng_seed: u64,
     ) -> Result<Rc<Self>, FleetError> {
-        let clock = eyes.clock();
+        let clock = introspection.clock();
         let failed = |source| FleetError::Listen { address: config.bind_address, source };
         let (listener, datagrams) = bind(config.bind_address).await.map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
@@ -103,8 +103,8 @@
         let fleet = Rc::new(Self {
             name: config.name.clone(),
             member: RefCell::new(member),
-            clock: eyes.clock(),
-            recorder: eyes.front_tap(),
+            clock: introspection.clock(),
+            recorder: introspection.node_recorder(),
             datagrams,
             changed: Notify::new(),
             node_share: watch::Sender::new(None),
@@ -136,13 +136,13 @@
     }
 
     /// The answer to an admin command about the fleet; `None` for other commands.
-    pub fn answer(&self, call: &Call) -> Option<String> {
+    pub fn answer(&self, call: &Command) -> Option<String> {
         let mut member = self.member.borrow_mut();
         let now = self.clock.now();
         match call {
-            Call::Members => Some(report::fleet(&self.name, &mut member, now)),
-            Call::WhyMember(name) => {
-                let unknown = || no(&format!("nobody here knows `{name}`"));
+            Command::Members => Some(report::fleet(&self.name, &mut member, now)),
+            Command::ExplainMember(name) => {
+                let unknown = || error_reply(&format!("nobody here knows `{name}`"));
                 Some(report::member(&member, name, now).unwrap_or_else(unknown))
             }
             _ => None,
--- a/crates/node/src/net/downstream/mod.rs
+++ b/crates/node/src/net/downstream/mod.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pumicehead_admin::figures::Figures;
+use pumicehead_admin::stats::Stats;
 use pumicehead_config::model::Protocol;
 use pumicehead_policy::Nanos;
 use tokio::net::TcpListener;
@@ -74,7 +74,7 @@
     lame_duck_since: Cell<Option<Instant>>,
     /// Other processes accept from the same socket.
     is_socket_shared: Cell<bool>,
-    figures: Rc<Figures>,
+    stats: Rc<Stats>,
     /// Memory for the buffered part of long bodies.
     memory: Arc<MemoryBudget>,
     /// Protocol of new connections.
@@ -102,7 +102,7 @@
         options: ListenerOptions,
         budget: Rc<ConnectionBudget>,
         fail_all: impl Fn() + 'static,
-        figures: Rc<Figures>,
+        stats: Rc<Stats>,
         memory: Arc<MemoryBudget>,
     ) -> Rc<Self> {
         Rc::new(Self {
@@ -114,7 +114,7 @@
             is_exiting: Cell::new(false),
             lame_duck_since: Cell::new(None),
             is_socket_shared: Cell::new(false),
-            figures,
+            stats,
             memory,
             protocol: Cell::new(Protocol::Http),
             fail_all: Box::new(fail_all),
--- a/crates/node/tests/unit/downstream.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -136,7 +136,7 @@
         serves_health_check: false,
         retry_after: None,
     };
-    let figures = Rc::new(Figures::new(["submit".to_owned()]));
+    let stats = Rc::new(Stats::new(["submit".to_owned()]));
     let admission = Rc::new(AdmitAll { pool, admitted: Cell::new(0) });
     DownstreamListener::new(
         admission,
@@ -144,7 +144,7 @@
         options,
         ConnectionBudget::new(100, 400),
         || (),
-        figures,
+        stats,
         MemoryBudget::new(1 << 20),
     )
 }
--- a/crates/testbed/src/measure/recorder/node.rs
+++ b/crates/testbed/src/measure/recorder/node.rs
@@ -11,7 +11,7 @@
 /// An admin command is answered within this.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(10);
 /// Words of the log line that has the address of the admin listener.
-const ADMIN_LOG_WORDS: &str = "takes calls on ";
+const ADMIN_LOG_WORDS: &str = "takes admin commands on ";
 
 /// The configuration of a node in front of servers; `classes` and `limits` are in the configuration language.
 pub(super) fn configuration(servers: &[SocketAddr], classes: &str, limits: &str) -> String {
@@ -33,7 +33,7 @@
 impl Admin {
     /// Waits until a node has its admin listener.
     pub(super) fn of(node: &Standalone) -> Self {
-        wait_for("calls", || node.said(ADMIN_LOG_WORDS.trim_end()) == 1);
+        wait_for("the admin listener", || node.said(ADMIN_LOG_WORDS.trim_end()) == 1);
         let log = node.log.lock().map(|log| log.clone()).unwrap_or_default();
         let found = log.iter().find_map(|line| line.split_once(ADMIN_LOG_WORDS)?.1.parse().ok());
         Self(found.unwrap_or_else(|| node.address()))
