--- a/crates/simulator-adapter/tests/stored_forms.rs
+++ b/crates/simulator-adapter/tests/stored_forms.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use pumicehead_policy::*;
-use pumicehead_simulator_adapter::{Decoder, Input, Reply};
+use pumicehead_simulator_adapter::{FrameDecoder, InstanceInput, ReplyEncoder};
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
@@ -29,29 +29,22 @@
     (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
 }
 
-fn server(id: u32, condition: EndpointState, weight: f32, started_at: Nanos) -> EndpointInfo {
-    EndpointInfo {
-        id: EndpointId(id),
-        zone: ZoneId(0),
-        cell: CellId(2),
-        state: condition,
-        weight,
-        started_at,
-    }
+fn endpoint(id: u32, state: EndpointState, weight: f32, started_at: Nanos) -> EndpointInfo {
+    EndpointInfo { id: EndpointId(id), zone: ZoneId(0), cell: CellId(2), state, weight, started_at }
 }
 
 /// What the records of `records.hex` say, in order.
 fn events() -> Vec<Event> {
     let list: Arc<[EndpointInfo]> = vec![
-        server(0x0312_4a07, EndpointState::Ready, 1.0, 0),
-        server(0x2c90_11f2, EndpointState::Draining, 1.5, 0x0000_0001_6b96_9d00),
-        server(3, EndpointState::Removed, 1.0, 5),
+        endpoint(0x0312_4a07, EndpointState::Ready, 1.0, 0),
+        endpoint(0x2c90_11f2, EndpointState::Draining, 1.5, 0x0000_0001_6b96_9d00),
+        endpoint(3, EndpointState::Removed, 1.0, 5),
     ]
     .into();
     let id = RequestId(0x5d3a_91c4);
-    let request = |hint, key| {
-        let (class, tenant, not_after) = (ClassId(0), None, 0x0000_0002_03b6_db90);
-        Event::Request(NewRequest { id, class, tenant, cost_hint: hint, key, deadline: not_after })
+    let request = |cost_hint, key| {
+        let (class, tenant, deadline) = (ClassId(0), None, 0x0000_0002_03b6_db90);
+        Event::Request(NewRequest { id, class, tenant, cost_hint, key, deadline })
     };
     let mut all = vec![
         Event::EndpointsUpdated(EndpointUpdate::Delta(list.clone())),
@@ -73,15 +66,15 @@
         AttemptOutcome::NotSent,
     ];
     all.extend(outcomes.map(|outcome| {
-        let (server, took) = (EndpointId(0x0312_4a07), 18_500_000);
-        let complete = outcome == AttemptOutcome::Success;
+        let (endpoint, duration) = (EndpointId(0x0312_4a07), 18_500_000);
+        let final_answer = outcome == AttemptOutcome::Success;
         Event::AttemptEnded(AttemptEnded {
             id,
             attempt: AttemptNo(2),
-            endpoint: server,
+            endpoint,
             outcome,
-            duration: took,
-            final_answer: complete,
+            duration,
+            final_answer,
         })
     }));
     all.extend([
@@ -94,18 +87,18 @@
 
 #[test]
 fn records_of_every_kind_are_read_as_before() {
-    let batch = Decoder::default().decode(&stored_frame("records.hex")).unwrap();
-    assert_eq!((batch.now, batch.seq), (8_410_152_848, 12));
+    let batch = FrameDecoder::default().decode(&stored_frame("records.hex")).unwrap();
+    assert_eq!((batch.now, batch.sequence_number), (8_410_152_848, 12));
     let (mut begun, mut killed, mut read) = (0, 0, Vec::new());
-    for (instance, input) in batch.input {
+    for (instance, input) in batch.inputs {
         assert_eq!(instance, 3);
         match input {
-            Input::Begin { seed, settings } => {
+            InstanceInput::Begin { seed, settings } => {
                 assert_eq!((seed, settings.classes.len(), settings.zone_count), (77, 1, 1));
                 begun += 1;
             }
-            Input::Killed => killed += 1,
-            Input::Event(event) => read.push(event),
+            InstanceInput::Killed => killed += 1,
+            InstanceInput::Event(event) => read.push(event),
         }
     }
     assert_eq!((begun, killed), (1, 1));
@@ -114,33 +107,27 @@
 
 #[test]
 fn actions_of_every_kind_are_written_as_before() {
-    let (id, server, attempt) = (RequestId(0x5d3a_91c4), EndpointId(0x0312_4a07), AttemptNo(2));
+    let (id, endpoint, attempt) = (RequestId(0x5d3a_91c4), EndpointId(0x0312_4a07), AttemptNo(2));
     let actions = [
-        (
-            "send",
-            Action::StartAttempt { id, endpoint: server, timeout: Some(80_000_000), start_before: None },
-        ),
-        (
-            "send without a timeout",
-            Action::StartAttempt { id, endpoint: server, timeout: None, start_before: None },
-        ),
+        ("send", Action::StartAttempt { id, endpoint, timeout: Some(80_000_000), start_before: None }),
+        ("send without a timeout", Action::StartAttempt { id, endpoint, timeout: None, start_before: None }),
         ("refuse", Action::Reject { id, retry_after: Some(1_000_000) }),
         ("refuse without a time", Action::Reject { id, retry_after: None }),
         ("fail", Action::Fail(id)),
         ("cancel", Action::CancelAttempt { id, attempt }),
         ("timer", Action::ArmTimer { at: 8_910_152_848, token: TimerToken(0x4d) }),
         ("tell", Action::SendLoadReport { to: 9, body: vec![1, 2, 3].into() }),
-        ("free links", Action::CloseIdleConnections(server)),
+        ("free links", Action::CloseIdleConnections(endpoint)),
         ("subscribe", Action::Subscribe),
     ];
     let mut text = String::new();
     for (name, action) in actions {
-        let (mut reply, mut out) = (Reply::default(), Vec::new());
+        let (mut reply, mut out) = (ReplyEncoder::default(), Vec::new());
         reply.push(3, &action);
         reply.finish(12, &mut out);
         text += &format!("{}  # {name}\n", hex(&out));
     }
-    let (mut reply, mut out) = (Reply::default(), Vec::new());
+    let (mut reply, mut out) = (ReplyEncoder::default(), Vec::new());
     reply.log(5, "two servers known");
     reply.finish(13, &mut out);
     text += &format!("{}  # log\n", hex(&out));
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Stdio};
 
 use pumicehead_policy::*;
-use pumicehead_simulator_adapter::{Decoder, Input, Reply, WireError, read_frame};
+use pumicehead_simulator_adapter::{FrameDecoder, InstanceInput, ReplyEncoder, WireError, read_frame};
 
 const NOW: u64 = 8_410_152_848;
 
@@ -51,35 +51,35 @@
     "03 28000000 03000000 c4913a5d 001bb70000000000 00000000 640ad2557c3bf091 90dbb60302000000 0000 0100";
 const ENDED: &str = "05 21000000 03000000 c4913a5d 01 074a1203 c800 00 a0491a0100000000 02 0000684100004040";
 const TIMER: &str = "07 0c000000 03000000 4d00000000000000";
-const GONE: &str = "06 08000000 03000000 192b6f0e";
+const CLIENT_GONE: &str = "06 08000000 03000000 192b6f0e";
 
-fn whole() -> (u32, Vec<u8>) {
+fn documented_records() -> (u32, Vec<u8>) {
     let mut records = begin(3, &settings());
-    for text in [ROSTER, CHANGE, REQUEST, ENDED, TIMER, GONE] {
+    for text in [ROSTER, CHANGE, REQUEST, ENDED, TIMER, CLIENT_GONE] {
         records.extend(hex(text));
     }
     (7, records)
 }
 
 #[test]
-fn examples_are_read() {
-    let (count, records) = whole();
-    let batch = Decoder::default().decode(&frame(count, &records)).unwrap();
-    assert_eq!((batch.now, batch.seq), (NOW, 12));
+fn documented_records_are_decoded() {
+    let (count, records) = documented_records();
+    let batch = FrameDecoder::default().decode(&frame(count, &records)).unwrap();
+    assert_eq!((batch.now, batch.sequence_number), (NOW, 12));
     let events: Vec<&Event> = batch
-        .input
+        .inputs
         .iter()
         .filter_map(|(instance, input)| {
             assert_eq!(*instance, 3);
-            if let Input::Event(event) = input { Some(event) } else { None }
+            if let InstanceInput::Event(event) = input { Some(event) } else { None }
         })
         .collect();
     assert_eq!(events.len(), 5);
-    let Event::EndpointsUpdated(EndpointUpdate::Restored(servers)) = events[0] else {
+    let Event::EndpointsUpdated(EndpointUpdate::Restored(endpoints)) = events[0] else {
         panic!("{:?}", events[0])
     };
-    assert_eq!(servers[0].id, EndpointId(0x0312_4a07));
-    assert_eq!((servers[1].weight, servers[1].started_at), (1.5, 0x0000_0001_6b96_9d00));
+    assert_eq!(endpoints[0].id, EndpointId(0x0312_4a07));
+    assert_eq!((endpoints[1].weight, endpoints[1].started_at), (1.5, 0x0000_0001_6b96_9d00));
     let id = RequestId(0x5d3a_91c4);
     assert_eq!(
         events[1],
@@ -92,14 +92,14 @@
             deadline: 0x0000_0002_03b6_db90,
         })
     );
-    let server = EndpointId(0x0312_4a07);
+    let endpoint = EndpointId(0x0312_4a07);
     let (attempt, outcome) = (AttemptNo(0), AttemptOutcome::Success);
     assert_eq!(
         events[2],
         &Event::AttemptEnded(AttemptEnded {
             id,
             attempt,
-            endpoint: server,
+            endpoint,
             outcome,
             duration: 18_500_000,
             final_answer: true
@@ -110,13 +110,10 @@
 }
 
 #[test]
-fn examples_are_written() {
-    let mut reply = Reply::default();
-    let (id, server) = (RequestId(0x5d3a_91c4), EndpointId(0x0312_4a07));
-    reply.push(
-        3,
-        &Action::StartAttempt { id, endpoint: server, timeout: Some(80_000_000), start_before: None },
-    );
+fn documented_actions_are_encoded() {
+    let mut reply = ReplyEncoder::default();
+    let (id, endpoint) = (RequestId(0x5d3a_91c4), EndpointId(0x0312_4a07));
+    reply.push(3, &Action::StartAttempt { id, endpoint, timeout: Some(80_000_000), start_before: None });
     reply.push(3, &Action::ArmTimer { at: 0x0000_0002_1336_2490, token: TimerToken(0x4d) });
     reply.log(5, "two servers known");
     let mut out = Vec::new();
@@ -132,11 +129,11 @@
 }
 
 #[test]
-fn every_truncation_is_an_error_and_none_a_panic() {
-    let (count, records) = whole();
+fn truncated_frames_are_errors() {
+    let (count, records) = documented_records();
     for len in 0..records.len() {
         // The frame is cut and says so: its records no longer fit.
-        assert!(Decoder::default().decode(&frame(count, &records[..len])).is_err(), "cut at {len}");
+        assert!(FrameDecoder::default().decode(&frame(count, &records[..len])).is_err(), "cut at {len}");
     }
     let full = frame(count, &records);
     for len in 1..full.len() {
@@ -146,38 +143,38 @@
 }
 
 #[test]
-fn changed_bytes_never_panic() {
-    let (count, records) = whole();
+fn corrupted_frames_never_panic() {
+    let (count, records) = documented_records();
     for at in 0..records.len() {
         for value in [0x00, 0x7f, 0xff] {
             let mut changed = records.clone();
             changed[at] = value;
-            let _ = Decoder::default().decode(&frame(count, &changed));
+            let _ = FrameDecoder::default().decode(&frame(count, &changed));
         }
     }
 }
 
 #[test]
-fn faults_name_the_record() {
-    let fault = |records: Vec<u8>, count| {
-        Decoder::default().decode(&frame(count, &records)).map(drop).unwrap_err().to_string()
+fn errors_name_the_record_and_the_field() {
+    let error = |records: Vec<u8>, count| {
+        FrameDecoder::default().decode(&frame(count, &records)).map(drop).unwrap_err().to_string()
     };
-    assert!(fault(hex("63 00000000"), 1).contains("unknown code 99"));
-    assert!(fault(begin(3, "{"), 1).contains("begin"));
-    assert!(fault(begin(3, "{}"), 1).contains("no class"));
+    assert!(error(hex("63 00000000"), 1).contains("unknown code 99"));
+    assert!(error(begin(3, "{"), 1).contains("begin"));
+    assert!(error(begin(3, "{}"), 1).contains("no class"));
     let bad = settings().replace("500000000", "0");
-    assert!(fault(begin(3, &bad), 1).contains("aim"));
+    assert!(error(begin(3, &bad), 1).contains("aim"));
     let with = |record: &str| [begin(3, &settings()), hex(record)].concat();
     let class = REQUEST.replace(" 0000 0100", " 0900 0100");
-    assert!(fault(with(&class), 2).contains("`qos` is 9"));
-    assert!(fault(with(CHANGE), 2).contains("`table` is 0"));
+    assert!(error(with(&class), 2).contains("`qos` is 9"));
+    assert!(error(with(CHANGE), 2).contains("`table` is 0"));
     let zone = [begin(3, &settings()), hex(&ROSTER.replace("074a1203 0000", "074a1203 0800")), hex(CHANGE)];
-    assert!(fault(zone.concat(), 3).contains("`site` is 8"));
+    assert!(error(zone.concat(), 3).contains("`site` is 8"));
 }
 
 #[test]
-fn odd_but_legal_records_are_skipped() {
-    let mut decoder = Decoder::default();
+fn records_without_effect_are_skipped() {
+    let mut decoder = FrameDecoder::default();
     // Events of an instance that was killed in the same batch, and a list number used twice.
     let records = [
         begin(3, &settings()),
@@ -188,17 +185,17 @@
         hex(REQUEST),
     ];
     let batch = decoder.decode(&frame(6, &records.concat())).unwrap();
-    assert_eq!(batch.input.len(), 3);
+    assert_eq!(batch.inputs.len(), 3);
     assert!(
-        matches!(&batch.input[1].1, Input::Event(Event::EndpointsUpdated(EndpointUpdate::Restored(l))) if l.is_empty())
+        matches!(&batch.inputs[1].1, InstanceInput::Event(Event::EndpointsUpdated(EndpointUpdate::Restored(l))) if l.is_empty())
     );
-    assert!(matches!(batch.input[2].1, Input::Killed));
+    assert!(matches!(batch.inputs[2].1, InstanceInput::Killed));
     let nan = ENDED.replace("00006841", "0000c07f");
     let batch = decoder.decode(&frame(2, &[begin(3, &settings()), hex(&nan)].concat())).unwrap();
-    assert_eq!(batch.input.len(), 2);
+    assert_eq!(batch.inputs.len(), 2);
 }
 
-fn drill(input: &[u8]) -> (Option<i32>, Vec<u8>, String) {
+fn run_adapter(input: &[u8]) -> (Option<i32>, Vec<u8>, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_pumicehead-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -211,10 +208,10 @@
 }
 
 #[test]
-fn the_adapter_answers_each_frame_and_ends_cleanly() {
-    assert_eq!(drill(&[]), (Some(0), Vec::new(), String::new()));
-    let (count, records) = whole();
-    let (code, out, error) = drill(&[frame(0, &[]), frame(count, &records)].concat());
+fn adapter_answers_each_frame_and_exits_with_zero() {
+    assert_eq!(run_adapter(&[]), (Some(0), Vec::new(), String::new()));
+    let (count, records) = documented_records();
+    let (code, out, error) = run_adapter(&[frame(0, &[]), frame(count, &records)].concat());
     assert_eq!((code, error.as_str()), (Some(0), ""));
     assert_eq!(&out[..12], hex("00000000 00000000 0c000000"));
     // The request is sent on to one of the two servers.
@@ -223,11 +220,11 @@
 }
 
 #[test]
-fn the_adapter_says_what_is_wrong_in_one_line() {
-    let (count, records) = whole();
+fn adapter_reports_a_malformed_frame_in_one_line() {
+    let (count, records) = documented_records();
     let full = frame(count, &records);
     for bad in [frame(1, &hex("63 00000000")), full[..full.len() - 3].to_vec(), full[..7].to_vec()] {
-        let (code, out, error) = drill(&bad);
+        let (code, out, error) = run_adapter(&bad);
         assert_eq!((code, out.len()), (Some(1), 0));
         assert_eq!(error.lines().count(), 1, "{error}");
     }
