--- a/crates/node/src/net/downstream/request_body.rs
+++ b/crates/node/src/net/downstream/request_body.rs
@@ -7,7 +7,7 @@
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
-use pumicehead_slow_peer::Pace;
+use pumicehead_slow_peer::PaceMonitor;
 use tokio::time::timeout;
 
 use crate::net::admission::RequestError;
@@ -90,20 +90,20 @@
     });
     let limit = if wanted > max_buffered && reservation.try_grow(wanted) { wanted } else { max_buffered };
     let mut buffer = BytesMut::new();
-    let mut pace = Pace::new(UPLOAD_RULES, Instant::now());
+    let mut pace = PaceMonitor::new(UPLOAD_RULES, Instant::now());
     loop {
-        pace.wants_more(Instant::now());
+        pace.on_demand(Instant::now());
         let frame = match timeout(PACE_CHECK_INTERVAL, body.frame()).await {
             Err(_) => {
-                pace.look(Instant::now()).map_err(|_| RequestError::BodyTimeout)?;
+                pace.check(Instant::now()).map_err(|_| RequestError::BodyTimeout)?;
                 continue;
             }
             Ok(None) => return Ok(ReceivedBody::Full(reservation.attach_to(buffer.freeze()))),
             Ok(Some(frame)) => frame.map_err(|_| RequestError::BodyIncomplete)?,
         };
         let Ok(data) = frame.into_data() else { continue };
-        pace.moved(data.len() as u64, Instant::now());
-        pace.look(Instant::now()).map_err(|_| RequestError::BodyTimeout)?;
+        pace.on_bytes(data.len() as u64, Instant::now());
+        pace.check(Instant::now()).map_err(|_| RequestError::BodyTimeout)?;
         buffer.extend_from_slice(&data);
         if buffer.len() > limit || buffer.len() == limit && !body.is_end_stream() {
             let allowed = max_streamed.checked_sub(buffer.len() as u64).ok_or(RequestError::BodyTooLong)?;
--- a/crates/node/src/net/response_body/progress.rs
+++ b/crates/node/src/net/response_body/progress.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use pumicehead_slow_peer::{GiveUp, Pace, Rules};
+use pumicehead_slow_peer::{PaceError, PaceLimits, PaceMonitor};
 use tokio::sync::Notify;
 use tokio::time::sleep;
 use tracing::warn;
@@ -26,17 +26,17 @@
 const MIN_AHEAD: Duration = Duration::from_millis(250);
 
 /// Bounds on the pace of streamed responses.
-const RULES: Rules = Rules {
-    silence: MAX_SILENCE,
+const RULES: PaceLimits = PaceLimits {
+    idle_timeout: MAX_SILENCE,
     window: PACE_WINDOW,
-    least: MIN_WINDOW_BYTES,
-    longest: MAX_DURATION,
-    ahead: MIN_AHEAD,
+    min_window_bytes: MIN_WINDOW_BYTES,
+    max_duration: MAX_DURATION,
+    min_ahead: MIN_AHEAD,
 };
 
 /// The progress of a streamed response.
 pub struct StreamProgress {
-    pace: RefCell<Pace>,
+    pace: RefCell<PaceMonitor>,
     end: Cell<Option<StreamEnd>>,
     /// The endpoint is done with the response, or the stream has ended.
     upstream_done: Notify,
@@ -48,7 +48,7 @@
 impl StreamProgress {
     pub(super) fn new() -> Rc<Self> {
         Rc::new(Self {
-            pace: RefCell::new(Pace::new(RULES, Instant::now())),
+            pace: RefCell::new(PaceMonitor::new(RULES, Instant::now())),
             end: Cell::new(None),
             upstream_done: Notify::new(),
             given_up: Cell::new(false),
@@ -72,12 +72,12 @@
     }
 
     pub(super) fn on_data(&self, bytes: usize, now: Instant) {
-        self.pace.borrow_mut().moved(bytes as u64, now);
+        self.pace.borrow_mut().on_bytes(bytes as u64, now);
     }
 
     /// The client waits for the endpoint.
     pub(super) fn on_pending(&self, now: Instant) {
-        self.pace.borrow_mut().wants_more(now);
+        self.pace.borrow_mut().on_demand(now);
     }
 
     pub(super) fn is_given_up(&self) -> bool {
@@ -99,7 +99,7 @@
         while self.end.get().is_none() {
             sleep(PACE_CHECK_INTERVAL).await;
             let now = Instant::now();
-            let pace = self.pace.borrow_mut().look(now);
+            let pace = self.pace.borrow_mut().check(now);
             if self.pace.borrow().source_is_ahead(now) {
                 self.upstream_done.notify_one();
             }
@@ -112,7 +112,7 @@
     }
 
     /// Aborts the stream. Whichever side was too slow, the client has to see that the response is incomplete.
-    fn give_up(&self, reason: GiveUp) {
+    fn give_up(&self, reason: PaceError) {
         warn!(target: "stream", bytes = self.bytes(), %reason, "response aborted (source: endpoint, sink: client)");
         self.given_up.set(true);
         if let Some(abort) = &*self.abort.borrow() {
--- a/crates/node/src/net/upload.rs
+++ b/crates/node/src/net/upload.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
-use pumicehead_slow_peer::{GiveUp, Pace, Rules, Side};
+use pumicehead_slow_peer::{PaceError, PaceLimits, PaceMonitor, Side};
 
 /// A client that has begun to send may be silent for this long.
 const MAX_SILENCE: Duration = Duration::from_millis(2_000);
@@ -21,12 +21,12 @@
 const MAX_DURATION: Duration = Duration::from_secs(900);
 
 /// Bounds on the pace of uploads.
-pub const UPLOAD_RULES: Rules = Rules {
-    silence: MAX_SILENCE,
+pub const UPLOAD_RULES: PaceLimits = PaceLimits {
+    idle_timeout: MAX_SILENCE,
     window: PACE_WINDOW,
-    least: MIN_WINDOW_BYTES,
-    longest: MAX_DURATION,
-    ahead: PACE_WINDOW,
+    min_window_bytes: MIN_WINDOW_BYTES,
+    max_duration: MAX_DURATION,
+    min_ahead: PACE_WINDOW,
 };
 
 /// How far an upload has come.
@@ -47,7 +47,7 @@
 /// The part of a body that is not buffered.
 pub struct Upload {
     rest: RefCell<Option<Incoming>>,
-    pace: RefCell<Pace>,
+    pace: RefCell<PaceMonitor>,
     stage: Cell<Stage>,
     /// The whole body's stated length.
     length: Option<u64>,
@@ -62,7 +62,7 @@
     pub fn new(rest: Incoming, length: Option<u64>, allowed: u64, time_left: Duration) -> Rc<Self> {
         Rc::new(Self {
             rest: RefCell::new(Some(rest)),
-            pace: RefCell::new(Pace::new(UPLOAD_RULES, Instant::now())),
+            pace: RefCell::new(PaceMonitor::new(UPLOAD_RULES, Instant::now())),
             stage: Cell::new(Stage::Buffered),
             length,
             allowed: Cell::new(allowed),
@@ -99,12 +99,17 @@
     ///
     /// # Errors
     /// The side that is too slow; the source is the client.
-    pub fn check_pace(&self) -> Result<(), GiveUp> {
+    pub fn check_pace(&self) -> Result<(), PaceError> {
         if !self.is_in_progress() {
             return Ok(());
         }
-        let pace = self.pace.borrow_mut().look(Instant::now());
-        if matches!(pace, Err(GiveUp::Silent(Side::Source) | GiveUp::Slow(Side::Source) | GiveUp::TooLong)) {
+        let pace = self.pace.borrow_mut().check(Instant::now());
+        if matches!(
+            pace,
+            Err(PaceError::Idle(Side::Source)
+                | PaceError::TooSlow(Side::Source)
+                | PaceError::MaxDurationExceeded)
+        ) {
             self.stage.set(Stage::Incomplete);
         }
         pace
@@ -118,7 +123,7 @@
     fn start(&self) {
         if self.stage.get() == Stage::Buffered {
             self.stage.set(Stage::InProgress);
-            *self.pace.borrow_mut() = Pace::new(UPLOAD_RULES, Instant::now());
+            *self.pace.borrow_mut() = PaceMonitor::new(UPLOAD_RULES, Instant::now());
         }
     }
 
@@ -131,7 +136,7 @@
             let now = Instant::now();
             return match polled {
                 Poll::Pending => {
-                    self.pace.borrow_mut().wants_more(now);
+                    self.pace.borrow_mut().on_demand(now);
                     Poll::Pending
                 }
                 Poll::Ready(None) => {
@@ -159,7 +164,7 @@
             return Err(io::ErrorKind::FileTooLarge.into());
         };
         self.allowed.set(allowed);
-        self.pace.borrow_mut().moved(data.len() as u64, now);
+        self.pace.borrow_mut().on_bytes(data.len() as u64, now);
         if is_last {
             self.stage.set(Stage::Completed(now));
         }
--- a/crates/node/src/net/upstream/http/attempt_timeout.rs
+++ b/crates/node/src/net/upstream/http/attempt_timeout.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicehead_policy::AttemptOutcome;
-use pumicehead_slow_peer::{GiveUp, Side};
+use pumicehead_slow_peer::{PaceError, Side};
 use tokio::time::{Instant, sleep_until};
 
 use super::attempt::AttemptStage;
@@ -64,7 +64,9 @@
     }
     match pace {
         Ok(()) => Ok(Instant::now() + CHECK_INTERVAL),
-        Err(GiveUp::Silent(Side::Sink) | GiveUp::Slow(Side::Sink)) => Err(AttemptOutcome::ConnectFailed),
+        Err(PaceError::Idle(Side::Sink) | PaceError::TooSlow(Side::Sink)) => {
+            Err(AttemptOutcome::ConnectFailed)
+        }
         Err(_) => Err(AttemptOutcome::NotSent),
     }
 }
--- a/crates/slow-peer/tests/pace.rs
+++ b/crates/slow-peer/tests/pace.rs
@@ -1,16 +1,16 @@
-//! The pace of streams in virtual time.
+//! Pace checks of streams in virtual time.
 
 use std::time::{Duration, Instant};
 
 use proptest::prelude::*;
-use pumicehead_slow_peer::{GiveUp, Pace, Rules, Side};
+use pumicehead_slow_peer::{PaceError, PaceLimits, PaceMonitor, Side};
 
-const RULES: Rules = Rules {
-    silence: Duration::from_secs(10),
+const LIMITS: PaceLimits = PaceLimits {
+    idle_timeout: Duration::from_secs(10),
     window: Duration::from_secs(2),
-    least: 1_000,
-    longest: Duration::from_secs(600),
-    ahead: Duration::from_millis(250),
+    min_window_bytes: 1_000,
+    max_duration: Duration::from_secs(600),
+    min_ahead: Duration::from_millis(250),
 };
 
 fn ms(ms: u64) -> Duration {
@@ -18,112 +18,111 @@
 }
 
 #[test]
-fn who_is_silent_is_blamed() {
+fn the_awaited_side_is_idle_after_the_idle_timeout() {
     let start = Instant::now();
-    let rules = Rules { least: 0, ..RULES };
-    let mut pace = Pace::new(rules, start);
-    assert_eq!(pace.look(start + ms(9_999)), Ok(()));
-    assert_eq!(pace.look(start + ms(10_000)), Err(GiveUp::Silent(Side::Source)));
-    pace.moved(1, start + ms(10_000));
-    assert_eq!(pace.look(start + ms(19_999)), Ok(()));
-    assert_eq!(pace.look(start + ms(20_000)), Err(GiveUp::Silent(Side::Sink)));
-    pace.wants_more(start + ms(20_000));
-    // Asking again for what is not there is no movement.
-    pace.wants_more(start + ms(29_000));
-    assert_eq!(pace.look(start + ms(30_000)), Err(GiveUp::Silent(Side::Source)));
+    let limits = PaceLimits { min_window_bytes: 0, ..LIMITS };
+    let mut pace = PaceMonitor::new(limits, start);
+    assert_eq!(pace.check(start + ms(9_999)), Ok(()));
+    assert_eq!(pace.check(start + ms(10_000)), Err(PaceError::Idle(Side::Source)));
+    pace.on_bytes(1, start + ms(10_000));
+    assert_eq!(pace.check(start + ms(19_999)), Ok(()));
+    assert_eq!(pace.check(start + ms(20_000)), Err(PaceError::Idle(Side::Sink)));
+    pace.on_demand(start + ms(20_000));
+    // Demand without data is no movement.
+    pace.on_demand(start + ms(29_000));
+    assert_eq!(pace.check(start + ms(30_000)), Err(PaceError::Idle(Side::Source)));
 }
 
 #[test]
-fn who_was_waited_for_most_is_the_slow_one() {
-    for (on_sink, blamed) in [(1_500, Side::Sink), (500, Side::Source)] {
+fn the_side_awaited_for_most_of_the_window_is_too_slow() {
+    for (sink_wait_ms, slow_side) in [(1_500, Side::Sink), (500, Side::Source)] {
         let start = Instant::now();
-        let mut pace = Pace::new(RULES, start);
-        pace.moved(10, start);
-        pace.wants_more(start + ms(on_sink));
-        assert_eq!(pace.look(start + ms(2_000)), Err(GiveUp::Slow(blamed)));
+        let mut pace = PaceMonitor::new(LIMITS, start);
+        pace.on_bytes(10, start);
+        pace.on_demand(start + ms(sink_wait_ms));
+        assert_eq!(pace.check(start + ms(2_000)), Err(PaceError::TooSlow(slow_side)));
     }
 }
 
 #[test]
-fn a_wait_across_windows_is_counted_in_each() {
+fn a_wait_across_windows_counts_in_each_window() {
     let start = Instant::now();
-    let mut pace = Pace::new(RULES, start);
-    pace.moved(5_000, start + ms(100));
-    assert_eq!(pace.look(start + ms(2_000)), Ok(()));
-    // Still waiting for the sink, through the whole second window.
-    assert_eq!(pace.look(start + ms(4_000)), Err(GiveUp::Slow(Side::Sink)));
-    let mut pace = Pace::new(RULES, start);
-    pace.moved(5_000, start + ms(100));
-    assert_eq!(pace.look(start + ms(2_000)), Ok(()));
-    pace.wants_more(start + ms(2_100));
-    assert_eq!(pace.look(start + ms(4_000)), Err(GiveUp::Slow(Side::Source)));
+    let mut pace = PaceMonitor::new(LIMITS, start);
+    pace.on_bytes(5_000, start + ms(100));
+    assert_eq!(pace.check(start + ms(2_000)), Ok(()));
+    // The sink is still awaited through the whole second window.
+    assert_eq!(pace.check(start + ms(4_000)), Err(PaceError::TooSlow(Side::Sink)));
+    let mut pace = PaceMonitor::new(LIMITS, start);
+    pace.on_bytes(5_000, start + ms(100));
+    assert_eq!(pace.check(start + ms(2_000)), Ok(()));
+    pace.on_demand(start + ms(2_100));
+    assert_eq!(pace.check(start + ms(4_000)), Err(PaceError::TooSlow(Side::Source)));
 }
 
 #[test]
-fn the_source_is_ahead_once_the_sink_is_waited_for() {
+fn the_source_is_ahead_after_the_sink_is_awaited_for_min_ahead() {
     let start = Instant::now();
-    let mut pace = Pace::new(RULES, start);
+    let mut pace = PaceMonitor::new(LIMITS, start);
     assert!(!pace.source_is_ahead(start + ms(9_000)));
-    pace.moved(1, start);
+    pace.on_bytes(1, start);
     assert!(!pace.source_is_ahead(start + ms(249)));
     assert!(pace.source_is_ahead(start + ms(250)));
-    pace.wants_more(start + ms(260));
+    pace.on_demand(start + ms(260));
     assert!(!pace.source_is_ahead(start + ms(9_000)));
 }
 
 #[test]
-fn no_stream_lasts_for_ever() {
+fn a_moving_stream_ends_at_its_max_duration() {
     let start = Instant::now();
-    let mut pace = Pace::new(RULES, start);
+    let mut pace = PaceMonitor::new(LIMITS, start);
     let end = (1..).map(|second| start + ms(second * 1_000)).find_map(|now| {
-        pace.moved(u64::MAX / 2, now);
-        pace.look(now).err().map(|why| (why, now))
+        pace.on_bytes(u64::MAX / 2, now);
+        pace.check(now).err().map(|error| (error, now))
     });
-    assert_eq!(end, Some((GiveUp::TooLong, start + RULES.longest)));
+    assert_eq!(end, Some((PaceError::MaxDurationExceeded, start + LIMITS.max_duration)));
     assert_eq!(pace.bytes(), u64::MAX, "a count that is full stays so");
 }
 
-/// What happens to a stream: after so many milliseconds, so many bytes come (0: more is asked for).
-fn happenings() -> impl Strategy<Value = Vec<(u64, u64)>> {
+/// Events of a stream: milliseconds since the last one, and the bytes that arrive (0: the sink asks for more).
+fn stream_events() -> impl Strategy<Value = Vec<(u64, u64)>> {
     prop::collection::vec((0..3_000u64, prop_oneof![Just(0), 1..3_000u64]), 1..60)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Once nothing moves, whoever is waited for is given up within the silence, looked at each half second; and it
-    /// is never blamed on the side that was not waited for at all since the window began.
+    /// Once nothing moves, the awaited side is reported within the idle timeout, and never the other one.
     #[test]
-    fn what_stands_still_ends(happenings in happenings()) {
+    fn a_stream_without_movement_is_aborted_within_the_idle_timeout(stream_events in stream_events()) {
         let mut now = Instant::now();
-        let mut pace = Pace::new(RULES, now);
-        for (later, bytes) in happenings {
-            now += ms(later);
-            if bytes == 0 { pace.wants_more(now) } else { pace.moved(bytes, now) }
-            let _ = pace.look(now);
+        let mut pace = PaceMonitor::new(LIMITS, now);
+        for (delay_ms, bytes) in stream_events {
+            now += ms(delay_ms);
+            if bytes == 0 { pace.on_demand(now) } else { pace.on_bytes(bytes, now) }
+            let _ = pace.check(now);
         }
-        let (stopped, waited_for) = (now, pace.waited_for());
-        let why = loop {
+        let (stopped, awaited) = (now, pace.awaited_side());
+        let error = loop {
             now += ms(500);
-            if let Err(why) = pace.look(now) && now > stopped + RULES.window * 2 {
-                break why;
+            if let Err(error) = pace.check(now) && now > stopped + LIMITS.window * 2 {
+                break error;
             }
-            prop_assert!(now <= stopped + RULES.silence);
+            prop_assert!(now <= stopped + LIMITS.idle_timeout);
         };
-        prop_assert!(matches!(why, GiveUp::Silent(side) | GiveUp::Slow(side) if side == waited_for));
+        prop_assert!(matches!(error, PaceError::Idle(side) | PaceError::TooSlow(side) if side == awaited));
     }
 
-    /// A stream in which enough moves in every second is never given up, however it is cut and whoever is waited for.
+    /// Enough bytes in every second keep a stream alive, whatever their pieces and whichever side is awaited.
     #[test]
-    fn who_keeps_pace_is_left_alone(pieces in prop::collection::vec((1..200u64, any::<bool>()), 1..300)) {
+    fn a_stream_that_keeps_pace_is_never_aborted(pieces in prop::collection::vec((1..200u64, any::<bool>()), 1..300)) {
         let mut now = Instant::now();
-        let mut pace = Pace::new(RULES, now);
-        for (later, asked) in pieces {
-            now += ms(later);
-            pace.moved(later, now);
-            if asked { pace.wants_more(now) }
-            // 1 byte a millisecond, looked at each 200 ms at the latest: over 2 s at least 1,800.
-            prop_assert_eq!(pace.look(now), Ok(()));
+        let mut pace = PaceMonitor::new(LIMITS, now);
+        for (delay_ms, demanded) in pieces {
+            now += ms(delay_ms);
+            pace.on_bytes(delay_ms, now);
+            if demanded { pace.on_demand(now) }
+            // 1 byte a millisecond, checked every 200 ms at the latest: over 2 s at least 1,800.
+            prop_assert_eq!(pace.check(now), Ok(()));
         }
     }
 }
