--- a/crates/node/src/net/downstream/proxy.rs
+++ b/crates/node/src/net/downstream/proxy.rs
@@ -1,8 +1,8 @@
 //! Sends an admitted request to its pool and words the response, for all protocols of clients.
 
 use hyper::Response;
-use pumicehead_admin::figures::Outcome;
-use pumicehead_flight_recorder::event::Turned;
+use pumicehead_admin::stats::RequestOutcome;
+use pumicehead_flight_recorder::event::ListenerRejection;
 
 use super::DownstreamListener;
 use super::request_body::ReceivedBody;
@@ -26,7 +26,7 @@
         }
         if let Some(reason) = self.local_rejection(over_limit) {
             pool.record_local_rejection(class, reason);
-            self.figures.ended(class, Outcome::Rejected);
+            self.stats.record_outcome(class, RequestOutcome::Rejected);
             return response::rejection(&style, self.options.get().retry_after);
         }
         (request.upstream.body, request.upstream.upload) = body.into_parts();
@@ -38,26 +38,26 @@
     }
 
     /// Why a request is rejected without asking its pool; `None` where it is not.
-    fn local_rejection(&self, over_limit: bool) -> Option<Turned> {
+    fn local_rejection(&self, over_limit: bool) -> Option<ListenerRejection> {
         if over_limit {
-            return Some(Turned::Connections);
+            return Some(ListenerRejection::ConnectionLimit);
         }
         let is_full = self.active_requests.count() >= self.options.get().max_active_requests;
-        (self.is_exiting.get() || is_full).then_some(Turned::Held)
+        (self.is_exiting.get() || is_full).then_some(ListenerRejection::RequestLimit)
     }
 
     /// Counts the outcome of a request; that of a streamed response is known at its end.
     fn count_outcome(&self, class: usize, response: &mut FinalResponse) {
         match response {
             FinalResponse::Upstream(upstream) if upstream.body.is_stream() => {
-                let figures = self.figures.clone();
+                let stats = self.stats.clone();
                 upstream.body.on_end(move |end| match end {
-                    StreamEnd::Complete => figures.ended(class, Outcome::Completed),
-                    StreamEnd::UpstreamFailed => figures.ended(class, Outcome::Failed),
+                    StreamEnd::Complete => stats.record_outcome(class, RequestOutcome::Completed),
+                    StreamEnd::UpstreamFailed => stats.record_outcome(class, RequestOutcome::Failed),
                     StreamEnd::ClientDisconnected => {}
                 });
             }
-            response => self.figures.ended(class, response.outcome()),
+            response => self.stats.record_outcome(class, response.outcome()),
         }
     }
 }
--- a/crates/node/src/net/pool_loop/requests.rs
+++ b/crates/node/src/net/pool_loop/requests.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use pumicehead_flight_recorder::event::{Event as RecordedEvent, How};
-use pumicehead_flight_recorder::text;
+use pumicehead_flight_recorder::bounded_text;
+use pumicehead_flight_recorder::event::{Event as RecordedEvent, RequestOutcome};
 use pumicehead_policy::{ClassId, Event, Nanos, NewRequest, RequestId, SECOND};
 use tokio::time::Instant;
 
@@ -47,13 +47,13 @@
 
     fn record_request(&self, id: RequestId, request: &ProxyRequest) {
         if let Some(recorder) = self.recorder.as_ref().filter(|recorder| recorder.is_recording()) {
-            recorder.record(&RecordedEvent::Asked {
+            recorder.record(&RecordedEvent::RequestAdmitted {
                 id,
                 class: request.class as u16,
                 tenant: request.tenant.map(|tenant| tenant.0),
-                left: request.time_left.as_nanos() as Nanos,
-                sending: request.body_read_time.as_nanos() as Nanos,
-                name: text::Name::new(&request.correlation_id),
+                client_timeout: request.time_left.as_nanos() as Nanos,
+                upload_time: request.body_read_time.as_nanos() as Nanos,
+                name: bounded_text::BoundedName::new(&request.correlation_id),
                 revision: request.revision,
             });
         }
@@ -64,7 +64,7 @@
         let Some(in_flight) = self.in_flight.get_mut(&id) else { return false };
         let Some(responder) = in_flight.responder.take() else { return false };
         in_flight.request.finished.set(true);
-        self.record(&RecordedEvent::Over { id, how: recorded_outcome(&response) });
+        self.record(&RecordedEvent::RequestEnded { id, outcome: recorded_outcome(&response) });
         // Fails where the client has disconnected.
         let _ = responder.send(response);
         self.release_if_done(id);
@@ -122,14 +122,14 @@
 }
 
 /// How a final response is recorded.
-fn recorded_outcome(response: &FinalResponse) -> How {
+fn recorded_outcome(response: &FinalResponse) -> RequestOutcome {
     match response {
-        FinalResponse::Upstream(upstream) if upstream.status.is_server_error() => How::ServedFault,
-        FinalResponse::Upstream(_) => How::Served,
-        FinalResponse::Rejected(_) => How::Refused,
-        FinalResponse::Failed => How::Failed,
-        FinalResponse::DeadlineExceeded => How::Late,
-        FinalResponse::BodyIncomplete | FinalResponse::BodyTooLong => How::Body,
-        FinalResponse::ClientDisconnected => How::Left,
+        FinalResponse::Upstream(upstream) if upstream.status.is_server_error() => RequestOutcome::ServedError,
+        FinalResponse::Upstream(_) => RequestOutcome::Served,
+        FinalResponse::Rejected(_) => RequestOutcome::Rejected,
+        FinalResponse::Failed => RequestOutcome::Failed,
+        FinalResponse::DeadlineExceeded => RequestOutcome::DeadlineExceeded,
+        FinalResponse::BodyIncomplete | FinalResponse::BodyTooLong => RequestOutcome::BodyFailed,
+        FinalResponse::ClientDisconnected => RequestOutcome::ClientDisconnected,
     }
 }
--- a/crates/node/tests/reloads.rs
+++ b/crates/node/tests/reloads.rs
@@ -1,5 +1,6 @@
-//! Changes of the configuration of a running standalone node, on loopback sockets: what is untouched stays untouched,
-//! each revision is applied whole or not at all, and requests that are out end by the rules they were admitted under.
+//! Changes of the configuration of a running standalone node, on loopback sockets: pools that a change does
+//! not concern keep their loops, each revision is applied whole or not at all, and requests in flight end under the rules
+//! that they were admitted under.
 
 use std::fmt::Write as _;
 use std::io::{Read, Write};
@@ -9,9 +10,9 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_flight_recorder::dump::Dump;
 use pumicehead_flight_recorder::event::Event;
-use pumicehead_flight_recorder::ring::records;
+use pumicehead_flight_recorder::event_ring::decode_records;
+use pumicehead_flight_recorder::recording::Recording;
 use pumicehead_testbed::program::{LIMIT, Standalone, wait_for};
 use pumicehead_testbed::scripted::{Act, Backend, Client, Crowd, Message, ok, refusing};
 
@@ -33,8 +34,8 @@
     )
 }
 
-/// The same with a place where staff call.
-fn with_calls(text: &str) -> (String, SocketAddr) {
+/// The same with an admin address.
+fn with_admin(text: &str) -> (String, SocketAddr) {
     let address = refusing();
     (format!("{text}observe {{ calls {address}; recorder 1MiB }}\n"), address)
 }
@@ -49,9 +50,9 @@
     client.read().expect("an answer")
 }
 
-/// The whole answer to a call of staff.
-fn call(calls: SocketAddr, line: &str) -> Vec<u8> {
-    let mut caller = TcpStream::connect(calls).expect("calls are taken");
+/// The whole reply to an admin command.
+fn admin_command(admin: SocketAddr, line: &str) -> Vec<u8> {
+    let mut caller = TcpStream::connect(admin).expect("an admin connection");
     caller.set_read_timeout(Some(LIMIT)).expect("a time-out");
     caller.write_all(format!("{line}\n").as_bytes()).expect("a line");
     let mut answer = Vec::new();
@@ -59,9 +60,9 @@
     answer
 }
 
-/// The revision in force with its digest, as staff are told.
-fn in_force(calls: SocketAddr) -> (u64, String) {
-    let answer = String::from_utf8(call(calls, "CONFIG")).expect("text");
+/// The revision in force with its digest, by the reply to `CONFIG`.
+fn in_force(admin: SocketAddr) -> (u64, String) {
+    let answer = String::from_utf8(admin_command(admin, "CONFIG")).expect("text");
     let words: Vec<_> = answer.split_whitespace().collect();
     let [ok, "revision", revision, "digest", digest] = words[..] else { panic!("{answer}") };
     assert_eq!(ok, "OK");
@@ -90,9 +91,9 @@
     client
 }
 
-/// Guards that a change touches only what it names.
+/// Guards that a change updates only what it names.
 #[test]
-fn a_change_touches_what_it_names() {
+fn a_change_updates_only_the_pools_it_names() {
     let (one, two, more) = (plain("one"), plain("two"), plain("more"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
     let before = text(&pools);
@@ -100,66 +101,66 @@
     // Its meaning is the same.
     node.reload(&format!("# nothing new\n{}", before.replace("; ", ";\n  ")));
     wait_for("no change", || node.said("0 changes; revision 1,") == 1);
-    assert_eq!(node.said("pools: 2 untouched, 0 changed in place, 0 begun anew"), 1);
+    assert_eq!(node.said("pools: 2 kept, 0 updated, 0 started"), 1);
     let grown = text(
         &(pool("one", &[("a", one.address), ("c", more.address)]) + &pool("two", &[("b", two.address)])),
     );
     node.reload(&grown);
     assert_eq!(node.said("revision 2,"), 1);
-    assert_eq!(node.said("pools: 1 untouched, 1 changed in place, 0 begun anew"), 1);
+    assert_eq!(node.said("pools: 1 kept, 1 updated, 0 started"), 1);
     // Other routes of the same classes need other decisions of no pool, and neither does another order.
     node.reload(&grown.replace("path /two/**", "path /second/**"));
-    assert_eq!(node.said("pools: 2 untouched, 0 changed in place, 0 begun anew"), 2);
+    assert_eq!(node.said("pools: 2 kept, 0 updated, 0 started"), 2);
     assert_eq!((ask(&node, "/second/x").status(), ask(&node, "/two/x").status()), (200, 404));
     // A class that is new in a pool, and one whose worth changed, are taken in place.
     node.reload(
         &grown.replace("class submit; pool one", "class submit; pool two").replace("aim 5s", "aim 4s"),
     );
-    assert_eq!(node.said("pools: 0 untouched, 2 changed in place, 0 begun anew"), 1);
-    assert_eq!(node.said("begun anew") - node.said("0 begun anew"), 0);
+    assert_eq!(node.said("pools: 0 kept, 2 updated, 0 started"), 1);
+    assert_eq!(node.said("started") - node.said("0 started"), 0);
 }
 
-/// Guards the order of routes: another order is a change of its own, and touches no pool.
+/// Guards the order of routes: another order is a change of its own that concerns no pool.
 #[test]
-fn an_order_of_routes_that_changes_and_nothing_else() {
+fn reordered_routes_change_no_pool() {
     let (one, two) = (plain("one"), plain("two"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
     let (first, second) = (
         "route all { path /*/x; class read; pool two }\n",
         "route some { path /some/*; class read; pool one }\n",
     );
-    let (base, calls) = with_calls(&text(&pools));
+    let (base, admin) = with_admin(&text(&pools));
     let node = Standalone::start(&format!("{base}{first}{second}"), 1);
     assert_eq!(ask(&node, "/some/x").body, b"two");
-    let (_, digest) = in_force(calls);
+    let (_, digest) = in_force(admin);
     node.reload(&format!("{base}{second}{first}"));
     assert_eq!(ask(&node, "/some/x").body, b"one");
     assert_eq!(node.said("now before route"), 1);
-    assert_eq!(node.said("pools: 2 untouched, 0 changed in place, 0 begun anew"), 1);
-    let (revision, other) = in_force(calls);
+    assert_eq!(node.said("pools: 2 kept, 0 updated, 0 started"), 1);
+    let (revision, other) = in_force(admin);
     assert_eq!(revision, 2);
     assert_ne!(other, digest);
     // Back again it is the state that it was, under a number of its own.
     node.reload(&format!("{base}{first}{second}"));
-    assert_eq!(in_force(calls), (3, digest));
+    assert_eq!(in_force(admin), (3, digest));
 }
 
 /// Guards the digest: a node that came to a state by changes, and one that began with it in another form, say the same;
-/// the log, the metrics and staff are told alike.
+/// log, metrics and replies agree.
 #[test]
-fn the_digest_is_that_of_the_state_and_not_of_the_way_to_it() {
+fn the_digest_depends_on_the_state_alone() {
     let (one, two) = (plain("one"), plain("two"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
-    let (base, calls) = with_calls(&text(&pools));
+    let (base, admin) = with_admin(&text(&pools));
     let node = Standalone::start(&base, 1);
     let changed = base.replace("aim 5s", "aim 3s");
     node.reload(&changed);
     node.reload(&changed.replace("/submit/**", "/send/**"));
     node.reload(&changed);
-    let (revision, digest) = in_force(calls);
+    let (revision, digest) = in_force(admin);
     assert_eq!(revision, 4);
     assert!(node.said(&format!("revision 4, digest {digest}")) == 1);
-    let metrics = String::from_utf8(call(calls, "METRICS")).expect("text");
+    let metrics = String::from_utf8(admin_command(admin, "METRICS")).expect("text");
     assert!(metrics.contains("pumicehead_config_revision 4\n"), "{metrics}");
     let short = u64::from_str_radix(&digest[..13], 16).expect("a digest");
     let value = metrics.lines().find_map(|line| line.strip_prefix("pumicehead_config_digest "));
@@ -172,7 +173,7 @@
         others.chain(routes).map(|line| format!("# a comment\n{}\n", line.replace(' ', "  "))).collect();
     drop(node);
     let twin = Standalone::start(&other_form, 1);
-    assert_eq!(in_force(calls), (1, digest));
+    assert_eq!(in_force(admin), (1, digest));
     drop(twin);
 }
 
@@ -184,24 +185,24 @@
     let two = plain("two");
     let pools = pool("one", &[("a", servers[0].address), ("b", servers[1].address)])
         + &pool("two", &[("c", two.address)]);
-    let (base, calls) = with_calls(&text(&pools));
+    let (base, admin) = with_admin(&text(&pools));
     let node = Standalone::start(&base, 1);
-    call(calls, "RECORD full");
+    admin_command(admin, "RECORD full");
     let mut early = slow(&node, "/one/slow");
     wait_for("the slow request", || servers.iter().map(Backend::count).sum::<usize>() == 1);
     node.reload(&base.replace("aim 5s", "aim 3s"));
     assert_eq!(ask(&node, "/two/x").status(), 200);
     gate.store(true, Ordering::SeqCst);
     assert_eq!(early.read().expect("an answer").status(), 200);
-    let answer = call(calls, "TRACE");
+    let answer = admin_command(admin, "TRACE");
     let line = answer.iter().position(|&byte| byte == b'\n').expect("a first line");
-    let dump = Dump::read(&answer[line + 1..]).expect("a recording");
+    let dump = Recording::read(&answer[line + 1..]).expect("a recording");
     let mut revisions: Vec<_> = dump
-        .stories
+        .timelines
         .iter()
-        .flat_map(|story| records(&story.page).0)
+        .flat_map(|story| decode_records(&story.encoded_events).0)
         .filter_map(|record| match record.event {
-            Event::Asked { revision, .. } => Some(revision),
+            Event::RequestAdmitted { revision, .. } => Some(revision),
             _ => None,
         })
         .collect();
@@ -212,7 +213,7 @@
 /// Guards requests that a pool holds when it is removed: each has one answer, and its servers get nothing new once the
 /// drain is over.
 #[test]
-fn a_pool_is_removed_while_requests_are_held_for_it() {
+fn a_removed_pool_answers_its_queued_requests() {
     let gate = Arc::new(AtomicBool::new(false));
     let (one, two) = (gated(&gate, "one"), plain("two"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
@@ -242,7 +243,7 @@
 /// Guards a class that becomes unsafe, or ordered, while its requests are out: those end by the rules that they were
 /// admitted under, and new ones go by the new rules.
 #[test]
-fn a_class_becomes_unsafe_or_ordered_while_its_requests_are_out() {
+fn requests_in_flight_keep_the_class_rules_they_were_admitted_under() {
     for rule in ["repeats unsafe", "repeats safe; order key"] {
         let gate = Arc::new(AtomicBool::new(false));
         let cut = |gate: &Arc<AtomicBool>| {
@@ -274,7 +275,7 @@
         wait_for("the one that is out", || seen("/slow-cut") == 1);
         let after = before.replace("deadline 20s; repeats safe", &format!("deadline 20s; {rule}"));
         node.reload(&after);
-        assert_eq!(node.said("pools: 0 untouched, 0 changed in place, 2 begun anew"), 1, "{rule}");
+        assert_eq!(node.said("pools: 0 kept, 0 updated, 2 started"), 1, "{rule}");
         gate.store(true, Ordering::SeqCst);
         // It was admitted as safe: it is sent again, and refused when that has no end.
         assert_eq!(early.read().expect("an answer").status(), 503);
@@ -291,7 +292,7 @@
 /// Guards a backend that moves to another pool under its name, or to another zone: its open requests are answered, and
 /// new ones reach it by its new pool alone.
 #[test]
-fn a_backend_moves_to_another_pool_or_zone_under_its_name() {
+fn a_backend_that_changes_pool_or_zone_answers_its_open_requests() {
     let gate = Arc::new(AtomicBool::new(false));
     let moving = gated(&gate, "moving");
     let (one, two) = (plain("one"), plain("two"));
@@ -315,10 +316,10 @@
     });
     node.reload(&pools(&[fixed_one.clone(), mover("west")], std::slice::from_ref(&fixed_two)));
     assert_eq!(node.said("zone east -> west"), 1);
-    assert_eq!(node.said("pools: 1 untouched, 1 changed in place, 0 begun anew"), 1);
+    assert_eq!(node.said("pools: 1 kept, 1 updated, 0 started"), 1);
     // In place of the one that was there: it is reached by its new pool, or nothing is.
     node.reload(&pools(&[fixed_one], &[mover("west")]));
-    assert_eq!(node.said("pools: 0 untouched, 2 changed in place, 0 begun anew"), 1);
+    assert_eq!(node.said("pools: 0 kept, 2 updated, 0 started"), 1);
     let before = moving.count();
     for _ in 0..20 {
         assert_eq!(ask(&node, "/one/x").body, b"one");
@@ -333,13 +334,13 @@
 
 /// Guards a change that can't be used half way: of all that it names nothing stays, and the revision is the old one.
 #[test]
-fn a_change_that_cannot_be_used_leaves_nothing_behind() {
+fn a_rejected_change_leaves_the_old_revision_in_force() {
     let (one, two, other) = (plain("one"), plain("two"), plain("other"));
     let pools =
         |second: &Backend| pool("one", &[("a", one.address)]) + &pool("two", &[("b", second.address)]);
-    let (before, calls) = with_calls(&text(&pools(&two)));
+    let (before, admin) = with_admin(&text(&pools(&two)));
     let node = Standalone::start(&before, 1);
-    let state = in_force(calls);
+    let state = in_force(admin);
     let taken = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let clash = taken.local_addr().expect("an address");
     let free = refusing();
@@ -352,7 +353,7 @@
     node.reload(&format!("{listeners}{change}"));
     assert_eq!(node.said(&format!("listen on {clash}")), 1);
     assert_eq!(node.said("reload: the old configuration stays"), 1);
-    assert_eq!(in_force(calls), state);
+    assert_eq!(in_force(admin), state);
     assert!(TcpStream::connect(free).is_err());
     assert_eq!((ask(&node, "/one/x").body, ask(&node, "/two/x").body), (b"one".to_vec(), b"two".to_vec()));
     assert_eq!(ask(&node, "/first/x").status(), 404);
@@ -360,7 +361,7 @@
     // Without the listeners it is used as a whole.
     drop(taken);
     node.reload(&change);
-    assert_eq!(in_force(calls).0, state.0 + 1);
+    assert_eq!(in_force(admin).0, state.0 + 1);
     assert_eq!((ask(&node, "/first/x").status(), ask(&node, "/one/x").status()), (200, 404));
     // A server that is new is cold, and may refuse at first.
     wait_for("the other server", || ask(&node, "/two/x").body == b"other");
@@ -383,10 +384,10 @@
 /// Guards signals that come while a file is read: they count as one further reading, and the last file is in force in
 /// the end, as a node has it that never had another.
 #[test]
-fn changes_that_come_while_one_is_read_are_read_once_more() {
+fn signals_during_a_reload_cause_one_more_reload() {
     let (one, two) = (plain("one"), plain("two"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
-    let (base, calls) = with_calls(&(text(&pools) + &many_routes(3_000)));
+    let (base, admin) = with_admin(&(text(&pools) + &many_routes(3_000)));
     let node = Standalone::start(&base, 1);
     let last = base.replace("path /two/**", "path /third/**");
     // Two in one moment, and a third while these are read.
@@ -406,17 +407,17 @@
     // Of 22 signals in a moment some became one.
     assert!(node.said("reload: done") < 22, "{}", node.said("reload: done"));
     assert_eq!((ask(&node, "/two/x").status(), ask(&node, "/second/x").status()), (404, 404));
-    let (revision, digest) = in_force(calls);
+    let (revision, digest) = in_force(admin);
     assert!(revision <= 4, "{revision}");
     drop(node);
     let _twin = Standalone::start(&last, 1);
-    assert_eq!(in_force(calls).1, digest);
+    assert_eq!(in_force(admin).1, digest);
 }
 
 /// Guards SIGTERM while a file is read: what was taken is answered, the process ends with 0, and nothing of the file is
 /// applied after that.
 #[test]
-fn sigterm_while_a_change_is_prepared() {
+fn sigterm_during_a_reload_drains_and_applies_nothing() {
     let gate = Arc::new(AtomicBool::new(false));
     let servers = [gated(&gate, "one"), gated(&gate, "one")];
     let two = plain("two");
@@ -446,7 +447,7 @@
 /// Guards a node under load whose file changes all the time in a pool that the load does not go to: not one request is
 /// refused or lost.
 #[test]
-fn a_signal_after_the_other_under_load_disturbs_no_other_pool() {
+fn repeated_reloads_under_load_disturb_no_other_pool() {
     let servers: Vec<_> = (0..4).map(|_| plain("one")).collect();
     let (two, three) = (plain("two"), plain("three"));
     let names = ["a", "b", "c", "d"];
@@ -463,7 +464,7 @@
         thread::sleep(Duration::from_millis(100));
     }
     let answers = crowd.end();
-    assert_eq!(node.said("pools: 1 untouched, 1 changed in place, 0 begun anew"), RELOADS as usize);
+    assert_eq!(node.said("pools: 1 kept, 1 updated, 0 started"), RELOADS as usize);
     assert!(answers.len() > 100, "{}", answers.len());
     assert!(answers.iter().all(|status| *status == 200), "{answers:?}");
 }
--- a/crates/node/tests/unit/log.rs
+++ b/crates/node/tests/unit/log.rs
@@ -1,21 +1,21 @@
 use super::*;
-use crate::log::format::{LONGEST, LONGEST_LINE, utc};
-use crate::log::sink::WAITING;
+use crate::log::format::{MAX_FIELD_BYTES, MAX_LINE_BYTES, utc};
+use crate::log::sink::MAX_QUEUED_LINES;
 
 #[test]
-fn filters_are_levels_of_rooms() {
+fn filters_are_levels_of_targets() {
     for good in ["info", "off", "warn,discovery=debug", "front=trace,ERROR"] {
-        assert!(filter(good).is_ok(), "{good}");
+        assert!(parse_filter(good).is_ok(), "{good}");
     }
     for bad in ["", "loud", "info,", "front=", "front=loud", "a b=info", "\u{1b}[2J", &"info,".repeat(200)] {
-        let fault = filter(bad).unwrap_err().to_string();
+        let fault = parse_filter(bad).unwrap_err().to_string();
         assert!(fault.chars().all(|sign| !sign.is_control()) && fault.len() < 300, "{bad}");
     }
 }
 
-/// Guards the loop: where whoever reads has stopped, lines are dropped and counted, and nobody waits.
+/// Guards the event loop: without a reader lines are dropped and counted, and writing does not block.
 #[test]
-fn a_reader_that_stops_costs_lines_alone() {
+fn a_stopped_reader_costs_only_lines() {
     struct Stuck(std::sync::mpsc::Receiver<()>);
     impl io::Write for Stuck {
         fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
@@ -28,18 +28,18 @@
         }
     }
     let (go_on, stuck) = std::sync::mpsc::channel();
-    let (log, flush) = begin_to(Arc::new(ThreadSink::new(Stuck(stuck))));
-    for n in 0..10 * WAITING {
-        log.shared.write(Level::INFO, "test", &Fields::of(format!("line {n}")));
+    let (log, flush) = start_with_sink(Arc::new(ThreadSink::new(Stuck(stuck))));
+    for n in 0..10 * MAX_QUEUED_LINES {
+        log.shared.write(Level::INFO, "test", &Fields::with_message(format!("line {n}")));
     }
-    // One is being written, and as many wait as may.
-    assert!(log.dropped() >= 9 * WAITING - 1, "{}", log.dropped());
+    // One is being written, and the queue is full.
+    assert!(log.dropped() >= 9 * MAX_QUEUED_LINES - 1, "{}", log.dropped());
     drop(go_on);
     drop(flush);
 }
 
 #[test]
-fn times_are_those_of_the_calendar() {
+fn times_are_rfc_3339() {
     assert_eq!(utc(0), "1970-01-01T00:00:00.000Z");
     assert_eq!(utc(951_782_399_999), "2000-02-28T23:59:59.999Z");
     assert_eq!(utc(951_782_400_000), "2000-02-29T00:00:00.000Z");
@@ -51,17 +51,19 @@
 /// form, and one as JSON stays an object.
 #[test]
 fn no_line_is_longer_than_an_atomic_write() {
-    for text in ["x".repeat(LONGEST), "\"\\".repeat(LONGEST / 2), "é".repeat(LONGEST / 2)] {
+    for text in
+        ["x".repeat(MAX_FIELD_BYTES), "\"\\".repeat(MAX_FIELD_BYTES / 2), "é".repeat(MAX_FIELD_BYTES / 2)]
+    {
         for others in 0..20 {
             let names = ["one", "two", "three", "four"].into_iter().cycle();
             let others: Vec<_> = names.take(others).map(|name| (name, text.clone())).collect();
             let fields = Fields { message: text.clone(), others };
-            for form in [Form::Text, Form::Json] {
+            for form in [LogFormat::Text, LogFormat::Json] {
                 let line = line(form, 0, Level::INFO, "test", &fields);
-                assert!(line.len() <= LONGEST_LINE, "{} bytes", line.len());
+                assert!(line.len() <= MAX_LINE_BYTES, "{} bytes", line.len());
                 assert_eq!(line.matches('\n').count(), 1);
                 let inner = line.strip_suffix('\n').expect("a line feed at its end");
-                if form == Form::Json {
+                if form == LogFormat::Json {
                     let object: serde_json::Value = serde_json::from_str(inner).unwrap();
                     assert_eq!(object["level"], "INFO");
                 }
@@ -69,12 +71,12 @@
         }
     }
     let line = plain_line(&"a line\n".repeat(2_000));
-    assert!(line.len() <= LONGEST_LINE && line.matches('\n').count() == 1, "{line}");
+    assert!(line.len() <= MAX_LINE_BYTES && line.matches('\n').count() == 1, "{line}");
 }
 
-/// Guards the end of the process: what waits is written when the guard is dropped, and waits for the reader a moment.
+/// Guards the end of the process: dropping the guard writes queued lines, and waits for the reader for a bounded time.
 #[test]
-fn what_waits_is_written_at_the_end() {
+fn queued_lines_are_flushed_on_drop() {
     /// Takes lines only from a writer that is ready to wait.
     struct Late(Arc<Mutex<String>>);
     impl output::Output for Late {
@@ -88,7 +90,7 @@
         }
     }
     let got = Arc::new(Mutex::new(String::new()));
-    let (log, flush) = begin_to(LoopSink::new(Late(got.clone())));
+    let (log, flush) = start_with_sink(LoopSink::new(Late(got.clone())));
     log.write_plain("one");
     log.write_plain("two");
     assert_eq!(*got.lock().unwrap(), "");
--- a/crates/resources/src/resource.rs
+++ b/crates/resources/src/resource.rs
@@ -20,7 +20,7 @@
     Pool,
     /// [`Endpoint`]; printed as `backend`.
     Endpoint,
-    /// [`Class`].
+    /// [`ClassInfo`].
     Class,
     /// [`Tenant`].
     Tenant,
--- a/crates/testbed/tests/hollow_fleet.rs
+++ b/crates/testbed/tests/hollow_fleet.rs
@@ -12,7 +12,7 @@
 const HOLLOW: usize = 20;
 /// Probes of the real node after which counts are compared.
 const PROBES: u64 = 12;
-/// Place of probes, and of their answers, in [`KINDS`].
+/// Place of probes, and of their answers, in [`MAX_KINDS`].
 const PING: usize = 1;
 const ACK: usize = 3;
 /// Shares of kinds differ by no more than this: rumours of a busy machine's stalls come on top of probes.
