--- a/crates/slow-peer/tests/pace.rs
+++ b/crates/slow-peer/tests/pace.rs
@@ -114,7 +114,9 @@
 
     /// Enough bytes in every second keep a stream alive, whatever their pieces and whichever side is awaited.
     #[test]
-    fn a_stream_that_keeps_pace_is_never_aborted(pieces in prop::collection::vec((1..200u64, any::<bool>()), 1..300)) {
+    fn a_stream_that_keeps_pace_is_never_aborted(
+        pieces in prop::collection::vec((1..200u64, any::<bool>()), 1..300),
+    ) {
         let mut now = Instant::now();
         let mut pace = PaceMonitor::new(LIMITS, now);
         for (delay_ms, demanded) in pieces {
