--- a/crates/node/src/standalone/runtime.rs
+++ b/crates/node/src/standalone/runtime.rs
@@ -49,7 +49,7 @@
     pool_factory: PoolFactory,
     connection_budget: Rc<ConnectionBudget>,
     in_force: RefCell<ConfigInForce>,
-    /// This node's share of the endpoints, once the fleet has told it.
+    /// This node's share of the endpoints, once the fleet has computed it.
     node_share: Cell<Option<NodeShare>>,
     is_lame_duck: Cell<bool>,
 }
