--- a/crates/flight-recorder/src/bounded_text.rs
+++ b/crates/flight-recorder/src/bounded_text.rs
@@ -5,12 +5,12 @@
 use rustc_hash::FxHasher;
 
 /// Longest part of a name that is kept: whole for ids of the usual forms (32 hexadecimal digits, a UUID).
-pub const LONGEST: usize = 48;
+pub const MAX_NAME_BYTES: usize = 48;
 
 /// A name that somebody else chose: its beginning, and a hash of all of it, by which the whole name finds it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BoundedName {
-    /// At most [`LONGEST`] bytes.
+    /// At most [`MAX_NAME_BYTES`] bytes.
     pub prefix: Box<str>,
     /// Of the whole.
     pub hash: u64,
@@ -20,20 +20,20 @@
     /// Of a text of any length.
     #[must_use]
     pub fn new(text: &str) -> Self {
-        Self { prefix: text[..text.floor_char_boundary(LONGEST)].into(), hash: hash(text) }
+        Self { prefix: text[..text.floor_char_boundary(MAX_NAME_BYTES)].into(), hash: hash(text) }
     }
 
     /// Whether it is the name of `text`.
     #[must_use]
-    pub fn is(&self, text: &str) -> bool {
+    pub fn matches(&self, text: &str) -> bool {
         self.hash == hash(text) && text.starts_with(&*self.prefix)
     }
 
     /// As it is shown.
     #[must_use]
-    pub fn shown(&self) -> String {
+    pub fn display(&self) -> String {
         let cut = if hash(&self.prefix) == self.hash { "" } else { "..." };
-        plain(&self.prefix) + cut
+        escape(&self.prefix) + cut
     }
 }
 
@@ -48,7 +48,7 @@
 
 /// A text without anything that steers a terminal, ends a line or passes for another sign: all of that is escaped.
 #[must_use]
-pub fn plain(text: &str) -> String {
+pub fn escape(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for sign in text.chars() {
         let steers = sign.is_control()
@@ -60,8 +60,8 @@
 
 /// The same for a page.
 #[must_use]
-pub fn html(text: &str) -> String {
-    plain(text).replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('\'', "&#39;")
+pub fn escape_html(text: &str) -> String {
+    escape(text).replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('\'', "&#39;")
 }
 
 #[cfg(test)]
@@ -72,11 +72,11 @@
     fn names_of_any_kind_are_found_and_shown_safely() {
         let long = "\u{1b}[2J\"x\n".repeat(10_000);
         let name = BoundedName::new(&long);
-        assert!(name.prefix.len() <= LONGEST && name.is(&long) && !name.is(&long[1..]));
-        assert!(name.shown().chars().all(|sign| !sign.is_control()) && name.shown().ends_with("..."));
-        assert_eq!(BoundedName::new("9b1f").shown(), "9b1f");
-        assert_eq!(html("<a href='x'>&\"\u{202e}"), "&lt;a href=&#39;x&#39;&gt;&amp;\\\"\\u{202e}");
+        assert!(name.prefix.len() <= MAX_NAME_BYTES && name.matches(&long) && !name.matches(&long[1..]));
+        assert!(name.display().chars().all(|sign| !sign.is_control()) && name.display().ends_with("..."));
+        assert_eq!(BoundedName::new("9b1f").display(), "9b1f");
+        assert_eq!(escape_html("<a href='x'>&\"\u{202e}"), "&lt;a href=&#39;x&#39;&gt;&amp;\\\"\\u{202e}");
         let short = BoundedName::new(&"é".repeat(40));
-        assert!(short.prefix.len() <= LONGEST);
+        assert!(short.prefix.len() <= MAX_NAME_BYTES);
     }
 }
--- a/crates/flight-recorder/src/breakdown.rs
+++ b/crates/flight-recorder/src/breakdown.rs
@@ -65,13 +65,13 @@
 impl Breakdown {
     /// Of a dump, from and to the moments named; wider where the sums are coarser.
     #[must_use]
-    pub fn of(dump: &Recording, from: Nanos, to: Nanos) -> Option<Self> {
-        dump.ledger.as_ref().map(|accounts| Self::sum(&dump.head, accounts, from, to))
+    pub fn of_recording(dump: &Recording, from: Nanos, to: Nanos) -> Option<Self> {
+        dump.ledger.as_ref().map(|accounts| Self::of_ledger(&dump.head, accounts, from, to))
     }
 
     /// Of sums.
     #[must_use]
-    pub fn sum(head: &RecordingHeader, accounts: &LossLedger, from: Nanos, to: Nanos) -> Self {
+    pub fn of_ledger(head: &RecordingHeader, accounts: &LossLedger, from: Nanos, to: Nanos) -> Self {
         let (from, to) = accounts.aligned(from, to);
         let rows: Vec<_> =
             accounts.losses.rows_between(from, to).map(|(at, key, loss)| (at, key, *loss)).collect();
@@ -83,17 +83,17 @@
         }
         let server = |key: &(crate::event::PoolId, u32)| match key.1 {
             NO_ENDPOINT => "no server".to_owned(),
-            server => head.server(key.0, server),
+            server => head.endpoint_name(key.0, server),
         };
         let views = vec![
-            ("cause", view(&rows, |_, key| LossCause::of(key.cause), LossCause::to_string)),
+            ("cause", view(&rows, |_, key| LossCause::from_code(key.cause), LossCause::to_string)),
             ("server", view(&rows, |_, key| (key.pool, key.endpoint), server)),
             (
                 "class",
                 view(
                     &rows,
                     |_, key| (key.pool, key.class),
-                    |&(pool, class)| format!("{} in {}", head.class(pool, class), head.pool(pool)),
+                    |&(pool, class)| format!("{} in {}", head.class_name(pool, class), head.pool_name(pool)),
                 ),
             ),
             ("moment", view(&rows, |at, _| at, |at| timestamp::format_timestamp(*at, head.start))),
--- a/crates/flight-recorder/src/event_ring.rs
+++ b/crates/flight-recorder/src/event_ring.rs
@@ -9,11 +9,11 @@
 use crate::wire_format::{Reader, put};
 
 /// Bytes of a page: what is lost at once when the ring wraps. A record takes some 20 bytes.
-pub const PAGE: usize = 4 << 10;
+pub const PAGE_BYTES: usize = 4 << 10;
 /// A record's own overhead is far below this, and names are cut: a longer one is a fault.
 const LONGEST_RECORD: usize = 512;
 /// Nanoseconds of a unit of recorded times.
-pub const UNIT: Nanos = 1_000;
+pub const TIME_UNIT: Nanos = 1_000;
 
 /// Events in the order of their times.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     pub fn new(memory: usize) -> Self {
         Self {
             pages: VecDeque::new(),
-            most: (memory / PAGE).max(2),
+            most: (memory / PAGE_BYTES).max(2),
             last: 0,
             wrapped: 0,
             counts: VecDeque::new(),
@@ -58,9 +58,9 @@
             return;
         }
         // Room for the three numbers ahead at their longest.
-        let full = self.pages.back().is_none_or(|page| page.len() + event.len() + 30 > PAGE);
+        let full = self.pages.back().is_none_or(|page| page.len() + event.len() + 30 > PAGE_BYTES);
         if full {
-            self.turn(at);
+            self.start_page(at);
         }
         let Some(page) = self.pages.back_mut() else { return };
         append_record(page, &mut self.last, at, pool, event);
@@ -70,15 +70,15 @@
     }
 
     /// Begins a page.
-    fn turn(&mut self, at: Nanos) {
+    fn start_page(&mut self, at: Nanos) {
         let mut page = if self.pages.len() >= self.most {
             self.wrapped += u64::from(self.counts.pop_front().unwrap_or_default());
             self.pages.pop_front().unwrap_or_default()
         } else {
-            Vec::with_capacity(PAGE)
+            Vec::with_capacity(PAGE_BYTES)
         };
         page.clear();
-        self.last = at / UNIT * UNIT;
+        self.last = at / TIME_UNIT * TIME_UNIT;
         page.extend_from_slice(&self.last.to_le_bytes());
         self.pages.push_back(page);
         self.counts.push_back(0);
@@ -91,21 +91,21 @@
 
     /// Records that have made way since the start.
     #[must_use]
-    pub fn wrapped(&self) -> u64 {
+    pub fn overwritten_events(&self) -> u64 {
         self.wrapped
     }
 
     /// Bytes that it holds.
     #[must_use]
-    pub fn memory(&self) -> usize {
+    pub fn memory_used(&self) -> usize {
         self.pages.iter().map(Vec::capacity).sum()
     }
 }
 
 /// Appends a record to a page or a story that began at `last` or whose last record is of then.
 pub fn append_record(page: &mut Vec<u8>, last: &mut Nanos, at: Nanos, pool: PoolId, event: &[u8]) {
-    let steps = at.saturating_sub(*last) / UNIT;
-    *last += steps * UNIT;
+    let steps = at.saturating_sub(*last) / TIME_UNIT;
+    *last += steps * TIME_UNIT;
     put(page, event.len() as u64);
     put(page, steps);
     put(page, u64::from(pool.0));
@@ -128,7 +128,7 @@
             Some((steps, pool, from.take(length)?))
         };
         let Some((steps, pool, bytes)) = next() else { return (all, false) };
-        at = at.saturating_add(steps.saturating_mul(UNIT));
+        at = at.saturating_add(steps.saturating_mul(TIME_UNIT));
         // One that a later version has added is passed over.
         if let Some(event) = Event::decode(&mut Reader(bytes)) {
             all.push(Record { at, pool, event });
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -4,7 +4,7 @@
 use pumicehead_policy::{AttemptOutcome, Nanos};
 use serde_json::{Value, json};
 
-use crate::bounded_text::plain;
+use crate::bounded_text::escape;
 use crate::event::{Event, RequestOutcome};
 use crate::event_ring::{Record, decode_records};
 use crate::exported_names::Exported;
@@ -38,7 +38,7 @@
         match &record.event {
             Event::AttemptStarted { attempt, endpoint, .. } => attempts.push(Attempt {
                 number: attempt.0,
-                server: dump.head.server(story.pool, endpoint.0),
+                server: dump.head.endpoint_name(story.pool, endpoint.0),
                 from: record.at,
                 to: story.ended_at.max(record.at),
                 outcome: None,
@@ -76,8 +76,8 @@
     let mut out = String::new();
     let resource = json!({ "attributes": [
         attribute("service.name", "pumicehead"),
-        attribute("service.instance.id", &plain(&dump.head.node)),
-        attribute("service.version", &plain(&dump.head.program)),
+        attribute("service.instance.id", &escape(&dump.head.node)),
+        attribute("service.version", &escape(&dump.head.program)),
     ] });
     for story in &dump.timelines {
         let one = told(dump, story);
@@ -85,9 +85,9 @@
         let root = format!("{:016x}", id(story, one.from, 0));
         let failed = !matches!(one.how, Some(RequestOutcome::Served) | None);
         let mut attributes = vec![
-            attribute("pumicehead.request", &story.name.shown()),
-            attribute("pumicehead.pool", &plain(dump.head.pool(story.pool))),
-            attribute("pumicehead.class", &plain(dump.head.class(story.pool, story.class))),
+            attribute("pumicehead.request", &story.name.display()),
+            attribute("pumicehead.pool", &escape(dump.head.pool_name(story.pool))),
+            attribute("pumicehead.class", &escape(dump.head.class_name(story.pool, story.class))),
         ];
         attributes.extend(story.cause.map(|cause| attribute("pumicehead.lost", &cause.to_string())));
         let notes: Vec<_> = one
@@ -135,7 +135,7 @@
     let micros = |at: Nanos| at.saturating_sub(dump.head.start) as f64 / 1e3;
     let mut events = vec![json!({
         "ph": "M", "name": "process_name", "pid": 1, "tid": 0,
-        "args": { "name": format!("pumicehead {}", plain(&dump.head.node)) },
+        "args": { "name": format!("pumicehead {}", escape(&dump.head.node)) },
     })];
     for (row, story) in dump.timelines.iter().enumerate() {
         let one = told(dump, story);
@@ -147,11 +147,11 @@
             })
         };
         events.push(span(
-            dump.head.class(story.pool, story.class),
+            dump.head.class_name(story.pool, story.class),
             one.from,
             one.to,
             json!({
-                "request": story.name.shown(),
+                "request": story.name.display(),
                 "lost": story.cause.map(|cause| cause.to_string()),
             }),
         ));
--- a/crates/flight-recorder/src/findings.rs
+++ b/crates/flight-recorder/src/findings.rs
@@ -320,7 +320,7 @@
         let of_server =
             known.filter(|_| key.endpoint != NO_ENDPOINT).and_then(|known| known.matter(key.endpoint));
         let server = Subject::Endpoint(pool, key.endpoint);
-        let (subject, matter) = match LossCause::of(key.cause) {
+        let (subject, matter) = match LossCause::from_code(key.cause) {
             LossCause::RejectedByListener(true) => (Subject::Node, Symptom::DescriptorsExhausted),
             LossCause::RejectedByListener(false) => (Subject::Node, Symptom::RequestLimitReached),
             LossCause::BodyFailed
@@ -419,7 +419,8 @@
         let percent = |share: f64| format!("{:.1}%", 100.0 * share);
         match subject {
             Subject::Endpoint(pool, id) => {
-                let name = format!("server {} of {}", self.head.server(pool, id), self.head.pool(pool));
+                let name =
+                    format!("server {} of {}", self.head.endpoint_name(pool, id), self.head.pool_name(pool));
                 let Some(known) = self.pools.get(&pool) else { return format!("{name} {matter}") };
                 let beside = |ways: &[AttemptOutcome]| {
                     let (own, others, _) = known.shares(id, ways);
@@ -457,13 +458,13 @@
                 };
                 format!(
                     "class {} of {} {matter}: aim {}, deadline {}, and of its answers {best}",
-                    self.head.class(pool, class),
-                    self.head.pool(pool),
+                    self.head.class_name(pool, class),
+                    self.head.pool_name(pool),
                     timestamp::format_duration(aim),
                     timestamp::format_duration(deadline)
                 )
             }
-            Subject::Pool(pool) => format!("pool {}: {}", self.head.pool(pool), matter.of_all()),
+            Subject::Pool(pool) => format!("pool {}: {}", self.head.pool_name(pool), matter.of_all()),
             Subject::Node => {
                 let [accept, dial] = self.short;
                 let evidence = if matter == Symptom::DescriptorsExhausted {
@@ -473,7 +474,9 @@
                 };
                 format!("the node {matter}{evidence}")
             }
-            Subject::Clients(pool) => format!("clients of {}: {}", self.head.pool(pool), matter.of_all()),
+            Subject::Clients(pool) => {
+                format!("clients of {}: {}", self.head.pool_name(pool), matter.of_all())
+            }
         }
     }
 }
--- a/crates/flight-recorder/src/html_report.rs
+++ b/crates/flight-recorder/src/html_report.rs
@@ -5,7 +5,7 @@
 use plotters::prelude::*;
 use pumicehead_policy::{Nanos, SECOND};
 
-use crate::bounded_text::html;
+use crate::bounded_text::escape_html;
 use crate::breakdown::Breakdown;
 use crate::event::PoolId;
 use crate::findings;
@@ -131,7 +131,7 @@
     let (mut limits, mut rows) = (Vec::new(), Vec::new());
     let width = accounts.endpoints.width() as f64 / SECOND as f64;
     for (pool, id) in busiest(accounts) {
-        let name = dump.head.server(pool, id);
+        let name = dump.head.endpoint_name(pool, id);
         let of = || {
             let own = move |key: &crate::loss_ledger::EndpointKey| (key.pool, key.endpoint) == (pool, id);
             accounts.endpoints.rows_between(0, Nanos::MAX).filter(move |(_, key, _)| own(key))
@@ -157,13 +157,13 @@
 /// The page. A picture that can't be drawn is left out, and the text says so.
 #[must_use]
 pub fn write(dump: &Recording) -> String {
-    let title = html(&format!("pumicehead {}", dump.head.node));
+    let title = escape_html(&format!("pumicehead {}", dump.head.node));
     let mut out = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{title}</title>\
          <style>body{{font:14px/1.4 sans-serif;margin:1.5em auto;max-width:1020px;color:#222}}\
          pre{{background:#f6f6f6;padding:.7em;overflow-x:auto}}svg{{max-width:100%;height:auto}}</style>\
          <h1>{title}</h1><p>{}</p>",
-        html(&dump.head.reason)
+        escape_html(&dump.head.reason)
     );
     if let Some(damage) = dump.damage {
         out += &format!(
@@ -174,12 +174,12 @@
     if let Some(accounts) = &dump.ledger {
         out += "<h2>Causes</h2><ol>";
         for finding in findings::find(&dump.head, accounts, 0, Nanos::MAX).iter().take(8) {
-            out += &format!("<li>lost {:.1}: {}</li>", finding.lost as f64 / 1e6, html(&finding.text));
+            out += &format!("<li>lost {:.1}: {}</li>", finding.lost as f64 / 1e6, escape_html(&finding.text));
         }
         out += "</ol><h2>The day</h2>";
         out += &pictures(dump, accounts)
-            .unwrap_or_else(|fault| format!("<p>No picture: {}</p>", html(&fault.to_string())));
-        let breakdown = Breakdown::sum(&dump.head, accounts, 0, Nanos::MAX);
+            .unwrap_or_else(|fault| format!("<p>No picture: {}</p>", escape_html(&fault.to_string())));
+        let breakdown = Breakdown::of_ledger(&dump.head, accounts, 0, Nanos::MAX);
         out += &format!("<h2>What was lost</h2><pre>{}</pre>", lines_of(&breakdown.to_string()));
     }
     out += "<h2>Some requests</h2>";
@@ -191,5 +191,5 @@
 
 /// Text of several lines for a page.
 fn lines_of(text: &str) -> String {
-    text.lines().map(html).collect::<Vec<_>>().join("\n")
+    text.lines().map(escape_html).collect::<Vec<_>>().join("\n")
 }
--- a/crates/flight-recorder/src/log_rate_limit.rs
+++ b/crates/flight-recorder/src/log_rate_limit.rs
@@ -38,7 +38,7 @@
 
 impl LogRateLimiter {
     /// Whether a message of a kind is to be told at `now`. What was held back of a span before is given with it.
-    pub fn take(&mut self, kind: u64, now: Nanos) -> (bool, Option<SuppressedMessages>) {
+    pub fn check(&mut self, kind: u64, now: Nanos) -> (bool, Option<SuppressedMessages>) {
         let kind =
             if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(&kind) { u64::MAX } else { kind };
         let fresh = Kind { since: now, count: 0, more: 0 };
@@ -64,7 +64,7 @@
 
     /// What was held back in spans that have ended by `now`: to be asked now and then, or the last of a kind would
     /// never be heard of.
-    pub fn ended(&mut self, now: Nanos) -> Vec<SuppressedMessages> {
+    pub fn drain_expired(&mut self, now: Nanos) -> Vec<SuppressedMessages> {
         if self.held == 0 {
             return Vec::new();
         }
@@ -87,33 +87,33 @@
     #[test]
     fn a_million_of_one_kind_are_a_few_lines_and_a_count() {
         let mut quota = LogRateLimiter::default();
-        let told = (0..1_000_000u64).filter(|n| quota.take(1, n * 1_000).0).count();
+        let told = (0..1_000_000u64).filter(|n| quota.check(1, n * 1_000).0).count();
         assert_eq!(told, MESSAGES_PER_INTERVAL as usize);
-        assert_eq!(quota.take(2, 0), (true, None), "another kind is not held back");
-        assert_eq!(quota.ended(INTERVAL - 1), []);
+        assert_eq!(quota.check(2, 0), (true, None), "another kind is not held back");
+        assert_eq!(quota.drain_expired(INTERVAL - 1), []);
         let more = SuppressedMessages { kind: 1, count: 999_990, interval: INTERVAL };
-        assert_eq!((quota.ended(INTERVAL), quota.ended(INTERVAL)), (vec![more], vec![]));
-        assert_eq!(quota.take(1, INTERVAL), (true, None));
+        assert_eq!((quota.drain_expired(INTERVAL), quota.drain_expired(INTERVAL)), (vec![more], vec![]));
+        assert_eq!(quota.check(1, INTERVAL), (true, None));
     }
 
     #[test]
     fn what_was_held_back_comes_with_the_next() {
         let mut quota = LogRateLimiter::default();
         (0..15).for_each(|_| {
-            quota.take(7, 5);
+            quota.check(7, 5);
         });
         assert_eq!(
-            quota.take(7, INTERVAL + 9),
+            quota.check(7, INTERVAL + 9),
             (true, Some(SuppressedMessages { kind: 7, count: 5, interval: INTERVAL + 4 }))
         );
-        assert_eq!(quota.ended(9 * INTERVAL), []);
+        assert_eq!(quota.drain_expired(9 * INTERVAL), []);
     }
 
     #[test]
     fn kinds_are_bounded() {
         let mut quota = LogRateLimiter::default();
         (0..100_000).for_each(|kind| {
-            quota.take(kind, 0);
+            quota.check(kind, 0);
         });
         assert!(quota.kinds.len() <= MAX_KINDS + 1);
     }
--- a/crates/flight-recorder/src/loss_cause.rs
+++ b/crates/flight-recorder/src/loss_cause.rs
@@ -82,7 +82,7 @@
 
     /// Of a number; one that is not known is another cause.
     #[must_use]
-    pub fn of(code: u8) -> Self {
+    pub fn from_code(code: u8) -> Self {
         let place = |start: u8| RequestPhase::ALL.get(usize::from(code - start)).copied();
         match code {
             0 => Self::QueueTooLong,
@@ -100,7 +100,7 @@
 
     /// Of a front's reason.
     #[must_use]
-    pub fn turned(why: ListenerRejection) -> Self {
+    pub fn from_rejection(why: ListenerRejection) -> Self {
         Self::RejectedByListener(why == ListenerRejection::ConnectionLimit)
     }
 }
--- a/crates/flight-recorder/src/metrics.rs
+++ b/crates/flight-recorder/src/metrics.rs
@@ -13,7 +13,7 @@
 };
 use pumicehead_policy::{AttemptOutcome, Nanos, SECOND};
 
-use crate::bounded_text::{BoundedName, plain};
+use crate::bounded_text::{BoundedName, escape};
 use crate::event::{ListenerRejection, RequestOutcome};
 use crate::loss_cause::outcome_text;
 
@@ -57,7 +57,7 @@
         let bucket = BOUNDS.iter().position(|bound| seconds <= *bound).unwrap_or(BOUNDS.len());
         let shown = &mut times.exemplars[bucket];
         if shown.as_ref().is_none_or(|shown| at >= shown.at.saturating_add(SHOWN_FOR)) {
-            *shown = Some(Exemplar { name: plain(&name.prefix), seconds, at });
+            *shown = Some(Exemplar { name: escape(&name.prefix), seconds, at });
         }
     }
 }
@@ -145,7 +145,7 @@
 }
 
 fn labels(key: &Key, bound: Option<&str>) -> String {
-    let known = key.labels().map(|label| format!("{}=\"{}\"", label.key(), plain(label.value())));
+    let known = key.labels().map(|label| format!("{}=\"{}\"", label.key(), escape(label.value())));
     let all: Vec<_> = known.chain(bound.map(|bound| format!("le=\"{bound}\""))).collect();
     if all.is_empty() { String::new() } else { format!("{{{}}}", all.join(",")) }
 }
@@ -208,7 +208,7 @@
     }
 
     /// A request has ended.
-    pub fn request(
+    pub fn request_ended(
         &mut self,
         of: ((u16, u16), (&str, &str)),
         how: RequestOutcome,
@@ -225,13 +225,13 @@
     }
 
     /// A front has turned one away.
-    pub fn turned(&mut self, why: ListenerRejection) {
+    pub fn request_rejected(&mut self, why: ListenerRejection) {
         let why = if why == ListenerRejection::RequestLimit { "held" } else { "connections" };
         self.count("pumicehead_turned_away", vec![Label::new("why", why)], 1);
     }
 
     /// An attempt has ended.
-    pub fn attempt(&mut self, outcome: AttemptOutcome) {
+    pub fn attempt_ended(&mut self, outcome: AttemptOutcome) {
         let place = crate::event::outcome_index(outcome);
         let registry = &self.registry;
         let counter = self.attempts[place].get_or_insert_with(|| {
@@ -268,7 +268,7 @@
         let mut meters = RequestMetrics::default();
         let name = BoundedName::new("a\"b\n");
         for took in [3, 30, 30_000] {
-            meters.request(
+            meters.request_ended(
                 ((0, 0), ("web", "read")),
                 RequestOutcome::Served,
                 took * 1_000_000,
@@ -276,8 +276,8 @@
                 SECOND,
             );
         }
-        meters.request(((0, 0), ("web", "read")), RequestOutcome::Rejected, 1_000, &name, SECOND);
-        meters.attempt(AttemptOutcome::Reset);
+        meters.request_ended(((0, 0), ("web", "read")), RequestOutcome::Rejected, 1_000, &name, SECOND);
+        meters.attempt_ended(AttemptOutcome::Reset);
         meters.gauge("pumicehead_open", 2.0);
         let text = meters.text();
         for line in [
@@ -298,7 +298,7 @@
         let mut meters = RequestMetrics::default();
         for class in 0..1_000 {
             let name = format!("c{class}");
-            meters.request(
+            meters.request_ended(
                 ((0, class), ("web", &name)),
                 RequestOutcome::Served,
                 1_000,
--- a/crates/flight-recorder/src/recorder.rs
+++ b/crates/flight-recorder/src/recorder.rs
@@ -32,7 +32,7 @@
 /// Memory of how often a group comes.
 const GROUP_SPAN: Nanos = 60 * SECOND;
 /// The least memory that a recorder is of use with.
-pub const LEAST_MEMORY: usize = 64 << 10;
+pub const MIN_MEMORY: usize = 64 << 10;
 
 /// How much is recorded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -96,7 +96,7 @@
     /// are open and for sums. The names of pools, classes and servers, and the meters, come beside it.
     #[must_use]
     pub fn new(node: &str, start: Nanos, memory: usize, seed: u64) -> Self {
-        let memory = memory.max(LEAST_MEMORY);
+        let memory = memory.max(MIN_MEMORY);
         let stories = memory / 8 * 3;
         Self {
             head: RecordingHeader::new(node, start),
@@ -117,7 +117,7 @@
     }
 
     /// A pool with its classes; one that is known by its name goes on under its number.
-    pub fn pool(&mut self, name: &str, classes: &[ClassInfo]) -> PoolId {
+    pub fn register_pool(&mut self, name: &str, classes: &[ClassInfo]) -> PoolId {
         let place = self.head.pools.iter().position(|pool| pool.name == name).unwrap_or_else(|| {
             self.head.pools.push(PoolHeader { name: name.into(), ..PoolHeader::default() });
             self.head.pools.len() - 1
@@ -133,7 +133,7 @@
     }
 
     /// What a server is called.
-    pub fn name(&mut self, pool: PoolId, server: EndpointId, name: &str) {
+    pub fn name_endpoint(&mut self, pool: PoolId, server: EndpointId, name: &str) {
         if let Some(pool) = self.head.pools.get_mut(usize::from(pool.0)) {
             pool.name_server(server.0, name);
         }
@@ -236,7 +236,7 @@
         let known = self.class(key.0, class);
         let (worth, late, aim) = known
             .map_or((1.0, 0.0, Nanos::MAX), |c| (c.priority_weight, c.late_weight, c.latency_objective_ns));
-        let last = at / crate::event_ring::UNIT * crate::event_ring::UNIT;
+        let last = at / crate::event_ring::TIME_UNIT * crate::event_ring::TIME_UNIT;
         let mut page = self.spare.pop().unwrap_or_default();
         page.extend_from_slice(&last.to_le_bytes());
         let life = RequestProgress::new(at, sending, worth, late, aim);
@@ -299,11 +299,11 @@
 
     fn book_turned(&mut self, at: Nanos, pool: PoolId, class: u16, why: ListenerRejection) {
         let worth = self.class(pool, class).map_or(0, |class| to_micro_weight(class.priority_weight));
-        let cause = Some(LossCause::turned(why));
+        let cause = Some(LossCause::from_rejection(why));
         let verdict =
             LossAssessment { offered: worth, earned: 0, cause, endpoint: None, no_retry_reason: None };
         self.book(at, pool, class, &verdict);
-        self.meters.turned(why);
+        self.meters.request_rejected(why);
     }
 
     fn book_attempt(
@@ -344,7 +344,7 @@
         } else {
             row.unanswered_us += micros;
         }
-        self.meters.attempt(outcome);
+        self.meters.attempt_ended(outcome);
     }
 
     /// The request is over, and no attempt of it is out.
@@ -358,7 +358,7 @@
         let class = pool.and_then(|pool| pool.classes.get(usize::from(open.class)));
         if let (Some(pool), Some(class)) = (pool, class) {
             let of = ((key.0.0, open.class), (pool.name.as_str(), class.name.as_str()));
-            self.meters.request(of, how, took, &open.name, at);
+            self.meters.request_ended(of, how, took, &open.name, at);
         }
         let matters = verdict.cause.is_some() || open.life.attempts_started() > 1 || used > SLOW;
         let weight = match how {
@@ -406,41 +406,41 @@
 
     /// Bytes that it takes now, as it counts them; never more than it was given.
     #[must_use]
-    pub fn memory(&self) -> usize {
+    pub fn memory_used(&self) -> usize {
         let kept: usize = self.kept.iter().map(Reservoir::size).sum();
-        self.ring.memory() + kept + self.open_size + self.accounts.memory()
+        self.ring.memory_used() + kept + self.open_size + self.accounts.memory()
     }
 
     /// Bytes that it was given.
     #[must_use]
-    pub fn most_memory(&self) -> usize {
+    pub fn memory_limit(&self) -> usize {
         self.memory
     }
 
     /// The sums so far.
     #[must_use]
-    pub fn accounts(&self) -> &LossLedger {
+    pub fn ledger(&self) -> &LossLedger {
         &self.accounts
     }
 
     /// The text of the metrics, in the form of Prometheus.
     #[must_use]
-    pub fn prometheus(&self) -> String {
+    pub fn metrics_text(&self) -> String {
         self.meters.text()
     }
 
     /// The metrics, for gauges of the node's own.
-    pub fn meters(&mut self) -> &mut RequestMetrics {
+    pub fn metrics(&mut self) -> &mut RequestMetrics {
         &mut self.meters
     }
 
     /// All of it as a file of [`crate::recording`].
     #[must_use]
-    pub fn dump(&self, at: Nanos, reason: &str) -> Vec<u8> {
+    pub fn recording(&self, at: Nanos, reason: &str) -> Vec<u8> {
         let mut head = self.head.clone();
         head.at = at;
         head.reason = reason.into();
-        head.overwritten_events = self.ring.wrapped();
+        head.overwritten_events = self.ring.overwritten_events();
         head.untracked_requests = self.untold;
         let mut stories: Vec<_> = self.kept.iter().flat_map(Reservoir::iter).collect();
         stories.sort_by(|(one, _), (other, _)| other.total_cmp(one));
--- a/crates/flight-recorder/src/recording.rs
+++ b/crates/flight-recorder/src/recording.rs
@@ -23,7 +23,7 @@
 /// The version that is written, and the last that can be read.
 pub const VERSION: u16 = 1;
 /// Longest file that is read: far more than any recorder's memory.
-pub const LONGEST: usize = 256 << 20;
+pub const MAX_RECORDING_BYTES: usize = 256 << 20;
 /// Servers of a pool that are named; ids are shown for the rest.
 const NAMED: usize = 20_000;
 
@@ -115,31 +115,31 @@
 
     /// A pool's name.
     #[must_use]
-    pub fn pool(&self, pool: PoolId) -> &str {
+    pub fn pool_name(&self, pool: PoolId) -> &str {
         self.pools.get(usize::from(pool.0)).map_or("other", |pool| &pool.name)
     }
 
     /// A class's name.
     #[must_use]
-    pub fn class(&self, pool: PoolId, class: u16) -> &str {
+    pub fn class_name(&self, pool: PoolId, class: u16) -> &str {
         let pool = self.pools.get(usize::from(pool.0));
         pool.and_then(|pool| pool.classes.get(usize::from(class))).map_or("other", |class| &class.name)
     }
 
     /// A tenant's name, or its id.
     #[must_use]
-    pub fn tenant(&self, pool: PoolId, tenant: u32) -> String {
+    pub fn tenant_name(&self, pool: PoolId, tenant: u32) -> String {
         let of_pool = || self.pools.get(usize::from(pool.0))?.tenants.get(tenant as usize);
         let name = self.tenants.get(tenant).or_else(|| of_pool().map(String::as_str));
-        name.map_or_else(|| tenant.to_string(), crate::bounded_text::plain)
+        name.map_or_else(|| tenant.to_string(), crate::bounded_text::escape)
     }
 
     /// A server's name, or its id.
     #[must_use]
-    pub fn server(&self, pool: PoolId, server: u32) -> String {
+    pub fn endpoint_name(&self, pool: PoolId, server: u32) -> String {
         let pool = self.pools.get(usize::from(pool.0));
         let name = pool.and_then(|pool| pool.endpoints.iter().find(|(id, _)| *id == server));
-        name.map_or_else(|| format!("#{server}"), |(_, name)| crate::bounded_text::plain(name))
+        name.map_or_else(|| format!("#{server}"), |(_, name)| crate::bounded_text::escape(name))
     }
 }
 
@@ -168,7 +168,7 @@
     #[error("a recording of version {0}; this program reads versions up to {VERSION}")]
     Version(u16),
     /// Too long.
-    #[error("{0} bytes, more than {LONGEST}")]
+    #[error("{0} bytes, more than {MAX_RECORDING_BYTES}")]
     TooLong(usize),
     /// Its head is damaged: without it nothing can be named.
     #[error("the recording's head is damaged")]
@@ -201,7 +201,7 @@
 
 /// Of a frame: CRC-32 (IEEE 802.3) of the kind and the contents.
 #[must_use]
-pub fn sum(kind: u8, contents: &[u8]) -> u32 {
+pub fn frame_checksum(kind: u8, contents: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(&[kind]);
     hasher.update(contents);
@@ -211,7 +211,7 @@
 fn frame(out: &mut Vec<u8>, kind: u8, contents: &[u8]) {
     out.push(kind);
     out.extend_from_slice(&(contents.len() as u32).to_le_bytes());
-    out.extend_from_slice(&sum(kind, contents).to_le_bytes());
+    out.extend_from_slice(&frame_checksum(kind, contents).to_le_bytes());
     out.extend_from_slice(contents);
 }
 
@@ -254,7 +254,7 @@
         pool: PoolId(from.small()?),
         class: from.small()?,
         ended_at: from.number()?,
-        cause: from.some()?.map(|code| u8::try_from(code).map_or(LossCause::Other, LossCause::of)),
+        cause: from.some()?.map(|code| u8::try_from(code).map_or(LossCause::Other, LossCause::from_code)),
         truncated: from.byte()? != 0,
         name: BoundedName {
             prefix: from.text()?.into(),
@@ -270,7 +270,7 @@
     let length = u32::from_le_bytes(from.take(4)?.try_into().ok()?);
     let told = u32::from_le_bytes(from.take(4)?.try_into().ok()?);
     let contents = from.take(length as usize)?;
-    (sum(kind, contents) == told).then_some((kind, contents))
+    (frame_checksum(kind, contents) == told).then_some((kind, contents))
 }
 
 impl Recording {
@@ -279,7 +279,7 @@
     /// # Errors
     /// Why it is no dump, or none of this version. Damage behind the head is no error, and told in [`Recording::damage`].
     pub fn read(bytes: &[u8]) -> Result<Self, RecordingError> {
-        if bytes.len() > LONGEST {
+        if bytes.len() > MAX_RECORDING_BYTES {
             return Err(RecordingError::TooLong(bytes.len()));
         }
         let mut from = Reader(bytes);
@@ -313,8 +313,8 @@
 
     /// The stories of a request by the name that its client gave it, the newest first.
     #[must_use]
-    pub fn find(&self, name: &str) -> Vec<&RequestTimeline> {
-        let mut found: Vec<_> = self.timelines.iter().filter(|story| story.name.is(name)).collect();
+    pub fn timelines_of(&self, name: &str) -> Vec<&RequestTimeline> {
+        let mut found: Vec<_> = self.timelines.iter().filter(|story| story.name.matches(name)).collect();
         found.sort_by_key(|story| std::cmp::Reverse(story.ended_at));
         found
     }
--- a/crates/flight-recorder/src/timeline_text.rs
+++ b/crates/flight-recorder/src/timeline_text.rs
@@ -68,13 +68,13 @@
 
 /// What an event of a request says; nothing where it adds nothing to its neighbours.
 fn sentence(head: &RecordingHeader, story: &RequestTimeline, event: &Event) -> Option<String> {
-    let server = |id: u32| head.server(story.pool, id);
+    let server = |id: u32| head.endpoint_name(story.pool, id);
     Some(match event {
         Event::RequestAdmitted { class, tenant, client_timeout, upload_time, revision, .. } => {
             let mut text = format!(
                 "It came as `{}` to {}, and its client waits {}.",
-                head.class(story.pool, *class),
-                head.pool(story.pool),
+                head.class_name(story.pool, *class),
+                head.pool_name(story.pool),
                 timestamp::format_duration(*client_timeout)
             );
             if *upload_time > 1_000_000 {
@@ -85,7 +85,7 @@
                 );
             }
             if let Some(tenant) = tenant {
-                let _ = write!(text, " Tenant: {}.", head.tenant(story.pool, *tenant));
+                let _ = write!(text, " Tenant: {}.", head.tenant_name(story.pool, *tenant));
             }
             if let Some(revision) = revision {
                 let _ = write!(text, " Admitted under revision {revision} of the configuration.");
@@ -181,8 +181,11 @@
 pub fn render(head: &RecordingHeader, story: &RequestTimeline) -> String {
     let (events, whole) = decode_records(&story.encoded_events);
     let begin = events.first().map_or(story.ended_at, |record| record.at);
-    let mut out =
-        format!("request {}, from {}\n", story.name.shown(), timestamp::format_timestamp(begin, head.start));
+    let mut out = format!(
+        "request {}, from {}\n",
+        story.name.display(),
+        timestamp::format_timestamp(begin, head.start)
+    );
     let mut over = false;
     for record in &events {
         if let Some(sentence) = sentence(head, story, &record.event) {
--- a/crates/flight-recorder/src/timestamp.rs
+++ b/crates/flight-recorder/src/timestamp.rs
@@ -15,7 +15,7 @@
 /// # Errors
 /// [`TimestampError`].
 pub fn parse(text: &str, start: Nanos) -> Result<Nanos, TimestampError> {
-    let fault = || TimestampError(crate::bounded_text::plain(&text.chars().take(40).collect::<String>()));
+    let fault = || TimestampError(crate::bounded_text::escape(&text.chars().take(40).collect::<String>()));
     let seconds = |part: &str| {
         let plain = !part.is_empty() && part.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
         part.parse::<f64>().ok().filter(|n| plain && n.is_finite() && *n < 1e9)
--- a/crates/flight-recorder/tests/bounds.rs
+++ b/crates/flight-recorder/tests/bounds.rs
@@ -6,9 +6,9 @@
 use proptest::prelude::*;
 use pumicehead_flight_recorder::breakdown::Breakdown;
 use pumicehead_flight_recorder::event::{Event, PoolId, RequestOutcome};
-use pumicehead_flight_recorder::event_ring::{EventRing, PAGE, decode_records};
+use pumicehead_flight_recorder::event_ring::{EventRing, PAGE_BYTES, decode_records};
 use pumicehead_flight_recorder::loss_ledger::{Key, LossKey, LossTotals, Row, SlotTable};
-use pumicehead_flight_recorder::recorder::{LEAST_MEMORY, Level};
+use pumicehead_flight_recorder::recorder::{Level, MIN_MEMORY};
 use pumicehead_flight_recorder::recording::Recording;
 use pumicehead_flight_recorder::reservoir::{DECAY, Reservoir};
 use pumicehead_policy::decision_event::{DecisionEvent, ExclusionReasons, RejectionReason};
@@ -32,10 +32,10 @@
             at += step * 1_000;
             all.push(at);
             calm(&mut ring, at);
-            prop_assert!(ring.memory() <= memory.max(2 * PAGE));
+            prop_assert!(ring.memory_used() <= memory.max(2 * PAGE_BYTES));
         }
         let held: Vec<_> = ring.pages().flat_map(|page| decode_records(page).0).map(|record| record.at).collect();
-        prop_assert_eq!(held.len() as u64 + ring.wrapped(), all.len() as u64);
+        prop_assert_eq!(held.len() as u64 + ring.overwritten_events(), all.len() as u64);
         prop_assert_eq!(&all[all.len() - held.len()..], &held[..]);
     }
 
@@ -59,7 +59,7 @@
     /// On any day the views of a breakdown, and the spans that it is cut into, add up to the worth lost.
     #[test]
     fn a_breakdown_adds_up(
-        memory in LEAST_MEMORY..2 * LEAST_MEMORY,
+        memory in MIN_MEMORY..2 * MIN_MEMORY,
         steps in proptest::collection::vec((0u16..3, 0u32..9, 0usize..8, 0u64..700, 0u64..4_000), 1..300),
         cut in 0u64..1_000,
     ) {
@@ -73,17 +73,17 @@
                 _ => day.refused(class, RejectionReason::QueueTimeout),
             }
             day.now += pause * MS;
-            prop_assert!(day.recorder.memory() <= day.recorder.most_memory());
+            prop_assert!(day.recorder.memory_used() <= day.recorder.memory_limit());
         }
-        let dump = Recording::read(&day.recorder.dump(day.now, "test")).unwrap();
-        let whole = Breakdown::of(&dump, 0, Nanos::MAX).unwrap();
+        let dump = Recording::read(&day.recorder.recording(day.now, "test")).unwrap();
+        let whole = Breakdown::of_recording(&dump, 0, Nanos::MAX).unwrap();
         for (name, parts) in &whole.views {
             let sum: u64 = parts.iter().map(|part| part.lost).sum();
             prop_assert_eq!(sum, whole.lost(), "by {}", name);
         }
         let accounts = dump.ledger.as_ref().unwrap();
         let (_, middle) = accounts.aligned(START, START + cut * SECOND);
-        let halves = [(0, middle), (middle, Nanos::MAX)].map(|(a, b)| Breakdown::of(&dump, a, b).unwrap());
+        let halves = [(0, middle), (middle, Nanos::MAX)].map(|(a, b)| Breakdown::of_recording(&dump, a, b).unwrap());
         prop_assert_eq!(halves[0].lost() + halves[1].lost(), whole.lost());
         let found = pumicehead_flight_recorder::findings::find(&dump.head, accounts, 0, Nanos::MAX);
         prop_assert_eq!(found.iter().map(|one| one.lost).sum::<u64>(), whole.lost(), "{:?}", found);
@@ -146,14 +146,14 @@
         let outcome = if n % 50 == 0 { AttemptOutcome::Reset } else { AttemptOutcome::Success };
         day.one((n % 2) as u16, n % 5_000, outcome, 600_000);
         if n % 100_000 == 0 {
-            assert!(day.recorder.memory() <= 1 << 20, "{}", day.recorder.memory());
+            assert!(day.recorder.memory_used() <= 1 << 20, "{}", day.recorder.memory_used());
         }
     }
     assert!(day.now >= START + 3_600 * SECOND);
-    let file = day.recorder.dump(day.now, "test");
+    let file = day.recorder.recording(day.now, "test");
     assert!(file.len() < 2 << 20, "{}", file.len());
     let dump = Recording::read(&file).unwrap();
-    let whole = Breakdown::of(&dump, 0, Nanos::MAX).unwrap();
+    let whole = Breakdown::of_recording(&dump, 0, Nanos::MAX).unwrap();
     assert_eq!((whole.requests, whole.lost()), (6_000_000, 120_000 * 1_000_000));
     // The sample is fair to the class that fails and to the other, and both kinds of end are there.
     assert!(
@@ -165,7 +165,7 @@
 /// A long request outlives the ring: its story is told from its first event on.
 #[test]
 fn the_ring_wraps_in_the_middle_of_a_request() {
-    let mut day = Day::new(LEAST_MEMORY);
+    let mut day = Day::new(MIN_MEMORY);
     let id = day.ask(1, "the long one");
     day.send(id, 0, 3);
     for _ in 0..20_000 {
@@ -173,9 +173,9 @@
     }
     day.end(id, 0, 3, AttemptOutcome::TimedOut, 20 * SECOND);
     day.over(id, RequestOutcome::DeadlineExceeded);
-    let dump = Recording::read(&day.recorder.dump(day.now, "test")).unwrap();
+    let dump = Recording::read(&day.recorder.recording(day.now, "test")).unwrap();
     assert!(dump.head.overwritten_events > 0);
-    let story = dump.find("the long one")[0];
+    let story = dump.timelines_of("the long one")[0];
     let text = pumicehead_flight_recorder::timeline_text::render(&dump.head, story);
     assert!(
         text.contains("It came as `submit`") && text.contains("Attempt 1 at s-3: no answer in time"),
@@ -186,7 +186,7 @@
 /// A request that is tried for ever, or waits through a thousand looks, takes no more than a story may.
 #[test]
 fn one_request_with_events_without_end() {
-    let mut day = Day::new(LEAST_MEMORY);
+    let mut day = Day::new(MIN_MEMORY);
     let id = day.ask(0, &"\u{1b}[2J\"".repeat(16 << 10));
     for n in 0..100_000u32 {
         day.tell(Event::Decision(DecisionEvent::NoEndpointAvailable {
@@ -196,10 +196,10 @@
         day.send(id, n as u8, n);
         day.end(id, n as u8, n, AttemptOutcome::Error, MS);
         day.now += MS;
-        assert!(day.recorder.memory() <= LEAST_MEMORY);
+        assert!(day.recorder.memory_used() <= MIN_MEMORY);
     }
     day.over(id, RequestOutcome::Failed);
-    let dump = Recording::read(&day.recorder.dump(day.now, "test")).unwrap();
+    let dump = Recording::read(&day.recorder.recording(day.now, "test")).unwrap();
     let story = &dump.timelines[0];
     assert!(story.truncated && story.encoded_events.len() <= 1_024);
     let text = pumicehead_flight_recorder::timeline_text::render(&dump.head, story);
@@ -209,14 +209,14 @@
 /// More open requests than there is memory for: they are counted, and sums go on.
 #[test]
 fn requests_beyond_the_memory_are_counted() {
-    let mut day = Day::new(LEAST_MEMORY);
+    let mut day = Day::new(MIN_MEMORY);
     for n in 0..10_000 {
         day.ask(0, &format!("{n}"));
-        assert!(day.recorder.memory() <= LEAST_MEMORY);
+        assert!(day.recorder.memory_used() <= MIN_MEMORY);
     }
-    let dump = Recording::read(&day.recorder.dump(day.now, "test")).unwrap();
+    let dump = Recording::read(&day.recorder.recording(day.now, "test")).unwrap();
     assert!(dump.head.untracked_requests > 9_000);
     day.recorder.set_level(Level::Off);
     day.one(0, 0, AttemptOutcome::Reset, MS);
-    assert!(day.recorder.accounts().losses.is_empty(), "off is off");
+    assert!(day.recorder.ledger().losses.is_empty(), "off is off");
 }
--- a/crates/flight-recorder/tests/causes.rs
+++ b/crates/flight-recorder/tests/causes.rs
@@ -10,7 +10,7 @@
 use pumicehead_policy::*;
 
 fn first(day: &Day) -> Finding {
-    let dump = Recording::read(&day.recorder.dump(day.now, "test")).unwrap();
+    let dump = Recording::read(&day.recorder.recording(day.now, "test")).unwrap();
     find(&dump.head, dump.ledger.as_ref().unwrap(), 0, Nanos::MAX).remove(0)
 }
 
--- a/crates/flight-recorder/tests/common/mod.rs
+++ b/crates/flight-recorder/tests/common/mod.rs
@@ -36,9 +36,9 @@
 
     pub fn of(memory: usize, classes: &[ClassInfo]) -> Self {
         let mut recorder = Recorder::new("n0", START, memory, 7);
-        let pool = recorder.pool("web", classes);
+        let pool = recorder.register_pool("web", classes);
         for server in 0..8 {
-            recorder.name(pool, EndpointId(server), &format!("s-{server}"));
+            recorder.name_endpoint(pool, EndpointId(server), &format!("s-{server}"));
         }
         Self { recorder, pool, now: START, next: 0 }
     }
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -10,7 +10,7 @@
 };
 use pumicehead_flight_recorder::export::{chrome, otlp};
 use pumicehead_flight_recorder::recorder::Recorder;
-use pumicehead_flight_recorder::recording::{Recording, RecordingError, sum};
+use pumicehead_flight_recorder::recording::{Recording, RecordingError, frame_checksum};
 use pumicehead_flight_recorder::wire_format::Reader;
 use pumicehead_policy::decision_event::{
     DecisionEvent, ExclusionReasons, LimitChangeReason, NoRetryReason, RejectionReason,
@@ -23,7 +23,7 @@
     day.one(1, 2, AttemptOutcome::Reset, 30 * MS);
     day.refused(0, RejectionReason::QueueTooLong);
     day.one(0, 3, AttemptOutcome::Success, 150 * MS);
-    day.recorder.dump(day.now, "test")
+    day.recorder.recording(day.now, "test")
 }
 
 #[test]
@@ -162,14 +162,14 @@
     let dump = Recording::read(&small()).unwrap();
     assert_eq!((dump.damage, dump.timelines.len()), (None, 4));
     assert_eq!((dump.head.node.as_str(), dump.head.reason.as_str()), ("n0", "test"));
-    let failed = dump.find("r1")[0];
+    let failed = dump.timelines_of("r1")[0];
     let text = pumicehead_flight_recorder::timeline_text::render(&dump.head, failed);
     for part in
         ["`submit`", "Attempt 1 to s-2.", "the connection broke after 30.0 ms", "must not take effect twice"]
     {
         assert!(text.contains(part), "{part}\n{text}");
     }
-    assert!(dump.find("r9").is_empty());
+    assert!(dump.timelines_of("r9").is_empty());
     let page = pumicehead_flight_recorder::html_report::write(&dump);
     assert!(page.contains("<svg") && page.contains("The client was told"), "pictures and stories");
     // The name of SVG itself is the only address in it: nothing is fetched.
@@ -220,7 +220,7 @@
     for (kind, contents) in [(1, &head[..]), (200, &b"what"[..]), (5, &b""[..])] {
         file.push(kind);
         file.extend_from_slice(&(contents.len() as u32).to_le_bytes());
-        file.extend_from_slice(&sum(kind, contents).to_le_bytes());
+        file.extend_from_slice(&frame_checksum(kind, contents).to_le_bytes());
         file.extend_from_slice(contents);
     }
     let dump = Recording::read(&file).unwrap();
@@ -236,7 +236,7 @@
         for (kind, contents) in [(1, head), (5, &b""[..])] {
             file.push(kind);
             file.extend_from_slice(&(contents.len() as u32).to_le_bytes());
-            file.extend_from_slice(&sum(kind, contents).to_le_bytes());
+            file.extend_from_slice(&frame_checksum(kind, contents).to_le_bytes());
             file.extend_from_slice(contents);
         }
         file
@@ -244,15 +244,15 @@
     let old =
         br#"{"node":"old","pools":[{"name":"web","tenants":["acme","b"]},{"name":"other","tenants":["c"]}]}"#;
     let old = Recording::read(&file(old)).unwrap().head;
-    assert_eq!([0, 1, 2].map(|id| old.tenant(PoolId(0), id)), ["acme", "b", "2"]);
-    assert_eq!(old.tenant(PoolId(1), 0), "c");
+    assert_eq!([0, 1, 2].map(|id| old.tenant_name(PoolId(0), id)), ["acme", "b", "2"]);
+    assert_eq!(old.tenant_name(PoolId(1), 0), "c");
 
     let names = [(70_000, "late"), (3, "early")].map(|(id, name)| (id, name.into()));
     let mut recorder = Recorder::new("n0", 0, 1 << 20, 1);
-    recorder.pool("web", &[]);
+    recorder.register_pool("web", &[]);
     recorder.name_tenants(names.into_iter().collect());
-    let new = Recording::read(&recorder.dump(1, "test")).unwrap().head;
-    assert_eq!([3, 70_000, 0].map(|id| new.tenant(PoolId(0), id)), ["early", "late", "0"]);
+    let new = Recording::read(&recorder.recording(1, "test")).unwrap().head;
+    assert_eq!([3, 70_000, 0].map(|id| new.tenant_name(PoolId(0), id)), ["early", "late", "0"]);
     assert!(new.pools[0].tenants.is_empty());
 }
 
--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -290,13 +290,13 @@
     }
     let pages: Vec<_> = ring.pages().collect();
     let day = faulty_day();
-    write(&head, day.recorder.accounts(), stories.iter(), pages.into_iter().rev())
+    write(&head, day.recorder.ledger(), stories.iter(), pages.into_iter().rev())
 }
 
 fn next_pool(day: &mut Day, name: &str, classes: &[ClassInfo]) {
-    day.pool = day.recorder.pool(name, classes);
+    day.pool = day.recorder.register_pool(name, classes);
     for server in 0..5 {
-        day.recorder.name(day.pool, EndpointId(server), &format!("{name}-{server}"));
+        day.recorder.name_endpoint(day.pool, EndpointId(server), &format!("{name}-{server}"));
     }
 }
 
@@ -434,7 +434,7 @@
 fn recordings_are_written_as_before() {
     assert_stored_recording("every_event.rec", &every_event_recording());
     let day = faulty_day();
-    assert_stored_recording("faulty_day.rec", &day.recorder.dump(day.now, "asked by a signal"));
+    assert_stored_recording("faulty_day.rec", &day.recorder.recording(day.now, "asked by a signal"));
 }
 
 #[test]
@@ -459,14 +459,14 @@
 fn an_older_recording_is_told_in_the_same_sentences() {
     assert_stored_text("every_event.stories.txt", &told(&read("every_event.rec")));
     let dump = read("faulty_day.rec");
-    let breakdown = Breakdown::of(&dump, 0, Nanos::MAX).unwrap();
+    let breakdown = Breakdown::of_recording(&dump, 0, Nanos::MAX).unwrap();
     assert_stored_text("faulty_day.breakdown.txt", &breakdown.to_string());
 }
 
 #[test]
 fn scraped_metrics_keep_their_names_and_labels() {
     let mut recorder = Recorder::new("n0", START, 1 << 20, 1);
-    let pool = recorder.pool("web", &[class("read", 100 * MS, 1.0)]);
+    let pool = recorder.register_pool("web", &[class("read", 100 * MS, 1.0)]);
     let mut at = START;
     for (number, event) in every_event().into_iter().enumerate() {
         at += 10 * MS;
@@ -493,6 +493,6 @@
             recorder.record(at, pool, &event);
         }
     }
-    recorder.meters().gauge("pumicehead_requests_open", 2.0);
-    assert_stored_text("metrics.txt", &recorder.prometheus());
+    recorder.metrics().gauge("pumicehead_requests_open", 2.0);
+    assert_stored_text("metrics.txt", &recorder.metrics_text());
 }
--- a/crates/node/src/eyes.rs
+++ b/crates/node/src/eyes.rs
@@ -90,7 +90,7 @@
             late_weight: class.late_weight,
         };
         let classes: Vec<_> = classes.iter().zip(&settings.classes).map(class).collect();
-        let pool = self.recorder.with(|recorder| recorder.pool(pool, &classes));
+        let pool = self.recorder.with(|recorder| recorder.register_pool(pool, &classes));
         RecorderSink::new(&self.recorder, self.clock, pool.unwrap_or(PoolId(u16::MAX)))
     }
 
@@ -112,19 +112,19 @@
 
     /// The recording as a file.
     pub fn dump(&self, reason: &str) -> Option<Vec<u8>> {
-        self.recorder.with(|recorder| recorder.dump(self.clock.now(), reason))
+        self.recorder.with(|recorder| recorder.recording(self.clock.now(), reason))
     }
 
     /// The figures, with what the node holds now.
     pub fn metrics(&self, now: &[(&'static str, f64)]) -> String {
         let text = self.recorder.with(|recorder| {
-            let taken = (recorder.memory() as f64, recorder.most_memory() as f64);
-            let meters = recorder.meters();
+            let taken = (recorder.memory_used() as f64, recorder.memory_limit() as f64);
+            let meters = recorder.metrics();
             now.iter().for_each(|(name, value)| meters.gauge(name, *value));
             meters.gauge("pumicehead_recorder_bytes", taken.0);
             meters.gauge("pumicehead_recorder_most_bytes", taken.1);
             meters.gauge("pumicehead_log_lines_dropped", self.log.dropped() as f64);
-            recorder.prometheus()
+            recorder.metrics_text()
         });
         text.unwrap_or_else(|| "# EOF\n".into())
     }
@@ -231,7 +231,7 @@
     fn at_panic(&self, what: &str) {
         let Some(folder) = self.folder() else { return };
         if let Some(bytes) =
-            self.dump(&format!("panic: {}", pumicehead_flight_recorder::bounded_text::plain(what)))
+            self.dump(&format!("panic: {}", pumicehead_flight_recorder::bounded_text::escape(what)))
         {
             // There is nothing left to do where this fails.
             let _ = RecordingFile::new(folder, self.node, self.next()).write(&bytes);
--- a/crates/node/src/log/filter.rs
+++ b/crates/node/src/log/filter.rs
@@ -2,7 +2,7 @@
 
 use std::str::FromStr;
 
-use pumicehead_flight_recorder::bounded_text::plain;
+use pumicehead_flight_recorder::bounded_text::escape;
 use thiserror::Error;
 use tracing_subscriber::filter::Targets;
 
@@ -23,7 +23,7 @@
 /// # Errors
 /// [`BadFilter`].
 pub fn filter(text: &str) -> Result<Targets, BadFilter> {
-    let fault = || BadFilter(plain(&text.chars().take(LONGEST_QUOTE).collect::<String>()));
+    let fault = || BadFilter(escape(&text.chars().take(LONGEST_QUOTE).collect::<String>()));
     if text.len() > LONGEST_FILTER || !text.split(',').all(is_directive) {
         return Err(fault());
     }
--- a/crates/node/src/log/format.rs
+++ b/crates/node/src/log/format.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::{self, Write};
 
-use pumicehead_flight_recorder::bounded_text::plain;
+use pumicehead_flight_recorder::bounded_text::escape;
 use rustix::pipe::PIPE_BUF;
 use tracing::Level;
 use tracing::field::{Field, Visit};
@@ -45,7 +45,7 @@
 
 impl Visit for Fields {
     fn record_str(&mut self, field: &Field, value: &str) {
-        self.put(field, cut(plain(value), LONGEST));
+        self.put(field, cut(escape(value), LONGEST));
     }
 
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
--- a/crates/node/src/log/mod.rs
+++ b/crates/node/src/log/mod.rs
@@ -127,7 +127,7 @@
         let now = self.shared.now();
         let ended = {
             let mut state = self.shared.state();
-            let ended = state.quota.ended(now);
+            let ended = state.quota.drain_expired(now);
             ended.into_iter().map(|more| (state.names.get(&more.kind).cloned(), more)).collect::<Vec<_>>()
         };
         for (name, more) in ended {
@@ -187,7 +187,7 @@
         let (told, before) = {
             let now = self.0.now();
             let mut state = self.0.state();
-            let (told, before) = state.quota.take(kind, now);
+            let (told, before) = state.quota.check(kind, now);
             if told {
                 event.record(&mut fields);
                 if state.names.len() < MAX_KINDS {
--- a/crates/node/src/net/pool_loop/mod.rs
+++ b/crates/node/src/net/pool_loop/mod.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Weak;
 
-use pumicehead_flight_recorder::bounded_text::plain;
+use pumicehead_flight_recorder::bounded_text::escape;
 use pumicehead_flight_recorder::event::Event as RecordedEvent;
 use pumicehead_policy::decision_event::DecisionEvent;
 use pumicehead_policy::{
@@ -190,7 +190,7 @@
     }
 
     fn log_decision(&self, decision: &DecisionEvent) {
-        let name = |id: EndpointId| self.directory.name(id).map_or_else(|| id.0.to_string(), plain);
+        let name = |id: EndpointId| self.directory.name(id).map_or_else(|| id.0.to_string(), escape);
         match decision {
             DecisionEvent::Ejected { endpoint, duration } => info!(
                 target: "decisions",
--- a/crates/node/src/why.rs
+++ b/crates/node/src/why.rs
@@ -10,7 +10,7 @@
 use clap::{Args, ValueEnum};
 use pumicehead_flight_recorder::breakdown::Breakdown;
 use pumicehead_flight_recorder::findings::{Finding, find};
-use pumicehead_flight_recorder::recording::{LONGEST, Recording};
+use pumicehead_flight_recorder::recording::{MAX_RECORDING_BYTES, Recording};
 use pumicehead_flight_recorder::{export as forms, html_report, timeline_text, timestamp};
 use pumicehead_policy::Nanos;
 use serde_json::json;
@@ -58,8 +58,8 @@
 fn open(file: &Path) -> Result<Recording, Box<dyn Error>> {
     let named = |error: &dyn std::fmt::Display| format!("{}: {error}", file.display());
     let length = fs::metadata(file).map_err(|error| named(&error))?.len();
-    if length > LONGEST as u64 {
-        return Err(named(&format!("{length} bytes, more than {LONGEST}")).into());
+    if length > MAX_RECORDING_BYTES as u64 {
+        return Err(named(&format!("{length} bytes, more than {MAX_RECORDING_BYTES}")).into());
     }
     let bytes = fs::read(file).map_err(|error| named(&error))?;
     let dump = Recording::read(&bytes).map_err(|error| named(&error))?;
@@ -80,13 +80,13 @@
     stream.set_read_timeout(Some(PATIENCE))?;
     stream.write_all(b"TRACE\n")?;
     let mut answer = Vec::new();
-    stream.take(LONGEST as u64 + LONGEST_LINE as u64).read_to_end(&mut answer)?;
+    stream.take(MAX_RECORDING_BYTES as u64 + LONGEST_LINE as u64).read_to_end(&mut answer)?;
     let end = answer.iter().take(LONGEST_LINE).position(|&byte| byte == b'\n');
     let end = end.ok_or_else(|| format!("{address}: no answer of a node"))?;
     let line = String::from_utf8_lossy(&answer[..end]).into_owned();
     let length = line.strip_prefix("OK ").and_then(|length| length.parse::<usize>().ok());
     let length = length
-        .ok_or_else(|| format!("{address}: {}", pumicehead_flight_recorder::bounded_text::plain(&line)))?;
+        .ok_or_else(|| format!("{address}: {}", pumicehead_flight_recorder::bounded_text::escape(&line)))?;
     let file = &answer[end + 1..];
     if file.len() != length {
         return Err(format!("{address}: {} of {length} bytes came", file.len()).into());
@@ -122,12 +122,13 @@
         }
         let (from, to) = self.span(&dump)?;
         let accounts = dump.ledger.as_ref().ok_or("the recording's sums are damaged")?;
-        let breakdown = Breakdown::sum(&dump.head, accounts, from, to);
+        let breakdown = Breakdown::of_ledger(&dump.head, accounts, from, to);
         let found = find(&dump.head, accounts, from, to);
         if let Some(other) = &self.diff {
             let other = open(other)?;
             let (from, to) = self.span(&other)?;
-            let beside = Breakdown::of(&other, from, to).ok_or("the other recording's sums are damaged")?;
+            let beside =
+                Breakdown::of_recording(&other, from, to).ok_or("the other recording's sums are damaged")?;
             print(&breakdown.compare(&beside));
             return Ok(());
         }
@@ -144,7 +145,7 @@
             print(&format!("  {:10.1}  {:7} requests  {}\n", one.lost as f64 / 1e6, one.requests, one.text));
         }
         let examples = dump.timelines.iter().filter(|story| story.cause.is_some()).take(STORIES);
-        let names: Vec<_> = examples.map(|story| story.name.shown()).collect();
+        let names: Vec<_> = examples.map(|story| story.name.display()).collect();
         if !names.is_empty() {
             print(&format!("some of them: {}\n", names.join(", ")));
         }
@@ -162,11 +163,11 @@
 }
 
 fn tell_request(dump: &Recording, request: &str) -> Result<(), Box<dyn Error>> {
-    let found = dump.find(request);
+    let found = dump.timelines_of(request);
     if found.is_empty() {
         let kept = dump.timelines.len();
         let name =
-            pumicehead_flight_recorder::bounded_text::plain(&request.chars().take(60).collect::<String>());
+            pumicehead_flight_recorder::bounded_text::escape(&request.chars().take(60).collect::<String>());
         return Err(format!("no story of `{name}` among the {kept} that were kept").into());
     }
     for story in found.into_iter().take(STORIES) {
--- a/crates/node/tests/eyes.rs
+++ b/crates/node/tests/eyes.rs
@@ -92,7 +92,7 @@
     let statuses = crowd.end();
     assert!(statuses.contains(&503));
     let dump = recording(node.calls());
-    let sums = Breakdown::of(&dump, 0, u64::MAX).unwrap();
+    let sums = Breakdown::of_recording(&dump, 0, u64::MAX).unwrap();
     assert_eq!(sums.requests as usize, statuses.len());
     for (name, parts) in &sums.views {
         assert_eq!(parts.iter().map(|part| part.lost).sum::<u64>(), sums.lost(), "by {name}");
@@ -282,7 +282,7 @@
     assert_eq!(client.read().unwrap().status(), 504);
     wait_for("its story", || !recording(calls).timelines.is_empty());
     let dump = recording(calls);
-    let sums = Breakdown::of(&dump, 0, u64::MAX).unwrap().to_string();
+    let sums = Breakdown::of_recording(&dump, 0, u64::MAX).unwrap().to_string();
     assert!(sums.contains("hasty in boards") && sums.contains("100.00%"), "{sums}");
     node.reload(&text.replace("calls 127.0.0.1:0", "calls 127.0.0.1:0; log warn,settings=info"));
     assert_eq!(node.said("wait for the next start"), 0);
--- a/crates/testbed/src/measure/eyes.rs
+++ b/crates/testbed/src/measure/eyes.rs
@@ -187,7 +187,7 @@
 fn odd_server(dump: &Recording, finding: &Finding, matter: Symptom) -> bool {
     let last = format!("s{}", SERVERS - 1);
     finding.symptom == matter
-        && matches!(finding.subject, Subject::Endpoint(pool, id) if dump.head.server(pool, id) == last)
+        && matches!(finding.subject, Subject::Endpoint(pool, id) if dump.head.endpoint_name(pool, id) == last)
 }
 
 const FAULTS: [Fault; 5] = [
@@ -249,7 +249,7 @@
         idle: 0,
         named: |dump, finding| {
             let class = matches!(finding.subject,
-                Subject::Class(pool, class) if dump.head.class(pool, class) == "submit");
+                Subject::Class(pool, class) if dump.head.class_name(pool, class) == "submit");
             class && finding.symptom == Symptom::ObjectiveTooShort
         },
     },
