--- /dev/null
+++ b/crates/flight-recorder/src/code_tables.rs
@@ -0,0 +1,85 @@
+//! Stored codes of the enums in a recording: the place of a value in its table.
+//!
+//! Codes are part of the file format. Append to a table; never reorder one.
+
+use pumicehead_policy::decision_event::{NoRetryReason, RejectionReason};
+use pumicehead_policy::{AttemptOutcome, EndpointState};
+
+use crate::event::{ExhaustedResource, ListenerRejection, RequestOutcome};
+
+impl RequestOutcome {
+    pub(crate) const ALL: [Self; 7] = [
+        Self::Served,
+        Self::ServedError,
+        Self::Rejected,
+        Self::Failed,
+        Self::DeadlineExceeded,
+        Self::BodyFailed,
+        Self::ClientDisconnected,
+    ];
+}
+
+impl ListenerRejection {
+    pub(crate) const ALL: [Self; 2] = [Self::RequestLimit, Self::ConnectionLimit];
+}
+
+impl ExhaustedResource {
+    pub(crate) const ALL: [Self; 2] = [Self::DownstreamConnection, Self::UpstreamConnection];
+}
+
+/// States of an endpoint, by their stored codes.
+pub(crate) const ENDPOINT_STATES: [EndpointState; 3] =
+    [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
+
+pub(crate) const OUTCOMES: [AttemptOutcome; 8] = [
+    AttemptOutcome::Success,
+    AttemptOutcome::Error,
+    AttemptOutcome::Rejected,
+    AttemptOutcome::TimedOut,
+    AttemptOutcome::ConnectFailed,
+    AttemptOutcome::Reset,
+    AttemptOutcome::Cancelled,
+    AttemptOutcome::NotSent,
+];
+pub(crate) const STOPS: [NoRetryReason; 4] = [
+    NoRetryReason::AttemptsExhausted,
+    NoRetryReason::NotIdempotent,
+    NoRetryReason::NoTimeLeft,
+    NoRetryReason::RetryBudgetSpent,
+];
+
+/// Place of an outcome in rows of counts.
+#[must_use]
+pub fn outcome_index(outcome: AttemptOutcome) -> usize {
+    OUTCOMES.iter().position(|&known| known == outcome).unwrap_or_default()
+}
+
+/// The outcome at a place.
+#[must_use]
+pub fn outcome_at(place: usize) -> Option<AttemptOutcome> {
+    OUTCOMES.get(place).copied()
+}
+
+pub(crate) fn at<T: Copy>(all: &[T], place: u8) -> Option<T> {
+    all.get(usize::from(place)).copied()
+}
+
+pub(crate) fn rejection_code(rule: RejectionReason) -> u8 {
+    match rule {
+        RejectionReason::QueueTooLong => 0,
+        RejectionReason::QueueTimeout => 1,
+        RejectionReason::KeyOrderTimeout => 2,
+        RejectionReason::NoRetry(stop) => {
+            3 + STOPS.iter().position(|&known| known == stop).unwrap_or_default() as u8
+        }
+    }
+}
+
+pub(crate) fn rejection_from_code(code: u8) -> Option<RejectionReason> {
+    Some(match code {
+        0 => RejectionReason::QueueTooLong,
+        1 => RejectionReason::QueueTimeout,
+        2 => RejectionReason::KeyOrderTimeout,
+        code => RejectionReason::NoRetry(at(&STOPS, code - 3)?),
+    })
+}
--- /dev/null
+++ b/crates/flight-recorder/src/decision_codec.rs
@@ -0,0 +1,141 @@
+//! Binary form of a decision event: a tag from 32 on, then the fields.
+
+use pumicehead_policy::decision_event::{DecisionEvent, ExclusionReasons, LimitChangeReason};
+use pumicehead_policy::{EndpointId, RequestId};
+
+use crate::code_tables::{rejection_code, rejection_from_code};
+use crate::wire_format::{Reader, put, put_f32, put_some};
+
+pub(crate) fn encode_decision(note: &DecisionEvent, out: &mut Vec<u8>) {
+    let mut start = |tag: u8, first: u32| {
+        out.push(tag);
+        put(out, u64::from(first));
+    };
+    match *note {
+        DecisionEvent::Classified { id, tier, priority_weight, objective_deadline } => {
+            start(32, id.0);
+            out.push(tier);
+            put_f32(out, priority_weight);
+            put(out, objective_deadline);
+        }
+        DecisionEvent::Queued { id, queued } => {
+            start(33, id.0);
+            put(out, u64::from(queued));
+        }
+        DecisionEvent::EndpointSelected {
+            id,
+            endpoint,
+            score,
+            runner_up,
+            in_flight: used,
+            limit,
+            exclusions,
+        } => {
+            start(34, id.0);
+            put(out, u64::from(endpoint.0));
+            put_f32(out, score);
+            put_some(out, runner_up.map(|(server, _)| u64::from(server.0)));
+            if let Some((_, score)) = runner_up {
+                put_f32(out, score);
+            }
+            put(out, u64::from(used));
+            put_f32(out, limit);
+            out.extend_from_slice(&exclusions.0);
+        }
+        DecisionEvent::NoEndpointAvailable { id, exclusions } => {
+            start(35, id.0);
+            out.extend_from_slice(&exclusions.0);
+        }
+        DecisionEvent::AnsweredWithoutEndpoint { id, reason, pressure } => {
+            start(36, id.0);
+            out.push(rejection_code(reason));
+            put_f32(out, pressure);
+        }
+        DecisionEvent::LimitChanged { endpoint, from, to, reason } => {
+            start(37, endpoint.0);
+            put_f32(out, from);
+            put_f32(out, to);
+            out.push(u8::from(reason == LimitChangeReason::Failure));
+        }
+        DecisionEvent::AllLimitsChanged { factor, utilization } => {
+            start(38, 0);
+            put_f32(out, factor);
+            put_f32(out, utilization);
+        }
+        DecisionEvent::Ejected { endpoint, duration } => {
+            start(39, endpoint.0);
+            put(out, duration);
+        }
+        DecisionEvent::Reinstated { endpoint } => start(40, endpoint.0),
+        DecisionEvent::OutlierRatio { outliers, total, panic_mode } => {
+            start(41, outliers);
+            put(out, u64::from(total));
+            out.push(u8::from(panic_mode));
+        }
+        DecisionEvent::OverloadStarted { queued } => start(42, queued),
+        DecisionEvent::OverloadEnded => start(43, 0),
+        DecisionEvent::WatchLost => start(44, 0),
+        DecisionEvent::WatchRestored => start(45, 0),
+    }
+}
+
+pub(crate) fn decode_decision(tag: u8, first: u32, from: &mut Reader<'_>) -> Option<DecisionEvent> {
+    let (id, server) = (RequestId(first), EndpointId(first));
+    let hurdles =
+        |from: &mut Reader<'_>| from.take(5).and_then(|counts| counts.try_into().ok()).map(ExclusionReasons);
+    Some(match tag {
+        32 => DecisionEvent::Classified {
+            id,
+            tier: from.byte()?,
+            priority_weight: from.f32()?,
+            objective_deadline: from.number()?,
+        },
+        33 => DecisionEvent::Queued { id, queued: from.small()? },
+        34 => {
+            let (server, score) = (EndpointId(from.small()?), from.f32()?);
+            let next = match from.some()? {
+                Some(next) => Some((EndpointId(u32::try_from(next).ok()?), from.f32()?)),
+                None => None,
+            };
+            let (out, limit) = (from.small()?, from.f32()?);
+            DecisionEvent::EndpointSelected {
+                id,
+                endpoint: server,
+                score,
+                runner_up: next,
+                in_flight: out,
+                limit,
+                exclusions: hurdles(from)?,
+            }
+        }
+        35 => DecisionEvent::NoEndpointAvailable { id, exclusions: hurdles(from)? },
+        36 => DecisionEvent::AnsweredWithoutEndpoint {
+            id,
+            reason: rejection_from_code(from.byte()?)?,
+            pressure: from.f32()?,
+        },
+        37 => DecisionEvent::LimitChanged {
+            endpoint: server,
+            from: from.f32()?,
+            to: from.f32()?,
+            reason: if from.byte()? == 0 {
+                LimitChangeReason::ComparedLatency
+            } else {
+                LimitChangeReason::Failure
+            },
+        },
+        38 => DecisionEvent::AllLimitsChanged { factor: from.f32()?, utilization: from.f32()? },
+        39 => DecisionEvent::Ejected { endpoint: server, duration: from.number()? },
+        40 => DecisionEvent::Reinstated { endpoint: server },
+        41 => DecisionEvent::OutlierRatio {
+            outliers: first,
+            total: from.small()?,
+            panic_mode: from.byte()? != 0,
+        },
+        42 => DecisionEvent::OverloadStarted { queued: first },
+        43 => DecisionEvent::OverloadEnded,
+        44 => DecisionEvent::WatchLost,
+        45 => DecisionEvent::WatchRestored,
+        _ => return None,
+    })
+}
--- a/crates/flight-recorder/src/findings.rs
+++ b/crates/flight-recorder/src/findings.rs
@@ -11,7 +11,8 @@
 
 use pumicehead_policy::{AttemptOutcome, Nanos};
 
-use crate::event::{PoolId, outcome_at, outcome_index};
+use crate::code_tables::{outcome_at, outcome_index};
+use crate::event::PoolId;
 use crate::loss_cause::{LossCause, MicroWeight, RequestPhase, outcome_text};
 use crate::loss_ledger::{EndpointKey, EndpointTotals, LossKey, LossLedger, NO_ENDPOINT, TrafficTotals};
 use crate::recording::RecordingHeader;
--- a/crates/flight-recorder/src/lib.rs
+++ b/crates/flight-recorder/src/lib.rs
@@ -11,20 +11,26 @@
 
 pub mod bounded_text;
 pub mod breakdown;
+pub mod code_tables;
+mod decision_codec;
 pub mod event;
+mod event_codec;
 pub mod event_ring;
 pub mod export;
 mod exported_names;
 pub mod findings;
 pub mod html_report;
+mod ledger_rows;
 pub mod log_rate_limit;
 pub mod loss_cause;
 pub mod loss_ledger;
 pub mod metrics;
 pub mod recorder;
 pub mod recording;
+pub mod request_progress;
 pub mod request_timeline;
 pub mod reservoir;
+mod slot_table;
 pub mod tenant_names;
 pub mod timeline_text;
 pub mod timestamp;
--- a/crates/flight-recorder/src/log_rate_limit.rs
+++ b/crates/flight-recorder/src/log_rate_limit.rs
@@ -81,40 +81,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_million_of_one_kind_are_a_few_lines_and_a_count() {
-        let mut quota = LogRateLimiter::default();
-        let told = (0..1_000_000u64).filter(|n| quota.check(1, n * 1_000).0).count();
-        assert_eq!(told, MESSAGES_PER_INTERVAL as usize);
-        assert_eq!(quota.check(2, 0), (true, None), "another kind is not held back");
-        assert_eq!(quota.drain_expired(INTERVAL - 1), []);
-        let more = SuppressedMessages { kind: 1, count: 999_990, interval: INTERVAL };
-        assert_eq!((quota.drain_expired(INTERVAL), quota.drain_expired(INTERVAL)), (vec![more], vec![]));
-        assert_eq!(quota.check(1, INTERVAL), (true, None));
-    }
-
-    #[test]
-    fn what_was_held_back_comes_with_the_next() {
-        let mut quota = LogRateLimiter::default();
-        (0..15).for_each(|_| {
-            quota.check(7, 5);
-        });
-        assert_eq!(
-            quota.check(7, INTERVAL + 9),
-            (true, Some(SuppressedMessages { kind: 7, count: 5, interval: INTERVAL + 4 }))
-        );
-        assert_eq!(quota.drain_expired(9 * INTERVAL), []);
-    }
-
-    #[test]
-    fn kinds_are_bounded() {
-        let mut quota = LogRateLimiter::default();
-        (0..100_000).for_each(|kind| {
-            quota.check(kind, 0);
-        });
-        assert!(quota.kinds.len() <= MAX_KINDS + 1);
-    }
-}
+#[path = "../tests/unit/log_rate_limit.rs"]
+mod tests;
--- a/crates/flight-recorder/src/metrics.rs
+++ b/crates/flight-recorder/src/metrics.rs
@@ -232,7 +232,7 @@
 
     /// An attempt has ended.
     pub fn attempt_ended(&mut self, outcome: AttemptOutcome) {
-        let place = crate::event::outcome_index(outcome);
+        let place = crate::code_tables::outcome_index(outcome);
         let registry = &self.registry;
         let counter = self.attempts[place].get_or_insert_with(|| {
             let key =
@@ -260,53 +260,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_text_counts_and_points_to_requests() {
-        let mut meters = RequestMetrics::default();
-        let name = BoundedName::new("a\"b\n");
-        for took in [3, 30, 30_000] {
-            meters.request_ended(
-                ((0, 0), ("web", "read")),
-                RequestOutcome::Served,
-                took * 1_000_000,
-                &name,
-                SECOND,
-            );
-        }
-        meters.request_ended(((0, 0), ("web", "read")), RequestOutcome::Rejected, 1_000, &name, SECOND);
-        meters.attempt_ended(AttemptOutcome::Reset);
-        meters.gauge("pumicehead_open", 2.0);
-        let text = meters.text();
-        for line in [
-            "pumicehead_requests_total{pool=\"web\",class=\"read\",how=\"served\"} 3",
-            "pumicehead_requests_total{pool=\"web\",class=\"read\",how=\"refused\"} 1",
-            "pumicehead_attempts_total{outcome=\"the connection broke\"} 1",
-            "pumicehead_open 2",
-            "pumicehead_request_seconds_bucket{pool=\"web\",class=\"read\",le=\"0.005\"} 2 # {request=\"a\\\"b\\n\"} 0.003 1.000",
-            "pumicehead_request_seconds_count{pool=\"web\",class=\"read\"} 4",
-        ] {
-            assert!(text.contains(line), "{line}\nnot in\n{text}");
-        }
-        assert!(text.ends_with("# EOF\n"));
-    }
-
-    #[test]
-    fn classes_beyond_the_bound_count_as_other() {
-        let mut meters = RequestMetrics::default();
-        for class in 0..1_000 {
-            let name = format!("c{class}");
-            meters.request_ended(
-                ((0, class), ("web", &name)),
-                RequestOutcome::Served,
-                1_000,
-                &BoundedName::new("x"),
-                0,
-            );
-        }
-        assert_eq!(meters.classes.len(), CLASSES + 1);
-        assert!(meters.text().contains("{pool=\"other\",class=\"other\",how=\"served\"} 968"));
-    }
-}
+#[path = "../tests/unit/metrics.rs"]
+mod tests;
--- a/crates/flight-recorder/src/recorder.rs
+++ b/crates/flight-recorder/src/recorder.rs
@@ -5,12 +5,14 @@
 use rustc_hash::FxHashMap;
 
 use crate::bounded_text::BoundedName;
-use crate::event::{Event, ExhaustedResource, ListenerRejection, PoolId, RequestOutcome, outcome_index};
+use crate::code_tables::outcome_index;
+use crate::event::{Event, ExhaustedResource, ListenerRejection, PoolId, RequestOutcome};
 use crate::event_ring::{EventRing, append_record};
-use crate::loss_cause::{LossAssessment, LossCause, RequestProgress, to_micro_weight};
+use crate::loss_cause::{LossCause, to_micro_weight};
 use crate::loss_ledger::{EndpointKey, LossKey, LossLedger, NO_ENDPOINT, TrafficKey};
 use crate::metrics::RequestMetrics;
 use crate::recording::{PoolHeader, RecordingHeader};
+use crate::request_progress::{LossAssessment, RequestProgress};
 pub use crate::request_timeline::{ClassInfo, RequestTimeline};
 use crate::reservoir::Reservoir;
 use crate::tenant_names::TenantNames;
--- /dev/null
+++ b/crates/flight-recorder/src/slot_table.rs
@@ -0,0 +1,130 @@
+//! Exact sums by time slot and key, in bounded memory.
+//!
+//! Slots start one second wide. When the table is full, the width doubles and adjacent slots are merged; when a single slot
+//! is still too large, its last keys are merged into [`Key::OTHER`]. The sum over all rows never changes.
+
+use std::collections::BTreeMap;
+
+use pumicehead_policy::{Nanos, SECOND};
+
+use crate::wire_format::{Reader, put};
+
+/// Rows that add up.
+pub trait Row: Default + Clone {
+    /// Adds another one.
+    fn add(&mut self, other: &Self);
+    /// Appends it.
+    fn write(&self, out: &mut Vec<u8>);
+    /// Reads it.
+    fn read(from: &mut Reader<'_>) -> Option<Self>;
+}
+
+/// What rows are about.
+pub trait Key: Ord + Copy {
+    /// What stands for all that has no row of its own.
+    const OTHER: Self;
+    /// Appends it.
+    fn write(&self, out: &mut Vec<u8>);
+    /// Reads it.
+    fn read(from: &mut Reader<'_>) -> Option<Self>;
+}
+
+/// Rows by slot and key.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SlotTable<K, V> {
+    pub(crate) start: Nanos,
+    pub(crate) width: Nanos,
+    most: usize,
+    rows: BTreeMap<(u32, K), V>,
+}
+
+impl<K: Key, V: Row> SlotTable<K, V> {
+    /// Empty, from `start` on, with room for so many rows.
+    #[must_use]
+    pub fn new(start: Nanos, most: usize) -> Self {
+        Self { start, width: SECOND, most: most.max(2), rows: BTreeMap::new() }
+    }
+
+    fn slot(&self, at: Nanos) -> u32 {
+        u32::try_from(at.saturating_sub(self.start) / self.width).unwrap_or(u32::MAX)
+    }
+
+    /// The row of a moment and a key, to be added to.
+    pub fn row_mut(&mut self, at: Nanos, key: K) -> &mut V {
+        let mut key = key;
+        while self.rows.len() >= self.most && !self.rows.contains_key(&(self.slot(at), key)) {
+            if self.rows.keys().next_back().is_some_and(|&(slot, _)| slot > 0) || self.slot(at) > 0 {
+                self.widen();
+            } else if key == K::OTHER || self.rows.contains_key(&(0, K::OTHER)) {
+                key = K::OTHER;
+                break;
+            } else {
+                self.fold_into_other();
+            }
+        }
+        self.rows.entry((self.slot(at), key)).or_default()
+    }
+
+    /// Doubles the width of all slots.
+    fn widen(&mut self) {
+        self.width = self.width.saturating_mul(2);
+        for ((slot, key), row) in std::mem::take(&mut self.rows) {
+            self.rows.entry((slot / 2, key)).or_default().add(&row);
+        }
+    }
+
+    /// Puts one row of the first slot under "other".
+    fn fold_into_other(&mut self) {
+        if let Some((_, row)) = self.rows.pop_last() {
+            self.rows.entry((0, K::OTHER)).or_default().add(&row);
+        }
+    }
+
+    /// The width of a slot.
+    #[must_use]
+    pub fn width(&self) -> Nanos {
+        self.width
+    }
+
+    /// How many rows there are.
+    #[must_use]
+    pub fn len(&self) -> usize {
+        self.rows.len()
+    }
+
+    /// Whether nothing was added.
+    #[must_use]
+    pub fn is_empty(&self) -> bool {
+        self.rows.is_empty()
+    }
+
+    /// Rows of slots that begin in a span, with the time at which their slot begins.
+    pub fn rows_between(&self, from: Nanos, to: Nanos) -> impl Iterator<Item = (Nanos, K, &V)> {
+        self.rows.iter().filter_map(move |(&(slot, key), row)| {
+            let at = self.start.saturating_add(u64::from(slot).saturating_mul(self.width));
+            (from <= at && at < to).then_some((at, key, row))
+        })
+    }
+
+    /// Appends all of it.
+    pub fn write(&self, out: &mut Vec<u8>) {
+        put(out, self.start);
+        put(out, self.width);
+        put(out, self.rows.len() as u64);
+        for ((slot, key), row) in &self.rows {
+            put(out, u64::from(*slot));
+            key.write(out);
+            row.write(out);
+        }
+    }
+
+    /// Reads what was appended.
+    pub fn read(from: &mut Reader<'_>) -> Option<Self> {
+        let (start, width, count) = (from.number()?, from.number()?, from.small::<usize>()?);
+        let mut rows = BTreeMap::new();
+        for _ in 0..count {
+            rows.insert((from.small()?, K::read(from)?), V::read(from)?);
+        }
+        (width > 0).then_some(Self { start, width, most: count.max(2), rows })
+    }
+}
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -42,7 +42,7 @@
                 ]
                 .map(RejectionReason::NoRetry),
             );
-    let outcomes = (0..8).filter_map(pumicehead_flight_recorder::event::outcome_at);
+    let outcomes = (0..8).filter_map(pumicehead_flight_recorder::code_tables::outcome_at);
     let hows = [
         RequestOutcome::Served,
         RequestOutcome::ServedError,
--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -9,8 +9,9 @@
 use common::*;
 use pumicehead_flight_recorder::bounded_text::BoundedName;
 use pumicehead_flight_recorder::breakdown::Breakdown;
+use pumicehead_flight_recorder::code_tables::outcome_at;
 use pumicehead_flight_recorder::event::{
-    Event, ExhaustedResource, ListenerRejection, PoolId, RequestOutcome, outcome_at,
+    Event, ExhaustedResource, ListenerRejection, PoolId, RequestOutcome,
 };
 use pumicehead_flight_recorder::event_ring::{EventRing, append_record};
 use pumicehead_flight_recorder::export::{chrome, otlp};
