--- a/crates/flight-recorder/src/loss_cause.rs
+++ b/crates/flight-recorder/src/loss_cause.rs
@@ -98,6 +98,17 @@
         }
     }
 
+    /// Returns the phase that took the time, for causes that have one.
+    #[must_use]
+    pub fn phase(self) -> Option<RequestPhase> {
+        match self {
+            Self::ObjectiveMissed(phase)
+            | Self::DeadlineExceeded(phase)
+            | Self::ClientDisconnected(phase) => Some(phase),
+            _ => None,
+        }
+    }
+
     /// Of a front's reason.
     #[must_use]
     pub fn from_rejection(why: ListenerRejection) -> Self {
