--- a/crates/flight-recorder/src/code_tables.rs
+++ b/crates/flight-recorder/src/code_tables.rs
@@ -31,6 +31,7 @@
 pub(crate) const ENDPOINT_STATES: [EndpointState; 3] =
     [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
 
+/// Outcomes of attempts, by their stored codes.
 pub(crate) const OUTCOMES: [AttemptOutcome; 8] = [
     AttemptOutcome::Success,
     AttemptOutcome::Error,
@@ -41,45 +42,50 @@
     AttemptOutcome::Cancelled,
     AttemptOutcome::NotSent,
 ];
-pub(crate) const STOPS: [NoRetryReason; 4] = [
+
+/// Reasons against a retry, by their stored codes.
+pub(crate) const NO_RETRY_REASONS: [NoRetryReason; 4] = [
     NoRetryReason::AttemptsExhausted,
     NoRetryReason::NotIdempotent,
     NoRetryReason::NoTimeLeft,
     NoRetryReason::RetryBudgetSpent,
 ];
 
-/// Place of an outcome in rows of counts.
+/// Returns the code of an attempt's outcome.
 #[must_use]
 pub fn outcome_index(outcome: AttemptOutcome) -> usize {
     OUTCOMES.iter().position(|&known| known == outcome).unwrap_or_default()
 }
 
-/// The outcome at a place.
+/// Returns the outcome of a code.
 #[must_use]
-pub fn outcome_at(place: usize) -> Option<AttemptOutcome> {
-    OUTCOMES.get(place).copied()
+pub fn outcome_at(code: usize) -> Option<AttemptOutcome> {
+    OUTCOMES.get(code).copied()
 }
 
-pub(crate) fn at<T: Copy>(all: &[T], place: u8) -> Option<T> {
-    all.get(usize::from(place)).copied()
+/// Returns the value of a stored code.
+pub(crate) fn at<T: Copy>(all: &[T], code: u8) -> Option<T> {
+    all.get(usize::from(code)).copied()
 }
 
-pub(crate) fn rejection_code(rule: RejectionReason) -> u8 {
-    match rule {
+/// Returns the stored code of a rejection.
+pub(crate) fn rejection_code(rejection: RejectionReason) -> u8 {
+    match rejection {
         RejectionReason::QueueTooLong => 0,
         RejectionReason::QueueTimeout => 1,
         RejectionReason::KeyOrderTimeout => 2,
-        RejectionReason::NoRetry(stop) => {
-            3 + STOPS.iter().position(|&known| known == stop).unwrap_or_default() as u8
+        RejectionReason::NoRetry(reason) => {
+            3 + NO_RETRY_REASONS.iter().position(|&known| known == reason).unwrap_or_default() as u8
         }
     }
 }
 
+/// Returns the rejection of a stored code.
 pub(crate) fn rejection_from_code(code: u8) -> Option<RejectionReason> {
     Some(match code {
         0 => RejectionReason::QueueTooLong,
         1 => RejectionReason::QueueTimeout,
         2 => RejectionReason::KeyOrderTimeout,
-        code => RejectionReason::NoRetry(at(&STOPS, code - 3)?),
+        code => RejectionReason::NoRetry(at(&NO_RETRY_REASONS, code - 3)?),
     })
 }
--- a/crates/flight-recorder/src/event.rs
+++ b/crates/flight-recorder/src/event.rs
@@ -5,155 +5,155 @@
 
 use crate::bounded_text::BoundedName;
 
-/// A pool, by its place in the head of a dump.
+/// Index of a pool in a recording's header.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolId(pub u16);
 
-/// How a request ended for its client.
+/// How a request ended, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With a server's answer.
+    /// With a successful response of an endpoint.
     Served,
-    /// With a server's answer that speaks of a fault.
+    /// With an error response of an endpoint.
     ServedError,
-    /// Rejected: it may come again.
+    /// Rejected without execution; the client may retry.
     Rejected,
-    /// Failed.
+    /// With an error of the proxy.
     Failed,
-    /// Failed since its time was up.
+    /// Its deadline was exceeded.
     DeadlineExceeded,
-    /// Its body was too slow, too long or broke off.
+    /// Its body was too slow, too long or cut off.
     BodyFailed,
-    /// The client had left.
+    /// The client disconnected.
     ClientDisconnected,
 }
 
-/// Why a front turned a request away that no pool has seen.
+/// Why a listener rejected a request before it reached a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerRejection {
-    /// The node holds as many requests as it may.
+    /// The node's limit of concurrent requests was reached.
     RequestLimit,
-    /// There is no place for another connection.
+    /// The node's limit of connections was reached.
     ConnectionLimit,
 }
 
-/// What a node ran out of.
+/// A resource that a node ran out of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExhaustedResource {
-    /// The system gives no descriptor for a client's connection.
+    /// Descriptors for connections of clients.
     DownstreamConnection,
-    /// No place for another connection to a server.
+    /// Descriptors for connections to endpoints.
     UpstreamConnection,
 }
 
-/// An event of a pool.
+/// A recorded event of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A request came.
+    /// A request was admitted to the pool.
     RequestAdmitted {
-        /// The pool's number for it.
+        /// Its id in the pool.
         id: RequestId,
-        /// Its class, by its place in the pool.
+        /// Index of its class in the pool.
         class: u16,
-        /// Its tenant, where there are tenants.
+        /// Its tenant, if tenants are configured.
         tenant: Option<u32>,
-        /// How long its client waits from now on.
+        /// How long its client will wait from now on.
         client_timeout: Nanos,
-        /// How long it took the client to send it.
+        /// How long the client took to send it.
         upload_time: Nanos,
-        /// What its client calls it.
+        /// The request id that its client gave it.
         name: BoundedName,
-        /// The revision of the configuration that it was admitted under; none on nodes that have but one, and in
-        /// recordings of versions that did not record it.
+        /// Revision of the configuration at admission; `None` on nodes without revisions and in recordings of
+        /// versions that did not record it.
         revision: Option<u64>,
     },
-    /// What the module says of its reasons.
+    /// A decision of the balancer, with its reasons.
     Decision(DecisionEvent),
-    /// An attempt began.
+    /// An attempt was sent.
     AttemptStarted {
-        /// Of this request.
+        /// The request's id.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNo,
-        /// To this server.
+        /// Endpoint that it was sent to.
         endpoint: EndpointId,
-        /// It is given up after so long.
+        /// Timeout of the attempt.
         timeout: Option<Nanos>,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Of this request.
+        /// The request's id.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNo,
-        /// At this server.
+        /// Endpoint that it was sent to.
         endpoint: EndpointId,
-        /// How.
+        /// How it ended.
         outcome: AttemptOutcome,
-        /// It took so long.
+        /// Time from its start to its end.
         duration: Nanos,
-        /// Of this, to get a connection.
+        /// Part of the duration that was spent on getting a connection.
         connect_time: Nanos,
-        /// It went over a connection that had been idle for so long; none where that was new, or nothing was sent.
+        /// How long the reused connection had been idle; `None` for a new connection, or if nothing was sent.
         connection_idle: Option<Nanos>,
     },
-    /// The answer of an attempt began to pass through.
+    /// The response of an attempt started to stream to the client.
     ResponseStarted {
-        /// Of this request.
+        /// The request's id.
         id: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNo,
     },
-    /// The final answer.
+    /// A request ended.
     RequestEnded {
-        /// Of this request.
+        /// The request's id.
         id: RequestId,
-        /// How.
+        /// How it ended.
         outcome: RequestOutcome,
     },
-    /// The list spoke of a server.
+    /// Discovery changed the state of an endpoint.
     EndpointStateChanged {
-        /// Which.
+        /// Which one.
         endpoint: EndpointId,
-        /// What it said.
+        /// Its new state.
         state: EndpointState,
     },
-    /// Advice was heard.
+    /// Capacity advice was received.
     CapacityAdvice {
-        /// Servers to avoid.
+        /// Number of endpoints to avoid.
         endpoints_to_avoid: u32,
-        /// Rights lent and granted.
+        /// Number of leases lent and granted.
         lease_grants: u32,
     },
-    /// A front turned a request away.
+    /// A listener rejected a request.
     RejectedByListener {
-        /// Its class, by its place in the pool.
+        /// Index of its class in the pool.
         class: u16,
-        /// Why.
+        /// Why it was rejected.
         reason: ListenerRejection,
     },
-    /// The node ran out of something.
+    /// The node ran out of a resource.
     ResourceExhausted(ExhaustedResource),
-    /// The fleet's view says how many nodes share the servers.
+    /// The number of nodes that share the endpoints, or this node's index among them, changed.
     NodeShareChanged {
-        /// So many.
+        /// Number of nodes.
         nodes: u32,
-        /// This one's number among them.
+        /// Index of this node.
         node_index: u32,
     },
-    /// A member of the fleet is held for something else: states by their numbers, alive 0, stalled 1, suspect 2, dead 3, left 4.
+    /// The membership state of a node changed: alive 0, stalled 1, suspect 2, dead 3, left 4.
     MemberStateChanged {
-        /// Which.
+        /// Which one.
         name: BoundedName,
-        /// Before; `None`: it was not known.
+        /// State before; `None` for a new member.
         from: Option<u8>,
-        /// Now.
+        /// State now.
         to: u8,
     },
 }
 
 impl Event {
-    /// The request that it is about.
+    /// Returns the request that the event is about, if any.
     #[must_use]
     pub fn request(&self) -> Option<RequestId> {
         match *self {
--- a/crates/flight-recorder/src/event_codec.rs
+++ b/crates/flight-recorder/src/event_codec.rs
@@ -5,7 +5,7 @@
 use pumicehead_policy::{AttemptNo, EndpointId, RequestId};
 
 use crate::bounded_text::BoundedName;
-use crate::code_tables::*;
+use crate::code_tables::{ENDPOINT_STATES, OUTCOMES, at, outcome_index};
 use crate::decision_codec::{decode_decision, encode_decision};
 use crate::event::{Event, ExhaustedResource, ListenerRejection, RequestOutcome};
 use crate::wire_format::{Reader, put, put_bytes, put_some};
--- a/crates/flight-recorder/src/ledger_rows.rs
+++ b/crates/flight-recorder/src/ledger_rows.rs
@@ -5,20 +5,20 @@
 use crate::slot_table::{Key, Row};
 use crate::wire_format::{Reader, put, put_f32};
 
-/// What a loss is booked under.
+/// Key of losses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LossKey {
     /// The pool.
     pub pool: PoolId,
-    /// The class, by its place in the pool.
+    /// Index of the class in the pool.
     pub class: u16,
-    /// The cause's code.
+    /// Code of the cause.
     pub cause: u8,
-    /// The server that carries it; `u32::MAX` where none does.
+    /// The endpoint at fault, or [`NO_ENDPOINT`].
     pub endpoint: u32,
 }
 
-/// No server.
+/// Stands for no endpoint.
 pub const NO_ENDPOINT: u32 = u32::MAX;
 
 impl Key for LossKey {
@@ -42,12 +42,12 @@
     }
 }
 
-/// Losses.
+/// Totals of losses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LossTotals {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// What they lost.
+    /// Weight that they lost.
     pub lost: MicroWeight,
 }
 
@@ -67,12 +67,12 @@
     }
 }
 
-/// What traffic is booked under: a pool and a class.
+/// Key of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TrafficKey {
     /// The pool.
     pub pool: PoolId,
-    /// The class, by its place in the pool.
+    /// Index of the class in the pool.
     pub class: u16,
 }
 
@@ -89,24 +89,24 @@
     }
 }
 
-/// Traffic, booked at its end.
+/// Totals of requests and attempts, booked when they end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficTotals {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// What they were worth.
+    /// Weight that they offered.
     pub offered: MicroWeight,
-    /// What was earned of it.
+    /// Weight that was earned.
     pub earned: MicroWeight,
-    /// Attempts that were answered well.
+    /// Number of successful attempts.
     pub answered_attempts: u64,
-    /// Attempts that ended otherwise.
+    /// Number of other attempts.
     pub unanswered_attempts: u64,
-    /// Microseconds that the answered ones took.
+    /// Duration of successful attempts, in microseconds.
     pub answered_us: u64,
-    /// The least of them, and one more; 0 where there is none.
+    /// Shortest of these durations plus one; 0 if there is none.
     pub fastest_us_plus_one: u64,
-    /// Requests that waited for room, and microseconds of it.
+    /// Unused; part of the file format.
     pub waited: u64,
 }
 
@@ -164,12 +164,12 @@
     }
 }
 
-/// What a server's work is booked under.
+/// Key of an endpoint's attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndpointKey {
     /// The pool.
     pub pool: PoolId,
-    /// The server.
+    /// The endpoint's id.
     pub endpoint: u32,
 }
 
@@ -186,27 +186,27 @@
     }
 }
 
-/// A server's work.
+/// Totals of an endpoint's attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EndpointTotals {
-    /// Attempts that ended, by the place of their outcome.
+    /// Number of attempts by the code of their outcome.
     pub attempts_by_outcome: [u64; 8],
-    /// Thousandths of what the class takes elsewhere that answered ones took, added up.
+    /// Sum of the durations of successful attempts relative to the mean of their class, in thousandths.
     pub relative_latency_permille: u64,
-    /// Microseconds of answered ones.
+    /// Duration of successful attempts, in microseconds.
     pub answered_us: u64,
-    /// Microseconds of those without an answer: its places were taken for nothing.
+    /// Duration of failed attempts, in microseconds: concurrency used without benefit.
     pub unanswered_us: u64,
-    /// Microseconds spent on connections.
+    /// Time spent on getting connections, in microseconds.
     pub connect_us: u64,
-    /// Microseconds it was set aside for, as far as was decided in the slot.
+    /// Time for which it was ejected by decisions in the slot, in microseconds.
     pub ejected_us: u64,
-    /// The last limit that was seen.
+    /// Last known concurrency limit.
     pub concurrency_limit: f32,
 }
 
 impl EndpointTotals {
-    /// All attempts.
+    /// Returns the number of all attempts.
     #[must_use]
     pub fn attempts(&self) -> u64 {
         self.attempts_by_outcome.iter().fold(0, |sum, n| sum.saturating_add(*n))
--- a/crates/flight-recorder/src/lib.rs
+++ b/crates/flight-recorder/src/lib.rs
@@ -1,13 +1,12 @@
-//! A flight recorder, and what is read from it.
+//! A flight recorder, and the analysis of its recordings.
 //!
-//! [`recorder::Recorder`] is told each decision of a node with its reason, in a fixed memory: a ring of the newest
-//! events ([`event_ring`]), the whole stories of requests that matter ([`reservoir`]), and exact sums of what was asked, earned
-//! and lost, by cause, server and moment ([`loss_ledger`]). [`recording`] is the file that all of it leaves the process in.
-//! Reading: [`timeline_text`] tells one request in sentences, [`breakdown`] sums up what was lost, [`findings`] says why, and
-//! [`export`] and [`html_report`] show it to other viewers and to people.
+//! [`recorder::Recorder`] records the events of a node in fixed memory: a ring of the newest events ([`event_ring`]), sampled
+//! timelines of requests ([`reservoir`]) and exact totals of what was offered, earned and lost ([`loss_ledger`]).
+//! [`recording`] is the file format. [`timeline_text`] describes a request, [`breakdown`] sums losses up, [`findings`]
+//! attributes them, and [`export`] and [`html_report`] render recordings for other viewers and for people.
 //!
-//! Free of I/O and of clocks: events come with their times, in nanoseconds of the node's own clock, which counts from
-//! the Unix time of its start and never jumps.
+//! There is no I/O and no clock: events come with their times, in nanoseconds of the node's clock, which counts from the Unix
+//! time of its start and never jumps.
 
 pub mod bounded_text;
 pub mod breakdown;
--- a/crates/flight-recorder/src/loss_cause.rs
+++ b/crates/flight-recorder/src/loss_cause.rs
@@ -1,5 +1,5 @@
-//! What a request's worth came to, and the one cause that its loss is put down to. Worth is counted in millionths and in
-//! whole numbers, so that sums are exact however they are cut.
+//! Causes of lost priority weight, with their stored codes and their words.
+//! Weights are integers, in millionths, so that all sums are exact.
 
 use std::fmt;
 
@@ -8,28 +8,28 @@
 use crate::code_tables::outcome_at;
 use crate::event::ListenerRejection;
 
-/// Millionths of worth.
+/// Priority weight in millionths.
 pub type MicroWeight = u64;
 
-/// A worth in [`MicroWeight`]; what is no number is none.
+/// Converts a weight to millionths; NaN is 0.
 #[must_use]
 pub fn to_micro_weight(worth: f64) -> MicroWeight {
-    // Casting holds at the ends of the range.
+    // The cast saturates.
     (worth * 1e6).round() as MicroWeight
 }
 
-/// Where a request's time went.
+/// A phase of a request. The order of variants is part of the file format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPhase {
-    /// To its client, until all of it was here.
+    /// The client sent the request.
     Upload,
-    /// To waiting for a server with room.
+    /// It waited for an endpoint with capacity.
     Queue,
-    /// To attempts before the last, which ended badly.
+    /// Attempts before the last one failed.
     EarlierAttempts,
-    /// To getting a connection for the last attempt.
+    /// The last attempt waited for a connection.
     Connect,
-    /// To the server of the last attempt.
+    /// The endpoint of the last attempt worked on it.
     Endpoint,
 }
 
@@ -37,33 +37,33 @@
     const ALL: [Self; 5] = [Self::Upload, Self::Queue, Self::EarlierAttempts, Self::Connect, Self::Endpoint];
 }
 
-/// What a loss is put down to.
+/// Why a request lost priority weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LossCause {
-    /// Refused: its tier's queue was too long.
+    /// Rejected: the queue of its tier was too long.
     QueueTooLong,
-    /// Refused: held until its time was nearly up.
+    /// Rejected: it was queued until hardly any time was left.
     QueueTimeout,
-    /// Refused: its key's turn did not come.
+    /// Rejected: earlier requests with its ordering key took too long.
     KeyOrderTimeout,
-    /// Its last attempt ended so, by the place of the outcome, and there was no other.
+    /// Its last attempt failed with the outcome of this code, and there was no retry.
     AttemptFailed(u8),
-    /// Served after its aim.
+    /// Served after its latency objective.
     ObjectiveMissed(RequestPhase),
-    /// No answer by its deadline.
+    /// Without a response at its deadline.
     DeadlineExceeded(RequestPhase),
-    /// Its client left before it had an answer.
+    /// Its client disconnected before the response.
     ClientDisconnected(RequestPhase),
-    /// Its body was too slow, too long or broke off.
+    /// Its body was too slow, too long or cut off.
     BodyFailed,
-    /// A front turned it away.
+    /// A listener rejected it: for want of connections if true, at the limit of requests otherwise.
     RejectedByListener(bool),
-    /// What has no row of its own.
+    /// Any cause without a row of its own.
     Other,
 }
 
 impl LossCause {
-    /// As a number that stays the same across versions.
+    /// Returns the stored code.
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Of a number; one that is not known is another cause.
+    /// Returns the cause of a stored code; [`LossCause::Other`] if it is unknown.
     #[must_use]
     pub fn from_code(code: u8) -> Self {
         let place = |start: u8| RequestPhase::ALL.get(usize::from(code - start)).copied();
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Of a front's reason.
+    /// Returns the cause for a rejection by a listener.
     #[must_use]
     pub fn from_rejection(why: ListenerRejection) -> Self {
         Self::RejectedByListener(why == ListenerRejection::ConnectionLimit)
@@ -148,7 +148,7 @@
     }
 }
 
-/// How an attempt ended, in words.
+/// Returns the words for an attempt's outcome. They are labels of scraped metrics.
 #[must_use]
 pub fn outcome_text(outcome: AttemptOutcome) -> &'static str {
     match outcome {
--- a/crates/flight-recorder/src/loss_ledger.rs
+++ b/crates/flight-recorder/src/loss_ledger.rs
@@ -8,26 +8,26 @@
 pub use crate::slot_table::{Key, Row, SlotTable};
 use crate::wire_format::{Reader, put};
 
-/// All tables.
+/// Tables of losses, traffic and endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LossLedger {
-    /// What was lost.
+    /// Losses by cause, class and endpoint.
     pub losses: SlotTable<LossKey, LossTotals>,
-    /// What was asked and earned.
+    /// Offered and earned weight by class.
     pub traffic: SlotTable<TrafficKey, TrafficTotals>,
-    /// What servers did.
+    /// Attempts by endpoint.
     pub endpoints: SlotTable<EndpointKey, EndpointTotals>,
-    /// How often the node ran out of descriptors: for clients, for servers.
+    /// Number of times that descriptors ran out: for downstream and for upstream connections.
     pub resource_exhaustions: [u64; 2],
 }
 
-/// Bytes that rows take with their place in a tree, at most.
+/// Greatest size of a row in its table, in bytes.
 const LOSS_ROW: usize = 64;
 const FLOW_ROW: usize = 128;
 const SERVER_ROW: usize = 208;
 
 impl LossLedger {
-    /// Empty, in so many bytes: half for servers, of which there are most, and a quarter for each of the others.
+    /// Creates a ledger of at most `memory` bytes: half for endpoints, a quarter for each other table.
     #[must_use]
     pub fn new(start: Nanos, memory: usize) -> Self {
         Self {
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Bytes that its rows take.
+    /// Returns the size of all rows in bytes.
     #[must_use]
     pub fn memory(&self) -> usize {
         self.losses.len() * LOSS_ROW + self.traffic.len() * FLOW_ROW + self.endpoints.len() * SERVER_ROW
     }
 
-    /// A span widened to where slots of all tables begin.
+    /// Widens a time range to the slots of all tables.
     #[must_use]
     pub fn aligned(&self, from: Nanos, to: Nanos) -> (Nanos, Nanos) {
         let width = self.losses.width.max(self.traffic.width).max(self.endpoints.width);
@@ -55,7 +55,7 @@
         (begin, if to == Nanos::MAX { to } else { end.max(begin) })
     }
 
-    /// Appends all of it.
+    /// Appends the stored form.
     pub fn write(&self, out: &mut Vec<u8>) {
         self.losses.write(out);
         self.traffic.write(out);
@@ -63,7 +63,7 @@
         self.resource_exhaustions.iter().for_each(|n| put(out, *n));
     }
 
-    /// Reads what was appended.
+    /// Reads the stored form.
     pub fn read(from: &mut Reader<'_>) -> Option<Self> {
         Some(Self {
             losses: SlotTable::read(from)?,
--- a/crates/flight-recorder/src/recording.rs
+++ b/crates/flight-recorder/src/recording.rs
@@ -1,9 +1,9 @@
-//! The file that a recorder's contents leave the process in.
+//! File format of recordings.
 //!
-//! Eight bytes of magic, the version as two bytes (lowest first), then frames: a kind, the length and the CRC-32 (IEEE 802.3)
-//! of kind and contents as four bytes each, and the contents. First the head, as JSON; then sums, stories and pages of events,
-//! what matters most first; last an end. A frame that is damaged ends what can be read, and all before it counts. A
-//! kind that is not known is passed over: a later version may add some without another number.
+//! Eight bytes of magic, the version as two bytes (little endian), then frames: a kind, the length and the CRC-32 (IEEE 802.3)
+//! of kind and contents as four bytes each, and the contents. The header as JSON comes first; then the ledger, timelines and pages
+//! of events, the most important first; an end frame is last. Reading stops at a damaged frame and keeps all before it. Frames of
+//! unknown kinds are skipped: a later version may add some without a new version number.
 
 use pumicehead_policy::Nanos;
 use serde::{Deserialize, Serialize};
@@ -18,13 +18,13 @@
 use crate::tenant_names::TenantNames;
 use crate::wire_format::{Reader, put, put_bytes, put_some};
 
-/// The first bytes.
+/// First bytes of a recording.
 pub const MAGIC: &[u8; 8] = b"PHEADREC";
-/// The version that is written, and the last that can be read.
+/// Version that is written, and the latest that can be read.
 pub const VERSION: u16 = 1;
-/// Longest file that is read: far more than any recorder's memory.
+/// Size of the largest recording that is read, in bytes.
 pub const MAX_RECORDING_BYTES: usize = 256 << 20;
-/// Servers of a pool that are named; ids are shown for the rest.
+/// Greatest number of endpoint names in a pool.
 const NAMED: usize = 20_000;
 
 const HEAD: u8 = 1;
@@ -33,7 +33,7 @@
 const PAGE: u8 = 4;
 const END: u8 = 5;
 
-/// What a dump is of.
+/// What a recording is of.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RecordingHeader {
@@ -41,20 +41,20 @@
     pub node: String,
     /// The version of the program.
     pub program: String,
-    /// When it began, in nanoseconds of Unix time.
+    /// Start of the process, in nanoseconds of Unix time.
     pub start: Nanos,
-    /// When this was written, on the same clock.
+    /// Time of the recording, on the same clock.
     pub at: Nanos,
-    /// Why.
+    /// Why it was written.
     pub reason: String,
-    /// Its pools, by their numbers.
+    /// Pools by their ids.
     pub pools: Vec<PoolHeader>,
-    /// Its tenants' names.
+    /// Names of tenants.
     pub tenants: TenantNames,
-    /// Events that had made way in the ring.
+    /// Number of events that were overwritten in the ring.
     #[serde(rename = "wrapped")]
     pub overwritten_events: u64,
-    /// Requests whose stories were not followed for lack of memory.
+    /// Number of requests without a timeline for want of memory.
     #[serde(rename = "untold")]
     pub untracked_requests: u64,
 }
@@ -65,12 +65,12 @@
 pub struct PoolHeader {
     /// Its name.
     pub name: String,
-    /// Its classes, by their places.
+    /// Its classes by their indices.
     pub classes: Vec<ClassHeader>,
     /// Its tenants by their ids, in recordings of versions that named them for each pool; now [`RecordingHeader::tenants`] has them.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<String>,
-    /// Its servers' names by their ids, in the order in which they were first heard of.
+    /// Names of endpoints with their ids, in order of discovery.
     #[serde(rename = "servers")]
     pub endpoints: Vec<(u32, String)>,
 }
@@ -81,15 +81,15 @@
 pub struct ClassHeader {
     /// Its name.
     pub name: String,
-    /// Its aim.
+    /// Its latency objective.
     #[serde(rename = "aim_ns")]
     pub latency_objective_ns: Nanos,
     /// Its deadline.
     pub deadline_ns: Nanos,
-    /// Its worth.
+    /// Weight of a request.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// The share of it that a late answer earns.
+    /// Share of the weight that a late response earns.
     #[serde(rename = "late_worth")]
     pub late_weight: f64,
 }
@@ -107,26 +107,26 @@
 }
 
 impl RecordingHeader {
-    /// Of a node.
+    /// Creates the header of a node.
     #[must_use]
     pub fn new(node: &str, start: Nanos) -> Self {
         Self { node: node.into(), program: env!("CARGO_PKG_VERSION").into(), start, ..Self::default() }
     }
 
-    /// A pool's name.
+    /// Returns a pool's name.
     #[must_use]
     pub fn pool_name(&self, pool: PoolId) -> &str {
         self.pools.get(usize::from(pool.0)).map_or("other", |pool| &pool.name)
     }
 
-    /// A class's name.
+    /// Returns a class's name.
     #[must_use]
     pub fn class_name(&self, pool: PoolId, class: u16) -> &str {
         let pool = self.pools.get(usize::from(pool.0));
         pool.and_then(|pool| pool.classes.get(usize::from(class))).map_or("other", |class| &class.name)
     }
 
-    /// A tenant's name, or its id.
+    /// Returns a tenant's name, or its id.
     #[must_use]
     pub fn tenant_name(&self, pool: PoolId, tenant: u32) -> String {
         let of_pool = || self.pools.get(usize::from(pool.0))?.tenants.get(tenant as usize);
@@ -134,7 +134,7 @@
         name.map_or_else(|| tenant.to_string(), crate::bounded_text::escape)
     }
 
-    /// A server's name, or its id.
+    /// Returns an endpoint's name, or its id.
     #[must_use]
     pub fn endpoint_name(&self, pool: PoolId, server: u32) -> String {
         let pool = self.pools.get(usize::from(pool.0));
@@ -158,48 +158,48 @@
     }
 }
 
-/// Why a file is no dump.
+/// Why a file can't be read as a recording.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RecordingError {
-    /// It begins otherwise.
+    /// It does not start with [`MAGIC`].
     #[error("not a recording of pumicehead")]
     Magic,
-    /// A later version.
+    /// Its version is not supported.
     #[error("a recording of version {0}; this program reads versions up to {VERSION}")]
     Version(u16),
-    /// Too long.
+    /// It is larger than [`MAX_RECORDING_BYTES`].
     #[error("{0} bytes, more than {MAX_RECORDING_BYTES}")]
     TooLong(usize),
-    /// Its head is damaged: without it nothing can be named.
+    /// Its header is damaged.
     #[error("the recording's head is damaged")]
     Head,
 }
 
-/// Where a dump is damaged.
+/// Position of damage in a recording.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Damage {
-    /// From this byte on nothing could be read.
+    /// Offset of the first byte that could not be read.
     pub at: usize,
-    /// Of so many.
+    /// Size of the file in bytes.
     pub of: usize,
 }
 
-/// A dump as far as it can be read.
+/// The readable part of a recording.
 #[derive(Clone, Debug)]
 pub struct Recording {
-    /// What it is of.
+    /// Its header.
     pub head: RecordingHeader,
-    /// Its sums; `None` where they are damaged.
+    /// Its ledger; `None` if that is damaged.
     pub ledger: Option<LossLedger>,
-    /// Its stories, those that matter most first.
+    /// Timelines of requests, the most important first.
     pub timelines: Vec<RequestTimeline>,
-    /// Its events in the order of their times.
+    /// Events in order of time.
     pub records: Vec<Record>,
-    /// Where it breaks off, if it does.
+    /// Where it is damaged, if it is.
     pub damage: Option<Damage>,
 }
 
-/// Of a frame: CRC-32 (IEEE 802.3) of the kind and the contents.
+/// Returns the CRC-32 (IEEE 802.3) of a frame's kind and contents.
 #[must_use]
 pub fn frame_checksum(kind: u8, contents: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
@@ -215,7 +215,7 @@
     out.extend_from_slice(contents);
 }
 
-/// A dump's bytes. Pages come as they are to be written: the newest first, so that a damaged tail costs the oldest.
+/// Encodes a recording. Pages come newest first, so that a damaged tail costs the oldest events.
 pub fn write<'a>(
     head: &RecordingHeader,
     accounts: &LossLedger,
@@ -224,7 +224,7 @@
 ) -> Vec<u8> {
     let mut out = MAGIC.to_vec();
     out.extend_from_slice(&VERSION.to_le_bytes());
-    // Texts and finite numbers alone: this can't fail.
+    // Strings and finite numbers always serialize.
     frame(&mut out, HEAD, &serde_json::to_vec(head).unwrap_or_default());
     let mut contents = Vec::new();
     accounts.write(&mut contents);
@@ -264,7 +264,7 @@
     })
 }
 
-/// The next frame, if it is whole.
+/// Reads the next frame; `None` if it is damaged.
 fn next<'a>(from: &mut Reader<'a>) -> Option<(u8, &'a [u8])> {
     let kind = from.byte()?;
     let length = u32::from_le_bytes(from.take(4)?.try_into().ok()?);
@@ -274,10 +274,10 @@
 }
 
 impl Recording {
-    /// Reads a file.
+    /// Reads a recording.
     ///
     /// # Errors
-    /// Why it is no dump, or none of this version. Damage behind the head is no error, and told in [`Recording::damage`].
+    /// [`RecordingError`]. Damage behind the header is not an error but reported in [`Recording::damage`].
     pub fn read(bytes: &[u8]) -> Result<Self, RecordingError> {
         if bytes.len() > MAX_RECORDING_BYTES {
             return Err(RecordingError::TooLong(bytes.len()));
@@ -311,7 +311,7 @@
         Ok(dump)
     }
 
-    /// The stories of a request by the name that its client gave it, the newest first.
+    /// Returns the timelines of the requests with an id that a client gave, the newest first.
     #[must_use]
     pub fn timelines_of(&self, name: &str) -> Vec<&RequestTimeline> {
         let mut found: Vec<_> = self.timelines.iter().filter(|story| story.name.matches(name)).collect();
--- a/crates/flight-recorder/src/request_progress.rs
+++ b/crates/flight-recorder/src/request_progress.rs
@@ -7,30 +7,30 @@
 use crate::event::{Event, RequestOutcome};
 use crate::loss_cause::{LossCause, MicroWeight, RequestPhase, to_micro_weight};
 
-/// A loss as it is booked.
+/// What a request offered and earned, and why it lost the rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LossAssessment {
-    /// What it was worth.
+    /// Priority weight of the request.
     pub offered: MicroWeight,
-    /// What of it was earned.
+    /// Part of the weight that was earned.
     pub earned: MicroWeight,
-    /// What the rest is put down to, where there is a rest.
+    /// Cause of the loss, if anything was lost.
     pub cause: Option<LossCause>,
-    /// The server that carries it, where one does.
+    /// Endpoint that the loss is booked under, if any.
     pub endpoint: Option<EndpointId>,
-    /// Why there was no further attempt, where that was asked.
+    /// Why there was no retry, if one was considered.
     pub no_retry_reason: Option<NoRetryReason>,
 }
 
 impl LossAssessment {
-    /// What was lost.
+    /// Returns the lost weight.
     #[must_use]
     pub fn lost(&self) -> MicroWeight {
         self.offered.saturating_sub(self.earned)
     }
 }
 
-/// An attempt that ended badly.
+/// An attempt that failed.
 #[derive(Clone, Copy, Debug)]
 struct FailedAttempt {
     endpoint: EndpointId,
@@ -38,7 +38,31 @@
     duration: Nanos,
 }
 
-/// The life of a request, as far as its loss goes.
+/// An attempt that has not ended.
+#[derive(Clone, Copy, Debug)]
+struct InFlightAttempt {
+    number: AttemptNo,
+    endpoint: EndpointId,
+    started_at: Nanos,
+}
+
+impl InFlightAttempt {
+    /// The time it has taken by `at`; the time of its connection is not known before its end.
+    fn time_at(&self, at: Nanos) -> AttemptTime {
+        let duration = at.saturating_sub(self.started_at);
+        AttemptTime { endpoint: self.endpoint, duration, connect_time: 0 }
+    }
+}
+
+/// Time that an attempt took, and the part of it for its connection.
+#[derive(Clone, Copy, Debug)]
+struct AttemptTime {
+    endpoint: EndpointId,
+    duration: Nanos,
+    connect_time: Nanos,
+}
+
+/// Progress of a request, as far as its loss depends on it.
 #[derive(Clone, Debug)]
 pub struct RequestProgress {
     admitted_at: Nanos,
@@ -47,30 +71,29 @@
     late_weight: f64,
     objective_deadline: Nanos,
     rejection: Option<RejectionReason>,
-    /// Attempts out: number, server, sent.
-    in_flight: Vec<(AttemptNo, EndpointId, Nanos)>,
+    in_flight: Vec<InFlightAttempt>,
     attempts_started: u32,
-    /// Waiting with no attempt out, so far, and since when.
+    /// Time without an attempt in flight so far, and since when there has been none.
     queue_time: Nanos,
     queued_since: Option<Nanos>,
-    /// The worst of those that ended badly, and the last.
+    /// The failed attempt that took longest, and the last one.
     longest_failure: Option<FailedAttempt>,
     last_failure: Option<FailedAttempt>,
     failed_time: Nanos,
-    /// The one that was answered: server, time, of that for its connection.
-    good: Option<(EndpointId, Nanos, Nanos)>,
+    /// The attempt that was answered.
+    answered: Option<AttemptTime>,
 }
 
 impl RequestProgress {
-    /// Of one that came at `at`, with the worth and the aim of its class until the module says more.
+    /// Starts at admission, with its class's weights and objective until the balancer has classified it.
     #[must_use]
-    pub fn new(at: Nanos, sending: Nanos, worth: f64, late_worth: f64, aim: Nanos) -> Self {
+    pub fn new(at: Nanos, upload_time: Nanos, weight: f64, late_weight: f64, objective: Nanos) -> Self {
         Self {
             admitted_at: at,
-            upload_time: sending,
-            priority_weight: to_micro_weight(worth),
-            late_weight: late_worth,
-            objective_deadline: at.saturating_add(aim),
+            upload_time,
+            priority_weight: to_micro_weight(weight),
+            late_weight,
+            objective_deadline: at.saturating_add(objective),
             rejection: None,
             in_flight: Vec::new(),
             attempts_started: 0,
@@ -79,11 +102,11 @@
             longest_failure: None,
             last_failure: None,
             failed_time: 0,
-            good: None,
+            answered: None,
         }
     }
 
-    /// Takes an event of it in.
+    /// Updates the progress by an event of the request.
     pub fn observe(&mut self, at: Nanos, event: &Event) {
         match event {
             Event::Decision(DecisionEvent::Classified { priority_weight, objective_deadline, .. }) => {
@@ -98,24 +121,32 @@
                 if let Some(since) = self.queued_since.take() {
                     self.queue_time += at.saturating_sub(since);
                 }
-                self.in_flight.push((*attempt, *endpoint, at));
+                self.in_flight.push(InFlightAttempt {
+                    number: *attempt,
+                    endpoint: *endpoint,
+                    started_at: at,
+                });
             }
             Event::ResponseStarted { attempt, .. } => {
-                if let Some(&(_, server, sent)) = self.in_flight.iter().find(|(number, ..)| number == attempt)
-                {
-                    self.good = Some((server, at.saturating_sub(sent), 0));
+                if let Some(started) = self.in_flight.iter().find(|one| one.number == *attempt) {
+                    self.answered = Some(started.time_at(at));
                 }
             }
             Event::AttemptEnded { attempt, endpoint, outcome, duration, connect_time, .. } => {
-                self.in_flight.retain(|(number, ..)| number != attempt);
+                self.in_flight.retain(|one| one.number != *attempt);
                 if *outcome == AttemptOutcome::Success {
-                    self.good.get_or_insert((*endpoint, *duration, *connect_time));
-                } else if *outcome != AttemptOutcome::Cancelled || self.good.is_none() {
-                    let bad = FailedAttempt { endpoint: *endpoint, outcome: *outcome, duration: *duration };
-                    self.last_failure = Some(bad);
+                    self.answered.get_or_insert(AttemptTime {
+                        endpoint: *endpoint,
+                        duration: *duration,
+                        connect_time: *connect_time,
+                    });
+                } else if *outcome != AttemptOutcome::Cancelled || self.answered.is_none() {
+                    let failure =
+                        FailedAttempt { endpoint: *endpoint, outcome: *outcome, duration: *duration };
+                    self.last_failure = Some(failure);
                     self.failed_time += duration;
-                    if self.longest_failure.is_none_or(|worst| worst.duration <= bad.duration) {
-                        self.longest_failure = Some(bad);
+                    if self.longest_failure.is_none_or(|longest| longest.duration <= failure.duration) {
+                        self.longest_failure = Some(failure);
                     }
                 }
                 if self.in_flight.is_empty() {
@@ -126,59 +157,60 @@
         }
     }
 
-    /// Attempts that are still out.
+    /// Returns the number of attempts in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Attempts that were made.
+    /// Returns the number of attempts that were started.
     #[must_use]
     pub fn attempts_started(&self) -> u32 {
         self.attempts_started
     }
 
-    /// When it came.
+    /// Returns the time of admission.
     #[must_use]
     pub fn admitted_at(&self) -> Nanos {
         self.admitted_at
     }
 
-    /// The share of the time to its aim that had passed by `at`.
+    /// Returns the share of the time to its objective that had passed at a time.
     #[must_use]
     pub fn objective_used(&self, at: Nanos) -> f64 {
-        let aim = self.objective_deadline.saturating_sub(self.admitted_at).max(1);
-        at.saturating_sub(self.admitted_at) as f64 / aim as f64
+        let objective = self.objective_deadline.saturating_sub(self.admitted_at).max(1);
+        at.saturating_sub(self.admitted_at) as f64 / objective as f64
     }
 
-    /// Where its time went by `at`, and the server that carries it.
+    /// Returns the phase that took the most time so far, and the endpoint at fault.
     fn dominant_phase(&self, at: Nanos) -> (RequestPhase, Option<EndpointId>) {
         let idle = self.queued_since.map_or(0, |since| at.saturating_sub(since));
-        let oldest = self.in_flight.first().map(|&(_, server, sent)| (server, at.saturating_sub(sent), 0));
-        let last = self.good.or(oldest);
-        let (served, dial) = last.map_or((0, 0), |(_, took, dial)| (took.saturating_sub(dial), dial));
+        let oldest = self.in_flight.first().map(|one| one.time_at(at));
+        let last = self.answered.or(oldest);
+        let connect_time = last.map_or(0, |time| time.connect_time);
+        let endpoint_time = last.map_or(0, |time| time.duration.saturating_sub(time.connect_time));
         let spans = [
             (self.upload_time, RequestPhase::Upload),
-            (self.queue_time + if self.good.is_some() { 0 } else { idle }, RequestPhase::Queue),
+            (self.queue_time + if self.answered.is_some() { 0 } else { idle }, RequestPhase::Queue),
             (self.failed_time, RequestPhase::EarlierAttempts),
-            (dial, RequestPhase::Connect),
-            (served, RequestPhase::Endpoint),
+            (connect_time, RequestPhase::Connect),
+            (endpoint_time, RequestPhase::Endpoint),
         ];
-        let most =
-            spans.into_iter().max_by_key(|&(span, _)| span).map_or(RequestPhase::Queue, |(_, place)| place);
-        let server = match most {
+        let longest =
+            spans.into_iter().max_by_key(|&(span, _)| span).map_or(RequestPhase::Queue, |(_, phase)| phase);
+        let endpoint = match longest {
             RequestPhase::Upload | RequestPhase::Queue => None,
-            RequestPhase::EarlierAttempts => self.longest_failure.map(|bad| bad.endpoint),
-            RequestPhase::Connect | RequestPhase::Endpoint => last.map(|(server, ..)| server),
+            RequestPhase::EarlierAttempts => self.longest_failure.map(|failure| failure.endpoint),
+            RequestPhase::Connect | RequestPhase::Endpoint => last.map(|time| time.endpoint),
         };
-        (most, server)
+        (longest, endpoint)
     }
 
-    /// What it came to, with its final answer at `at`.
+    /// Assesses the request with its final response at `at`.
     #[must_use]
-    pub fn assess(&self, at: Nanos, how: RequestOutcome) -> LossAssessment {
+    pub fn assess(&self, at: Nanos, outcome: RequestOutcome) -> LossAssessment {
         let late = at > self.objective_deadline;
-        let earned = match how {
+        let earned = match outcome {
             RequestOutcome::Served if late => {
                 to_micro_weight(self.priority_weight as f64 / 1e6 * self.late_weight)
                     .min(self.priority_weight)
@@ -187,39 +219,36 @@
             _ => 0,
         };
         let stop = if let Some(RejectionReason::NoRetry(stop)) = self.rejection { Some(stop) } else { None };
-        let verdict = |(cause, server)| LossAssessment {
+        let assessment = |(cause, endpoint)| LossAssessment {
             offered: self.priority_weight,
             earned,
             cause: Some(cause).filter(|_| earned < self.priority_weight),
-            endpoint: server,
+            endpoint,
             no_retry_reason: stop,
         };
-        let (place, server) = self.dominant_phase(at);
-        let failed = |bad: FailedAttempt| {
-            (LossCause::AttemptFailed(outcome_index(bad.outcome) as u8), Some(bad.endpoint))
+        let (phase, endpoint) = self.dominant_phase(at);
+        let failed = |failure: FailedAttempt| {
+            (LossCause::AttemptFailed(outcome_index(failure.outcome) as u8), Some(failure.endpoint))
         };
-        verdict(match (how, self.rejection) {
-            (RequestOutcome::Served, _) => (LossCause::ObjectiveMissed(place), server),
+        assessment(match (outcome, self.rejection) {
+            (RequestOutcome::Served, _) => (LossCause::ObjectiveMissed(phase), endpoint),
             (RequestOutcome::BodyFailed, _) => (LossCause::BodyFailed, None),
-            (RequestOutcome::ClientDisconnected, _) => (LossCause::ClientDisconnected(place), server),
-            (RequestOutcome::ServedError, _) => {
-                self.last_failure.map_or((LossCause::AttemptFailed(place_of_error()), server), failed)
-            }
+            (RequestOutcome::ClientDisconnected, _) => (LossCause::ClientDisconnected(phase), endpoint),
+            (RequestOutcome::ServedError, _) => self.last_failure.map_or(
+                (LossCause::AttemptFailed(outcome_index(AttemptOutcome::Error) as u8), endpoint),
+                failed,
+            ),
             (_, Some(RejectionReason::QueueTooLong)) => (LossCause::QueueTooLong, None),
             (_, Some(RejectionReason::QueueTimeout)) => (LossCause::QueueTimeout, None),
             (_, Some(RejectionReason::KeyOrderTimeout)) => (LossCause::KeyOrderTimeout, None),
             (_, Some(RejectionReason::NoRetry(_))) => {
-                self.last_failure.map_or((LossCause::DeadlineExceeded(place), server), failed)
+                self.last_failure.map_or((LossCause::DeadlineExceeded(phase), endpoint), failed)
             }
             (_, None) => match self.last_failure {
-                // Nothing was out any more: what ended last is what failed.
-                Some(bad) if self.in_flight.is_empty() => failed(bad),
-                _ => (LossCause::DeadlineExceeded(place), server),
+                // Without an attempt in flight, the last failure ended the request.
+                Some(failure) if self.in_flight.is_empty() => failed(failure),
+                _ => (LossCause::DeadlineExceeded(phase), endpoint),
             },
         })
     }
 }
-
-fn place_of_error() -> u8 {
-    outcome_index(AttemptOutcome::Error) as u8
-}
--- a/crates/flight-recorder/src/request_timeline.rs
+++ b/crates/flight-recorder/src/request_timeline.rs
@@ -1,4 +1,4 @@
-//! What a recording is made of besides events: plain types that the recorder fills and files hold.
+//! Request classes and timelines, as the recorder keeps them.
 
 use pumicehead_policy::Nanos;
 
@@ -6,36 +6,36 @@
 use crate::event::PoolId;
 use crate::loss_cause::LossCause;
 
-/// What a pool's classes are.
+/// A request class of a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassInfo {
     /// Its name.
     pub name: String,
-    /// Answers within this earn all.
+    /// Latency objective: responses within it earn the whole weight.
     pub latency_objective: Nanos,
-    /// Clients wait so long.
+    /// How long clients wait.
     pub deadline: Nanos,
-    /// What a request is worth.
+    /// Weight of a request.
     pub priority_weight: f64,
-    /// The share of it that a late answer earns.
+    /// Share of the weight that a late response earns.
     pub late_weight: f64,
 }
 
-/// A request's story as it is kept.
+/// All events of one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestTimeline {
     /// Its pool.
     pub pool: PoolId,
-    /// Its class, by its place in the pool.
+    /// Index of its class in the pool.
     pub class: u16,
-    /// What its client calls it.
+    /// The request id that its client gave it.
     pub name: BoundedName,
-    /// When it ended.
+    /// When it ended, or the time of the recording if it has not.
     pub ended_at: Nanos,
-    /// What its loss was put down to, if it had one.
+    /// Cause of its loss, if it had one.
     pub cause: Option<LossCause>,
-    /// Its events as a page, to be read by [`crate::event_ring::records`].
+    /// Its events as a page for [`crate::event_ring::decode_records`].
     pub encoded_events: Box<[u8]>,
-    /// Some events did not fit.
+    /// Whether some events did not fit.
     pub truncated: bool,
 }
--- a/crates/flight-recorder/src/slot_table.rs
+++ b/crates/flight-recorder/src/slot_table.rs
@@ -9,27 +9,27 @@
 
 use crate::wire_format::{Reader, put};
 
-/// Rows that add up.
+/// Totals that can be added.
 pub trait Row: Default + Clone {
-    /// Adds another one.
+    /// Adds another row.
     fn add(&mut self, other: &Self);
-    /// Appends it.
+    /// Appends the stored form.
     fn write(&self, out: &mut Vec<u8>);
-    /// Reads it.
+    /// Reads the stored form.
     fn read(from: &mut Reader<'_>) -> Option<Self>;
 }
 
-/// What rows are about.
+/// Key of a row.
 pub trait Key: Ord + Copy {
-    /// What stands for all that has no row of its own.
+    /// Key of all rows that were merged for want of memory.
     const OTHER: Self;
-    /// Appends it.
+    /// Appends the stored form.
     fn write(&self, out: &mut Vec<u8>);
-    /// Reads it.
+    /// Reads the stored form.
     fn read(from: &mut Reader<'_>) -> Option<Self>;
 }
 
-/// Rows by slot and key.
+/// Rows by time slot and key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlotTable<K, V> {
     pub(crate) start: Nanos,
@@ -39,7 +39,7 @@
 }
 
 impl<K: Key, V: Row> SlotTable<K, V> {
-    /// Empty, from `start` on, with room for so many rows.
+    /// Creates an empty table that starts at `start` and holds at most `most` rows.
     #[must_use]
     pub fn new(start: Nanos, most: usize) -> Self {
         Self { start, width: SECOND, most: most.max(2), rows: BTreeMap::new() }
@@ -49,7 +49,7 @@
         u32::try_from(at.saturating_sub(self.start) / self.width).unwrap_or(u32::MAX)
     }
 
-    /// The row of a moment and a key, to be added to.
+    /// Returns the row of a time and a key, to be added to.
     pub fn row_mut(&mut self, at: Nanos, key: K) -> &mut V {
         let mut key = key;
         while self.rows.len() >= self.most && !self.rows.contains_key(&(self.slot(at), key)) {
@@ -65,7 +65,7 @@
         self.rows.entry((self.slot(at), key)).or_default()
     }
 
-    /// Doubles the width of all slots.
+    /// Doubles the width of slots and merges neighbours.
     fn widen(&mut self) {
         self.width = self.width.saturating_mul(2);
         for ((slot, key), row) in std::mem::take(&mut self.rows) {
@@ -73,32 +73,32 @@
         }
     }
 
-    /// Puts one row of the first slot under "other".
+    /// Merges the last row of the first slot into [`Key::OTHER`].
     fn fold_into_other(&mut self) {
         if let Some((_, row)) = self.rows.pop_last() {
             self.rows.entry((0, K::OTHER)).or_default().add(&row);
         }
     }
 
-    /// The width of a slot.
+    /// Returns the width of a slot.
     #[must_use]
     pub fn width(&self) -> Nanos {
         self.width
     }
 
-    /// How many rows there are.
+    /// Returns the number of rows.
     #[must_use]
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether nothing was added.
+    /// Whether there are no rows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Rows of slots that begin in a span, with the time at which their slot begins.
+    /// Returns the rows of slots that start in a time range, with the start of their slot.
     pub fn rows_between(&self, from: Nanos, to: Nanos) -> impl Iterator<Item = (Nanos, K, &V)> {
         self.rows.iter().filter_map(move |(&(slot, key), row)| {
             let at = self.start.saturating_add(u64::from(slot).saturating_mul(self.width));
@@ -106,7 +106,7 @@
         })
     }
 
-    /// Appends all of it.
+    /// Appends the stored form.
     pub fn write(&self, out: &mut Vec<u8>) {
         put(out, self.start);
         put(out, self.width);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Reads what was appended.
+    /// Reads the stored form.
     pub fn read(from: &mut Reader<'_>) -> Option<Self> {
         let (start, width, count) = (from.number()?, from.number()?, from.small::<usize>()?);
         let mut rows = BTreeMap::new();
--- a/crates/flight-recorder/src/timeline_text.rs
+++ b/crates/flight-recorder/src/timeline_text.rs
@@ -1,4 +1,4 @@
-//! One request's story, in sentences.
+//! Timelines of requests as sentences. The words appear in reports that scripts match on.
 
 use std::fmt::Write;
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// A rule of the module, in words.
+/// Returns the words for a rejection.
 #[must_use]
 pub fn rule(rule: RejectionReason) -> String {
     match rule {
@@ -66,7 +66,7 @@
     }
 }
 
-/// What an event of a request says; nothing where it adds nothing to its neighbours.
+/// Returns the sentence of an event; `None` for events without one.
 fn sentence(head: &RecordingHeader, story: &RequestTimeline, event: &Event) -> Option<String> {
     let server = |id: u32| head.endpoint_name(story.pool, id);
     Some(match event {
@@ -176,7 +176,7 @@
     })
 }
 
-/// A story, a line an event, each with the time since the request came.
+/// Renders a timeline, one line per event, each with the time since admission.
 #[must_use]
 pub fn render(head: &RecordingHeader, story: &RequestTimeline) -> String {
     let (events, whole) = decode_records(&story.encoded_events);
