--- a/crates/node/src/log/filter.rs
+++ b/crates/node/src/log/filter.rs
@@ -1,4 +1,4 @@
-//! Filters: which levels of which targets are logged.
+//! The log filter: which levels of which targets are logged.
 
 use std::str::FromStr;
 
@@ -6,31 +6,32 @@
 use thiserror::Error;
 use tracing_subscriber::filter::Targets;
 
-/// Longest filter that is parsed, in bytes: a dozen targets with their levels.
-const LONGEST_FILTER: usize = 300;
-/// Most characters of a bad filter that its error repeats.
-const LONGEST_QUOTE: usize = 60;
-/// The filter in force until another one is set.
-pub const USUAL: &str = "info";
+/// Longest filter in bytes, enough for a dozen targets with their levels.
+const MAX_FILTER_BYTES: usize = 300;
+/// Characters of an invalid filter that its error repeats.
+const MAX_QUOTED_CHARS: usize = 60;
+/// The filter at the start of a process.
+pub const DEFAULT_FILTER: &str = "info";
 
-/// A filter that can't be used.
+/// The text is not a filter.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is no filter: write levels, for all or for a room, such as `info` or `warn,discovery=debug`")]
-pub struct BadFilter(String);
+pub struct FilterError(String);
 
 /// Parses a filter: a level, or levels of targets, separated by commas.
 ///
 /// # Errors
-/// [`BadFilter`].
-pub fn filter(text: &str) -> Result<Targets, BadFilter> {
-    let fault = || BadFilter(escape(&text.chars().take(LONGEST_QUOTE).collect::<String>()));
-    if text.len() > LONGEST_FILTER || !text.split(',').all(is_directive) {
-        return Err(fault());
+/// [`FilterError`].
+pub fn parse_filter(text: &str) -> Result<Targets, FilterError> {
+    let invalid = || FilterError(escape(&text.chars().take(MAX_QUOTED_CHARS).collect::<String>()));
+    if text.len() > MAX_FILTER_BYTES || !text.split(',').all(is_directive) {
+        return Err(invalid());
     }
-    Targets::from_str(text).map_err(|_| fault())
+    Targets::from_str(text).map_err(|_| invalid())
 }
 
-/// The library reads an empty part as "all", and a word that is no level as a target: neither is what was meant.
+/// Whether a part is a level or `TARGET=LEVEL`. The library takes an empty part for "all" and an unknown level for a target,
+/// both of which are mistakes here.
 fn is_directive(part: &str) -> bool {
     const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
     let (target, level) = part.split_once('=').unwrap_or(("", part));
--- a/crates/node/src/net/endpoint_directory.rs
+++ b/crates/node/src/net/endpoint_directory.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use pumicehead_admin::book::Stand;
+use pumicehead_admin::disabled_backends::BackendState;
 use pumicehead_policy::{CellId, EndpointId, EndpointInfo, EndpointState, EndpointUpdate, Nanos, ZoneId};
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use thiserror::Error;
@@ -171,7 +171,7 @@
     /// address means another process, which gets a connector of its own: what is on its way to the old process must not
     /// reach the new one.
     fn upsert(&mut self, listed: ListedEndpoint, zone: ZoneId) -> EndpointInfo {
-        self.overrides.listed.borrow_mut().add(&listed.name);
+        self.overrides.known.borrow_mut().add(&listed.name);
         let endpoint = self.with_override(&listed);
         let id = self.id_for(&endpoint.name);
         let info = endpoint_info(id, zone, &endpoint);
@@ -207,10 +207,12 @@
     /// Returns a listed endpoint with the admin overrides applied.
     fn with_override(&self, listed: &ListedEndpoint) -> ListedEndpoint {
         let mut endpoint = listed.clone();
-        match self.overrides.book.borrow().stand(&endpoint.name, endpoint.started_at_ms) {
-            Stand::Out if endpoint.state == ListedState::Ready => endpoint.state = ListedState::Draining,
-            Stand::Out => {}
-            Stand::In { born_ms } => endpoint.started_at_ms = born_ms,
+        match self.overrides.disabled.borrow().state(&endpoint.name, endpoint.started_at_ms) {
+            BackendState::Disabled if endpoint.state == ListedState::Ready => {
+                endpoint.state = ListedState::Draining
+            }
+            BackendState::Disabled => {}
+            BackendState::Enabled { started_ms } => endpoint.started_at_ms = started_ms,
         }
         endpoint
     }
--- a/crates/node/tests/unit/loop_sink.rs
+++ b/crates/node/tests/unit/loop_sink.rs
@@ -26,7 +26,7 @@
     format!("line {number} {}\n", "x".repeat(number % 300))
 }
 
-/// Lines in the order of their numbers and each whole; their numbers.
+/// Returns the numbers of lines that must be whole and in order.
 fn numbers(text: &str) -> Vec<usize> {
     assert!(text.is_empty() || text.ends_with('\n'), "the last line is cut");
     let numbers: Vec<usize> = text
@@ -41,16 +41,17 @@
     numbers
 }
 
-/// Guards the loop against a reader that stops: nobody waits, as many lines wait as may, and each one beyond is counted.
+/// Guards the event loop against a reader that stops: writing does not block, the queue is bounded, and each dropped line
+/// is counted.
 /// Once the reader goes on it gets whole lines in their order.
 #[test]
-fn a_reader_that_stops_costs_lines_and_no_time() {
-    const LINES: usize = 10 * WAITING;
+fn a_stopped_reader_costs_lines_but_no_time() {
+    const LINES: usize = 10 * MAX_QUEUED_LINES;
     let (sink, mut reader) = small_pipe();
-    // It would not come to its end if one write waited.
+    // This would never end if a write blocked.
     (0..LINES).for_each(|number| sink.write(&numbered(number)));
     let dropped = sink.dropped();
-    assert!(dropped >= LINES - WAITING - PIPE_BUF / numbered(0).len(), "{dropped}");
+    assert!(dropped >= LINES - MAX_QUEUED_LINES - PIPE_BUF / numbered(0).len(), "{dropped}");
     let read = thread::spawn(move || {
         let mut text = String::new();
         reader.read_to_string(&mut text).unwrap();
@@ -64,20 +65,20 @@
     drop(sink);
     let numbers = numbers(&read.join().unwrap());
     assert_eq!(numbers.len() + dropped, LINES + 10);
-    assert_eq!(numbers[..WAITING], (0..WAITING).collect::<Vec<_>>());
+    assert_eq!(numbers[..MAX_QUEUED_LINES], (0..MAX_QUEUED_LINES).collect::<Vec<_>>());
     assert_eq!(numbers.last(), Some(&(LINES + 9)));
 }
 
-/// Guards a flush against a reader that never comes back: it ends.
+/// Guards a flush against a reader that never resumes.
 #[test]
-fn a_flush_does_not_wait_for_ever() {
+fn a_flush_ends_at_its_limit() {
     let (sink, _reader) = small_pipe();
-    (0..WAITING).for_each(|number| sink.write(&numbered(number)));
+    (0..MAX_QUEUED_LINES).for_each(|number| sink.write(&numbered(number)));
     sink.flush(Duration::from_millis(20));
     assert!(!sink.queue().lines.is_empty());
 }
 
-/// Guards the count where nobody reads any more, and that it is no end of the process.
+/// Guards the count of lines to a closed pipe, and that the process goes on.
 #[test]
 fn lines_to_a_closed_pipe_are_counted() {
     let (sink, reader) = small_pipe();
@@ -88,7 +89,7 @@
 
 /// Guards the rest of a line whose write was cut short, which a socket may do.
 #[test]
-fn a_line_that_was_cut_short_is_finished_first() {
+fn a_partially_written_line_is_finished_first() {
     /// Takes three bytes at a time, every other time nothing, into what is shared.
     struct Grudging(Arc<Mutex<Vec<u8>>>, bool);
     impl Output for Grudging {
@@ -116,7 +117,7 @@
 
 /// Guards the loop against a slow disk: however many lines there are, writing takes a small share of the time.
 #[test]
-fn a_slow_disk_gets_a_share_of_the_time() {
+fn a_slow_disk_takes_a_bounded_share_of_time() {
     const WRITE: Duration = Duration::from_millis(5);
     struct Slow(Arc<AtomicUsize>);
     impl Output for Slow {
@@ -133,13 +134,13 @@
     let writes = Arc::new(AtomicUsize::new(0));
     let sink = LoopSink::new(Slow(writes.clone()));
     let start = Instant::now();
-    (0..WAITING).for_each(|number| sink.write(&numbered(number)));
-    let most = 1 + start.elapsed().as_micros() / (WRITE * REST).as_micros();
+    (0..MAX_QUEUED_LINES).for_each(|number| sink.write(&numbered(number)));
+    let most = 1 + start.elapsed().as_micros() / (WRITE * SLOW_WRITE_PAUSE_FACTOR).as_micros();
     assert!(
         (1..=most).contains(&(writes.load(Ordering::SeqCst) as u128)),
         "{writes:?} writes, {most} at most"
     );
-    assert!(matches!(sink.queue().write_some(), State::Rests(left) if !left.is_zero()));
+    assert!(matches!(sink.queue().write_some(), State::Paused(left) if !left.is_zero()));
     // The end does not rest.
     let before = writes.load(Ordering::SeqCst);
     sink.flush(WRITE * 3);
@@ -149,7 +150,7 @@
 /// Guards what is written by the loop: a line that could not be written at its time is, without another event, once the
 /// reader goes on.
 #[test]
-fn the_loop_writes_what_waits() {
+fn the_event_loop_writes_queued_lines() {
     let (sink, reader) = small_pipe();
     (0..200).for_each(|number| sink.write(&numbered(number)));
     assert!(!sink.queue().lines.is_empty());
@@ -160,7 +161,7 @@
         lines.map(|line| line.unwrap() + "\n").collect::<String>()
     });
     let written = runtime.block_on(async {
-        let writer = tokio::task::spawn_local(sink.clone().write_what_waits());
+        let writer = tokio::task::spawn_local(sink.clone().write_queued());
         let done = async {
             while !sink.queue().lines.is_empty() {
                 sleep(Duration::from_millis(1)).await
@@ -179,7 +180,7 @@
 
 /// Guards the last words of a process that panics while lines wait: they and the panic's message are written, in order.
 #[test]
-fn the_lines_before_a_panic_are_written() {
+fn lines_before_a_panic_are_written() {
     if env::var_os(CHILD).is_some() {
         panic_with_lines_waiting();
     }
