--- a/crates/flight-recorder/src/breakdown.rs
+++ b/crates/flight-recorder/src/breakdown.rs
@@ -1,4 +1,4 @@
-//! What was lost in a span, by cause, server, class and moment. Each view adds up to the same sum, exactly.
+//! Losses of a time range by cause, endpoint, class and time. Every view adds up to the same sum, exactly.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,36 +10,36 @@
 use crate::recording::{Recording, RecordingHeader};
 use crate::timestamp;
 
-/// Rows of a view that are shown.
+/// Number of rows of a view that are displayed.
 const SHOWN: usize = 8;
 
-/// One row.
+/// A row of a view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BreakdownRow {
-    /// What it is about.
+    /// What the row is about.
     pub label: String,
-    /// What was lost.
+    /// Returns the lost weight.
     pub lost: MicroWeight,
-    /// By so many requests.
+    /// Number of requests.
     pub requests: u64,
 }
 
-/// A span's losses.
+/// Losses of a time range.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breakdown {
-    /// From then on, to where the sums' own slots begin.
+    /// Start of the range, aligned to the ledger's slots.
     pub from: Nanos,
-    /// Until then.
+    /// End of the range.
     pub to: Nanos,
-    /// The node's start.
+    /// Start of the node.
     pub start: Nanos,
-    /// Requests that ended in it.
+    /// Number of requests that ended in the range.
     pub requests: u64,
-    /// What they were worth.
+    /// Weight that they offered.
     pub offered: MicroWeight,
-    /// What was earned.
+    /// Weight that was earned.
     pub earned: MicroWeight,
-    /// Views, with their names.
+    /// Views with their names.
     pub views: Vec<(&'static str, Vec<BreakdownRow>)>,
 }
 
@@ -63,13 +63,13 @@
 }
 
 impl Breakdown {
-    /// Of a dump, from and to the moments named; wider where the sums are coarser.
+    /// Sums up a recording; the range is widened to the ledger's slots. `None` without a ledger.
     #[must_use]
     pub fn of_recording(dump: &Recording, from: Nanos, to: Nanos) -> Option<Self> {
         dump.ledger.as_ref().map(|accounts| Self::of_ledger(&dump.head, accounts, from, to))
     }
 
-    /// Of sums.
+    /// Sums up a ledger.
     #[must_use]
     pub fn of_ledger(head: &RecordingHeader, accounts: &LossLedger, from: Nanos, to: Nanos) -> Self {
         let (from, to) = accounts.aligned(from, to);
@@ -101,13 +101,13 @@
         Self { from, to, start: head.start, requests: sum.0, offered: sum.1, earned: sum.2, views }
     }
 
-    /// What was lost.
+    /// Returns the lost weight.
     #[must_use]
     pub fn lost(&self) -> MicroWeight {
         self.offered.saturating_sub(self.earned)
     }
 
-    /// The same of two spans side by side, as shares of what each was asked.
+    /// Renders two breakdowns side by side, as shares of the weight offered in each.
     #[must_use]
     pub fn compare(&self, other: &Self) -> String {
         let share = |lost: MicroWeight, of: &Self| 100.0 * lost as f64 / (of.offered as f64).max(1.0);
--- a/crates/flight-recorder/src/code_tables.rs
+++ b/crates/flight-recorder/src/code_tables.rs
@@ -63,6 +63,11 @@
     OUTCOMES.get(code).copied()
 }
 
+/// Returns the stored code of a value, its place in a table.
+pub(crate) fn code_in<T: PartialEq>(all: &[T], value: T) -> u8 {
+    all.iter().position(|known| *known == value).unwrap_or_default() as u8
+}
+
 /// Returns the value of a stored code.
 pub(crate) fn at<T: Copy>(all: &[T], code: u8) -> Option<T> {
     all.get(usize::from(code)).copied()
@@ -74,9 +79,7 @@
         RejectionReason::QueueTooLong => 0,
         RejectionReason::QueueTimeout => 1,
         RejectionReason::KeyOrderTimeout => 2,
-        RejectionReason::NoRetry(reason) => {
-            3 + NO_RETRY_REASONS.iter().position(|&known| known == reason).unwrap_or_default() as u8
-        }
+        RejectionReason::NoRetry(reason) => 3 + code_in(&NO_RETRY_REASONS, reason),
     }
 }
 
--- a/crates/flight-recorder/src/event_codec.rs
+++ b/crates/flight-recorder/src/event_codec.rs
@@ -1,33 +1,72 @@
-//! Binary form of an event: a tag, then the fields.
+//! Binary form of an event: a tag, the first number, then the other fields.
 //!
 //! Readers skip events whose tag they don't know, so that later versions may add some.
 
 use pumicehead_policy::{AttemptNo, EndpointId, RequestId};
 
 use crate::bounded_text::BoundedName;
-use crate::code_tables::{ENDPOINT_STATES, OUTCOMES, at, outcome_index};
+use crate::code_tables::{ENDPOINT_STATES, OUTCOMES, at, code_in, outcome_index};
 use crate::decision_codec::{decode_decision, encode_decision};
 use crate::event::{Event, ExhaustedResource, ListenerRejection, RequestOutcome};
 use crate::wire_format::{Reader, put, put_bytes, put_some};
 
-/// Tag of a request without a revision, as versions before revisions wrote it.
-const ASKED: u8 = 1;
-/// Tag of a request with the revision that it was admitted under.
-const ASKED_UNDER_REVISION: u8 = 12;
+/// Stored tags of events. Tags of decisions follow from 32 on.
+mod tag {
+    /// A request without a revision, as in versions before revisions.
+    pub const REQUEST_ADMITTED: u8 = 1;
+    pub const ATTEMPT_STARTED: u8 = 2;
+    pub const ATTEMPT_ENDED: u8 = 3;
+    pub const RESPONSE_STARTED: u8 = 4;
+    pub const REQUEST_ENDED: u8 = 5;
+    pub const ENDPOINT_STATE_CHANGED: u8 = 6;
+    pub const CAPACITY_ADVICE: u8 = 7;
+    pub const REJECTED_BY_LISTENER: u8 = 8;
+    pub const RESOURCE_EXHAUSTED: u8 = 9;
+    pub const NODE_SHARE_CHANGED: u8 = 10;
+    pub const MEMBER_STATE_CHANGED: u8 = 11;
+    /// A request with the revision that it was admitted under.
+    pub const REQUEST_ADMITTED_UNDER_REVISION: u8 = 12;
+}
+
+fn start(out: &mut Vec<u8>, tag: u8, first: u32) {
+    out.push(tag);
+    put(out, u64::from(first));
+}
+
+fn put_name(out: &mut Vec<u8>, name: &BoundedName) {
+    put_bytes(out, name.prefix.as_bytes());
+    out.extend_from_slice(&name.hash.to_le_bytes());
+}
+
+/// Reads a name; `None` if it is invalid.
+pub(crate) fn read_name(from: &mut Reader<'_>) -> Option<BoundedName> {
+    Some(BoundedName {
+        prefix: from.text()?.into(),
+        hash: u64::from_le_bytes(from.take(8)?.try_into().ok()?),
+    })
+}
 
 impl Event {
-    /// Appends the tag and the fields.
+    /// Appends the stored form.
     pub fn encode(&self, out: &mut Vec<u8>) {
-        let mut start = |tag: u8, first: u32| {
-            out.push(tag);
-            put(out, u64::from(first));
-        };
+        match self {
+            Self::Decision(decision) => encode_decision(decision, out),
+            Self::RequestAdmitted { .. }
+            | Self::AttemptStarted { .. }
+            | Self::AttemptEnded { .. }
+            | Self::ResponseStarted { .. }
+            | Self::RequestEnded { .. } => self.encode_request_event(out),
+            _ => self.encode_node_event(out),
+        }
+    }
+
+    fn encode_request_event(&self, out: &mut Vec<u8>) {
         match self {
             Self::RequestAdmitted { id, class, tenant, client_timeout, upload_time, name, revision } => {
                 match revision {
-                    None => start(ASKED, id.0),
+                    None => start(out, tag::REQUEST_ADMITTED, id.0),
                     Some(revision) => {
-                        start(ASKED_UNDER_REVISION, id.0);
+                        start(out, tag::REQUEST_ADMITTED_UNDER_REVISION, id.0);
                         put(out, *revision);
                     }
                 }
@@ -35,11 +74,10 @@
                 put_some(out, tenant.map(u64::from));
                 put(out, *client_timeout);
                 put(out, *upload_time);
-                put_bytes(out, name.prefix.as_bytes());
-                out.extend_from_slice(&name.hash.to_le_bytes());
+                put_name(out, name);
             }
             Self::AttemptStarted { id, attempt, endpoint, timeout } => {
-                start(2, id.0);
+                start(out, tag::ATTEMPT_STARTED, id.0);
                 out.push(attempt.0);
                 put(out, u64::from(endpoint.0));
                 put_some(out, *timeout);
@@ -53,7 +91,7 @@
                 connect_time,
                 connection_idle,
             } => {
-                start(3, id.0);
+                start(out, tag::ATTEMPT_ENDED, id.0);
                 out.push(attempt.0);
                 put(out, u64::from(endpoint.0));
                 out.push(outcome_index(*outcome) as u8);
@@ -62,105 +100,116 @@
                 put_some(out, *connection_idle);
             }
             Self::ResponseStarted { id, attempt } => {
-                start(4, id.0);
+                start(out, tag::RESPONSE_STARTED, id.0);
                 out.push(attempt.0);
             }
             Self::RequestEnded { id, outcome } => {
-                start(5, id.0);
-                out.push(
-                    RequestOutcome::ALL.iter().position(|known| known == outcome).unwrap_or_default() as u8
-                );
+                start(out, tag::REQUEST_ENDED, id.0);
+                out.push(code_in(&RequestOutcome::ALL, *outcome));
             }
+            _ => {}
+        }
+    }
+
+    fn encode_node_event(&self, out: &mut Vec<u8>) {
+        match self {
             Self::EndpointStateChanged { endpoint, state } => {
-                start(6, endpoint.0);
-                out.push(ENDPOINT_STATES.iter().position(|known| known == state).unwrap_or_default() as u8);
+                start(out, tag::ENDPOINT_STATE_CHANGED, endpoint.0);
+                out.push(code_in(&ENDPOINT_STATES, *state));
             }
             Self::CapacityAdvice { endpoints_to_avoid, lease_grants } => {
-                start(7, *endpoints_to_avoid);
+                start(out, tag::CAPACITY_ADVICE, *endpoints_to_avoid);
                 put(out, u64::from(*lease_grants));
             }
             Self::RejectedByListener { class, reason } => {
-                start(8, u32::from(*class));
-                out.push(
-                    ListenerRejection::ALL.iter().position(|known| known == reason).unwrap_or_default() as u8
-                );
+                start(out, tag::REJECTED_BY_LISTENER, u32::from(*class));
+                out.push(code_in(&ListenerRejection::ALL, *reason));
             }
-            Self::ResourceExhausted(what) => {
-                start(
-                    9,
-                    ExhaustedResource::ALL.iter().position(|known| known == what).unwrap_or_default() as u32,
-                );
+            Self::ResourceExhausted(resource) => {
+                start(out, tag::RESOURCE_EXHAUSTED, u32::from(code_in(&ExhaustedResource::ALL, *resource)));
             }
             Self::NodeShareChanged { nodes, node_index } => {
-                start(10, *nodes);
+                start(out, tag::NODE_SHARE_CHANGED, *nodes);
                 put(out, u64::from(*node_index));
             }
             Self::MemberStateChanged { name, from, to } => {
-                start(11, u32::from(*to));
+                start(out, tag::MEMBER_STATE_CHANGED, u32::from(*to));
                 put_some(out, from.map(u64::from));
-                put_bytes(out, name.prefix.as_bytes());
-                out.extend_from_slice(&name.hash.to_le_bytes());
+                put_name(out, name);
             }
-            Self::Decision(note) => encode_decision(note, out),
+            _ => {}
         }
     }
 
-    /// Reads a tag and its fields; `None` where they are not what they should be, or the tag is not known.
+    /// Reads an event; `None` if it is invalid or its tag is unknown.
     #[must_use]
     pub fn decode(from: &mut Reader<'_>) -> Option<Self> {
         let tag = from.byte()?;
         let first = from.small::<u32>()?;
-        let id = RequestId(first);
-        Some(match tag {
-            ASKED | ASKED_UNDER_REVISION => Self::RequestAdmitted {
-                id,
-                revision: if tag == ASKED { None } else { Some(from.number()?) },
-                class: from.small()?,
-                tenant: from.some()?.map(u32::try_from).transpose().ok()?,
-                client_timeout: from.number()?,
-                upload_time: from.number()?,
-                name: BoundedName {
-                    prefix: from.text()?.into(),
-                    hash: u64::from_le_bytes(from.take(8)?.try_into().ok()?),
-                },
-            },
-            2 => Self::AttemptStarted {
-                id,
-                attempt: AttemptNo(from.byte()?),
-                endpoint: EndpointId(from.small()?),
-                timeout: from.some()?,
-            },
-            3 => Self::AttemptEnded {
-                id,
-                attempt: AttemptNo(from.byte()?),
-                endpoint: EndpointId(from.small()?),
-                outcome: at(&OUTCOMES, from.byte()?)?,
-                duration: from.number()?,
-                connect_time: from.number()?,
-                connection_idle: from.some()?,
-            },
-            4 => Self::ResponseStarted { id, attempt: AttemptNo(from.byte()?) },
-            5 => Self::RequestEnded { id, outcome: at(&RequestOutcome::ALL, from.byte()?)? },
-            6 => Self::EndpointStateChanged {
-                endpoint: EndpointId(first),
-                state: at(&ENDPOINT_STATES, from.byte()?)?,
-            },
-            7 => Self::CapacityAdvice { endpoints_to_avoid: first, lease_grants: from.small()? },
-            8 => Self::RejectedByListener {
-                class: u16::try_from(first).ok()?,
-                reason: at(&ListenerRejection::ALL, from.byte()?)?,
-            },
-            9 => Self::ResourceExhausted(at(&ExhaustedResource::ALL, u8::try_from(first).ok()?)?),
-            10 => Self::NodeShareChanged { nodes: first, node_index: from.small()? },
-            11 => Self::MemberStateChanged {
-                to: u8::try_from(first).ok()?,
-                from: from.some()?.map(u8::try_from).transpose().ok()?,
-                name: BoundedName {
-                    prefix: from.text()?.into(),
-                    hash: u64::from_le_bytes(from.take(8)?.try_into().ok()?),
-                },
-            },
-            tag => Self::Decision(decode_decision(tag, first, from)?),
-        })
+        match tag {
+            tag::REQUEST_ADMITTED..=tag::REQUEST_ENDED | tag::REQUEST_ADMITTED_UNDER_REVISION => {
+                decode_request_event(tag, RequestId(first), from)
+            }
+            tag::ENDPOINT_STATE_CHANGED..=tag::MEMBER_STATE_CHANGED => decode_node_event(tag, first, from),
+            tag => Some(Self::Decision(decode_decision(tag, first, from)?)),
+        }
     }
 }
+
+fn decode_request_event(tag: u8, id: RequestId, from: &mut Reader<'_>) -> Option<Event> {
+    Some(match tag {
+        tag::REQUEST_ADMITTED | tag::REQUEST_ADMITTED_UNDER_REVISION => Event::RequestAdmitted {
+            id,
+            revision: if tag == tag::REQUEST_ADMITTED { None } else { Some(from.number()?) },
+            class: from.small()?,
+            tenant: from.some()?.map(u32::try_from).transpose().ok()?,
+            client_timeout: from.number()?,
+            upload_time: from.number()?,
+            name: read_name(from)?,
+        },
+        tag::ATTEMPT_STARTED => Event::AttemptStarted {
+            id,
+            attempt: AttemptNo(from.byte()?),
+            endpoint: EndpointId(from.small()?),
+            timeout: from.some()?,
+        },
+        tag::ATTEMPT_ENDED => Event::AttemptEnded {
+            id,
+            attempt: AttemptNo(from.byte()?),
+            endpoint: EndpointId(from.small()?),
+            outcome: at(&OUTCOMES, from.byte()?)?,
+            duration: from.number()?,
+            connect_time: from.number()?,
+            connection_idle: from.some()?,
+        },
+        tag::RESPONSE_STARTED => Event::ResponseStarted { id, attempt: AttemptNo(from.byte()?) },
+        tag::REQUEST_ENDED => Event::RequestEnded { id, outcome: at(&RequestOutcome::ALL, from.byte()?)? },
+        _ => return None,
+    })
+}
+
+fn decode_node_event(tag: u8, first: u32, from: &mut Reader<'_>) -> Option<Event> {
+    Some(match tag {
+        tag::ENDPOINT_STATE_CHANGED => Event::EndpointStateChanged {
+            endpoint: EndpointId(first),
+            state: at(&ENDPOINT_STATES, from.byte()?)?,
+        },
+        tag::CAPACITY_ADVICE => {
+            Event::CapacityAdvice { endpoints_to_avoid: first, lease_grants: from.small()? }
+        }
+        tag::REJECTED_BY_LISTENER => Event::RejectedByListener {
+            class: u16::try_from(first).ok()?,
+            reason: at(&ListenerRejection::ALL, from.byte()?)?,
+        },
+        tag::RESOURCE_EXHAUSTED => {
+            Event::ResourceExhausted(at(&ExhaustedResource::ALL, u8::try_from(first).ok()?)?)
+        }
+        tag::NODE_SHARE_CHANGED => Event::NodeShareChanged { nodes: first, node_index: from.small()? },
+        tag::MEMBER_STATE_CHANGED => Event::MemberStateChanged {
+            to: u8::try_from(first).ok()?,
+            from: from.some()?.map(u8::try_from).transpose().ok()?,
+            name: read_name(from)?,
+        },
+        _ => return None,
+    })
+}
--- a/crates/flight-recorder/src/event_ring.rs
+++ b/crates/flight-recorder/src/event_ring.rs
@@ -1,5 +1,5 @@
-//! The newest events in a fixed memory, as pages that can be read each by itself: the oldest page makes way for a new one,
-//! so that a reader always finds whole records.
+//! The newest events in fixed memory, as pages that can be decoded independently. The oldest page is overwritten first, so
+//! that a reader always finds whole records.
 
 use std::collections::VecDeque;
 
@@ -8,39 +8,39 @@
 use crate::event::{Event, PoolId};
 use crate::wire_format::{Reader, put};
 
-/// Bytes of a page: what is lost at once when the ring wraps. A record takes some 20 bytes.
+/// Size of a page in bytes; a page is overwritten as a whole.
 pub const PAGE_BYTES: usize = 4 << 10;
-/// A record's own overhead is far below this, and names are cut: a longer one is a fault.
-const LONGEST_RECORD: usize = 512;
-/// Nanoseconds of a unit of recorded times.
+/// Size of the largest event that is recorded, in bytes.
+const MAX_EVENT_BYTES: usize = 512;
+/// Resolution of recorded times, in nanoseconds.
 pub const TIME_UNIT: Nanos = 1_000;
 
-/// Events in the order of their times.
+/// A ring of pages with events in order of time.
 #[derive(Debug)]
 pub struct EventRing {
     pages: VecDeque<Vec<u8>>,
     most: usize,
-    /// The time of the last record of the newest page.
+    /// Time of the newest record.
     last: Nanos,
-    /// Records that had to make way.
+    /// Number of overwritten records.
     wrapped: u64,
-    /// Records on each page.
+    /// Number of records on each page.
     counts: VecDeque<u32>,
 }
 
-/// A record as it is read.
+/// A decoded record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// When, to the microsecond.
+    /// Time, to the microsecond.
     pub at: Nanos,
-    /// Of which pool.
+    /// Pool of the event.
     pub pool: PoolId,
-    /// What.
+    /// The event.
     pub event: Event,
 }
 
 impl EventRing {
-    /// Of at most so many bytes, two pages at the least.
+    /// Creates a ring of at most `memory` bytes, but at least two pages.
     #[must_use]
     pub fn new(memory: usize) -> Self {
         Self {
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Adds an encoded event. Times may not go back; one that does counts as the last.
+    /// Appends an encoded event. A time before the last one counts as the last one.
     pub fn push(&mut self, at: Nanos, pool: PoolId, event: &[u8]) {
-        if event.len() > LONGEST_RECORD {
+        if event.len() > MAX_EVENT_BYTES {
             return;
         }
-        // Room for the three numbers ahead at their longest.
+        // Three numbers of at most ten bytes precede the event.
         let full = self.pages.back().is_none_or(|page| page.len() + event.len() + 30 > PAGE_BYTES);
         if full {
             self.start_page(at);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Begins a page.
+    /// Starts a page, in place of the oldest one if the ring is full.
     fn start_page(&mut self, at: Nanos) {
         let mut page = if self.pages.len() >= self.most {
             self.wrapped += u64::from(self.counts.pop_front().unwrap_or_default());
@@ -84,25 +84,25 @@
         self.counts.push_back(0);
     }
 
-    /// The pages, the oldest first.
+    /// Returns the pages, the oldest first.
     pub fn pages(&self) -> impl Iterator<Item = &[u8]> {
         self.pages.iter().map(Vec::as_slice)
     }
 
-    /// Records that have made way since the start.
+    /// Returns the number of records that were overwritten.
     #[must_use]
     pub fn overwritten_events(&self) -> u64 {
         self.wrapped
     }
 
-    /// Bytes that it holds.
+    /// Returns the allocated bytes.
     #[must_use]
     pub fn memory_used(&self) -> usize {
         self.pages.iter().map(Vec::capacity).sum()
     }
 }
 
-/// Appends a record to a page or a story that began at `last` or whose last record is of then.
+/// Appends a record to a page whose last record, or whose start, is at `last`.
 pub fn append_record(page: &mut Vec<u8>, last: &mut Nanos, at: Nanos, pool: PoolId, event: &[u8]) {
     let steps = at.saturating_sub(*last) / TIME_UNIT;
     *last += steps * TIME_UNIT;
@@ -112,7 +112,7 @@
     page.extend_from_slice(event);
 }
 
-/// The records of a page or a story, as far as they can be read, and whether that is all.
+/// Returns the readable records of a page, and whether that is all of it.
 #[must_use]
 pub fn decode_records(page: &[u8]) -> (Vec<Record>, bool) {
     let mut from = Reader(page);
@@ -129,7 +129,7 @@
         };
         let Some((steps, pool, bytes)) = next() else { return (all, false) };
         at = at.saturating_add(steps.saturating_mul(TIME_UNIT));
-        // One that a later version has added is passed over.
+        // Events of later versions are skipped.
         if let Some(event) = Event::decode(&mut Reader(bytes)) {
             all.push(Record { at, pool, event });
         }
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -1,4 +1,4 @@
-//! Stories in forms that other viewers open: OTLP/JSON (one `TracesData` a line, as the OpenTelemetry protocol's file
+//! Timelines in formats of other viewers: OTLP/JSON (one `TracesData` per line, as the OpenTelemetry protocol's file
 //! exporter writes it) and Chrome's trace events (the "Trace Event Format", JSON object form).
 
 use pumicehead_policy::{AttemptOutcome, Nanos};
@@ -12,7 +12,7 @@
 use crate::recording::Recording;
 use crate::request_timeline::RequestTimeline;
 
-/// An attempt as both forms show it.
+/// An attempt in both formats.
 struct Attempt {
     number: u8,
     server: String,
@@ -21,7 +21,8 @@
     outcome: Option<AttemptOutcome>,
 }
 
-struct Told {
+/// A request in both formats.
+struct RequestSpan {
     events: Vec<Record>,
     from: Nanos,
     to: Nanos,
@@ -29,7 +30,7 @@
     attempts: Vec<Attempt>,
 }
 
-fn told(dump: &Recording, story: &RequestTimeline) -> Told {
+fn request_span(dump: &Recording, story: &RequestTimeline) -> RequestSpan {
     let (events, _) = decode_records(&story.encoded_events);
     let from = events.first().map_or(story.ended_at, |record| record.at);
     let mut to = story.ended_at.max(from);
@@ -55,10 +56,10 @@
             _ => {}
         }
     }
-    Told { events, from, to, how, attempts }
+    RequestSpan { events, from, to, how, attempts }
 }
 
-/// Eight bytes that name a span: the same dump gives the same ids.
+/// Returns a span id; the same recording always gives the same ids.
 fn id(story: &RequestTimeline, from: Nanos, part: u64) -> u64 {
     pumicehead_policy::hash_ring::mix(
         story.name.hash ^ from.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15),
@@ -70,7 +71,7 @@
     json!({ "key": key, "value": { "stringValue": value } })
 }
 
-/// OTLP/JSON, a line a request.
+/// Renders timelines as OTLP/JSON, one line per request.
 #[must_use]
 pub fn otlp(dump: &Recording) -> String {
     let mut out = String::new();
@@ -80,7 +81,7 @@
         attribute("service.version", &escape(&dump.head.program)),
     ] });
     for story in &dump.timelines {
-        let one = told(dump, story);
+        let one = request_span(dump, story);
         let trace = format!("{:016x}{:016x}", story.name.hash, id(story, one.from, u64::MAX));
         let root = format!("{:016x}", id(story, one.from, 0));
         let failed = !matches!(one.how, Some(RequestOutcome::Served) | None);
@@ -129,7 +130,7 @@
     out
 }
 
-/// Chrome's trace events: a row a request, with its attempts below it.
+/// Renders timelines as Chrome trace events, one row per request with its attempts.
 #[must_use]
 pub fn chrome(dump: &Recording) -> String {
     let micros = |at: Nanos| at.saturating_sub(dump.head.start) as f64 / 1e3;
@@ -138,7 +139,7 @@
         "args": { "name": format!("pumicehead {}", escape(&dump.head.node)) },
     })];
     for (row, story) in dump.timelines.iter().enumerate() {
-        let one = told(dump, story);
+        let one = request_span(dump, story);
         let tid = row + 1;
         let span = |name: &str, from: Nanos, to: Nanos, args: Value| {
             json!({
--- a/crates/flight-recorder/src/html_report.rs
+++ b/crates/flight-recorder/src/html_report.rs
@@ -1,4 +1,4 @@
-//! A page with the node's day: worth asked and earned, servers set aside, limits, losses. One file, no network.
+//! A self-contained HTML report: weight offered and earned, ejected endpoints, limits and losses.
 
 use std::collections::BTreeMap;
 
@@ -13,13 +13,13 @@
 use crate::recording::Recording;
 use crate::timeline_text;
 
-/// Servers with a line and a band of their own: those with the most attempts.
-const SERVERS: usize = 12;
-/// Stories on the page.
-const STORIES: usize = 10;
+/// Number of endpoints in charts: those with the most attempts.
+const MAX_ENDPOINTS: usize = 12;
+/// Number of timelines in the report.
+const MAX_TIMELINES: usize = 10;
 const SIZE: (u32, u32) = (1_000, 260);
 
-/// What keeps a picture from being drawn.
+/// Why a chart can't be drawn.
 type Fault = Box<dyn std::error::Error>;
 
 type Points = Vec<(f64, f64)>;
@@ -65,7 +65,7 @@
     Ok(svg)
 }
 
-/// A row a server, darker the more of its attempts ended badly, with a line under it while it was set aside.
+/// Draws a row per endpoint, darker with more failed attempts, with a line below it while it was ejected.
 fn bands(rows: &[(String, Vec<Span>)], end: f64) -> Result<String, Fault> {
     let mut svg = String::new();
     {
@@ -111,7 +111,7 @@
     }
     let mut all: Vec<_> = sums.into_iter().collect();
     all.sort_by_key(|&(key, count)| (std::cmp::Reverse(count), key));
-    all.into_iter().take(SERVERS).map(|(key, _)| key).collect()
+    all.into_iter().take(MAX_ENDPOINTS).map(|(key, _)| key).collect()
 }
 
 fn pictures(dump: &Recording, accounts: &LossLedger) -> Result<String, Fault> {
@@ -154,7 +154,7 @@
     Ok(out)
 }
 
-/// The page. A picture that can't be drawn is left out, and the text says so.
+/// Renders the report. A chart that can't be drawn is replaced with the error.
 #[must_use]
 pub fn write(dump: &Recording) -> String {
     let title = escape_html(&format!("pumicehead {}", dump.head.node));
@@ -183,13 +183,13 @@
         out += &format!("<h2>What was lost</h2><pre>{}</pre>", lines_of(&breakdown.to_string()));
     }
     out += "<h2>Some requests</h2>";
-    for one in dump.timelines.iter().filter(|story| story.cause.is_some()).take(STORIES) {
+    for one in dump.timelines.iter().filter(|story| story.cause.is_some()).take(MAX_TIMELINES) {
         out += &format!("<pre>{}</pre>", lines_of(&timeline_text::render(&dump.head, one)));
     }
     out + "</html>\n"
 }
 
-/// Text of several lines for a page.
+/// Escapes text of several lines.
 fn lines_of(text: &str) -> String {
     text.lines().map(escape_html).collect::<Vec<_>>().join("\n")
 }
--- a/crates/flight-recorder/src/log_rate_limit.rs
+++ b/crates/flight-recorder/src/log_rate_limit.rs
@@ -1,14 +1,14 @@
-//! How often a message of one kind is told: the first few of a span, and then how many more there were.
+//! Rate limit of log messages: the first few of a kind in an interval are logged, the rest are counted.
 
 use std::collections::BTreeMap;
 
 use pumicehead_policy::{Nanos, SECOND};
 
-/// Messages of one kind in a span that are told one by one: enough to see what differs among them.
+/// Number of messages of one kind that are logged in an interval.
 pub const MESSAGES_PER_INTERVAL: u32 = 10;
-/// The span.
+/// Length of an interval.
 pub const INTERVAL: Nanos = 10 * SECOND;
-/// Kinds that are told apart; places in the code are some hundred at most. What comes beyond counts as one kind.
+/// Greatest number of kinds with a limit of their own; the rest share one.
 pub const MAX_KINDS: usize = 512;
 
 #[derive(Clone, Copy, Debug)]
@@ -18,18 +18,18 @@
     more: u64,
 }
 
-/// Messages that were held back.
+/// Messages that were not logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuppressedMessages {
-    /// Their kind.
+    /// Kind of the messages.
     pub kind: u64,
-    /// How many.
+    /// Number of messages.
     pub count: u64,
-    /// In so long.
+    /// Time in which they came.
     pub interval: Nanos,
 }
 
-/// The counts.
+/// Counts of messages by kind.
 #[derive(Debug, Default)]
 pub struct LogRateLimiter {
     kinds: BTreeMap<u64, Kind>,
@@ -37,7 +37,7 @@
 }
 
 impl LogRateLimiter {
-    /// Whether a message of a kind is to be told at `now`. What was held back of a span before is given with it.
+    /// Returns whether a message is to be logged, and what was suppressed in an earlier interval.
     pub fn check(&mut self, kind: u64, now: Nanos) -> (bool, Option<SuppressedMessages>) {
         let kind =
             if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(&kind) { u64::MAX } else { kind };
@@ -62,8 +62,8 @@
         (told, before)
     }
 
-    /// What was held back in spans that have ended by `now`: to be asked now and then, or the last of a kind would
-    /// never be heard of.
+    /// Returns what was suppressed in intervals that have ended. To be called regularly, or the last messages of a
+    /// kind would not be reported.
     pub fn drain_expired(&mut self, now: Nanos) -> Vec<SuppressedMessages> {
         if self.held == 0 {
             return Vec::new();
--- a/crates/flight-recorder/src/metrics.rs
+++ b/crates/flight-recorder/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of the node over its whole life, made of the same events as its recording, on the `metrics` facade, as
+//! Metrics of a node since its start, from the same events as its recording, on the `metrics` facade and rendered as
 //! OpenMetrics text (version 1.0.0, which Prometheus reads) with exemplars that name a recorded request.
 
 use std::collections::BTreeMap;
@@ -17,20 +17,20 @@
 use crate::event::{ListenerRejection, RequestOutcome};
 use crate::loss_cause::outcome_text;
 
-/// Classes that have rows of their own; the rest count as "other".
-pub const CLASSES: usize = 32;
-/// Bounds of buckets, in seconds.
-const BOUNDS: [f64; 12] = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
-/// Longest time that is told apart, in microseconds: clients wait ten minutes at most.
-const LONGEST: u64 = 600_000_000;
-/// A bucket shows one request for so long at least: a new one with every request would cost more than the counting.
-const SHOWN_FOR: Nanos = SECOND;
-/// Digits that a time keeps.
-const DIGITS: u8 = 2;
+/// Greatest number of classes with series of their own; the rest count as "other".
+pub const MAX_CLASSES: usize = 32;
+/// Upper bounds of histogram buckets, in seconds.
+const BUCKET_BOUNDS_S: [f64; 12] = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
+/// Greatest latency that a histogram distinguishes, in microseconds.
+const MAX_LATENCY_US: u64 = 600_000_000;
+/// Least time between changes of a bucket's exemplar, which cost more than counting.
+const MIN_EXEMPLAR_AGE: Nanos = SECOND;
+/// Significant digits of a latency.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 const META: Metadata<'static> = Metadata::new(module_path!(), Level::INFO, Some(module_path!()));
 
-/// A request that a bucket is shown by.
+/// Exemplar of a histogram bucket.
 #[derive(Clone)]
 struct Exemplar {
     name: String,
@@ -38,31 +38,32 @@
     at: Nanos,
 }
 
-/// Times of one kind.
-struct Times {
+/// A latency histogram with exemplars.
+struct LatencyHistogram {
     hdr: Hdr<u32>,
     sum: f64,
-    exemplars: [Option<Exemplar>; BOUNDS.len() + 1],
+    exemplars: [Option<Exemplar>; BUCKET_BOUNDS_S.len() + 1],
 }
 
-/// Shared between the facade and the text.
-struct Shared(Mutex<Times>);
+/// A histogram that is shared between the facade and the renderer.
+struct Shared(Mutex<LatencyHistogram>);
 
 impl Shared {
-    /// Adds a time, and shows the bucket by this request where it has shown another for a while.
+    /// Adds a latency, and makes the request its bucket's exemplar if the last one is old enough.
     fn add(&self, seconds: f64, name: &BoundedName, at: Nanos) {
-        // A holder that panicked left whole numbers behind.
+        // A panic can't leave the numbers in an invalid state.
         let mut times = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         times.record(seconds);
-        let bucket = BOUNDS.iter().position(|bound| seconds <= *bound).unwrap_or(BOUNDS.len());
+        let bucket =
+            BUCKET_BOUNDS_S.iter().position(|bound| seconds <= *bound).unwrap_or(BUCKET_BOUNDS_S.len());
         let shown = &mut times.exemplars[bucket];
-        if shown.as_ref().is_none_or(|shown| at >= shown.at.saturating_add(SHOWN_FOR)) {
+        if shown.as_ref().is_none_or(|shown| at >= shown.at.saturating_add(MIN_EXEMPLAR_AGE)) {
             *shown = Some(Exemplar { name: escape(&name.prefix), seconds, at });
         }
     }
 }
 
-impl Times {
+impl LatencyHistogram {
     fn record(&mut self, seconds: f64) {
         self.hdr.saturating_record((seconds * 1e6).round() as u64);
         self.sum += seconds;
@@ -75,7 +76,7 @@
     }
 }
 
-/// All series, by key: what `metrics` calls a recorder.
+/// All series by key: a recorder of the `metrics` facade.
 #[derive(Default)]
 pub struct Registry {
     counters: Mutex<BTreeMap<Key, Arc<AtomicU64>>>,
@@ -90,14 +91,14 @@
 
 impl Registry {
     fn shared(&self, key: &Key) -> Option<Arc<Shared>> {
-        // The bounds are sound: the least is 1, and the longest more than twice that.
-        let hdr = Hdr::new_with_max(LONGEST, DIGITS).ok()?;
+        // The bounds are valid: the least is 1, and the greatest is more than twice that.
+        let hdr = Hdr::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS).ok()?;
         Some(of(&self.times, key, || {
-            Shared(Mutex::new(Times { hdr, sum: 0.0, exemplars: Default::default() }))
+            Shared(Mutex::new(LatencyHistogram { hdr, sum: 0.0, exemplars: Default::default() }))
         }))
     }
 
-    /// The text.
+    /// Renders all series as OpenMetrics text.
     #[must_use]
     pub fn text(&self) -> String {
         let mut out = String::new();
@@ -122,7 +123,7 @@
         for (key, times) in self.times.lock().unwrap_or_else(PoisonError::into_inner).iter() {
             family(&mut out, key.name(), "histogram");
             let times = times.0.lock().unwrap_or_else(PoisonError::into_inner);
-            let bounds = BOUNDS.iter().map(|bound| (*bound, bound.to_string()));
+            let bounds = BUCKET_BOUNDS_S.iter().map(|bound| (*bound, bound.to_string()));
             let all = bounds.chain([(f64::INFINITY, "+Inf".to_owned())]);
             for ((bound, shown), exemplar) in all.zip(&times.exemplars) {
                 let below = if bound.is_finite() {
@@ -170,44 +171,44 @@
     }
 }
 
-/// Where classes beyond the bound are counted.
+/// Key of classes beyond [`MAX_CLASSES`].
 const OTHER: (u16, u16) = (u16::MAX, u16::MAX);
 
-/// One class of one pool.
-struct ClassMeters {
+/// Series of one class of a pool.
+struct ClassMetrics {
     ended: [Counter; 7],
     times: Option<Arc<Shared>>,
 }
 
-/// The node's series.
+/// Metrics of a node.
 #[derive(Default)]
 pub struct RequestMetrics {
     registry: Registry,
-    /// By pool and class; those beyond the bound are where [`OTHER`] is.
-    classes: BTreeMap<(u16, u16), ClassMeters>,
+    /// By pool and class; those beyond the limit are under [`OTHER`].
+    classes: BTreeMap<(u16, u16), ClassMetrics>,
     attempts: [Option<Counter>; 8],
 }
 
-const HOWS: [&str; 7] = ["served", "served_fault", "refused", "failed", "late", "body", "left"];
+const OUTCOME_LABELS: [&str; 7] = ["served", "served_fault", "refused", "failed", "late", "body", "left"];
 
 impl RequestMetrics {
-    fn class(&mut self, key: (u16, u16), names: (&str, &str)) -> &mut ClassMeters {
-        let full = self.classes.len() >= CLASSES && !self.classes.contains_key(&key);
+    fn class(&mut self, key: (u16, u16), names: (&str, &str)) -> &mut ClassMetrics {
+        let full = self.classes.len() >= MAX_CLASSES && !self.classes.contains_key(&key);
         let (key, names) = if full { (OTHER, ("other", "other")) } else { (key, names) };
         let registry = &self.registry;
         self.classes.entry(key).or_insert_with(|| {
             let labels =
                 vec![Label::new("pool", names.0.to_owned()), Label::new("class", names.1.to_owned())];
-            let ended = HOWS.map(|how| {
+            let ended = OUTCOME_LABELS.map(|how| {
                 let labels = labels.iter().cloned().chain([Label::new("how", how)]).collect::<Vec<_>>();
                 registry.register_counter(&Key::from_parts("pumicehead_requests", labels), &META)
             });
             let times = registry.shared(&Key::from_parts("pumicehead_request_seconds", labels));
-            ClassMeters { ended, times }
+            ClassMetrics { ended, times }
         })
     }
 
-    /// A request has ended.
+    /// Counts a request that has ended.
     pub fn request_ended(
         &mut self,
         of: ((u16, u16), (&str, &str)),
@@ -224,13 +225,13 @@
         }
     }
 
-    /// A front has turned one away.
+    /// Counts a request that a listener rejected.
     pub fn request_rejected(&mut self, why: ListenerRejection) {
         let why = if why == ListenerRejection::RequestLimit { "held" } else { "connections" };
         self.count("pumicehead_turned_away", vec![Label::new("why", why)], 1);
     }
 
-    /// An attempt has ended.
+    /// Counts an attempt that has ended.
     pub fn attempt_ended(&mut self, outcome: AttemptOutcome) {
         let place = crate::code_tables::outcome_index(outcome);
         let registry = &self.registry;
@@ -242,17 +243,17 @@
         counter.increment(1);
     }
 
-    /// Adds to a counter of the node's own.
+    /// Adds to another counter.
     pub fn count(&mut self, name: &'static str, labels: Vec<Label>, more: u64) {
         self.registry.register_counter(&Key::from_parts(name, labels), &META).increment(more);
     }
 
-    /// Sets a gauge of the node's own.
+    /// Sets a gauge.
     pub fn gauge(&mut self, name: &'static str, value: f64) {
         self.registry.register_gauge(&Key::from_name(name), &META).set(value);
     }
 
-    /// The text.
+    /// Renders all series as OpenMetrics text.
     #[must_use]
     pub fn text(&self) -> String {
         self.registry.text()
--- a/crates/flight-recorder/src/recording.rs
+++ b/crates/flight-recorder/src/recording.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::bounded_text::BoundedName;
 use crate::event::PoolId;
+use crate::event_codec::read_name;
 use crate::event_ring::{Record, decode_records};
 use crate::loss_cause::LossCause;
 use crate::loss_ledger::LossLedger;
@@ -256,10 +256,7 @@
         ended_at: from.number()?,
         cause: from.some()?.map(|code| u8::try_from(code).map_or(LossCause::Other, LossCause::from_code)),
         truncated: from.byte()? != 0,
-        name: BoundedName {
-            prefix: from.text()?.into(),
-            hash: u64::from_le_bytes(from.take(8)?.try_into().ok()?),
-        },
+        name: read_name(&mut from)?,
         encoded_events: from.bytes()?.into(),
     })
 }
--- a/crates/flight-recorder/src/reservoir.rs
+++ b/crates/flight-recorder/src/reservoir.rs
@@ -1,9 +1,9 @@
-//! A weighted sample of whole stories in a stated memory, the newest favoured: of two with the same weight, one that is a
-//! [`DECAY`] older stays a third as often.
+//! A weighted sample of items in bounded memory that favours new ones: of two items with the same weight, one that is a
+//! [`DECAY`] older is kept a third as often.
 //!
 //! Each item draws a priority of `ln(weight) + time / DECAY + G` with `G` from the Gumbel distribution, and the highest
 //! stay: sampling without replacement by weight (Efraimidis and Spirakis, 2006, in logarithms) with forward decay
-//! (Cormode et al., 2009). Nothing of it has to be computed anew as time passes.
+//! (Cormode et al., 2009). Priorities need no update as time passes.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -12,7 +12,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Span after which an item is worth a third: whoever looks asks about the last minutes.
+/// Time after which the chance of an item falls to a third.
 pub const DECAY: Nanos = 300 * SECOND;
 
 #[derive(Debug)]
@@ -42,10 +42,10 @@
     }
 }
 
-/// The sample.
+/// A weighted sample of items.
 #[derive(Debug)]
 pub struct Reservoir<T> {
-    /// The least priority first.
+    /// Heap with the lowest priority on top.
     items: BinaryHeap<Reverse<Item<T>>>,
     most: usize,
     size: usize,
@@ -53,19 +53,19 @@
 }
 
 impl<T> Reservoir<T> {
-    /// Of at most so many bytes.
+    /// Creates a sample of at most `most` bytes.
     #[must_use]
     pub fn new(most: usize, seed: u64) -> Self {
         Self { items: BinaryHeap::new(), most, size: 0, rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    /// Draws the priority of an item of this weight, and tells whether it would stay: whoever asks makes the item only
-    /// then.
+    /// Draws the priority of an item with a weight; `None` if it would not be kept, so that callers need not make
+    /// it.
     pub fn draw(&mut self, weight: f64, at: Nanos, size: usize) -> Option<f64> {
         if !(weight > 0.0 && weight.is_finite()) || size > self.most {
             return None;
         }
-        // Never 0 nor 1, whose logarithms have no end.
+        // Never 0 or 1, whose logarithms are not finite.
         let uniform = ((self.rng.next_u64() >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
         let priority = weight.ln() + at as f64 / DECAY as f64 - (-uniform.ln()).ln();
         let full = self.size + size > self.most;
@@ -73,7 +73,7 @@
         stays.then_some(priority)
     }
 
-    /// Takes an item in, and lets those of the least priority go where there is no room for all.
+    /// Keeps an item, and drops those with the lowest priority while memory is exceeded.
     pub fn keep(&mut self, priority: f64, size: usize, item: T) {
         self.size += size;
         self.items.push(Reverse(Item { priority, size, item }));
@@ -84,12 +84,12 @@
         }
     }
 
-    /// The items, in no order.
+    /// Returns the items with their priorities, in no order.
     pub fn iter(&self) -> impl Iterator<Item = (f64, &T)> {
         self.items.iter().map(|Reverse(item)| (item.priority, &item.item))
     }
 
-    /// Bytes that the items take, as they were stated.
+    /// Returns the stated size of all items, in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         self.size
--- a/crates/flight-recorder/src/timestamp.rs
+++ b/crates/flight-recorder/src/timestamp.rs
@@ -1,11 +1,11 @@
-//! Moments as people write them.
+//! Timestamps and durations as text.
 
 use pumicehead_policy::{Nanos, SECOND};
 use thiserror::Error;
 
 const DAY: u64 = 86_400;
 
-/// A text that names no moment.
+/// A text is not a timestamp.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is no moment: seconds since the node's start (12.5), or a time of day in UTC (13:05:20)")]
 pub struct TimestampError(String);
@@ -36,7 +36,7 @@
             let of_day = nanos((hour * 3_600 + minute * 60) as f64 + second);
             let midnight = start / (DAY * SECOND) * (DAY * SECOND);
             let at = midnight.saturating_add(of_day);
-            // A start is told to the nanosecond, and a moment to the second it was in.
+            // The start has nanoseconds, a time of day only seconds.
             let earliest = start / SECOND * SECOND;
             Ok(if at < earliest { at.saturating_add(DAY * SECOND) } else { at })
         }
@@ -44,7 +44,7 @@
     }
 }
 
-/// A moment as seconds since the start and the time of day in UTC.
+/// Formats a timestamp as seconds since the start and the time of day in UTC.
 #[must_use]
 pub fn format_timestamp(at: Nanos, start: Nanos) -> String {
     let since = at.saturating_sub(start) as f64 / SECOND as f64;
@@ -52,7 +52,7 @@
     format!("{since:.3} s ({:02}:{:02}:{:02})", of_day / 3_600, of_day / 60 % 60, of_day % 60)
 }
 
-/// A span in the unit that suits it.
+/// Formats a duration in a suitable unit.
 #[must_use]
 pub fn format_duration(span: Nanos) -> String {
     match span {
--- a/crates/flight-recorder/src/wire_format.rs
+++ b/crates/flight-recorder/src/wire_format.rs
@@ -1,7 +1,7 @@
-//! The smallest parts of the binary form: numbers of seven bits a byte, the lowest first (LEB128), and texts with their
-//! length ahead. Reading never panics: what is not there is `None`.
+//! Primitive encodings: LEB128 integers, and byte strings prefixed with their length. Reading never panics: it returns `None`
+//! if the input is invalid.
 
-/// Appends a number.
+/// Appends an integer.
 pub fn put(out: &mut Vec<u8>, mut value: u64) {
     while value >= 0x80 {
         out.push(value as u8 | 0x80);
@@ -10,24 +10,24 @@
     out.push(value as u8);
 }
 
-/// Appends a number that may be missing.
+/// Appends an optional integer.
 pub fn put_some(out: &mut Vec<u8>, value: Option<u64>) {
-    // None is 0, and the rest one more; the very last number is not needed.
+    // `None` is 0, other values are stored plus one; `u64::MAX` is not needed.
     put(out, value.map_or(0, |value| value.saturating_add(1)));
 }
 
-/// Appends a fraction, to six digits or so.
+/// Appends a float.
 pub fn put_f32(out: &mut Vec<u8>, value: f32) {
     out.extend_from_slice(&value.to_le_bytes());
 }
 
-/// Appends some bytes with their length.
+/// Appends bytes with their length.
 pub fn put_bytes(out: &mut Vec<u8>, bytes: &[u8]) {
     put(out, bytes.len() as u64);
     out.extend_from_slice(bytes);
 }
 
-/// Reads what was appended.
+/// Reads from bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Reader<'a>(pub &'a [u8]);
 
@@ -38,25 +38,25 @@
         self.0.is_empty()
     }
 
-    /// So many bytes.
+    /// Reads `count` bytes.
     pub fn take(&mut self, count: usize) -> Option<&'a [u8]> {
         let (taken, rest) = self.0.split_at_checked(count)?;
         self.0 = rest;
         Some(taken)
     }
 
-    /// One byte.
+    /// Reads a byte.
     pub fn byte(&mut self) -> Option<u8> {
         self.take(1).map(|bytes| bytes[0])
     }
 
-    /// A number.
+    /// Reads an integer.
     pub fn number(&mut self) -> Option<u64> {
         let mut value = 0;
         for shift in (0..64).step_by(7) {
             let byte = self.byte()?;
             let bits = u64::from(byte & 0x7f);
-            // The tenth byte has room for one bit.
+            // Only one bit of the tenth byte fits.
             if shift == 63 && bits > 1 {
                 return None;
             }
@@ -68,28 +68,28 @@
         None
     }
 
-    /// A number that fits a smaller type.
+    /// Reads an integer into a smaller type.
     pub fn small<T: TryFrom<u64>>(&mut self) -> Option<T> {
         T::try_from(self.number()?).ok()
     }
 
-    /// A number that may be missing; the outer `None` is a fault.
+    /// Reads an optional integer; the outer `None` is an error.
     pub fn some(&mut self) -> Option<Option<u64>> {
         self.number().map(|value| value.checked_sub(1))
     }
 
-    /// A fraction.
+    /// Reads a float.
     pub fn f32(&mut self) -> Option<f32> {
         self.take(4).and_then(|bytes| bytes.try_into().ok()).map(f32::from_le_bytes)
     }
 
-    /// Bytes with their length.
+    /// Reads bytes with their length.
     pub fn bytes(&mut self) -> Option<&'a [u8]> {
         let length = self.small::<usize>()?;
         self.take(length)
     }
 
-    /// A text.
+    /// Reads a string.
     pub fn text(&mut self) -> Option<&'a str> {
         str::from_utf8(self.bytes()?).ok()
     }
--- a/crates/flight-recorder/tests/unit/metrics.rs
+++ b/crates/flight-recorder/tests/unit/metrics.rs
@@ -45,6 +45,6 @@
             0,
         );
     }
-    assert_eq!(meters.classes.len(), CLASSES + 1);
+    assert_eq!(meters.classes.len(), MAX_CLASSES + 1);
     assert!(meters.text().contains("{pool=\"other\",class=\"other\",how=\"served\"} 968"));
 }
