--- a/crates/flight-recorder/src/decision_codec.rs
+++ b/crates/flight-recorder/src/decision_codec.rs
@@ -6,12 +6,13 @@
 use crate::code_tables::{rejection_code, rejection_from_code};
 use crate::wire_format::{Reader, put, put_f32, put_some};
 
-pub(crate) fn encode_decision(note: &DecisionEvent, out: &mut Vec<u8>) {
+/// Appends the stored form.
+pub(crate) fn encode_decision(decision: &DecisionEvent, out: &mut Vec<u8>) {
     let mut start = |tag: u8, first: u32| {
         out.push(tag);
         put(out, u64::from(first));
     };
-    match *note {
+    match *decision {
         DecisionEvent::Classified { id, tier, priority_weight, objective_deadline } => {
             start(32, id.0);
             out.push(tier);
@@ -22,23 +23,15 @@
             start(33, id.0);
             put(out, u64::from(queued));
         }
-        DecisionEvent::EndpointSelected {
-            id,
-            endpoint,
-            score,
-            runner_up,
-            in_flight: used,
-            limit,
-            exclusions,
-        } => {
+        DecisionEvent::EndpointSelected { id, endpoint, score, runner_up, in_flight, limit, exclusions } => {
             start(34, id.0);
             put(out, u64::from(endpoint.0));
             put_f32(out, score);
-            put_some(out, runner_up.map(|(server, _)| u64::from(server.0)));
+            put_some(out, runner_up.map(|(endpoint, _)| u64::from(endpoint.0)));
             if let Some((_, score)) = runner_up {
                 put_f32(out, score);
             }
-            put(out, u64::from(used));
+            put(out, u64::from(in_flight));
             put_f32(out, limit);
             out.extend_from_slice(&exclusions.0);
         }
@@ -79,9 +72,10 @@
     }
 }
 
+/// Reads a decision whose tag and first number are read; `None` if it is invalid or its tag is unknown.
 pub(crate) fn decode_decision(tag: u8, first: u32, from: &mut Reader<'_>) -> Option<DecisionEvent> {
-    let (id, server) = (RequestId(first), EndpointId(first));
-    let hurdles =
+    let (id, endpoint) = (RequestId(first), EndpointId(first));
+    let read_exclusions =
         |from: &mut Reader<'_>| from.take(5).and_then(|counts| counts.try_into().ok()).map(ExclusionReasons);
     Some(match tag {
         32 => DecisionEvent::Classified {
@@ -92,30 +86,30 @@
         },
         33 => DecisionEvent::Queued { id, queued: from.small()? },
         34 => {
-            let (server, score) = (EndpointId(from.small()?), from.f32()?);
-            let next = match from.some()? {
-                Some(next) => Some((EndpointId(u32::try_from(next).ok()?), from.f32()?)),
+            let (endpoint, score) = (EndpointId(from.small()?), from.f32()?);
+            let runner_up = match from.some()? {
+                Some(id) => Some((EndpointId(u32::try_from(id).ok()?), from.f32()?)),
                 None => None,
             };
-            let (out, limit) = (from.small()?, from.f32()?);
+            let (in_flight, limit) = (from.small()?, from.f32()?);
             DecisionEvent::EndpointSelected {
                 id,
-                endpoint: server,
+                endpoint,
                 score,
-                runner_up: next,
-                in_flight: out,
+                runner_up,
+                in_flight,
                 limit,
-                exclusions: hurdles(from)?,
+                exclusions: read_exclusions(from)?,
             }
         }
-        35 => DecisionEvent::NoEndpointAvailable { id, exclusions: hurdles(from)? },
+        35 => DecisionEvent::NoEndpointAvailable { id, exclusions: read_exclusions(from)? },
         36 => DecisionEvent::AnsweredWithoutEndpoint {
             id,
             reason: rejection_from_code(from.byte()?)?,
             pressure: from.f32()?,
         },
         37 => DecisionEvent::LimitChanged {
-            endpoint: server,
+            endpoint,
             from: from.f32()?,
             to: from.f32()?,
             reason: if from.byte()? == 0 {
@@ -125,8 +119,8 @@
             },
         },
         38 => DecisionEvent::AllLimitsChanged { factor: from.f32()?, utilization: from.f32()? },
-        39 => DecisionEvent::Ejected { endpoint: server, duration: from.number()? },
-        40 => DecisionEvent::Reinstated { endpoint: server },
+        39 => DecisionEvent::Ejected { endpoint, duration: from.number()? },
+        40 => DecisionEvent::Reinstated { endpoint },
         41 => DecisionEvent::OutlierRatio {
             outliers: first,
             total: from.small()?,
--- a/crates/flight-recorder/src/timeline_text.rs
+++ b/crates/flight-recorder/src/timeline_text.rs
@@ -5,17 +5,22 @@
 use pumicehead_policy::decision_event::{
     DecisionEvent, ExclusionReason, ExclusionReasons, NoRetryReason, RejectionReason,
 };
-use pumicehead_policy::{AttemptOutcome, Nanos};
+use pumicehead_policy::{AttemptOutcome, EndpointId, Nanos};
 
 use crate::event::{Event, RequestOutcome};
 use crate::event_ring::decode_records;
 use crate::loss_cause::outcome_text;
 use crate::recording::RecordingHeader;
 use crate::request_timeline::RequestTimeline;
-use crate::timestamp;
+use crate::timestamp::{format_duration, format_timestamp};
 
-fn hurdle(hurdle: ExclusionReason) -> &'static str {
-    match hurdle {
+/// Shortest time for a connection or an upload that is mentioned, in nanoseconds.
+const MIN_SHOWN: Nanos = 1_000_000;
+/// Names of tiers, the highest first.
+const TIER_NAMES: [&str; 4] = ["highest", "high", "medium", "low"];
+
+fn exclusion_text(reason: ExclusionReason) -> &'static str {
+    match reason {
         ExclusionReason::AtLimit => "had no place left",
         ExclusionReason::Outlier => "was out of order",
         ExclusionReason::OnProbation => "was on trial after failures",
@@ -24,14 +29,15 @@
     }
 }
 
-fn passed_over(hurdles: &ExclusionReasons) -> String {
-    let counted = ExclusionReason::ALL.into_iter().zip(hurdles.0).filter(|&(_, count)| count > 0);
-    let parts: Vec<_> = counted.map(|(why, count)| format!("{count} {}", hurdle(why))).collect();
+fn exclusions_text(exclusions: &ExclusionReasons) -> String {
+    let counted = ExclusionReason::ALL.into_iter().zip(exclusions.0).filter(|&(_, count)| count > 0);
+    let parts: Vec<_> =
+        counted.map(|(reason, count)| format!("{count} {}", exclusion_text(reason))).collect();
     parts.join(", ")
 }
 
-fn stop(stop: NoRetryReason) -> &'static str {
-    match stop {
+fn no_retry_text(reason: NoRetryReason) -> &'static str {
+    match reason {
         NoRetryReason::AttemptsExhausted => "it had made all the attempts that it may",
         NoRetryReason::NotIdempotent => "it may have run and must not take effect twice",
         NoRetryReason::NoTimeLeft => "there was no time left",
@@ -41,19 +47,21 @@
 
 /// Returns the words for a rejection.
 #[must_use]
-pub fn rule(rule: RejectionReason) -> String {
-    match rule {
+pub fn rejection_text(rejection: RejectionReason) -> String {
+    match rejection {
         RejectionReason::QueueTooLong => {
             "the wait in its tier's queue would have taken too large a share of its time".into()
         }
         RejectionReason::QueueTimeout => "it was held until nearly no time was left for its aim".into(),
         RejectionReason::KeyOrderTimeout => "the turn of its key did not come".into(),
-        RejectionReason::NoRetry(why) => format!("there was no further attempt: {}", stop(why)),
+        RejectionReason::NoRetry(reason) => {
+            format!("there was no further attempt: {}", no_retry_text(reason))
+        }
     }
 }
 
-fn ending(how: RequestOutcome) -> &'static str {
-    match how {
+fn ending(outcome: RequestOutcome) -> &'static str {
+    match outcome {
         RequestOutcome::Served => "The client got the server's answer.",
         RequestOutcome::ServedError => "The client got the server's answer, which speaks of a fault.",
         RequestOutcome::Rejected => "The client was told to come back later; nothing had happened.",
@@ -67,105 +75,34 @@
 }
 
 /// Returns the sentence of an event; `None` for events without one.
-fn sentence(head: &RecordingHeader, story: &RequestTimeline, event: &Event) -> Option<String> {
-    let server = |id: u32| head.endpoint_name(story.pool, id);
+fn sentence(header: &RecordingHeader, timeline: &RequestTimeline, event: &Event) -> Option<String> {
+    let endpoint_name = |id: EndpointId| header.endpoint_name(timeline.pool, id.0);
     Some(match event {
-        Event::RequestAdmitted { class, tenant, client_timeout, upload_time, revision, .. } => {
-            let mut text = format!(
-                "It came as `{}` to {}, and its client waits {}.",
-                head.class_name(story.pool, *class),
-                head.pool_name(story.pool),
-                timestamp::format_duration(*client_timeout)
-            );
-            if *upload_time > 1_000_000 {
-                let _ = write!(
-                    text,
-                    " It took its client {} to send it.",
-                    timestamp::format_duration(*upload_time)
-                );
-            }
-            if let Some(tenant) = tenant {
-                let _ = write!(text, " Tenant: {}.", head.tenant_name(story.pool, *tenant));
-            }
-            if let Some(revision) = revision {
-                let _ = write!(text, " Admitted under revision {revision} of the configuration.");
-            }
-            text
-        }
-        Event::Decision(DecisionEvent::Classified { tier, priority_weight, .. }) => {
-            let tier = ["highest", "high", "medium", "low"].get(usize::from(*tier)).unwrap_or(&"unknown");
-            format!("Ranked in the {tier} tier, worth {priority_weight}.")
-        }
-        Event::Decision(DecisionEvent::Queued { queued, .. }) => {
-            format!("No place for it yet; {queued} wait, it among them.")
-        }
-        Event::Decision(DecisionEvent::EndpointSelected {
-            endpoint: id,
-            score,
-            runner_up,
-            in_flight,
-            limit,
-            exclusions,
-            ..
-        }) => {
-            let mut text = format!(
-                "Picked {} (score {score:.2}, {in_flight} of {limit:.1} places taken).",
-                server(id.0)
-            );
-            if let Some((id, score)) = runner_up {
-                let _ = write!(text, " Next was {} with {score:.2}.", server(id.0));
-            }
-            let over = passed_over(exclusions);
-            if !over.is_empty() {
-                let _ = write!(text, " Passed over: {over}.");
-            }
-            text
-        }
-        Event::Decision(DecisionEvent::NoEndpointAvailable { exclusions, .. }) => {
-            match passed_over(exclusions) {
-                over if over.is_empty() => "All places of the node were taken.".into(),
-                over => format!("No server would do: {over}."),
-            }
-        }
-        Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { reason: why, pressure, .. }) => {
-            let mut text = format!("Given up: {}.", rule(*why));
-            if *pressure > 0.0 {
-                let _ = write!(text, " The wait was {:.0}% of the time left.", pressure * 100.0);
-            }
-            text
-        }
-        Event::AttemptStarted { attempt, endpoint: id, timeout, .. } => {
+        Event::RequestAdmitted { .. } => admission_sentence(header, timeline, event)?,
+        Event::Decision(decision) => decision_sentence(header, timeline, decision)?,
+        Event::AttemptStarted { attempt, endpoint, timeout, .. } => {
             let timeout = timeout
-                .map_or(String::new(), |span| format!(", for {} at most", timestamp::format_duration(span)));
-            format!("Attempt {} to {}{timeout}.", attempt.0 + 1, server(id.0))
+                .map_or(String::new(), |timeout| format!(", for {} at most", format_duration(timeout)));
+            format!("Attempt {} to {}{timeout}.", attempt.0 + 1, endpoint_name(*endpoint))
         }
         Event::AttemptEnded {
-            attempt,
-            endpoint: id,
-            outcome,
-            duration,
-            connect_time,
-            connection_idle,
-            ..
+            attempt, endpoint, outcome, duration, connect_time, connection_idle, ..
         } => {
-            let dial = if *connect_time > 1_000_000 {
-                format!(", {} of it for a connection", timestamp::format_duration(*connect_time))
+            let connect = if *connect_time > MIN_SHOWN {
+                format!(", {} of it for a connection", format_duration(*connect_time))
             } else {
                 String::new()
             };
-            let kept = match connection_idle {
-                Some(idle) => {
-                    format!(", on a connection that had been idle for {}", timestamp::format_duration(*idle))
-                }
-                None => String::new(),
-            };
-            let how =
+            let idle = connection_idle.map_or(String::new(), |idle| {
+                format!(", on a connection that had been idle for {}", format_duration(idle))
+            });
+            let outcome =
                 if *outcome == AttemptOutcome::NotSent { "was never sent" } else { outcome_text(*outcome) };
             format!(
-                "Attempt {} at {}: {how} after {}{dial}{kept}.",
+                "Attempt {} at {}: {outcome} after {}{connect}{idle}.",
                 attempt.0 + 1,
-                server(id.0),
-                timestamp::format_duration(*duration)
+                endpoint_name(*endpoint),
+                format_duration(*duration)
             )
         }
         Event::ResponseStarted { attempt, .. } => {
@@ -176,30 +113,93 @@
     })
 }
 
+fn admission_sentence(header: &RecordingHeader, timeline: &RequestTimeline, event: &Event) -> Option<String> {
+    let Event::RequestAdmitted { class, tenant, client_timeout, upload_time, revision, .. } = event else {
+        return None;
+    };
+    let mut text = format!(
+        "It came as `{}` to {}, and its client waits {}.",
+        header.class_name(timeline.pool, *class),
+        header.pool_name(timeline.pool),
+        format_duration(*client_timeout)
+    );
+    if *upload_time > MIN_SHOWN {
+        let _ = write!(text, " It took its client {} to send it.", format_duration(*upload_time));
+    }
+    if let Some(tenant) = tenant {
+        let _ = write!(text, " Tenant: {}.", header.tenant_name(timeline.pool, *tenant));
+    }
+    if let Some(revision) = revision {
+        let _ = write!(text, " Admitted under revision {revision} of the configuration.");
+    }
+    Some(text)
+}
+
+fn decision_sentence(
+    header: &RecordingHeader,
+    timeline: &RequestTimeline,
+    decision: &DecisionEvent,
+) -> Option<String> {
+    Some(match decision {
+        DecisionEvent::Classified { tier, priority_weight, .. } => {
+            let tier = TIER_NAMES.get(usize::from(*tier)).unwrap_or(&"unknown");
+            format!("Ranked in the {tier} tier, worth {priority_weight}.")
+        }
+        DecisionEvent::Queued { queued, .. } => {
+            format!("No place for it yet; {queued} wait, it among them.")
+        }
+        DecisionEvent::EndpointSelected {
+            endpoint, score, runner_up, in_flight, limit, exclusions, ..
+        } => {
+            let name = header.endpoint_name(timeline.pool, endpoint.0);
+            let mut text =
+                format!("Picked {name} (score {score:.2}, {in_flight} of {limit:.1} places taken).");
+            if let Some((id, score)) = runner_up {
+                let _ =
+                    write!(text, " Next was {} with {score:.2}.", header.endpoint_name(timeline.pool, id.0));
+            }
+            let excluded = exclusions_text(exclusions);
+            if !excluded.is_empty() {
+                let _ = write!(text, " Passed over: {excluded}.");
+            }
+            text
+        }
+        DecisionEvent::NoEndpointAvailable { exclusions, .. } => match exclusions_text(exclusions) {
+            excluded if excluded.is_empty() => "All places of the node were taken.".into(),
+            excluded => format!("No server would do: {excluded}."),
+        },
+        DecisionEvent::AnsweredWithoutEndpoint { reason, pressure, .. } => {
+            let mut text = format!("Given up: {}.", rejection_text(*reason));
+            if *pressure > 0.0 {
+                let _ = write!(text, " The wait was {:.0}% of the time left.", pressure * 100.0);
+            }
+            text
+        }
+        _ => return None,
+    })
+}
+
 /// Renders a timeline, one line per event, each with the time since admission.
 #[must_use]
-pub fn render(head: &RecordingHeader, story: &RequestTimeline) -> String {
-    let (events, whole) = decode_records(&story.encoded_events);
-    let begin = events.first().map_or(story.ended_at, |record| record.at);
-    let mut out = format!(
-        "request {}, from {}\n",
-        story.name.display(),
-        timestamp::format_timestamp(begin, head.start)
-    );
-    let mut over = false;
+pub fn render(header: &RecordingHeader, timeline: &RequestTimeline) -> String {
+    let (events, whole) = decode_records(&timeline.encoded_events);
+    let begin = events.first().map_or(timeline.ended_at, |record| record.at);
+    let mut out =
+        format!("request {}, from {}\n", timeline.name.display(), format_timestamp(begin, header.start));
+    let mut ended = false;
     for record in &events {
-        if let Some(sentence) = sentence(head, story, &record.event) {
+        if let Some(sentence) = sentence(header, timeline, &record.event) {
             let since: Nanos = record.at.saturating_sub(begin);
-            let _ = writeln!(out, "  +{:>10}  {sentence}", timestamp::format_duration(since));
+            let _ = writeln!(out, "  +{:>10}  {sentence}", format_duration(since));
         }
-        over |= matches!(record.event, Event::RequestEnded { .. });
+        ended |= matches!(record.event, Event::RequestEnded { .. });
     }
-    if story.truncated || !whole {
+    if timeline.truncated || !whole {
         out += "  (some of its events did not fit and are left out)\n";
     }
-    match story.cause {
+    match timeline.cause {
         Some(cause) => out += &format!("  Lost worth: {cause}.\n"),
-        None if over => out += "  It earned all of its worth.\n",
+        None if ended => out += "  It earned all of its worth.\n",
         None => out += "  It was still open when this was written.\n",
     }
     out
