--- a/crates/flight-recorder/src/breakdown.rs
+++ b/crates/flight-recorder/src/breakdown.rs
@@ -65,8 +65,8 @@
 impl Breakdown {
     /// Sums up a recording; the range is widened to the ledger's slots. `None` without a ledger.
     #[must_use]
-    pub fn of_recording(dump: &Recording, from: Nanos, to: Nanos) -> Option<Self> {
-        dump.ledger.as_ref().map(|accounts| Self::of_ledger(&dump.head, accounts, from, to))
+    pub fn of_recording(recording: &Recording, from: Nanos, to: Nanos) -> Option<Self> {
+        recording.ledger.as_ref().map(|accounts| Self::of_ledger(&recording.head, accounts, from, to))
     }
 
     /// Sums up a ledger.
--- a/crates/flight-recorder/src/decision_codec.rs
+++ b/crates/flight-recorder/src/decision_codec.rs
@@ -6,25 +6,26 @@
 use crate::code_tables::{rejection_code, rejection_from_code};
 use crate::wire_format::{Reader, put, put_f32, put_some};
 
+fn start(out: &mut Vec<u8>, tag: u8, first: u32) {
+    out.push(tag);
+    put(out, u64::from(first));
+}
+
 /// Appends the stored form.
 pub(crate) fn encode_decision(decision: &DecisionEvent, out: &mut Vec<u8>) {
-    let mut start = |tag: u8, first: u32| {
-        out.push(tag);
-        put(out, u64::from(first));
-    };
     match *decision {
         DecisionEvent::Classified { id, tier, priority_weight, objective_deadline } => {
-            start(32, id.0);
+            start(out, 32, id.0);
             out.push(tier);
             put_f32(out, priority_weight);
             put(out, objective_deadline);
         }
         DecisionEvent::Queued { id, queued } => {
-            start(33, id.0);
+            start(out, 33, id.0);
             put(out, u64::from(queued));
         }
         DecisionEvent::EndpointSelected { id, endpoint, score, runner_up, in_flight, limit, exclusions } => {
-            start(34, id.0);
+            start(out, 34, id.0);
             put(out, u64::from(endpoint.0));
             put_f32(out, score);
             put_some(out, runner_up.map(|(endpoint, _)| u64::from(endpoint.0)));
@@ -36,39 +37,47 @@
             out.extend_from_slice(&exclusions.0);
         }
         DecisionEvent::NoEndpointAvailable { id, exclusions } => {
-            start(35, id.0);
+            start(out, 35, id.0);
             out.extend_from_slice(&exclusions.0);
         }
         DecisionEvent::AnsweredWithoutEndpoint { id, reason, pressure } => {
-            start(36, id.0);
+            start(out, 36, id.0);
             out.push(rejection_code(reason));
             put_f32(out, pressure);
         }
+        _ => encode_pool_decision(decision, out),
+    }
+}
+
+/// Appends a decision about endpoints or the whole pool.
+fn encode_pool_decision(decision: &DecisionEvent, out: &mut Vec<u8>) {
+    match *decision {
         DecisionEvent::LimitChanged { endpoint, from, to, reason } => {
-            start(37, endpoint.0);
+            start(out, 37, endpoint.0);
             put_f32(out, from);
             put_f32(out, to);
             out.push(u8::from(reason == LimitChangeReason::Failure));
         }
         DecisionEvent::AllLimitsChanged { factor, utilization } => {
-            start(38, 0);
+            start(out, 38, 0);
             put_f32(out, factor);
             put_f32(out, utilization);
         }
         DecisionEvent::Ejected { endpoint, duration } => {
-            start(39, endpoint.0);
+            start(out, 39, endpoint.0);
             put(out, duration);
         }
-        DecisionEvent::Reinstated { endpoint } => start(40, endpoint.0),
+        DecisionEvent::Reinstated { endpoint } => start(out, 40, endpoint.0),
         DecisionEvent::OutlierRatio { outliers, total, panic_mode } => {
-            start(41, outliers);
+            start(out, 41, outliers);
             put(out, u64::from(total));
             out.push(u8::from(panic_mode));
         }
-        DecisionEvent::OverloadStarted { queued } => start(42, queued),
-        DecisionEvent::OverloadEnded => start(43, 0),
-        DecisionEvent::WatchLost => start(44, 0),
-        DecisionEvent::WatchRestored => start(45, 0),
+        DecisionEvent::OverloadStarted { queued } => start(out, 42, queued),
+        DecisionEvent::OverloadEnded => start(out, 43, 0),
+        DecisionEvent::WatchLost => start(out, 44, 0),
+        DecisionEvent::WatchRestored => start(out, 45, 0),
+        _ => {}
     }
 }
 
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -30,18 +30,18 @@
     attempts: Vec<Attempt>,
 }
 
-fn request_span(dump: &Recording, story: &RequestTimeline) -> RequestSpan {
-    let (events, _) = decode_records(&story.encoded_events);
-    let from = events.first().map_or(story.ended_at, |record| record.at);
-    let mut to = story.ended_at.max(from);
+fn request_span(recording: &Recording, timeline: &RequestTimeline) -> RequestSpan {
+    let (events, _) = decode_records(&timeline.encoded_events);
+    let from = events.first().map_or(timeline.ended_at, |record| record.at);
+    let mut to = timeline.ended_at.max(from);
     let (mut how, mut attempts) = (None, Vec::<Attempt>::new());
     for record in &events {
         match &record.event {
             Event::AttemptStarted { attempt, endpoint, .. } => attempts.push(Attempt {
                 number: attempt.0,
-                server: dump.head.endpoint_name(story.pool, endpoint.0),
+                server: recording.head.endpoint_name(timeline.pool, endpoint.0),
                 from: record.at,
-                to: story.ended_at.max(record.at),
+                to: timeline.ended_at.max(record.at),
                 outcome: None,
             }),
             Event::AttemptEnded { attempt, outcome, .. } => {
@@ -60,9 +60,9 @@
 }
 
 /// Returns a span id; the same recording always gives the same ids.
-fn id(story: &RequestTimeline, from: Nanos, part: u64) -> u64 {
+fn id(timeline: &RequestTimeline, from: Nanos, part: u64) -> u64 {
     pumicehead_policy::hash_ring::mix(
-        story.name.hash ^ from.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        timeline.name.hash ^ from.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15),
     )
     .max(1)
 }
@@ -73,24 +73,24 @@
 
 /// Renders timelines as OTLP/JSON, one line per request.
 #[must_use]
-pub fn otlp(dump: &Recording) -> String {
+pub fn otlp(recording: &Recording) -> String {
     let mut out = String::new();
     let resource = json!({ "attributes": [
         attribute("service.name", "pumicehead"),
-        attribute("service.instance.id", &escape(&dump.head.node)),
-        attribute("service.version", &escape(&dump.head.program)),
+        attribute("service.instance.id", &escape(&recording.head.node)),
+        attribute("service.version", &escape(&recording.head.program)),
     ] });
-    for story in &dump.timelines {
-        let one = request_span(dump, story);
-        let trace = format!("{:016x}{:016x}", story.name.hash, id(story, one.from, u64::MAX));
-        let root = format!("{:016x}", id(story, one.from, 0));
+    for timeline in &recording.timelines {
+        let one = request_span(recording, timeline);
+        let trace = format!("{:016x}{:016x}", timeline.name.hash, id(timeline, one.from, u64::MAX));
+        let root = format!("{:016x}", id(timeline, one.from, 0));
         let failed = !matches!(one.how, Some(RequestOutcome::Served) | None);
         let mut attributes = vec![
-            attribute("pumicehead.request", &story.name.display()),
-            attribute("pumicehead.pool", &escape(dump.head.pool_name(story.pool))),
-            attribute("pumicehead.class", &escape(dump.head.class_name(story.pool, story.class))),
+            attribute("pumicehead.request", &timeline.name.display()),
+            attribute("pumicehead.pool", &escape(recording.head.pool_name(timeline.pool))),
+            attribute("pumicehead.class", &escape(recording.head.class_name(timeline.pool, timeline.class))),
         ];
-        attributes.extend(story.cause.map(|cause| attribute("pumicehead.lost", &cause.to_string())));
+        attributes.extend(timeline.cause.map(|cause| attribute("pumicehead.lost", &cause.to_string())));
         let notes: Vec<_> = one
             .events
             .iter()
@@ -110,7 +110,7 @@
         for attempt in &one.attempts {
             let bad = attempt.outcome.is_some_and(|outcome| outcome != AttemptOutcome::Success);
             spans.push(json!({
-                "traceId": trace, "spanId": format!("{:016x}", id(story, one.from, u64::from(attempt.number) + 1)),
+                "traceId": trace, "spanId": format!("{:016x}", id(timeline, one.from, u64::from(attempt.number) + 1)),
                 "parentSpanId": root, "name": "attempt", "kind": 3,
                 "startTimeUnixNano": attempt.from.to_string(), "endTimeUnixNano": attempt.to.to_string(),
                 "attributes": [
@@ -132,14 +132,14 @@
 
 /// Renders timelines as Chrome trace events, one row per request with its attempts.
 #[must_use]
-pub fn chrome(dump: &Recording) -> String {
-    let micros = |at: Nanos| at.saturating_sub(dump.head.start) as f64 / 1e3;
+pub fn chrome(recording: &Recording) -> String {
+    let micros = |at: Nanos| at.saturating_sub(recording.head.start) as f64 / 1e3;
     let mut events = vec![json!({
         "ph": "M", "name": "process_name", "pid": 1, "tid": 0,
-        "args": { "name": format!("pumicehead {}", escape(&dump.head.node)) },
+        "args": { "name": format!("pumicehead {}", escape(&recording.head.node)) },
     })];
-    for (row, story) in dump.timelines.iter().enumerate() {
-        let one = request_span(dump, story);
+    for (row, timeline) in recording.timelines.iter().enumerate() {
+        let one = request_span(recording, timeline);
         let tid = row + 1;
         let span = |name: &str, from: Nanos, to: Nanos, args: Value| {
             json!({
@@ -148,12 +148,12 @@
             })
         };
         events.push(span(
-            dump.head.class_name(story.pool, story.class),
+            recording.head.class_name(timeline.pool, timeline.class),
             one.from,
             one.to,
             json!({
-                "request": story.name.display(),
-                "lost": story.cause.map(|cause| cause.to_string()),
+                "request": timeline.name.display(),
+                "lost": timeline.cause.map(|cause| cause.to_string()),
             }),
         ));
         for attempt in &one.attempts {
--- a/crates/flight-recorder/src/recording.rs
+++ b/crates/flight-recorder/src/recording.rs
@@ -218,8 +218,8 @@
 /// Encodes a recording. Pages come newest first, so that a damaged tail costs the oldest events.
 pub fn write<'a>(
     head: &RecordingHeader,
-    accounts: &LossLedger,
-    stories: impl Iterator<Item = &'a RequestTimeline>,
+    ledger: &LossLedger,
+    timelines: impl Iterator<Item = &'a RequestTimeline>,
     pages: impl Iterator<Item = &'a [u8]>,
 ) -> Vec<u8> {
     let mut out = MAGIC.to_vec();
@@ -227,18 +227,18 @@
     // Strings and finite numbers always serialize.
     frame(&mut out, HEAD, &serde_json::to_vec(head).unwrap_or_default());
     let mut contents = Vec::new();
-    accounts.write(&mut contents);
+    ledger.write(&mut contents);
     frame(&mut out, SUMS, &contents);
-    for story in stories {
+    for timeline in timelines {
         contents.clear();
-        put(&mut contents, u64::from(story.pool.0));
-        put(&mut contents, u64::from(story.class));
-        put(&mut contents, story.ended_at);
-        put_some(&mut contents, story.cause.map(|cause| u64::from(cause.code())));
-        contents.push(u8::from(story.truncated));
-        put_bytes(&mut contents, story.name.prefix.as_bytes());
-        contents.extend_from_slice(&story.name.hash.to_le_bytes());
-        put_bytes(&mut contents, &story.encoded_events);
+        put(&mut contents, u64::from(timeline.pool.0));
+        put(&mut contents, u64::from(timeline.class));
+        put(&mut contents, timeline.ended_at);
+        put_some(&mut contents, timeline.cause.map(|cause| u64::from(cause.code())));
+        contents.push(u8::from(timeline.truncated));
+        put_bytes(&mut contents, timeline.name.prefix.as_bytes());
+        contents.extend_from_slice(&timeline.name.hash.to_le_bytes());
+        put_bytes(&mut contents, &timeline.encoded_events);
         frame(&mut out, STORY, &contents);
     }
     for page in pages {
@@ -248,7 +248,7 @@
     out
 }
 
-fn story(contents: &[u8]) -> Option<RequestTimeline> {
+fn timeline(contents: &[u8]) -> Option<RequestTimeline> {
     let mut from = Reader(contents);
     Some(RequestTimeline {
         pool: PoolId(from.small()?),
@@ -289,30 +289,32 @@
         }
         let Some((HEAD, head)) = next(&mut from) else { return Err(RecordingError::Head) };
         let head = serde_json::from_slice(head).map_err(|_| RecordingError::Head)?;
-        let mut dump = Self { head, ledger: None, timelines: Vec::new(), records: Vec::new(), damage: None };
+        let mut recording =
+            Self { head, ledger: None, timelines: Vec::new(), records: Vec::new(), damage: None };
         loop {
             let at = bytes.len() - from.0.len();
             match next(&mut from) {
                 Some((END, _)) => break,
-                Some((SUMS, contents)) => dump.ledger = LossLedger::read(&mut Reader(contents)),
-                Some((STORY, contents)) => dump.timelines.extend(story(contents)),
-                Some((PAGE, contents)) => dump.records.extend(decode_records(contents).0),
+                Some((SUMS, contents)) => recording.ledger = LossLedger::read(&mut Reader(contents)),
+                Some((STORY, contents)) => recording.timelines.extend(timeline(contents)),
+                Some((PAGE, contents)) => recording.records.extend(decode_records(contents).0),
                 Some(_) => {}
                 None => {
-                    dump.damage = Some(Damage { at, of: bytes.len() });
+                    recording.damage = Some(Damage { at, of: bytes.len() });
                     break;
                 }
             }
         }
-        dump.records.sort_by_key(|record| record.at);
-        Ok(dump)
+        recording.records.sort_by_key(|record| record.at);
+        Ok(recording)
     }
 
     /// Returns the timelines of the requests with an id that a client gave, the newest first.
     #[must_use]
     pub fn timelines_of(&self, name: &str) -> Vec<&RequestTimeline> {
-        let mut found: Vec<_> = self.timelines.iter().filter(|story| story.name.matches(name)).collect();
-        found.sort_by_key(|story| std::cmp::Reverse(story.ended_at));
+        let mut found: Vec<_> =
+            self.timelines.iter().filter(|timeline| timeline.name.matches(name)).collect();
+        found.sort_by_key(|timeline| std::cmp::Reverse(timeline.ended_at));
         found
     }
 }
--- a/crates/flight-recorder/tests/bounds.rs
+++ b/crates/flight-recorder/tests/bounds.rs
@@ -25,7 +25,7 @@
 
     /// The ring is never over its memory, and what it holds is the newest run of events, whole.
     #[test]
-    fn a_ring_keeps_the_newest(memory in 0usize..100_000, steps in proptest::collection::vec(0u64..3_000_000, 0..5_000)) {
+    fn ring_keeps_the_newest_events(memory in 0usize..100_000, steps in proptest::collection::vec(0u64..3_000_000, 0..5_000)) {
         let mut ring = EventRing::new(memory);
         let (mut at, mut all) = (START, Vec::new());
         for step in steps {
@@ -41,7 +41,7 @@
 
     /// Sums stay exact however the table has to give way.
     #[test]
-    fn tables_lose_nothing(most in 2usize..40, rows in proptest::collection::vec((0u64..10_000, 0u16..20, 0u64..1_000_000), 1..400)) {
+    fn merging_slots_keeps_the_sum(most in 2usize..40, rows in proptest::collection::vec((0u64..10_000, 0u16..20, 0u64..1_000_000), 1..400)) {
         let mut table: SlotTable<LossKey, LossTotals> = SlotTable::new(START, most);
         let mut sum = LossTotals::default();
         for (second, class, lost) in rows {
@@ -58,7 +58,7 @@
 
     /// On any day the views of a breakdown, and the spans that it is cut into, add up to the worth lost.
     #[test]
-    fn a_breakdown_adds_up(
+    fn views_of_a_breakdown_add_up_to_the_loss(
         memory in MIN_MEMORY..2 * MIN_MEMORY,
         steps in proptest::collection::vec((0u16..3, 0u32..9, 0usize..8, 0u64..700, 0u64..4_000), 1..300),
         cut in 0u64..1_000,
@@ -66,11 +66,11 @@
         let mut day = Day::new(memory);
         for (class, server, kind, took, pause) in steps {
             match kind {
-                0..=3 => day.one(class, server, AttemptOutcome::Success, took * MS),
-                4 => day.one(class, server, AttemptOutcome::Reset, took * MS),
-                5 => day.one(class, server, AttemptOutcome::TimedOut, took * MS),
-                6 => day.refused(class, RejectionReason::QueueTooLong),
-                _ => day.refused(class, RejectionReason::QueueTimeout),
+                0..=3 => day.request(class, server, AttemptOutcome::Success, took * MS),
+                4 => day.request(class, server, AttemptOutcome::Reset, took * MS),
+                5 => day.request(class, server, AttemptOutcome::TimedOut, took * MS),
+                6 => day.rejected_request(class, RejectionReason::QueueTooLong),
+                _ => day.rejected_request(class, RejectionReason::QueueTimeout),
             }
             day.now += pause * MS;
             prop_assert!(day.recorder.memory_used() <= day.recorder.memory_limit());
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_reservoir_keeps_by_weight_and_never_more_than_it_may() {
+fn reservoir_samples_by_weight_within_its_memory() {
     let (mut heavy, mut light) = (0, 0);
     for seed in 0..400 {
         let mut reservoir = Reservoir::new(1_000, seed);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_reservoir_favours_the_new() {
+fn reservoir_favours_new_items() {
     let (mut old, mut new) = (0, 0);
     for seed in 0..200 {
         let mut reservoir = Reservoir::new(1_000, seed);
@@ -139,12 +139,12 @@
 
 /// Ten thousand events a second for an hour, with ids and servers that are ever new: in the memory it was given.
 #[test]
-fn an_hour_at_full_speed_stays_in_its_memory() {
+fn an_hour_at_full_speed_stays_within_memory() {
     let mut day = Day::new(1 << 20);
     // Six events a request.
     for n in 0..6_000_000u32 {
         let outcome = if n % 50 == 0 { AttemptOutcome::Reset } else { AttemptOutcome::Success };
-        day.one((n % 2) as u16, n % 5_000, outcome, 600_000);
+        day.request((n % 2) as u16, n % 5_000, outcome, 600_000);
         if n % 100_000 == 0 {
             assert!(day.recorder.memory_used() <= 1 << 20, "{}", day.recorder.memory_used());
         }
@@ -164,15 +164,15 @@
 
 /// A long request outlives the ring: its story is told from its first event on.
 #[test]
-fn the_ring_wraps_in_the_middle_of_a_request() {
+fn a_timeline_outlives_the_ring() {
     let mut day = Day::new(MIN_MEMORY);
-    let id = day.ask(1, "the long one");
-    day.send(id, 0, 3);
+    let id = day.admit(1, "the long one");
+    day.start_attempt(id, 0, 3);
     for _ in 0..20_000 {
-        day.one(0, 1, AttemptOutcome::Success, MS);
+        day.request(0, 1, AttemptOutcome::Success, MS);
     }
-    day.end(id, 0, 3, AttemptOutcome::TimedOut, 20 * SECOND);
-    day.over(id, RequestOutcome::DeadlineExceeded);
+    day.end_attempt(id, 0, 3, AttemptOutcome::TimedOut, 20 * SECOND);
+    day.end_request(id, RequestOutcome::DeadlineExceeded);
     let dump = Recording::read(&day.recorder.recording(day.now, "test")).unwrap();
     assert!(dump.head.overwritten_events > 0);
     let story = dump.timelines_of("the long one")[0];
@@ -185,20 +185,20 @@
 
 /// A request that is tried for ever, or waits through a thousand looks, takes no more than a story may.
 #[test]
-fn one_request_with_events_without_end() {
+fn a_timeline_is_truncated_at_its_limit() {
     let mut day = Day::new(MIN_MEMORY);
-    let id = day.ask(0, &"\u{1b}[2J\"".repeat(16 << 10));
+    let id = day.admit(0, &"\u{1b}[2J\"".repeat(16 << 10));
     for n in 0..100_000u32 {
-        day.tell(Event::Decision(DecisionEvent::NoEndpointAvailable {
+        day.record(Event::Decision(DecisionEvent::NoEndpointAvailable {
             id,
             exclusions: ExclusionReasons([(n % 7) as u8, 0, 0, 0, 0]),
         }));
-        day.send(id, n as u8, n);
-        day.end(id, n as u8, n, AttemptOutcome::Error, MS);
+        day.start_attempt(id, n as u8, n);
+        day.end_attempt(id, n as u8, n, AttemptOutcome::Error, MS);
         day.now += MS;
         assert!(day.recorder.memory_used() <= MIN_MEMORY);
     }
-    day.over(id, RequestOutcome::Failed);
+    day.end_request(id, RequestOutcome::Failed);
     let dump = Recording::read(&day.recorder.recording(day.now, "test")).unwrap();
     let story = &dump.timelines[0];
     assert!(story.truncated && story.encoded_events.len() <= 1_024);
@@ -208,15 +208,15 @@
 
 /// More open requests than there is memory for: they are counted, and sums go on.
 #[test]
-fn requests_beyond_the_memory_are_counted() {
+fn requests_without_memory_for_a_timeline_are_counted() {
     let mut day = Day::new(MIN_MEMORY);
     for n in 0..10_000 {
-        day.ask(0, &format!("{n}"));
+        day.admit(0, &format!("{n}"));
         assert!(day.recorder.memory_used() <= MIN_MEMORY);
     }
     let dump = Recording::read(&day.recorder.recording(day.now, "test")).unwrap();
     assert!(dump.head.untracked_requests > 9_000);
     day.recorder.set_level(Level::Off);
-    day.one(0, 0, AttemptOutcome::Reset, MS);
+    day.request(0, 0, AttemptOutcome::Reset, MS);
     assert!(day.recorder.ledger().losses.is_empty(), "off is off");
 }
--- a/crates/flight-recorder/tests/causes.rs
+++ b/crates/flight-recorder/tests/causes.rs
@@ -20,7 +20,7 @@
     for n in 0..200u32 {
         let class = (n % 2) as u16;
         for server in 0..4 {
-            day.one(class, server, AttemptOutcome::Success, (20 + u64::from(n % 7)) * MS);
+            day.request(class, server, AttemptOutcome::Success, (20 + u64::from(n % 7)) * MS);
         }
         odd(&mut day, class);
     }
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_server_at_fault_is_named_with_its_fault() {
+fn a_faulty_endpoint_is_found_with_its_symptom() {
     let faults = [
         (AttemptOutcome::TimedOut, Symptom::Unresponsive),
         (AttemptOutcome::Reset, Symptom::ConnectionResets),
@@ -37,7 +37,7 @@
         (AttemptOutcome::Rejected, Symptom::RejectsRequests),
     ];
     for (outcome, matter) in faults {
-        let day = with_fifth(|day, class| day.one(class, 4, outcome, 150 * MS));
+        let day = with_fifth(|day, class| day.request(class, 4, outcome, 150 * MS));
         let found = first(&day);
         assert_eq!((found.subject, found.symptom), (Subject::Endpoint(day.pool, 4), matter), "{found:?}");
         assert!(
@@ -46,7 +46,7 @@
             found.text
         );
     }
-    let day = with_fifth(|day, class| day.one(class, 4, AttemptOutcome::Success, 250 * MS));
+    let day = with_fifth(|day, class| day.request(class, 4, AttemptOutcome::Success, 250 * MS));
     assert_eq!(
         (first(&day).subject, first(&day).symptom),
         (Subject::Endpoint(day.pool, 4), Symptom::SlowResponses)
@@ -55,29 +55,29 @@
 
 /// What waits behind a silent server is put down to it; what waits behind busy ones is not.
 #[test]
-fn a_queue_is_put_down_to_whoever_took_the_places() {
+fn queue_losses_are_attributed_to_endpoints_that_waste_concurrency() {
     let mut day = with_fifth(|day, class| {
-        day.one(class, 4, AttemptOutcome::TimedOut, 400 * MS);
-        day.refused(class, RejectionReason::QueueTooLong);
-        day.refused(class, RejectionReason::QueueTimeout);
+        day.request(class, 4, AttemptOutcome::TimedOut, 400 * MS);
+        day.rejected_request(class, RejectionReason::QueueTooLong);
+        day.rejected_request(class, RejectionReason::QueueTimeout);
     });
     let found = first(&day);
     assert_eq!((found.subject, found.symptom), (Subject::Endpoint(day.pool, 4), Symptom::Unresponsive));
     assert!(found.requests >= 600, "refusals are in it: {found:?}");
     day = with_fifth(|day, class| {
-        day.one(class, 0, AttemptOutcome::Success, 22 * MS);
-        day.refused(class, RejectionReason::QueueTooLong);
+        day.request(class, 0, AttemptOutcome::Success, 22 * MS);
+        day.rejected_request(class, RejectionReason::QueueTooLong);
     });
     assert_eq!((first(&day).subject, first(&day).symptom), (Subject::Pool(day.pool), Symptom::Overloaded));
 }
 
 #[test]
-fn a_class_that_states_too_short_a_time_is_named_and_no_server() {
+fn too_short_an_objective_is_attributed_to_the_class() {
     let classes = [class("read", 100 * MS, 1.0), class("hasty", 5 * MS, 10.0)];
     let mut day = Day::of(256 << 10, &classes);
     for n in 0..200 {
-        day.one(0, n % 4, AttemptOutcome::Success, 20 * MS);
-        day.one(1, n % 4, AttemptOutcome::TimedOut, 20 * MS);
+        day.request(0, n % 4, AttemptOutcome::Success, 20 * MS);
+        day.request(1, n % 4, AttemptOutcome::TimedOut, 20 * MS);
     }
     assert_eq!(
         (first(&day).subject, first(&day).symptom),
@@ -85,8 +85,8 @@
     );
     let mut day = Day::of(256 << 10, &classes);
     for n in 0..200 {
-        day.one(0, n % 4, AttemptOutcome::Success, 20 * MS);
-        day.one(1, n % 4, AttemptOutcome::Success, 20 * MS);
+        day.request(0, n % 4, AttemptOutcome::Success, 20 * MS);
+        day.request(1, n % 4, AttemptOutcome::Success, 20 * MS);
     }
     assert_eq!(
         (first(&day).subject, first(&day).symptom),
@@ -95,25 +95,25 @@
 }
 
 #[test]
-fn a_node_short_of_descriptors_is_named() {
+fn descriptor_exhaustion_is_attributed_to_the_node() {
     let mut day = with_fifth(|day, class| {
-        day.tell(Event::ResourceExhausted(ExhaustedResource::DownstreamConnection));
-        day.tell(Event::RejectedByListener { class, reason: ListenerRejection::ConnectionLimit });
+        day.record(Event::ResourceExhausted(ExhaustedResource::DownstreamConnection));
+        day.record(Event::RejectedByListener { class, reason: ListenerRejection::ConnectionLimit });
     });
     assert_eq!((first(&day).subject, first(&day).symptom), (Subject::Node, Symptom::DescriptorsExhausted));
     day = with_fifth(|day, class| {
-        day.tell(Event::ResourceExhausted(ExhaustedResource::UpstreamConnection));
-        day.one(class, 0, AttemptOutcome::NotSent, 0);
+        day.record(Event::ResourceExhausted(ExhaustedResource::UpstreamConnection));
+        day.request(class, 0, AttemptOutcome::NotSent, 0);
     });
     assert_eq!((first(&day).subject, first(&day).symptom), (Subject::Node, Symptom::DescriptorsExhausted));
 }
 
 #[test]
-fn faults_of_all_servers_are_no_single_ones() {
+fn common_failures_are_attributed_to_the_pool() {
     let mut day = Day::new(256 << 10);
     for n in 0..400 {
         let outcome = if n % 3 == 0 { AttemptOutcome::Reset } else { AttemptOutcome::Success };
-        day.one(0, n % 4, outcome, 20 * MS);
+        day.request(0, n % 4, outcome, 20 * MS);
     }
     assert_eq!(
         (first(&day).subject, first(&day).symptom),
@@ -122,13 +122,13 @@
 }
 
 #[test]
-fn clients_that_leave_are_told_from_servers_that_are_late() {
+fn client_disconnects_are_distinguished_from_slow_endpoints() {
     let mut day = Day::new(256 << 10);
     for _ in 0..50 {
-        let id = day.ask(0, "x");
+        let id = day.admit(0, "x");
         day.now += 10 * MS;
-        day.over(id, RequestOutcome::ClientDisconnected);
-        day.one(0, 1, AttemptOutcome::Success, 20 * MS);
+        day.end_request(id, RequestOutcome::ClientDisconnected);
+        day.request(0, 1, AttemptOutcome::Success, 20 * MS);
     }
     assert_eq!(
         (first(&day).subject, first(&day).symptom),
--- a/crates/flight-recorder/tests/common/mod.rs
+++ b/crates/flight-recorder/tests/common/mod.rs
@@ -43,15 +43,15 @@
         Self { recorder, pool, now: START, next: 0 }
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn record(&mut self, event: Event) {
         self.recorder.record(self.now, self.pool, &event);
     }
 
-    pub fn ask(&mut self, class: u16, name: &str) -> RequestId {
+    pub fn admit(&mut self, class: u16, name: &str) -> RequestId {
         let id = RequestId(self.next);
         self.next += 1;
         let name = BoundedName::new(name);
-        self.tell(Event::RequestAdmitted {
+        self.record(Event::RequestAdmitted {
             id,
             class,
             tenant: None,
@@ -63,14 +63,21 @@
         id
     }
 
-    pub fn send(&mut self, id: RequestId, attempt: u8, server: u32) {
+    pub fn start_attempt(&mut self, id: RequestId, attempt: u8, server: u32) {
         let (attempt, server) = (AttemptNo(attempt), EndpointId(server));
-        self.tell(Event::AttemptStarted { id, attempt, endpoint: server, timeout: None });
+        self.record(Event::AttemptStarted { id, attempt, endpoint: server, timeout: None });
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u8, server: u32, outcome: AttemptOutcome, took: Nanos) {
+    pub fn end_attempt(
+        &mut self,
+        id: RequestId,
+        attempt: u8,
+        server: u32,
+        outcome: AttemptOutcome,
+        took: Nanos,
+    ) {
         let (attempt, server) = (AttemptNo(attempt), EndpointId(server));
-        self.tell(Event::AttemptEnded {
+        self.record(Event::AttemptEnded {
             id,
             attempt,
             endpoint: server,
@@ -81,41 +88,41 @@
         });
     }
 
-    pub fn over(&mut self, id: RequestId, how: RequestOutcome) {
-        self.tell(Event::RequestEnded { id, outcome: how });
+    pub fn end_request(&mut self, id: RequestId, how: RequestOutcome) {
+        self.record(Event::RequestEnded { id, outcome: how });
     }
 
     /// A request with one attempt, which takes so long and ends so; refused or failed where that is not well.
-    pub fn one(&mut self, class: u16, server: u32, outcome: AttemptOutcome, took: Nanos) {
+    pub fn request(&mut self, class: u16, server: u32, outcome: AttemptOutcome, took: Nanos) {
         let name = format!("r{}", self.next);
-        let id = self.ask(class, &name);
-        self.send(id, 0, server);
+        let id = self.admit(class, &name);
+        self.start_attempt(id, 0, server);
         self.now += took;
         if outcome == AttemptOutcome::Success {
-            self.over(id, RequestOutcome::Served);
+            self.end_request(id, RequestOutcome::Served);
         }
-        self.end(id, 0, server, outcome, took);
+        self.end_attempt(id, 0, server, outcome, took);
         if outcome != AttemptOutcome::Success {
-            self.tell(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
+            self.record(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
                 id,
                 reason: RejectionReason::NoRetry(NoRetryReason::NotIdempotent),
                 pressure: 0.0,
             }));
-            self.over(id, RequestOutcome::Failed);
+            self.end_request(id, RequestOutcome::Failed);
         }
     }
 
     /// A request that waits and is refused.
-    pub fn refused(&mut self, class: u16, rule: RejectionReason) {
+    pub fn rejected_request(&mut self, class: u16, rule: RejectionReason) {
         let name = format!("r{}", self.next);
-        let id = self.ask(class, &name);
-        self.tell(Event::Decision(DecisionEvent::Queued { id, queued: 9 }));
+        let id = self.admit(class, &name);
+        self.record(Event::Decision(DecisionEvent::Queued { id, queued: 9 }));
         self.now += MS;
-        self.tell(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
+        self.record(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
             id,
             reason: rule,
             pressure: 0.5,
         }));
-        self.over(id, RequestOutcome::Rejected);
+        self.end_request(id, RequestOutcome::Rejected);
     }
 }
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -19,15 +19,15 @@
 
 fn small() -> Vec<u8> {
     let mut day = Day::new(64 << 10);
-    day.one(0, 1, AttemptOutcome::Success, 20 * MS);
-    day.one(1, 2, AttemptOutcome::Reset, 30 * MS);
-    day.refused(0, RejectionReason::QueueTooLong);
-    day.one(0, 3, AttemptOutcome::Success, 150 * MS);
+    day.request(0, 1, AttemptOutcome::Success, 20 * MS);
+    day.request(1, 2, AttemptOutcome::Reset, 30 * MS);
+    day.rejected_request(0, RejectionReason::QueueTooLong);
+    day.request(0, 3, AttemptOutcome::Success, 150 * MS);
     day.recorder.recording(day.now, "test")
 }
 
 #[test]
-fn every_event_comes_back_as_it_was() {
+fn every_event_round_trips() {
     let (id, server, attempt) = (RequestId(u32::MAX), EndpointId(77), AttemptNo(3));
     let hurdles = ExclusionReasons([1, 2, 3, 4, 255]);
     let rules =
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_dump_says_what_was_recorded() {
+fn a_recording_holds_what_was_recorded() {
     let dump = Recording::read(&small()).unwrap();
     assert_eq!((dump.damage, dump.timelines.len()), (None, 4));
     assert_eq!((dump.head.node.as_str(), dump.head.reason.as_str()), ("n0", "test"));
@@ -178,7 +178,7 @@
 
 /// A file that is cut anywhere is read up to there, and one with a bit turned never passes for another.
 #[test]
-fn damage_at_every_byte() {
+fn damage_at_any_byte_keeps_what_precedes_it() {
     let whole = small();
     let all = Recording::read(&whole).unwrap();
     for cut in 0..whole.len() {
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn other_versions_and_other_files() {
+fn other_versions_and_other_files_are_rejected() {
     assert_eq!(Recording::read(b"").unwrap_err(), RecordingError::Magic);
     assert_eq!(Recording::read(b"GIF89a, and more").unwrap_err(), RecordingError::Magic);
     let mut later = small();
@@ -258,7 +258,7 @@
 
 proptest! {
     #[test]
-    fn noise_is_never_more_than_an_error(noise in proptest::collection::vec(any::<u8>(), 0..2_000)) {
+    fn noise_is_rejected_without_a_panic(noise in proptest::collection::vec(any::<u8>(), 0..2_000)) {
         let mut file = small();
         let _ = Recording::read(&noise);
         let at = noise.len() % file.len();
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn exports_have_the_public_forms() {
+fn exports_follow_the_public_formats() {
     let dump = Recording::read(&small()).unwrap();
     let lines = otlp(&dump);
     assert_eq!(lines.lines().count(), 4);
--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -305,7 +305,7 @@
 fn rounds(day: &mut Day, count: u64, mut other: impl FnMut(&mut Day)) {
     for n in 0..count {
         for server in 0..4 {
-            day.one(0, server, AttemptOutcome::Success, (20 + n % 7) * MS);
+            day.request(0, server, AttemptOutcome::Success, (20 + n % 7) * MS);
         }
         other(day);
     }
@@ -326,25 +326,25 @@
     ];
     for (name, outcome) in at_one {
         next_pool(&mut day, name, &usual);
-        rounds(&mut day, 20, |day| day.one(0, 4, outcome, 150 * MS));
+        rounds(&mut day, 20, |day| day.request(0, 4, outcome, 150 * MS));
         next_pool(&mut day, &format!("all-{name}"), &usual);
         for n in 0..60 {
-            day.one(0, n % 4, if n % 3 == 0 { outcome } else { AttemptOutcome::Success }, 20 * MS);
+            day.request(0, n % 4, if n % 3 == 0 { outcome } else { AttemptOutcome::Success }, 20 * MS);
         }
     }
     next_pool(&mut day, "slow", &usual);
-    rounds(&mut day, 20, |day| day.one(0, 4, AttemptOutcome::Success, 250 * MS));
+    rounds(&mut day, 20, |day| day.request(0, 4, AttemptOutcome::Success, 250 * MS));
     next_pool(&mut day, "slow-to-connect", &usual);
     for n in 0..60 {
-        day.one(0, n % 4, AttemptOutcome::Success, 80 * MS);
+        day.request(0, n % 4, AttemptOutcome::Success, 80 * MS);
     }
     for _ in 0..20 {
-        let id = day.ask(0, "dialled");
-        day.send(id, 0, 4);
+        let id = day.admit(0, "dialled");
+        day.start_attempt(id, 0, 4);
         day.now += 110 * MS;
         let (attempt, server, outcome) = (AttemptNo(0), EndpointId(4), AttemptOutcome::Success);
         let (took, dial) = (110 * MS, 100 * MS);
-        day.tell(Event::AttemptEnded {
+        day.record(Event::AttemptEnded {
             id,
             attempt,
             endpoint: server,
@@ -353,67 +353,67 @@
             connect_time: dial,
             connection_idle: None,
         });
-        day.over(id, RequestOutcome::Served);
+        day.end_request(id, RequestOutcome::Served);
     }
     next_pool(&mut day, "tight", &[class("read", 100 * MS, 1.0), class("hasty", 5 * MS, 10.0)]);
     for n in 0..60 {
-        day.one(0, n % 4, AttemptOutcome::Success, 20 * MS);
-        day.one(1, n % 4, AttemptOutcome::TimedOut, 20 * MS);
+        day.request(0, n % 4, AttemptOutcome::Success, 20 * MS);
+        day.request(1, n % 4, AttemptOutcome::TimedOut, 20 * MS);
     }
     next_pool(&mut day, "crowded", &usual);
     rounds(&mut day, 5, |day| {
-        day.refused(0, RejectionReason::QueueTooLong);
-        day.refused(1, RejectionReason::QueueTimeout);
+        day.rejected_request(0, RejectionReason::QueueTooLong);
+        day.rejected_request(1, RejectionReason::QueueTimeout);
     });
     next_pool(&mut day, "turns", &usual);
-    rounds(&mut day, 5, |day| day.refused(1, RejectionReason::KeyOrderTimeout));
+    rounds(&mut day, 5, |day| day.rejected_request(1, RejectionReason::KeyOrderTimeout));
     next_pool(&mut day, "clients", &usual);
     rounds(&mut day, 5, |day| {
         for how in [RequestOutcome::ClientDisconnected, RequestOutcome::BodyFailed] {
-            let id = day.ask(1, "impatient");
+            let id = day.admit(1, "impatient");
             day.now += 10 * MS;
-            day.over(id, how);
+            day.end_request(id, how);
         }
     });
     next_pool(&mut day, "other", &usual);
     rounds(&mut day, 5, |day| {
-        let id = day.ask(1, "called back");
+        let id = day.admit(1, "called back");
         for (attempt, outcome) in [(0, AttemptOutcome::Reset), (1, AttemptOutcome::NotSent)] {
-            day.send(id, attempt, u32::from(attempt));
+            day.start_attempt(id, attempt, u32::from(attempt));
             day.now += 5 * MS;
-            day.end(id, attempt, u32::from(attempt), outcome, 5 * MS);
+            day.end_attempt(id, attempt, u32::from(attempt), outcome, 5 * MS);
         }
-        day.tell(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
+        day.record(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
             id,
             reason: RejectionReason::NoRetry(NoRetryReason::AttemptsExhausted),
             pressure: 0.0,
         }));
-        day.over(id, RequestOutcome::Failed);
-        let id = day.ask(0, "faulty");
-        day.send(id, 0, 2);
+        day.end_request(id, RequestOutcome::Failed);
+        let id = day.admit(0, "faulty");
+        day.start_attempt(id, 0, 2);
         day.now += 20 * MS;
-        day.end(id, 0, 2, AttemptOutcome::Success, 20 * MS);
-        day.over(id, RequestOutcome::ServedError);
-        let id = day.ask(0, "out of time");
-        day.send(id, 0, 2);
+        day.end_attempt(id, 0, 2, AttemptOutcome::Success, 20 * MS);
+        day.end_request(id, RequestOutcome::ServedError);
+        let id = day.admit(0, "out of time");
+        day.start_attempt(id, 0, 2);
         day.now += 400 * MS;
-        day.over(id, RequestOutcome::DeadlineExceeded);
-        day.end(id, 0, 2, AttemptOutcome::Cancelled, 400 * MS);
+        day.end_request(id, RequestOutcome::DeadlineExceeded);
+        day.end_attempt(id, 0, 2, AttemptOutcome::Cancelled, 400 * MS);
     });
     for why in [ListenerRejection::RequestLimit, ListenerRejection::ConnectionLimit] {
-        (0..3).for_each(|_| day.tell(Event::RejectedByListener { class: 0, reason: why }));
+        (0..3).for_each(|_| day.record(Event::RejectedByListener { class: 0, reason: why }));
     }
     // The node's shortage of descriptors would be put down as the cause of every attempt that was not sent.
-    day.tell(Event::ResourceExhausted(ExhaustedResource::DownstreamConnection));
-    day.tell(Event::Decision(DecisionEvent::Ejected { endpoint: SERVER, duration: 1_500 * MS }));
-    day.tell(Event::Decision(DecisionEvent::LimitChanged {
+    day.record(Event::ResourceExhausted(ExhaustedResource::DownstreamConnection));
+    day.record(Event::Decision(DecisionEvent::Ejected { endpoint: SERVER, duration: 1_500 * MS }));
+    day.record(Event::Decision(DecisionEvent::LimitChanged {
         endpoint: SERVER,
         from: 1.0,
         to: 2.5,
         reason: LimitChangeReason::ComparedLatency,
     }));
-    let id = day.ask(1, "still open");
-    day.tell(Event::Decision(DecisionEvent::Queued { id, queued: 1 }));
+    let id = day.admit(1, "still open");
+    day.record(Event::Decision(DecisionEvent::Queued { id, queued: 1 }));
     day
 }
 
@@ -457,7 +457,7 @@
 }
 
 #[test]
-fn an_older_recording_is_told_in_the_same_sentences() {
+fn an_older_recording_is_rendered_in_the_same_sentences() {
     assert_stored_text("every_event.stories.txt", &told(&read("every_event.rec")));
     let dump = read("faulty_day.rec");
     let breakdown = Breakdown::of_recording(&dump, 0, Nanos::MAX).unwrap();
--- a/crates/flight-recorder/tests/unit/bounded_text.rs
+++ b/crates/flight-recorder/tests/unit/bounded_text.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn names_of_any_kind_are_found_and_shown_safely() {
+fn untrusted_names_match_and_are_escaped() {
     let long = "\u{1b}[2J\"x\n".repeat(10_000);
     let name = BoundedName::new(&long);
     assert!(name.prefix.len() <= MAX_NAME_BYTES && name.matches(&long) && !name.matches(&long[1..]));
--- a/crates/flight-recorder/tests/unit/log_rate_limit.rs
+++ b/crates/flight-recorder/tests/unit/log_rate_limit.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_million_of_one_kind_are_a_few_lines_and_a_count() {
+fn repeated_messages_are_limited_and_counted() {
     let mut quota = LogRateLimiter::default();
     let told = (0..1_000_000u64).filter(|n| quota.check(1, n * 1_000).0).count();
     assert_eq!(told, MESSAGES_PER_INTERVAL as usize);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn what_was_held_back_comes_with_the_next() {
+fn suppressed_messages_are_reported_in_the_next_interval() {
     let mut quota = LogRateLimiter::default();
     (0..15).for_each(|_| {
         quota.check(7, 5);
--- a/crates/flight-recorder/tests/unit/metrics.rs
+++ b/crates/flight-recorder/tests/unit/metrics.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_text_counts_and_points_to_requests() {
+fn metrics_text_has_counts_and_exemplars() {
     let mut meters = RequestMetrics::default();
     let name = BoundedName::new("a\"b\n");
     for took in [3, 30, 30_000] {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn classes_beyond_the_bound_count_as_other() {
+fn classes_beyond_the_limit_count_as_other() {
     let mut meters = RequestMetrics::default();
     for class in 0..1_000 {
         let name = format!("c{class}");
--- a/crates/flight-recorder/tests/unit/timestamp.rs
+++ b/crates/flight-recorder/tests/unit/timestamp.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn both_forms_are_read_and_shown() {
+fn both_forms_of_timestamps_are_parsed_and_formatted() {
     let start = (20_000 * DAY + 13 * 3_600 + 5 * 60 + 10) * SECOND + 400_000_000;
     assert_eq!(parse("12.5", start), Ok(start + 12_500_000_000));
     assert_eq!(parse("3s", start), Ok(start + 3 * SECOND));
