--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -1,10 +1,10 @@
-//! Stories in forms that other viewers open: OTLP/JSON (one `TracesData` a line, as the OpenTelemetry protocol's file
+//! Timelines in formats of other viewers: OTLP/JSON (one `TracesData` per line, as the OpenTelemetry protocol's file
 //! exporter writes it) and Chrome's trace events (the "Trace Event Format", JSON object form).
 
 use pumicehead_policy::{AttemptOutcome, Nanos};
 use serde_json::{Value, json};
 
-use crate::bounded_text::plain;
+use crate::bounded_text::escape;
 use crate::event::{Event, RequestOutcome};
 use crate::event_ring::{Record, decode_records};
 use crate::exported_names::Exported;
@@ -12,7 +12,7 @@
 use crate::recording::Recording;
 use crate::request_timeline::RequestTimeline;
 
-/// An attempt as both forms show it.
+/// An attempt in both formats.
 struct Attempt {
     number: u8,
     server: String,
@@ -21,7 +21,8 @@
     outcome: Option<AttemptOutcome>,
 }
 
-struct Told {
+/// A request in both formats.
+struct RequestSpan {
     events: Vec<Record>,
     from: Nanos,
     to: Nanos,
@@ -29,18 +30,18 @@
     attempts: Vec<Attempt>,
 }
 
-fn told(dump: &Recording, story: &RequestTimeline) -> Told {
-    let (events, _) = decode_records(&story.encoded_events);
-    let from = events.first().map_or(story.ended_at, |record| record.at);
-    let mut to = story.ended_at.max(from);
+fn request_span(recording: &Recording, timeline: &RequestTimeline) -> RequestSpan {
+    let (events, _) = decode_records(&timeline.encoded_events);
+    let from = events.first().map_or(timeline.ended_at, |record| record.at);
+    let mut to = timeline.ended_at.max(from);
     let (mut how, mut attempts) = (None, Vec::<Attempt>::new());
     for record in &events {
         match &record.event {
             Event::AttemptStarted { attempt, endpoint, .. } => attempts.push(Attempt {
                 number: attempt.0,
-                server: dump.head.server(story.pool, endpoint.0),
+                server: recording.head.endpoint_name(timeline.pool, endpoint.0),
                 from: record.at,
-                to: story.ended_at.max(record.at),
+                to: timeline.ended_at.max(record.at),
                 outcome: None,
             }),
             Event::AttemptEnded { attempt, outcome, .. } => {
@@ -55,13 +56,13 @@
             _ => {}
         }
     }
-    Told { events, from, to, how, attempts }
+    RequestSpan { events, from, to, how, attempts }
 }
 
-/// Eight bytes that name a span: the same dump gives the same ids.
-fn id(story: &RequestTimeline, from: Nanos, part: u64) -> u64 {
+/// Returns a span id; the same recording always gives the same ids.
+fn id(timeline: &RequestTimeline, from: Nanos, part: u64) -> u64 {
     pumicehead_policy::hash_ring::mix(
-        story.name.hash ^ from.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        timeline.name.hash ^ from.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15),
     )
     .max(1)
 }
@@ -70,26 +71,26 @@
     json!({ "key": key, "value": { "stringValue": value } })
 }
 
-/// OTLP/JSON, a line a request.
+/// Renders timelines as OTLP/JSON, one line per request.
 #[must_use]
-pub fn otlp(dump: &Recording) -> String {
+pub fn otlp(recording: &Recording) -> String {
     let mut out = String::new();
     let resource = json!({ "attributes": [
         attribute("service.name", "pumicehead"),
-        attribute("service.instance.id", &plain(&dump.head.node)),
-        attribute("service.version", &plain(&dump.head.program)),
+        attribute("service.instance.id", &escape(&recording.head.node)),
+        attribute("service.version", &escape(&recording.head.program)),
     ] });
-    for story in &dump.timelines {
-        let one = told(dump, story);
-        let trace = format!("{:016x}{:016x}", story.name.hash, id(story, one.from, u64::MAX));
-        let root = format!("{:016x}", id(story, one.from, 0));
+    for timeline in &recording.timelines {
+        let one = request_span(recording, timeline);
+        let trace = format!("{:016x}{:016x}", timeline.name.hash, id(timeline, one.from, u64::MAX));
+        let root = format!("{:016x}", id(timeline, one.from, 0));
         let failed = !matches!(one.how, Some(RequestOutcome::Served) | None);
         let mut attributes = vec![
-            attribute("pumicehead.request", &story.name.shown()),
-            attribute("pumicehead.pool", &plain(dump.head.pool(story.pool))),
-            attribute("pumicehead.class", &plain(dump.head.class(story.pool, story.class))),
+            attribute("pumicehead.request", &timeline.name.display()),
+            attribute("pumicehead.pool", &escape(recording.head.pool_name(timeline.pool))),
+            attribute("pumicehead.class", &escape(recording.head.class_name(timeline.pool, timeline.class))),
         ];
-        attributes.extend(story.cause.map(|cause| attribute("pumicehead.lost", &cause.to_string())));
+        attributes.extend(timeline.cause.map(|cause| attribute("pumicehead.lost", &cause.to_string())));
         let notes: Vec<_> = one
             .events
             .iter()
@@ -109,7 +110,7 @@
         for attempt in &one.attempts {
             let bad = attempt.outcome.is_some_and(|outcome| outcome != AttemptOutcome::Success);
             spans.push(json!({
-                "traceId": trace, "spanId": format!("{:016x}", id(story, one.from, u64::from(attempt.number) + 1)),
+                "traceId": trace, "spanId": format!("{:016x}", id(timeline, one.from, u64::from(attempt.number) + 1)),
                 "parentSpanId": root, "name": "attempt", "kind": 3,
                 "startTimeUnixNano": attempt.from.to_string(), "endTimeUnixNano": attempt.to.to_string(),
                 "attributes": [
@@ -129,16 +130,16 @@
     out
 }
 
-/// Chrome's trace events: a row a request, with its attempts below it.
+/// Renders timelines as Chrome trace events, one row per request with its attempts.
 #[must_use]
-pub fn chrome(dump: &Recording) -> String {
-    let micros = |at: Nanos| at.saturating_sub(dump.head.start) as f64 / 1e3;
+pub fn chrome(recording: &Recording) -> String {
+    let micros = |at: Nanos| at.saturating_sub(recording.head.start) as f64 / 1e3;
     let mut events = vec![json!({
         "ph": "M", "name": "process_name", "pid": 1, "tid": 0,
-        "args": { "name": format!("pumicehead {}", plain(&dump.head.node)) },
+        "args": { "name": format!("pumicehead {}", escape(&recording.head.node)) },
     })];
-    for (row, story) in dump.timelines.iter().enumerate() {
-        let one = told(dump, story);
+    for (row, timeline) in recording.timelines.iter().enumerate() {
+        let one = request_span(recording, timeline);
         let tid = row + 1;
         let span = |name: &str, from: Nanos, to: Nanos, args: Value| {
             json!({
@@ -147,12 +148,12 @@
             })
         };
         events.push(span(
-            dump.head.class(story.pool, story.class),
+            recording.head.class_name(timeline.pool, timeline.class),
             one.from,
             one.to,
             json!({
-                "request": story.name.shown(),
-                "lost": story.cause.map(|cause| cause.to_string()),
+                "request": timeline.name.display(),
+                "lost": timeline.cause.map(|cause| cause.to_string()),
             }),
         ));
         for attempt in &one.attempts {
--- a/crates/flight-recorder/src/html_report.rs
+++ b/crates/flight-recorder/src/html_report.rs
@@ -1,11 +1,11 @@
-//! A page with the node's day: worth asked and earned, servers set aside, limits, losses. One file, no network.
+//! A self-contained HTML report: weight offered and earned, ejected endpoints, limits and losses.
 
 use std::collections::BTreeMap;
 
 use plotters::prelude::*;
 use pumicehead_policy::{Nanos, SECOND};
 
-use crate::bounded_text::html;
+use crate::bounded_text::escape_html;
 use crate::breakdown::Breakdown;
 use crate::event::PoolId;
 use crate::findings;
@@ -13,13 +13,13 @@
 use crate::recording::Recording;
 use crate::timeline_text;
 
-/// Servers with a line and a band of their own: those with the most attempts.
-const SERVERS: usize = 12;
-/// Stories on the page.
-const STORIES: usize = 10;
+/// Number of endpoints in charts: those with the most attempts.
+const MAX_ENDPOINTS: usize = 12;
+/// Number of timelines in the report.
+const MAX_TIMELINES: usize = 10;
 const SIZE: (u32, u32) = (1_000, 260);
 
-/// What keeps a picture from being drawn.
+/// Why a chart can't be drawn.
 type Fault = Box<dyn std::error::Error>;
 
 type Points = Vec<(f64, f64)>;
@@ -65,7 +65,7 @@
     Ok(svg)
 }
 
-/// A row a server, darker the more of its attempts ended badly, with a line under it while it was set aside.
+/// Draws a row per endpoint, darker with more failed attempts, with a line below it while it was ejected.
 fn bands(rows: &[(String, Vec<Span>)], end: f64) -> Result<String, Fault> {
     let mut svg = String::new();
     {
@@ -111,12 +111,12 @@
     }
     let mut all: Vec<_> = sums.into_iter().collect();
     all.sort_by_key(|&(key, count)| (std::cmp::Reverse(count), key));
-    all.into_iter().take(SERVERS).map(|(key, _)| key).collect()
+    all.into_iter().take(MAX_ENDPOINTS).map(|(key, _)| key).collect()
 }
 
-fn pictures(dump: &Recording, accounts: &LossLedger) -> Result<String, Fault> {
-    let start = dump.head.start;
-    let end = seconds(dump.head.at, start);
+fn pictures(recording: &Recording, accounts: &LossLedger) -> Result<String, Fault> {
+    let start = recording.head.start;
+    let end = seconds(recording.head.at, start);
     let width = accounts.traffic.width() as f64 / SECOND as f64;
     let mut worth: BTreeMap<Nanos, (f64, f64)> = BTreeMap::new();
     for (at, _, flow) in accounts.traffic.rows_between(0, Nanos::MAX) {
@@ -131,7 +131,7 @@
     let (mut limits, mut rows) = (Vec::new(), Vec::new());
     let width = accounts.endpoints.width() as f64 / SECOND as f64;
     for (pool, id) in busiest(accounts) {
-        let name = dump.head.server(pool, id);
+        let name = recording.head.endpoint_name(pool, id);
         let of = || {
             let own = move |key: &crate::loss_ledger::EndpointKey| (key.pool, key.endpoint) == (pool, id);
             accounts.endpoints.rows_between(0, Nanos::MAX).filter(move |(_, key, _)| own(key))
@@ -154,42 +154,42 @@
     Ok(out)
 }
 
-/// The page. A picture that can't be drawn is left out, and the text says so.
+/// Renders the report. A chart that can't be drawn is replaced with the error.
 #[must_use]
-pub fn write(dump: &Recording) -> String {
-    let title = html(&format!("pumicehead {}", dump.head.node));
+pub fn write(recording: &Recording) -> String {
+    let title = escape_html(&format!("pumicehead {}", recording.head.node));
     let mut out = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{title}</title>\
          <style>body{{font:14px/1.4 sans-serif;margin:1.5em auto;max-width:1020px;color:#222}}\
          pre{{background:#f6f6f6;padding:.7em;overflow-x:auto}}svg{{max-width:100%;height:auto}}</style>\
          <h1>{title}</h1><p>{}</p>",
-        html(&dump.head.reason)
+        escape_html(&recording.head.reason)
     );
-    if let Some(damage) = dump.damage {
+    if let Some(damage) = recording.damage {
         out += &format!(
             "<p>Damaged from byte {} of {} on; shown is what comes before.</p>",
             damage.at, damage.of
         );
     }
-    if let Some(accounts) = &dump.ledger {
+    if let Some(accounts) = &recording.ledger {
         out += "<h2>Causes</h2><ol>";
-        for finding in findings::find(&dump.head, accounts, 0, Nanos::MAX).iter().take(8) {
-            out += &format!("<li>lost {:.1}: {}</li>", finding.lost as f64 / 1e6, html(&finding.text));
+        for finding in findings::find(&recording.head, accounts, 0, Nanos::MAX).iter().take(8) {
+            out += &format!("<li>lost {:.1}: {}</li>", finding.lost as f64 / 1e6, escape_html(&finding.text));
         }
         out += "</ol><h2>The day</h2>";
-        out += &pictures(dump, accounts)
-            .unwrap_or_else(|fault| format!("<p>No picture: {}</p>", html(&fault.to_string())));
-        let breakdown = Breakdown::sum(&dump.head, accounts, 0, Nanos::MAX);
+        out += &pictures(recording, accounts)
+            .unwrap_or_else(|fault| format!("<p>No picture: {}</p>", escape_html(&fault.to_string())));
+        let breakdown = Breakdown::of_ledger(&recording.head, accounts, 0, Nanos::MAX);
         out += &format!("<h2>What was lost</h2><pre>{}</pre>", lines_of(&breakdown.to_string()));
     }
     out += "<h2>Some requests</h2>";
-    for one in dump.timelines.iter().filter(|story| story.cause.is_some()).take(STORIES) {
-        out += &format!("<pre>{}</pre>", lines_of(&timeline_text::render(&dump.head, one)));
+    for one in recording.timelines.iter().filter(|timeline| timeline.cause.is_some()).take(MAX_TIMELINES) {
+        out += &format!("<pre>{}</pre>", lines_of(&timeline_text::render(&recording.head, one)));
     }
     out + "</html>\n"
 }
 
-/// Text of several lines for a page.
+/// Escapes text of several lines.
 fn lines_of(text: &str) -> String {
-    text.lines().map(html).collect::<Vec<_>>().join("\n")
+    text.lines().map(escape_html).collect::<Vec<_>>().join("\n")
 }
--- a/crates/flight-recorder/src/loss_cause.rs
+++ b/crates/flight-recorder/src/loss_cause.rs
@@ -1,35 +1,35 @@
-//! What a request's worth came to, and the one cause that its loss is put down to. Worth is counted in millionths and in
-//! whole numbers, so that sums are exact however they are cut.
+//! Causes of lost priority weight, with their stored codes and their words.
+//! Weights are integers, in millionths, so that all sums are exact.
 
 use std::fmt;
 
-use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
-use pumicehead_policy::{AttemptNo, AttemptOutcome, EndpointId, Nanos};
+use pumicehead_policy::AttemptOutcome;
 
-use crate::event::{Event, ListenerRejection, RequestOutcome, outcome_at, outcome_index};
+use crate::code_tables::outcome_at;
+use crate::event::ListenerRejection;
 
-/// Millionths of worth.
+/// Priority weight in millionths.
 pub type MicroWeight = u64;
 
-/// A worth in [`MicroWeight`]; what is no number is none.
+/// Converts a weight to millionths; NaN is 0.
 #[must_use]
 pub fn to_micro_weight(worth: f64) -> MicroWeight {
-    // Casting holds at the ends of the range.
+    // The cast saturates.
     (worth * 1e6).round() as MicroWeight
 }
 
-/// Where a request's time went.
+/// A phase of a request. The order of variants is part of the file format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPhase {
-    /// To its client, until all of it was here.
+    /// The client sent the request.
     Upload,
-    /// To waiting for a server with room.
+    /// It waited for an endpoint with capacity.
     Queue,
-    /// To attempts before the last, which ended badly.
+    /// Attempts before the last one failed.
     EarlierAttempts,
-    /// To getting a connection for the last attempt.
+    /// The last attempt waited for a connection.
     Connect,
-    /// To the server of the last attempt.
+    /// The endpoint of the last attempt worked on it.
     Endpoint,
 }
 
@@ -37,33 +37,33 @@
     const ALL: [Self; 5] = [Self::Upload, Self::Queue, Self::EarlierAttempts, Self::Connect, Self::Endpoint];
 }
 
-/// What a loss is put down to.
+/// Why a request lost priority weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LossCause {
-    /// Refused: its tier's queue was too long.
+    /// Rejected: the queue of its tier was too long.
     QueueTooLong,
-    /// Refused: held until its time was nearly up.
+    /// Rejected: it was queued until hardly any time was left.
     QueueTimeout,
-    /// Refused: its key's turn did not come.
+    /// Rejected: earlier requests with its ordering key took too long.
     KeyOrderTimeout,
-    /// Its last attempt ended so, by the place of the outcome, and there was no other.
+    /// Its last attempt failed with the outcome of this code, and there was no retry.
     AttemptFailed(u8),
-    /// Served after its aim.
+    /// Served after its latency objective.
     ObjectiveMissed(RequestPhase),
-    /// No answer by its deadline.
+    /// Without a response at its deadline.
     DeadlineExceeded(RequestPhase),
-    /// Its client left before it had an answer.
+    /// Its client disconnected before the response.
     ClientDisconnected(RequestPhase),
-    /// Its body was too slow, too long or broke off.
+    /// Its body was too slow, too long or cut off.
     BodyFailed,
-    /// A front turned it away.
+    /// A listener rejected it: for want of connections if true, at the limit of requests otherwise.
     RejectedByListener(bool),
-    /// What has no row of its own.
+    /// Any cause without a row of its own.
     Other,
 }
 
 impl LossCause {
-    /// As a number that stays the same across versions.
+    /// Returns the stored code.
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
@@ -80,9 +80,9 @@
         }
     }
 
-    /// Of a number; one that is not known is another cause.
+    /// Returns the cause of a stored code; [`LossCause::Other`] if it is unknown.
     #[must_use]
-    pub fn of(code: u8) -> Self {
+    pub fn from_code(code: u8) -> Self {
         let place = |start: u8| RequestPhase::ALL.get(usize::from(code - start)).copied();
         match code {
             0 => Self::QueueTooLong,
@@ -98,9 +98,20 @@
         }
     }
 
-    /// Of a front's reason.
+    /// Returns the phase that took the time, for causes that have one.
     #[must_use]
-    pub fn turned(why: ListenerRejection) -> Self {
+    pub fn phase(self) -> Option<RequestPhase> {
+        match self {
+            Self::ObjectiveMissed(phase)
+            | Self::DeadlineExceeded(phase)
+            | Self::ClientDisconnected(phase) => Some(phase),
+            _ => None,
+        }
+    }
+
+    /// Returns the cause for a rejection by a listener.
+    #[must_use]
+    pub fn from_rejection(why: ListenerRejection) -> Self {
         Self::RejectedByListener(why == ListenerRejection::ConnectionLimit)
     }
 }
@@ -137,7 +148,7 @@
     }
 }
 
-/// How an attempt ended, in words.
+/// Returns the words for an attempt's outcome. They are labels of scraped metrics.
 #[must_use]
 pub fn outcome_text(outcome: AttemptOutcome) -> &'static str {
     match outcome {
@@ -151,220 +162,3 @@
         AttemptOutcome::NotSent => "never sent",
     }
 }
-
-/// A loss as it is booked.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LossAssessment {
-    /// What it was worth.
-    pub offered: MicroWeight,
-    /// What of it was earned.
-    pub earned: MicroWeight,
-    /// What the rest is put down to, where there is a rest.
-    pub cause: Option<LossCause>,
-    /// The server that carries it, where one does.
-    pub endpoint: Option<EndpointId>,
-    /// Why there was no further attempt, where that was asked.
-    pub no_retry_reason: Option<NoRetryReason>,
-}
-
-impl LossAssessment {
-    /// What was lost.
-    #[must_use]
-    pub fn lost(&self) -> MicroWeight {
-        self.offered.saturating_sub(self.earned)
-    }
-}
-
-/// An attempt that ended badly.
-#[derive(Clone, Copy, Debug)]
-struct FailedAttempt {
-    endpoint: EndpointId,
-    outcome: AttemptOutcome,
-    duration: Nanos,
-}
-
-/// The life of a request, as far as its loss goes.
-#[derive(Clone, Debug)]
-pub struct RequestProgress {
-    admitted_at: Nanos,
-    upload_time: Nanos,
-    priority_weight: MicroWeight,
-    late_weight: f64,
-    objective_deadline: Nanos,
-    rejection: Option<RejectionReason>,
-    /// Attempts out: number, server, sent.
-    in_flight: Vec<(AttemptNo, EndpointId, Nanos)>,
-    attempts_started: u32,
-    /// Waiting with no attempt out, so far, and since when.
-    queue_time: Nanos,
-    queued_since: Option<Nanos>,
-    /// The worst of those that ended badly, and the last.
-    longest_failure: Option<FailedAttempt>,
-    last_failure: Option<FailedAttempt>,
-    failed_time: Nanos,
-    /// The one that was answered: server, time, of that for its connection.
-    good: Option<(EndpointId, Nanos, Nanos)>,
-}
-
-impl RequestProgress {
-    /// Of one that came at `at`, with the worth and the aim of its class until the module says more.
-    #[must_use]
-    pub fn new(at: Nanos, sending: Nanos, worth: f64, late_worth: f64, aim: Nanos) -> Self {
-        Self {
-            admitted_at: at,
-            upload_time: sending,
-            priority_weight: to_micro_weight(worth),
-            late_weight: late_worth,
-            objective_deadline: at.saturating_add(aim),
-            rejection: None,
-            in_flight: Vec::new(),
-            attempts_started: 0,
-            queue_time: 0,
-            queued_since: Some(at),
-            longest_failure: None,
-            last_failure: None,
-            failed_time: 0,
-            good: None,
-        }
-    }
-
-    /// Takes an event of it in.
-    pub fn observe(&mut self, at: Nanos, event: &Event) {
-        match event {
-            Event::Decision(DecisionEvent::Classified { priority_weight, objective_deadline, .. }) => {
-                self.priority_weight = to_micro_weight(f64::from(*priority_weight));
-                self.objective_deadline = *objective_deadline;
-            }
-            Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { reason, .. }) => {
-                self.rejection = Some(*reason)
-            }
-            Event::AttemptStarted { attempt, endpoint, .. } => {
-                self.attempts_started += 1;
-                if let Some(since) = self.queued_since.take() {
-                    self.queue_time += at.saturating_sub(since);
-                }
-                self.in_flight.push((*attempt, *endpoint, at));
-            }
-            Event::ResponseStarted { attempt, .. } => {
-                if let Some(&(_, server, sent)) = self.in_flight.iter().find(|(number, ..)| number == attempt)
-                {
-                    self.good = Some((server, at.saturating_sub(sent), 0));
-                }
-            }
-            Event::AttemptEnded { attempt, endpoint, outcome, duration, connect_time, .. } => {
-                self.in_flight.retain(|(number, ..)| number != attempt);
-                if *outcome == AttemptOutcome::Success {
-                    self.good.get_or_insert((*endpoint, *duration, *connect_time));
-                } else if *outcome != AttemptOutcome::Cancelled || self.good.is_none() {
-                    let bad = FailedAttempt { endpoint: *endpoint, outcome: *outcome, duration: *duration };
-                    self.last_failure = Some(bad);
-                    self.failed_time += duration;
-                    if self.longest_failure.is_none_or(|worst| worst.duration <= bad.duration) {
-                        self.longest_failure = Some(bad);
-                    }
-                }
-                if self.in_flight.is_empty() {
-                    self.queued_since = Some(at);
-                }
-            }
-            _ => {}
-        }
-    }
-
-    /// Attempts that are still out.
-    #[must_use]
-    pub fn in_flight(&self) -> usize {
-        self.in_flight.len()
-    }
-
-    /// Attempts that were made.
-    #[must_use]
-    pub fn attempts_started(&self) -> u32 {
-        self.attempts_started
-    }
-
-    /// When it came.
-    #[must_use]
-    pub fn admitted_at(&self) -> Nanos {
-        self.admitted_at
-    }
-
-    /// The share of the time to its aim that had passed by `at`.
-    #[must_use]
-    pub fn objective_used(&self, at: Nanos) -> f64 {
-        let aim = self.objective_deadline.saturating_sub(self.admitted_at).max(1);
-        at.saturating_sub(self.admitted_at) as f64 / aim as f64
-    }
-
-    /// Where its time went by `at`, and the server that carries it.
-    fn dominant_phase(&self, at: Nanos) -> (RequestPhase, Option<EndpointId>) {
-        let idle = self.queued_since.map_or(0, |since| at.saturating_sub(since));
-        let oldest = self.in_flight.first().map(|&(_, server, sent)| (server, at.saturating_sub(sent), 0));
-        let last = self.good.or(oldest);
-        let (served, dial) = last.map_or((0, 0), |(_, took, dial)| (took.saturating_sub(dial), dial));
-        let spans = [
-            (self.upload_time, RequestPhase::Upload),
-            (self.queue_time + if self.good.is_some() { 0 } else { idle }, RequestPhase::Queue),
-            (self.failed_time, RequestPhase::EarlierAttempts),
-            (dial, RequestPhase::Connect),
-            (served, RequestPhase::Endpoint),
-        ];
-        let most =
-            spans.into_iter().max_by_key(|&(span, _)| span).map_or(RequestPhase::Queue, |(_, place)| place);
-        let server = match most {
-            RequestPhase::Upload | RequestPhase::Queue => None,
-            RequestPhase::EarlierAttempts => self.longest_failure.map(|bad| bad.endpoint),
-            RequestPhase::Connect | RequestPhase::Endpoint => last.map(|(server, ..)| server),
-        };
-        (most, server)
-    }
-
-    /// What it came to, with its final answer at `at`.
-    #[must_use]
-    pub fn assess(&self, at: Nanos, how: RequestOutcome) -> LossAssessment {
-        let late = at > self.objective_deadline;
-        let earned = match how {
-            RequestOutcome::Served if late => {
-                to_micro_weight(self.priority_weight as f64 / 1e6 * self.late_weight)
-                    .min(self.priority_weight)
-            }
-            RequestOutcome::Served => self.priority_weight,
-            _ => 0,
-        };
-        let stop = if let Some(RejectionReason::NoRetry(stop)) = self.rejection { Some(stop) } else { None };
-        let verdict = |(cause, server)| LossAssessment {
-            offered: self.priority_weight,
-            earned,
-            cause: Some(cause).filter(|_| earned < self.priority_weight),
-            endpoint: server,
-            no_retry_reason: stop,
-        };
-        let (place, server) = self.dominant_phase(at);
-        let failed = |bad: FailedAttempt| {
-            (LossCause::AttemptFailed(crate::event::outcome_index(bad.outcome) as u8), Some(bad.endpoint))
-        };
-        verdict(match (how, self.rejection) {
-            (RequestOutcome::Served, _) => (LossCause::ObjectiveMissed(place), server),
-            (RequestOutcome::BodyFailed, _) => (LossCause::BodyFailed, None),
-            (RequestOutcome::ClientDisconnected, _) => (LossCause::ClientDisconnected(place), server),
-            (RequestOutcome::ServedError, _) => {
-                self.last_failure.map_or((LossCause::AttemptFailed(place_of_error()), server), failed)
-            }
-            (_, Some(RejectionReason::QueueTooLong)) => (LossCause::QueueTooLong, None),
-            (_, Some(RejectionReason::QueueTimeout)) => (LossCause::QueueTimeout, None),
-            (_, Some(RejectionReason::KeyOrderTimeout)) => (LossCause::KeyOrderTimeout, None),
-            (_, Some(RejectionReason::NoRetry(_))) => {
-                self.last_failure.map_or((LossCause::DeadlineExceeded(place), server), failed)
-            }
-            (_, None) => match self.last_failure {
-                // Nothing was out any more: what ended last is what failed.
-                Some(bad) if self.in_flight.is_empty() => failed(bad),
-                _ => (LossCause::DeadlineExceeded(place), server),
-            },
-        })
-    }
-}
-
-fn place_of_error() -> u8 {
-    outcome_index(AttemptOutcome::Error) as u8
-}
--- a/crates/node/src/introspection/mod.rs
+++ b/crates/node/src/introspection/mod.rs
@@ -106,7 +106,7 @@
             late_weight: class.late_weight,
         };
         let classes: Vec<_> = classes.iter().zip(&settings.classes).map(class).collect();
-        let pool = self.recorder.with(|recorder| recorder.pool(pool, &classes));
+        let pool = self.recorder.with(|recorder| recorder.register_pool(pool, &classes));
         RecorderSink::new(&self.recorder, self.clock, pool.unwrap_or(PoolId(u16::MAX)))
     }
 
@@ -128,19 +128,19 @@
 
     /// The recording as the bytes of a file; `None` while the recorder is in use, as in a panic.
     fn recording(&self, reason: &str) -> Option<Vec<u8>> {
-        self.recorder.with(|recorder| recorder.dump(self.clock.now(), reason))
+        self.recorder.with(|recorder| recorder.recording(self.clock.now(), reason))
     }
 
     /// OpenMetrics text with these gauges added.
     fn metrics(&self, gauges: &[(&'static str, f64)]) -> String {
         let text = self.recorder.with(|recorder| {
-            let (memory, max_memory) = (recorder.memory() as f64, recorder.most_memory() as f64);
-            let meters = recorder.meters();
+            let (memory, max_memory) = (recorder.memory_used() as f64, recorder.memory_limit() as f64);
+            let meters = recorder.metrics();
             gauges.iter().for_each(|(name, value)| meters.gauge(name, *value));
             meters.gauge("pumicehead_recorder_bytes", memory);
             meters.gauge("pumicehead_recorder_most_bytes", max_memory);
             meters.gauge("pumicehead_log_lines_dropped", self.log.dropped() as f64);
-            recorder.prometheus()
+            recorder.metrics_text()
         });
         text.unwrap_or_else(|| "# EOF\n".into())
     }
@@ -259,7 +259,7 @@
 
     fn write_recording_at_panic(&self, message: &str) {
         let Some(folder) = self.folder() else { return };
-        let reason = format!("{REASON_PANIC}: {}", pumicehead_flight_recorder::bounded_text::plain(message));
+        let reason = format!("{REASON_PANIC}: {}", pumicehead_flight_recorder::bounded_text::escape(message));
         if let Some(bytes) = self.recording(&reason) {
             // The process panics already: an error here has nowhere to go.
             let _ = RecordingFile::new(folder, self.node_hash, self.next_file_number()).write(&bytes);
--- a/crates/node/src/log/filter.rs
+++ b/crates/node/src/log/filter.rs
@@ -2,7 +2,7 @@
 
 use std::str::FromStr;
 
-use pumicehead_flight_recorder::bounded_text::plain;
+use pumicehead_flight_recorder::bounded_text::escape;
 use thiserror::Error;
 use tracing_subscriber::filter::Targets;
 
@@ -23,7 +23,7 @@
 /// # Errors
 /// [`FilterError`].
 pub fn parse_filter(text: &str) -> Result<Targets, FilterError> {
-    let invalid = || FilterError(plain(&text.chars().take(MAX_QUOTED_CHARS).collect::<String>()));
+    let invalid = || FilterError(escape(&text.chars().take(MAX_QUOTED_CHARS).collect::<String>()));
     if text.len() > MAX_FILTER_BYTES || !text.split(',').all(is_directive) {
         return Err(invalid());
     }
