--- /dev/null
+++ b/crates/flight-recorder/src/ledger_rows.rs
@@ -0,0 +1,265 @@
+//! Keys and rows of the loss ledger's tables.
+
+use crate::event::PoolId;
+use crate::loss_cause::MicroWeight;
+use crate::slot_table::{Key, Row};
+use crate::wire_format::{Reader, put, put_f32};
+
+/// Key of losses.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct LossKey {
+    /// The pool.
+    pub pool: PoolId,
+    /// Index of the class in the pool.
+    pub class: u16,
+    /// Code of the cause.
+    pub cause: u8,
+    /// The endpoint at fault, or [`NO_ENDPOINT`].
+    pub endpoint: u32,
+}
+
+/// Stands for no endpoint.
+pub const NO_ENDPOINT: u32 = u32::MAX;
+
+impl Key for LossKey {
+    const OTHER: Self =
+        Self { pool: PoolId(u16::MAX), class: u16::MAX, cause: u8::MAX, endpoint: NO_ENDPOINT };
+
+    fn write(&self, out: &mut Vec<u8>) {
+        put(out, u64::from(self.pool.0));
+        put(out, u64::from(self.class));
+        out.push(self.cause);
+        put(out, u64::from(self.endpoint));
+    }
+
+    fn read(from: &mut Reader<'_>) -> Option<Self> {
+        Some(Self {
+            pool: PoolId(from.small()?),
+            class: from.small()?,
+            cause: from.byte()?,
+            endpoint: from.small()?,
+        })
+    }
+}
+
+/// Totals of losses.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LossTotals {
+    /// Number of requests.
+    pub requests: u64,
+    /// Weight that they lost.
+    pub lost: MicroWeight,
+}
+
+impl Row for LossTotals {
+    fn add(&mut self, other: &Self) {
+        self.requests = self.requests.saturating_add(other.requests);
+        self.lost = self.lost.saturating_add(other.lost);
+    }
+
+    fn write(&self, out: &mut Vec<u8>) {
+        put(out, self.requests);
+        put(out, self.lost);
+    }
+
+    fn read(from: &mut Reader<'_>) -> Option<Self> {
+        Some(Self { requests: from.number()?, lost: from.number()? })
+    }
+}
+
+/// Key of traffic.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TrafficKey {
+    /// The pool.
+    pub pool: PoolId,
+    /// Index of the class in the pool.
+    pub class: u16,
+}
+
+impl Key for TrafficKey {
+    const OTHER: Self = Self { pool: PoolId(u16::MAX), class: u16::MAX };
+
+    fn write(&self, out: &mut Vec<u8>) {
+        put(out, u64::from(self.pool.0));
+        put(out, u64::from(self.class));
+    }
+
+    fn read(from: &mut Reader<'_>) -> Option<Self> {
+        Some(Self { pool: PoolId(from.small()?), class: from.small()? })
+    }
+}
+
+/// Totals of requests and attempts, booked when they end.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TrafficTotals {
+    /// Number of requests.
+    pub requests: u64,
+    /// Weight that they offered.
+    pub offered: MicroWeight,
+    /// Weight that was earned.
+    pub earned: MicroWeight,
+    /// Number of successful attempts.
+    pub answered_attempts: u64,
+    /// Number of other attempts.
+    pub unanswered_attempts: u64,
+    /// Duration of successful attempts, in microseconds.
+    pub answered_us: u64,
+    /// Shortest of these durations plus one; 0 if there is none.
+    pub fastest_us_plus_one: u64,
+    /// Unused; part of the file format.
+    pub waited: u64,
+}
+
+impl Row for TrafficTotals {
+    fn add(&mut self, other: &Self) {
+        self.requests = self.requests.saturating_add(other.requests);
+        self.offered = self.offered.saturating_add(other.offered);
+        self.earned = self.earned.saturating_add(other.earned);
+        self.answered_attempts = self.answered_attempts.saturating_add(other.answered_attempts);
+        self.unanswered_attempts = self.unanswered_attempts.saturating_add(other.unanswered_attempts);
+        self.answered_us = self.answered_us.saturating_add(other.answered_us);
+        self.waited = self.waited.saturating_add(other.waited);
+        self.fastest_us_plus_one = match (self.fastest_us_plus_one, other.fastest_us_plus_one) {
+            (0, some) | (some, 0) => some,
+            (one, other) => one.min(other),
+        };
+    }
+
+    fn write(&self, out: &mut Vec<u8>) {
+        let Self {
+            requests,
+            offered,
+            earned,
+            answered_attempts,
+            unanswered_attempts,
+            answered_us,
+            fastest_us_plus_one,
+            waited,
+        } = *self;
+        [
+            requests,
+            offered,
+            earned,
+            answered_attempts,
+            unanswered_attempts,
+            answered_us,
+            fastest_us_plus_one,
+            waited,
+        ]
+        .iter()
+        .for_each(|n| put(out, *n));
+    }
+
+    fn read(from: &mut Reader<'_>) -> Option<Self> {
+        Some(Self {
+            requests: from.number()?,
+            offered: from.number()?,
+            earned: from.number()?,
+            answered_attempts: from.number()?,
+            unanswered_attempts: from.number()?,
+            answered_us: from.number()?,
+            fastest_us_plus_one: from.number()?,
+            waited: from.number()?,
+        })
+    }
+}
+
+/// Key of an endpoint's attempts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct EndpointKey {
+    /// The pool.
+    pub pool: PoolId,
+    /// The endpoint's id.
+    pub endpoint: u32,
+}
+
+impl Key for EndpointKey {
+    const OTHER: Self = Self { pool: PoolId(u16::MAX), endpoint: NO_ENDPOINT };
+
+    fn write(&self, out: &mut Vec<u8>) {
+        put(out, u64::from(self.pool.0));
+        put(out, u64::from(self.endpoint));
+    }
+
+    fn read(from: &mut Reader<'_>) -> Option<Self> {
+        Some(Self { pool: PoolId(from.small()?), endpoint: from.small()? })
+    }
+}
+
+/// Totals of an endpoint's attempts.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct EndpointTotals {
+    /// Number of attempts by the code of their outcome.
+    pub attempts_by_outcome: [u64; 8],
+    /// Sum of the durations of successful attempts relative to the mean of their class, in thousandths.
+    pub relative_latency_permille: u64,
+    /// Duration of successful attempts, in microseconds.
+    pub answered_us: u64,
+    /// Duration of failed attempts, in microseconds: concurrency used without benefit.
+    pub unanswered_us: u64,
+    /// Time spent on getting connections, in microseconds.
+    pub connect_us: u64,
+    /// Time for which it was ejected by decisions in the slot, in microseconds.
+    pub ejected_us: u64,
+    /// Last known concurrency limit.
+    pub concurrency_limit: f32,
+}
+
+impl EndpointTotals {
+    /// Returns the number of all attempts.
+    #[must_use]
+    pub fn attempts(&self) -> u64 {
+        self.attempts_by_outcome.iter().fold(0, |sum, n| sum.saturating_add(*n))
+    }
+}
+
+impl Row for EndpointTotals {
+    fn add(&mut self, other: &Self) {
+        self.attempts_by_outcome
+            .iter_mut()
+            .zip(other.attempts_by_outcome)
+            .for_each(|(sum, more)| *sum = sum.saturating_add(more));
+        self.relative_latency_permille =
+            self.relative_latency_permille.saturating_add(other.relative_latency_permille);
+        self.answered_us = self.answered_us.saturating_add(other.answered_us);
+        self.unanswered_us = self.unanswered_us.saturating_add(other.unanswered_us);
+        self.connect_us = self.connect_us.saturating_add(other.connect_us);
+        self.ejected_us = self.ejected_us.saturating_add(other.ejected_us);
+        if other.concurrency_limit > 0.0 {
+            self.concurrency_limit = other.concurrency_limit;
+        }
+    }
+
+    fn write(&self, out: &mut Vec<u8>) {
+        let Self {
+            attempts_by_outcome,
+            relative_latency_permille,
+            answered_us,
+            unanswered_us,
+            connect_us,
+            ejected_us,
+            concurrency_limit,
+        } = *self;
+        attempts_by_outcome
+            .iter()
+            .chain(&[relative_latency_permille, answered_us, unanswered_us, connect_us, ejected_us])
+            .for_each(|n| put(out, *n));
+        put_f32(out, concurrency_limit);
+    }
+
+    fn read(from: &mut Reader<'_>) -> Option<Self> {
+        let mut ended = [0; 8];
+        for count in &mut ended {
+            *count = from.number()?;
+        }
+        Some(Self {
+            attempts_by_outcome: ended,
+            relative_latency_permille: from.number()?,
+            answered_us: from.number()?,
+            unanswered_us: from.number()?,
+            connect_us: from.number()?,
+            ejected_us: from.number()?,
+            concurrency_limit: from.f32()?,
+        })
+    }
+}
--- a/crates/flight-recorder/src/timestamp.rs
+++ b/crates/flight-recorder/src/timestamp.rs
@@ -1,11 +1,11 @@
-//! Moments as people write them.
+//! Timestamps and durations as text.
 
 use pumicehead_policy::{Nanos, SECOND};
 use thiserror::Error;
 
 const DAY: u64 = 86_400;
 
-/// A text that names no moment.
+/// A text is not a timestamp.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is no moment: seconds since the node's start (12.5), or a time of day in UTC (13:05:20)")]
 pub struct TimestampError(String);
@@ -15,7 +15,7 @@
 /// # Errors
 /// [`TimestampError`].
 pub fn parse(text: &str, start: Nanos) -> Result<Nanos, TimestampError> {
-    let fault = || TimestampError(crate::bounded_text::plain(&text.chars().take(40).collect::<String>()));
+    let fault = || TimestampError(crate::bounded_text::escape(&text.chars().take(40).collect::<String>()));
     let seconds = |part: &str| {
         let plain = !part.is_empty() && part.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
         part.parse::<f64>().ok().filter(|n| plain && n.is_finite() && *n < 1e9)
@@ -36,7 +36,7 @@
             let of_day = nanos((hour * 3_600 + minute * 60) as f64 + second);
             let midnight = start / (DAY * SECOND) * (DAY * SECOND);
             let at = midnight.saturating_add(of_day);
-            // A start is told to the nanosecond, and a moment to the second it was in.
+            // The start has nanoseconds, a time of day only seconds.
             let earliest = start / SECOND * SECOND;
             Ok(if at < earliest { at.saturating_add(DAY * SECOND) } else { at })
         }
@@ -44,7 +44,7 @@
     }
 }
 
-/// A moment as seconds since the start and the time of day in UTC.
+/// Formats a timestamp as seconds since the start and the time of day in UTC.
 #[must_use]
 pub fn format_timestamp(at: Nanos, start: Nanos) -> String {
     let since = at.saturating_sub(start) as f64 / SECOND as f64;
@@ -52,7 +52,7 @@
     format!("{since:.3} s ({:02}:{:02}:{:02})", of_day / 3_600, of_day / 60 % 60, of_day % 60)
 }
 
-/// A span in the unit that suits it.
+/// Formats a duration in a suitable unit.
 #[must_use]
 pub fn format_duration(span: Nanos) -> String {
     match span {
@@ -63,26 +63,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn both_forms_are_read_and_shown() {
-        let start = (20_000 * DAY + 13 * 3_600 + 5 * 60 + 10) * SECOND + 400_000_000;
-        assert_eq!(parse("12.5", start), Ok(start + 12_500_000_000));
-        assert_eq!(parse("3s", start), Ok(start + 3 * SECOND));
-        assert_eq!(parse("13:05:20", start), Ok(start - 400_000_000 + 10 * SECOND));
-        assert_eq!(parse("13:05:10", start), Ok(start - 400_000_000));
-        assert_eq!(parse("01:00:00", start), Ok((20_001 * DAY + 3_600) * SECOND), "the next day");
-        for bad in
-            ["", "x", "-1", "1e9", "1:2", "24:00:00", "1:60:00", "1:00:99", "nan", "\u{1b}[2J", "1:2:3:4"]
-        {
-            assert!(parse(bad, start).is_err(), "{bad}");
-        }
-        assert_eq!(format_timestamp(start + 2 * SECOND, start), "2.000 s (13:05:12)");
-        assert_eq!(
-            [format_duration(900), format_duration(1_500_000), format_duration(2 * SECOND)],
-            ["0 us", "1.5 ms", "2.00 s"]
-        );
-    }
-}
+#[path = "../tests/unit/timestamp.rs"]
+mod tests;
--- a/crates/node/src/log/mod.rs
+++ b/crates/node/src/log/mod.rs
@@ -127,7 +127,7 @@
         let now = self.shared.now();
         let ended = {
             let mut state = self.shared.rate_limit();
-            let ended = state.quota.ended(now);
+            let ended = state.quota.drain_expired(now);
             ended.into_iter().map(|more| (state.names.get(&more.kind).cloned(), more)).collect::<Vec<_>>()
         };
         for (name, more) in ended {
@@ -196,7 +196,7 @@
         let kind = pumicehead_flight_recorder::bounded_text::hash(&source);
         let now = self.0.now();
         let mut state = self.0.rate_limit();
-        let (is_logged, suppressed) = state.quota.take(kind, now);
+        let (is_logged, suppressed) = state.quota.check(kind, now);
         if is_logged {
             event.record(fields);
             if state.names.len() < MAX_KINDS {
--- a/crates/node/src/recording_cli.rs
+++ b/crates/node/src/recording_cli.rs
@@ -10,7 +10,7 @@
 use clap::{Args, ValueEnum};
 use pumicehead_flight_recorder::breakdown::Breakdown;
 use pumicehead_flight_recorder::findings::{Finding, find};
-use pumicehead_flight_recorder::recording::{LONGEST as MAX_RECORDING_BYTES, Recording};
+use pumicehead_flight_recorder::recording::{MAX_RECORDING_BYTES, Recording};
 use pumicehead_flight_recorder::{bounded_text, export as forms, html_report, timeline_text, timestamp};
 use pumicehead_policy::Nanos;
 use serde_json::json;
@@ -95,7 +95,7 @@
     let line_end = line_end.ok_or_else(|| format!("{address}: no answer of a node"))?;
     let line = String::from_utf8_lossy(&reply[..line_end]).into_owned();
     let length = line.strip_prefix("OK ").and_then(|length| length.parse::<usize>().ok());
-    let length = length.ok_or_else(|| format!("{address}: {}", bounded_text::plain(&line)))?;
+    let length = length.ok_or_else(|| format!("{address}: {}", bounded_text::escape(&line)))?;
     let recording = &reply[line_end + 1..];
     if recording.len() != length {
         return Err(format!("{address}: {} of {length} bytes came", recording.len()).into());
@@ -131,7 +131,7 @@
         }
         let range = self.time_range(&dump)?;
         let accounts = dump.ledger.as_ref().ok_or("the recording's sums are damaged")?;
-        let breakdown = Breakdown::sum(&dump.head, accounts, range.from, range.to);
+        let breakdown = Breakdown::of_ledger(&dump.head, accounts, range.from, range.to);
         if let Some(other) = &self.diff {
             return self.print_comparison(&breakdown, other);
         }
@@ -147,7 +147,7 @@
     fn print_comparison(&self, breakdown: &Breakdown, other: &Path) -> Result<(), Box<dyn Error>> {
         let other = open(other)?;
         let range = self.time_range(&other)?;
-        let other = Breakdown::of(&other, range.from, range.to);
+        let other = Breakdown::of_recording(&other, range.from, range.to);
         print(&breakdown.compare(&other.ok_or("the other recording's sums are damaged")?));
         Ok(())
     }
@@ -174,17 +174,17 @@
         print(&format!("  {lost:10.1}  {:7} requests  {}\n", finding.requests, finding.text));
     }
     let examples = dump.timelines.iter().filter(|story| story.cause.is_some()).take(MAX_REQUESTS);
-    let names: Vec<_> = examples.map(|story| story.name.shown()).collect();
+    let names: Vec<_> = examples.map(|story| story.name.display()).collect();
     if !names.is_empty() {
         print(&format!("some of them: {}\n", names.join(", ")));
     }
 }
 
 fn print_request(dump: &Recording, request: &str) -> Result<(), Box<dyn Error>> {
-    let found = dump.find(request);
+    let found = dump.timelines_of(request);
     if found.is_empty() {
         let recorded = dump.timelines.len();
-        let name = bounded_text::plain(&request.chars().take(MAX_QUOTED_CHARS).collect::<String>());
+        let name = bounded_text::escape(&request.chars().take(MAX_QUOTED_CHARS).collect::<String>());
         return Err(format!("no story of `{name}` among the {recorded} that were kept").into());
     }
     for timeline in found.into_iter().take(MAX_REQUESTS) {
--- a/crates/testbed/src/measure/recorder/faults.rs
+++ b/crates/testbed/src/measure/recorder/faults.rs
@@ -60,7 +60,7 @@
 fn is_faulty_server(recording: &Recording, finding: &Finding, symptom: Symptom) -> bool {
     let last = format!("s{}", SERVERS - 1);
     finding.symptom == symptom
-        && matches!(finding.subject, Subject::Endpoint(pool, id) if recording.head.server(pool, id) == last)
+        && matches!(finding.subject, Subject::Endpoint(pool, id) if recording.head.endpoint_name(pool, id) == last)
 }
 
 const FAULTS: [Fault; 5] = [
@@ -122,7 +122,7 @@
         more_clients: 0,
         is_named_by: |recording, finding| {
             let class = matches!(finding.subject,
-                Subject::Class(pool, class) if recording.head.class(pool, class) == "submit");
+                Subject::Class(pool, class) if recording.head.class_name(pool, class) == "submit");
             class && finding.symptom == Symptom::ObjectiveTooShort
         },
     },
