--- a/crates/flight-recorder/src/breakdown.rs
+++ b/crates/flight-recorder/src/breakdown.rs
@@ -66,7 +66,7 @@
     /// Sums up a recording; the range is widened to the ledger's slots. `None` without a ledger.
     #[must_use]
     pub fn of_recording(recording: &Recording, from: Nanos, to: Nanos) -> Option<Self> {
-        recording.ledger.as_ref().map(|accounts| Self::of_ledger(&recording.head, accounts, from, to))
+        recording.ledger.as_ref().map(|accounts| Self::of_ledger(&recording.header, accounts, from, to))
     }
 
     /// Sums up a ledger.
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -39,7 +39,7 @@
         match &record.event {
             Event::AttemptStarted { attempt, endpoint, .. } => attempts.push(Attempt {
                 number: attempt.0,
-                server: recording.head.endpoint_name(timeline.pool, endpoint.0),
+                server: recording.header.endpoint_name(timeline.pool, endpoint.0),
                 from: record.at,
                 to: timeline.ended_at.max(record.at),
                 outcome: None,
@@ -77,8 +77,8 @@
     let mut out = String::new();
     let resource = json!({ "attributes": [
         attribute("service.name", "pumicehead"),
-        attribute("service.instance.id", &escape(&recording.head.node)),
-        attribute("service.version", &escape(&recording.head.program)),
+        attribute("service.instance.id", &escape(&recording.header.node)),
+        attribute("service.version", &escape(&recording.header.program)),
     ] });
     for timeline in &recording.timelines {
         let one = request_span(recording, timeline);
@@ -87,8 +87,11 @@
         let failed = !matches!(one.how, Some(RequestOutcome::Served) | None);
         let mut attributes = vec![
             attribute("pumicehead.request", &timeline.name.display()),
-            attribute("pumicehead.pool", &escape(recording.head.pool_name(timeline.pool))),
-            attribute("pumicehead.class", &escape(recording.head.class_name(timeline.pool, timeline.class))),
+            attribute("pumicehead.pool", &escape(recording.header.pool_name(timeline.pool))),
+            attribute(
+                "pumicehead.class",
+                &escape(recording.header.class_name(timeline.pool, timeline.class)),
+            ),
         ];
         attributes.extend(timeline.cause.map(|cause| attribute("pumicehead.lost", &cause.to_string())));
         let notes: Vec<_> = one
@@ -133,10 +136,10 @@
 /// Renders timelines as Chrome trace events, one row per request with its attempts.
 #[must_use]
 pub fn chrome(recording: &Recording) -> String {
-    let micros = |at: Nanos| at.saturating_sub(recording.head.start) as f64 / 1e3;
+    let micros = |at: Nanos| at.saturating_sub(recording.header.start) as f64 / 1e3;
     let mut events = vec![json!({
         "ph": "M", "name": "process_name", "pid": 1, "tid": 0,
-        "args": { "name": format!("pumicehead {}", escape(&recording.head.node)) },
+        "args": { "name": format!("pumicehead {}", escape(&recording.header.node)) },
     })];
     for (row, timeline) in recording.timelines.iter().enumerate() {
         let one = request_span(recording, timeline);
@@ -148,7 +151,7 @@
             })
         };
         events.push(span(
-            recording.head.class_name(timeline.pool, timeline.class),
+            recording.header.class_name(timeline.pool, timeline.class),
             one.from,
             one.to,
             json!({
--- a/crates/flight-recorder/src/html_report.rs
+++ b/crates/flight-recorder/src/html_report.rs
@@ -115,8 +115,8 @@
 }
 
 fn pictures(recording: &Recording, accounts: &LossLedger) -> Result<String, Fault> {
-    let start = recording.head.start;
-    let end = seconds(recording.head.at, start);
+    let start = recording.header.start;
+    let end = seconds(recording.header.at, start);
     let width = accounts.traffic.width() as f64 / SECOND as f64;
     let mut worth: BTreeMap<Nanos, (f64, f64)> = BTreeMap::new();
     for (at, _, flow) in accounts.traffic.rows_between(0, Nanos::MAX) {
@@ -131,7 +131,7 @@
     let (mut limits, mut rows) = (Vec::new(), Vec::new());
     let width = accounts.endpoints.width() as f64 / SECOND as f64;
     for (pool, id) in busiest(accounts) {
-        let name = recording.head.endpoint_name(pool, id);
+        let name = recording.header.endpoint_name(pool, id);
         let of = || {
             let own = move |key: &crate::loss_ledger::EndpointKey| (key.pool, key.endpoint) == (pool, id);
             accounts.endpoints.rows_between(0, Nanos::MAX).filter(move |(_, key, _)| own(key))
@@ -157,13 +157,13 @@
 /// Renders the report. A chart that can't be drawn is replaced with the error.
 #[must_use]
 pub fn write(recording: &Recording) -> String {
-    let title = escape_html(&format!("pumicehead {}", recording.head.node));
+    let title = escape_html(&format!("pumicehead {}", recording.header.node));
     let mut out = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{title}</title>\
          <style>body{{font:14px/1.4 sans-serif;margin:1.5em auto;max-width:1020px;color:#222}}\
          pre{{background:#f6f6f6;padding:.7em;overflow-x:auto}}svg{{max-width:100%;height:auto}}</style>\
          <h1>{title}</h1><p>{}</p>",
-        escape_html(&recording.head.reason)
+        escape_html(&recording.header.reason)
     );
     if let Some(damage) = recording.damage {
         out += &format!(
@@ -173,18 +173,18 @@
     }
     if let Some(accounts) = &recording.ledger {
         out += "<h2>Causes</h2><ol>";
-        for finding in findings::find(&recording.head, accounts, 0, Nanos::MAX).iter().take(8) {
+        for finding in findings::find(&recording.header, accounts, 0, Nanos::MAX).iter().take(8) {
             out += &format!("<li>lost {:.1}: {}</li>", finding.lost as f64 / 1e6, escape_html(&finding.text));
         }
         out += "</ol><h2>The day</h2>";
         out += &pictures(recording, accounts)
             .unwrap_or_else(|fault| format!("<p>No picture: {}</p>", escape_html(&fault.to_string())));
-        let breakdown = Breakdown::of_ledger(&recording.head, accounts, 0, Nanos::MAX);
+        let breakdown = Breakdown::of_ledger(&recording.header, accounts, 0, Nanos::MAX);
         out += &format!("<h2>What was lost</h2><pre>{}</pre>", lines_of(&breakdown.to_string()));
     }
     out += "<h2>Some requests</h2>";
     for one in recording.timelines.iter().filter(|timeline| timeline.cause.is_some()).take(MAX_TIMELINES) {
-        out += &format!("<pre>{}</pre>", lines_of(&timeline_text::render(&recording.head, one)));
+        out += &format!("<pre>{}</pre>", lines_of(&timeline_text::render(&recording.header, one)));
     }
     out + "</html>\n"
 }
--- a/crates/flight-recorder/src/recording.rs
+++ b/crates/flight-recorder/src/recording.rs
@@ -188,7 +188,7 @@
 #[derive(Clone, Debug)]
 pub struct Recording {
     /// Its header.
-    pub head: RecordingHeader,
+    pub header: RecordingHeader,
     /// Its ledger; `None` if that is damaged.
     pub ledger: Option<LossLedger>,
     /// Timelines of requests, the most important first.
@@ -290,7 +290,7 @@
         let Some((HEAD, head)) = next(&mut from) else { return Err(RecordingError::Head) };
         let head = serde_json::from_slice(head).map_err(|_| RecordingError::Head)?;
         let mut recording =
-            Self { head, ledger: None, timelines: Vec::new(), records: Vec::new(), damage: None };
+            Self { header: head, ledger: None, timelines: Vec::new(), records: Vec::new(), damage: None };
         loop {
             let at = bytes.len() - from.0.len();
             match next(&mut from) {
--- a/crates/flight-recorder/tests/bounds.rs
+++ b/crates/flight-recorder/tests/bounds.rs
@@ -85,7 +85,7 @@
         let (_, middle) = accounts.aligned(START, START + cut * SECOND);
         let halves = [(0, middle), (middle, Nanos::MAX)].map(|(a, b)| Breakdown::of_recording(&dump, a, b).unwrap());
         prop_assert_eq!(halves[0].lost() + halves[1].lost(), whole.lost());
-        let found = pumicehead_flight_recorder::findings::find(&dump.head, accounts, 0, Nanos::MAX);
+        let found = pumicehead_flight_recorder::findings::find(&dump.header, accounts, 0, Nanos::MAX);
         prop_assert_eq!(found.iter().map(|one| one.lost).sum::<u64>(), whole.lost(), "{:?}", found);
     }
 }
@@ -174,9 +174,9 @@
     day.end_attempt(id, 0, 3, AttemptOutcome::TimedOut, 20 * SECOND);
     day.end_request(id, RequestOutcome::DeadlineExceeded);
     let dump = Recording::read(&day.recorder.recording(day.now, "test")).unwrap();
-    assert!(dump.head.overwritten_events > 0);
+    assert!(dump.header.overwritten_events > 0);
     let story = dump.timelines_of("the long one")[0];
-    let text = pumicehead_flight_recorder::timeline_text::render(&dump.head, story);
+    let text = pumicehead_flight_recorder::timeline_text::render(&dump.header, story);
     assert!(
         text.contains("It came as `submit`") && text.contains("Attempt 1 at s-3: no answer in time"),
         "{text}"
@@ -202,7 +202,7 @@
     let dump = Recording::read(&day.recorder.recording(day.now, "test")).unwrap();
     let story = &dump.timelines[0];
     assert!(story.truncated && story.encoded_events.len() <= 1_024);
-    let text = pumicehead_flight_recorder::timeline_text::render(&dump.head, story);
+    let text = pumicehead_flight_recorder::timeline_text::render(&dump.header, story);
     assert!(text.lines().all(|line| !line.contains('\u{1b}')));
 }
 
@@ -215,7 +215,7 @@
         assert!(day.recorder.memory_used() <= MIN_MEMORY);
     }
     let dump = Recording::read(&day.recorder.recording(day.now, "test")).unwrap();
-    assert!(dump.head.untracked_requests > 9_000);
+    assert!(dump.header.untracked_requests > 9_000);
     day.recorder.set_level(Level::Off);
     day.request(0, 0, AttemptOutcome::Reset, MS);
     assert!(day.recorder.ledger().losses.is_empty(), "off is off");
--- a/crates/flight-recorder/tests/causes.rs
+++ b/crates/flight-recorder/tests/causes.rs
@@ -11,7 +11,7 @@
 
 fn first(day: &Day) -> Finding {
     let dump = Recording::read(&day.recorder.recording(day.now, "test")).unwrap();
-    find(&dump.head, dump.ledger.as_ref().unwrap(), 0, Nanos::MAX).remove(0)
+    find(&dump.header, dump.ledger.as_ref().unwrap(), 0, Nanos::MAX).remove(0)
 }
 
 /// Ten calm rounds over four servers, with a fifth of another kind.
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -161,9 +161,9 @@
 fn a_recording_holds_what_was_recorded() {
     let dump = Recording::read(&small()).unwrap();
     assert_eq!((dump.damage, dump.timelines.len()), (None, 4));
-    assert_eq!((dump.head.node.as_str(), dump.head.reason.as_str()), ("n0", "test"));
+    assert_eq!((dump.header.node.as_str(), dump.header.reason.as_str()), ("n0", "test"));
     let failed = dump.timelines_of("r1")[0];
-    let text = pumicehead_flight_recorder::timeline_text::render(&dump.head, failed);
+    let text = pumicehead_flight_recorder::timeline_text::render(&dump.header, failed);
     for part in
         ["`submit`", "Attempt 1 to s-2.", "the connection broke after 30.0 ms", "must not take effect twice"]
     {
@@ -224,7 +224,7 @@
         file.extend_from_slice(contents);
     }
     let dump = Recording::read(&file).unwrap();
-    assert_eq!((dump.head.node.as_str(), dump.damage, dump.ledger.is_none()), ("old", None, true));
+    assert_eq!((dump.header.node.as_str(), dump.damage, dump.ledger.is_none()), ("old", None, true));
 }
 
 /// Guards that tenants are named once for all pools, by their ids, and that recordings which name them for each pool, by
@@ -243,7 +243,7 @@
     };
     let old =
         br#"{"node":"old","pools":[{"name":"web","tenants":["acme","b"]},{"name":"other","tenants":["c"]}]}"#;
-    let old = Recording::read(&file(old)).unwrap().head;
+    let old = Recording::read(&file(old)).unwrap().header;
     assert_eq!([0, 1, 2].map(|id| old.tenant_name(PoolId(0), id)), ["acme", "b", "2"]);
     assert_eq!(old.tenant_name(PoolId(1), 0), "c");
 
@@ -251,7 +251,7 @@
     let mut recorder = Recorder::new("n0", 0, 1 << 20, 1);
     recorder.register_pool("web", &[]);
     recorder.name_tenants(names.into_iter().collect());
-    let new = Recording::read(&recorder.recording(1, "test")).unwrap().head;
+    let new = Recording::read(&recorder.recording(1, "test")).unwrap().header;
     assert_eq!([3, 70_000, 0].map(|id| new.tenant_name(PoolId(0), id)), ["early", "late", "0"]);
     assert!(new.pools[0].tenants.is_empty());
 }
--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -427,7 +427,7 @@
     let all = dump
         .timelines
         .iter()
-        .map(|story| pumicehead_flight_recorder::timeline_text::render(&dump.head, story));
+        .map(|story| pumicehead_flight_recorder::timeline_text::render(&dump.header, story));
     all.collect::<Vec<_>>().join("\n")
 }
 
--- a/crates/node/src/recording_cli.rs
+++ b/crates/node/src/recording_cli.rs
@@ -131,11 +131,11 @@
         }
         let range = self.time_range(&dump)?;
         let accounts = dump.ledger.as_ref().ok_or("the recording's sums are damaged")?;
-        let breakdown = Breakdown::of_ledger(&dump.head, accounts, range.from, range.to);
+        let breakdown = Breakdown::of_ledger(&dump.header, accounts, range.from, range.to);
         if let Some(other) = &self.diff {
             return self.print_comparison(&breakdown, other);
         }
-        let findings = find(&dump.head, accounts, range.from, range.to);
+        let findings = find(&dump.header, accounts, range.from, range.to);
         if self.json {
             print(&(json(&breakdown, &findings) + "\n"));
         } else {
@@ -155,8 +155,8 @@
     fn time_range(&self, dump: &Recording) -> Result<TimeRange, timestamp::TimestampError> {
         match self.between.as_deref() {
             Some([from, to]) => Ok(TimeRange {
-                from: timestamp::parse(from, dump.head.start)?,
-                to: timestamp::parse(to, dump.head.start)?,
+                from: timestamp::parse(from, dump.header.start)?,
+                to: timestamp::parse(to, dump.header.start)?,
             }),
             _ => Ok(TimeRange { from: 0, to: Nanos::MAX }),
         }
@@ -188,7 +188,7 @@
         return Err(format!("no story of `{name}` among the {recorded} that were kept").into());
     }
     for timeline in found.into_iter().take(MAX_REQUESTS) {
-        print(&timeline_text::render(&dump.head, timeline));
+        print(&timeline_text::render(&dump.header, timeline));
     }
     Ok(())
 }
--- a/crates/node/tests/introspection.rs
+++ b/crates/node/tests/introspection.rs
@@ -222,7 +222,7 @@
     }
     for file in files() {
         let dump = Recording::read(&std::fs::read(file).unwrap()).unwrap();
-        assert_eq!((dump.damage, dump.head.reason.as_str()), (None, "asked by a signal"));
+        assert_eq!((dump.damage, dump.header.reason.as_str()), (None, "asked by a signal"));
     }
     std::fs::remove_dir_all(&kept).unwrap();
 }
--- a/crates/node/tests/tenants.rs
+++ b/crates/node/tests/tenants.rs
@@ -183,7 +183,7 @@
     let (within, over): (Vec<_>, Vec<_>) = worths.partition(|worth| *worth >= 1.0);
     assert_eq!(within.len() + over.len(), 40);
     assert!(!within.is_empty() && within.len() as f64 <= most, "{} of {most}", within.len());
-    let told = dump.timelines.iter().map(|told| timeline_text::render(&dump.head, told));
+    let told = dump.timelines.iter().map(|told| timeline_text::render(&dump.header, told));
     assert!(told.into_iter().any(|told| told.contains("Tenant: greedy.")));
 }
 
@@ -217,6 +217,6 @@
     let (within, over): (Vec<_>, Vec<_>) = worths.partition(|worth| *worth >= 1.0);
     assert_eq!(within.len() + over.len(), 40);
     assert!(!within.is_empty() && within.len() as f64 <= most, "{} of {most}", within.len());
-    let mut told = dump.timelines.iter().map(|told| timeline_text::render(&dump.head, told));
+    let mut told = dump.timelines.iter().map(|told| timeline_text::render(&dump.header, told));
     assert!(told.any(|told| told.contains("Tenant: greedy.")));
 }
--- a/crates/node/tests/unit/introspection.rs
+++ b/crates/node/tests/unit/introspection.rs
@@ -25,7 +25,7 @@
     });
     let file = fs::read_dir(&folder).unwrap().next().unwrap().unwrap().path();
     let dump = pumicehead_flight_recorder::recording::Recording::read(&fs::read(file).unwrap()).unwrap();
-    assert!(dump.head.reason.contains("on purpose"), "{}", dump.head.reason);
+    assert!(dump.header.reason.contains("on purpose"), "{}", dump.header.reason);
     fs::remove_dir_all(&folder).unwrap();
 }
 
--- a/crates/testbed/src/measure/eyes.rs
+++ b/crates/testbed/src/measure/eyes.rs
@@ -187,7 +187,7 @@
 fn odd_server(dump: &Recording, finding: &Finding, matter: Symptom) -> bool {
     let last = format!("s{}", SERVERS - 1);
     finding.symptom == matter
-        && matches!(finding.subject, Subject::Endpoint(pool, id) if dump.head.endpoint_name(pool, id) == last)
+        && matches!(finding.subject, Subject::Endpoint(pool, id) if dump.header.endpoint_name(pool, id) == last)
 }
 
 const FAULTS: [Fault; 5] = [
@@ -249,7 +249,7 @@
         idle: 0,
         named: |dump, finding| {
             let class = matches!(finding.subject,
-                Subject::Class(pool, class) if dump.head.class_name(pool, class) == "submit");
+                Subject::Class(pool, class) if dump.header.class_name(pool, class) == "submit");
             class && finding.symptom == Symptom::ObjectiveTooShort
         },
     },
@@ -271,7 +271,7 @@
         let begun = Instant::now();
         let dump = recording(calls)?;
         let accounts = dump.ledger.as_ref().ok_or_else(|| io::Error::other("no sums"))?;
-        let found = find(&dump.head, accounts, 0, u64::MAX);
+        let found = find(&dump.header, accounts, 0, u64::MAX);
         let took = begun.elapsed().as_secs_f64();
         let named = found.first().is_some_and(|first| first.lost > 0 && (fault.named)(&dump, first));
         right += u32::from(named);
