--- a/crates/flight-recorder/src/breakdown.rs
+++ b/crates/flight-recorder/src/breakdown.rs
@@ -6,7 +6,7 @@
 use pumicehead_policy::Nanos;
 
 use crate::loss_cause::{LossCause, MicroWeight};
-use crate::loss_ledger::{LossKey, LossLedger, LossTotals, NO_ENDPOINT};
+use crate::loss_ledger::{LossKey, LossLedger, LossTotals, NO_ENDPOINT, Row, TrafficTotals};
 use crate::recording::{Recording, RecordingHeader};
 use crate::timestamp;
 
@@ -66,39 +66,47 @@
     /// Sums up a recording; the range is widened to the ledger's slots. `None` without a ledger.
     #[must_use]
     pub fn of_recording(recording: &Recording, from: Nanos, to: Nanos) -> Option<Self> {
-        recording.ledger.as_ref().map(|accounts| Self::of_ledger(&recording.header, accounts, from, to))
+        recording.ledger.as_ref().map(|ledger| Self::of_ledger(&recording.header, ledger, from, to))
     }
 
     /// Sums up a ledger.
     #[must_use]
-    pub fn of_ledger(head: &RecordingHeader, accounts: &LossLedger, from: Nanos, to: Nanos) -> Self {
-        let (from, to) = accounts.aligned(from, to);
+    pub fn of_ledger(header: &RecordingHeader, ledger: &LossLedger, from: Nanos, to: Nanos) -> Self {
+        let (from, to) = ledger.aligned(from, to);
         let rows: Vec<_> =
-            accounts.losses.rows_between(from, to).map(|(at, key, loss)| (at, key, *loss)).collect();
-        let mut sum = (0u64, 0u64, 0u64);
-        for (_, _, flow) in accounts.traffic.rows_between(from, to) {
-            sum.0 = sum.0.saturating_add(flow.requests);
-            sum.1 = sum.1.saturating_add(flow.offered);
-            sum.2 = sum.2.saturating_add(flow.earned);
+            ledger.losses.rows_between(from, to).map(|(at, key, loss)| (at, key, *loss)).collect();
+        let mut total = TrafficTotals::default();
+        for (_, _, traffic) in ledger.traffic.rows_between(from, to) {
+            total.add(traffic);
         }
-        let server = |key: &(crate::event::PoolId, u32)| match key.1 {
+        let endpoint_name = |key: &(crate::event::PoolId, u32)| match key.1 {
             NO_ENDPOINT => "no server".to_owned(),
-            server => head.endpoint_name(key.0, server),
+            endpoint => header.endpoint_name(key.0, endpoint),
         };
         let views = vec![
             ("cause", view(&rows, |_, key| LossCause::from_code(key.cause), LossCause::to_string)),
-            ("server", view(&rows, |_, key| (key.pool, key.endpoint), server)),
+            ("server", view(&rows, |_, key| (key.pool, key.endpoint), endpoint_name)),
             (
                 "class",
                 view(
                     &rows,
                     |_, key| (key.pool, key.class),
-                    |&(pool, class)| format!("{} in {}", head.class_name(pool, class), head.pool_name(pool)),
+                    |&(pool, class)| {
+                        format!("{} in {}", header.class_name(pool, class), header.pool_name(pool))
+                    },
                 ),
             ),
-            ("moment", view(&rows, |at, _| at, |at| timestamp::format_timestamp(*at, head.start))),
+            ("moment", view(&rows, |at, _| at, |at| timestamp::format_timestamp(*at, header.start))),
         ];
-        Self { from, to, start: head.start, requests: sum.0, offered: sum.1, earned: sum.2, views }
+        Self {
+            from,
+            to,
+            start: header.start,
+            requests: total.requests,
+            offered: total.offered,
+            earned: total.earned,
+            views,
+        }
     }
 
     /// Returns the lost weight.
@@ -138,7 +146,7 @@
 
 impl fmt::Display for Breakdown {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let worth = |micro: MicroWeight| micro as f64 / 1e6;
+        let weight = |micro: MicroWeight| micro as f64 / 1e6;
         let share = |lost: MicroWeight| 100.0 * lost as f64 / (self.offered as f64).max(1.0);
         let until = if self.to == Nanos::MAX {
             "its end".into()
@@ -150,9 +158,9 @@
             out,
             "{} requests worth {:.1}; earned {:.1}, lost {:.1} ({:.2}%)",
             self.requests,
-            worth(self.offered),
-            worth(self.earned),
-            worth(self.lost()),
+            weight(self.offered),
+            weight(self.earned),
+            weight(self.lost()),
             share(self.lost())
         )?;
         for (name, parts) in &self.views {
@@ -165,14 +173,14 @@
                 writeln!(
                     out,
                     "  {:10.1} {:6.2}%  {requests:7} requests  {label}",
-                    worth(*lost),
+                    weight(*lost),
                     share(*lost)
                 )?;
             }
             let rest = parts.iter().skip(SHOWN);
             let (lost, count) = rest.fold((0, 0), |(lost, n), part| (lost + part.lost, n + 1));
             if count > 0 {
-                writeln!(out, "  {:10.1} {:6.2}%  in {count} more", worth(lost), share(lost))?;
+                writeln!(out, "  {:10.1} {:6.2}%  in {count} more", weight(lost), share(lost))?;
             }
         }
         Ok(())
--- a/crates/flight-recorder/src/html_report.rs
+++ b/crates/flight-recorder/src/html_report.rs
@@ -20,17 +20,22 @@
 const SIZE: (u32, u32) = (1_000, 260);
 
 /// Why a chart can't be drawn.
-type Fault = Box<dyn std::error::Error>;
+type ChartError = Box<dyn std::error::Error>;
 
 type Points = Vec<(f64, f64)>;
-/// From, to, the share that ended badly, seconds set aside.
-type Span = (f64, f64, f64, f64);
+/// Attempts of an endpoint in one slot; times in seconds since the start.
+struct Span {
+    from: f64,
+    to: f64,
+    failed_share: f64,
+    ejected: f64,
+}
 
 fn seconds(at: Nanos, start: Nanos) -> f64 {
     at.saturating_sub(start) as f64 / SECOND as f64
 }
 
-fn lines(title: &str, unit: &str, series: &[(String, Points)], end: f64) -> Result<String, Fault> {
+fn lines(title: &str, unit: &str, series: &[(String, Points)], end: f64) -> Result<String, ChartError> {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -66,7 +71,7 @@
 }
 
 /// Draws a row per endpoint, darker with more failed attempts, with a line below it while it was ejected.
-fn bands(rows: &[(String, Vec<Span>)], end: f64) -> Result<String, Fault> {
+fn bands(rows: &[(String, Vec<Span>)], end: f64) -> Result<String, ChartError> {
     let mut svg = String::new();
     {
         let height = 48 + 22 * rows.len() as u32;
@@ -85,13 +90,13 @@
             let low = row as f64;
             let area = chart.plotting_area();
             area.draw(&Text::new(name.clone(), (0.0, low + 0.9), ("sans-serif", 11)))?;
-            for &(from, to, bad, aside) in spans {
-                let shade = RED.mix(0.1 + 0.9 * bad.clamp(0.0, 1.0));
-                let shade = if bad > 0.0 { shade } else { GREEN.mix(0.25) };
+            for &Span { from, to, failed_share, ejected } in spans {
+                let shade = RED.mix(0.1 + 0.9 * failed_share.clamp(0.0, 1.0));
+                let shade = if failed_share > 0.0 { shade } else { GREEN.mix(0.25) };
                 area.draw(&Rectangle::new([(from, low + 0.25), (to, low + 0.75)], shade.filled()))?;
-                if aside > 0.0 {
+                if ejected > 0.0 {
                     area.draw(&Rectangle::new(
-                        [(from, low + 0.08), (from + aside, low + 0.2)],
+                        [(from, low + 0.08), (from + ejected, low + 0.2)],
                         BLACK.filled(),
                     ))?;
                 }
@@ -102,10 +107,10 @@
     Ok(svg)
 }
 
-fn busiest(accounts: &LossLedger) -> Vec<(PoolId, u32)> {
+fn busiest(ledger: &LossLedger) -> Vec<(PoolId, u32)> {
     let mut sums: BTreeMap<(PoolId, u32), u64> = BTreeMap::new();
     for (_, key, row) in
-        accounts.endpoints.rows_between(0, Nanos::MAX).filter(|(_, key, _)| key.endpoint != NO_ENDPOINT)
+        ledger.endpoints.rows_between(0, Nanos::MAX).filter(|(_, key, _)| key.endpoint != NO_ENDPOINT)
     {
         *sums.entry((key.pool, key.endpoint)).or_default() += row.attempts();
     }
@@ -114,27 +119,27 @@
     all.into_iter().take(MAX_ENDPOINTS).map(|(key, _)| key).collect()
 }
 
-fn pictures(recording: &Recording, accounts: &LossLedger) -> Result<String, Fault> {
+fn charts(recording: &Recording, ledger: &LossLedger) -> Result<String, ChartError> {
     let start = recording.header.start;
     let end = seconds(recording.header.at, start);
-    let width = accounts.traffic.width() as f64 / SECOND as f64;
-    let mut worth: BTreeMap<Nanos, (f64, f64)> = BTreeMap::new();
-    for (at, _, flow) in accounts.traffic.rows_between(0, Nanos::MAX) {
-        let sum = worth.entry(at).or_default();
+    let width = ledger.traffic.width() as f64 / SECOND as f64;
+    let mut weights: BTreeMap<Nanos, (f64, f64)> = BTreeMap::new();
+    for (at, _, flow) in ledger.traffic.rows_between(0, Nanos::MAX) {
+        let sum = weights.entry(at).or_default();
         *sum = (sum.0 + flow.offered as f64 / 1e6, sum.1 + flow.earned as f64 / 1e6);
     }
     let line = |of: fn(&(f64, f64)) -> f64| -> Points {
-        worth.iter().map(|(at, sums)| (seconds(*at, start), of(sums) / width)).collect()
+        weights.iter().map(|(at, sums)| (seconds(*at, start), of(sums) / width)).collect()
     };
     let both = [("asked".to_owned(), line(|sums| sums.0)), ("earned".to_owned(), line(|sums| sums.1))];
     let mut out = lines("Worth a second", "worth", &both, end)?;
     let (mut limits, mut rows) = (Vec::new(), Vec::new());
-    let width = accounts.endpoints.width() as f64 / SECOND as f64;
-    for (pool, id) in busiest(accounts) {
+    let width = ledger.endpoints.width() as f64 / SECOND as f64;
+    for (pool, id) in busiest(ledger) {
         let name = recording.header.endpoint_name(pool, id);
         let of = || {
             let own = move |key: &crate::loss_ledger::EndpointKey| (key.pool, key.endpoint) == (pool, id);
-            accounts.endpoints.rows_between(0, Nanos::MAX).filter(move |(_, key, _)| own(key))
+            ledger.endpoints.rows_between(0, Nanos::MAX).filter(move |(_, key, _)| own(key))
         };
         let points = of().filter(|(_, _, row)| row.concurrency_limit > 0.0);
         limits.push((
@@ -143,8 +148,9 @@
         ));
         let spans = of().map(|(at, _, row)| {
             let from = seconds(at, start);
-            let bad = 1.0 - row.attempts_by_outcome[0] as f64 / row.attempts().max(1) as f64;
-            (from, from + width, if row.attempts() == 0 { 0.0 } else { bad }, row.ejected_us as f64 / 1e6)
+            let failed_share = 1.0 - row.attempts_by_outcome[0] as f64 / row.attempts().max(1) as f64;
+            let failed_share = if row.attempts() == 0 { 0.0 } else { failed_share };
+            Span { from, to: from + width, failed_share, ejected: row.ejected_us as f64 / 1e6 }
         });
         rows.push((name, spans.collect()));
     }
@@ -171,15 +177,15 @@
             damage.at, damage.of
         );
     }
-    if let Some(accounts) = &recording.ledger {
+    if let Some(ledger) = &recording.ledger {
         out += "<h2>Causes</h2><ol>";
-        for finding in findings::find(&recording.header, accounts, 0, Nanos::MAX).iter().take(8) {
+        for finding in findings::find(&recording.header, ledger, 0, Nanos::MAX).iter().take(8) {
             out += &format!("<li>lost {:.1}: {}</li>", finding.lost as f64 / 1e6, escape_html(&finding.text));
         }
         out += "</ol><h2>The day</h2>";
-        out += &pictures(recording, accounts)
-            .unwrap_or_else(|fault| format!("<p>No picture: {}</p>", escape_html(&fault.to_string())));
-        let breakdown = Breakdown::of_ledger(&recording.header, accounts, 0, Nanos::MAX);
+        out += &charts(recording, ledger)
+            .unwrap_or_else(|error| format!("<p>No picture: {}</p>", escape_html(&error.to_string())));
+        let breakdown = Breakdown::of_ledger(&recording.header, ledger, 0, Nanos::MAX);
         out += &format!("<h2>What was lost</h2><pre>{}</pre>", lines_of(&breakdown.to_string()));
     }
     out += "<h2>Some requests</h2>";
--- a/crates/flight-recorder/src/log_rate_limit.rs
+++ b/crates/flight-recorder/src/log_rate_limit.rs
@@ -15,7 +15,7 @@
 struct Kind {
     since: Nanos,
     count: u32,
-    more: u64,
+    suppressed: u64,
 }
 
 /// Messages that were not logged.
@@ -33,7 +33,8 @@
 #[derive(Debug, Default)]
 pub struct LogRateLimiter {
     kinds: BTreeMap<u64, Kind>,
-    held: usize,
+    /// Number of kinds with suppressed messages.
+    suppressed_kinds: usize,
 }
 
 impl LogRateLimiter {
@@ -41,41 +42,41 @@
     pub fn check(&mut self, kind: u64, now: Nanos) -> (bool, Option<SuppressedMessages>) {
         let kind =
             if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(&kind) { u64::MAX } else { kind };
-        let fresh = Kind { since: now, count: 0, more: 0 };
+        let fresh = Kind { since: now, count: 0, suppressed: 0 };
         let known = self.kinds.entry(kind).or_insert(fresh);
         let mut before = None;
         if now >= known.since.saturating_add(INTERVAL) {
-            before = (known.more > 0).then_some(SuppressedMessages {
+            before = (known.suppressed > 0).then_some(SuppressedMessages {
                 kind,
-                count: known.more,
+                count: known.suppressed,
                 interval: now - known.since,
             });
-            self.held -= usize::from(known.more > 0);
+            self.suppressed_kinds -= usize::from(known.suppressed > 0);
             *known = fresh;
         }
         known.count = known.count.saturating_add(1);
-        let told = known.count <= MESSAGES_PER_INTERVAL;
-        if !told {
-            self.held += usize::from(known.more == 0);
-            known.more += 1;
+        let is_logged = known.count <= MESSAGES_PER_INTERVAL;
+        if !is_logged {
+            self.suppressed_kinds += usize::from(known.suppressed == 0);
+            known.suppressed += 1;
         }
-        (told, before)
+        (is_logged, before)
     }
 
     /// Returns what was suppressed in intervals that have ended. To be called regularly, or the last messages of a
     /// kind would not be reported.
     pub fn drain_expired(&mut self, now: Nanos) -> Vec<SuppressedMessages> {
-        if self.held == 0 {
+        if self.suppressed_kinds == 0 {
             return Vec::new();
         }
         let mut all = Vec::new();
         for (&kind, known) in &mut self.kinds {
-            if known.more > 0 && now >= known.since.saturating_add(INTERVAL) {
-                all.push(SuppressedMessages { kind, count: known.more, interval: now - known.since });
-                *known = Kind { since: now, count: 0, more: 0 };
+            if known.suppressed > 0 && now >= known.since.saturating_add(INTERVAL) {
+                all.push(SuppressedMessages { kind, count: known.suppressed, interval: now - known.since });
+                *known = Kind { since: now, count: 0, suppressed: 0 };
             }
         }
-        self.held -= all.len();
+        self.suppressed_kinds -= all.len();
         all
     }
 }
--- a/crates/flight-recorder/src/loss_cause.rs
+++ b/crates/flight-recorder/src/loss_cause.rs
@@ -13,9 +13,9 @@
 
 /// Converts a weight to millionths; NaN is 0.
 #[must_use]
-pub fn to_micro_weight(worth: f64) -> MicroWeight {
+pub fn to_micro_weight(weight: f64) -> MicroWeight {
     // The cast saturates.
-    (worth * 1e6).round() as MicroWeight
+    (weight * 1e6).round() as MicroWeight
 }
 
 /// A phase of a request. The order of variants is part of the file format.
--- a/crates/flight-recorder/src/metrics.rs
+++ b/crates/flight-recorder/src/metrics.rs
@@ -171,8 +171,20 @@
     }
 }
 
-/// Key of classes beyond [`MAX_CLASSES`].
-const OTHER: (u16, u16) = (u16::MAX, u16::MAX);
+/// A class with the labels of its series.
+#[derive(Clone, Copy, Debug)]
+pub struct ClassLabels<'a> {
+    /// Indices of the pool and of the class in it.
+    pub id: (u16, u16),
+    /// Name of the pool.
+    pub pool_name: &'a str,
+    /// Name of the class.
+    pub class_name: &'a str,
+}
+
+/// Labels of classes beyond [`MAX_CLASSES`].
+const OTHER: ClassLabels<'_> =
+    ClassLabels { id: (u16::MAX, u16::MAX), pool_name: "other", class_name: "other" };
 
 /// Series of one class of a pool.
 struct ClassMetrics {
@@ -189,16 +201,19 @@
     attempts: [Option<Counter>; 8],
 }
 
+/// Labels of [`RequestOutcome`], in the order of its variants.
 const OUTCOME_LABELS: [&str; 7] = ["served", "served_fault", "refused", "failed", "late", "body", "left"];
 
 impl RequestMetrics {
-    fn class(&mut self, key: (u16, u16), names: (&str, &str)) -> &mut ClassMetrics {
-        let full = self.classes.len() >= MAX_CLASSES && !self.classes.contains_key(&key);
-        let (key, names) = if full { (OTHER, ("other", "other")) } else { (key, names) };
+    fn class(&mut self, class: ClassLabels<'_>) -> &mut ClassMetrics {
+        let full = self.classes.len() >= MAX_CLASSES && !self.classes.contains_key(&class.id);
+        let class = if full { OTHER } else { class };
         let registry = &self.registry;
-        self.classes.entry(key).or_insert_with(|| {
-            let labels =
-                vec![Label::new("pool", names.0.to_owned()), Label::new("class", names.1.to_owned())];
+        self.classes.entry(class.id).or_insert_with(|| {
+            let labels = vec![
+                Label::new("pool", class.pool_name.to_owned()),
+                Label::new("class", class.class_name.to_owned()),
+            ];
             let ended = OUTCOME_LABELS.map(|how| {
                 let labels = labels.iter().cloned().chain([Label::new("how", how)]).collect::<Vec<_>>();
                 registry.register_counter(&Key::from_parts("pumicehead_requests", labels), &META)
@@ -211,24 +226,24 @@
     /// Counts a request that has ended.
     pub fn request_ended(
         &mut self,
-        of: ((u16, u16), (&str, &str)),
-        how: RequestOutcome,
-        took: Nanos,
+        class: ClassLabels<'_>,
+        outcome: RequestOutcome,
+        duration: Nanos,
         name: &BoundedName,
         at: Nanos,
     ) {
-        let meters = self.class(of.0, of.1);
-        meters.ended[how as usize].increment(1);
-        let seconds = took as f64 / SECOND as f64;
-        if let Some(times) = &meters.times {
+        let metrics = self.class(class);
+        metrics.ended[outcome as usize].increment(1);
+        let seconds = duration as f64 / SECOND as f64;
+        if let Some(times) = &metrics.times {
             times.add(seconds, name, at);
         }
     }
 
     /// Counts a request that a listener rejected.
-    pub fn request_rejected(&mut self, why: ListenerRejection) {
-        let why = if why == ListenerRejection::RequestLimit { "held" } else { "connections" };
-        self.count("pumicehead_turned_away", vec![Label::new("why", why)], 1);
+    pub fn request_rejected(&mut self, reason: ListenerRejection) {
+        let label = if reason == ListenerRejection::RequestLimit { "held" } else { "connections" };
+        self.count("pumicehead_turned_away", vec![Label::new("why", label)], 1);
     }
 
     /// Counts an attempt that has ended.
--- a/crates/flight-recorder/src/recorder/open_requests.rs
+++ b/crates/flight-recorder/src/recorder/open_requests.rs
@@ -8,6 +8,7 @@
 use crate::bounded_text::BoundedName;
 use crate::event::{Event, PoolId, RequestOutcome};
 use crate::event_ring::{TIME_UNIT, append_record};
+use crate::metrics::ClassLabels;
 use crate::request_progress::{LossAssessment, RequestProgress};
 use crate::request_timeline::RequestTimeline;
 
@@ -131,8 +132,9 @@
         let pool = self.header.pools.get(usize::from(key.0.0));
         let class = pool.and_then(|pool| pool.classes.get(usize::from(open.class)));
         if let (Some(pool), Some(class)) = (pool, class) {
-            let series = ((key.0.0, open.class), (pool.name.as_str(), class.name.as_str()));
-            self.metrics.request_ended(series, outcome, duration, &open.name, at);
+            let labels =
+                ClassLabels { id: (key.0.0, open.class), pool_name: &pool.name, class_name: &class.name };
+            self.metrics.request_ended(labels, outcome, duration, &open.name, at);
         }
         let is_notable =
             assessment.cause.is_some() || open.progress.attempts_started() > 1 || used > SLOW_OBJECTIVE_SHARE;
--- a/crates/flight-recorder/src/recording.rs
+++ b/crates/flight-recorder/src/recording.rs
@@ -265,9 +265,9 @@
 fn next<'a>(from: &mut Reader<'a>) -> Option<(u8, &'a [u8])> {
     let kind = from.byte()?;
     let length = u32::from_le_bytes(from.take(4)?.try_into().ok()?);
-    let told = u32::from_le_bytes(from.take(4)?.try_into().ok()?);
+    let checksum = u32::from_le_bytes(from.take(4)?.try_into().ok()?);
     let contents = from.take(length as usize)?;
-    (frame_checksum(kind, contents) == told).then_some((kind, contents))
+    (frame_checksum(kind, contents) == checksum).then_some((kind, contents))
 }
 
 impl Recording {
--- a/crates/flight-recorder/tests/unit/metrics.rs
+++ b/crates/flight-recorder/tests/unit/metrics.rs
@@ -2,20 +2,16 @@
 
 use super::*;
 
+const READ: ClassLabels<'_> = ClassLabels { id: (0, 0), pool_name: "web", class_name: "read" };
+
 #[test]
 fn metrics_text_has_counts_and_exemplars() {
     let mut meters = RequestMetrics::default();
     let name = BoundedName::new("a\"b\n");
     for took in [3, 30, 30_000] {
-        meters.request_ended(
-            ((0, 0), ("web", "read")),
-            RequestOutcome::Served,
-            took * 1_000_000,
-            &name,
-            SECOND,
-        );
+        meters.request_ended(READ, RequestOutcome::Served, took * 1_000_000, &name, SECOND);
     }
-    meters.request_ended(((0, 0), ("web", "read")), RequestOutcome::Rejected, 1_000, &name, SECOND);
+    meters.request_ended(READ, RequestOutcome::Rejected, 1_000, &name, SECOND);
     meters.attempt_ended(AttemptOutcome::Reset);
     meters.gauge("pumicehead_open", 2.0);
     let text = meters.text();
@@ -38,7 +34,7 @@
     for class in 0..1_000 {
         let name = format!("c{class}");
         meters.request_ended(
-            ((0, class), ("web", &name)),
+            ClassLabels { id: (0, class), pool_name: "web", class_name: &name },
             RequestOutcome::Served,
             1_000,
             &BoundedName::new("x"),
