--- a/crates/flight-recorder/src/recording.rs
+++ b/crates/flight-recorder/src/recording.rs
@@ -188,7 +188,7 @@
 #[derive(Clone, Debug)]
 pub struct Recording {
     /// Its header.
-    pub head: RecordingHeader,
+    pub header: RecordingHeader,
     /// Its ledger; `None` if that is damaged.
     pub ledger: Option<LossLedger>,
     /// Timelines of requests, the most important first.
@@ -265,9 +265,9 @@
 fn next<'a>(from: &mut Reader<'a>) -> Option<(u8, &'a [u8])> {
     let kind = from.byte()?;
     let length = u32::from_le_bytes(from.take(4)?.try_into().ok()?);
-    let told = u32::from_le_bytes(from.take(4)?.try_into().ok()?);
+    let checksum = u32::from_le_bytes(from.take(4)?.try_into().ok()?);
     let contents = from.take(length as usize)?;
-    (frame_checksum(kind, contents) == told).then_some((kind, contents))
+    (frame_checksum(kind, contents) == checksum).then_some((kind, contents))
 }
 
 impl Recording {
@@ -290,7 +290,7 @@
         let Some((HEAD, head)) = next(&mut from) else { return Err(RecordingError::Head) };
         let head = serde_json::from_slice(head).map_err(|_| RecordingError::Head)?;
         let mut recording =
-            Self { head, ledger: None, timelines: Vec::new(), records: Vec::new(), damage: None };
+            Self { header: head, ledger: None, timelines: Vec::new(), records: Vec::new(), damage: None };
         loop {
             let at = bytes.len() - from.0.len();
             match next(&mut from) {
