--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,12 +1,14 @@
 //! Files in memory, and texts to check.
 
+// Each test program uses a part of it.
+#![allow(dead_code)]
+
 use std::collections::BTreeMap;
 use std::path::{Component, Path, PathBuf};
 
 use pumicehead_config::{Checked, Config, Files, ReadError, check};
 
 /// What a path leads to.
-#[allow(dead_code)]
 #[derive(Clone, Debug)]
 pub enum Entry {
     Text(Vec<u8>),
@@ -17,7 +19,6 @@
 #[derive(Clone, Debug, Default)]
 pub struct Memory(pub BTreeMap<PathBuf, Entry>);
 
-#[allow(dead_code)]
 impl Memory {
     pub fn with(mut self, path: &str, text: impl AsRef<[u8]>) -> Self {
         self.0.insert(path.into(), Entry::Text(text.as_ref().to_vec()));
@@ -65,7 +66,6 @@
 }
 
 /// The configuration of a valid text.
-#[allow(dead_code)]
 pub fn config(text: &str) -> Config {
     let checked = check_text(text);
     let shown: Vec<_> = checked.diagnostics.iter().map(|one| one.message.clone()).collect();
@@ -73,7 +73,6 @@
 }
 
 /// A valid configuration with most kinds of settings.
-#[allow(dead_code)]
 pub const VALID: &str = r#"
 node { name n1; zones cdmx monterrey; zone cdmx }
 const patience 6s
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -102,7 +102,7 @@
         self.report_rejected(from, &error);
         let mut reply = self.new_frame(FrameKind::Reject);
         reply.reject_reason = error.to_string();
-        // A stranger is not told this fleet's id.
+        // A node of another fleet does not learn this fleet's id.
         reply.fleet_id = 0;
         RejectedRequest { error, reply: reply.encode_to_vec() }
     }
--- a/crates/membership/src/membership/stalls.rs
+++ b/crates/membership/src/membership/stalls.rs
@@ -45,7 +45,7 @@
             now,
         );
         if duration > self.settings.probe_interval {
-            // Others may hold this member stalled or suspect by now: it refutes that before it hears of it.
+            // Others may consider this member stalled or suspect by now: it refutes that before their claims arrive.
             self.update_record(now, |_| {});
         }
     }
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -28,7 +28,7 @@
 }
 
 impl Suspicion {
-    /// Confirms the suspicion. Returns whether that is new, and so worth a broadcast.
+    /// Confirms the suspicion. Returns whether that is new, and so is to be broadcast.
     pub fn confirm(&mut self, accuser: MemberId, connection_refused: bool) -> bool {
         let newly_refused = connection_refused && !self.connection_refused;
         self.connection_refused |= connection_refused;
