--- a/crates/testbed/src/measure/recorder/faults.rs
+++ b/crates/testbed/src/measure/recorder/faults.rs
@@ -60,7 +60,7 @@
 fn is_faulty_server(recording: &Recording, finding: &Finding, symptom: Symptom) -> bool {
     let last = format!("s{}", SERVERS - 1);
     finding.symptom == symptom
-        && matches!(finding.subject, Subject::Endpoint(pool, id) if recording.head.endpoint_name(pool, id) == last)
+        && matches!(finding.subject, Subject::Endpoint(pool, id) if recording.header.endpoint_name(pool, id) == last)
 }
 
 const FAULTS: [Fault; 5] = [
@@ -122,7 +122,7 @@
         more_clients: 0,
         is_named_by: |recording, finding| {
             let class = matches!(finding.subject,
-                Subject::Class(pool, class) if recording.head.class_name(pool, class) == "submit");
+                Subject::Class(pool, class) if recording.header.class_name(pool, class) == "submit");
             class && finding.symptom == Symptom::ObjectiveTooShort
         },
     },
@@ -151,7 +151,7 @@
     let start = Instant::now();
     let recording = admin.recording()?;
     let ledger = recording.ledger.as_ref().ok_or_else(|| io::Error::other("no sums"))?;
-    let findings = find(&recording.head, ledger, 0, u64::MAX);
+    let findings = find(&recording.header, ledger, 0, u64::MAX);
     let seconds = start.elapsed().as_secs_f64();
     let first = findings.first();
     let named = first.is_some_and(|first| first.lost > 0 && (fault.is_named_by)(&recording, first));
