--- a/crates/node/src/log/filter.rs
+++ b/crates/node/src/log/filter.rs
@@ -13,6 +13,9 @@
 /// The filter at the start of a process.
 pub const DEFAULT_FILTER: &str = "info";
 
+/// Targets by their former names, which filters in configuration files may use.
+const FORMER_TARGETS: [(&str, &str); 1] = [("calls", "admin")];
+
 /// The text is not a filter.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is no filter: write levels, for all or for a room, such as `info` or `warn,discovery=debug`")]
@@ -27,7 +30,18 @@
     if text.len() > MAX_FILTER_BYTES || !text.split(',').all(is_directive) {
         return Err(invalid());
     }
-    Targets::from_str(text).map_err(|_| invalid())
+    let directives: Vec<_> = text.split(',').map(with_present_target).collect();
+    Targets::from_str(&directives.join(",")).map_err(|_| invalid())
+}
+
+/// A directive with its target's present name.
+fn with_present_target(directive: &str) -> String {
+    for (former, present) in FORMER_TARGETS {
+        if let Some(level) = directive.strip_prefix(former).filter(|rest| rest.starts_with('=')) {
+            return format!("{present}{level}");
+        }
+    }
+    directive.to_owned()
 }
 
 /// Whether a part is a level or `TARGET=LEVEL`. The library takes an empty part for "all" and an unknown level for a target,
--- a/crates/node/tests/unit/log.rs
+++ b/crates/node/tests/unit/log.rs
@@ -13,6 +13,15 @@
     }
 }
 
+#[test]
+fn filters_with_a_former_target_mean_the_present_one() {
+    let filter = |text| parse_filter(text).expect("a filter");
+    assert!(filter("warn,calls=debug").would_enable("admin", &Level::DEBUG));
+    assert!(!filter("warn,calls=debug").would_enable("loop", &Level::INFO));
+    assert_eq!(filter("info,calls=off"), filter("info,admin=off"));
+    assert_eq!(filter("callsigns=debug").to_string(), "callsigns=debug");
+}
+
 /// Guards the event loop: without a reader lines are dropped and counted, and writing does not block.
 #[test]
 fn a_stopped_reader_costs_only_lines() {
