--- a/crates/flight-recorder/src/code_tables.rs
+++ b/crates/flight-recorder/src/code_tables.rs
@@ -76,7 +76,7 @@
 /// Returns the stored code of a rejection.
 pub(crate) fn rejection_code(rejection: RejectionReason) -> u8 {
     match rejection {
-        RejectionReason::QueueTooLong => 0,
+        RejectionReason::ExpectedWaitTooLong => 0,
         RejectionReason::QueueTimeout => 1,
         RejectionReason::KeyOrderTimeout => 2,
         RejectionReason::NoRetry(reason) => 3 + code_in(&NO_RETRY_REASONS, reason),
@@ -86,7 +86,7 @@
 /// Returns the rejection of a stored code.
 pub(crate) fn rejection_from_code(code: u8) -> Option<RejectionReason> {
     Some(match code {
-        0 => RejectionReason::QueueTooLong,
+        0 => RejectionReason::ExpectedWaitTooLong,
         1 => RejectionReason::QueueTimeout,
         2 => RejectionReason::KeyOrderTimeout,
         code => RejectionReason::NoRetry(at(&NO_RETRY_REASONS, code - 3)?),
--- a/crates/flight-recorder/src/decision_codec.rs
+++ b/crates/flight-recorder/src/decision_codec.rs
@@ -40,10 +40,10 @@
             start(out, 35, id.0);
             out.extend_from_slice(&exclusions.0);
         }
-        DecisionEvent::AnsweredWithoutEndpoint { id, reason, pressure } => {
+        DecisionEvent::AnsweredWithoutEndpoint { id, reason, wait_share } => {
             start(out, 36, id.0);
             out.push(rejection_code(reason));
-            put_f32(out, pressure);
+            put_f32(out, wait_share);
         }
         _ => encode_pool_decision(decision, out),
     }
@@ -115,7 +115,7 @@
         36 => DecisionEvent::AnsweredWithoutEndpoint {
             id,
             reason: rejection_from_code(from.byte()?)?,
-            pressure: from.f32()?,
+            wait_share: from.f32()?,
         },
         37 => DecisionEvent::LimitChanged {
             endpoint,
--- a/crates/flight-recorder/src/exported_names.rs
+++ b/crates/flight-recorder/src/exported_names.rs
@@ -45,7 +45,7 @@
 impl Debug for ExportedRule {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         match self.0 {
-            RejectionReason::QueueTooLong => out.write_str("WaitShare"),
+            RejectionReason::ExpectedWaitTooLong => out.write_str("WaitShare"),
             RejectionReason::QueueTimeout => out.write_str("NearlyOut"),
             RejectionReason::KeyOrderTimeout => out.write_str("NoTurn"),
             RejectionReason::NoRetry(stop) => {
@@ -130,11 +130,11 @@
             .field("id", id)
             .field("hurdles", &ExportedHurdles(*exclusions))
             .finish(),
-        DecisionEvent::AnsweredWithoutEndpoint { id, reason, pressure } => out
+        DecisionEvent::AnsweredWithoutEndpoint { id, reason, wait_share } => out
             .debug_struct("Over")
             .field("id", id)
             .field("rule", &ExportedRule(*reason))
-            .field("pressure", pressure)
+            .field("pressure", wait_share)
             .finish(),
         _ => Ok(()),
     }
--- a/crates/flight-recorder/src/request_progress.rs
+++ b/crates/flight-recorder/src/request_progress.rs
@@ -238,7 +238,7 @@
                 (LossCause::AttemptFailed(outcome_index(AttemptOutcome::Error) as u8), endpoint),
                 failed,
             ),
-            (_, Some(RejectionReason::QueueTooLong)) => (LossCause::QueueTooLong, None),
+            (_, Some(RejectionReason::ExpectedWaitTooLong)) => (LossCause::QueueTooLong, None),
             (_, Some(RejectionReason::QueueTimeout)) => (LossCause::QueueTimeout, None),
             (_, Some(RejectionReason::KeyOrderTimeout)) => (LossCause::KeyOrderTimeout, None),
             (_, Some(RejectionReason::NoRetry(_))) => {
--- a/crates/flight-recorder/src/timeline_text.rs
+++ b/crates/flight-recorder/src/timeline_text.rs
@@ -49,7 +49,7 @@
 #[must_use]
 pub fn rejection_text(rejection: RejectionReason) -> String {
     match rejection {
-        RejectionReason::QueueTooLong => {
+        RejectionReason::ExpectedWaitTooLong => {
             "the wait in its tier's queue would have taken too large a share of its time".into()
         }
         RejectionReason::QueueTimeout => "it was held until nearly no time was left for its aim".into(),
@@ -168,10 +168,10 @@
             excluded if excluded.is_empty() => "All places of the node were taken.".into(),
             excluded => format!("No server would do: {excluded}."),
         },
-        DecisionEvent::AnsweredWithoutEndpoint { reason, pressure, .. } => {
+        DecisionEvent::AnsweredWithoutEndpoint { reason, wait_share, .. } => {
             let mut text = format!("Given up: {}.", rejection_text(*reason));
-            if *pressure > 0.0 {
-                let _ = write!(text, " The wait was {:.0}% of the time left.", pressure * 100.0);
+            if *wait_share > 0.0 {
+                let _ = write!(text, " The wait was {:.0}% of the time left.", wait_share * 100.0);
             }
             text
         }
--- a/crates/flight-recorder/tests/bounds.rs
+++ b/crates/flight-recorder/tests/bounds.rs
@@ -69,7 +69,7 @@
                 0..=3 => day.request(class, server, AttemptOutcome::Success, took * MS),
                 4 => day.request(class, server, AttemptOutcome::Reset, took * MS),
                 5 => day.request(class, server, AttemptOutcome::TimedOut, took * MS),
-                6 => day.rejected_request(class, RejectionReason::QueueTooLong),
+                6 => day.rejected_request(class, RejectionReason::ExpectedWaitTooLong),
                 _ => day.rejected_request(class, RejectionReason::QueueTimeout),
             }
             day.now += pause * MS;
--- a/crates/flight-recorder/tests/causes.rs
+++ b/crates/flight-recorder/tests/causes.rs
@@ -58,7 +58,7 @@
 fn queue_losses_are_attributed_to_endpoints_that_waste_concurrency() {
     let mut day = with_fifth(|day, class| {
         day.request(class, 4, AttemptOutcome::TimedOut, 400 * MS);
-        day.rejected_request(class, RejectionReason::QueueTooLong);
+        day.rejected_request(class, RejectionReason::ExpectedWaitTooLong);
         day.rejected_request(class, RejectionReason::QueueTimeout);
     });
     let found = first(&day);
@@ -66,7 +66,7 @@
     assert!(found.requests >= 600, "refusals are in it: {found:?}");
     day = with_fifth(|day, class| {
         day.request(class, 0, AttemptOutcome::Success, 22 * MS);
-        day.rejected_request(class, RejectionReason::QueueTooLong);
+        day.rejected_request(class, RejectionReason::ExpectedWaitTooLong);
     });
     assert_eq!((first(&day).subject, first(&day).symptom), (Subject::Pool(day.pool), Symptom::Overloaded));
 }
--- a/crates/flight-recorder/tests/common/mod.rs
+++ b/crates/flight-recorder/tests/common/mod.rs
@@ -106,7 +106,7 @@
             self.record(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
                 id,
                 reason: RejectionReason::NoRetry(NoRetryReason::NotIdempotent),
-                pressure: 0.0,
+                wait_share: 0.0,
             }));
             self.end_request(id, RequestOutcome::Failed);
         }
@@ -121,7 +121,7 @@
         self.record(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
             id,
             reason: rule,
-            pressure: 0.5,
+            wait_share: 0.5,
         }));
         self.end_request(id, RequestOutcome::Rejected);
     }
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -21,7 +21,7 @@
     let mut day = Day::new(64 << 10);
     day.request(0, 1, AttemptOutcome::Success, 20 * MS);
     day.request(1, 2, AttemptOutcome::Reset, 30 * MS);
-    day.rejected_request(0, RejectionReason::QueueTooLong);
+    day.rejected_request(0, RejectionReason::ExpectedWaitTooLong);
     day.request(0, 3, AttemptOutcome::Success, 150 * MS);
     day.recorder.recording(day.now, "test")
 }
@@ -30,18 +30,21 @@
 fn every_event_round_trips() {
     let (id, server, attempt) = (RequestId(u32::MAX), EndpointId(77), AttemptNo(3));
     let hurdles = ExclusionReasons([1, 2, 3, 4, 255]);
-    let rules =
-        [RejectionReason::QueueTooLong, RejectionReason::QueueTimeout, RejectionReason::KeyOrderTimeout]
-            .into_iter()
-            .chain(
-                [
-                    NoRetryReason::AttemptsExhausted,
-                    NoRetryReason::NotIdempotent,
-                    NoRetryReason::NoTimeLeft,
-                    NoRetryReason::RetryBudgetSpent,
-                ]
-                .map(RejectionReason::NoRetry),
-            );
+    let rules = [
+        RejectionReason::ExpectedWaitTooLong,
+        RejectionReason::QueueTimeout,
+        RejectionReason::KeyOrderTimeout,
+    ]
+    .into_iter()
+    .chain(
+        [
+            NoRetryReason::AttemptsExhausted,
+            NoRetryReason::NotIdempotent,
+            NoRetryReason::NoTimeLeft,
+            NoRetryReason::RetryBudgetSpent,
+        ]
+        .map(RejectionReason::NoRetry),
+    );
     let outcomes = (0..8).filter_map(pumicehead_flight_recorder::code_tables::outcome_at);
     let hows = [
         RequestOutcome::Served,
@@ -131,7 +134,11 @@
         Event::Decision(DecisionEvent::WatchRestored),
     ];
     all.extend(rules.map(|rule| {
-        Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure: f32::INFINITY })
+        Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
+            id,
+            reason: rule,
+            wait_share: f32::INFINITY,
+        })
     }));
     all.extend(outcomes.map(|outcome| Event::AttemptEnded {
         id,
--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -79,18 +79,21 @@
 fn every_note() -> Vec<DecisionEvent> {
     let (id, server) = (ID, SERVER);
     let hurdles = ExclusionReasons([1, 2, 3, 4, 255]);
-    let rules =
-        [RejectionReason::QueueTooLong, RejectionReason::QueueTimeout, RejectionReason::KeyOrderTimeout]
-            .into_iter()
-            .chain(
-                [
-                    NoRetryReason::AttemptsExhausted,
-                    NoRetryReason::NotIdempotent,
-                    NoRetryReason::NoTimeLeft,
-                    NoRetryReason::RetryBudgetSpent,
-                ]
-                .map(RejectionReason::NoRetry),
-            );
+    let rules = [
+        RejectionReason::ExpectedWaitTooLong,
+        RejectionReason::QueueTimeout,
+        RejectionReason::KeyOrderTimeout,
+    ]
+    .into_iter()
+    .chain(
+        [
+            NoRetryReason::AttemptsExhausted,
+            NoRetryReason::NotIdempotent,
+            NoRetryReason::NoTimeLeft,
+            NoRetryReason::RetryBudgetSpent,
+        ]
+        .map(RejectionReason::NoRetry),
+    );
     let mut all = vec![
         DecisionEvent::Classified { id, tier: 3, priority_weight: 1.5, objective_deadline: START + 100 * MS },
         DecisionEvent::Queued { id, queued: 7 },
@@ -136,11 +139,15 @@
         DecisionEvent::WatchLost,
         DecisionEvent::WatchRestored,
     ];
-    all.extend(rules.map(|rule| DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure: 0.75 }));
+    all.extend(rules.map(|rule| DecisionEvent::AnsweredWithoutEndpoint {
+        id,
+        reason: rule,
+        wait_share: 0.75,
+    }));
     all.push(DecisionEvent::AnsweredWithoutEndpoint {
         id,
-        reason: RejectionReason::QueueTooLong,
-        pressure: f32::INFINITY,
+        reason: RejectionReason::ExpectedWaitTooLong,
+        wait_share: f32::INFINITY,
     });
     all
 }
@@ -362,7 +369,7 @@
     }
     next_pool(&mut day, "crowded", &usual);
     rounds(&mut day, 5, |day| {
-        day.rejected_request(0, RejectionReason::QueueTooLong);
+        day.rejected_request(0, RejectionReason::ExpectedWaitTooLong);
         day.rejected_request(1, RejectionReason::QueueTimeout);
     });
     next_pool(&mut day, "turns", &usual);
@@ -386,7 +393,7 @@
         day.record(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
             id,
             reason: RejectionReason::NoRetry(NoRetryReason::AttemptsExhausted),
-            pressure: 0.0,
+            wait_share: 0.0,
         }));
         day.end_request(id, RequestOutcome::Failed);
         let id = day.admit(0, "faulty");
--- a/crates/node/src/fleet/event_loop.rs
+++ b/crates/node/src/fleet/event_loop.rs
@@ -107,7 +107,7 @@
                 );
             }
             Event::ProcessStalled { duration } => {
-                warn!(target: "fleet", duration_ms = duration / MS, "event loop stalled");
+                warn!(target: "fleet", duration_ms = duration / MS, "membership loop stalled");
             }
             Event::Superseded { address } => {
                 warn!(
--- a/crates/node/src/net/pool_handle.rs
+++ b/crates/node/src/net/pool_handle.rs
@@ -13,6 +13,7 @@
 use crate::net::active_requests::ActiveRequestIds;
 use crate::net::discovery::EndpointList;
 use crate::net::exchange::{FinalResponse, ProxyRequest};
+pub use crate::net::pool_message::Retirement;
 use crate::net::pool_message::{EndpointCounts, NewProxyRequest, PoolMessage};
 use crate::net::recorder_sink::RecorderSink;
 
@@ -112,10 +113,9 @@
         self.send(PoolMessage::SetNodeShare(share));
     }
 
-    /// Ends the loop after the last request that it has. Where the endpoints are `gone` from the configuration, no
-    /// attempt starts after a grace period.
-    pub fn retire(&self, gone: bool) {
-        self.send(PoolMessage::Retire { gone });
+    /// Ends the loop after the last request that it has.
+    pub fn retire(&self, reason: Retirement) {
+        self.send(PoolMessage::Retire(reason));
     }
 
     /// Applies changes of the admin overrides for endpoints of these names.
--- a/crates/node/src/net/pool_loop/endpoints.rs
+++ b/crates/node/src/net/pool_loop/endpoints.rs
@@ -13,7 +13,7 @@
 use crate::net::clock::MILLISECOND;
 use crate::net::discovery::{AGENT_RETRY_DELAY, EndpointList};
 use crate::net::endpoint_directory::UnknownZoneError;
-use crate::net::pool_message::EndpointCounts;
+use crate::net::pool_message::{EndpointCounts, Retirement};
 
 /// A pool that is gone from the configuration starts attempts for this long, well within the 2 s in which a drain must
 /// be honoured.
@@ -132,11 +132,12 @@
         EndpointCounts { listed, unavailable }
     }
 
-    /// Takes no more requests; endpoints that are `gone` from the configuration are removed after a grace period.
-    pub(super) fn retire(&mut self, gone: bool) {
+    /// Ends this loop after its last request. No route leads here any more; requests that were admitted before may still
+    /// arrive. Endpoints that the configuration has no more are removed after [`RETIREMENT_GRACE`].
+    pub(super) fn retire(&mut self, reason: Retirement) {
         self.retired = true;
         self.watch.stop();
-        if gone {
+        if reason == Retirement::Removed {
             self.arm(self.now() + RETIREMENT_GRACE, TimerKind::ClearEndpoints);
         }
     }
--- a/crates/node/src/net/pool_loop/messages.rs
+++ b/crates/node/src/net/pool_loop/messages.rs
@@ -30,7 +30,7 @@
             PoolMessage::SetEndpoints(list) => self.on_set_endpoints(list),
             PoolMessage::UpdateSettings(settings) => self.update_settings(*settings),
             PoolMessage::SetNodeShare(share) => self.set_node_share(share),
-            PoolMessage::Retire { gone } => self.retire(gone),
+            PoolMessage::Retire(reason) => self.retire(reason),
             PoolMessage::FailAll => self.fail_all(),
             PoolMessage::RefreshOverrides(names) => self.refresh_overrides(&names),
             // The receiver of a reply may be gone.
--- a/crates/node/src/net/pool_message.rs
+++ b/crates/node/src/net/pool_message.rs
@@ -68,12 +68,19 @@
     SetEndpoints(EndpointList),
     UpdateSettings(Box<Settings>),
     SetNodeShare(NodeShare),
-    Retire {
-        gone: bool,
-    },
+    Retire(Retirement),
     FailAll,
     /// Admin overrides have changed for endpoints of these names.
     RefreshOverrides(Vec<String>),
     CountEndpoints(oneshot::Sender<EndpointCounts>),
     GetWarmState(oneshot::Sender<WarmState>),
 }
+
+/// Why a pool's loop is to end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Retirement {
+    /// The configuration has the pool no more: its endpoints are removed after a grace period.
+    Removed,
+    /// Another loop serves the pool from now on: queued requests may still go to the endpoints.
+    Replaced,
+}
--- a/crates/node/src/platform/warm_state_handover.rs
+++ b/crates/node/src/platform/warm_state_handover.rs
@@ -71,7 +71,7 @@
     pub fn read(&self) -> Option<HandoverRecord> {
         match self.try_read() {
             Ok(record) => Some(record),
-            // No file, as after the first start of a node, needs no line.
+            // There is no file after the first start of a node. Any other error of reading it means a cold start too.
             Err(HandoverError::Io { .. }) => None,
             Err(error) => {
                 warn!(target: "upgrade", %error, "warm state not used");
--- a/crates/node/src/standalone/runtime.rs
+++ b/crates/node/src/standalone/runtime.rs
@@ -28,6 +28,7 @@
 use crate::net::downstream::{DownstreamListener, DrainReason};
 use crate::net::memory_budget::MemoryBudget;
 use crate::net::pool_handle::PoolHandle;
+use crate::net::pool_handle::Retirement;
 use crate::net::upstream::connection_registry::ConnectionRegistry;
 
 /// Streamed bodies may take this fraction of the memory; the rest is for connections and requests.
@@ -141,7 +142,7 @@
             handles.push(handle);
         }
         for removed in former.into_values() {
-            removed.retire(true);
+            removed.retire(Retirement::Removed);
         }
         handles
     }
@@ -169,7 +170,7 @@
             (PoolStep::Start(endpoints), replaced) => {
                 if let Some(replaced) = replaced {
                     // Its endpoints are still there: its queued requests may go to them.
-                    replaced.retire(false);
+                    replaced.retire(Retirement::Replaced);
                 }
                 self.start_pool(next, index, endpoints)
             }
--- a/crates/node/tests/introspection.rs
+++ b/crates/node/tests/introspection.rs
@@ -87,7 +87,7 @@
     let node = Setup { aim_ms: 300, ..recorded_node(&[&slow]) }.start();
     let crowd = Crowd::start(&node, 40, "read");
     wait_for("a refusal by the queue", || {
-        rules(&recording(node.calls())).contains(&RejectionReason::QueueTooLong)
+        rules(&recording(node.calls())).contains(&RejectionReason::ExpectedWaitTooLong)
     });
     let statuses = crowd.end();
     assert!(statuses.contains(&503));
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -9,10 +9,10 @@
 
 /// New requests of the lower tiers are rejected when the expected wait exceeds this share of their time left.
 const MAX_WAIT_SHARE: f64 = 0.3;
-/// Above the certain part of that share chance decides, so that nodes neither reject in step nor admit all at
-/// once.
-const CERTAIN_PART: f64 = 0.7;
-const RANDOM_PART: f64 = 0.3;
+/// That share is multiplied by a random factor between this ...
+const MIN_THRESHOLD_FACTOR: f64 = 0.7;
+/// ... and this much more, so that nodes neither reject in step nor admit all at once.
+const THRESHOLD_JITTER: f64 = 0.3;
 /// Ticks before its deadline at which a queued request is rejected at the latest.
 const DEADLINE_MARGIN_TICKS: Nanos = 2;
 
@@ -37,7 +37,7 @@
         };
         let may_be_shed = request.queued.is_some() && request.tier.may_be_shed();
         if may_be_shed && self.is_wait_too_long(id) {
-            self.answer(id, RejectionReason::QueueTooLong, actions);
+            self.answer(id, RejectionReason::ExpectedWaitTooLong, actions);
         } else {
             let queued = self.queue.len() as u32;
             self.trace(|_| DecisionEvent::Queued { id, queued });
@@ -86,13 +86,11 @@
     /// time left. Not while this process catches up after a stall: the queue's length then says nothing of
     /// how fast it drains.
     fn is_wait_too_long(&mut self, id: RequestId) -> bool {
-        let jitter = if self.stall.is_recovering(self.now) {
-            f64::INFINITY
-        } else {
-            CERTAIN_PART + RANDOM_PART * self.random()
-        };
-        let wait_share = |request| self.wait_share(request) > MAX_WAIT_SHARE * jitter;
-        self.requests.get(&id).is_some_and(wait_share)
+        if self.stall.is_recovering(self.now) {
+            return false;
+        }
+        let factor = MIN_THRESHOLD_FACTOR + THRESHOLD_JITTER * self.random();
+        self.requests.get(&id).is_some_and(|request| self.wait_share(request) > MAX_WAIT_SHARE * factor)
     }
 
     /// Returns the expected wait of a request's tier as a share of the time that the request may wait.
--- a/crates/policy/src/decision_event.rs
+++ b/crates/policy/src/decision_event.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
     /// The expected wait of its tier is too large a share of its time left.
-    QueueTooLong,
+    ExpectedWaitTooLong,
     /// It was queued until no time was left for its objective.
     QueueTimeout,
     /// Its key's turn didn't come in time.
@@ -134,8 +134,8 @@
         id: RequestId,
         /// Why.
         reason: RejectionReason,
-        /// The expected wait over the time left, for [`RejectionReason::QueueTooLong`]; else 0.
-        pressure: f32,
+        /// The expected wait over the time left, for [`RejectionReason::ExpectedWaitTooLong`]; else 0.
+        wait_share: f32,
     },
     /// An endpoint's concurrency limit changed.
     LimitChanged {
@@ -167,7 +167,7 @@
         /// Which.
         endpoint: EndpointId,
     },
-    /// How many endpoints in use look like outliers, when panic mode begins or ends.
+    /// How many endpoints in use are outliers, when panic mode begins or ends.
     OutlierRatio {
         /// So many.
         outliers: u32,
@@ -176,7 +176,8 @@
         /// Most do, so none is treated as an outlier.
         panic_mode: bool,
     },
-    /// The first request was rejected for overload.
+    /// The first request was rejected for its expected wait or a queue timeout since the queue was last
+    /// empty.
     OverloadStarted {
         /// How many requests are queued.
         queued: u32,
@@ -214,19 +215,19 @@
 impl fmt::Display for DecisionEvent {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::WatchLost => write!(out, "list of servers lost, going on with the last one"),
-            Self::WatchRestored => write!(out, "list of servers regained"),
+            Self::WatchLost => write!(out, "discovery lost, keeping the last endpoints"),
+            Self::WatchRestored => write!(out, "discovery restored"),
             Self::OutlierRatio { outliers, total, panic_mode } => {
-                write!(out, "{outliers} of {total} servers look out of order; most in doubt: {panic_mode}")
+                write!(out, "{outliers} of {total} endpoints are outliers; panic mode: {panic_mode}")
             }
             Self::OverloadStarted { queued } => {
-                write!(out, "overload entered: {queued} requests held, refusing the lowest tiers")
+                write!(out, "overload started: {queued} requests queued")
             }
-            Self::OverloadEnded => write!(out, "overload left"),
+            Self::OverloadEnded => write!(out, "overload ended"),
             Self::Ejected { endpoint, duration } => {
-                write!(out, "server {} set aside for {:.1} s", endpoint.0, seconds(*duration))
+                write!(out, "endpoint {} ejected for {:.1} s", endpoint.0, seconds(*duration))
             }
-            Self::Reinstated { endpoint } => write!(out, "server {} is back", endpoint.0),
+            Self::Reinstated { endpoint } => write!(out, "endpoint {} reinstated", endpoint.0),
             other => write!(out, "{other:?}"),
         }
     }
--- a/crates/policy/src/discovery_poll.rs
+++ b/crates/policy/src/discovery_poll.rs
@@ -6,9 +6,9 @@
 use crate::timer::Timer;
 use crate::{Action, EndpointUpdate, nanos, seconds};
 
-/// From the next failed poll on, the full pause is used in place of half of it.
+/// After more failed polls in a row than this, the pause is twice as long.
 const SHORT_PAUSE_FAILURES: u32 = 2;
-/// Least limit of the pause, as a divisor of the time within which an update must be known.
+/// The longest pause is at least the time within which an update must be known over this.
 const MIN_PAUSE_DIVISOR: u64 = 20;
 
 /// Whether discovery is being watched.
--- a/crates/policy/src/final_answer.rs
+++ b/crates/policy/src/final_answer.rs
@@ -11,7 +11,7 @@
     /// may retry all the same; where that isn't certain the answer is a failure.
     pub(crate) fn answer(&mut self, id: RequestId, reason: RejectionReason, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.done) else { return };
-        let is_queue_too_long = reason == RejectionReason::QueueTooLong;
+        let is_queue_too_long = reason == RejectionReason::ExpectedWaitTooLong;
         let pressure = if is_queue_too_long { self.wait_share(request) as f32 } else { 0.0 };
         if self.may_reject(request) {
             actions.push(Action::Reject { id, retry_after: self.settings.retry_after_hint() });
@@ -21,7 +21,7 @@
         if is_queue_too_long || reason == RejectionReason::QueueTimeout {
             self.begin_overload();
         }
-        self.trace(|_| DecisionEvent::AnsweredWithoutEndpoint { id, reason, pressure });
+        self.trace(|_| DecisionEvent::AnsweredWithoutEndpoint { id, reason, wait_share: pressure });
         self.end_request(id, None, actions);
     }
 
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,4 +1,7 @@
 //! Retries: whether a request gets another attempt after one without success.
+//!
+//! A request whose body has partly gone to an endpoint can't be retried: the host answers it by that attempt
+//! alone.
 
 use crate::balancer::Balancer;
 use crate::decision_event::{NoRetryReason, RejectionReason};
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -96,7 +96,7 @@
                 return Err(ExclusionReason::OnProbation);
             }
         }
-        if !self.has_warmup_budget(index) {
+        if !self.earn_warmup_budget(index) {
             return Err(ExclusionReason::SlowStart);
         }
         if !self.may_send(id, index) {
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -61,10 +61,10 @@
         warmup_fraction_at(self.now.saturating_sub(endpoint.started_at), &self.settings)
     }
 
-    /// Returns whether slow start allows an attempt, and earns the endpoint its budget: a share of what this
-    /// node sends to a warm endpoint, changed by what was lent and granted. Each node alone keeps to that
-    /// share, so all nodes together do, however uneven their traffic is.
-    pub(crate) fn has_warmup_budget(&mut self, index: EndpointIndex) -> bool {
+    /// Earns an endpoint its budget and returns whether slow start allows an attempt. The budget is a share
+    /// of what this node sends to a warm endpoint, changed by what was lent and granted. Each node alone
+    /// keeps to that share, so all nodes together do, however uneven their traffic is.
+    pub(crate) fn earn_warmup_budget(&mut self, index: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[index];
         let fraction = self.warmup_fraction(endpoint);
         if fraction >= 1.0 {
@@ -77,7 +77,7 @@
     }
 
     /// Endpoints in slow start that this node uses, with the rate that it sends to a warm endpoint, in
-    /// requests a second. This part of an endpoint may be lent to other nodes.
+    /// requests of mean cost a second. This part of an endpoint may be lent to other nodes.
     pub fn slow_start_rates(&self) -> impl Iterator<Item = (EndpointId, f64)> {
         let active = self.subset.active().map(|index| &self.endpoints[index]);
         let in_slow_start = active.filter(|endpoint| self.warmup_fraction(endpoint) < 1.0);
--- a/crates/policy/tests/decision_events.rs
+++ b/crates/policy/tests/decision_events.rs
@@ -85,11 +85,11 @@
         node.request(1, 900 * MS);
         node.now += MS;
     }
-    assert!(reasons(&node).contains(&RejectionReason::QueueTooLong));
+    assert!(reasons(&node).contains(&RejectionReason::ExpectedWaitTooLong));
     let pressed = node
         .decision_events
         .iter()
-        .any(|event| matches!(event, DecisionEvent::AnsweredWithoutEndpoint { reason: RejectionReason::QueueTooLong, pressure, .. } if *pressure > 0.2));
+        .any(|event| matches!(event, DecisionEvent::AnsweredWithoutEndpoint { reason: RejectionReason::ExpectedWaitTooLong, wait_share, .. } if *wait_share > 0.2));
     assert!(pressed, "the wait that it was refused for is recorded");
     node.advance(node.now + SECOND);
     assert!(reasons(&node).contains(&RejectionReason::QueueTimeout));
--- a/crates/policy/tests/stored_forms.rs
+++ b/crates/policy/tests/stored_forms.rs
@@ -75,19 +75,26 @@
         DecisionEvent::WatchLost,
         DecisionEvent::WatchRestored,
     ];
-    let rules =
-        [RejectionReason::QueueTooLong, RejectionReason::QueueTimeout, RejectionReason::KeyOrderTimeout]
-            .into_iter()
-            .chain(
-                [
-                    NoRetryReason::AttemptsExhausted,
-                    NoRetryReason::NotIdempotent,
-                    NoRetryReason::NoTimeLeft,
-                    NoRetryReason::RetryBudgetSpent,
-                ]
-                .map(RejectionReason::NoRetry),
-            );
-    all.extend(rules.map(|rule| DecisionEvent::AnsweredWithoutEndpoint { id, reason: rule, pressure: 0.75 }));
+    let rules = [
+        RejectionReason::ExpectedWaitTooLong,
+        RejectionReason::QueueTimeout,
+        RejectionReason::KeyOrderTimeout,
+    ]
+    .into_iter()
+    .chain(
+        [
+            NoRetryReason::AttemptsExhausted,
+            NoRetryReason::NotIdempotent,
+            NoRetryReason::NoTimeLeft,
+            NoRetryReason::RetryBudgetSpent,
+        ]
+        .map(RejectionReason::NoRetry),
+    );
+    all.extend(rules.map(|rule| DecisionEvent::AnsweredWithoutEndpoint {
+        id,
+        reason: rule,
+        wait_share: 0.75,
+    }));
     all
 }
 
--- a/crates/policy/tests/unit/decision_event.rs
+++ b/crates/policy/tests/unit/decision_event.rs
@@ -15,9 +15,9 @@
 fn lines_of_one_kind_are_logged_every_few_seconds() {
     let mut log = RateLimitedLog::default();
     let ejected = |n| DecisionEvent::Ejected { endpoint: EndpointId(n), duration: SECOND };
-    assert_eq!(log.line(&ejected(1), SECOND).as_deref(), Some("server 1 set aside for 1.0 s"));
+    assert_eq!(log.line(&ejected(1), SECOND).as_deref(), Some("endpoint 1 ejected for 1.0 s"));
     assert_eq!(log.line(&ejected(2), 2 * SECOND), None);
-    assert_eq!(log.line(&DecisionEvent::OverloadEnded, 2 * SECOND).as_deref(), Some("overload left"));
+    assert_eq!(log.line(&DecisionEvent::OverloadEnded, 2 * SECOND).as_deref(), Some("overload ended"));
     assert!(log.line(&ejected(2), 6 * SECOND).is_some());
     assert_eq!(log.line(&DecisionEvent::Queued { id: RequestId(1), queued: 2 }, 90 * SECOND), None);
 }
--- a/crates/testbed/src/measure/capacity/process.rs
+++ b/crates/testbed/src/measure/capacity/process.rs
@@ -19,7 +19,7 @@
 /// What it says when a change is refused.
 const REFUSED: &str = "the old configuration stays";
 /// What it logs when its event loop or its process stalled, in any version that is compared.
-const STALL_LINES: [&str; 2] = ["event loop stalled", "stood still for"];
+const STALL_LINES: [&str; 3] = ["event loop stalled", "membership loop stalled", "stood still for"];
 
 struct LogLine {
     at: Instant,
