--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -78,7 +78,7 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let config = loaded.checked().config.as_ref().ok_or(StartError::InvalidConfig)?;
-    let traffic_recorder = record.as_deref().map(start_traffic_recorder).transpose()?;
+    let traffic_recorder = record.as_deref().map(start_traffic_recorder);
     configure_log(&log, &config.observability);
     let seed = random_seed();
     let introspection = start_introspection(config, seed, log)?;
@@ -88,7 +88,8 @@
         None => None,
     };
     let digest = loaded.diff().ok_or(StartError::InvalidConfig)?.map_err(Clone::clone)?.digest;
-    let runtime = Runtime::start(config, digest, random_seed(), traffic_recorder, introspection)?;
+    let runtime =
+        Runtime::start(config, digest, random_seed(), traffic_recorder.transpose()?, introspection)?;
     // The node has copied what it needs; the texts and syntax trees are freed here.
     drop(loaded);
     if let Some(fleet) = &fleet {
