--- a/crates/node/tests/capacity.rs
+++ b/crates/node/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity measurement with a real node of a small size, by counts and not by time.
+//! The capacity measurement, run on a real node with a small configuration. Counts are asserted, times are not.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     backends.iter().map(|backend| backend.address).collect()
 }
 
-/// Guards that a node is started, asked and changed, and that each figure is read.
+/// Guards that a node is started, sent requests and reconfigured, and that each value is measured.
 #[test]
 fn a_small_node_reports_its_capacity() {
     let backends = backends();
@@ -46,11 +46,12 @@
         assert!(sample.resident > 1 << 20 && sample.change_peak > 1 << 20, "{sample:?}");
         assert!(sample.quiet.answers > 0 && sample.changing.answers > 0, "{sample:?}");
     }
-    // Requests went to every backend of both pools.
+    // Each backend of both pools got requests.
     assert!(backends.iter().all(|backend| backend.requests() > 0));
 }
 
-/// Guards that a change is in force when that is said, and that one which can't be used is told.
+/// Guards that a change of the configuration is in force once it is reported so, and that an invalid one is reported as an
+/// error.
 #[test]
 fn a_change_is_applied_or_rejected() {
     let backends = backends();
@@ -58,12 +59,13 @@
     let first = text(SIZE, &addresses, Variant::default());
     let mut node = NodeProcess::start(&built("pumicehead").unwrap(), &first).unwrap();
     node.change_to(&text(SIZE, &addresses, Change::Tenant.variant(0))).unwrap();
-    let refused = node.change_to("listener public {").unwrap_err();
-    assert!(refused.to_string().contains("the old configuration stays"), "{refused}");
+    let error = node.change_to("listener public {").unwrap_err();
+    assert!(error.to_string().contains("the old configuration stays"), "{error}");
     node.change_to(&first).unwrap();
 }
 
-/// Guards that all requests of a schedule are counted, through the node and beside it, and all changes made.
+/// Guards that all requests of a schedule are counted, those through the node and those sent directly, and that all changes
+/// are made.
 #[test]
 fn a_loaded_node_applies_its_changes() {
     let backends = backends();
@@ -76,7 +78,7 @@
     let results = take_turns(&mut nodes, &plan, SIZE, &addresses).unwrap();
     let changes: Vec<_> = results.iter().map(|result| result.changes).collect();
     assert_eq!(changes, [0, 4, 4]);
-    // The same schedules, whatever becomes of the requests.
+    // All nodes have the same schedule, whatever the responses are.
     let expected = results[0].direct.requests;
     assert!(expected > 100, "{expected}");
     for result in results {
@@ -85,9 +87,9 @@
     }
 }
 
-/// Guards the file against the program that operators check it with: no mistakes and no warnings.
+/// Guards that the generated configuration file passes `check` without errors and warnings.
 #[test]
-fn the_program_reads_the_sites_file() {
+fn generated_configuration_passes_check() {
     let addresses = addresses(&backends());
     let file = temporary(".conf");
     fs::write(&file, text(SIZE, &addresses, Variant::default())).unwrap();
@@ -95,6 +97,6 @@
         Command::new(built("pumicehead").unwrap()).args(["check", "--deny-warnings"]).arg(&file).output();
     fs::remove_file(&file).unwrap();
     let check = check.unwrap();
-    let said = String::from_utf8_lossy(&check.stdout).into_owned();
-    assert!(check.status.success() && said.trim_end().ends_with(": ok"), "{said}");
+    let output = String::from_utf8_lossy(&check.stdout).into_owned();
+    assert!(check.status.success() && output.trim_end().ends_with(": ok"), "{output}");
 }
--- a/crates/node/tests/cli.rs
+++ b/crates/node/tests/cli.rs
@@ -6,10 +6,11 @@
 
 use pumicehead_testbed::program::{built, temporary};
 
-const SOUND: &str = "listener public {\n    address 127.0.0.1:8080\n}\npool boards {\n    server a {\n        address 127.0.0.1:9001\n    }\n}\n\
+/// A valid configuration.
+const VALID: &str = "listener public {\n    address 127.0.0.1:8080\n}\npool boards {\n    server a {\n        address 127.0.0.1:9001\n    }\n}\n\
     class read {\n    aim 600ms\n    deadline 2s\n    repeats safe\n}\nroute read {\n    path /boards/**\n    class read\n    pool boards\n}\n";
 
-/// A file that goes with this.
+/// A temporary file, removed on drop.
 struct File(PathBuf);
 
 impl File {
@@ -30,7 +31,7 @@
     }
 }
 
-/// Exit code, standard output and standard error.
+/// Runs the program. Returns its exit code, standard output and standard error.
 fn run(arguments: &[&str]) -> (i32, String, String) {
     let mut command = Command::new(built("pumicehead").unwrap());
     let done = command.args(arguments).env_remove("EDGE_CONFIG").output().unwrap();
@@ -39,28 +40,28 @@
 }
 
 #[test]
-fn check_distinguishes_mistakes_and_warnings() {
-    let sound = File::with(SOUND);
-    assert_eq!(run(&["check", sound.name()]), (0, format!("{}: ok\n", sound.name()), String::new()));
-    let broken = File::with(&SOUND.replace("600ms", "600"));
-    let (code, out, err) = run(&["check", sound.name(), broken.name()]);
+fn check_distinguishes_errors_and_warnings() {
+    let valid = File::with(VALID);
+    assert_eq!(run(&["check", valid.name()]), (0, format!("{}: ok\n", valid.name()), String::new()));
+    let invalid = File::with(&VALID.replace("600ms", "600"));
+    let (code, out, err) = run(&["check", valid.name(), invalid.name()]);
     assert_eq!(code, 1);
-    assert!(out.contains(&format!("{}: 1 mistakes", broken.name())), "{out}");
+    assert!(out.contains(&format!("{}: 1 mistakes", invalid.name())), "{out}");
     for part in
         ["error[unit-missing]: the time `600` has no unit", ":10:9", "    aim 600", "write `600ms` or `600s`"]
     {
         assert!(err.contains(part), "{part} in {err}");
     }
-    let warned = File::with(&format!("{SOUND}const spare 1s\n"));
-    assert_eq!(run(&["check", warned.name()]).0, 0);
-    assert_eq!(run(&["check", "--deny-warnings", warned.name()]).0, 1);
+    let with_warning = File::with(&format!("{VALID}const spare 1s\n"));
+    assert_eq!(run(&["check", with_warning.name()]).0, 0);
+    assert_eq!(run(&["check", "--deny-warnings", with_warning.name()]).0, 1);
     assert_eq!(run(&["check", "/nowhere/at/all.conf"]).0, 1);
 }
 
 #[test]
 fn json_diagnostics_are_one_object_per_line() {
-    let broken = File::with(&SOUND.replace("600ms", "600").replace("pool boards\n}", "pool bords\n}"));
-    let (code, out, err) = run(&["check", "--format", "json", broken.name()]);
+    let invalid = File::with(&VALID.replace("600ms", "600").replace("pool boards\n}", "pool bords\n}"));
+    let (code, out, err) = run(&["check", "--format", "json", invalid.name()]);
     assert_eq!((code, err.as_str()), (1, ""));
     let lines: Vec<serde_json::Value> = out.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
     assert_eq!(lines.len(), 2);
@@ -72,28 +73,28 @@
         (&lines[1]["help"], &lines[1]["severity"]),
         (&"did you mean `boards`?".into(), &"error".into())
     );
-    assert_eq!(lines[1]["file"], broken.name());
+    assert_eq!(lines[1]["file"], invalid.name());
 }
 
 #[test]
 fn fmt_rewrites_valid_files_and_leaves_invalid_ones() {
-    let odd = SOUND.replace("    ", "\t").replace(" {", "   {  # note");
-    let file = File::with(&odd);
+    let unformatted = VALID.replace("    ", "\t").replace(" {", "   {  # note");
+    let file = File::with(&unformatted);
     let (code, out, _) = run(&["fmt", "--check", file.name()]);
     assert_eq!((code, out), (3, format!("{}\n", file.name())));
-    assert_eq!(fs::read_to_string(&file.0).unwrap(), odd);
+    assert_eq!(fs::read_to_string(&file.0).unwrap(), unformatted);
     assert_eq!(run(&["fmt", file.name()]).0, 0);
-    assert_eq!(fs::read_to_string(&file.0).unwrap(), SOUND.replace(" {", " {  # note"));
+    assert_eq!(fs::read_to_string(&file.0).unwrap(), VALID.replace(" {", " {  # note"));
     assert_eq!(run(&["fmt", "--check", file.name()]).0, 0);
-    let broken = File::with("pool boards {\n");
-    assert_eq!(run(&["fmt", broken.name()]).0, 1);
-    assert_eq!(fs::read_to_string(&broken.0).unwrap(), "pool boards {\n");
+    let invalid = File::with("pool boards {\n");
+    assert_eq!(run(&["fmt", invalid.name()]).0, 1);
+    assert_eq!(fs::read_to_string(&invalid.0).unwrap(), "pool boards {\n");
     assert_eq!(run(&["fmt", "/nowhere/at/all.conf"]).0, 2);
 }
 
 #[test]
 fn diff_and_explain_print_their_results() {
-    let (old, new) = (File::with(SOUND), File::with(&SOUND.replace("aim 600ms", "aim 0.7s  # slower")));
+    let (old, new) = (File::with(VALID), File::with(&VALID.replace("aim 600ms", "aim 0.7s  # slower")));
     assert_eq!(run(&["diff", old.name(), old.name()]), (0, String::new(), String::new()));
     let expected = format!("class read: aim 600ms -> 700ms ({}:10); affects route read\n", new.name());
     assert_eq!(run(&["diff", old.name(), new.name()]), (3, expected, String::new()));
@@ -101,19 +102,19 @@
     assert_eq!(code, 0);
     assert!(out.starts_with(&format!("route read ({}:14): the first that fits", old.name())), "{out}");
     assert_eq!(run(&["explain", old.name(), "GET", "/a/../b"]).0, 2);
-    let broken = File::with("{");
-    assert_eq!(run(&["diff", old.name(), broken.name()]).0, 1);
-    assert_eq!(run(&["explain", broken.name(), "GET", "/"]).0, 1);
+    let invalid = File::with("{");
+    assert_eq!(run(&["diff", old.name(), invalid.name()]).0, 1);
+    assert_eq!(run(&["explain", invalid.name(), "GET", "/"]).0, 1);
 }
 
 #[test]
 fn run_fails_on_an_invalid_configuration_or_a_taken_address() {
-    let broken = File::with(&SOUND.replace("2s", "2"));
-    let (code, _, err) = run(&["run", broken.name()]);
+    let invalid = File::with(&VALID.replace("2s", "2"));
+    let (code, _, err) = run(&["run", invalid.name()]);
     assert!(code == 1 && err.contains("has no unit"), "{err}");
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap().to_string();
-    let file = File::with(&SOUND.replace("127.0.0.1:8080", &address));
+    let file = File::with(&VALID.replace("127.0.0.1:8080", &address));
     let (code, _, err) = run(&["run", file.name()]);
     assert!(code == 2 && err.contains(&format!("listen on {address}")), "{err}");
     assert_eq!(run(&[]).0, 2);
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleets of nodes as processes on loopback: start, agreement, admin commands and departure. Faults of links are tested by
+//! Fleets of node processes on loopback: join, convergence, admin commands and departure. Link faults are tested by
 //! `crates/chaos`.
 
 use std::io::{Read, Write};
@@ -10,7 +10,7 @@
 use pumicehead_testbed::scripted::{Backend, Client, ok};
 use serde_json::Value;
 
-/// The configuration of a node.
+/// The configuration of a node in a fleet.
 fn config(name: &str, server: &Backend, fleet: &str, seeds: &[SocketAddr]) -> String {
     let seeds = seeds.iter().map(|seed| format!(" {seed}")).collect::<String>();
     let seeds = if seeds.is_empty() { String::new() } else { format!("seeds{seeds};") };
@@ -26,7 +26,7 @@
     )
 }
 
-/// The address that ends a log line, after these words.
+/// Waits for a log line that ends in these words and an address. Returns the address.
 fn logged_address(node: &Standalone, words: &str) -> SocketAddr {
     let find = || {
         let log = node.log.lock().unwrap();
@@ -36,12 +36,12 @@
     find().unwrap()
 }
 
-/// A running node.
+/// A running node in a fleet.
 struct Member {
     process: Standalone,
-    /// Where other members reach it.
+    /// Address at which other members reach it.
     fleet: SocketAddr,
-    /// Where it takes admin commands.
+    /// Address of the admin listener.
     admin: SocketAddr,
 }
 
@@ -52,7 +52,7 @@
     Member { process, fleet, admin }
 }
 
-/// What the `fleet` command printed.
+/// Exit code and output of the `fleet` command.
 struct CommandOutput {
     code: Option<i32>,
     stdout: String,
@@ -60,9 +60,9 @@
 }
 
 fn fleet_command(arguments: &[&str]) -> CommandOutput {
-    let done = Command::new(built("pumicehead").unwrap()).arg("fleet").args(arguments).output().unwrap();
+    let output = Command::new(built("pumicehead").unwrap()).arg("fleet").args(arguments).output().unwrap();
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
-    CommandOutput { code: done.status.code(), stdout: text(done.stdout), stderr: text(done.stderr) }
+    CommandOutput { code: output.status.code(), stdout: text(output.stdout), stderr: text(output.stderr) }
 }
 
 /// A node's view of the fleet.
@@ -71,12 +71,12 @@
         .unwrap_or_default()
 }
 
-/// Names and states in a node's view.
+/// Names and states of the members in a node's view.
 fn states(admin: SocketAddr) -> Vec<(String, String)> {
     let view = view(admin);
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     let members = view["members"].as_array().cloned().unwrap_or_default();
-    members.iter().map(|one| (text(&one["name"]), text(&one["state"]))).collect()
+    members.iter().map(|member| (text(&member["name"]), text(&member["state"]))).collect()
 }
 
 fn has_states(admin: SocketAddr, wanted: &[(&str, &str)]) -> bool {
@@ -90,8 +90,8 @@
     assert_eq!(client.read().unwrap().status(), 200);
 }
 
-/// Three nodes agree and number themselves; a drained one, a departed one and a killed one are seen as such; requests are served
-/// all along.
+/// Three nodes converge to one view and give themselves numbers. The others see a node in lame-duck mode, one that has left
+/// and one that was killed as such, and requests are still served.
 #[test]
 fn nodes_join_agree_and_see_departures_and_crashes() {
     let server = Backend::start(|_| ok("x"));
@@ -99,14 +99,17 @@
     let mut two = start("n2", &server, "tablero", &[one.fleet]);
     let three = start("n3", &server, "tablero", &[one.fleet]);
     let all = [("n1", "alive"), ("n2", "alive"), ("n3", "alive")];
-    wait_for("one view", || {
-        let prints = [one.admin, two.admin, three.admin].map(|admin| view(admin)["fingerprint"].clone());
-        prints[0] == prints[1] && prints[1] == prints[2] && has_states(one.admin, &all)
+    wait_for("the same view at all nodes", || {
+        let fingerprints =
+            [one.admin, two.admin, three.admin].map(|admin| view(admin)["fingerprint"].clone());
+        fingerprints[0] == fingerprints[1]
+            && fingerprints[1] == fingerprints[2]
+            && has_states(one.admin, &all)
     });
-    wait_for("numbers", || {
+    wait_for("node numbers", || {
         let view = view(one.admin);
-        let numbers = view["members"].as_array().unwrap().iter().map(|one| one["number"].as_u64().unwrap());
-        let mut numbers: Vec<_> = numbers.collect();
+        let members = view["members"].as_array().unwrap();
+        let mut numbers: Vec<_> = members.iter().map(|member| member["number"].as_u64().unwrap()).collect();
         numbers.sort_unstable();
         numbers == [1, 2, 3] && view["nodes"] == 3
     });
@@ -127,20 +130,23 @@
     );
     let mut call = TcpStream::connect(three.admin).unwrap();
     call.write_all(b"LAMEDUCK\n").unwrap();
-    wait_for("lame duck announced", || view(two.admin)["members"][2]["phase"] == "lameduck");
+    wait_for("lame-duck mode", || view(two.admin)["members"][2]["phase"] == "lameduck");
     two.process.signal("TERM");
     assert!(two.process.wait().success());
-    wait_for("left", || has_states(three.admin, &[("n1", "alive"), ("n2", "left"), ("n3", "alive")]));
+    wait_for("n2 to have left", || {
+        has_states(three.admin, &[("n1", "alive"), ("n2", "left"), ("n3", "alive")])
+    });
     drop(three);
-    wait_for("dead", || has_states(one.admin, &[("n1", "alive"), ("n2", "left"), ("n3", "dead")]));
+    wait_for("n3 to be dead", || has_states(one.admin, &[("n1", "alive"), ("n2", "left"), ("n3", "dead")]));
     let why = fleet_command(&["why", "n3", &admin]);
     assert!(why.stdout.contains("refused connections"), "{}", why.stdout);
     assert_serves(&one);
 }
 
-/// Arbitrary bytes over datagrams and streams, and another fleet, change nothing; the other fleet is reported.
+/// Arbitrary bytes in datagrams and streams, and a node of another fleet, don't change a node's view; the other fleet is
+/// logged.
 #[test]
-fn strangers_change_nothing() {
+fn arbitrary_bytes_and_other_fleets_are_ignored() {
     let server = Backend::start(|_| ok("x"));
     let one = start("n1", &server, "tablero", &[]);
     let other = start("n2", &server, "otro", &[one.fleet]);
@@ -158,30 +164,33 @@
         let _ = stream.shutdown(std::net::Shutdown::Write);
         let _ = stream.read_to_end(&mut Vec::new());
     }
-    wait_for("the other fleet rejected", || one.process.said("reason=of another fleet") >= 1);
+    wait_for("messages of the other fleet to be rejected", || {
+        one.process.said("reason=of another fleet") >= 1
+    });
     assert!(has_states(one.admin, &[("n1", "alive")]) && has_states(other.admin, &[("n2", "alive")]));
     assert_serves(&one);
 }
 
-/// Of two processes with one name the later one is the member; the earlier one reports that and serves on.
+/// Of two processes with the same name the later one is the member; the earlier one logs that and still serves requests.
 #[test]
 fn later_process_of_a_name_supersedes_the_earlier_one() {
     let server = Backend::start(|_| ok("x"));
     let one = start("n1", &server, "tablero", &[]);
     let early = start("n2", &server, "tablero", &[one.fleet]);
-    wait_for("joined", || has_states(one.admin, &[("n1", "alive"), ("n2", "alive")]));
+    wait_for("n2 to join", || has_states(one.admin, &[("n1", "alive"), ("n2", "alive")]));
     let late = start("n2", &server, "tablero", &[one.fleet]);
-    wait_for("superseded", || {
+    wait_for("the earlier process to be superseded", || {
         early.process.said("a later process has this node's name") == 1
             && view(early.admin)["superseded"] == true
     });
-    wait_for("the later one's address", || {
+    wait_for("the later process's address", || {
         view(one.admin)["members"][1]["address"] == late.fleet.to_string()
     });
     assert_serves(&early);
 }
 
-/// Each invalid configuration gives one clear message and starts nothing; a node without a fleet says so.
+/// Each invalid configuration is reported with its error by `check`, `run` reports an address that is in use, and the `fleet`
+/// command reports a node without a fleet.
 #[test]
 fn invalid_configurations_are_reported() {
     let server = Backend::start(|_| ok("x"));
@@ -200,15 +209,15 @@
         let text = good.replacen(from, to, 1);
         assert_ne!(text, good, "{from}");
         std::fs::write(&file, text).unwrap();
-        let done = Command::new(&program).arg("check").arg(&file).output().unwrap();
+        let output = Command::new(&program).arg("check").arg(&file).output().unwrap();
         let printed =
-            String::from_utf8_lossy(&done.stderr).into_owned() + &String::from_utf8_lossy(&done.stdout);
-        assert!(!done.status.success() && printed.contains(message), "{to}: {printed}");
+            String::from_utf8_lossy(&output.stderr).into_owned() + &String::from_utf8_lossy(&output.stdout);
+        assert!(!output.status.success() && printed.contains(message), "{to}: {printed}");
     }
     std::fs::write(&file, good.replacen("127.0.0.1:0;  }", &format!("{} }}", one.fleet), 1)).unwrap();
-    let done = Command::new(&program).arg("run").arg(&file).output().unwrap();
-    let printed = String::from_utf8_lossy(&done.stderr);
-    assert!(!done.status.success() && printed.contains("for the fleet"), "{printed}");
+    let output = Command::new(&program).arg("run").arg(&file).output().unwrap();
+    let printed = String::from_utf8_lossy(&output.stderr);
+    assert!(!output.status.success() && printed.contains("for the fleet"), "{printed}");
     let alone = good.split("fleet {").next().unwrap().to_owned();
     let node = Standalone::start(&alone, 1);
     let answer = fleet_command(&["members", &logged_address(&node, " takes admin commands on ").to_string()]);
--- a/crates/node/tests/introspection.rs
+++ b/crates/node/tests/introspection.rs
@@ -1,4 +1,4 @@
-//! Introspection of a node on loopback sockets: recorded reasons, a log without a reader, recordings.
+//! Introspection of a node on loopback sockets: recorded reasons, recordings, admin commands, and a log without a reader.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,57 +15,69 @@
 use pumicehead_testbed::program::{LIMIT, Standalone, built, temporary, wait_for};
 use pumicehead_testbed::scripted::*;
 
-fn folder() -> PathBuf {
+fn new_folder() -> PathBuf {
     let path = temporary(".introspection");
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
-/// The recording of the node with this admin address.
+/// Returns the recording of the node with this admin address.
 fn recording(admin: SocketAddr) -> Recording {
-    let mut caller = TcpStream::connect(admin).unwrap();
-    caller.set_read_timeout(Some(LIMIT)).unwrap();
-    caller.write_all(b"TRACE\n").unwrap();
-    let mut answer = BufReader::new(caller);
+    let mut stream = TcpStream::connect(admin).unwrap();
+    stream.set_read_timeout(Some(LIMIT)).unwrap();
+    stream.write_all(b"TRACE\n").unwrap();
+    let mut answer = BufReader::new(stream);
     let mut line = String::new();
     answer.read_line(&mut line).unwrap();
     let length: usize = line.strip_prefix("OK ").unwrap().trim().parse().unwrap();
-    let mut file = Vec::new();
-    answer.read_to_end(&mut file).unwrap();
-    assert_eq!(file.len(), length);
-    Recording::read(&file).unwrap()
+    let mut bytes = Vec::new();
+    answer.read_to_end(&mut bytes).unwrap();
+    assert_eq!(bytes.len(), length);
+    Recording::read(&bytes).unwrap()
 }
 
-fn rules(dump: &Recording) -> Vec<RejectionReason> {
-    let events = dump.timelines.iter().flat_map(|story| decode_records(&story.encoded_events).0);
-    let rules = events.filter_map(|record| match record.event {
+/// Returns the recorded reasons of all requests that the node answered without an endpoint's response.
+fn rejection_reasons(recording: &Recording) -> Vec<RejectionReason> {
+    let events = recording.timelines.iter().flat_map(|timeline| decode_records(&timeline.encoded_events).0);
+    let reasons = events.filter_map(|record| match record.event {
         Event::Decision(DecisionEvent::AnsweredWithoutEndpoint { reason, .. }) => Some(reason),
         _ => None,
     });
-    rules.collect()
+    reasons.collect()
 }
 
 fn recorded_node(backends: &[&Backend]) -> Setup {
-    Setup { folder: Some(folder()), ..Setup::of(backends) }
+    Setup { folder: Some(new_folder()), ..Setup::of(backends) }
 }
 
-/// Guards that each reason not to retry is recorded by its name.
+/// Guards that the reason why a request is not retried is recorded.
 #[test]
 fn reasons_not_to_retry_are_recorded() {
     let resets =
         Backend::start(|_| Act::WriteAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n".into()));
     let node = recorded_node(&[&resets]).start();
     assert_eq!(node.ask(&request("submit", "x")).status(), 502);
-    assert_eq!(rules(&recording(node.calls())), [RejectionReason::NoRetry(NoRetryReason::NotIdempotent)]);
+    assert_eq!(
+        rejection_reasons(&recording(node.calls())),
+        [RejectionReason::NoRetry(NoRetryReason::NotIdempotent)]
+    );
 
     let errors: Vec<_> = (0..4).map(|_| Backend::start(|_| Act::Write(answer("500 Oh", "", "")))).collect();
     let node = recorded_node(&errors.iter().collect::<Vec<_>>()).start();
-    assert_eq!(node.ask(&request("read", "")).status(), 503, "nothing happened that may not happen again");
-    assert_eq!(rules(&recording(node.calls())), [RejectionReason::NoRetry(NoRetryReason::AttemptsExhausted)]);
-    wait_for("the end of the budget", || {
+    assert_eq!(
+        node.ask(&request("read", "")).status(),
+        503,
+        "an idempotent request may be retried by its client"
+    );
+    assert_eq!(
+        rejection_reasons(&recording(node.calls())),
+        [RejectionReason::NoRetry(NoRetryReason::AttemptsExhausted)]
+    );
+    wait_for("the retry budget to be spent", || {
         node.ask(&request("read", ""));
-        rules(&recording(node.calls())).contains(&RejectionReason::NoRetry(NoRetryReason::RetryBudgetSpent))
+        rejection_reasons(&recording(node.calls()))
+            .contains(&RejectionReason::NoRetry(NoRetryReason::RetryBudgetSpent))
     });
 
     let late = Backend::start(|_| {
@@ -74,30 +86,34 @@
     });
     let node = Setup { aim_ms: 400, ..recorded_node(&[&late]) }.start();
     node.ask(&request("read", ""));
-    assert_eq!(rules(&recording(node.calls())), [RejectionReason::NoRetry(NoRetryReason::NoTimeLeft)]);
+    assert_eq!(
+        rejection_reasons(&recording(node.calls())),
+        [RejectionReason::NoRetry(NoRetryReason::NoTimeLeft)]
+    );
 }
 
-/// Guards that rejections are recorded by their rules, and that the losses add up to the weight not earned.
+/// Guards that rejections are recorded with their reasons, and that in each breakdown the lost weight of all parts adds up to
+/// the total.
 #[test]
-fn rejections_are_recorded_by_rule_and_losses_add_up() {
+fn rejections_are_recorded_by_reason_and_losses_add_up() {
     let slow = Backend::start(|_| {
         thread::sleep(Duration::from_millis(150));
         ok("done")
     });
     let node = Setup { aim_ms: 300, ..recorded_node(&[&slow]) }.start();
-    let crowd = Crowd::start(&node, 40, "read");
-    wait_for("a refusal by the queue", || {
-        rules(&recording(node.calls())).contains(&RejectionReason::ExpectedWaitTooLong)
+    let load = Crowd::start(&node, 40, "read");
+    wait_for("a rejection because of the expected wait", || {
+        rejection_reasons(&recording(node.calls())).contains(&RejectionReason::ExpectedWaitTooLong)
     });
-    let statuses = crowd.end();
+    let statuses = load.end();
     assert!(statuses.contains(&503));
-    let dump = recording(node.calls());
-    let sums = Breakdown::of_recording(&dump, 0, u64::MAX).unwrap();
-    assert_eq!(sums.requests as usize, statuses.len());
-    for (name, parts) in &sums.views {
-        assert_eq!(parts.iter().map(|part| part.lost).sum::<u64>(), sums.lost(), "by {name}");
+    let recording = recording(node.calls());
+    let breakdown = Breakdown::of_recording(&recording, 0, u64::MAX).unwrap();
+    assert_eq!(breakdown.requests as usize, statuses.len());
+    for (name, parts) in &breakdown.views {
+        assert_eq!(parts.iter().map(|part| part.lost).sum::<u64>(), breakdown.lost(), "by {name}");
     }
-    // The figures count the same events.
+    // The metrics count the same requests.
     let text = node.call("METRICS");
     let counted: usize = text
         .lines()
@@ -108,7 +124,7 @@
     assert!(text.contains("# {request=\"9b1f") && text.ends_with("# EOF\n"));
 }
 
-/// Guards that a request that is queued until its time is nearly up is recorded as such.
+/// Guards that a request that is queued until its time is nearly up is recorded as a queue timeout.
 #[test]
 fn queue_timeouts_are_recorded() {
     let hung = Backend::start(|_| Act::Hang);
@@ -121,59 +137,63 @@
     );
     let node = Standalone::start(&text, 1);
     let admin = admin_address(&node);
-    // The highest tier is not refused for the length of its queue.
+    // Requests of the highest tier are not rejected because of the queue's length.
     let get = || "GET /high HTTP/1.1\r\nHost: a\r\n\r\n".to_owned();
-    let crowd = Crowd::asking(node.address(), 12, get);
-    wait_for("a refusal by the clock", || rules(&recording(admin)).contains(&RejectionReason::QueueTimeout));
+    let load = Crowd::asking(node.address(), 12, get);
+    wait_for("a queue timeout", || {
+        rejection_reasons(&recording(admin)).contains(&RejectionReason::QueueTimeout)
+    });
     drop(node);
-    drop(crowd);
+    drop(load);
 }
 
-/// The admin address of a standalone node.
+/// Returns the admin address of a standalone node.
 fn admin_address(node: &Standalone) -> SocketAddr {
     wait_for("the admin listener", || node.said("takes admin commands on") == 1);
     let log = node.log.lock().unwrap();
     log.iter().find_map(|line| line.split_once("takes admin commands on ")?.1.parse().ok()).unwrap()
 }
 
-/// Guards that a request's timeline is found by the name that its client gave it, whatever that is.
+/// Guards that a request's timeline is found by the id that its client gave it, however long and whatever its characters.
 #[test]
-fn a_request_timeline_is_found_by_the_clients_name() {
+fn a_request_timeline_is_found_by_the_clients_id() {
     let backend = Backend::start(|_| Act::Write(answer("500 Oh", "", "")));
     let node = recorded_node(&[&backend]).start();
-    let odd = "\"quoted\\and <b>".to_owned() + &"long".repeat(1_000);
-    let text = request("submit", "x").replace("X-Correlation-Id: 9b1f", &format!("X-Correlation-Id: {odd}"));
-    let name = text.lines().find_map(|line| line.strip_prefix("X-Correlation-Id: ")).unwrap().to_owned();
+    let unusual = "\"quoted\\and <b>".to_owned() + &"long".repeat(1_000);
+    let text =
+        request("submit", "x").replace("X-Correlation-Id: 9b1f", &format!("X-Correlation-Id: {unusual}"));
+    let id = text.lines().find_map(|line| line.strip_prefix("X-Correlation-Id: ")).unwrap().to_owned();
     assert_eq!(node.ask(&text).status(), 502);
     let file = temporary(".rec");
     let pumicehead = || Command::new(built("pumicehead").unwrap());
-    let done =
+    let output =
         pumicehead().arg("trace").arg(node.calls().to_string()).arg("--out").arg(&file).output().unwrap();
-    assert!(done.status.success(), "{done:?}");
-    let done = pumicehead().arg("why").arg(&file).arg(&name).output().unwrap();
-    let story = String::from_utf8(done.stdout).unwrap();
+    assert!(output.status.success(), "{output:?}");
+    let output = pumicehead().arg("why").arg(&file).arg(&id).output().unwrap();
+    let timeline = String::from_utf8(output.stdout).unwrap();
     assert!(
-        done.status.success() && story.contains("answered with an error") && story.contains("s-0"),
-        "{story}"
+        output.status.success() && timeline.contains("answered with an error") && timeline.contains("s-0"),
+        "{timeline}"
     );
-    assert!(story.chars().all(|sign| sign == '\n' || !sign.is_control()));
-    let none = pumicehead().arg("why").arg(&file).arg("nobody").output().unwrap();
-    assert_eq!(none.status.code(), Some(2));
-    let bad = pumicehead().arg("why").arg(&file).args(["--between", "1", "noon"]).output().unwrap();
-    assert!(String::from_utf8(bad.stderr).unwrap().contains("`noon` is no moment"));
-    for form in ["otlp", "chrome", "html"] {
-        let done = pumicehead().arg("export").arg(&file).args(["--as", form]).output().unwrap();
-        assert!(done.status.success() && !done.stdout.is_empty(), "{form}");
+    assert!(timeline.chars().all(|character| character == '\n' || !character.is_control()));
+    let unknown = pumicehead().arg("why").arg(&file).arg("nobody").output().unwrap();
+    assert_eq!(unknown.status.code(), Some(2));
+    let invalid = pumicehead().arg("why").arg(&file).args(["--between", "1", "noon"]).output().unwrap();
+    assert!(String::from_utf8(invalid.stderr).unwrap().contains("`noon` is no moment"));
+    for format in ["otlp", "chrome", "html"] {
+        let output = pumicehead().arg("export").arg(&file).args(["--as", format]).output().unwrap();
+        assert!(output.status.success() && !output.stdout.is_empty(), "{format}");
     }
     std::fs::remove_file(file).unwrap();
 }
 
-/// Guards that an invalid filter is an error and changes nothing, and that the recorder can be stopped.
+/// Guards that admin commands with invalid arguments are errors, and that the log filter and the recording level can be
+/// changed.
 #[test]
 fn commands_change_log_filter_and_recording_level() {
     let backend = Backend::start(|_| ok("done"));
     let node = recorded_node(&[&backend]).start();
-    for bad in [
+    for invalid in [
         "FILTER",
         "FILTER loud",
         "FILTER info,",
@@ -183,8 +203,8 @@
         "TRACE all",
         "METRICS x",
     ] {
-        let answer = node.call(bad);
-        assert!(answer.starts_with("ERR ") && answer.lines().count() == 1, "{bad}: {answer}");
+        let answer = node.call(invalid);
+        assert!(answer.starts_with("ERR ") && answer.lines().count() == 1, "{invalid}: {answer}");
     }
     assert_eq!(node.call("FILTER warn,discovery=trace"), "OK\n");
     assert_eq!(node.call("RECORD off"), "OK\n");
@@ -195,39 +215,40 @@
     assert_eq!(recording(node.calls()).timelines.len(), 1);
 }
 
-/// Guards recordings on a signal: few of them, whole, also where two processes share the folder.
+/// Guards that SIGUSR1 writes a complete recording, and that two files at most are kept, also where two processes share a
+/// folder.
 #[test]
 fn sigusr1_writes_a_recording() {
     let backend = Backend::start(|_| ok("done"));
-    let kept = folder();
-    let start = || Setup { folder: Some(kept.clone()), ..Setup::of(&[&backend]) }.start();
+    let folder = new_folder();
+    let start = || Setup { folder: Some(folder.clone()), ..Setup::of(&[&backend]) }.start();
     let (one, other) = (start(), start());
     let files = || {
-        let entries = std::fs::read_dir(&kept).unwrap().map(|entry| entry.unwrap().path());
+        let entries = std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().path());
         entries.filter(|path| path.extension().is_some_and(|end| end == "rec")).collect::<Vec<_>>()
     };
     for round in 0..3 {
         one.ask(&request("read", ""));
         one.signal("-USR1");
         other.signal("-USR1");
-        wait_for("both", || {
+        wait_for("the recordings of both processes", || {
             let names: Vec<_> = files().iter().map(|path| path.display().to_string()).collect();
             let written = |node: &Node| {
                 names.iter().any(|name| name.contains(&format!("-{}-{}.", node.pid(), round + 1)))
             };
             written(&one) && written(&other)
         });
-        // Each lets the old ones go after its own has its name.
-        wait_for("two at most", || files().len() <= 2);
+        // A process removes old recordings after its own has its final name.
+        wait_for("two recordings at most", || files().len() <= 2);
     }
     for file in files() {
-        let dump = Recording::read(&std::fs::read(file).unwrap()).unwrap();
-        assert_eq!((dump.damage, dump.header.reason.as_str()), (None, "asked by a signal"));
+        let recording = Recording::read(&std::fs::read(file).unwrap()).unwrap();
+        assert_eq!((recording.damage, recording.header.reason.as_str()), (None, "asked by a signal"));
     }
-    std::fs::remove_dir_all(&kept).unwrap();
+    std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Guards the event loop against a reader of the log that goes away: requests and commands are answered.
+/// Guards that the event loop does not block or fail when the log reader goes away: requests and commands are answered.
 #[test]
 fn a_log_without_a_reader_does_not_block_requests() {
     let backend = Backend::start(|_| ok("done"));
@@ -248,26 +269,27 @@
         assert!(line.starts_with('{') && line.trim_end().ends_with('}'), "{line}");
         line.rsplit("on ").next().unwrap().split('"').next().unwrap().parse::<SocketAddr>().unwrap()
     };
-    let (front, admin) = (address(), address());
+    let (listener, admin) = (address(), address());
     drop(log);
     for level in ["info", "trace", "off", "trace"].repeat(10) {
-        let mut caller = TcpStream::connect(admin).unwrap();
-        caller.set_read_timeout(Some(LIMIT)).unwrap();
-        caller.write_all(format!("FILTER {level}\n").as_bytes()).unwrap();
-        assert_eq!(std::io::read_to_string(caller).unwrap(), "OK\n");
-        let mut client = Client::connect(front);
+        let mut stream = TcpStream::connect(admin).unwrap();
+        stream.set_read_timeout(Some(LIMIT)).unwrap();
+        stream.write_all(format!("FILTER {level}\n").as_bytes()).unwrap();
+        assert_eq!(std::io::read_to_string(stream).unwrap(), "OK\n");
+        let mut client = Client::connect(listener);
         client.write("GET /x HTTP/1.1\r\nHost: a\r\n\r\n");
         assert_eq!(client.read().unwrap().status(), 200);
     }
-    assert!(child.try_wait().unwrap().is_none(), "it runs on");
+    assert!(child.try_wait().unwrap().is_none(), "the process has exited");
     let _ = child.kill();
     let _ = child.wait();
     std::fs::remove_file(file).unwrap();
 }
 
-/// Guards that pools, classes and routes have their names in the recording of a standalone node.
+/// Guards that the recording of a standalone node has the names of pools and classes, and that a new log filter in the
+/// configuration needs no restart.
 #[test]
-fn a_standalone_node_records_names_of_pools_classes_and_routes() {
+fn a_standalone_node_records_names_of_pools_and_classes() {
     let backend = Backend::start(|_| Act::Hang);
     let text = format!(
         "listener public {{ address 127.0.0.1:0 }}\npool boards {{ server s {{ address {} }} }}\n\
@@ -280,10 +302,10 @@
     let mut client = Client::connect(node.address());
     client.write("POST /run HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx");
     assert_eq!(client.read().unwrap().status(), 504);
-    wait_for("its story", || !recording(admin).timelines.is_empty());
-    let dump = recording(admin);
-    let sums = Breakdown::of_recording(&dump, 0, u64::MAX).unwrap().to_string();
-    assert!(sums.contains("hasty in boards") && sums.contains("100.00%"), "{sums}");
+    wait_for("the request's timeline", || !recording(admin).timelines.is_empty());
+    let recording = recording(admin);
+    let breakdown = Breakdown::of_recording(&recording, 0, u64::MAX).unwrap().to_string();
+    assert!(breakdown.contains("hasty in boards") && breakdown.contains("100.00%"), "{breakdown}");
     node.reload(&text.replace("calls 127.0.0.1:0", "calls 127.0.0.1:0; log warn,settings=info"));
     assert_eq!(node.said("at the next start"), 0);
 }
--- a/crates/node/tests/operations.rs
+++ b/crates/node/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Daily operation on loopback sockets: admin commands, disabled backends, lame-duck mode, upgrades.
+//! Operation of a running node on loopback sockets: admin commands, disabled backends, lame-duck mode, upgrades.
 
 use std::io::Write;
 use std::net::TcpListener;
@@ -8,8 +8,8 @@
 
 use pumicehead_testbed::scripted::*;
 
-/// A new empty folder.
-fn folder() -> PathBuf {
+/// Creates an empty folder.
+fn new_folder() -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
     let path = std::env::temp_dir().join(format!("pumicehead-operations-{}-{number}", std::process::id()));
@@ -19,15 +19,16 @@
 }
 
 fn with_admin(backends: &[&Backend]) -> Setup {
-    Setup { folder: Some(folder()), ..Setup::of(backends) }
+    Setup { folder: Some(new_folder()), ..Setup::of(backends) }
 }
 
-/// Guards that commands are answered, and invalid ones with a reason, beside connections that send nothing or half a line.
+/// Guards that commands are answered, invalid ones with a reason, while other admin connections send nothing or part of a
+/// line.
 #[test]
 fn commands_are_answered_beside_silent_admin_connections() {
     let backend = Backend::start(|_| ok("done"));
     let node = with_admin(&[&backend]).start();
-    let holding: Vec<_> = (0..40)
+    let silent: Vec<_> = (0..40)
         .map(|n| {
             let mut caller = node.caller();
             if n % 2 == 0 {
@@ -45,12 +46,12 @@
             "{answer}"
         );
     }
-    drop(holding);
-    // Half a name is nobody's: had it been taken, the one server would be out.
+    drop(silent);
+    // An incomplete line is not executed: otherwise the only backend would be disabled.
     assert_eq!(node.ask(&request("read", "")).status(), 200);
 }
 
-/// Guards the counters of outcomes.
+/// Guards the counters of request outcomes, attempts, endpoints and reloads.
 #[test]
 fn stats_count_every_outcome() {
     let backend = Backend::start(|message| {
@@ -69,9 +70,9 @@
     assert_eq!((figure("members"), figure("members_unavailable")), (Some(1), Some(0)));
     let config = node.config();
     node.reload("{");
-    wait_for("the bad configuration", || figure("config_reload_errors") == Some(1));
+    wait_for("the rejected reload", || figure("config_reload_errors") == Some(1));
     node.reload(&config);
-    wait_for("the good one", || figure("config_reloads") == Some(1));
+    wait_for("the reload", || figure("config_reloads") == Some(1));
 }
 
 /// Guards that an attempt counts once it is written, not when it ends, and that queued requests are pending.
@@ -84,10 +85,10 @@
     wait_for("the attempt", || node.figure("node.upstream_requests") == Some(1));
     assert_eq!(node.figure("node.pending"), Some(1));
     drop(client);
-    wait_for("its end", || node.figure("node.pending") == Some(0));
+    wait_for("the end of the request", || node.figure("node.pending") == Some(0));
 }
 
-/// Guards that a disabled backend gets nothing, whatever discovery says, until it is enabled once.
+/// Guards that a disabled backend gets no requests, whatever discovery reports, until an operator enables it.
 #[test]
 fn a_disabled_backend_gets_no_requests_until_enabled() {
     let (one, other) = (Backend::start(|_| ok("done")), Backend::start(|_| ok("done")));
@@ -95,34 +96,34 @@
     let node = Setup { discovery: discovery.address, ..with_admin(&[&one, &other]) }.start();
     let (_, lines) = discovery.next();
     let ask = |count| (0..count).for_each(|_| assert_eq!(node.ask(&request("read", "")).status(), 200));
-    // One that is asked one thing at a time may do with one server.
-    let crowd = Crowd::start(&node, 8, "read");
-    wait_for("both in use", || one.count() > 0 && other.count() > 0);
-    drop(crowd);
+    // Several clients: for one request at a time a node may use a single backend.
+    let load = Crowd::start(&node, 8, "read");
+    wait_for("requests at both backends", || one.count() > 0 && other.count() > 0);
+    drop(load);
     assert_eq!(node.call("DETACH s-0"), "OK\n");
-    assert_eq!(node.call("DETACH s-0"), "OK\n", "may be repeated");
+    assert_eq!(node.call("DETACH s-0"), "OK\n", "a repeated command is an error");
     assert_eq!(node.figure("node.members_unavailable"), Some(1));
     let before = one.count();
     ask(30);
-    // Listed again, as good as new, as ready: staff have the last word.
+    // Discovery lists it as restarted and active: the admin command has priority.
     let [a, b] = [host("s-0", one.address, "active"), host("s-1", other.address, "active")];
-    let born = a.replace("\"born_ms\":0", "\"born_ms\":77");
-    lines.send(list(2, true, &[born, b.clone()])).unwrap();
+    let restarted = a.replace("\"born_ms\":0", "\"born_ms\":77");
+    lines.send(list(2, true, &[restarted, b.clone()])).unwrap();
     ask(30);
-    // It leaves the list, and returns.
+    // It is removed from the list, and added again.
     lines.send(list(3, true, &[b])).unwrap();
-    wait_for("one server", || node.figure("node.members") == Some(1));
+    wait_for("one endpoint", || node.figure("node.members") == Some(1));
     lines.send(list(4, false, &[a])).unwrap();
-    wait_for("two servers", || node.figure("node.members") == Some(2));
+    wait_for("two endpoints", || node.figure("node.members") == Some(2));
     ask(30);
     assert_eq!(one.count(), before);
     assert_eq!(node.call("ATTACH s-0"), "OK\n");
-    let crowd = Crowd::start(&node, 8, "read");
-    wait_for("work again", || one.count() > before);
-    drop(crowd);
+    let load = Crowd::start(&node, 8, "read");
+    wait_for("requests at the enabled backend", || one.count() > before);
+    drop(load);
 }
 
-/// Guards that a node whose backends are all disabled rejects requests and sends none.
+/// Guards that a node whose backends are all disabled rejects requests and makes no attempts.
 #[test]
 fn requests_are_rejected_when_all_backends_are_disabled() {
     let backend = Backend::start(|_| ok("done"));
@@ -133,26 +134,27 @@
     assert_eq!(backend.count(), 0);
 }
 
-/// Guards that a node in lame-duck mode fails its health check, still serves, closes every connection, and rejoins.
+/// Guards that a node in lame-duck mode fails its health check, still serves requests and closes every connection, until
+/// `REJOIN` ends the mode.
 #[test]
 fn lame_duck_mode_closes_connections_until_rejoin() {
     let backend = Backend::start(|_| ok("done"));
     let mut node = with_admin(&[&backend]).start();
     let health = || node.ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status();
     assert_eq!(health(), 200);
-    let (mut asking, mut idle) = (node.connect(), node.connect());
-    for client in [&mut asking, &mut idle] {
+    let (mut active, mut idle) = (node.connect(), node.connect());
+    for client in [&mut active, &mut idle] {
         client.write(&request("read", ""));
         assert_eq!(client.read().unwrap().header("connection"), None);
     }
     let mut fresh = node.connect();
     assert_eq!(node.call("LAMEDUCK"), "OK\n");
     assert_eq!(health(), 503);
-    asking.write(&request("read", ""));
-    let answer = asking.read().unwrap();
+    active.write(&request("read", ""));
+    let answer = active.read().unwrap();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(asking.at_end() && idle.at_end() && fresh.at_end());
-    // The front may still send for a moment.
+    assert!(active.at_end() && idle.at_end() && fresh.at_end());
+    // The load balancer in front may go on sending requests for a moment.
     assert_eq!(node.ask(&request("read", "")).status(), 200);
     assert!(node.is_running());
     assert_eq!(node.call("REJOIN"), "OK\n");
@@ -162,57 +164,59 @@
     assert_eq!(node.ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
 }
 
-/// Guards an upgrade: two processes on the platform's socket, no connection refused, no request lost, and commands to either
-/// process take effect in both, also once the first has ended.
+/// Guards an upgrade: with two processes on the platform's socket no connection is refused and no request is lost, and
+/// commands to one process take effect in the other, also once the first process has exited.
 #[test]
 fn a_new_process_takes_over_under_load_without_loss() {
     let (one, other) = (Backend::start(|_| ok("done")), Backend::start(|_| ok("done")));
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
-    let kept = folder();
+    let shared_folder = new_folder();
     let start = || {
         let socket = Some(socket.try_clone().unwrap());
-        Setup { folder: Some(kept.clone()), socket, ..Setup::of(&[&one, &other]) }.start()
+        Setup { folder: Some(shared_folder.clone()), socket, ..Setup::of(&[&one, &other]) }.start()
     };
     let mut old = start();
     assert_eq!(old.address, address);
     assert_eq!(old.call("DETACH s-0"), "OK\n");
     let before = one.count();
-    let crowd = Crowd::asking(address, 8, || request("read", ""));
+    let load = Crowd::asking(address, 8, || request("read", ""));
     wait_for("load", || other.count() > 100);
     let new = start();
-    wait_for("the new one's yes", || new.call("PING") == "OK\n");
-    let quiet = Client::connect(address);
+    wait_for("the new process to be ready", || new.call("PING") == "OK\n");
+    let idle = Client::connect(address);
     old.terminate();
     assert!(old.wait().success());
     let served = other.count();
-    wait_for("load on the new one", || other.count() > served + 100);
-    assert_eq!(one.count(), before, "out, also for the new one");
-    // A call to one is heard by another that runs beside it.
+    wait_for("load on the new process", || other.count() > served + 100);
+    assert_eq!(one.count(), before, "the new process uses a backend that is disabled");
+    // A command to one process takes effect in another that runs at the same time.
     let mut third = start();
-    wait_for("the third one's yes", || third.call("PING") == "OK\n");
+    wait_for("the third process to be ready", || third.call("PING") == "OK\n");
     assert_eq!(new.call("ATTACH s-0"), "OK\n");
-    wait_for("both in use at the third", || third.figure("node.members_unavailable") == Some(0));
-    wait_for("work for it", || one.count() > before);
+    wait_for("the backend to be enabled in the third process", || {
+        third.figure("node.members_unavailable") == Some(0)
+    });
+    wait_for("requests at the enabled backend", || one.count() > before);
     third.terminate();
     assert!(third.wait().success());
-    drop(quiet);
-    let statuses = crowd.end();
+    drop(idle);
+    let statuses = load.end();
     let lost: Vec<_> = statuses.iter().filter(|&&status| status != 200 && status != 503).collect();
     assert!(lost.is_empty() && statuses.iter().filter(|&&status| status == 200).count() > 200, "{lost:?}");
 }
 
-/// Guards that a process which takes over polls discovery at once, since it must respect drains that its predecessor knew,
-/// and that it knows the backends that were listed then.
+/// Guards that a process which takes over polls discovery at once, since it must honour drains that its predecessor knew
+/// of, and that it knows the backends that its predecessor had in its list.
 #[test]
 fn a_new_process_polls_discovery_at_start() {
     let (one, other) = (Backend::start(|_| ok("done")), Backend::start(|_| ok("done")));
     let discovery = Discovery::start();
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let kept = folder();
+    let shared_folder = new_folder();
     let start = || {
         let socket = Some(socket.try_clone().unwrap());
-        let folder = Some(kept.clone());
+        let folder = Some(shared_folder.clone());
         Setup {
             folder,
             socket,
@@ -226,66 +230,67 @@
     let (_, lines) = discovery.next();
     let third = host("s-2", other.address, "active");
     lines.send(list(2, false, &[third])).unwrap();
-    wait_for("three servers", || old.figure("node.members") == Some(3));
+    wait_for("three endpoints", || old.figure("node.members") == Some(3));
     assert_eq!(old.call("DETACH s-2"), "OK\n");
     let gone = host("s-2", other.address, "left");
     lines.send(list(3, false, &[gone])).unwrap();
-    wait_for("two servers", || old.figure("node.members") == Some(2));
+    wait_for("two endpoints", || old.figure("node.members") == Some(2));
     let new = start();
     let (_, lines) = discovery.next();
     let leaving = host("s-0", one.address, "leaving");
     lines.send(list(4, false, &[leaving])).unwrap();
-    wait_for("the news", || new.figure("node.members_unavailable") == Some(1));
-    // Never listed to this process, but to the one before.
+    wait_for("the drain", || new.figure("node.members_unavailable") == Some(1));
+    // This backend was never listed for the new process, only for its predecessor.
     assert_eq!(new.call("ATTACH s-2"), "OK\n");
     assert!(new.call("ATTACH s-3").starts_with("ERR "));
 }
 
-/// Guards that a process without a folder for its state file, or with a damaged file, still serves and takes commands.
+/// Guards that a process with a damaged state file, or without a folder for the file, still serves requests, and that a
+/// command that can't be stored is an error and has no effect.
 #[test]
 fn a_missing_or_damaged_state_file_does_not_stop_a_node() {
     let backend = Backend::start(|_| ok("done"));
-    let kept = folder();
-    let first = Setup { folder: Some(kept.clone()), ..Setup::of(&[&backend]) }.start();
+    let shared_folder = new_folder();
+    let first = Setup { folder: Some(shared_folder.clone()), ..Setup::of(&[&backend]) }.start();
     assert_eq!(first.call("DETACH s-0"), "OK\n");
-    let book = std::fs::read_dir(&kept).unwrap().map(|entry| entry.unwrap().path());
-    let book = book.into_iter().find(|path| path.extension().is_some_and(|end| end == "out")).unwrap();
-    std::fs::write(&book, "{\"v\":1,").unwrap();
-    // Who knows what was said goes on with it, who does not begins without.
+    let files = std::fs::read_dir(&shared_folder).unwrap().map(|entry| entry.unwrap().path());
+    let state_file = files.into_iter().find(|path| path.extension().is_some_and(|end| end == "out")).unwrap();
+    std::fs::write(&state_file, "{\"v\":1,").unwrap();
+    // The running process keeps what it has read before; a new process starts without.
     std::thread::sleep(Duration::from_millis(500));
     assert_eq!(first.figure("node.members_unavailable"), Some(1));
-    let second = Setup { folder: Some(kept.clone()), ..Setup::of(&[&backend]) }.start();
+    let second = Setup { folder: Some(shared_folder.clone()), ..Setup::of(&[&backend]) }.start();
     assert_eq!(second.ask(&request("read", "")).status(), 200);
     assert_eq!(first.call("ATTACH s-0"), "OK\n");
-    // It is cold, and the only one.
-    wait_for("work again", || first.ask(&request("read", "")).status() == 200);
-    std::fs::remove_dir_all(&kept).unwrap();
+    // The only backend is in slow start and may not take the first request.
+    wait_for("service after the backend is enabled", || first.ask(&request("read", "")).status() == 200);
+    std::fs::remove_dir_all(&shared_folder).unwrap();
     let answer = first.call("DETACH s-0");
     assert!(answer.starts_with("ERR "), "{answer}");
-    wait_for("work, a no changes nothing", || first.ask(&request("read", "")).status() == 200);
+    wait_for("service after the failed command", || first.ask(&request("read", "")).status() == 200);
 }
 
-/// Guards that lame-duck mode lasts across an upgrade, and so does its end.
+/// Guards that a process which takes over is in lame-duck mode if its predecessor was, and isn't after `REJOIN`.
 #[test]
 fn lame_duck_mode_survives_an_upgrade() {
     let backend = Backend::start(|_| ok("done"));
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let kept = folder();
+    let shared_folder = new_folder();
     let start = || {
         let socket = Some(socket.try_clone().unwrap());
-        Setup { folder: Some(kept.clone()), socket, ..Setup::of(&[&backend]) }.start()
+        Setup { folder: Some(shared_folder.clone()), socket, ..Setup::of(&[&backend]) }.start()
     };
-    let lame = |node: &Node| node.call("PING").contains("emptied");
+    let is_lame_duck = |node: &Node| node.call("PING").contains("emptied");
     let mut first = start();
-    wait_for("the first one's yes", || first.call("PING") == "OK\n");
+    wait_for("the first process to be ready", || first.call("PING") == "OK\n");
     assert_eq!(first.call("LAMEDUCK"), "OK\n");
     let mut second = start();
-    assert!(lame(&second));
+    assert!(is_lame_duck(&second));
     first.terminate();
     assert!(first.wait().success());
     assert_eq!(second.call("REJOIN"), "OK\n");
     let third = start();
-    assert!(!lame(&third));
+    assert!(!is_lame_duck(&third));
     second.terminate();
     assert!(second.wait().success());
 }
--- a/crates/node/tests/record.rs
+++ b/crates/node/tests/traffic_recording.rs
@@ -1,4 +1,4 @@
-//! What a running node records is a trace that the load generator plays.
+//! Traffic recordings of a running node, which the load generator replays.
 
 use std::fs;
 
@@ -24,7 +24,7 @@
     for (request, status) in [
         ("GET /boards/any?page=2 HTTP/1.1\r\nHost: a\r\n\r\n", 200),
         ("POST /runs/7 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc", 200),
-        // It came, whatever became of it: a replay is to bring it again.
+        // A request that the node rejects is recorded as well, so that a replay sends it again.
         ("GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n", 404),
     ] {
         client.write(request);
@@ -34,18 +34,18 @@
     assert_eq!(node.wait().code(), Some(0));
     assert_eq!(node.said("traffic recording ended requests=3 dropped=0"), 1);
     let text = fs::read_to_string(&record).unwrap();
-    let played = parse(&text, Replay { speed: 1.0, copies: 1, gaps: false }).unwrap();
-    let seen: Vec<_> =
-        played.iter().map(|entry| (entry.method.as_str(), entry.path.as_str(), entry.body)).collect();
-    assert_eq!(seen, [("GET", "/boards/any?page=2", 0), ("POST", "/runs/7", 3), ("GET", "/nowhere", 0)]);
-    assert!(played.is_sorted_by_key(|entry| entry.at));
-    // A second recording must not write over the first.
-    let again = std::process::Command::new(pumicehead_testbed::program::built("pumicehead").unwrap())
+    let replayed = parse(&text, Replay { speed: 1.0, copies: 1, gaps: false }).unwrap();
+    let requests: Vec<_> =
+        replayed.iter().map(|entry| (entry.method.as_str(), entry.path.as_str(), entry.body)).collect();
+    assert_eq!(requests, [("GET", "/boards/any?page=2", 0), ("POST", "/runs/7", 3), ("GET", "/nowhere", 0)]);
+    assert!(replayed.is_sorted_by_key(|entry| entry.at));
+    // A second recording must not overwrite the first.
+    let second = std::process::Command::new(pumicehead_testbed::program::built("pumicehead").unwrap())
         .args(["run", config.to_str().unwrap(), "--record", path])
         .output()
         .unwrap();
-    assert_eq!(again.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&again.stderr).contains("record to "));
+    assert_eq!(second.status.code(), Some(2));
+    assert!(String::from_utf8_lossy(&second.stderr).contains("record to "));
     fs::remove_file(config).unwrap();
     fs::remove_file(record).unwrap();
 }
