--- a/crates/membership/src/awareness.rs
+++ b/crates/membership/src/awareness.rs
@@ -1,9 +1,10 @@
-//! Lifeguard's local health awareness: an observer that is itself in trouble waits longer before it suspects others.
+//! Lifeguard's local health awareness: a member that is itself unhealthy waits longer before it suspects others.
 
-/// The worst score.
+/// The score of a member with the worst local health.
 const MAX_SCORE: u8 = 7;
 
-/// The local health score; 0 is healthy. Late acks, missing nacks, refuted suspicions about itself and stalls raise it.
+/// The local health score; 0 is healthy. It is raised by a probe without any ack or nack, by a refuted claim that this member is
+/// suspect or dead, and by a stall of the local process. Each direct ack lowers it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Awareness(u8);
 
@@ -18,7 +19,7 @@
         self.0 = self.0.saturating_sub(1);
     }
 
-    /// The local health multiplier of timeouts: 1 is healthy.
+    /// The local health multiplier for timeouts; 1 is healthy.
     #[must_use]
     pub fn multiplier(self) -> u32 {
         1 + u32::from(self.0)
--- a/crates/membership/src/broadcast_queue.rs
+++ b/crates/membership/src/broadcast_queue.rs
@@ -1,4 +1,4 @@
-//! The queue of updates to piggyback on datagrams: those that were transmitted least come first.
+//! The queue of updates to piggyback on datagrams, ordered by number of transmissions, the least transmitted first.
 
 use std::collections::BTreeSet;
 
@@ -7,34 +7,34 @@
 use crate::Nanos;
 use crate::record::MemberId;
 
-/// Maximum number of queued updates. Beyond it the most transmitted ones are dropped; anti-entropy spreads them all the same.
+/// Maximum number of queued updates. If it is exceeded, the most transmitted update is dropped; anti-entropy still spreads it.
 const MAX_QUEUED: usize = 4_096;
-/// Entries that are considered for one datagram, which holds about twelve.
-const MAX_CONSIDERED: usize = 24;
-/// Transmissions of an update beyond the logarithm of the fleet's size.
+/// Maximum number of updates considered for one datagram, which has space for about twelve.
+const MAX_CANDIDATES: usize = 24;
+/// Number of transmissions of an update beyond the binary logarithm of the fleet size.
 const EXTRA_TRANSMITS: u32 = 3;
 
-/// Order of a queued update.
+/// Position of an update in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
-    /// How often it was transmitted.
+    /// Number of transmissions so far.
     transmits: u32,
-    /// Among those, the oldest first.
+    /// Orders updates with equally many transmissions, the oldest first.
     sequence: u64,
 }
 
-/// Members whose entries are to be spread.
+/// Members whose table entries have to be sent to other members.
 #[derive(Clone, Debug, Default)]
 pub struct BroadcastQueue {
     positions: FxHashMap<MemberId, Position>,
     order: BTreeSet<(Position, MemberId)>,
-    /// Updates about flapping members, held back until a time.
+    /// Delayed updates about flapping members, by release time.
     delayed: BTreeSet<(Nanos, MemberId)>,
     last_sequence: u64,
 }
 
 impl BroadcastQueue {
-    /// Queues an update about a member, in place of an older one.
+    /// Queues an update about a member, replacing a queued one.
     pub fn enqueue(&mut self, id: MemberId) {
         self.remove(id);
         self.last_sequence += 1;
@@ -46,14 +46,14 @@
         }
     }
 
-    /// Queues an update about a member at a later time, in place of an older one.
+    /// Queues an update about a member at a later time, replacing a queued or delayed one.
     pub fn enqueue_at(&mut self, id: MemberId, at: Nanos) {
         self.remove(id);
         self.delayed.retain(|(_, other)| *other != id);
         self.delayed.insert((at, id));
     }
 
-    /// Queues the delayed updates whose time has come.
+    /// Queues the delayed updates that are due.
     pub fn release_due(&mut self, now: Nanos) {
         while let Some(&(at, id)) = self.delayed.first()
             && at <= now
@@ -63,20 +63,20 @@
         }
     }
 
-    /// When the next delayed update is due.
+    /// Returns when the next delayed update is due.
     #[must_use]
     pub fn next_release(&self) -> Option<Nanos> {
         self.delayed.first().map(|(at, _)| *at)
     }
 
-    /// Whether nothing is queued; delayed updates do not count.
+    /// Whether no update is queued; delayed updates do not count.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Takes updates that fit into `budget` bytes and counts a transmission of each; one that reaches `transmit_limit` leaves
-    /// the queue. `size` gives the encoded size of a member's entry, or `None` where it has none any more.
+    /// Selects updates that fit into `budget` bytes and counts one transmission of each. Updates that reach `transmit_limit` are
+    /// removed from the queue. `size` returns the encoded size of a member's entry, or `None` if the entry no longer exists.
     pub fn take_for_datagram(
         &mut self,
         mut budget: usize,
@@ -84,8 +84,8 @@
         mut size: impl FnMut(MemberId) -> Option<usize>,
     ) -> Vec<MemberId> {
         let mut taken = Vec::new();
-        let considered: Vec<_> = self.order.iter().map(|(_, id)| *id).take(MAX_CONSIDERED).collect();
-        for id in considered {
+        let candidates: Vec<_> = self.order.iter().map(|(_, id)| *id).take(MAX_CANDIDATES).collect();
+        for id in candidates {
             let Some(bytes) = size(id) else {
                 self.remove(id);
                 continue;
@@ -120,7 +120,8 @@
     }
 }
 
-/// How often each member transmits an update: a few times more than the gossip rounds in which it doubles through the fleet.
+/// Returns how often each member transmits an update: the number of gossip rounds in which an update reaches the whole fleet if
+/// its reach doubles each round, and a few more.
 #[must_use]
 pub fn retransmit_limit(members: usize) -> u32 {
     EXTRA_TRANSMITS + usize::BITS - members.leading_zeros()
--- a/crates/membership/src/entry.rs
+++ b/crates/membership/src/entry.rs
@@ -1,4 +1,4 @@
-//! What one member knows about another, and claims that change it.
+//! What one member knows about another, and the claims that update it.
 
 use std::sync::Arc;
 
@@ -7,13 +7,13 @@
 use crate::wire::WireEntry;
 use crate::{Nanos, SignedNanos, elapsed};
 
-/// Unit of ages on the wire, in nanoseconds: a tenth of a second.
+/// Unit of ages on the wire in nanoseconds: 100 ms.
 pub(crate) const AGE_UNIT: i64 = 100_000_000;
-/// [`MemberEntry::last_heard`] of a member that was never heard from directly.
+/// Value of [`MemberEntry::last_heard`] if no message of the member was received yet.
 pub const NEVER_HEARD: SignedNanos = SignedNanos::MIN;
 
-/// A member's record together with the bytes that it arrived in. Those are forwarded unchanged, so fields that only a later
-/// version knows survive.
+/// A member's record together with the bytes it was decoded from. The bytes are forwarded unchanged, which preserves fields
+/// that only later versions know.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodedRecord {
     /// The decoded record.
@@ -24,7 +24,7 @@
 }
 
 impl EncodedRecord {
-    /// A record with its encoded bytes.
+    /// Combines a record with its encoded bytes.
     #[must_use]
     pub fn new(record: MemberRecord, bytes: Vec<u8>) -> Arc<Self> {
         let (id, hash) = (record.id(), stable_hash(&[&bytes]));
@@ -42,7 +42,7 @@
         self.hash
     }
 
-    /// Allocated memory in bytes, with texts and both reference counts.
+    /// Allocated memory in bytes, including strings and both reference counts of the `Arc`.
     pub(crate) fn allocated_bytes(&self) -> usize {
         let MemberRecord { name, address, zone, program_version, capabilities, .. } = &self.record;
         let texts =
@@ -57,26 +57,26 @@
 pub struct MemberEntry {
     /// The member's newest record.
     pub encoded: Arc<EncodedRecord>,
-    /// The state that the member is held in.
+    /// The member's current state in this table.
     pub state: MemberState,
     /// Whether the member's address refused connections, which proves that no process listens there.
     pub connection_refused: bool,
-    /// Whether this member reaches it directly.
+    /// Whether the local member can reach this one directly.
     pub reachable_from_here: bool,
-    /// Probes in a row that only indirect probes got an ack for.
+    /// Number of consecutive probes that were answered only indirectly.
     pub consecutive_indirect_acks: u8,
-    /// Recent state changes; see [`crate::settings::FLAP_THRESHOLD`].
+    /// Number of recent state changes; see [`crate::settings::FLAP_THRESHOLD`].
     pub flap_count: u8,
-    /// Since when it is in this state, on the local clock.
+    /// When the member entered its state, on the local clock.
     pub state_since: SignedNanos,
-    /// When this member last received a message of the member's current process; [`NEVER_HEARD`] for never.
+    /// When the local member last received a datagram of the member's current process; [`NEVER_HEARD`] if never.
     pub last_heard: SignedNanos,
-    /// The member whose own observation the state is.
+    /// The member that observed the state.
     pub reporter: MemberId,
 }
 
 impl MemberEntry {
-    /// The entry of a member that was not known before `claim`.
+    /// Creates the entry of a member that was unknown before `claim`.
     pub(crate) fn new(claim: &MemberClaim) -> Self {
         Self {
             encoded: claim.encoded.clone(),
@@ -103,15 +103,15 @@
         &self.encoded.record
     }
 
-    /// What a claim has to exceed to replace this entry's state.
+    /// The precedence that a claim has to exceed to replace this entry's state.
     #[must_use]
     pub fn precedence(&self) -> Precedence {
         Precedence { version: self.record().version(), state: self.state }
     }
 
-    /// The entry's part in the digests of a table.
+    /// The entry's contribution to the digests of a table.
     pub(crate) fn digest(&self) -> u64 {
-        // Each state rotates the record's hash differently.
+        // Each state rotates the record's hash by a different amount.
         self.encoded.hash.rotate_left(9 * self.state.code())
     }
 
@@ -120,7 +120,7 @@
         elapsed(now, self.state_since)
     }
 
-    /// The entry as a message.
+    /// Converts the entry to its wire form.
     #[must_use]
     pub fn to_wire(&self, now: Nanos) -> WireEntry {
         WireEntry {
@@ -133,7 +133,7 @@
     }
 }
 
-/// A claim about a member: received from another member, or this member's own observation.
+/// A claim about a member: received from another member, or observed by the local one.
 #[derive(Clone, Debug)]
 pub struct MemberClaim {
     /// The record that the claim is about.
@@ -142,14 +142,14 @@
     pub state: MemberState,
     /// Whether the member's address refused connections.
     pub connection_refused: bool,
-    /// Since when the member is in this state, on the local clock.
+    /// When the member entered the claimed state, on the local clock.
     pub state_since: SignedNanos,
-    /// The member whose own observation the claim is.
+    /// The member that observed the claimed state.
     pub reporter: MemberId,
 }
 
 impl MemberClaim {
-    /// Decodes a received entry; `None` where its record is invalid or its state is one of a later version.
+    /// Decodes a received entry. Returns `None` if its record is invalid or its state is unknown to this version.
     #[must_use]
     pub fn from_wire(entry: &WireEntry, now: Nanos) -> Option<Self> {
         let record = MemberRecord::from_bytes(&entry.record).ok()?;
@@ -175,7 +175,7 @@
         &self.encoded.record
     }
 
-    /// Which of two claims wins; see [`Precedence`].
+    /// Decides which of two claims wins; see [`Precedence`].
     #[must_use]
     pub fn precedence(&self) -> Precedence {
         Precedence { version: self.record().version(), state: self.state }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,9 @@
 //! SWIM-style group membership with Lifeguard's extensions, as a state machine without I/O: which members are alive, suspected,
-//! stalled, dead or gone, and which of them this node cannot reach although others can.
+//! stalled, dead or have left, and which of them this node cannot reach although others can.
 //!
-//! Nothing here opens a socket, reads a clock or draws system randomness: a [`Membership`] is given datagrams, stream frames,
-//! times and a seed, and returns what to send. `docs/design/members.md` has the design, `docs/operate/members.md` the operation.
-//! The modules, none of which depends on a later one:
+//! The crate opens no sockets, reads no clock and uses no system randomness: a [`Membership`] takes datagrams, stream frames,
+//! the current time and a random seed as input, and returns what to send. The design is described in `docs/design/members.md`,
+//! operation in `docs/operate/members.md`. Modules, each depending on earlier ones only:
 //!
 //! - `record`: what a member announces about itself; member ids, epochs, incarnations;
 //! - `state`: the states of a member and their precedence;
@@ -13,10 +13,10 @@
 //! - `table`: all entries, with the digests that anti-entropy compares;
 //! - `broadcast_queue`: which updates to piggyback next, and how often;
 //! - `awareness`, `suspicion`: Lifeguard's local health and suspicion timeouts;
-//! - `probe`, `probe_history`, `probe_schedule`: whom to probe next and how a probe ended;
-//! - `node_count`, `node_number`: how many nodes share the servers, and the number of each;
-//! - `membership`: the state machine that drives all of it;
-//! - `simulation`: whole fleets in virtual time.
+//! - `probe`, `probe_history`, `probe_schedule`: which member to probe next, and the outcomes of probes;
+//! - `node_count`, `node_number`: the number of nodes that share the endpoints, and the unique number of each node;
+//! - `membership`: the state machine that combines these modules;
+//! - `simulation`: simulation of whole fleets in virtual time.
 
 pub mod awareness;
 pub mod broadcast_queue;
@@ -48,14 +48,14 @@
 
 /// Nanoseconds on the local monotonic clock.
 pub type Nanos = u64;
-/// The same for points that may lie before the clock's zero, such as a state change reported with its age.
+/// Like [`Nanos`], for times that may lie before the clock's zero, such as a state change that is received as an age.
 pub type SignedNanos = i64;
-/// A millisecond in [`Nanos`].
+/// One millisecond in [`Nanos`].
 pub const MS: Nanos = 1_000_000;
-/// A second in [`Nanos`].
+/// One second in [`Nanos`].
 pub const SECOND: Nanos = 1_000_000_000;
 
-/// The time since `then`; zero where `then` lies in the future.
+/// Returns the time since `then`, or zero if `then` is in the future.
 pub(crate) fn elapsed(now: Nanos, then: SignedNanos) -> Nanos {
     (now as SignedNanos).saturating_sub(then).max(0) as Nanos
 }
--- a/crates/membership/src/membership/anti_entropy.rs
+++ b/crates/membership/src/membership/anti_entropy.rs
@@ -1,8 +1,8 @@
-//! Anti-entropy: push/pull exchanges of member tables over streams. A join is the first one.
+//! Anti-entropy: push/pull exchanges of member tables over streams. The first exchange of a member is its join.
 //!
-//! The initiator sends its table's fingerprint and its own entry. The responder answers that the fingerprints are equal, or with
-//! the digests of all partitions. The initiator sends its entries of the partitions that differ and gets the responder's.
-//! Neither side keeps state between two frames, since merging does not depend on order.
+//! The initiator sends the fingerprint of its table and its own entry. The responder replies that the fingerprints are equal, or
+//! with the digests of all partitions. The initiator then sends its entries in the partitions that differ, and receives those of
+//! the responder. Neither side keeps state between frames, since merging does not depend on order.
 
 use std::net::SocketAddr;
 
@@ -16,9 +16,9 @@
 use crate::table::PARTITIONS;
 use crate::wire::{Frame, FrameKind, MAJOR, MINOR, ProtocolError, WireEntry};
 
-/// Bytes reserved in a frame for everything but entries.
+/// Bytes reserved in a frame for everything except entries.
 const HEADER_BYTES: usize = 4_096;
-/// Bytes of entries in one frame; the rest follows with the next exchange.
+/// Maximum total size of the entries in one frame. The others follow with the next exchange.
 const MAX_ENTRY_BYTES: usize = MAX_FRAME_BYTES - HEADER_BYTES;
 
 impl Membership {
@@ -34,14 +34,14 @@
         }
     }
 
-    /// Starts an exchange with a member.
+    /// Starts a push/pull exchange with a member.
     pub(super) fn push_pull_with(&mut self, now: Nanos, id: MemberId) {
         if let Some(to) = self.address_of_id(id) {
             self.start_push_pull(now, to);
         }
     }
 
-    /// Starts an exchange with whoever listens at an address.
+    /// Starts a push/pull exchange with the member at an address, which may be unknown.
     pub(super) fn start_push_pull(&mut self, now: Nanos, to: SocketAddr) {
         let mut frame = self.new_frame(FrameKind::Digest);
         frame.fingerprint = self.table.fingerprint();
@@ -52,7 +52,7 @@
     /// Handles a frame on a stream that another member opened.
     ///
     /// # Errors
-    /// A frame that is malformed or of another fleet or version. The error has the frame that tells the peer why.
+    /// The frame is too long or malformed, or of another fleet or major version. The error contains the reply with the reason.
     pub fn on_stream_request(
         &mut self,
         now: Nanos,
@@ -68,7 +68,7 @@
             return Ok(StreamAction::Close);
         }
         self.last_received_at = now;
-        // While joining, only replies to this member's own requests are sure to be current.
+        // While joining, only replies to this member's own requests are known to be current.
         if self.joined {
             self.apply_entries(now, &frame.entries);
         }
@@ -102,12 +102,12 @@
         self.report_rejected(from, &error);
         let mut reply = self.new_frame(FrameKind::Reject);
         reply.reject_reason = error.to_string();
-        // A node of another fleet does not learn this fleet's id.
+        // Does not reveal this fleet's id to nodes of other fleets.
         reply.fleet_id = 0;
         RejectedRequest { error, reply: reply.encode_to_vec() }
     }
 
-    /// Handles a frame that came back on a stream which this member opened.
+    /// Handles a reply on a stream that this member opened.
     pub fn on_stream_reply(&mut self, now: Nanos, from: SocketAddr, bytes: &[u8]) -> StreamAction {
         self.detect_stall(now);
         if self.stopped {
@@ -134,16 +134,16 @@
         }
     }
 
-    /// The own entries of the partitions whose digests differ from the peer's.
+    /// Returns a frame with this member's entries in the partitions whose digests differ from the peer's.
     fn push_entries(&self, now: Nanos, peer_digests: &[u64]) -> Frame {
         let own = self.table.partition_digests();
-        let differing = (0..PARTITIONS).filter(|&number| peer_digests.get(number) != Some(&own[number]));
-        let partitions: Vec<u64> = differing.map(|number| number as u64).collect();
+        let differing = (0..PARTITIONS).filter(|&index| peer_digests.get(index) != Some(&own[index]));
+        let partitions: Vec<u64> = differing.map(|index| index as u64).collect();
         let entries = self.entries_to_send(now, &partitions);
         Frame { partitions, entries, ..self.new_frame(FrameKind::Entries) }
     }
 
-    /// Entries of some partitions, without expired ones, up to the size of a frame.
+    /// Returns the entries in some partitions that have not expired, up to the size of a frame.
     fn entries_to_send(&self, now: Nanos, partitions: &[u64]) -> Vec<WireEntry> {
         let mut budget = MAX_ENTRY_BYTES;
         let retention = self.settings.tombstone_retention;
--- a/crates/membership/src/membership/claims.rs
+++ b/crates/membership/src/membership/claims.rs
@@ -1,4 +1,4 @@
-//! Claims about members: merging them into the table, and what follows from a change.
+//! Claims about members: merging them into the table, and the effects of changes.
 
 use super::{Event, Membership, Output};
 use crate::entry::{MemberClaim, MemberEntry, NEVER_HEARD};
@@ -10,15 +10,16 @@
 use crate::wire::WireEntry;
 use crate::{Nanos, SECOND, elapsed};
 
-/// A member raises its incarnation by one; a claim that is this far ahead of a known record is forged or corrupt.
+/// A member raises its incarnation by one at a time. A claim whose incarnation is further ahead of the known record than this is
+/// forged or corrupt.
 const MAX_INCARNATION_JUMP: u64 = 1 << 20;
-/// Delay of updates about a flapping member; it grows by this with each further change.
+/// Delay of updates about a flapping member, added once for each state change beyond the threshold.
 const FLAP_DELAY: Nanos = 5 * SECOND;
 /// Maximum delay, as a multiple of [`FLAP_DELAY`].
 const MAX_FLAP_DELAY_FACTOR: u32 = 4;
 
 impl Membership {
-    /// Applies received entries.
+    /// Applies the claims of received entries.
     pub(super) fn apply_entries(&mut self, now: Nanos, entries: &[WireEntry]) {
         for entry in entries {
             if let Some(claim) = MemberClaim::from_wire(entry, now) {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Applies this member's own observation of another one.
+    /// Applies an observation that this member made of another one.
     pub(super) fn apply_observation(
         &mut self,
         now: Nanos,
@@ -46,7 +47,7 @@
         self.apply_claim(now, &claim);
     }
 
-    /// Merges a claim into the table, unless it is implausible or outdated.
+    /// Merges a claim into the table, unless it is implausible, expired, or outdated by a later message of the member.
     fn apply_claim(&mut self, now: Nanos, claim: &MemberClaim) {
         let id = claim.id();
         if id == self.id {
@@ -58,7 +59,7 @@
         if self.is_implausible(claim) {
             return;
         }
-        if self.has_heard_since(claim) {
+        if self.is_outdated_accusation(claim) {
             return self.forward_to_accused(now, claim);
         }
         let previous_epoch = self.table.get(id).map(|entry| entry.record().version().epoch);
@@ -82,8 +83,8 @@
             && claimed.incarnation.0 > known.incarnation.0.saturating_add(MAX_INCARNATION_JUMP)
     }
 
-    /// Whether a claim would worsen the state of a member that this one has heard from since.
-    fn has_heard_since(&self, claim: &MemberClaim) -> bool {
+    /// Whether a claim would worsen the state of a member from which a message arrived after the claimed state change.
+    fn is_outdated_accusation(&self, claim: &MemberClaim) -> bool {
         let Some(entry) = self.table.get(claim.id()) else { return false };
         let is_accusation =
             matches!(claim.state, MemberState::Stalled | MemberState::Suspect | MemberState::Dead);
@@ -93,7 +94,7 @@
             && entry.last_heard > claim.state_since
     }
 
-    /// Forwards an accusation to the accused member, which refutes it, instead of believing it.
+    /// Forwards an accusation to the accused member, which can refute it, instead of applying it.
     fn forward_to_accused(&mut self, now: Nanos, claim: &MemberClaim) {
         let Some(entry) = self.table.get(claim.id()) else { return };
         let Some(to) = self.address_of(entry) else { return };
@@ -117,7 +118,7 @@
         }
     }
 
-    /// A new process of a member has nothing to do with what was observed of the one before.
+    /// Resets what was observed of a member's previous process.
     fn reset_observations(&mut self, id: MemberId) {
         if let Some(entry) = self.table.get_mut(id) {
             entry.last_heard = NEVER_HEARD;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// A claim has won. `previous` is the member's state before, or `None` for a new member.
+    /// Handles a claim that changed the table. `previous` is the member's previous state, or `None` for a new member.
     fn on_claim_merged(&mut self, now: Nanos, previous: Option<MemberState>, claim: &MemberClaim) {
         let (id, state) = (claim.id(), claim.state);
         let has_changed = previous != Some(state);
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Counts a state change; the count starts again where the member was not heard from within the flap window.
+    /// Counts a state change of a member. The count restarts if nothing was heard from it within the flap window.
     fn count_flap(&mut self, now: Nanos, id: MemberId) {
         let window = self.settings.flap_window as i64;
         let Some(entry) = self.table.get_mut(id) else { return };
@@ -173,7 +174,7 @@
         entry.flap_count = if was_silent { 1 } else { entry.flap_count.saturating_add(1) };
     }
 
-    /// Queues an update about a member; that about a flapping one is delayed.
+    /// Queues an update about a member, with a delay if the member is flapping.
     fn broadcast(&mut self, now: Nanos, id: MemberId) {
         let Some(entry) = self.table.get(id) else { return };
         let excess = u32::from(entry.flap_count).saturating_sub(FLAP_THRESHOLD * 2);
--- a/crates/membership/src/membership/config.rs
+++ b/crates/membership/src/membership/config.rs
@@ -1,4 +1,4 @@
-//! What a member is started with.
+//! Configuration of a member.
 
 use std::net::SocketAddr;
 
@@ -15,31 +15,31 @@
     pub settings: Settings,
     /// Name of the fleet; messages of other fleets are rejected.
     pub fleet_name: String,
-    /// The member's own record; incarnation and phase are set by the state machine.
+    /// The member's own record. Incarnation, minor protocol version and phase are set by the state machine.
     pub record: MemberRecord,
-    /// Addresses to join through; none for the first member of a fleet.
+    /// Addresses of members to join through; empty for the first member of a fleet.
     pub seeds: Vec<SocketAddr>,
     /// Addresses, by member name, that replace those in the members' records.
     pub address_overrides: Vec<(String, SocketAddr)>,
-    /// Number of nodes to assume until the fleet is known.
+    /// Number of nodes to assume initially, before the fleet is known.
     pub initial_node_count: u32,
-    /// Seed of the member's random numbers.
+    /// Seed of the member's random number generator.
     pub rng_seed: u64,
 }
 
 /// Why a configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipError {
-    /// The member's own record.
+    /// The member's own record is invalid.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// The settings.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// More than [`MAX_SEEDS`] seeds.
-    #[error("{count} seeds are more than {MAX_SEEDS}")]
+    /// There are more than [`MAX_SEEDS`] seeds.
+    #[error("too many seeds: {count}, the maximum is {MAX_SEEDS}")]
     TooManySeeds {
-        /// Number of seeds given.
+        /// Number of configured seeds.
         count: usize,
     },
 }
--- a/crates/membership/src/membership/datagrams.rs
+++ b/crates/membership/src/membership/datagrams.rs
@@ -1,4 +1,4 @@
-//! Received datagrams.
+//! Handling of received datagrams.
 
 use std::net::SocketAddr;
 
@@ -10,17 +10,17 @@
 use crate::state::MemberState;
 use crate::wire::{Datagram, DatagramKind, ProtocolError};
 
-/// Rejected peers that are remembered, so that each is reported once.
+/// Number of rejected peers whose address is kept, so that each is reported only once.
 const MAX_REJECTED_PEERS: usize = 32;
 
-/// How the process that sent a datagram relates to the sender's entry.
+/// The process that sent a datagram, compared with the one in the sender's table entry.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SenderProcess {
-    /// The sender is unknown, or only an earlier process of it is known.
+    /// The sender has no entry, or its entry is about an earlier process.
     Unknown,
-    /// The process of the entry.
+    /// The sender's entry is about this process.
     Current,
-    /// An earlier process than that of the entry.
+    /// The sender's entry is about a later process.
     Outdated,
 }
 
@@ -37,15 +37,16 @@
         };
         let sender = MemberId(datagram.sender_id);
         if sender == self.id {
-            // A looped datagram, or another process of this name, which push/pull settles.
+            // An own datagram that was looped back, or another process with this name; push/pull resolves that conflict.
             return;
         }
         self.last_received_at = now;
         let process = self.sender_process(&datagram);
         if process == SenderProcess::Current {
-            self.note_sign_of_life(now, sender);
+            self.record_contact(now, sender);
         }
-        // While joining, updates may be as old as what this member forgot after a long stall. Its push/pull brings current ones.
+        // While joining, updates may be as old as the table that this member dropped after a long stall. The push/pull exchange
+        // of the join brings current ones.
         if self.joined {
             self.apply_entries(now, &datagram.updates);
         }
@@ -61,8 +62,8 @@
         }
     }
 
-    /// A message of a member's current process has arrived.
-    fn note_sign_of_life(&mut self, now: Nanos, id: MemberId) {
+    /// Records that a datagram of a member's current process has arrived.
+    fn record_contact(&mut self, now: Nanos, id: MemberId) {
         if let Some(entry) = self.table.get_mut(id) {
             entry.last_heard = now as i64;
             if entry.state == MemberState::Alive && !entry.reachable_from_here {
@@ -87,7 +88,7 @@
                 let mut ack = self.new_datagram(DatagramKind::Ack, seq, self.id);
                 ack.record_unknown = process == SenderProcess::Unknown;
                 let receiver = (process == SenderProcess::Current).then_some(sender);
-                // The source address may be forged: the ack is no larger than the ping, so it amplifies nothing.
+                // The source address may be forged. The ack is no larger than the ping, which prevents amplification.
                 self.send_with_updates(now, ack, from, receiver, received_bytes.min(MAX_DATAGRAM_BYTES));
             }
             DatagramKind::IndirectPing if target != self.id => self.relay_probe(now, from, seq, target),
@@ -115,7 +116,7 @@
             }
             return;
         }
-        // A dead member answered a reconnect ping.
+        // A member that is considered dead or left has answered, for instance to a reconnect ping.
         if self.table.get(sender).is_some_and(|entry| !entry.state.is_active()) {
             self.push_pull_with(now, sender);
         }
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Reports a message of another fleet or version, once for each address.
+    /// Reports a message of another fleet or major version, once per address.
     pub(super) fn report_rejected(&mut self, address: SocketAddr, error: &ProtocolError) {
         let is_foreign =
             matches!(error, ProtocolError::OtherFleet | ProtocolError::UnsupportedVersion { .. });
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -1,4 +1,4 @@
-//! Sending: datagrams with piggybacked updates, and rounds of gossip.
+//! Dissemination of updates: piggybacked on datagrams, and in gossip rounds.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 use crate::state::MemberState;
 use crate::wire::{Datagram, DatagramKind, MAJOR, MINOR, WireEntry};
 
-/// Bytes reserved in a datagram for everything but updates.
+/// Bytes reserved in a datagram for everything except updates.
 const HEADER_BYTES: usize = 64;
 
 impl Membership {
@@ -32,12 +32,12 @@
         }
     }
 
-    /// A datagram that only carries updates.
+    /// Creates a datagram that only carries updates.
     pub(super) fn new_gossip(&self) -> Datagram {
         self.new_datagram(DatagramKind::Gossip, SequenceNumber(0), MemberId::default())
     }
 
-    /// Sends queued updates to some members.
+    /// Sends queued updates to random members.
     pub(super) fn gossip_round(&mut self, now: Nanos) {
         if self.broadcasts.is_empty() {
             return;
@@ -54,15 +54,15 @@
         self.send_to_member(now, datagram, to);
     }
 
-    /// Sends a datagram with piggybacked updates to a member; nothing where it has no address.
+    /// Sends a datagram with piggybacked updates to a member, if its address is known.
     pub(super) fn send_to_member(&mut self, now: Nanos, datagram: Datagram, to: MemberId) {
         if let Some(address) = self.address_of_id(to) {
             self.send_with_updates(now, datagram, address, Some(to), MAX_DATAGRAM_BYTES);
         }
     }
 
-    /// Fills a datagram with updates up to a size and sends it. What is claimed against the receiver comes first, so that it can
-    /// refute that.
+    /// Fills a datagram with updates up to a size and sends it. A claim that the receiver is not alive comes first, so that the
+    /// receiver can refute it.
     pub(super) fn send_with_updates(
         &mut self,
         now: Nanos,
@@ -87,7 +87,7 @@
         self.send_datagram(&datagram, to);
     }
 
-    /// The entry of a member that is not held alive, for that member to refute.
+    /// Returns the entry of a member whose state is not alive, for that member to refute.
     pub(super) fn claim_to_refute(&self, now: Nanos, id: MemberId) -> Option<WireEntry> {
         let entry = self.table.get(id).filter(|entry| entry.state != MemberState::Alive)?;
         Some(entry.to_wire(now))
--- a/crates/membership/src/membership/joining.rs
+++ b/crates/membership/src/membership/joining.rs
@@ -1,4 +1,4 @@
-//! Joining through seeds, and finding members again that were lost from sight.
+//! Joining through seeds, and reconnecting to members that are dead or no longer in the table.
 
 use std::net::SocketAddr;
 
@@ -12,12 +12,12 @@
 use crate::wire::DatagramKind;
 use crate::{Nanos, SECOND};
 
-/// Mean time between the first two attempts to join; it doubles with each attempt.
+/// Mean time between the first two join attempts. It doubles with each attempt.
 pub(super) const MIN_JOIN_BACKOFF: Nanos = SECOND / 5;
-/// Maximum mean time between two attempts to join.
+/// Maximum mean time between two join attempts.
 const MAX_JOIN_BACKOFF: Nanos = 5 * SECOND;
-/// Mean time between two contacts of seeds that no active member has the address of. A fleet that was partitioned for longer
-/// than it remembers members finds itself again through them.
+/// Mean time between two contacts of seeds that are not the address of an active member. They reconnect a fleet that was
+/// partitioned for longer than tombstones are retained.
 pub(super) const CONTACT_SEED_INTERVAL: Nanos = 60 * SECOND;
 
 impl Membership {
@@ -34,13 +34,13 @@
         self.start_push_pull(now, to);
     }
 
-    /// Makes the next attempt to join due at once.
+    /// Makes the next join attempt due at once.
     pub(super) fn reset_join_backoff(&mut self, now: Nanos) {
         self.timers.set(Timer::Join, now);
         self.join_backoff = MIN_JOIN_BACKOFF;
     }
 
-    /// Starts a push/pull exchange with a seed that is no active member's address.
+    /// Starts a push/pull exchange with a seed that is not the address of an active member.
     pub(super) fn contact_unknown_seed(&mut self, now: Nanos) {
         let active = self.table.iter().filter(|entry| entry.state.is_active());
         let known: Vec<SocketAddr> = active.filter_map(|entry| self.address_of(entry)).collect();
@@ -53,7 +53,7 @@
         self.start_push_pull(now, to);
     }
 
-    /// Pings a random dead member with what is claimed of it: if it is back, it refutes that.
+    /// Pings a random dead member, with the claim that it is dead. If the member is back, it refutes the claim.
     pub(super) fn ping_dead_member(&mut self, now: Nanos) {
         if self.table.count_in_state(MemberState::Dead) == 0 {
             return;
@@ -70,7 +70,8 @@
         self.send_to_member(now, ping, target);
     }
 
-    /// The first complete push/pull exchange makes this a member in service.
+    /// Completes the join after the first push/pull exchange: announces the phase serving unless the node is in lame duck, and
+    /// takes a node number.
     pub(super) fn complete_join(&mut self, now: Nanos) {
         if std::mem::replace(&mut self.joined, true) {
             return;
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! The membership state machine. Its driver hands over datagrams, stream frames and results of stream probes, calls
-//! [`Membership::on_timer`] when [`Membership::next_timer`] is due, and carries out [`Membership::take_outputs`] in order.
+//! The membership state machine. Its driver passes in datagrams, stream frames and results of stream probes, calls
+//! [`Membership::on_timer`] when [`Membership::next_timer`] is due, and executes [`Membership::take_outputs`] in order.
 
 mod anti_entropy;
 mod claims;
@@ -59,7 +59,7 @@
     table: MemberTable,
     broadcasts: BroadcastQueue,
     suspicions: FxHashMap<MemberId, Suspicion>,
-    /// Members whose kernel accepted a connection without an answer, and since when.
+    /// Members whose kernel accepts connections but whose process does not answer, and the time of the first such probe.
     unresponsive_since: FxHashMap<MemberId, Nanos>,
     awareness: Awareness,
     probe_history: ProbeHistory,
@@ -68,16 +68,16 @@
     relayed_probes: VecDeque<RelayedProbe>,
     last_seq: SequenceNumber,
     node_count: NodeCount,
-    /// Whether a push/pull exchange has been completed.
+    /// Whether a push/pull exchange was completed, or no seeds are configured.
     joined: bool,
-    /// Whether this member left or was superseded.
+    /// Whether this member has left, or was superseded by another process with its name.
     stopped: bool,
     join_backoff: Nanos,
     next_seed: usize,
     timers: Timers,
     last_received_at: Nanos,
     load_announced_at: Nanos,
-    /// Addresses whose rejection was reported.
+    /// Addresses of rejected peers that were reported.
     rejected_peers: VecDeque<SocketAddr>,
     outputs: VecDeque<Output>,
     bytes_sent: u64,
@@ -87,7 +87,7 @@
     /// Starts a member.
     ///
     /// # Errors
-    /// See [`MembershipError`].
+    /// Returns an error if the configuration is invalid; see [`MembershipError`].
     pub fn new(config: MembershipConfig, now: Nanos) -> Result<Self, MembershipError> {
         config.settings.validate()?;
         if config.seeds.len() > MAX_SEEDS {
@@ -151,7 +151,7 @@
         &self.record
     }
 
-    /// All known members.
+    /// The table of all known members.
     #[must_use]
     pub fn table(&self) -> &MemberTable {
         &self.table
@@ -169,19 +169,19 @@
         self.awareness.multiplier()
     }
 
-    /// Whether this member is probably cut off itself: most of its probes get no answer.
+    /// Whether this member is probably isolated itself: most of its probes got no direct response.
     #[must_use]
     pub fn is_isolated(&self) -> bool {
         self.probe_history.is_isolated()
     }
 
-    /// Whether this member has completed an exchange with the fleet.
+    /// Whether this member has joined the fleet. A member without seeds counts as joined from the start.
     #[must_use]
     pub fn is_joined(&self) -> bool {
         self.joined
     }
 
-    /// Whether this member has left, or a later process runs under its name.
+    /// Whether this member has left, or was superseded by another process with its name.
     #[must_use]
     pub fn is_stopped(&self) -> bool {
         self.stopped
@@ -193,35 +193,35 @@
         !self.broadcasts.is_empty()
     }
 
-    /// Bytes of datagrams sent.
+    /// Total size of the datagrams sent, in bytes.
     #[must_use]
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent
     }
 
-    /// The name of a member; empty where it is unknown.
+    /// The name of a member, or an empty string if it is unknown.
     #[must_use]
     pub fn name_of(&self, id: MemberId) -> &str {
         self.table.get(id).map_or("", |entry| &entry.record().name)
     }
 
-    /// The suspicion against a member.
+    /// The suspicion against a member, if there is one.
     #[must_use]
     pub fn suspicion(&self, id: MemberId) -> Option<&Suspicion> {
         self.suspicions.get(&id)
     }
 
-    /// How many nodes share the servers, this one included; see [`crate::node_count`].
+    /// Updates and returns the number of nodes that share the endpoints, including this one; see [`crate::node_count`].
     pub fn node_count(&mut self, now: Nanos) -> u32 {
         self.node_count.update(&self.table, &self.settings, now)
     }
 
-    /// What is to be done, in order.
+    /// Takes the pending outputs. The driver has to execute them in order.
     pub fn take_outputs(&mut self) -> impl Iterator<Item = Output> + '_ {
         self.outputs.drain(..)
     }
 
-    /// Takes over the table of another member, as if a push/pull exchange had been completed.
+    /// Replaces the table by that of another member, as if a push/pull exchange had been completed.
     pub fn adopt_table(&mut self, table: &MemberTable) {
         let own = self.table.get(self.id).map(MemberClaim::from);
         self.table = table.clone();
@@ -233,7 +233,7 @@
     }
 }
 
-/// Spreads the first run of each periodic timer over its interval.
+/// Returns timers whose first run is spread randomly over their interval.
 fn initial_timers(settings: &Settings, now: Nanos, rng: &mut Pcg64Mcg) -> Timers {
     let mut timers = Timers::all_at(now);
     for (timer, interval) in [
--- a/crates/membership/src/membership/output.rs
+++ b/crates/membership/src/membership/output.rs
@@ -1,4 +1,4 @@
-//! What the state machine asks its driver to do.
+//! Outputs of the state machine, which its driver executes.
 
 use std::net::SocketAddr;
 
@@ -7,52 +7,52 @@
 use crate::state::MemberState;
 use crate::wire::ProtocolError;
 
-/// Something that happened, for logs and other parts of the node.
+/// An event, for logs and other parts of the node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The first exchange with the fleet is complete.
+    /// The first push/pull exchange with the fleet was completed.
     Joined {
-        /// Active members, this one included.
+        /// Number of active members, including this one.
         members: usize,
     },
-    /// A member changed its state.
+    /// The state of a member changed.
     StateChanged {
         /// Name of the member.
         name: String,
-        /// The state before; `None` for a new member.
+        /// The previous state; `None` for a new member.
         from: Option<MemberState>,
-        /// The state now.
+        /// The new state.
         to: MemberState,
-        /// Name of the member that observed it; empty where that one is unknown.
+        /// Name of the member that observed the new state; empty if that member is unknown.
         reporter: String,
     },
-    /// A member became reachable or unreachable from here, while other members reach it or this one is isolated.
+    /// A member became reachable or unreachable from this one, while other members reach it or this one is isolated.
     ReachabilityChanged {
         /// Name of the member.
         name: String,
-        /// Whether it is reachable from here now.
+        /// Whether the member is now reachable from this one.
         reachable: bool,
     },
     /// This process was stalled: its timers fired late.
     ProcessStalled {
-        /// How late, in nanoseconds.
+        /// How late the timer fired, in nanoseconds.
         duration: Nanos,
     },
-    /// A later process runs under this member's name; this one has stopped taking part.
+    /// Another process with this member's name supersedes this one, which has stopped.
     Superseded {
-        /// Address of the later process.
+        /// Address of the other process.
         address: String,
     },
-    /// A message of another fleet or protocol version was rejected; reported once for each address.
+    /// A message of another fleet or major protocol version was rejected. Reported once per address.
     PeerRejected {
         /// Address of the sender.
         address: SocketAddr,
-        /// Why.
+        /// Why the message was rejected.
         error: ProtocolError,
     },
 }
 
-/// Something to do.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a datagram.
@@ -62,19 +62,19 @@
         /// Encoded datagram.
         bytes: Vec<u8>,
     },
-    /// Connect, write the frame, and report to [`Membership::on_stream_probe`] how that ended within the probe timeout.
+    /// Connect, write the frame, and report the outcome within the probe timeout to [`Membership::on_stream_probe`].
     ///
     /// [`Membership::on_stream_probe`]: super::Membership::on_stream_probe
     StreamProbe {
-        /// Number of the probe.
+        /// Sequence number of the probe.
         seq: SequenceNumber,
         /// Destination.
         to: SocketAddr,
         /// Encoded frame.
         frame: Vec<u8>,
     },
-    /// Connect, write the frame, hand each frame that comes back to [`Membership::on_stream_reply`] and write its reply, until
-    /// there is none.
+    /// Connect, write the frame, pass each received frame to [`Membership::on_stream_reply`] and write the reply that it returns,
+    /// until it closes the stream.
     ///
     /// [`Membership::on_stream_reply`]: super::Membership::on_stream_reply
     PushPull {
@@ -87,7 +87,7 @@
     Event(Event),
 }
 
-/// How a stream goes on after a frame.
+/// What to do with a stream after a frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamAction {
     /// Write this encoded frame.
@@ -96,13 +96,13 @@
     Close,
 }
 
-/// A frame that was rejected.
+/// A request on a stream that was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{error}")]
 pub struct RejectedRequest {
-    /// Why.
+    /// Why the request was rejected.
     #[source]
     pub error: ProtocolError,
-    /// Encoded frame that tells the peer why.
+    /// Encoded frame with the reason for the peer.
     pub reply: Vec<u8>,
 }
--- a/crates/membership/src/membership/own_record.rs
+++ b/crates/membership/src/membership/own_record.rs
@@ -1,4 +1,4 @@
-//! This member's own record: changes of it, and its departure.
+//! This member's own record: changes to it, and leaving the fleet.
 
 use prost::Message;
 
@@ -11,7 +11,7 @@
 use crate::state::MemberState;
 
 impl Membership {
-    /// Changes the own record and raises its incarnation, which refutes any claim about the one before.
+    /// Changes the own record and raises its incarnation, which refutes all claims about the previous one.
     pub(super) fn update_record(&mut self, now: Nanos, change: impl FnOnce(&mut MemberRecord)) {
         if self.stopped {
             return;
@@ -34,8 +34,8 @@
         self.broadcasts.enqueue(self.id);
     }
 
-    /// Announces the node's utilization in eighths. The interval between two announcements grows with the fleet, which bounds
-    /// the updates of all members together.
+    /// Announces the node's utilization in eighths, unless the last announcement was too recent. The interval between two
+    /// announcements grows with the fleet, which limits the rate of updates in the whole fleet.
     pub fn set_load(&mut self, now: Nanos, eighths: u32) {
         let interval = MIN_LOAD_INTERVAL.max(LOAD_INTERVAL_PER_MEMBER * self.table.active_count() as u64);
         if self.record.load_eighths != eighths && now >= self.load_announced_at + interval {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Announces that an operator drains this node, or has put it back into service.
+    /// Announces that an operator drains this node, or has returned it to service.
     pub fn set_lame_duck(&mut self, now: Nanos, lame_duck: bool) {
         let phase = match (lame_duck, self.joined) {
             (true, _) => Phase::LameDuck,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Announces to some members that this one leaves, and stops. The outputs after this call are the last.
+    /// Announces to random members that this one leaves, and stops. The datagrams that this call outputs are the last.
     pub fn leave(&mut self, now: Nanos) {
         if self.stopped {
             return;
@@ -73,7 +73,7 @@
         self.stopped = true;
     }
 
-    /// Takes a node number that no other member keeps.
+    /// Takes a free node number; see [`free_node_number`].
     pub(super) fn take_free_node_number(&mut self, now: Nanos) {
         let number = free_node_number(&self.table, self.id);
         if self.record.node_number != number {
--- a/crates/membership/src/membership/peers.rs
+++ b/crates/membership/src/membership/peers.rs
@@ -1,4 +1,4 @@
-//! Where members are reached, and random choices among them.
+//! Addresses of members, and random selection of members.
 
 use std::net::SocketAddr;
 
@@ -9,9 +9,9 @@
 use crate::random::shuffle;
 use crate::record::MemberId;
 
-/// Tables over this size are sampled instead of scanned.
+/// Tables with more entries than this are sampled instead of scanned.
 const SAMPLING_THRESHOLD: usize = 64;
-/// Samples drawn for each member that is wanted.
+/// Number of samples drawn for each requested member.
 const SAMPLES_PER_MEMBER: usize = 8;
 
 impl Membership {
@@ -25,8 +25,8 @@
         self.table.get(id).and_then(|entry| self.address_of(entry))
     }
 
-    /// Up to `count` random active members other than this one for which `is_eligible` holds. In a large table fewer than
-    /// exist may be found.
+    /// Returns up to `count` random active members, other than the local one, for which `is_eligible` is true. In a large table
+    /// sampling may find fewer than there are.
     pub(super) fn random_members(
         &mut self,
         count: usize,
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -10,13 +10,14 @@
 use crate::wire::{DatagramKind, FrameKind};
 use crate::{MS, Nanos, elapsed};
 
-/// A member is held stalled where its stream probes have found it unresponsive for this long; shorter stalls are not reported.
+/// Time for which stream probes have to find a member unresponsive before it is considered stalled. Shorter stalls are not
+/// reported.
 const STALL_CONFIRMATION: Nanos = 700 * MS;
-/// Probes in a row with an indirect ack alone from which on a member counts as unreachable from here.
+/// Number of consecutive probes with only an indirect ack after which a member counts as not directly reachable.
 const UNREACHABLE_AFTER_INDIRECT_ACKS: u8 = 2;
 
 impl Membership {
-    /// Pings the next member of the schedule.
+    /// Pings the next member in the schedule.
     pub(super) fn start_next_probe(&mut self, now: Nanos) {
         let interval = self.settings.probe_interval;
         let multiplier = Nanos::from(self.awareness.multiplier());
@@ -46,7 +47,8 @@
         self.send_to_member(now, ping, target);
     }
 
-    /// No direct ack in time: asks helpers to ping the target, and probes it over a stream in case only datagrams are lost.
+    /// Handles a missing direct ack: asks helpers to ping the target, and probes it over a stream in case only datagrams are
+    /// lost.
     pub(super) fn send_indirect_probes(&mut self, now: Nanos) {
         let Some((target, seq)) = self.probe.as_ref().map(|probe| (probe.target, probe.seq)) else { return };
         let helpers = self.random_members(self.settings.indirect_probes, |entry| {
@@ -59,7 +61,7 @@
         if let Some(probe) = &mut self.probe {
             probe.indirect_sent = true;
             if helpers.is_empty() {
-                // Without helpers missing nacks say nothing about this member's own health.
+                // Without helpers, missing nacks do not indicate a problem of this member.
                 probe.nacks = 1;
             }
         }
@@ -69,13 +71,13 @@
         }
     }
 
-    /// Handles the end of a stream probe.
+    /// Handles the outcome of a stream probe.
     pub fn on_stream_probe(&mut self, now: Nanos, seq: SequenceNumber, outcome: StreamProbeOutcome) {
         self.detect_stall(now);
         let Some(probe) = self.probe.as_mut().filter(|probe| probe.seq == seq) else { return };
         probe.stream_outcome = Some(outcome);
         if outcome == StreamProbeOutcome::Refused && !probe.direct_ack {
-            // Leaves the helpers some time to answer, and waits no longer.
+            // Ends the probe early, but leaves the helpers half a probe timeout to answer.
             self.timers.set_no_later_than(Timer::Probe, now + self.settings.probe_timeout / 2);
         }
     }
@@ -85,7 +87,7 @@
         let Some(probe) = self.probe.take() else { return };
         let Some(entry) = self.table.get(probe.target) else { return };
         if entry.record().version() != probe.target_version || !entry.state.is_active() {
-            // Moot: the target has published a new record meanwhile, or is known to be gone.
+            // The target has published a new record meanwhile, or is known to be dead or left: the outcome is irrelevant.
             return;
         }
         let state = entry.state;
@@ -137,9 +139,9 @@
         }
     }
 
-    /// Puts a missing answer down to this member's own isolation where most of its probes fail, the target is not suspected yet,
-    /// and it was heard from within the unconfirmed timeout. The target counts as unreachable from here then. Returns whether
-    /// that is so.
+    /// Attributes a missing answer to this member's own isolation if most of its probes fail, the target is not suspected yet,
+    /// and a datagram of the target arrived within the unconfirmed timeout. The target is then marked as not directly reachable.
+    /// Returns whether no claim about the target follows, which is also so if the target is unknown.
     fn attribute_to_isolation(&mut self, now: Nanos, target: MemberId) -> bool {
         let Some(entry) = self.table.get(target) else { return true };
         let is_isolated = self.probe_history.is_isolated()
@@ -151,7 +153,7 @@
         is_isolated
     }
 
-    /// Records whether this member reaches another one directly.
+    /// Records whether this member can reach another one directly.
     pub(super) fn set_reachable(&mut self, id: MemberId, reachable: bool) {
         let Some(entry) = self.table.get_mut(id) else { return };
         if reachable {
--- a/crates/membership/src/membership/refutation.rs
+++ b/crates/membership/src/membership/refutation.rs
@@ -1,5 +1,5 @@
-//! Claims about this member itself: refuting them, yielding to a later process of the same name, and keeping node numbers
-//! distinct.
+//! Claims about this member itself: refuting them, stopping in favor of another process with the same name, and resolving
+//! conflicts between node numbers.
 
 use super::{Event, Membership, Output};
 use crate::Nanos;
@@ -19,7 +19,7 @@
         let same_version = claimed == own;
         let is_other_process = same_version && claim.record().address != self.record.address;
         if is_other_process && claim.record().address > self.record.address {
-            // Two processes chose the same epoch: the one with the greater address continues.
+            // Two processes have the same epoch: the one with the greater address continues.
             return self.yield_to(claim);
         }
         let is_accused = same_version && claim.state > MemberState::Alive;
@@ -30,13 +30,13 @@
         }
     }
 
-    /// Publishes the record with an incarnation above the claimed one.
+    /// Publishes the own record with an incarnation above the claimed one.
     fn refute(&mut self, now: Nanos, claimed_incarnation: u64) {
         self.update_record(now, |record| record.incarnation = claimed_incarnation.min(VERSION_LIMIT - 2));
     }
 
-    /// The fleet knows a process of this name with a later epoch. After the join that is another process. Before it, it is an
-    /// earlier one whose clock was ahead, and this one continues above it.
+    /// Handles a claim about a process with this name and a later epoch. After the join it is another process, which supersedes
+    /// this one. Before the join it is an earlier process whose clock was ahead, and this one continues with a higher epoch.
     fn on_later_epoch(&mut self, now: Nanos, claim: &MemberClaim) {
         let (next_epoch, number) = (claim.record().epoch + 1, claim.record().node_number);
         if self.joined || next_epoch >= VERSION_LIMIT {
@@ -49,7 +49,8 @@
         });
     }
 
-    /// The fleet knows an earlier process of this member: its node number stays with the name.
+    /// Handles a claim about an earlier process of this member: takes over its node number if this process has none, and
+    /// otherwise broadcasts the own record again.
     fn on_earlier_epoch(&mut self, now: Nanos, claim: &MemberClaim) {
         let number = claim.record().node_number;
         if self.record.node_number == 0 && number != 0 {
@@ -65,7 +66,8 @@
         self.outputs.push_back(Output::Event(Event::Superseded { address }));
     }
 
-    /// Where two members have one node number, the one with the greater id takes another.
+    /// Resolves a conflict between this member and another one with the same node number: the one with the greater id takes a
+    /// new number.
     pub(super) fn resolve_number_conflict(&mut self, now: Nanos, id: MemberId) {
         let Some(entry) = self.table.get(id) else { return };
         let number = entry.record().node_number;
--- a/crates/membership/src/membership/relayed_probes.rs
+++ b/crates/membership/src/membership/relayed_probes.rs
@@ -1,4 +1,4 @@
-//! Probes that this member makes as a helper of others.
+//! Pings that this member sends as a helper in the indirect probes of others.
 
 use std::net::SocketAddr;
 
@@ -8,10 +8,10 @@
 use crate::record::MemberId;
 use crate::wire::DatagramKind;
 
-/// Maximum number of relayed probes in flight; further requests are ignored.
+/// Maximum number of relayed probes in flight. Further requests are ignored.
 const MAX_RELAYED_PROBES: usize = 64;
 
-/// A ping on another member's behalf.
+/// A ping on behalf of another member.
 #[derive(Clone, Debug)]
 pub(super) struct RelayedProbe {
     seq: SequenceNumber,
@@ -23,7 +23,7 @@
 }
 
 impl Membership {
-    /// Pings a target for a requester.
+    /// Pings a target on behalf of the requester.
     pub(super) fn relay_probe(
         &mut self,
         now: Nanos,
@@ -42,7 +42,7 @@
         self.send_datagram(&ping, to);
     }
 
-    /// Passes an ack on to the requester; `false` where it belongs to no relayed probe.
+    /// Forwards an ack to the requester. Returns `false` if it does not belong to a relayed probe.
     pub(super) fn answer_relayed_probe(&mut self, sender: MemberId, seq: SequenceNumber) -> bool {
         let is_answered = |relayed: &RelayedProbe| relayed.seq == seq && relayed.target == sender;
         let Some(index) = self.relayed_probes.iter().position(is_answered) else { return false };
@@ -52,7 +52,7 @@
         true
     }
 
-    /// Sends nacks for relayed probes that got no answer.
+    /// Sends nacks for relayed probes that were not answered in time.
     pub(super) fn expire_relayed_probes(&mut self, now: Nanos) {
         while let Some(relayed) = self.relayed_probes.pop_front_if(|relayed| relayed.expires_at <= now) {
             let nack = self.new_datagram(DatagramKind::Nack, relayed.requester_seq, relayed.target);
--- a/crates/membership/src/membership/stalls.rs
+++ b/crates/membership/src/membership/stalls.rs
@@ -1,4 +1,4 @@
-//! Stalls of the local process: nothing that expired meanwhile counts, and after a long one the member joins anew.
+//! Stalls of the local process. Timeouts that passed during a stall are postponed, and after a long stall the member joins again.
 
 use super::config::MAX_SEEDS;
 use super::timers::Timer;
@@ -10,12 +10,12 @@
 use crate::settings::STALL_THRESHOLD;
 use crate::state::MemberState;
 
-/// How much a stall degrades the awareness score.
+/// By how much a stall raises the awareness score.
 const STALL_PENALTY: u8 = 2;
 
 impl Membership {
-    /// Notices by a late timer that the process was stalled: acks could not be received meanwhile, so pending probes and
-    /// suspicions must not expire by that time.
+    /// Detects by an overdue timer that the process was stalled. No acks could be received meanwhile, so that time must not count
+    /// towards the timeouts of pending probes and suspicions.
     pub(super) fn detect_stall(&mut self, now: Nanos) {
         let due = self.next_timer();
         if self.stopped || now < due.saturating_add(STALL_THRESHOLD) {
@@ -29,7 +29,7 @@
         for suspicion in self.suspicions.values_mut() {
             suspicion.started_at += duration;
         }
-        self.forget_probes();
+        self.discard_probes();
         self.awareness.degrade(STALL_PENALTY);
         self.last_received_at += duration;
         self.timers.postpone_overdue(
@@ -45,26 +45,26 @@
             now,
         );
         if duration > self.settings.probe_interval {
-            // Others may consider this member stalled or suspect by now: it refutes that before their claims arrive.
+            // Others may consider this member stalled or suspect by now. Refutes that before their claims arrive.
             self.update_record(now, |_| {});
         }
     }
 
-    fn forget_probes(&mut self) {
+    fn discard_probes(&mut self) {
         self.unresponsive_since.clear();
         self.probe = None;
         self.relayed_probes.clear();
         self.probe_history = ProbeHistory::default();
     }
 
-    /// Forgets everything and joins again, after an absence in which others may have forgotten members that this one still
-    /// holds: its table must not bring them back.
+    /// Discards the table and joins again, after an absence in which others may have removed members that are still in this
+    /// table: they must not be added again from here.
     pub(super) fn rejoin_from_scratch(&mut self, now: Nanos) {
-        self.keep_addresses_as_seeds();
+        self.add_member_addresses_to_seeds();
         self.table.retain_only(self.id);
         self.broadcasts = BroadcastQueue::default();
         self.suspicions.clear();
-        self.forget_probes();
+        self.discard_probes();
         self.joined = self.seeds.is_empty();
         self.last_received_at = now;
         self.reset_join_backoff(now);
@@ -77,7 +77,7 @@
         });
     }
 
-    fn keep_addresses_as_seeds(&mut self) {
+    fn add_member_addresses_to_seeds(&mut self) {
         let mut known: Vec<_> = self
             .table
             .iter()
--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of the state machine, and what each does when it fires.
+//! The timers of the state machine, and the actions of each.
 
 use rand_core::RngCore;
 
@@ -7,12 +7,12 @@
 use crate::state::MemberState;
 use crate::{Nanos, SECOND};
 
-/// Time between two sweeps for expired suspicions: well under the shortest suspicion.
+/// Time between two checks for expired suspicions: with default settings, much less than the shortest suspicion timeout.
 const SUSPICION_SWEEP_INTERVAL: Nanos = SECOND / 10;
-/// Time between two cleanups of expired state.
+/// Time between two removals of expired state.
 pub(super) const CLEANUP_INTERVAL: Nanos = 10 * SECOND;
 
-/// The timers.
+/// A timer of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
     /// Ends the probe in flight and starts the next one.
@@ -23,13 +23,13 @@
     PushPull,
     /// Pings a dead member.
     Reconnect,
-    /// Contacts a seed that no active member has the address of.
+    /// Contacts a seed that is not the address of an active member.
     ContactSeed,
-    /// Forgets expired members.
+    /// Removes expired members.
     Cleanup,
-    /// Declares members dead whose suspicion has expired.
+    /// Declares members dead whose suspicions have expired.
     SuspicionSweep,
-    /// Tries the next seed until the fleet is joined.
+    /// Tries the next seed until the join is complete.
     Join,
 }
 
@@ -40,7 +40,7 @@
 pub(super) struct Timers([Nanos; TIMER_COUNT]);
 
 impl Timers {
-    /// All timers due at one time.
+    /// Creates timers that are all due at the same time.
     pub(super) fn all_at(at: Nanos) -> Self {
         Self([at; TIMER_COUNT])
     }
@@ -57,12 +57,12 @@
         self.0[timer as usize] = at;
     }
 
-    /// Brings a timer that is due later forward to `at`.
+    /// Moves a timer that is due later than `at` forward to `at`.
     pub(super) fn set_no_later_than(&mut self, timer: Timer, at: Nanos) {
         self.set(timer, self.at(timer).min(at));
     }
 
-    /// Moves timers that are overdue to `now`.
+    /// Moves overdue timers to `now`.
     pub(super) fn postpone_overdue(&mut self, timers: &[Timer], now: Nanos) {
         for &timer in timers {
             self.set(timer, self.at(timer).max(now));
@@ -71,7 +71,7 @@
 }
 
 impl Membership {
-    /// When [`Membership::on_timer`] has to be called; [`Nanos::MAX`] for never.
+    /// Returns when [`Membership::on_timer`] has to be called next; [`Nanos::MAX`] if never.
     #[must_use]
     pub fn next_timer(&self) -> Nanos {
         if self.stopped {
@@ -90,7 +90,7 @@
         always.chain(sometimes.into_iter().flatten()).min().unwrap_or(Nanos::MAX)
     }
 
-    /// Does what is due.
+    /// Runs the actions of all timers that are due.
     pub fn on_timer(&mut self, now: Nanos) {
         self.detect_stall(now);
         if self.stopped {
@@ -150,12 +150,13 @@
         }
     }
 
-    /// A random interval around a mean, so that members that started together drift apart.
+    /// Returns a random interval around a mean, so that members that started together do not stay synchronized.
     pub(super) fn jittered(&mut self, mean: Nanos) -> Nanos {
         mean / 2 + self.rng.next_u64() % mean.max(1)
     }
 
-    /// Forgets expired members and what refers to them.
+    /// Removes expired members and the state that refers to them. Joins again if nothing was received for half the retention
+    /// time of tombstones.
     fn clean_up(&mut self, now: Nanos) {
         self.table.forget_expired(now, self.settings.tombstone_retention);
         let table = &self.table;
--- a/crates/membership/src/node_number.rs
+++ b/crates/membership/src/node_number.rs
@@ -1,17 +1,18 @@
-//! Node numbers: a small distinct number for each member, from 1.
+//! Node numbers: a small unique number for each member, starting at 1.
 
 use crate::record::MemberId;
 use crate::table::MemberTable;
 
-/// The number for a member that has none, or one that another member keeps: the free number at the member's own rank, by id,
-/// among all members in that position. Members with equal tables choose different numbers, so many that join at once settle
-/// within some rounds.
+/// Returns the number to take for a member that has none, or whose number another member keeps. All members that need a number
+/// are ranked by id, and each takes the free number at its rank. Members with equal tables thus choose different numbers, so
+/// that many simultaneous joins converge within a few rounds.
 #[must_use]
 pub fn free_node_number(table: &MemberTable, own_id: MemberId) -> u32 {
     let active = table.iter().filter(|entry| entry.state.is_active());
     let mut claims: Vec<_> = active.map(|entry| (entry.record().node_number, entry.id())).collect();
     claims.sort_unstable();
-    // Of the members with one number the lowest id keeps it; the others, and those without a number, take another.
+    // If several members have the same number, the one with the lowest id keeps it. The others, and members without a number,
+    // need a new one.
     let mut kept = Vec::new();
     let mut rank = 0;
     for (number, id) in claims {
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,28 +1,28 @@
-//! A probe in flight, and how it ended.
+//! A probe in flight and its outcome.
 
 use crate::Nanos;
 use crate::record::{MemberId, RecordVersion};
 
-/// Number of a probe, counted by the member that probes.
+/// Sequence number of a probe, assigned by the probing member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SequenceNumber(pub u32);
 
 impl SequenceNumber {
-    /// Advances to the next number and returns it.
+    /// Advances to the next sequence number and returns it.
     pub(crate) fn advance(&mut self) -> Self {
         self.0 = self.0.wrapping_add(1);
         *self
     }
 }
 
-/// How a probe over a stream ended.
+/// Outcome of a probe over a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StreamProbeOutcome {
     /// The member answered.
     Answered,
     /// The connection was refused or reset: no process listens there.
     Refused,
-    /// The connection was accepted, but nothing came back.
+    /// The connection was accepted, but no response arrived in time.
     NoResponse,
     /// The connection could not be established.
     Unreachable,
@@ -33,52 +33,52 @@
 pub struct Probe {
     /// The member that is probed.
     pub target: MemberId,
-    /// Version of the target's record at the start; a newer one makes the probe moot.
+    /// Version of the target's record at the start. If the target publishes a newer one, the outcome is discarded.
     pub target_version: RecordVersion,
-    /// The probe's number.
+    /// Sequence number of the probe.
     pub seq: SequenceNumber,
     /// When the ping was sent.
     pub started_at: Nanos,
     /// When indirect probes and the stream probe are due.
     pub indirect_at: Nanos,
-    /// Whether they were sent.
+    /// Whether the indirect probes and the stream probe were sent.
     pub indirect_sent: bool,
-    /// Helpers that reported that the target does not answer them either.
+    /// Number of nacks: helpers that got no answer from the target either. Set to 1 if there are no helpers.
     pub nacks: u8,
-    /// Whether the target answered directly.
+    /// Whether the target answered the ping directly.
     pub direct_ack: bool,
     /// Whether the target answered a helper.
     pub indirect_ack: bool,
-    /// How the stream probe ended; `None` until it has.
+    /// Outcome of the stream probe, if it has ended.
     pub stream_outcome: Option<StreamProbeOutcome>,
 }
 
-/// How a probe ended.
+/// Outcome of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// The target answered this member.
+    /// The target answered the probing member.
     Reachable,
-    /// The target answered helpers alone.
+    /// The target only answered helpers.
     ReachableIndirectly,
     /// The target's address refuses connections.
     Refused,
     /// The target's kernel accepts connections, but its process does not answer.
     Stalled,
-    /// No answer at all.
+    /// The target did not answer.
     NoAnswer {
-        /// Whether helpers sent nacks. Without any the fault may be this member's own.
+        /// Whether any helper sent a nack, or none was asked. Otherwise the fault may be the probing member's own.
         helpers_responded: bool,
     },
 }
 
 impl Probe {
-    /// Whether indirect probes are still to be sent unless an ack comes.
+    /// Whether the probe still waits for a direct ack before it sends indirect probes.
     #[must_use]
     pub fn awaits_direct_ack(&self) -> bool {
         !self.indirect_sent && !self.direct_ack
     }
 
-    /// How the probe ended, at the end of its interval.
+    /// Returns the outcome at the end of the probe interval.
     #[must_use]
     pub fn outcome(&self) -> ProbeOutcome {
         if self.direct_ack || self.stream_outcome == Some(StreamProbeOutcome::Answered) {
--- a/crates/membership/src/probe_schedule.rs
+++ b/crates/membership/src/probe_schedule.rs
@@ -1,4 +1,4 @@
-//! SWIM's randomized round-robin: every member is probed once in a round, in a new random order each time.
+//! SWIM's randomized round-robin: each round probes every member once, in a new random order.
 
 use std::collections::VecDeque;
 
@@ -10,24 +10,24 @@
 /// Maximum number of members that are probed out of turn.
 const MAX_URGENT: usize = 32;
 
-/// Decides whom to probe next.
+/// Decides which member to probe next.
 #[derive(Clone, Debug, Default)]
 pub struct ProbeSchedule {
-    /// The rest of the round under way; the last one is next.
+    /// Members left in the current round, in reverse order.
     round: Vec<MemberId>,
     urgent: VecDeque<MemberId>,
 }
 
 impl ProbeSchedule {
-    /// Probes a member out of turn; ignored while `MAX_URGENT` others wait.
+    /// Schedules an out-of-turn probe of a member. Ignored if one is scheduled already or `MAX_URGENT` are.
     pub fn prioritize(&mut self, id: MemberId) {
         if !self.urgent.contains(&id) && self.urgent.len() < MAX_URGENT {
             self.urgent.push_back(id);
         }
     }
 
-    /// Inserts a new member at a random place of the round under way: a round of a large fleet takes minutes, and a crash soon
-    /// after the start would go unnoticed until the next one.
+    /// Inserts a new member at a random position of the current round. A round takes minutes in a large fleet, and without this
+    /// a crash soon after the start would not be detected before the next round.
     pub fn insert(&mut self, id: MemberId, rng: &mut impl RngCore) {
         if !self.round.is_empty() && !self.round.contains(&id) {
             let position = rng.next_u64() as usize % (self.round.len() + 1);
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The next member for which `is_eligible` holds; `all_members` gives those of a new round.
+    /// Returns the next eligible member. Starts a new round with `all_members` if the current one has none left.
     pub fn next(
         &mut self,
         is_eligible: impl Fn(MemberId) -> bool,
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -11,26 +11,26 @@
 pub const MAX_TEXT_BYTES: usize = 64;
 /// Maximum number of capabilities in a record.
 pub const MAX_CAPABILITIES: usize = 16;
-/// Maximum length of an encoded record in bytes, fields of later versions included.
+/// Maximum length of an encoded record in bytes, including fields of later versions.
 pub const MAX_RECORD_BYTES: usize = 1_024;
-/// Epochs and incarnations stay below this, so that a member can always refute a forged record with a higher incarnation.
+/// Epochs and incarnations are less than this, so that a member can always refute a forged record with a higher incarnation.
 pub const VERSION_LIMIT: u64 = 1 << 62;
-/// Keys of [`stable_hash`]. All members have to use the same.
+/// Keys of [`stable_hash`]. All members have to use the same keys.
 const HASH_KEYS: (u64, u64) = (0x7075_6d69_6365, 0x6d65_6d62_6572);
 
-/// Identifies a member: a hash of its name, equal in all processes and versions.
+/// Identifies a member: a hash of its name, which is the same in all processes and versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(pub u64);
 
 impl MemberId {
-    /// The id of the member with this name.
+    /// Returns the id of the member with this name.
     #[must_use]
     pub fn from_name(name: &str) -> Self {
         Self(stable_hash(&[name.as_bytes()]))
     }
 }
 
-/// A 64-bit hash that is the same in all processes and versions; every part is hashed with its length.
+/// Returns a 64-bit hash that is the same in all processes and versions. Each part is hashed together with its length.
 #[must_use]
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(HASH_KEYS.0, HASH_KEYS.1);
@@ -41,20 +41,20 @@
     hasher.finish()
 }
 
-/// Identifies one process run of a member: higher for a later start.
+/// Identifies one process of a member. A later start has a higher epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch(pub u64);
 
-/// SWIM's incarnation number: how often the process has changed its record, for instance to refute a suspicion.
+/// SWIM's incarnation number. The process raises it whenever it changes its record, for instance to refute a suspicion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
-/// Orders the records of a member. Only the member itself raises it.
+/// Orders the records of a member. Only the member itself publishes higher versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RecordVersion {
-    /// The process run that published the record.
+    /// The process that published the record.
     pub epoch: Epoch,
-    /// The incarnation within that run.
+    /// The incarnation within that process.
     pub incarnation: Incarnation,
 }
 
@@ -64,19 +64,19 @@
     }
 }
 
-/// Lifecycle phase that a member announces.
+/// Lifecycle phase announced by a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Phase {
-    /// Started, but has not completed an exchange with the fleet yet.
+    /// The member has not completed a push/pull exchange with the fleet yet.
     Joining,
-    /// In service.
+    /// The member is in service.
     Serving,
-    /// Being drained by an operator.
+    /// The member is being drained by an operator.
     LameDuck,
 }
 
 impl Phase {
-    /// The name in reports.
+    /// The name used in reports.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -87,7 +87,7 @@
     }
 }
 
-/// What a member publishes about itself, as a message on the wire.
+/// What a member publishes about itself, as a protobuf message.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct MemberRecord {
     /// The member's name.
@@ -108,19 +108,19 @@
     /// Version of the member's program.
     #[prost(string, tag = "6")]
     pub program_version: String,
-    /// Minor version of the protocol that it speaks.
+    /// Minor version of the protocol that the member speaks.
     #[prost(uint32, tag = "7")]
     pub protocol_minor: u32,
-    /// Utilization, in eighths.
+    /// Utilization in eighths.
     #[prost(uint32, tag = "8")]
     pub load_eighths: u32,
-    /// Encoded phase; see [`MemberRecord::phase`].
+    /// Code of the phase; see [`MemberRecord::phase`].
     #[prost(uint32, tag = "9")]
     pub phase: u32,
-    /// The member's number among the nodes, from 1; 0 while it has none.
+    /// The member's node number, starting at 1; 0 while it has none.
     #[prost(uint32, tag = "10")]
     pub node_number: u32,
-    /// Requests that other members may send it.
+    /// Names of the requests that other members may send to this one.
     #[prost(string, repeated, tag = "11")]
     pub capabilities: Vec<String>,
 }
@@ -128,30 +128,31 @@
 /// Why a record is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Longer than [`MAX_RECORD_BYTES`].
-    #[error("the member record has {length} bytes, more than {MAX_RECORD_BYTES}")]
+    /// The record is longer than [`MAX_RECORD_BYTES`].
+    #[error("member record too long: {length} bytes, the maximum is {MAX_RECORD_BYTES}")]
     TooLong {
-        /// Its length in bytes.
+        /// Length in bytes.
         length: usize,
     },
-    /// Not an encoded record.
+    /// The bytes are not an encoded record.
     #[error("malformed member record: {0}")]
     Malformed(#[from] prost::DecodeError),
-    /// A text is empty, too long, or holds control characters or spaces.
+    /// A string is too long or contains control characters or spaces, the name is empty, or there are more than
+    /// [`MAX_CAPABILITIES`] capabilities.
     #[error(
-        "the member record's {field} is longer than {MAX_TEXT_BYTES} bytes, is empty or holds other than printable characters"
+        "invalid {field} in member record: strings have at most {MAX_TEXT_BYTES} bytes without spaces and control characters, the name is not empty, and there are at most {MAX_CAPABILITIES} capabilities"
     )]
     Text {
-        /// Which text.
+        /// The invalid field.
         field: &'static str,
     },
-    /// Not an IP address with a port, or one that cannot be reached.
-    #[error("the member record's address is none that can be reached")]
+    /// The address is not an IP address with a nonzero port, or is unspecified, broadcast or multicast.
+    #[error("invalid address in member record: expected a unicast IP address with a nonzero port")]
     Address,
-    /// A number is at or over [`VERSION_LIMIT`].
-    #[error("the member record's {field} is over its bound")]
+    /// A number is not less than [`VERSION_LIMIT`].
+    #[error("invalid {field} in member record: it must be less than {VERSION_LIMIT}")]
     Number {
-        /// Which number.
+        /// The invalid field.
         field: &'static str,
     },
 }
@@ -170,15 +171,15 @@
         Ok(record)
     }
 
-    /// Checks texts, address and numbers.
+    /// Checks strings, address, epoch and incarnation.
     ///
     /// # Errors
-    /// The first field that is invalid.
+    /// Returns the first invalid field.
     pub fn validate(&self) -> Result<(), RecordError> {
         if self.name.is_empty() || !is_valid_text(&self.name) {
             return Err(RecordError::Text { field: "name" });
         }
-        for (field, text) in [("zone", &self.zone), ("program", &self.program_version)] {
+        for (field, text) in [("zone", &self.zone), ("program_version", &self.program_version)] {
             if !is_valid_text(text) {
                 return Err(RecordError::Text { field });
             }
@@ -211,7 +212,7 @@
         RecordVersion { epoch: Epoch(self.epoch), incarnation: Incarnation(self.incarnation) }
     }
 
-    /// The parsed address; `None` without a port, or where it is unspecified, broadcast or multicast.
+    /// Returns the parsed address, or `None` if it is malformed, has port 0, or is unspecified, broadcast or multicast.
     #[must_use]
     pub fn socket_address(&self) -> Option<SocketAddr> {
         let address: SocketAddr = self.address.parse().ok()?;
@@ -223,7 +224,7 @@
         (address.port() != 0 && !ip.is_unspecified() && !is_multi_recipient).then_some(address)
     }
 
-    /// The announced phase; one of a later version counts as serving.
+    /// The announced phase. A code unknown to this version counts as serving.
     #[must_use]
     pub fn phase(&self) -> Phase {
         match self.phase {
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,54 +1,57 @@
-//! Intervals, timeouts and bounds.
+//! Intervals, timeouts and limits.
 
 use crate::{MS, Nanos, SECOND};
 
-/// Maximum number of members. A table's memory (some 650 bytes an entry) and a whole table in one stream frame are sized for it.
+/// Maximum number of members. The memory of a table (about 650 bytes per entry) and the size of a stream frame with a whole
+/// table are dimensioned for it.
 pub const MAX_MEMBERS: usize = 16_384;
-/// Maximum number of dead and left members that are remembered; the oldest are removed first.
+/// Maximum number of tombstones (dead and left members) in a table. The oldest are removed first.
 pub const MAX_TOMBSTONES: usize = 4_096;
 /// Maximum datagram size in bytes: below the usual MTUs, so that datagrams are not fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// Maximum size of a stream frame in bytes: a whole table fits.
+/// Maximum size of a stream frame in bytes, enough for a whole table.
 pub const MAX_FRAME_BYTES: usize = 4 << 20;
-/// A member with more than this many cycles of going and coming back, of two state changes each, is flapping: updates about it
-/// are delayed. A restart and a stall in a minute are fewer.
+/// A member is flapping, and updates about it are delayed, after more than this many cycles of failure and recovery (two state
+/// changes each). A restart and a stall within a minute stay below it.
 pub const FLAP_THRESHOLD: u32 = 4;
-/// A timer that fires this late means that the process was stalled.
+/// The process is considered to have been stalled if a timer fires this late.
 pub const STALL_THRESHOLD: Nanos = 300 * MS;
-/// Minimum time between two announcements of a member's own load, for each member there is: it bounds the updates of all
-/// members together.
+/// Minimum time between two load announcements of a member, per active member. It limits the rate of load updates in the
+/// whole fleet.
 pub const LOAD_INTERVAL_PER_MEMBER: Nanos = 4 * SECOND;
-/// Minimum time between two announcements of a member's own load in a small fleet.
+/// Minimum time between two load announcements of a member, whatever the size of the fleet.
 pub const MIN_LOAD_INTERVAL: Nanos = 10 * SECOND;
 
-/// Intervals and timeouts. All members of a fleet should have the same.
+/// Intervals and timeouts. All members of a fleet should use the same values.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// SWIM's protocol period: time between two probes.
+    /// SWIM's protocol period: the time between two probes.
     pub probe_interval: Nanos,
     /// Time to wait for a direct ack before indirect probes and a stream probe are sent.
     pub probe_timeout: Nanos,
     /// Number of members that are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// Time between two rounds of gossip while updates are queued.
+    /// Time between two gossip rounds while updates are queued.
     pub gossip_interval: Nanos,
-    /// Number of members that a round of gossip goes to.
+    /// Number of members that each gossip round sends updates to.
     pub gossip_fanout: usize,
     /// Mean time between two push/pull exchanges with a random member.
     pub push_pull_interval: Nanos,
-    /// Mean time between two pings of a dead member, to find out whether it is back.
+    /// Mean time between two pings of a dead member, which detect its return.
     pub reconnect_interval: Nanos,
-    /// Time after which a stalled member counts as dead.
+    /// Time after which a stalled member is declared dead.
     pub stall_timeout: Nanos,
-    /// Time after which a suspicion that only this member has counts as death.
+    /// Time after which a suspicion that no other member confirms leads to a declaration of death.
     pub unconfirmed_timeout: Nanos,
-    /// Time for which dead and left members are remembered. A member that was away for longer joins anew.
+    /// Time for which dead and left members are kept in the table. A member that received nothing, or was stalled, for more
+    /// than half of it joins again with an empty table.
     pub tombstone_retention: Nanos,
-    /// Time for which a dead member still counts as a node where its address refused connections.
+    /// Time for which a dead member still counts as a node if its address refused connections.
     pub confirmed_death_grace: Nanos,
-    /// The same where it merely does not answer: it may use the servers on the other side of a network partition.
+    /// Time for which a dead member still counts as a node if it only does not answer: it may still use the endpoints from the
+    /// other side of a network partition.
     pub unconfirmed_death_grace: Nanos,
-    /// A member's state changes are counted anew where it was not heard from for this long.
+    /// The count of a member's state changes restarts if nothing was heard from the member for this long.
     pub flap_window: Nanos,
 }
 
@@ -72,19 +75,19 @@
     }
 }
 
-/// A setting is out of its bounds.
+/// A setting is out of range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("`{setting}` is out of its bounds")]
+#[error("membership setting `{setting}` is out of range")]
 pub struct SettingsError {
     /// Name of the setting.
     pub setting: &'static str,
 }
 
 impl Settings {
-    /// Checks that every setting is in bounds and that longer spans can hold what happens within them.
+    /// Checks that the settings are in range, and that durations that contain others are long enough for them.
     ///
     /// # Errors
-    /// The first setting that is out of bounds.
+    /// Returns the first setting that is out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let within = |setting, value: Nanos, min: Nanos, max: Nanos| {
             if (min..=max).contains(&value) { Ok(()) } else { Err(SettingsError { setting }) }
--- a/crates/membership/src/simulation/config.rs
+++ b/crates/membership/src/simulation/config.rs
@@ -1,4 +1,4 @@
-//! What a simulated fleet is made of.
+//! Configuration of a simulated fleet.
 
 use crate::settings::Settings;
 use crate::{MS, Nanos};
@@ -8,24 +8,24 @@
 pub struct SimulationConfig {
     /// Settings of all members.
     pub settings: Settings,
-    /// Number of processes; none is started at first.
+    /// Number of processes. None of them is running initially.
     pub nodes: usize,
-    /// Number of zones; node `n` is in zone `n` modulo this.
+    /// Number of zones. Node `n` is in zone `n % zones`.
     pub zones: usize,
-    /// Seed of all random draws.
+    /// Seed of all random number generators.
     pub seed: u64,
     /// Minimum one-way delay of a link.
     pub delay: Nanos,
-    /// Maximum of the random delay beyond it.
+    /// Maximum random delay in addition to `delay`.
     pub jitter: Nanos,
-    /// Share of datagrams, and of stream segments, that are lost.
+    /// Fraction of datagrams and stream frames that are lost. A lost stream frame is retransmitted.
     pub loss: f64,
-    /// Share of datagrams that are delivered twice.
+    /// Fraction of datagrams that are delivered twice.
     pub duplication: f64,
 }
 
 impl SimulationConfig {
-    /// A fleet on links without loss.
+    /// A fleet whose links lose and duplicate nothing.
     #[must_use]
     pub fn without_faults(nodes: usize, seed: u64) -> Self {
         let settings = Settings::default();
--- a/crates/membership/src/simulation/delivery.rs
+++ b/crates/membership/src/simulation/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery of events to members, and what their outputs become.
+//! Delivery of events to members, and execution of their outputs.
 
 use super::Simulation;
 use super::event::{SimEvent, StreamPurpose};
@@ -9,7 +9,7 @@
 use crate::probe::{SequenceNumber, StreamProbeOutcome};
 
 impl Simulation {
-    /// Delivers an event to a node; a paused process keeps it, one that is down loses it.
+    /// Delivers an event to a node. Events for a paused process are buffered, those for a process that is down are lost.
     pub(super) fn deliver(&mut self, node: usize, event: SimEvent) {
         let process = &mut self.processes[node];
         if event == SimEvent::Timer {
@@ -20,11 +20,11 @@
         }
         match process.state {
             ProcessState::Down => return,
-            ProcessState::Paused => return process.wait(event),
+            ProcessState::Paused => return process.buffer_event(event),
             ProcessState::Running => {}
         }
         self.handle(node, event);
-        self.settle(node);
+        self.execute_outputs_and_schedule_timer(node);
     }
 
     fn handle(&mut self, node: usize, event: SimEvent) {
@@ -61,9 +61,8 @@
         }
     }
 
-    /// Carries out a member's outputs and schedules its timer.
-    pub(super) fn settle(&mut self, node: usize) {
-        self.carry_out(node);
+    pub(super) fn execute_outputs_and_schedule_timer(&mut self, node: usize) {
+        self.execute_outputs(node);
         let process = &mut self.processes[node];
         let Some(member) = &process.member else { return };
         let next = member.next_timer().max(self.now);
@@ -73,7 +72,7 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, node: usize) {
+    pub(super) fn execute_outputs(&mut self, node: usize) {
         let Some(member) = &mut self.processes[node].member else { return };
         let outputs: Vec<_> = member.take_outputs().collect();
         for output in outputs {
--- a/crates/membership/src/simulation/event.rs
+++ b/crates/membership/src/simulation/event.rs
@@ -1,11 +1,11 @@
-//! What happens in a simulation, in order of virtual time.
+//! Events of a simulation, ordered by virtual time.
 
 use std::collections::BTreeMap;
 
 use crate::Nanos;
 use crate::probe::{SequenceNumber, StreamProbeOutcome};
 
-/// Something that reaches a node.
+/// An event at a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum SimEvent {
     /// A datagram arrives.
@@ -14,13 +14,13 @@
     Request { from: usize, purpose: StreamPurpose, bytes: Vec<u8> },
     /// A stream frame arrives from the node that accepted the stream.
     Reply { from: usize, purpose: StreamPurpose, bytes: Vec<u8> },
-    /// A stream probe ends without an answer.
+    /// A stream probe ends without a response.
     StreamProbeFailed { seq: SequenceNumber, outcome: StreamProbeOutcome },
     /// The node's timer fires.
     Timer,
 }
 
-/// What a stream was opened for.
+/// The purpose for which a stream was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StreamPurpose {
     /// A push/pull exchange.
@@ -29,14 +29,14 @@
     Probe(SequenceNumber),
 }
 
-/// An event with its time and the node that it reaches.
+/// An event with its time and node.
 pub(super) struct Scheduled {
     pub(super) at: Nanos,
     pub(super) node: usize,
     pub(super) event: SimEvent,
 }
 
-/// The events to come. Events of one time happen in the order in which they were scheduled.
+/// Pending events. Events with equal times occur in the order in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     /// By time and sequence number.
@@ -50,7 +50,7 @@
         self.events.insert((at, self.last_sequence), Scheduled { at, node, event });
     }
 
-    /// The next event, if it happens no later than `end`.
+    /// Removes and returns the next event, if it occurs no later than `end`.
     pub(super) fn pop_until(&mut self, end: Nanos) -> Option<Scheduled> {
         let next = self.events.first_entry()?;
         (next.get().at <= end).then(|| next.remove())
--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: the members as they run, over links that lose, delay and block, in processes that are paused and
-//! killed. The same seed gives the same run.
+//! Simulation of a fleet in virtual time. The production state machines run in simulated processes, which can be paused and
+//! killed, over simulated links with loss, delay and blocking. Runs with the same seed are identical.
 
 mod config;
 mod delivery;
@@ -21,22 +21,22 @@
 pub use self::config::SimulationConfig;
 pub use self::network::node_address;
 
-/// The processes' clocks start here rather than at zero, so that ages can reach back before the start.
+/// Start of the processes' clocks. It is not zero, so that ages can refer to times before the start.
 const CLOCK_START: Nanos = 10_000 * SECOND;
-/// Nodes' wall clocks differ by up to this many days.
+/// The nodes' wall clocks, from which epochs are derived, differ by less than this many days.
 const CLOCK_SKEW_DAYS: u64 = 7;
 const DAY_MS: u64 = 86_400_000;
 
-/// What all nodes have sent.
+/// Totals of the messages sent by all nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SentTotals {
-    /// Bytes in datagrams and streams.
+    /// Size of all datagrams and stream frames in bytes.
     pub bytes: u64,
     /// Number of datagrams.
     pub datagrams: u64,
 }
 
-/// The simulated fleet.
+/// A simulated fleet.
 pub struct Simulation {
     config: SimulationConfig,
     now: Nanos,
@@ -52,7 +52,7 @@
 }
 
 impl Simulation {
-    /// A fleet without running processes.
+    /// Creates a fleet without running processes.
     #[must_use]
     pub fn new(config: SimulationConfig) -> Self {
         Self {
@@ -67,17 +67,17 @@
     /// Starts the process of a node.
     ///
     /// # Panics
-    /// If the settings are invalid.
+    /// Panics if the settings are invalid.
     pub fn start(&mut self, node: usize, seeds: &[usize]) {
         let member = self.new_member(node, seeds, 0);
         self.processes[node].run(member);
-        self.settle(node);
+        self.execute_outputs_and_schedule_timer(node);
     }
 
-    /// Starts all processes with full tables, as if they had been members for long.
+    /// Starts all processes with complete tables, as if all had joined long before.
     ///
     /// # Panics
-    /// If the settings are invalid.
+    /// Panics if the settings are invalid.
     pub fn start_all_known(&mut self) {
         let mut table = MemberTable::default();
         for node in 0..self.processes.len() {
@@ -91,7 +91,7 @@
             if let Some(member) = &mut self.processes[node].member {
                 member.adopt_table(&table);
             }
-            self.settle(node);
+            self.execute_outputs_and_schedule_timer(node);
         }
     }
 
@@ -116,7 +116,7 @@
             initial_node_count: 1,
             rng_seed: self.config.seed.wrapping_mul(1_000_003) ^ (node as u64) << 20 ^ starts,
         };
-        Membership::new(config, self.now).expect("the simulation's settings are valid")
+        Membership::new(config, self.now).expect("the settings of the simulation must be valid")
     }
 
     /// Kills a process.
@@ -124,7 +124,7 @@
         self.processes[node].kill();
     }
 
-    /// Pauses a running process; its kernel still accepts connections.
+    /// Pauses a running process. Its kernel still accepts connections.
     pub fn pause(&mut self, node: usize) {
         let process = &mut self.processes[node];
         if process.state == ProcessState::Running {
@@ -132,63 +132,63 @@
         }
     }
 
-    /// Resumes a paused process; what arrived meanwhile is delivered at once.
+    /// Resumes a paused process, and delivers the events that were buffered during the pause.
     pub fn resume(&mut self, node: usize) {
         if self.processes[node].state != ProcessState::Paused {
             return;
         }
         self.processes[node].state = ProcessState::Running;
-        for event in std::mem::take(&mut self.processes[node].waiting) {
+        for event in std::mem::take(&mut self.processes[node].buffered_events) {
             self.deliver(node, event);
         }
         self.processes[node].timer_at = Nanos::MAX;
-        self.settle(node);
+        self.execute_outputs_and_schedule_timer(node);
     }
 
-    /// Ends a process that announces its departure.
+    /// Makes a member leave the fleet, and ends its process.
     pub fn leave(&mut self, node: usize) {
         let now = self.now;
         if let Some(member) = &mut self.processes[node].member {
             member.leave(now);
         }
-        self.carry_out(node);
+        self.execute_outputs(node);
         self.kill(node);
     }
 
-    /// Blocks the links, given as sender and receiver, for which `is_blocked` holds, in place of those blocked before.
+    /// Blocks the links for which `is_blocked(sender, receiver)` is true. All others are unblocked.
     pub fn block_links(&mut self, is_blocked: impl Fn(usize, usize) -> bool + 'static) {
         self.network.block_links(is_blocked);
     }
 
-    /// The member of a running or paused process.
+    /// The member in a running or paused process.
     #[must_use]
     pub fn member(&self, node: usize) -> Option<&Membership> {
         self.processes[node].member.as_ref()
     }
 
-    /// Calls a member as its process would, and carries out its outputs.
+    /// Calls a member as its process would, and executes its outputs.
     pub fn with_member(&mut self, node: usize, call: impl FnOnce(&mut Membership, Nanos)) {
         let now = self.now;
         if let Some(member) = &mut self.processes[node].member {
             call(member, now);
         }
-        self.settle(node);
+        self.execute_outputs_and_schedule_timer(node);
     }
 
-    /// Whether a process runs and is not paused.
+    /// Whether a process is running and not paused.
     #[must_use]
     pub fn is_up(&self, node: usize) -> bool {
         self.processes[node].state == ProcessState::Running
     }
 
-    /// The state in which one node holds another.
+    /// The state of a node in the table of an observer.
     #[must_use]
     pub fn state_of(&self, observer: usize, node: usize) -> Option<MemberState> {
         let id = MemberId::from_name(&node_name(node));
         self.member(observer)?.table().get(id).map(|entry| entry.state)
     }
 
-    /// Whether all running members have equal tables.
+    /// Whether the tables of all running members are equal.
     #[must_use]
     pub fn has_converged(&self) -> bool {
         let members = self.processes.iter().filter_map(Process::active_member);
@@ -197,7 +197,7 @@
         fingerprints.all(|fingerprint| Some(fingerprint) == first)
     }
 
-    /// What all nodes have sent until now.
+    /// Totals of the messages sent by all nodes until now.
     #[must_use]
     pub fn sent(&self) -> SentTotals {
         SentTotals {
@@ -206,14 +206,14 @@
         }
     }
 
-    /// The events of a node since the last call.
+    /// Takes the events of a node since the last call.
     pub fn take_events(&mut self, node: usize) -> Vec<Event> {
         std::mem::take(&mut self.processes[node].events)
     }
 
-    /// Runs for a span of virtual time.
-    pub fn run_for(&mut self, span: Nanos) {
-        let end = self.now + span;
+    /// Runs for a duration of virtual time.
+    pub fn run_for(&mut self, duration: Nanos) {
+        let end = self.now + duration;
         while let Some(Scheduled { at, node, event, .. }) = self.queue.pop_until(end) {
             self.now = at;
             self.deliver(node, event);
@@ -221,8 +221,8 @@
         self.now = end;
     }
 
-    /// Runs until a condition holds, which is checked once a `step`. Returns how long that took; `None` where it does not hold
-    /// within the limit.
+    /// Runs until a condition is true, which is checked before every `step`. Returns how long that took, or `None` if the
+    /// condition does not become true within the limit.
     pub fn run_until(
         &mut self,
         step: Nanos,
--- a/crates/membership/src/simulation/network.rs
+++ b/crates/membership/src/simulation/network.rs
@@ -9,19 +9,19 @@
 use super::config::SimulationConfig;
 use crate::{MS, Nanos};
 
-/// Time until a lost segment of a stream is sent again.
+/// Time until a lost stream frame is retransmitted.
 const RETRANSMISSION_DELAY: Nanos = 200 * MS;
-/// Port of all nodes.
+/// Port used by all nodes.
 const PORT: u16 = 7_000;
 
-/// The address of a node.
+/// Returns the address of a node.
 #[must_use]
 pub fn node_address(node: usize) -> SocketAddr {
     let [_, a, b, c] = (node as u32).to_be_bytes();
     SocketAddr::from(([10, a, b, c], PORT))
 }
 
-/// The node at an address.
+/// Returns the node at an address.
 pub(super) fn node_at(address: SocketAddr) -> usize {
     match address.ip() {
         IpAddr::V4(ip) => {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Links between all nodes.
+/// The links between all nodes.
 pub(super) struct Network {
     rng: Pcg64Mcg,
     nodes: usize,
@@ -40,7 +40,7 @@
     jitter: Nanos,
     loss: f64,
     duplication: f64,
-    /// Whether a link from one node to another is blocked.
+    /// Whether the link from the first node to the second is blocked.
     is_blocked: Rc<dyn Fn(usize, usize) -> bool>,
 }
 
@@ -70,12 +70,12 @@
         self.reaches(from, to) && !(self.is_blocked)(to, from)
     }
 
-    /// A one-way delay.
+    /// Draws a one-way delay.
     pub(super) fn draw_delay(&mut self) -> Nanos {
         self.delay + (self.draw() * self.jitter as f64) as Nanos
     }
 
-    /// Delays of the copies of a datagram that arrive; none where it is lost.
+    /// Draws the delays of the copies of a datagram that arrive; empty if the datagram is lost.
     pub(super) fn datagram_delays(&mut self, from: usize, to: usize) -> Vec<Nanos> {
         if !self.reaches(from, to) || self.draw() < self.loss {
             return Vec::new();
@@ -84,7 +84,7 @@
         (0..copies).map(|_| self.draw_delay()).collect()
     }
 
-    /// Delay of a stream frame, retransmission included; `None` without a connection.
+    /// Draws the delay of a stream frame, including retransmission. Returns `None` if the nodes cannot connect.
     pub(super) fn frame_delay(&mut self, from: usize, to: usize) -> Option<Nanos> {
         if !self.can_connect(from, to) {
             return None;
@@ -94,7 +94,7 @@
         Some(delay + retransmission)
     }
 
-    /// A number in `0.0..1.0`.
+    /// Draws a random number in `0.0..1.0`.
     fn draw(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/crates/membership/src/simulation/process.rs
+++ b/crates/membership/src/simulation/process.rs
@@ -1,16 +1,16 @@
-//! Simulated processes: started, paused, resumed and killed.
+//! Simulated processes, which can be started, paused, resumed and killed.
 
 use super::event::SimEvent;
 use crate::Nanos;
 use crate::membership::{Event, Membership};
 
-/// Maximum number of events that wait for a paused process; further ones are lost, as from a full socket buffer.
-const MAX_WAITING: usize = 4_096;
+/// Maximum number of events buffered for a paused process. Further ones are lost, as with a full socket buffer.
+const MAX_BUFFERED_EVENTS: usize = 4_096;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProcessState {
     Running,
-    /// Stopped by a signal: its kernel still accepts connections.
+    /// The process is stopped by a signal. Its kernel still accepts connections.
     Paused,
     Down,
 }
@@ -20,8 +20,8 @@
     pub(super) member: Option<Membership>,
     pub(super) state: ProcessState,
     /// Events that arrived during a pause.
-    pub(super) waiting: Vec<SimEvent>,
-    /// When the scheduled timer event fires; [`Nanos::MAX`] for none.
+    pub(super) buffered_events: Vec<SimEvent>,
+    /// When the scheduled timer event fires; [`Nanos::MAX`] if none is scheduled.
     pub(super) timer_at: Nanos,
     pub(super) starts: u64,
     /// Bytes sent in datagrams and streams.
@@ -35,7 +35,7 @@
         Self {
             member: None,
             state: ProcessState::Down,
-            waiting: Vec::new(),
+            buffered_events: Vec::new(),
             timer_at: Nanos::MAX,
             starts: 0,
             bytes_sent: 0,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The member of a running process that takes part in the fleet.
+    /// The member, if the process is running and the member has not stopped.
     pub(super) fn active_member(&self) -> Option<&Membership> {
         let member = self.member.as_ref().filter(|member| !member.is_stopped());
         member.filter(|_| self.state == ProcessState::Running)
@@ -60,13 +60,12 @@
         self.member = None;
         self.state = ProcessState::Down;
         self.timer_at = Nanos::MAX;
-        self.waiting.clear();
+        self.buffered_events.clear();
     }
 
-    /// Keeps an event for a paused process.
-    pub(super) fn wait(&mut self, event: SimEvent) {
-        if self.waiting.len() < MAX_WAITING {
-            self.waiting.push(event);
+    pub(super) fn buffer_event(&mut self, event: SimEvent) {
+        if self.buffered_events.len() < MAX_BUFFERED_EVENTS {
+            self.buffered_events.push(event);
         }
     }
 }
--- a/crates/membership/src/state.rs
+++ b/crates/membership/src/state.rs
@@ -2,28 +2,28 @@
 
 use crate::record::RecordVersion;
 
-/// What a member is held to be. Of two claims about one record version the state that is later in this order wins: the worse
-/// claim holds until the member refutes it with a new incarnation.
+/// The state of a member. Of two claims about the same record version, the state that is later in this order wins: the worse
+/// state stays until the member refutes it with a new incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It answers probes.
+    /// The member answers probes.
     #[default]
     Alive,
-    /// Its kernel accepts connections, but its process does not answer.
+    /// The member's kernel accepts connections, but its process does not answer.
     Stalled,
-    /// It answers no probe, direct or indirect, and may be dead.
+    /// The member answers neither direct nor indirect probes, or refuses connections, and may be dead.
     Suspect,
-    /// Its suspicion expired without a refutation.
+    /// The suspicion of the member expired without a refutation.
     Dead,
-    /// It announced that it leaves.
+    /// The member announced that it leaves.
     Left,
 }
 
 impl MemberState {
-    /// All states, in their order.
+    /// All states in ascending order.
     pub const ALL: [Self; 5] = [Self::Alive, Self::Stalled, Self::Suspect, Self::Dead, Self::Left];
 
-    /// The name in reports.
+    /// The name used in reports.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -35,27 +35,27 @@
         }
     }
 
-    /// The code on the wire and in recordings.
+    /// The code used on the wire and in recordings.
     #[must_use]
     pub fn code(self) -> u32 {
         self as u32
     }
 
-    /// The state of a code; `None` for one of a later version.
+    /// The state with this code, or `None` if the code is unknown to this version.
     #[must_use]
     pub fn from_code(code: u32) -> Option<Self> {
         Self::ALL.get(code as usize).copied()
     }
 
-    /// Whether the member takes part: it is probed and asked for its table.
+    /// Whether the member participates in the fleet, that is, it is neither dead nor left. Active members are probed.
     #[must_use]
     pub fn is_active(self) -> bool {
         self < Self::Dead
     }
 }
 
-/// Decides between claims about a member: the greater one wins in every process, so members that received the same claims agree,
-/// whatever their order and number.
+/// Decides between claims about a member. The greater one wins in every process, so members that received the same claims
+/// agree, whatever the order and number of deliveries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Precedence {
     /// Version of the member's record.
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The member table: the winning claim about every member, with digests to compare tables by.
+//! The member table: the winning claim about each member, with digests for comparing tables.
 
 use std::cmp::Ordering;
 
@@ -10,27 +10,27 @@
 use crate::settings::{MAX_MEMBERS, MAX_TOMBSTONES};
 use crate::state::MemberState;
 
-/// Partitions of the id space, by the highest bits of an id; anti-entropy compares a digest of each.
+/// Number of partitions of the id space, by the highest bits of an id. Anti-entropy compares one digest per partition.
 pub const PARTITIONS: usize = 64;
 
-/// What a claim did to the table.
+/// The effect of merging a claim into a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// The member was not known.
+    /// The member was unknown.
     Inserted,
-    /// The claim won.
+    /// The claim replaced the known one.
     Updated {
-        /// The member's state before.
+        /// The member's state before the merge.
         previous: MemberState,
     },
-    /// The table holds the same already. A different reporter alone changes nothing.
+    /// The table already has the same record and state. A different reporter or age alone changes nothing.
     Unchanged,
-    /// The table holds a claim of higher precedence, or is full.
+    /// The table has a claim of higher precedence or another member with the same id, or is full.
     Ignored,
 }
 
-/// The entries of all known members, this one included. Merging is commutative, associative and idempotent: tables that have
-/// received the same claims are equal.
+/// The entries of all known members, including the local one. Merging is commutative, associative and idempotent: tables that
+/// have received the same claims are equal.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     slots: FxHashMap<MemberId, u32>,
@@ -61,12 +61,12 @@
         self.slots.get(&id).map(|&slot| &self.entries[slot as usize])
     }
 
-    /// The entry of a member, to change fields that are not part of the digests.
+    /// The entry of a member. Only fields that are not part of the digests may be changed.
     pub(crate) fn get_mut(&mut self, id: MemberId) -> Option<&mut MemberEntry> {
         self.slots.get(&id).map(|&slot| &mut self.entries[slot as usize])
     }
 
-    /// All entries, in no particular order.
+    /// Iterates over all entries, in no particular order.
     pub fn iter(&self) -> impl ExactSizeIterator<Item = &MemberEntry> {
         self.entries.iter()
     }
@@ -83,14 +83,14 @@
         self.state_counts[state.code() as usize] as usize
     }
 
-    /// Number of members that take part; see [`MemberState::is_active`].
+    /// Number of active members; see [`MemberState::is_active`].
     #[must_use]
     pub fn active_count(&self) -> usize {
         let active = MemberState::ALL.into_iter().filter(|state| state.is_active());
         active.map(|state| self.count_in_state(state)).sum()
     }
 
-    /// Whether a member is known and takes part.
+    /// Whether a member is known and active.
     #[must_use]
     pub fn is_active(&self, id: MemberId) -> bool {
         self.get(id).is_some_and(|entry| entry.state.is_active())
@@ -117,20 +117,20 @@
         size_of::<Self>() + slots + entries + records
     }
 
-    /// Digest of the whole table: equal where records and states are equal.
+    /// Digest of the whole table. It is the same for tables with equal records and states.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         let rotated = self.partition_digests.iter().zip(1u32..);
         rotated.fold(0, |sum, (digest, position)| sum ^ digest.rotate_left(position))
     }
 
-    /// Digests of the partitions.
+    /// Digests of all partitions.
     #[must_use]
     pub fn partition_digests(&self) -> &[u64; PARTITIONS] {
         &self.partition_digests
     }
 
-    /// The entries of some partitions, given by number.
+    /// Iterates over the entries in some partitions, given by index.
     pub fn entries_in_partitions<'a>(
         &'a self,
         partitions: &'a [u64],
@@ -138,12 +138,12 @@
         self.entries.iter().filter(|entry| partitions.contains(&(partition(entry.id()) as u64)))
     }
 
-    /// Merges a claim.
+    /// Merges a claim into the table.
     pub fn merge(&mut self, claim: &MemberClaim) -> MergeOutcome {
         let Some(&slot) = self.slots.get(&claim.id()) else { return self.insert(claim) };
         let slot = slot as usize;
         let entry = &self.entries[slot];
-        // The hash decides between two records of one version, and between two names of one id, in the same way everywhere.
+        // Of two records with the same version and state, the one with the greater hash wins, which is the same in all tables.
         let order =
             (claim.precedence(), claim.encoded.hash()).cmp(&(entry.precedence(), entry.encoded.hash()));
         match order {
@@ -151,6 +151,7 @@
             Ordering::Equal => return MergeOutcome::Unchanged,
             Ordering::Greater => {}
         }
+        // Another name with the same id: the hash of the names collides, and the known member stays.
         if claim.record().name != entry.record().name {
             return MergeOutcome::Ignored;
         }
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Removes dead and left members that have been so for longer than `retention`, and the oldest ones over
+    /// Removes members that have been dead or left for longer than `retention`, and the oldest tombstones beyond
     /// [`MAX_TOMBSTONES`].
     pub fn forget_expired(&mut self, now: Nanos, retention: Nanos) {
         let mut slot = 0;
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Removes all entries but one.
+    /// Removes all entries except that of the given member.
     pub fn retain_only(&mut self, id: MemberId) {
         let kept = self.get(id).cloned();
         *self = Self::default();
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,16 +1,16 @@
-//! Datagrams and stream frames as protobuf messages. Unknown fields are skipped, except those of records, which are forwarded
-//! as the bytes that arrived.
+//! Datagrams and stream frames as protobuf messages. Unknown fields are skipped, except in records, whose bytes are forwarded
+//! as received.
 
 use prost::Message;
 
 use crate::record::stable_hash;
 use crate::settings::{MAX_DATAGRAM_BYTES, MAX_FRAME_BYTES};
 
-/// Major version of the protocol; messages of another one are rejected.
+/// Major version of the protocol. Messages with another major version are rejected.
 pub const MAJOR: u32 = 1;
-/// Minor version of the protocol; a later one may add fields and kinds.
+/// Minor version of the protocol. A later one may add fields and kinds of messages.
 pub const MINOR: u32 = 0;
-/// Bytes before an entry within a message: one of tag, up to three of length.
+/// Bytes before an embedded entry: one for the tag, up to three for the length.
 const TAG_AND_LENGTH_BYTES: usize = 4;
 
 /// Identifies a fleet: a hash of its name. Members reject messages of other fleets.
@@ -18,7 +18,7 @@
 pub struct FleetId(pub u64);
 
 impl FleetId {
-    /// The id of the fleet with this name.
+    /// Returns the id of the fleet with this name.
     #[must_use]
     pub fn from_name(name: &str) -> Self {
         Self(stable_hash(&[b"fleet", name.as_bytes()]))
@@ -28,7 +28,7 @@
 /// An entry of a member table.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct WireEntry {
-    /// The member's record, as the bytes that it wrote.
+    /// The member's record, in the bytes that the member encoded.
     #[prost(bytes = "vec", tag = "1")]
     pub record: Vec<u8>,
     /// Code of the member's state.
@@ -37,7 +37,7 @@
     /// Time since the member entered its state, in tenths of a second on the sender's clock.
     #[prost(uint32, tag = "3")]
     pub age_deciseconds: u32,
-    /// Id of the member whose own observation the state is.
+    /// Id of the member that observed the state.
     #[prost(fixed64, tag = "4")]
     pub reporter: u64,
     /// Whether the member's address refused connections.
@@ -46,25 +46,25 @@
 }
 
 impl WireEntry {
-    /// Bytes that the entry takes within a message, with tag and length.
+    /// Maximum size of the entry embedded in a message, including tag and length.
     pub(crate) fn embedded_len(&self) -> usize {
         self.encoded_len() + TAG_AND_LENGTH_BYTES
     }
 }
 
-/// What a datagram is for. All kinds piggyback updates.
+/// Kind of a datagram. All kinds can carry piggybacked updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum DatagramKind {
-    /// Updates alone. A kind of a later version counts as this one.
+    /// Only carries updates. A kind unknown to this version is treated as this one.
     Gossip = 0,
     /// A direct probe.
     Ping = 1,
     /// A request to ping the target on the sender's behalf.
     IndirectPing = 2,
-    /// The answer to a ping: the target is alive.
+    /// The response to a ping or an indirect ping: the target is alive.
     Ack = 3,
-    /// The answer to an indirect ping: the target did not answer in time.
+    /// The response to an indirect ping: the target did not answer in time.
     Nack = 4,
 }
 
@@ -89,13 +89,13 @@
     /// See [`DatagramKind`].
     #[prost(enumeration = "DatagramKind", tag = "6")]
     pub kind: i32,
-    /// Sequence number of the probe, counted by the member that probes.
+    /// Sequence number of the probe, assigned by the member that pings.
     #[prost(uint32, tag = "7")]
     pub seq: u32,
     /// Member id of the probe's target.
     #[prost(fixed64, tag = "8")]
     pub target_id: u64,
-    /// In an ack: the sender lacks the current record of the member that it answers.
+    /// In an ack: the sender does not know the current record of the member that pinged it.
     #[prost(bool, tag = "9")]
     pub record_unknown: bool,
     /// Piggybacked updates.
@@ -103,29 +103,29 @@
     pub updates: Vec<WireEntry>,
 }
 
-/// What a stream frame is for.
+/// Kind of a stream frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
 pub enum FrameKind {
-    /// A kind that this version does not know.
+    /// A kind unknown to this version.
     Unknown = 0,
     /// A probe over a stream.
     Ping = 1,
-    /// The answer to it.
+    /// The response to a probe over a stream.
     Ack = 2,
-    /// Starts a push/pull exchange: the table's fingerprint and the sender's own entry.
+    /// Starts a push/pull exchange: the fingerprint of the sender's table and its own entry.
     Digest = 3,
-    /// The answer to a digest where the fingerprints are equal.
+    /// The response to a digest if the fingerprints are equal.
     InSync = 4,
-    /// The answer to a digest where they differ: the digests of all partitions.
+    /// The response to a digest if the fingerprints differ: the digests of all partitions.
     PartitionDigests = 5,
-    /// The sender's entries of the partitions that differ.
+    /// The sender's entries in the partitions that differ.
     Entries = 6,
-    /// The message is rejected: another fleet, or another major version.
+    /// The request was rejected: it is too long or malformed, or of another fleet or major version.
     Reject = 7,
 }
 
-/// A frame of a stream.
+/// A stream frame.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
     /// See [`MAJOR`].
@@ -149,34 +149,34 @@
     /// Fingerprint of the sender's table.
     #[prost(fixed64, tag = "7")]
     pub fingerprint: u64,
-    /// In [`FrameKind::PartitionDigests`] the digests of all partitions; in [`FrameKind::Entries`] the numbers of those that
-    /// differ.
+    /// In [`FrameKind::PartitionDigests`], the digests of all partitions; in [`FrameKind::Entries`], the indices of the
+    /// partitions that differ.
     #[prost(fixed64, repeated, tag = "8")]
     pub partitions: Vec<u64>,
     /// Entries of the sender's table.
     #[prost(message, repeated, tag = "9")]
     pub entries: Vec<WireEntry>,
-    /// In [`FrameKind::Reject`]: why.
+    /// In [`FrameKind::Reject`], the reason.
     #[prost(string, tag = "10")]
     pub reject_reason: String,
 }
 
-/// Why received bytes are rejected. The texts are sent to the peer in [`Frame::reject_reason`].
+/// Why received bytes are rejected. For a rejected stream frame, the text is sent to the peer in [`Frame::reject_reason`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// Over the maximum size of a datagram or frame.
+    /// The message exceeds the maximum size of a datagram or frame.
     #[error("{length} bytes, more than any message has")]
     TooLong {
         /// Length in bytes.
         length: usize,
     },
-    /// Not a message.
+    /// The bytes are not a message.
     #[error("no message: {0}")]
     Malformed(#[from] prost::DecodeError),
-    /// A message of another fleet.
+    /// The message is of another fleet.
     #[error("of another fleet")]
     OtherFleet,
-    /// A message of another major version.
+    /// The message has another major version.
     #[error("of version {major} of the link; this is {MAJOR}")]
     UnsupportedVersion {
         /// The message's major version.
