--- a/crates/membership/src/membership/timers.rs
+++ b/crates/membership/src/membership/timers.rs
@@ -158,7 +158,7 @@
     /// Removes expired members and the state that refers to them. Joins again if nothing was received for half the retention
     /// time of tombstones.
     fn clean_up(&mut self, now: Nanos) {
-        self.table.forget_expired(now, self.settings.tombstone_retention);
+        self.table.remove_expired_tombstones(now, self.settings.tombstone_retention);
         let table = &self.table;
         self.suspicions.retain(|id, _| table.is_active(*id));
         self.unresponsive_since.retain(|id, _| table.is_active(*id));
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -200,7 +200,7 @@
 
     /// Removes members that have been dead or left for longer than `retention`, and the oldest tombstones beyond
     /// [`MAX_TOMBSTONES`].
-    pub fn forget_expired(&mut self, now: Nanos, retention: Nanos) {
+    pub fn remove_expired_tombstones(&mut self, now: Nanos, retention: Nanos) {
         let mut slot = 0;
         while slot < self.entries.len() {
             let entry = &self.entries[slot];
--- a/crates/membership/tests/member_table.rs
+++ b/crates/membership/tests/member_table.rs
@@ -104,7 +104,7 @@
         table.merge(&claim(node, if node < 8_000 { MemberState::Dead } else { MemberState::Alive }));
     }
     assert_eq!(table.len(), 16_384);
-    table.forget_expired(SECOND, 3_600 * SECOND);
+    table.remove_expired_tombstones(SECOND, 3_600 * SECOND);
     assert_eq!((table.count_in_state(MemberState::Dead), table.active_count()), (4_096, 16_384 - 8_000));
     assert!(
         table.get(MemberId::from_name("n100")).is_none() && table.get(MemberId::from_name("n7999")).is_some(),
@@ -112,7 +112,7 @@
     );
     assert_eq!(table.merge(&claim(30_000, MemberState::Alive)), MergeOutcome::Inserted);
     let before = table.fingerprint();
-    table.forget_expired(4_000 * SECOND, 3_600 * SECOND);
+    table.remove_expired_tombstones(4_000 * SECOND, 3_600 * SECOND);
     assert!(table.count_in_state(MemberState::Dead) == 0 && table.fingerprint() != before);
 }
 
