--- a/crates/membership/src/simulation/mod.rs
+++ b/crates/membership/src/simulation/mod.rs
@@ -78,7 +78,7 @@
     ///
     /// # Panics
     /// Panics if the settings are invalid.
-    pub fn start_all_known(&mut self) {
+    pub fn start_all_joined(&mut self) {
         let mut table = MemberTable::default();
         for node in 0..self.processes.len() {
             let member = self.new_member(node, &[], node as u32 + 1);
--- a/crates/membership/tests/foca_comparison/main.rs
+++ b/crates/membership/tests/foca_comparison/main.rs
@@ -34,7 +34,7 @@
 
 fn own_fleet(seed: u64, loss: f64) -> Simulation {
     let mut sim = Simulation::new(SimulationConfig { loss, ..SimulationConfig::without_faults(NODES, seed) });
-    sim.start_all_known();
+    sim.start_all_joined();
     sim.run_for(20 * SECOND);
     sim
 }
@@ -136,7 +136,7 @@
     let mut others = (0..NODES).filter(|node| *node != PAUSED);
     assert!(others.clone().all(|observer| !foca.holds(observer, PAUSED)));
     let mut own = Simulation::new(SimulationConfig::without_faults(NODES, 3));
-    own.start_all_known();
+    own.start_all_joined();
     own.pause(PAUSED);
     own.run_for(20 * SECOND);
     assert!(others.all(|observer| own.state_of(observer, PAUSED) == Some(MemberState::Stalled)));
--- a/crates/membership/tests/node_count.rs
+++ b/crates/membership/tests/node_count.rs
@@ -75,7 +75,7 @@
 #[test]
 fn partitioned_sides_keep_the_full_count() {
     let mut sim = Simulation::new(SimulationConfig::without_faults(20, 4));
-    sim.start_all_known();
+    sim.start_all_joined();
     sim.run_for(5 * SECOND);
     sim.block_links(|from, to| from % 2 != to % 2);
     for _ in 0..60 {
--- a/crates/membership/tests/simulated_fleets/failure_detection.rs
+++ b/crates/membership/tests/simulated_fleets/failure_detection.rs
@@ -59,7 +59,7 @@
     for seed in 0..5 {
         let mut sim =
             Simulation::new(SimulationConfig { loss: 0.3, ..SimulationConfig::without_faults(20, seed) });
-        sim.start_all_known();
+        sim.start_all_joined();
         sim.run_for(60 * SECOND);
         assert!(
             (0..20).all(|node| (0..20).all(|by| sim.state_of(by, node) != Some(MemberState::Dead))),
@@ -82,7 +82,7 @@
             duplication: 0.02,
             ..SimulationConfig::without_faults(30, seed)
         });
-        sim.start_all_known();
+        sim.start_all_joined();
         for round in 0..300 {
             let paused = [round * 3 % 30, (round * 7 + 11) % 30, (round * 13 + 5) % 30];
             paused.into_iter().for_each(|node| sim.pause(node));
--- a/crates/membership/tests/simulated_fleets/joining.rs
+++ b/crates/membership/tests/simulated_fleets/joining.rs
@@ -68,7 +68,7 @@
     let mut config = SimulationConfig::without_faults(8, 3);
     config.settings.tombstone_retention = 120 * SECOND;
     let mut sim = Simulation::new(config);
-    sim.start_all_known();
+    sim.start_all_joined();
     sim.run_for(5 * SECOND);
     // While 7 is paused, 6 dies and is forgotten.
     sim.pause(7);
--- a/crates/membership/tests/simulated_fleets/main.rs
+++ b/crates/membership/tests/simulated_fleets/main.rs
@@ -14,7 +14,7 @@
 /// A fleet without faults whose members have known each other for 5 s.
 fn running(nodes: usize, seed: u64) -> Simulation {
     let mut sim = Simulation::new(SimulationConfig::without_faults(nodes, seed));
-    sim.start_all_known();
+    sim.start_all_joined();
     sim.run_for(5 * SECOND);
     sim
 }
--- a/crates/membership/tests/untrusted_input/impostors.rs
+++ b/crates/membership/tests/untrusted_input/impostors.rs
@@ -11,7 +11,7 @@
 #[test]
 fn later_process_supersedes_earlier_one_of_same_name() {
     let mut sim = Simulation::new(SimulationConfig::without_faults(6, 1));
-    sim.start_all_known();
+    sim.start_all_joined();
     sim.run_for(3 * SECOND);
     let mut later = member(2, "sim", &[0]);
     // Its clock is days behind; from the fleet it learns the epoch of the earlier process.
@@ -43,7 +43,7 @@
 fn forged_claims_are_refuted_and_invented_members_expire() {
     for seed in 0..5 {
         let mut sim = Simulation::new(SimulationConfig::without_faults(12, seed));
-        sim.start_all_known();
+        sim.start_all_joined();
         sim.run_for(5 * SECOND);
         for round in 0..20 {
             for victim in 1..12 {
--- a/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
+++ b/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
@@ -87,7 +87,7 @@
 fn known(nodes: usize, seed: u64) -> Simulation {
     let mut sim =
         Simulation::new(SimulationConfig { zones: ZONES, ..SimulationConfig::without_faults(nodes, seed) });
-    sim.start_all_known();
+    sim.start_all_joined();
     sim.run_for(SETTLE);
     sim
 }
--- a/crates/testbed/src/measure/membership/virtual_time.rs
+++ b/crates/testbed/src/measure/membership/virtual_time.rs
@@ -109,7 +109,7 @@
 
 fn measure_size(nodes: usize, seed: u64) -> SizeResult {
     let mut simulation = Simulation::new(SimulationConfig::without_faults(nodes, seed));
-    simulation.start_all_known();
+    simulation.start_all_joined();
     simulation.run_for(3 * SECOND);
     let before = simulation.sent();
     simulation.run_for(TRAFFIC_SPAN_S * SECOND);
@@ -136,7 +136,7 @@
 /// A crash at a moment that depends on the seed.
 fn crash(nodes: usize, seed: u64) -> Detection {
     let mut simulation = Simulation::new(SimulationConfig::without_faults(nodes, seed));
-    simulation.start_all_known();
+    simulation.start_all_joined();
     simulation.run_for(2 * SECOND + seed * 37 % 500 * MS);
     simulation.kill(1);
     let any = |simulation: &Simulation| holding_dead(simulation, nodes, 1) > 0;
@@ -149,7 +149,7 @@
 /// A partition of a minute; returns the time from its end until all tables are equal and have all nodes alive.
 fn heal(nodes: usize, seed: u64) -> Option<Nanos> {
     let mut simulation = Simulation::new(SimulationConfig::without_faults(nodes, seed));
-    simulation.start_all_known();
+    simulation.start_all_joined();
     simulation.block_links(|from, to| from % 2 != to % 2);
     simulation.run_for(60 * SECOND);
     simulation.block_links(|_, _| false);
@@ -165,7 +165,7 @@
 pub(super) fn false_positives(nodes: usize, seed: u64, span: Nanos) -> usize {
     let config = SimulationConfig { loss: LOSS, ..SimulationConfig::without_faults(nodes, seed) };
     let mut simulation = Simulation::new(config);
-    simulation.start_all_known();
+    simulation.start_all_joined();
     let (mut rng, mut count) = (Pcg64Mcg::seed_from_u64(seed), 0);
     for _ in 0..span / STALL {
         let stalled: Vec<_> = (0..nodes.div_ceil(10)).map(|_| rng.next_u64() as usize % nodes).collect();
