--- a/crates/membership/tests/foca_comparison/foca_fleet.rs
+++ b/crates/membership/tests/foca_comparison/foca_fleet.rs
@@ -1,4 +1,4 @@
-//! Processes that run `foca`, in virtual time.
+//! Simulation of processes that run `foca`, in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::num::{NonZeroU32, NonZeroUsize};
@@ -14,7 +14,7 @@
 
 use crate::NODES;
 
-/// A node and its incarnation.
+/// Identity of a member: node and incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FocaId(usize, u32);
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// What reaches a node.
+/// An event at a node.
 enum FocaEvent {
     Datagram(Vec<u8>),
     Timer(Timer<FocaId>),
@@ -45,9 +45,9 @@
 /// A fleet of `foca` members.
 pub(crate) struct FocaFleet {
     members: Vec<FocaMember>,
-    /// Nodes whose processes are paused for good.
+    /// Nodes whose processes are paused permanently.
     paused: BTreeSet<usize>,
-    /// Events to come, by time and sequence number, with the node that they reach.
+    /// Pending events and their nodes, by time and sequence number.
     events: BTreeMap<(u64, u64), (usize, FocaEvent)>,
     last_sequence: u64,
     now: u64,
@@ -56,7 +56,7 @@
     pub(crate) is_blocked: fn(usize, usize) -> bool,
 }
 
-/// foca's settings for a LAN, with dead members announced to and remembered as this package does.
+/// `foca`'s settings for a LAN. Dead members are contacted and retained as in this package.
 fn config() -> Config {
     let mut config = Config::new_lan(NonZeroU32::new(NODES as u32).unwrap());
     config.notify_down_members = true;
@@ -68,7 +68,7 @@
 }
 
 impl FocaFleet {
-    /// A fleet whose members have joined.
+    /// Creates a fleet whose members have joined.
     pub(crate) fn joined(seed: u64, loss: f64) -> Self {
         let members = (0..NODES).map(|node| {
             let rng = Xoshiro256PlusPlus::seed_from_u64(seed * 1_000 + node as u64);
@@ -87,10 +87,10 @@
         for node in 1..NODES {
             let mut runtime = AccumulatingRuntime::new();
             fleet.members[node].announce(FocaId(0, 0), &mut runtime).unwrap();
-            fleet.carry_out(node, runtime);
+            fleet.execute_outputs(node, runtime);
         }
         fleet.run_for(20 * SECOND);
-        assert!(fleet.missing().is_empty(), "all have joined");
+        assert!(fleet.missing().is_empty(), "all members have joined");
         fleet.loss = loss;
         fleet
     }
@@ -99,8 +99,8 @@
         self.paused.insert(node);
     }
 
-    pub(crate) fn run_for(&mut self, span: u64) {
-        let end = self.now + span;
+    pub(crate) fn run_for(&mut self, duration: u64) {
+        let end = self.now + duration;
         while let Some(next) = self.events.first_entry()
             && next.key().0 <= end
         {
@@ -111,22 +111,22 @@
         self.now = end;
     }
 
-    /// Running nodes that some other running node does not hold as a member.
+    /// Running nodes that are missing in the member list of at least one other running node.
     pub(crate) fn missing(&self) -> BTreeSet<usize> {
         let running = || (0..NODES).filter(|node| !self.paused.contains(node));
         let mut missing = BTreeSet::new();
         for observer in running() {
-            missing.extend(running().filter(|node| *node != observer && !self.holds(observer, *node)));
+            missing.extend(running().filter(|node| *node != observer && !self.lists(observer, *node)));
         }
         missing
     }
 
-    /// Whether a node holds another as a member.
-    pub(crate) fn holds(&self, observer: usize, node: usize) -> bool {
+    /// Whether the member list of an observer has a node.
+    pub(crate) fn lists(&self, observer: usize, node: usize) -> bool {
         self.members[observer].iter_members().any(|member| member.id().0 == node)
     }
 
-    /// How many of the others a node does not hold as members.
+    /// Number of other nodes that are missing in the member list of an observer.
     pub(crate) fn lost_by(&self, observer: usize) -> usize {
         NODES - 1 - self.members[observer].iter_members().count()
     }
@@ -136,15 +136,15 @@
             return;
         }
         let mut runtime = AccumulatingRuntime::new();
-        // Errors tell of outdated events, which a driver may ignore.
+        // Errors report outdated events, which a driver may ignore.
         let _ = match event {
             FocaEvent::Datagram(bytes) => self.members[node].handle_data(&bytes, &mut runtime).map(|_| ()),
             FocaEvent::Timer(timer) => self.members[node].handle_timer(timer, &mut runtime).map(|_| ()),
         };
-        self.carry_out(node, runtime);
+        self.execute_outputs(node, runtime);
     }
 
-    fn carry_out(&mut self, node: usize, mut runtime: AccumulatingRuntime<FocaId>) {
+    fn execute_outputs(&mut self, node: usize, mut runtime: AccumulatingRuntime<FocaId>) {
         while let Some((to, bytes)) = runtime.to_send() {
             if self.draw() >= self.loss && !(self.is_blocked)(node, to.0) {
                 self.schedule(self.now + MS, to.0, FocaEvent::Datagram(bytes.to_vec()));
@@ -161,7 +161,7 @@
         self.events.insert((at, self.last_sequence), (node, event));
     }
 
-    /// A number in `0.0..1.0`.
+    /// Draws a random number in `0.0..1.0`.
     fn draw(&mut self) -> f64 {
         self.rng = self.rng.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (self.rng >> 11) as f64 / (1u64 << 53) as f64
--- a/crates/membership/tests/foca_comparison/main.rs
+++ b/crates/membership/tests/foca_comparison/main.rs
@@ -1,5 +1,5 @@
-//! The `foca` library and this package under the same faults, which shows why `foca` is not used (`docs/design/members.md`). The
-//! same seed gives the same run.
+//! Compares the `foca` library with this package under the same faults. The results show why `foca` is not used
+//! (`docs/design/members.md`). Runs with the same seed are identical.
 
 use pumicehead_membership::simulation::{Simulation, SimulationConfig};
 use pumicehead_membership::{MS, MemberState, SECOND};
@@ -9,26 +9,26 @@
 mod foca_fleet;
 
 const NODES: usize = 20;
-/// The node that is isolated.
+/// The node that gets isolated.
 const ISOLATED: usize = 9;
 
-/// A figure for `foca` and for this package.
+/// A measurement of `foca` and of this package.
 #[derive(Debug, Default)]
 struct Compared<T> {
     foca: T,
     own: T,
 }
 
-/// What both do under one fault after another.
+/// Measurements of both under several faults.
 #[derive(Debug)]
 struct Comparison {
-    /// Members that an isolated one holds dead.
+    /// Members that an isolated member considers dead or no longer lists.
     lost_when_isolated: Compared<usize>,
-    /// Members still lost 20 s after it is reconnected.
+    /// Members still lost 20 s after the isolated member was reconnected.
     lost_after_isolation: Compared<usize>,
-    /// Members lost under 30% loss, summed over a check each 0.1 s.
+    /// Members lost at 30% packet loss, summed over checks every 0.1 s.
     lost_under_loss: Compared<usize>,
-    /// Tenths of a second until two halves are one fleet again.
+    /// Tenths of a second until a fleet has converged after a partition into halves.
     healed_after: Compared<Option<u64>>,
 }
 
@@ -48,8 +48,8 @@
     (0..NODES).map(|observer| own_lost_by(sim, observer)).sum()
 }
 
-/// One member is isolated for 40 s: whom it loses, and who is still lost 20 s later.
-fn isolate(seed: u64) -> (Compared<usize>, Compared<usize>) {
+/// Isolates one member for 40 s. Returns how many members it loses, and how many are still lost 20 s later.
+fn compare_isolation(seed: u64) -> (Compared<usize>, Compared<usize>) {
     let (mut foca, mut own) = (FocaFleet::joined(seed, 0.0), own_fleet(seed, 0.0));
     foca.is_blocked = |from, to| from == ISOLATED || to == ISOLATED;
     own.block_links(|from, to| from == ISOLATED || to == ISOLATED);
@@ -63,8 +63,8 @@
     (isolated, Compared { foca: foca.missing().len(), own: own_lost(&own) })
 }
 
-/// 30% of the datagrams are lost for a minute.
-fn lose(seed: u64) -> Compared<usize> {
+/// Loses 30% of the datagrams for a minute.
+fn compare_packet_loss(seed: u64) -> Compared<usize> {
     let (mut foca, mut own) = (FocaFleet::joined(seed, 0.3), own_fleet(seed, 0.3));
     let mut lost = Compared::default();
     for _ in 0..600 {
@@ -76,8 +76,8 @@
     lost
 }
 
-/// The fleet is partitioned into two halves for a minute.
-fn partition(seed: u64) -> Compared<Option<u64>> {
+/// Partitions the fleet into two halves for a minute.
+fn compare_partition(seed: u64) -> Compared<Option<u64>> {
     let (mut foca, mut own) = (FocaFleet::joined(seed, 0.0), own_fleet(seed, 0.0));
     foca.is_blocked = |from, to| from % 2 != to % 2;
     own.block_links(|from, to| from % 2 != to % 2);
@@ -100,16 +100,17 @@
 }
 
 fn compare(seed: u64) -> Comparison {
-    let (lost_when_isolated, lost_after_isolation) = isolate(seed);
+    let (lost_when_isolated, lost_after_isolation) = compare_isolation(seed);
     Comparison {
         lost_when_isolated,
         lost_after_isolation,
-        lost_under_loss: lose(seed),
-        healed_after: partition(seed),
+        lost_under_loss: compare_packet_loss(seed),
+        healed_after: compare_partition(seed),
     }
 }
 
-/// `foca`'s isolated member holds all others dead and loss makes it lose members; this package does neither and heals sooner.
+/// With `foca` an isolated member considers most others dead, and members are lost under packet loss. This package loses none,
+/// and recovers within 5 s of a partition.
 #[test]
 fn foca_loses_members_that_this_package_keeps() {
     let comparisons: Vec<_> = (1..6).map(compare).collect();
@@ -126,7 +127,7 @@
     comparisons.iter().for_each(|one| println!("{one:?}"));
 }
 
-/// A process that is paused for good is dead for `foca`, which has no other state for it.
+/// `foca` considers a permanently paused process dead, since it has no state for stalled members.
 #[test]
 fn paused_member_is_stalled_here_and_dead_for_foca() {
     const PAUSED: usize = 4;
@@ -134,7 +135,7 @@
     foca.pause(PAUSED);
     foca.run_for(20 * SECOND);
     let mut others = (0..NODES).filter(|node| *node != PAUSED);
-    assert!(others.clone().all(|observer| !foca.holds(observer, PAUSED)));
+    assert!(others.clone().all(|observer| !foca.lists(observer, PAUSED)));
     let mut own = Simulation::new(SimulationConfig::without_faults(NODES, 3));
     own.start_all_joined();
     own.pause(PAUSED);
--- a/crates/membership/tests/member_table.rs
+++ b/crates/membership/tests/member_table.rs
@@ -1,4 +1,4 @@
-//! The member table: merging, bounds and memory.
+//! Tests of the member table: merging, size limits and memory.
 
 use proptest::prelude::*;
 use prost::Message;
@@ -27,7 +27,7 @@
     MemberRecord { name: node_name(node), epoch, incarnation, address, ..MemberRecord::default() }
 }
 
-/// A table of members in one zone.
+/// A table of members that are all in the same zone.
 fn table(members: usize, zone: &str) -> MemberTable {
     let mut table = MemberTable::default();
     for member in 0..members {
@@ -43,6 +43,7 @@
     table
 }
 
+/// The contents of a table after merging claims.
 #[derive(Debug, PartialEq)]
 struct Merged {
     /// Id, precedence and zone of each entry, sorted.
@@ -57,8 +58,8 @@
     for &index in order {
         table.merge(&claims[index]);
     }
-    let in_order = |entry: &MemberEntry| (entry.id(), entry.precedence(), entry.record().zone.clone());
-    let mut entries: Vec<_> = table.iter().map(in_order).collect();
+    let summary = |entry: &MemberEntry| (entry.id(), entry.precedence(), entry.record().zone.clone());
+    let mut entries: Vec<_> = table.iter().map(summary).collect();
     entries.sort();
     let counted = MemberState::ALL.iter().map(|state| table.count_in_state(*state)).sum();
     Merged { entries, fingerprint: table.fingerprint(), counted }
@@ -85,17 +86,17 @@
         let in_order: Vec<_> = (0..claims.len()).collect();
         let mut shuffled = [in_order.clone(), in_order.clone()].concat();
         let mut state = seed | 1;
-        for place in (1..shuffled.len()).rev() {
+        for last in (1..shuffled.len()).rev() {
             state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-            shuffled.swap(place, (state >> 33) as usize % (place + 1));
+            shuffled.swap(last, (state >> 33) as usize % (last + 1));
         }
-        let (one, two) = (merge_all(&claims, &in_order), merge_all(&claims, &shuffled));
-        prop_assert_eq!(one.counted, one.entries.len());
-        prop_assert_eq!(one, two);
+        let (ordered, repeated) = (merge_all(&claims, &in_order), merge_all(&claims, &shuffled));
+        prop_assert_eq!(ordered.counted, ordered.entries.len());
+        prop_assert_eq!(ordered, repeated);
     }
 }
 
-/// A table holds the largest fleet at the most, and the newest tombstones.
+/// A table has at most 16,384 entries, and keeps only the newest 4,096 tombstones. Expired tombstones are removed.
 #[test]
 fn size_and_tombstones_are_bounded() {
     let mut table = MemberTable::default();
@@ -108,7 +109,7 @@
     assert_eq!((table.count_in_state(MemberState::Dead), table.active_count()), (4_096, 16_384 - 8_000));
     assert!(
         table.get(MemberId::from_name("n100")).is_none() && table.get(MemberId::from_name("n7999")).is_some(),
-        "the oldest go"
+        "the oldest tombstones are removed first"
     );
     assert_eq!(table.merge(&claim(30_000, MemberState::Alive)), MergeOutcome::Inserted);
     let before = table.fingerprint();
@@ -116,7 +117,7 @@
     assert!(table.count_in_state(MemberState::Dead) == 0 && table.fingerprint() != before);
 }
 
-/// Memory grows with entries, and with their texts, which are kept decoded and encoded.
+/// Memory grows with the number of entries, and with their strings, which are stored both decoded and encoded.
 #[test]
 fn allocated_bytes_grow_with_entries_and_texts() {
     const MEMBERS: usize = 512;
@@ -125,7 +126,7 @@
         table(MEMBERS, "a").allocated_bytes(),
         table(2 * MEMBERS, "a").allocated_bytes(),
     );
-    // An entry, its record and the encoded bytes take a few hundred bytes each.
+    // An entry with its record and the encoded bytes takes a few hundred bytes.
     let bytes_per_entry = (some - none) / MEMBERS;
     assert!((150..1_000).contains(&bytes_per_entry), "{bytes_per_entry} bytes an entry");
     assert!((more - none).abs_diff(2 * (some - none)) < (some - none) / 2, "{none}, {some}, {more}");
--- a/crates/membership/tests/node_count.rs
+++ b/crates/membership/tests/node_count.rs
@@ -1,4 +1,4 @@
-//! The number of nodes that share the servers.
+//! Tests of the number of nodes that share the endpoints.
 
 use prost::Message;
 use pumicehead_membership::node_count::{NodeCount, counted_nodes};
@@ -13,7 +13,7 @@
     let record = MemberRecord {
         name: node_name(node),
         epoch: 1,
-        // A later state of one record version would win; here each claim is about its own.
+        // Each state has its own incarnation, since of two claims about one record version only the later state wins.
         incarnation: u64::from(state.code()),
         address: "10.0.0.1:1".into(),
         ..MemberRecord::default()
@@ -28,7 +28,8 @@
     }
 }
 
-/// Left members do not count; dead ones count for a short while where their address refused connections, else for long.
+/// Members that left do not count. Dead ones count for a grace period, which is short if their address refused connections and
+/// long otherwise.
 #[test]
 fn dead_members_count_until_their_grace_ends() {
     let settings = Settings::default();
@@ -48,7 +49,7 @@
     assert_eq!(counted_nodes(&table, &settings, NOW + settings.unconfirmed_death_grace), 3);
 }
 
-/// A higher count applies at once; a lower one falls by a tenth a second at the most, and never under one.
+/// The count rises at once, and falls by at most 10% per second and not below one.
 #[test]
 fn count_rises_at_once_and_falls_gradually() {
     let settings = Settings::default();
@@ -71,7 +72,7 @@
     assert_eq!(NodeCount::new(0, NOW).update(&MemberTable::default(), &settings, NOW), 1);
 }
 
-/// While the grace lasts, each side of a partition counts all nodes, so that both together use no more of a server.
+/// During the grace period each side of a partition counts all nodes, so that both sides together do not overload an endpoint.
 #[test]
 fn partitioned_sides_keep_the_full_count() {
     let mut sim = Simulation::new(SimulationConfig::without_faults(20, 4));
--- a/crates/membership/tests/node_number.rs
+++ b/crates/membership/tests/node_number.rs
@@ -1,4 +1,4 @@
-//! Node numbers: distinct, small and stable.
+//! Tests of node numbers: they are distinct, small and stable.
 
 use prost::Message;
 use pumicehead_membership::node_number::free_node_number;
@@ -14,7 +14,7 @@
     let record = MemberRecord {
         name: node_name(node),
         epoch: 1,
-        // A later state of one record version would win; here each claim is about its own.
+        // Each state has its own incarnation, since of two claims about one record version only the later state wins.
         incarnation: u64::from(state.code()),
         address: "10.0.0.1:1".into(),
         node_number,
@@ -30,7 +30,7 @@
     }
 }
 
-/// The lowest number that no active member has.
+/// A member without a number takes the lowest number that no active member has.
 #[test]
 fn lowest_free_number_is_taken() {
     let mut table = MemberTable::default();
@@ -45,25 +45,26 @@
     assert_eq!(free_node_number(&table, own_id), 4, "a dead member's number is free");
 }
 
-/// Members that join at once take different free numbers without gaps.
+/// Members that join at the same time take different free numbers without gaps.
 #[test]
 fn members_with_equal_tables_take_different_numbers() {
     let mut table = MemberTable::default();
-    // Two have a number of their own, two share one, and four have none.
+    // Two members have unique numbers, two share one, and four have none.
     for (node, number) in [(0, 1), (1, 4), (2, 2), (3, 2), (4, 0), (5, 0), (6, 0), (7, 0)] {
         table.merge(&claim(node, number, MemberState::Alive));
     }
     let greater = MemberId::from_name(&node_name(2)).max(MemberId::from_name(&node_name(3)));
-    let without_own_number =
+    let without_number =
         [greater].into_iter().chain((4..8).map(|node| MemberId::from_name(&node_name(node))));
-    let mut taken: Vec<_> = without_own_number.map(|id| free_node_number(&table, id)).collect();
+    let mut taken: Vec<_> = without_number.map(|id| free_node_number(&table, id)).collect();
     taken.sort_unstable();
     assert_eq!(taken, [3, 5, 6, 7, 8]);
 }
 
-/// A hundred members that start at once settle with some changes of their records each, not one for every other member.
+/// A hundred members that start at the same time converge to distinct numbers after a few changes of each record, rather than
+/// one change for every other member.
 #[test]
-fn simultaneous_starts_settle_on_distinct_numbers() {
+fn simultaneous_starts_converge_to_distinct_numbers() {
     const NODES: usize = 100;
     let mut sim = Simulation::new(SimulationConfig::without_faults(NODES, 6));
     sim.start(0, &[]);
@@ -74,10 +75,11 @@
         all.sort_unstable();
         all
     };
-    let wanted: Vec<_> = (1..=NODES as u32).collect();
-    let found = sim.run_until(100 * MS, 60 * SECOND, |sim| sim.has_converged() && numbers(sim) == wanted);
-    assert!(found.is_some(), "numbers after a minute: {:?}", numbers(&sim));
+    let expected: Vec<_> = (1..=NODES as u32).collect();
+    let converged =
+        sim.run_until(100 * MS, 60 * SECOND, |sim| sim.has_converged() && numbers(sim) == expected);
+    assert!(converged.is_some(), "numbers after a minute: {:?}", numbers(&sim));
     let changes =
         (0..NODES).filter_map(|node| sim.member(node)).map(|member| member.record().incarnation).sum::<u64>();
-    assert!(changes <= 10 * NODES as u64, "{changes} changes by {NODES} members");
+    assert!(changes <= 10 * NODES as u64, "{changes} record changes by {NODES} members");
 }
--- a/crates/membership/tests/simulated_fleets/failure_detection.rs
+++ b/crates/membership/tests/simulated_fleets/failure_detection.rs
@@ -1,59 +1,63 @@
-//! Crashes are detected in time, with packet loss, stalls and flapping members, and nobody else is affected.
+//! Failure detection: crashes are detected in time, also with packet loss, stalls and flapping members, and no other member is
+//! affected.
 
 use pumicehead_membership::simulation::{Simulation, SimulationConfig};
 use pumicehead_membership::{Event, MS, MemberState, SECOND};
 
-use crate::{STEP, all_hold, is_healthy, running};
+use crate::{STEP, all_observe, is_healthy, running_fleet};
 
-/// A crash is known to the first member within 3 s and to all within 5 s; nobody else is held dead.
+/// The first member detects a crash within 3 s, all know of it within 5 s, and all other members stay alive.
 #[test]
 fn crash_is_detected_by_all_within_five_seconds() {
     for seed in 0..60 {
-        let mut sim = running(50, seed);
+        let mut sim = running_fleet(50, seed);
         sim.kill(7);
         let knows = |sim: &Simulation, count: usize| {
-            (0..50).filter(|&by| by != 7 && sim.state_of(by, 7) == Some(MemberState::Dead)).count() >= count
+            (0..50)
+                .filter(|&observer| observer != 7 && sim.state_of(observer, 7) == Some(MemberState::Dead))
+                .count()
+                >= count
         };
-        let first = sim.run_until(STEP, 20 * SECOND, |sim| knows(sim, 1)).expect("detected");
-        let rest = sim.run_until(STEP, 20 * SECOND, |sim| knows(sim, 49)).expect("known to all");
+        let first = sim.run_until(STEP, 20 * SECOND, |sim| knows(sim, 1)).expect("crash detected");
+        let rest = sim.run_until(STEP, 20 * SECOND, |sim| knows(sim, 49)).expect("crash known to all");
         assert!(first <= 3 * SECOND && first + rest <= 5 * SECOND, "seed {seed}: {first} {rest}");
         assert!(
-            (0..50).filter(|node| *node != 7).all(|node| all_hold(&sim, 50, node, MemberState::Alive)),
+            (0..50).filter(|node| *node != 7).all(|node| all_observe(&sim, 50, node, MemberState::Alive)),
             "seed {seed}"
         );
     }
 }
 
-/// A member that crashes soon after its start is detected as fast as any other, although a probe round takes longer.
+/// The crash of a member soon after its start is known to all within 3 s, although a probe round takes longer.
 #[test]
 fn crash_of_a_new_member_is_detected_within_three_seconds() {
     const NODES: usize = 150;
     const SEEDS: u64 = 4;
-    let mut spans = Vec::new();
+    let mut detection_times = Vec::new();
     for seed in 0..SEEDS {
         let mut sim = Simulation::new(SimulationConfig::without_faults(NODES, seed));
         sim.start(0, &[]);
         (1..NODES - 1).for_each(|node| sim.start(node, &[0, 1, 2]));
-        let newcomer = NODES - 1;
+        let new_member = NODES - 1;
         let joined = |sim: &Simulation, nodes: usize| {
             sim.has_converged() && sim.member(0).is_some_and(|member| member.table().active_count() == nodes)
         };
-        assert!(sim.run_until(STEP, 60 * SECOND, |sim| joined(sim, newcomer)).is_some(), "seed {seed}");
-        // In the middle of most members' rounds.
+        assert!(sim.run_until(STEP, 60 * SECOND, |sim| joined(sim, new_member)).is_some(), "seed {seed}");
+        // Most members are then in the middle of a probe round.
         sim.run_for(90 * SECOND);
-        sim.start(newcomer, &[0, 1, 2]);
+        sim.start(new_member, &[0, 1, 2]);
         assert!(sim.run_until(STEP, 60 * SECOND, |sim| joined(sim, NODES)).is_some(), "seed {seed}");
         sim.run_for(SECOND);
-        sim.kill(newcomer);
+        sim.kill(new_member);
         let detected =
-            sim.run_until(STEP, 60 * SECOND, |sim| all_hold(sim, NODES, newcomer, MemberState::Dead));
-        spans.push(detected.expect("detected"));
+            sim.run_until(STEP, 60 * SECOND, |sim| all_observe(sim, NODES, new_member, MemberState::Dead));
+        detection_times.push(detected.expect("crash known to all"));
     }
-    let latest = spans.iter().max().copied().unwrap_or_default();
-    assert!(latest <= 3 * SECOND, "nanoseconds until all knew: {spans:?}");
+    let latest = detection_times.iter().max().copied().unwrap_or_default();
+    assert!(latest <= 3 * SECOND, "nanoseconds until all members knew of the crash: {detection_times:?}");
 }
 
-/// With 30% loss nobody is held dead, and a crash is still detected.
+/// At 30% packet loss no running member is considered dead, and a crash is still detected.
 #[test]
 fn crash_is_detected_under_heavy_loss() {
     for seed in 0..5 {
@@ -62,18 +66,19 @@
         sim.start_all_joined();
         sim.run_for(60 * SECOND);
         assert!(
-            (0..20).all(|node| (0..20).all(|by| sim.state_of(by, node) != Some(MemberState::Dead))),
+            (0..20)
+                .all(|node| (0..20).all(|observer| sim.state_of(observer, node) != Some(MemberState::Dead))),
             "seed {seed}"
         );
         sim.kill(2);
         assert!(
-            sim.run_until(STEP, 30 * SECOND, |sim| all_hold(sim, 20, 2, MemberState::Dead)).is_some(),
+            sim.run_until(STEP, 30 * SECOND, |sim| all_observe(sim, 20, 2, MemberState::Dead)).is_some(),
             "seed {seed}"
         );
     }
 }
 
-/// With 5% loss and a tenth of the members paused for 2 s at a time, nobody is held dead.
+/// At 5% packet loss, while a tenth of the members at a time is paused for 2 s, no member is considered dead.
 #[test]
 fn loss_and_short_stalls_cause_no_false_death() {
     for seed in 0..2 {
@@ -89,27 +94,31 @@
             sim.run_for(2 * SECOND);
             paused.into_iter().for_each(|node| sim.resume(node));
             sim.run_for(500 * MS);
-            for by in 0..30 {
-                let dead = (0..30).find(|&node| sim.state_of(by, node) == Some(MemberState::Dead));
-                assert_eq!(dead, None, "seed {seed}, round {round}: held dead by {by}");
+            for observer in 0..30 {
+                let dead = (0..30).find(|&node| sim.state_of(observer, node) == Some(MemberState::Dead));
+                assert_eq!(dead, None, "seed {seed}, round {round}: considered dead by node {observer}");
             }
         }
     }
 }
 
-/// Members paused for less than, about and more than the suspicion timeouts are alive again soon, and accuse nobody.
+/// Members that were paused for less than, about and more than the suspicion timeouts recover quickly, and do not cause other
+/// members to be suspected.
 #[test]
 fn stalled_members_recover_without_accusing_others() {
     const PAUSED: [usize; 3] = [4, 5, 6];
     for seed in 0..10 {
-        for span in [SECOND / 2, SECOND, 2 * SECOND, 5 * SECOND, 20 * SECOND, 90 * SECOND] {
-            let mut sim = running(20, seed);
+        for pause in [SECOND / 2, SECOND, 2 * SECOND, 5 * SECOND, 20 * SECOND, 90 * SECOND] {
+            let mut sim = running_fleet(20, seed);
             for node in PAUSED {
                 sim.pause(node);
             }
-            sim.run_for(span);
-            if span == 5 * SECOND {
-                assert!(all_hold(&sim, 20, 4, MemberState::Stalled), "seed {seed}: told from dead");
+            sim.run_for(pause);
+            if pause == 5 * SECOND {
+                assert!(
+                    all_observe(&sim, 20, 4, MemberState::Stalled),
+                    "seed {seed}: a paused member is considered stalled"
+                );
             }
             for node in PAUSED {
                 sim.resume(node);
@@ -117,25 +126,25 @@
             let others_accused = |sim: &mut Simulation| {
                 (0..20)
                     .filter(|node| !PAUSED.contains(node))
-                    .any(|node| !all_hold(sim, 20, node, MemberState::Alive))
+                    .any(|node| !all_observe(sim, 20, node, MemberState::Alive))
             };
             for _ in 0..100 {
                 sim.run_for(STEP);
-                assert!(!others_accused(&mut sim), "seed {seed}, {span}: somebody else is suspected");
+                assert!(!others_accused(&mut sim), "seed {seed}, {pause}: a member that ran is suspected");
             }
             assert!(
                 sim.run_until(STEP, 20 * SECOND, |sim| is_healthy(sim, 20)).is_some(),
-                "seed {seed}, {span}"
+                "seed {seed}, {pause}"
             );
         }
     }
 }
 
-/// A member that crashes and restarts every second changes no other member's state and causes bounded traffic.
+/// A member that crashes and restarts every second does not affect the state of other members, and causes limited traffic.
 #[test]
 fn flapping_member_does_not_disturb_others() {
     for seed in 0..5 {
-        let mut sim = running(20, seed);
+        let mut sim = running_fleet(20, seed);
         (0..20).for_each(|node| drop(sim.take_events(node)));
         let before = sim.sent().bytes;
         for _ in 0..60 {
@@ -152,8 +161,8 @@
             }
         }
         let bytes_per_second = (sim.sent().bytes - before) / 20 / 60;
-        assert!(bytes_per_second < 4_096, "seed {seed}: {bytes_per_second} bytes a second");
-        let recovered = |sim: &Simulation| sim.has_converged() && all_hold(sim, 20, 5, MemberState::Alive);
+        assert!(bytes_per_second < 4_096, "seed {seed}: {bytes_per_second} bytes per second");
+        let recovered = |sim: &Simulation| sim.has_converged() && all_observe(sim, 20, 5, MemberState::Alive);
         assert!(sim.run_until(STEP, 60 * SECOND, recovered).is_some(), "seed {seed}");
     }
 }
--- a/crates/membership/tests/state_space/fleet.rs
+++ b/crates/membership/tests/state_space/fleet.rs
@@ -1,4 +1,4 @@
-//! The state that the model checker explores: three members, their clocks, and the messages in flight.
+//! The state of the model that the checker explores: three members, their clocks, and the messages in flight.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
@@ -12,9 +12,10 @@
 
 pub(crate) const NODES: usize = 3;
 const START: u64 = 1_000 * SECOND;
-/// Time in which the fleet has to converge without further faults: over the minute of an unconfirmed suspicion.
+/// Time in which the fleet has to converge without further faults: more than the minute after which an unconfirmed suspicion
+/// expires.
 const CONVERGENCE_LIMIT: u64 = 200 * SECOND;
-/// Step of the shared clock while the fleet converges.
+/// Step of the common clock while the fleet converges.
 const CONVERGENCE_STEP: u64 = 50 * MS;
 
 /// A message in flight.
@@ -28,9 +29,9 @@
     Frame {
         to: usize,
         from: usize,
-        /// Whether the receiver opened the stream.
+        /// Whether the receiver of the frame opened the stream.
         is_reply: bool,
-        /// The probe that the stream was opened for; `None` for push/pull.
+        /// The probe for which the stream was opened; `None` for push/pull.
         probe: Option<SequenceNumber>,
         bytes: Vec<u8>,
     },
@@ -44,13 +45,14 @@
     starts: u64,
 }
 
-/// The fleet. Two states are equal where all that members hold and have in flight is, relative to their clocks.
+/// The fleet. Two states are equal if the members' states relative to their clocks, the messages in flight and the counts of
+/// faults are equal.
 #[derive(Clone, Debug)]
 pub(crate) struct Fleet {
     pub(crate) nodes: Vec<Node>,
-    /// Messages in flight, each once, in no order.
+    /// Messages in flight, without duplicates, and deliverable in any order.
     pub(crate) network: BTreeSet<Message>,
-    /// The highest epoch that each has held of each, by observer and member.
+    /// The last epoch of each member in each table, by observer and member.
     epochs: BTreeMap<(usize, usize), u64>,
     pub(crate) losses: u8,
     pub(crate) crashes: u8,
@@ -76,17 +78,17 @@
         fleet
     }
 
-    /// What makes two states equal.
-    fn essence(&self) -> impl Hash + PartialEq + use<> {
+    /// The part of the state by which states are compared.
+    fn canonical(&self) -> impl Hash + PartialEq + use<> {
         let nodes: Vec<_> = self
             .nodes
             .iter()
-            .map(|node| node.member.as_ref().map(|member| essence_of(member, node.now)))
+            .map(|node| node.member.as_ref().map(|member| canonical_member(member, node.now)))
             .collect();
         (nodes, self.network.clone(), self.losses, self.crashes, self.epoch_went_back)
     }
 
-    fn carry_out(&mut self, node: usize) {
+    fn execute_outputs(&mut self, node: usize) {
         let Some(member) = &mut self.nodes[node].member else { return };
         let outputs: Vec<_> = member.take_outputs().collect();
         for output in outputs {
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Notes whether a table has gone back to an earlier process of a member.
+    /// Records whether an earlier epoch of a member replaced a later one in a table.
     fn check_epochs(&mut self) {
         for observer in 0..NODES {
             let Some(member) = &self.nodes[observer].member else { continue };
@@ -160,7 +162,7 @@
             }
         }
         self.network.extend(reply);
-        self.carry_out(to);
+        self.execute_outputs(to);
     }
 
     /// Advances one member's clock to its next timer.
@@ -169,7 +171,7 @@
         let Some(member) = &mut process.member else { return };
         process.now = member.next_timer().max(process.now + 1);
         member.on_timer(process.now);
-        self.carry_out(node);
+        self.execute_outputs(node);
     }
 
     pub(crate) fn start(&mut self, node: usize) {
@@ -192,13 +194,14 @@
             rng_seed: node as u64,
         };
         process.member = Some(Membership::new(config, process.now).unwrap());
-        // The table of the process before is gone.
+        // The table of the previous process is lost.
         self.epochs.retain(|(observer, _), _| *observer != node);
-        self.carry_out(node);
+        self.execute_outputs(node);
     }
 
-    /// Continues without faults: delivers all messages, and fires `ticks` timers in the order of the members' clocks.
-    pub(crate) fn play_on(&self, ticks: usize) -> Self {
+    /// Continues without faults: delivers all messages, and fires `ticks` timers, each time that of the member whose timer is
+    /// due first.
+    pub(crate) fn continue_without_faults(&self, ticks: usize) -> Self {
         let mut fleet = self.clone();
         for _ in 0..ticks {
             fleet.deliver_all();
@@ -216,7 +219,7 @@
         }
     }
 
-    /// Whether the fleet converges without further faults, with all processes running and one clock.
+    /// Whether the fleet converges without further faults, with all processes running and a common clock.
     pub(crate) fn converges(&self) -> bool {
         let mut fleet = self.clone();
         for node in 0..NODES {
@@ -245,10 +248,10 @@
         {
             member.on_timer(now);
         }
-        self.carry_out(node);
+        self.execute_outputs(node);
     }
 
-    /// Whether all processes run, and all tables are equal and hold all members alive.
+    /// Whether all processes are running, and all tables are equal with all members alive.
     pub(crate) fn is_healthy(&self) -> bool {
         let members: Vec<_> = self.nodes.iter().filter_map(|node| node.member.as_ref()).collect();
         members.len() == NODES
@@ -256,13 +259,13 @@
             && members[0].table().count_in_state(MemberState::Alive) == NODES
     }
 
-    /// The state in which an observer holds a member.
+    /// The state of a member in the table of an observer.
     pub(crate) fn state_of(&self, observer: usize, node: usize) -> Option<MemberState> {
         self.nodes[observer].member.as_ref()?.table().get(id_of(node)).map(|entry| entry.state)
     }
 }
 
-fn essence_of(member: &Membership, now: u64) -> impl Hash + PartialEq + use<> {
+fn canonical_member(member: &Membership, now: u64) -> impl Hash + PartialEq + use<> {
     let mut entries: Vec<_> = member
         .table()
         .iter()
@@ -296,12 +299,12 @@
 
 impl PartialEq for Fleet {
     fn eq(&self, other: &Self) -> bool {
-        self.essence() == other.essence()
+        self.canonical() == other.canonical()
     }
 }
 
 impl Hash for Fleet {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.essence().hash(state);
+        self.canonical().hash(state);
     }
 }
--- a/crates/membership/tests/state_space/main.rs
+++ b/crates/membership/tests/state_space/main.rs
@@ -1,8 +1,8 @@
-//! Model checking of the state machine as it runs: every order of delivery, loss, crash, restart and timer that three members
-//! can see within a bound.
+//! Model checking of the production state machine: explores all orders of deliveries, losses, crashes, restarts and timers for
+//! three members within bounds.
 //!
-//! From each state that is reached the fleet also continues without further faults, and has to converge with all members alive.
-//! In no state has a table gone back to an earlier process of a member.
+//! From each reachable state, the fleet has to converge with all members alive if no further faults occur. In no table may an
+//! earlier process of a member replace a later one.
 
 use pumicehead_membership::MemberState;
 use stateright::{Checker, Model, Property};
@@ -20,7 +20,7 @@
     Restart(usize),
 }
 
-/// The model and its bounds.
+/// The model with the bounds of the exploration.
 struct BoundedFleet {
     steps: u8,
     losses: u8,
@@ -31,18 +31,20 @@
     type State = Fleet;
     type Action = Action;
 
-    /// A fleet that is just starting, a converged one, and ones that hold a killed member suspect and dead.
+    /// A fleet that is just starting, a converged one, and ones in which a killed member is suspect and dead.
     fn init_states(&self) -> Vec<Fleet> {
         let starting = Fleet::start_all();
-        let converged = starting.play_on(400);
+        let converged = starting.continue_without_faults(400);
         assert!(converged.is_healthy());
         let mut killed = converged.clone();
         killed.nodes[2].member = None;
-        let when_held = |state: MemberState| {
-            (0..200).map(|ticks| killed.play_on(ticks)).find(|fleet| fleet.state_of(0, 2) == Some(state))
+        let first_with_state = |state: MemberState| {
+            (0..200)
+                .map(|ticks| killed.continue_without_faults(ticks))
+                .find(|fleet| fleet.state_of(0, 2) == Some(state))
         };
         let (suspected, dead) =
-            (when_held(MemberState::Suspect).unwrap(), when_held(MemberState::Dead).unwrap());
+            (first_with_state(MemberState::Suspect).unwrap(), first_with_state(MemberState::Dead).unwrap());
         vec![starting, converged, suspected, dead]
     }
 
@@ -89,16 +91,18 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no earlier process comes back", |_, fleet: &Fleet| !fleet.epoch_went_back),
+            Property::always("no earlier process replaces a later one", |_, fleet: &Fleet| {
+                !fleet.epoch_went_back
+            }),
             Property::always(
-                "without further faults tables become equal with all members alive",
+                "without further faults all tables become equal with all members alive",
                 |_, fleet: &Fleet| fleet.converges(),
             ),
         ]
     }
 }
 
-/// Every reachable state within seven steps, two losses and one crash satisfies the properties.
+/// All states that are reachable with up to seven steps, two losses and one crash satisfy the properties.
 #[test]
 fn tables_converge_from_every_reachable_state() {
     let checker = BoundedFleet { steps: 7, losses: 2, crashes: 1 }.checker().threads(2).spawn_bfs().join();
--- a/crates/membership/tests/untrusted_input/impostors.rs
+++ b/crates/membership/tests/untrusted_input/false_claims.rs
@@ -1,4 +1,4 @@
-//! Processes that claim what is not so.
+//! Processes that use the name of another one or send forged claims.
 
 use prost::Message;
 use pumicehead_membership::simulation::{Simulation, SimulationConfig, node_address};
@@ -7,14 +7,14 @@
 
 use crate::{NOW, datagram, entry, member, record};
 
-/// Of two processes with one name the later one stays a member; the earlier one reports once that it is superseded.
+/// Of two processes with the same name, the later one stays a member, and the earlier one reports once that it is superseded.
 #[test]
 fn later_process_supersedes_earlier_one_of_same_name() {
     let mut sim = Simulation::new(SimulationConfig::without_faults(6, 1));
     sim.start_all_joined();
     sim.run_for(3 * SECOND);
     let mut later = member(2, "sim", &[0]);
-    // Its clock is days behind; from the fleet it learns the epoch of the earlier process.
+    // The later process has a clock that is days behind, and learns the epoch of the earlier one from the fleet.
     later.on_timer(NOW);
     let known = sim.member(0).unwrap().table().get(MemberId::from_name("n2")).unwrap().to_wire(0);
     let earlier_epoch = sim.member(2).unwrap().record().epoch;
@@ -38,9 +38,9 @@
     assert!(reports == 1 && sim.member(2).unwrap().is_stopped(), "{events:?}");
 }
 
-/// Members that are claimed dead are alive for all again within 30 s; invented members are found dead.
+/// Members that forged claims declare dead are alive for all again within 30 s. Members that do not exist are declared dead.
 #[test]
-fn forged_claims_are_refuted_and_invented_members_expire() {
+fn forged_claims_are_refuted_and_nonexistent_members_expire() {
     for seed in 0..5 {
         let mut sim = Simulation::new(SimulationConfig::without_faults(12, seed));
         sim.start_all_joined();
@@ -48,7 +48,7 @@
         for round in 0..20 {
             for victim in 1..12 {
                 let mut forged = sim.member(victim).unwrap().record().clone();
-                // Some with incarnations far beyond the victim's.
+                // Some claims have an incarnation far above that of the victim.
                 forged.incarnation =
                     [forged.incarnation, forged.incarnation + (1 << 40), (1 << 62) - 1][round % 3];
                 let updates = vec![
--- a/crates/membership/tests/untrusted_input/main.rs
+++ b/crates/membership/tests/untrusted_input/main.rs
@@ -1,4 +1,4 @@
-//! What arbitrary, foreign, forged and outdated messages can do to a member.
+//! Effects of arbitrary, foreign, forged and outdated messages on a member.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
     MemberId, MemberRecord, MemberState, Membership, MembershipConfig, Nanos, Output, SECOND, Settings,
 };
 
-mod impostors;
+mod false_claims;
 mod messages;
 mod records;
 
@@ -39,7 +39,7 @@
     Membership::new(config, NOW).unwrap()
 }
 
-/// A datagram of node 9 about node 0.
+/// A datagram from node 9 with node 0 as target.
 fn datagram(fleet: &str, kind: DatagramKind, updates: Vec<WireEntry>) -> Datagram {
     Datagram {
         protocol_major: MAJOR,
--- a/crates/membership/tests/untrusted_input/messages.rs
+++ b/crates/membership/tests/untrusted_input/messages.rs
@@ -1,4 +1,4 @@
-//! Datagrams and frames from anybody: malformed, foreign, forged, repeated and large ones.
+//! Datagrams and frames from arbitrary senders: malformed, foreign, forged, repeated and large ones.
 
 use proptest::prelude::*;
 use prost::Message;
@@ -12,7 +12,7 @@
 use crate::{NOW, datagram, entry, member, record, sent_datagrams};
 
 proptest! {
-    /// No bytes break a member, nor make it send more to their sender than it received.
+    /// Arbitrary bytes never cause a panic, or a reply that is larger than the message received.
     #[test]
     fn arbitrary_bytes_are_harmless(
         bytes in prop::collection::vec(any::<u8>(), 0..1_500),
@@ -21,22 +21,23 @@
     ) {
         let mut one = member(0, "a", &[1]);
         drop(sent_datagrams(&mut one));
-        let stranger = node_address(77);
-        one.on_datagram(NOW, stranger, &bytes);
-        let _ = one.on_stream_request(NOW, stranger, &bytes);
+        let unknown_sender = node_address(77);
+        one.on_datagram(NOW, unknown_sender, &bytes);
+        let _ = one.on_stream_request(NOW, unknown_sender, &bytes);
         let updates = vec![entry(&record(1, 5, 0), MemberState::Alive, 0)];
         let mut damaged = datagram("a", DatagramKind::Ping, updates).encode_to_vec();
-        let place = position % damaged.len();
-        damaged[place] ^= bytes.first().copied().unwrap_or(1);
+        let index = position % damaged.len();
+        damaged[index] ^= bytes.first().copied().unwrap_or(1);
         damaged.truncate(damaged.len().saturating_sub(cut % 100));
-        one.on_datagram(NOW, stranger, &damaged);
+        one.on_datagram(NOW, unknown_sender, &damaged);
         for (to, bytes) in sent_datagrams(&mut one) {
-            prop_assert!(to != stranger || bytes.len() <= damaged.len().max(64));
+            prop_assert!(to != unknown_sender || bytes.len() <= damaged.len().max(64));
         }
     }
 }
 
-/// The source address of a ping may be forged: no reply is larger than its request, and relayed probes are bounded.
+/// Since the source address of a ping may be forged, no reply is larger than its request, and the number of relayed probes is
+/// limited.
 #[test]
 fn replies_are_no_larger_than_requests() {
     let mut one = member(0, "a", &[]);
@@ -48,11 +49,16 @@
     for updates in [vec![], vec![entry(&record(9, 5, 0), MemberState::Suspect, 0)]] {
         let ping = datagram("a", DatagramKind::Ping, updates).encode_to_vec();
         one.on_datagram(NOW, node_address(78), &ping);
-        let back: Vec<_> =
+        let replies: Vec<_> =
             sent_datagrams(&mut one).into_iter().filter(|(to, _)| *to == node_address(78)).collect();
-        assert!(back.len() == 1 && back[0].1.len() <= ping.len(), "{} for {}", back[0].1.len(), ping.len());
+        assert!(
+            replies.len() == 1 && replies[0].1.len() <= ping.len(),
+            "reply of {} bytes to a ping of {}",
+            replies[0].1.len(),
+            ping.len()
+        );
     }
-    // A relayed ping goes to the target's own address and is small; the requests over the bound are dropped.
+    // A relayed ping is small and goes to the address in the target's own record. Requests beyond the limit are dropped.
     let request = Datagram {
         target_id: MemberId::from_name("n3").0,
         ..datagram("a", DatagramKind::IndirectPing, vec![])
@@ -66,7 +72,8 @@
     );
 }
 
-/// Members of two fleets, or of two major versions, reject each other, report that once for each address, and learn nothing.
+/// Members of different fleets or major versions reject each other's messages, report that once per address, and do not add each
+/// other to their tables.
 #[test]
 fn other_fleets_and_versions_are_reported_once() {
     let mut one = member(0, "a", &[]);
@@ -97,7 +104,7 @@
     assert_eq!((one.table().len(), two.table().len()), (1, 1));
 }
 
-/// The table of a large fleet arrives in one frame.
+/// The table of a large fleet fits into one frame.
 #[test]
 fn frame_with_1250_entries_is_accepted() {
     let mut one = member(0, "a", &[1]);
@@ -115,7 +122,7 @@
     assert_eq!((one.table().active_count(), one.is_joined()), (1_251, true));
 }
 
-/// Claims about earlier record versions, repeated ones, and expired ones about unknown members change nothing.
+/// Claims about earlier record versions, repeated claims, and expired claims about unknown members do not change the table.
 #[test]
 fn outdated_claims_are_ignored() {
     let mut one = member(0, "a", &[]);
@@ -141,7 +148,7 @@
         one.table().get(MemberId::from_name("n1")).unwrap().precedence(),
         Precedence { version, state: MemberState::Alive }
     );
-    // A tombstone older than the retention, of a member that is not known.
+    // A tombstone of an unknown member that is older than the retention time.
     receive_claim(&mut one, NOW, &record(2, 5, 0), MemberState::Alive);
     let updates = vec![entry(&record(3, 5, 0), MemberState::Dead, 10 * 3_601)];
     one.on_datagram(NOW, node_address(9), &datagram("a", DatagramKind::Gossip, updates).encode_to_vec());
--- a/crates/membership/tests/untrusted_input/records.rs
+++ b/crates/membership/tests/untrusted_input/records.rs
@@ -1,4 +1,4 @@
-//! Records of members: invalid ones, and ones of later versions.
+//! Invalid member records, and records of later versions.
 
 use prost::Message;
 use pumicehead_membership::simulation::{node_address, node_name};
@@ -7,7 +7,7 @@
 
 use crate::{NOW, datagram, entry, member, record};
 
-/// Texts, addresses and numbers out of bounds.
+/// Records with invalid strings, addresses or numbers are rejected.
 #[test]
 fn invalid_records_are_rejected() {
     let good = record(1, 5, 0);
@@ -29,7 +29,7 @@
     assert!(matches!(MemberRecord::from_bytes(&[0; 5_000]), Err(RecordError::TooLong { length: 5_000 })));
 }
 
-/// Fields of a later version are forwarded unchanged; an entry in a state of a later version is ignored.
+/// Fields of a later version are forwarded unchanged. An entry with a state of a later version is ignored.
 #[test]
 fn unknown_record_fields_are_forwarded() {
     #[derive(Clone, PartialEq, Message)]
@@ -51,7 +51,7 @@
     one.on_datagram(NOW, node_address(9), &datagram("a", DatagramKind::Gossip, vec![update]).encode_to_vec());
     let known = one.table().get(MemberId::from_name("n4")).unwrap();
     assert_eq!(Later::decode(&*known.to_wire(NOW).record).unwrap(), later);
-    // A state of a later version.
+    // A state that only a later version knows.
     let update = WireEntry { state: 9, ..entry(&record(5, 7, 0), MemberState::Alive, 0) };
     one.on_datagram(NOW, node_address(9), &datagram("a", DatagramKind::Gossip, vec![update]).encode_to_vec());
     assert!(one.table().get(MemberId::from_name("n5")).is_none());
--- a/crates/membership/tests/stored_forms.rs
+++ b/crates/membership/tests/wire_compatibility.rs
@@ -1,5 +1,5 @@
-//! Messages of the membership link as they travel between nodes. The fixtures were written by version 0.2.0, before its
-//! types were renamed, and must stay readable: nodes of both versions speak with each other.
+//! Wire compatibility of membership messages. The encoded bytes in the fixtures were written by version 0.2.0, before its types
+//! were renamed. Encoding must produce the same bytes, and the fixtures must stay readable: nodes of both versions communicate.
 
 use std::fs;
 use std::path::Path;
@@ -9,19 +9,19 @@
 use pumicehead_membership::state::MemberState;
 use pumicehead_membership::wire::{Datagram, DatagramKind, FleetId, Frame, FrameKind, WireEntry};
 
-/// Compares a whole text with a stored one.
-fn assert_stored_text(name: &str, text: &str) {
+/// Asserts that a text equals the contents of a fixture.
+fn assert_equals_fixture(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
     assert_eq!(text, fs::read_to_string(path).unwrap(), "{name}");
 }
 
-/// The bytes of each line of a stored file of hexadecimal digits.
-fn stored_lines(name: &str) -> Vec<Vec<u8>> {
+/// Decodes each line of a fixture in hexadecimal.
+fn fixture_lines(name: &str) -> Vec<Vec<u8>> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
-    fs::read_to_string(path).unwrap().lines().map(bytes).collect()
+    fs::read_to_string(path).unwrap().lines().map(decode_hex).collect()
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     (0..hex.len()).step_by(2).map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap()).collect()
 }
 
@@ -29,6 +29,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n"
 }
 
+/// A record with each phase.
 fn records() -> Vec<MemberRecord> {
     let phases = [Phase::Serving, Phase::Joining, Phase::LameDuck];
     let record = |phase| {
@@ -51,7 +52,7 @@
     phases.into_iter().map(record).collect()
 }
 
-/// An entry for each state.
+/// An entry in each state.
 fn entries() -> Vec<WireEntry> {
     let states = [
         MemberState::Alive,
@@ -60,12 +61,12 @@
         MemberState::Dead,
         MemberState::Left,
     ];
-    let entry = |(place, state): (usize, MemberState)| WireEntry {
-        record: records()[place % 3].encode_to_vec(),
+    let entry = |(index, state): (usize, MemberState)| WireEntry {
+        record: records()[index % 3].encode_to_vec(),
         state: state.code(),
-        age_deciseconds: 17 + place as u32,
+        age_deciseconds: 17 + index as u32,
         reporter: MemberId::from_name("n2").0,
-        connection_refused: place % 2 == 1,
+        connection_refused: index % 2 == 1,
     };
     states.into_iter().enumerate().map(entry).collect()
 }
@@ -79,17 +80,17 @@
         DatagramKind::Ack,
         DatagramKind::Nack,
     ];
-    let datagram = |(place, kind): (usize, DatagramKind)| Datagram {
+    let datagram = |(index, kind): (usize, DatagramKind)| Datagram {
         protocol_major: 1,
         protocol_minor: 0,
         fleet_id: FleetId::from_name("tablero").0,
         sender_id: MemberId::from_name("n1").0,
         sender_epoch: 1_700_000_000_000,
         kind: kind.into(),
-        seq: 40 + place as u32,
+        seq: 40 + index as u32,
         target_id: MemberId::from_name("n3").0,
-        record_unknown: place % 2 == 1,
-        updates: entries().into_iter().take(place + 1).collect(),
+        record_unknown: index % 2 == 1,
+        updates: entries().into_iter().take(index + 1).collect(),
     };
     kinds.into_iter().enumerate().map(datagram).collect()
 }
@@ -106,7 +107,7 @@
         FrameKind::Entries,
         FrameKind::Reject,
     ];
-    let frame = |(place, kind): (usize, FrameKind)| Frame {
+    let frame = |(index, kind): (usize, FrameKind)| Frame {
         protocol_major: 1,
         protocol_minor: 0,
         fleet_id: FleetId::from_name("tablero").0,
@@ -114,18 +115,18 @@
         sender_epoch: 1_700_000_000_000,
         kind: kind.into(),
         fingerprint: 0x0123_4567_89ab_cdef,
-        partitions: (0..place as u64).collect(),
-        entries: entries().into_iter().take(place).collect(),
+        partitions: (0..index as u64).collect(),
+        entries: entries().into_iter().take(index).collect(),
         reject_reason: if kind == FrameKind::Reject { "of another fleet".into() } else { String::new() },
     };
     kinds.into_iter().enumerate().map(frame).collect()
 }
 
 #[test]
-fn datagrams_travel_as_before() {
+fn datagrams_are_encoded_as_in_version_0_2_0() {
     let written: String = datagrams().iter().map(|one| hex_line(&one.encode_to_vec())).collect();
-    assert_stored_text("datagrams.hex", &written);
-    let read: Vec<_> = stored_lines("datagrams.hex")
+    assert_equals_fixture("datagrams.hex", &written);
+    let read: Vec<_> = fixture_lines("datagrams.hex")
         .iter()
         .map(|bytes| Datagram::from_bytes(bytes, FleetId::from_name("tablero")).unwrap())
         .collect();
@@ -133,10 +134,10 @@
 }
 
 #[test]
-fn stream_frames_travel_as_before() {
+fn stream_frames_are_encoded_as_in_version_0_2_0() {
     let written: String = frames().iter().map(|one| hex_line(&one.encode_to_vec())).collect();
-    assert_stored_text("frames.hex", &written);
-    let read: Vec<_> = stored_lines("frames.hex")
+    assert_equals_fixture("frames.hex", &written);
+    let read: Vec<_> = fixture_lines("frames.hex")
         .iter()
         .map(|bytes| Frame::from_bytes(bytes, FleetId::from_name("tablero")).unwrap())
         .collect();
@@ -144,17 +145,17 @@
 }
 
 #[test]
-fn records_travel_as_before() {
+fn records_are_encoded_as_in_version_0_2_0() {
     let written: String = records().iter().map(|one| hex_line(&one.encode_to_vec())).collect();
-    assert_stored_text("cards.hex", &written);
+    assert_equals_fixture("records.hex", &written);
     let read: Vec<_> =
-        stored_lines("cards.hex").iter().map(|bytes| MemberRecord::from_bytes(bytes).unwrap()).collect();
+        fixture_lines("records.hex").iter().map(|bytes| MemberRecord::from_bytes(bytes).unwrap()).collect();
     assert_eq!(read, records());
 }
 
-/// Hashes of names that all nodes have to agree on, and the names of states and phases in reports.
+/// All nodes have to agree on the hashes of names, and reports on the names of states and phases.
 #[test]
-fn hashes_and_words_are_the_same_everywhere() {
+fn hashes_and_names_are_those_of_version_0_2_0() {
     let states = [
         MemberState::Alive,
         MemberState::Stalled,
@@ -165,12 +166,12 @@
     let phases = [Phase::Serving, Phase::Joining, Phase::LameDuck];
     let version = records()[0].version();
     let text = [
-        format!("key of n1 {:016x}\n", MemberId::from_name("n1").0),
-        format!("fleet tablero {:016x}\n", FleetId::from_name("tablero").0),
+        format!("member id of n1 {:016x}\n", MemberId::from_name("n1").0),
+        format!("fleet id of tablero {:016x}\n", FleetId::from_name("tablero").0),
         format!("hash of a and b {:016x}\n", stable_hash(&[b"a", b"b"])),
         states.map(|state| format!("state {} {}\n", state.code(), state.as_str())).concat(),
         phases.map(|phase| format!("phase {}\n", phase.as_str())).concat(),
-        format!("stamp {:x}.{}\n", version.epoch.0, version.incarnation.0),
+        format!("record version {:x}.{}\n", version.epoch.0, version.incarnation.0),
     ];
-    assert_stored_text("hashes_and_words.txt", &text.concat());
+    assert_equals_fixture("hashes_and_names.txt", &text.concat());
 }
