--- a/crates/node/src/net/downstream/request_body.rs
+++ b/crates/node/src/net/downstream/request_body.rs
@@ -12,7 +12,7 @@
 
 use crate::net::admission::RequestError;
 use crate::net::memory_budget::MemoryBudget;
-use crate::net::upload::{UPLOAD_RULES, Upload};
+use crate::net::upload::{UPLOAD_PACE_LIMITS, Upload};
 
 /// Most that is buffered of a body that is streamed, where the memory budget allows it: up to here a request can be
 /// retried.
@@ -90,7 +90,7 @@
     });
     let limit = if wanted > max_buffered && reservation.try_grow(wanted) { wanted } else { max_buffered };
     let mut buffer = BytesMut::new();
-    let mut pace = PaceMonitor::new(UPLOAD_RULES, Instant::now());
+    let mut pace = PaceMonitor::new(UPLOAD_PACE_LIMITS, Instant::now());
     loop {
         pace.on_demand(Instant::now());
         let frame = match timeout(PACE_CHECK_INTERVAL, body.frame()).await {
--- a/crates/node/src/net/response_body/progress.rs
+++ b/crates/node/src/net/response_body/progress.rs
@@ -15,7 +15,7 @@
 const PACE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// An endpoint that is silent for this long within a response hangs; a client that reads nothing for this long is gone.
 /// Some endpoints pause for several seconds.
-const MAX_SILENCE: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// [`MIN_WINDOW_BYTES`] have to pass within this time, which is long enough for pauses in it.
 const PACE_WINDOW: Duration = Duration::from_secs(20);
 /// 1 KiB a second, a hundredth of the slowest line in use.
@@ -26,8 +26,8 @@
 const MIN_AHEAD: Duration = Duration::from_millis(250);
 
 /// Bounds on the pace of streamed responses.
-const RULES: PaceLimits = PaceLimits {
-    idle_timeout: MAX_SILENCE,
+const PACE_LIMITS: PaceLimits = PaceLimits {
+    idle_timeout: IDLE_TIMEOUT,
     window: PACE_WINDOW,
     min_window_bytes: MIN_WINDOW_BYTES,
     max_duration: MAX_DURATION,
@@ -48,7 +48,7 @@
 impl StreamProgress {
     pub(super) fn new() -> Rc<Self> {
         Rc::new(Self {
-            pace: RefCell::new(PaceMonitor::new(RULES, Instant::now())),
+            pace: RefCell::new(PaceMonitor::new(PACE_LIMITS, Instant::now())),
             end: Cell::new(None),
             upstream_done: Notify::new(),
             given_up: Cell::new(false),
--- a/crates/node/src/net/upload.rs
+++ b/crates/node/src/net/upload.rs
@@ -12,7 +12,7 @@
 use pumicehead_slow_peer::{PaceError, PaceLimits, PaceMonitor, Side};
 
 /// A client that has begun to send may be silent for this long.
-const MAX_SILENCE: Duration = Duration::from_millis(2_000);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// A client has to send [`MIN_WINDOW_BYTES`] within this time.
 const PACE_WINDOW: Duration = Duration::from_secs(4);
 /// 4 KiB a second; clients on slow lines send 64 kB a second.
@@ -21,8 +21,8 @@
 const MAX_DURATION: Duration = Duration::from_secs(900);
 
 /// Bounds on the pace of uploads.
-pub const UPLOAD_RULES: PaceLimits = PaceLimits {
-    idle_timeout: MAX_SILENCE,
+pub const UPLOAD_PACE_LIMITS: PaceLimits = PaceLimits {
+    idle_timeout: IDLE_TIMEOUT,
     window: PACE_WINDOW,
     min_window_bytes: MIN_WINDOW_BYTES,
     max_duration: MAX_DURATION,
@@ -62,7 +62,7 @@
     pub fn new(rest: Incoming, length: Option<u64>, allowed: u64, time_left: Duration) -> Rc<Self> {
         Rc::new(Self {
             rest: RefCell::new(Some(rest)),
-            pace: RefCell::new(PaceMonitor::new(UPLOAD_RULES, Instant::now())),
+            pace: RefCell::new(PaceMonitor::new(UPLOAD_PACE_LIMITS, Instant::now())),
             stage: Cell::new(Stage::Buffered),
             length,
             allowed: Cell::new(allowed),
@@ -123,7 +123,7 @@
     fn start(&self) {
         if self.stage.get() == Stage::Buffered {
             self.stage.set(Stage::InProgress);
-            *self.pace.borrow_mut() = PaceMonitor::new(UPLOAD_RULES, Instant::now());
+            *self.pace.borrow_mut() = PaceMonitor::new(UPLOAD_PACE_LIMITS, Instant::now());
         }
     }
 
