--- a/crates/node/src/net/downstream/http.rs
+++ b/crates/node/src/net/downstream/http.rs
@@ -113,7 +113,7 @@
         progress.is_streaming.set(body.is_stream());
         if body.is_stream() {
             let (aborted, answered) = (connection.clone(), connection.clone());
-            body.set_abort(move || aborted.close_now());
+            body.set_abort_hook(move || aborted.close_now());
             body.on_end(move |_| answered.mark_answered());
         } else {
             connection.mark_answered();
--- a/crates/node/src/net/response_body/mod.rs
+++ b/crates/node/src/net/response_body/mod.rs
@@ -48,9 +48,9 @@
     }
 
     /// Sets how a streamed body is aborted: by closing the client's connection.
-    pub fn set_abort(&self, abort: impl Fn() + 'static) {
+    pub fn set_abort_hook(&self, hook: impl Fn() + 'static) {
         if let Self::Stream(stream) = self {
-            stream.progress.set_abort(Box::new(abort));
+            stream.progress.set_abort_hook(Box::new(hook));
         }
     }
 }
@@ -86,7 +86,7 @@
         reservation: Reservation,
     ) -> (Self, Rc<StreamProgress>) {
         let progress = StreamProgress::new();
-        task::spawn_local(progress.clone().watch_pace());
+        task::spawn_local(progress.clone().enforce_pace());
         let start = Some(start).filter(|start| !start.is_empty());
         let body = Self {
             start,
@@ -110,7 +110,7 @@
     }
 
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if self.progress.is_given_up() {
+        if self.progress.is_aborted() {
             self.finish(StreamEnd::UpstreamFailed);
             return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
         }
--- a/crates/node/src/net/response_body/progress.rs
+++ b/crates/node/src/net/response_body/progress.rs
@@ -40,9 +40,9 @@
     end: Cell<Option<StreamEnd>>,
     /// The endpoint is done with the response, or the stream has ended.
     upstream_done: Notify,
-    given_up: Cell<bool>,
+    aborted: Cell<bool>,
     /// Closes the client's connection.
-    abort: RefCell<Option<Box<dyn Fn()>>>,
+    abort_hook: RefCell<Option<Box<dyn Fn()>>>,
 }
 
 impl StreamProgress {
@@ -51,8 +51,8 @@
             pace: RefCell::new(PaceMonitor::new(PACE_LIMITS, Instant::now())),
             end: Cell::new(None),
             upstream_done: Notify::new(),
-            given_up: Cell::new(false),
-            abort: RefCell::new(None),
+            aborted: Cell::new(false),
+            abort_hook: RefCell::new(None),
         })
     }
 
@@ -62,8 +62,8 @@
         self.end.get()
     }
 
-    pub(super) fn set_abort(&self, abort: Box<dyn Fn()>) {
-        *self.abort.borrow_mut() = Some(abort);
+    pub(super) fn set_abort_hook(&self, hook: Box<dyn Fn()>) {
+        *self.abort_hook.borrow_mut() = Some(hook);
     }
 
     /// Number of bytes that were passed on.
@@ -80,8 +80,8 @@
         self.pace.borrow_mut().on_demand(now);
     }
 
-    pub(super) fn is_given_up(&self) -> bool {
-        self.given_up.get()
+    pub(super) fn is_aborted(&self) -> bool {
+        self.aborted.get()
     }
 
     /// The stream has ended; returns whether it had not before.
@@ -95,7 +95,7 @@
     }
 
     /// Checks the pace until the stream has ended.
-    pub(super) async fn watch_pace(self: Rc<Self>) {
+    pub(super) async fn enforce_pace(self: Rc<Self>) {
         while self.end.get().is_none() {
             sleep(PACE_CHECK_INTERVAL).await;
             let now = Instant::now();
@@ -106,17 +106,17 @@
             if let Err(reason) = pace
                 && self.end.get().is_none()
             {
-                return self.give_up(reason);
+                return self.abort(reason);
             }
         }
     }
 
     /// Aborts the stream. Whichever side was too slow, the client has to see that the response is incomplete.
-    fn give_up(&self, reason: PaceError) {
+    fn abort(&self, reason: PaceError) {
         warn!(target: "stream", bytes = self.bytes(), %reason, "response aborted (source: endpoint, sink: client)");
-        self.given_up.set(true);
-        if let Some(abort) = &*self.abort.borrow() {
-            abort();
+        self.aborted.set(true);
+        if let Some(hook) = &*self.abort_hook.borrow() {
+            hook();
         }
     }
 }
