--- a/crates/node/src/net/counting_stream/mod.rs
+++ b/crates/node/src/net/counting_stream/mod.rs
@@ -51,11 +51,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreadState {
     /// Nothing; the connection is open.
-    Nothing,
+    Empty,
     /// Data.
-    Bytes,
+    Data,
     /// The end of the connection.
-    End,
+    Closed,
 }
 
 impl CountingStream {
@@ -143,10 +143,10 @@
     /// Returns what lies unread. The kernel is asked: the event loop may not have seen the latest data.
     pub fn unread(&self) -> UnreadState {
         match self.0.socket.as_ref().peek(&mut [MaybeUninit::uninit()]) {
-            Ok(0) => UnreadState::End,
-            Ok(_) => UnreadState::Bytes,
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => UnreadState::Nothing,
-            Err(_) => UnreadState::End,
+            Ok(0) => UnreadState::Closed,
+            Ok(_) => UnreadState::Data,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => UnreadState::Empty,
+            Err(_) => UnreadState::Closed,
         }
     }
 
--- a/crates/node/src/net/downstream/connection.rs
+++ b/crates/node/src/net/downstream/connection.rs
@@ -112,16 +112,14 @@
         self.stage.get() == ConnectionStage::Waiting
             && self.stream.head_started_at().is_none()
             && !self.stream.is_blocked()
-            && self.stream.unread() != UnreadState::Bytes
+            && self.stream.unread() != UnreadState::Data
     }
 
     /// Whether a request has come, as far as can be seen, whose response has not arrived, or only just.
     pub fn owes_response(&self) -> bool {
         match self.stage.get() {
             ConnectionStage::Busy => true,
-            ConnectionStage::Waiting => {
-                self.stream.is_blocked() || self.stream.unread() == UnreadState::Bytes
-            }
+            ConnectionStage::Waiting => self.stream.is_blocked() || self.stream.unread() == UnreadState::Data,
             ConnectionStage::Lingering => self.last_activity.get().elapsed() < MIN_IDLE_BEFORE_EVICTION,
             ConnectionStage::Ending => false,
         }
@@ -156,7 +154,7 @@
                 Some(started) => now >= started + request_timeout,
                 None => {
                     now >= self.last_activity.get() + idle_timeout
-                        && self.stream.unread() == UnreadState::Nothing
+                        && self.stream.unread() == UnreadState::Empty
                 }
             }
     }
--- a/crates/node/src/net/downstream/connection_budget.rs
+++ b/crates/node/src/net/downstream/connection_budget.rs
@@ -97,8 +97,7 @@
         let ranked = connections.iter().filter_map(|connection| Some((rank(connection)?, connection)));
         let Some((_, connection)) = ranked.min_by_key(|(rank, _)| *rank) else { return false };
         // A request may have come that the event loop has not read: the kernel is asked about the chosen socket alone.
-        if connection.stage() == ConnectionStage::Waiting && connection.stream.unread() == UnreadState::Bytes
-        {
+        if connection.stage() == ConnectionStage::Waiting && connection.stream.unread() == UnreadState::Data {
             return false;
         }
         connection.close_now();
--- a/crates/node/src/net/upstream/fastcgi/connection.rs
+++ b/crates/node/src/net/upstream/fastcgi/connection.rs
@@ -116,7 +116,7 @@
     /// Whether a request may be sent on it. The kernel is asked: the event loop may not have seen the endpoint's close.
     pub fn is_open(&self) -> bool {
         let stream = self.stream.borrow();
-        !self.closed.get() && stream.as_ref().is_some_and(|stream| stream.unread() != UnreadState::End)
+        !self.closed.get() && stream.as_ref().is_some_and(|stream| stream.unread() != UnreadState::Closed)
     }
 
     /// Closes it after its last request, at once if it has none.
--- a/crates/node/src/net/upstream/fastcgi/driver.rs
+++ b/crates/node/src/net/upstream/fastcgi/driver.rs
@@ -147,7 +147,7 @@
         match command {
             Some(ConnectionCommand::Send(number, request)) => {
                 // A request that is written after the endpoint has closed may have been executed, for all that is known.
-                if self.pending.is_empty() && self.reader.unread() == UnreadState::End {
+                if self.pending.is_empty() && self.reader.unread() == UnreadState::Closed {
                     return false;
                 }
                 self.send(number, request);
--- a/crates/node/src/net/upstream/http/connection.rs
+++ b/crates/node/src/net/upstream/http/connection.rs
@@ -29,7 +29,7 @@
 impl HttpConnection {
     /// Whether the endpoint has neither closed it nor sent anything unread.
     pub fn is_open(&self) -> bool {
-        !self.sender.is_closed() && self.stream.unread() == UnreadState::Nothing
+        !self.sender.is_closed() && self.stream.unread() == UnreadState::Empty
     }
 
     /// Marks that all data so far belongs to requests.
@@ -39,7 +39,7 @@
 
     /// Whether data has come since it became idle.
     pub fn has_unsolicited_data(&self) -> bool {
-        self.stream.bytes_read() != self.bytes_read_when_idle || self.stream.unread() == UnreadState::Bytes
+        self.stream.bytes_read() != self.bytes_read_when_idle || self.stream.unread() == UnreadState::Data
     }
 }
 
