--- a/crates/capacity-leases/src/endpoint_health_view.rs
+++ b/crates/capacity-leases/src/endpoint_health_view.rs
@@ -1,8 +1,9 @@
-//! A planner's view of endpoints, merged from the observations of forwarders. Where these disagree the most
-//! cautious one counts, by endpoint and by rule; failures and load are added up.
+//! A planner's view of endpoints, merged from the observations of forwarders. Where they disagree on the
+//! process, a drain or the age of an endpoint, the most cautious observation wins; failures and load are
+//! summed.
 //!
-//! A view is built from reports alone: a planner that starts has it complete after the first report of each
-//! forwarder.
+//! The view is built from reports only, so it is complete as soon as a new planner has received one report of
+//! each forwarder.
 
 use std::collections::BTreeMap;
 
@@ -12,46 +13,47 @@
 use crate::ForwarderId;
 use crate::wire::EndpointObservation;
 
-/// Time constant of the decay of counts: long enough to see a failure at a few requests a second, short
-/// enough to try an endpoint again that has recovered.
+/// Time constant of the exponential decay of counts: long enough to detect failures at a few requests per
+/// second, short enough to try a recovered endpoint again.
 const COUNT_DECAY: Nanos = 4 * SECOND;
-/// Least decayed count of responses at which a failure rate is known.
+/// An endpoint's failure rate is included in the median if its decayed count of responses exceeds this.
 const MIN_RESPONSES: f64 = 0.5;
-/// An endpoint is an outlier from this many failures on, over all forwarders ...
+/// Minimum number of failures of an outlier, summed over all forwarders.
 const MIN_FAILURES: u64 = 3;
-/// Tolerance for a count of failures that has decayed a little.
+/// Tolerance below [`MIN_FAILURES`], since counts decay.
 const FAILURE_TOLERANCE: f64 = 0.5;
-/// ... if they are this fraction of its responses ...
+/// Minimum failure rate of an outlier.
 const MIN_FAILURE_RATE: f64 = 0.5;
-/// ... and this multiple of the median of all endpoints: where most fail, the cause is not the endpoint.
+/// Minimum ratio of an outlier's failure rate to the median of all endpoints. If most endpoints fail, the
+/// cause is not the endpoint.
 const MIN_MEDIAN_MULTIPLE: f64 = 2.0;
-/// Largest fraction of the endpoints that is avoided, the worst first: the others could not take the load of
-/// more.
+/// Maximum fraction of the endpoints that is avoided, the worst first. If more were avoided, the others could
+/// not take the load.
 const MAX_AVOIDED_FRACTION: f64 = 0.25;
-/// How long a drain is remembered after the last observation: longer than a process takes to drain.
+/// Time for which a drain is retained after the last observation: longer than a process takes to drain.
 const DRAIN_RETENTION: Nanos = 3_600 * SECOND;
-/// Fraction of all concurrency limits from which on endpoints are saturated.
+/// Fraction of the sum of all concurrency limits at which endpoints count as saturated.
 const SATURATION: f64 = 0.9;
 
-/// An endpoint as all forwarders together observe it.
+/// The merged observations of an endpoint by all forwarders.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointHealth {
-    /// The latest start of its process that a forwarder knows, as discovery numbers starts. It identifies the
-    /// process, and is not compared with a clock.
+    /// The latest incarnation of the endpoint that a forwarder knows, as numbered by discovery. It identifies
+    /// the process, and is not compared with a clock.
     pub incarnation: u64,
-    /// The process is draining. Never taken back for the same process.
+    /// Whether the process is draining. Never reset for the same process.
     pub draining: bool,
     /// The shortest time for which a forwarder has known this process, in nanoseconds.
     pub known_for: Nanos,
-    /// It fails much more than others, and should not be used for now.
+    /// Whether the endpoint fails much more often than others, and should not be used for now.
     pub avoid: bool,
-    /// Attempts in flight.
+    /// Number of attempts in flight, summed over forwarders.
     pub in_flight: u64,
     /// Sum of the concurrency limits of the forwarders.
     pub concurrency_limit: u64,
 }
 
-/// The last observation of a forwarder, and when it arrived.
+/// The last observation of a forwarder, with its time of arrival.
 #[derive(Clone, Debug)]
 struct ReceivedObservation {
     received_at: Nanos,
@@ -96,22 +98,22 @@
 struct EndpointState {
     observations: FxHashMap<ForwarderId, ReceivedObservation>,
     counts: DecayingCounts,
-    /// The process that counts and drain are about.
+    /// The process to which `counts` and `draining` refer.
     incarnation: u64,
     draining: bool,
     last_observed_at: Nanos,
 }
 
-/// What a planner knows of endpoints.
+/// A planner's view of endpoints.
 #[derive(Debug, Default)]
 pub struct EndpointHealthView {
-    /// Ordered, so that equal reports lead to equal plans.
+    /// Ordered, so that equal reports result in equal plans.
     endpoints: BTreeMap<EndpointId, EndpointState>,
 }
 
 impl EndpointHealthView {
-    /// Adds an observation of a forwarder. Its counts are totals since the start of the forwarder, so that
-    /// what is lost in transit is contained in the next one.
+    /// Adds an observation of a forwarder. Its counts are totals since the start of the forwarder, so that a
+    /// lost observation is covered by the next one.
     pub fn observe(
         &mut self,
         forwarder: ForwarderId,
@@ -122,7 +124,7 @@
         let state = self.endpoints.entry(endpoint).or_default();
         let last = state.observations.get(&forwarder).map(|received| &received.observation);
         let last = last.filter(|last| last.incarnation == observation.incarnation);
-        // The first totals of a forwarder do not count: it is not known when they were counted.
+        // The first totals of a forwarder are ignored, since the period that they cover is unknown.
         let (succeeded, failed) = last.map_or((0, 0), |last| {
             (
                 observation.succeeded.saturating_sub(last.succeeded),
@@ -130,7 +132,7 @@
             )
         });
         if observation.incarnation > state.incarnation {
-            // A new process: counts and drain were about the previous one.
+            // A new process: counts and drain referred to the previous one.
             *state = EndpointState {
                 observations: std::mem::take(&mut state.observations),
                 incarnation: observation.incarnation,
@@ -146,7 +148,7 @@
         state.observations.insert(forwarder, received);
     }
 
-    /// Removes the observations of a forwarder: of one endpoint, or of all.
+    /// Removes the observations of a forwarder, either of one endpoint or of all.
     pub fn remove_observations(&mut self, forwarder: ForwarderId, endpoint: Option<EndpointId>) {
         match endpoint {
             Some(endpoint) => {
@@ -162,7 +164,8 @@
         }
     }
 
-    /// Removes observations from before a time, and endpoints without any. Drains are kept for longer.
+    /// Removes observations that arrived before a time, and endpoints without observations. Endpoints with a
+    /// drain are retained for longer.
     pub fn expire(&mut self, before: Nanos) {
         self.endpoints.retain(|_, state| {
             state.observations.retain(|_, received| received.received_at >= before);
@@ -172,7 +175,7 @@
         });
     }
 
-    /// All endpoints with their merged observations.
+    /// Returns all endpoints with their merged observations.
     #[must_use]
     pub fn merged(&self, now: Nanos) -> BTreeMap<EndpointId, EndpointHealth> {
         let mut merged: BTreeMap<_, _> =
@@ -185,8 +188,8 @@
         merged
     }
 
-    /// Endpoints that fail much more than others, the worst first, and no more than [`MAX_AVOIDED_FRACTION`]
-    /// allows.
+    /// Returns the endpoints that fail much more often than others, the worst first, up to
+    /// [`MAX_AVOIDED_FRACTION`] of all.
     fn outliers(&self, now: Nanos) -> Vec<EndpointId> {
         let median = self.median_failure_rate(now);
         let mut outliers: Vec<_> = self
@@ -203,7 +206,8 @@
         outliers.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// The median over endpoints, not over attempts: an endpoint that fails fast has most of the attempts.
+    /// Returns the median over endpoints rather than attempts, since an endpoint that fails fast receives most
+    /// of the attempts.
     fn median_failure_rate(&self, now: Nanos) -> f64 {
         let observed = self.endpoints.values().filter(|state| state.counts.responses(now) > MIN_RESPONSES);
         let mut rates: Vec<f64> = observed.map(|state| state.counts.failure_rate(now)).collect();
@@ -211,7 +215,8 @@
         rates.get(rates.len() / 2).copied().unwrap_or_default()
     }
 
-    /// Whether the endpoints that take requests are saturated, over all forwarders.
+    /// Whether the endpoints that take requests, which are neither draining nor avoided, are saturated by all
+    /// forwarders together.
     #[must_use]
     pub fn is_saturated(&self, now: Nanos) -> bool {
         let merged = self.merged(now);
@@ -224,7 +229,7 @@
 
 impl EndpointState {
     fn merged(&self, now: Nanos) -> EndpointHealth {
-        // A forwarder that observes an earlier process says nothing about this one.
+        // Observations of an earlier process are ignored.
         let current = || {
             let received = self.observations.values();
             received.filter(|received| received.observation.incarnation == self.incarnation)
--- a/crates/capacity-leases/src/lease_holder.rs
+++ b/crates/capacity-leases/src/lease_holder.rs
@@ -1,11 +1,14 @@
-//! A forwarder's rates towards endpoints in slow start.
+//! The rates of a forwarder towards endpoints in slow start.
 //!
-//! Each forwarder owns a share of the capacity of each such endpoint that it uses; the shares of all
-//! forwarders add up to the whole without any coordination. It may lend its share to planners, which grant it
-//! to the forwarders that gain most: among a thousand forwarders a share is less than a request a minute. A
-//! lent share is not used until the loan has ended, and a grant ends before every loan that it can be made
-//! of. So the rates of all forwarders never add up to more than all of them own, or owned within the duration
-//! of a loan, whatever fails, and a forwarder without planners gets its own share back.
+//! Each forwarder owns a share of the capacity of each such endpoint that it uses. The shares of all
+//! forwarders add up to the whole capacity without coordination. Among a thousand forwarders a share is less
+//! than one request per minute, so a forwarder may lend its share to planners, which grant it to the
+//! forwarders that benefit most.
+//!
+//! A forwarder does not use a lent share until the loan has ended, and a grant ends before all loans that it
+//! may be made of. Whatever fails, the rates of all forwarders therefore never add up to more than the shares
+//! that they own, or owned within the duration of a loan. A forwarder without planners gets its own share
+//! back.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -17,54 +20,56 @@
 use crate::rate_promise::{Rate, RatePromises};
 use crate::{PlanNumber, PlannerId, ReportNumber};
 
-/// Reports whose time of sending is remembered. A plan that answers an older one has expired.
-const MAX_REMEMBERED_REPORTS: usize = 64;
+/// Number of reports per planner whose time of sending is kept. A plan that answers an older report has
+/// expired.
+const MAX_RECORDED_REPORTS: usize = 64;
 
-/// Most endpoints in slow start of which a forwarder lends its share.
+/// Maximum number of endpoints in slow start of which a forwarder owns, and can lend, a share.
 pub const MAX_LENT_ENDPOINTS: usize = 1_024;
 
 /// The loans in a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoanReport {
-    /// Number of the report; 0 where the planner is not known.
+    /// Number of the report; 0 if the planner is unknown.
     pub number: ReportNumber,
     /// The last plan that was accepted from this planner.
     pub last_plan: Option<(PlannerId, PlanNumber)>,
-    /// What the forwarder does not use for the duration of a loan from now, by endpoint.
+    /// Rates by endpoint that the forwarder does not use for the duration of a loan, starting now.
     pub lent: Vec<(EndpointId, Rate)>,
 }
 
 /// The leases in a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeasePlan {
-    /// The planner that sent it.
+    /// The planner that sent the plan.
     pub planner: PlannerId,
     /// Number of the plan.
     pub number: PlanNumber,
     /// The last report that the planner has accepted.
     pub answered_report: ReportNumber,
-    /// Rates that the forwarder may use until the lease ends, by endpoint. They replace all earlier grants.
+    /// Rates by endpoint that the forwarder may use until the lease ends. They replace all earlier grants of
+    /// the planner.
     pub grants: Vec<(EndpointId, Rate)>,
 }
 
 /// Why a plan is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PlanError {
-    /// It answers a report that was not sent, or not lately.
-    #[error("the plan answers an unknown report")]
+    /// The planner is unknown, or the plan answers a report that was not sent to it or too long ago.
+    #[error("the plan answers an unknown or too old report")]
     UnknownReport,
-    /// Its lease has ended.
-    #[error("the lease of the plan has ended")]
+    /// The lease of the plan has ended.
+    #[error("the lease of the plan has expired")]
     Expired,
-    /// A later plan was accepted before.
-    #[error("the plan is older than the last one")]
+    /// The plan was accepted before, or a later one was.
+    #[error("the plan is not newer than the last accepted one")]
     Outdated,
 }
 
-/// State between a forwarder and one planner.
+/// State of a forwarder for one planner.
 #[derive(Debug, Default)]
 struct PlannerLink {
-    /// Number of the last report; `RETIRED` where the planner was removed.
+    /// Number of the last report; `RETIRED` if the planner was removed.
     last_report: u64,
     sent_reports: VecDeque<(ReportNumber, Nanos)>,
     last_plan: Option<(PlannerId, PlanNumber)>,
@@ -74,7 +79,7 @@
     grants: FxHashMap<EndpointId, Rate>,
 }
 
-/// Marks a link whose planner was removed and whose loans have not ended.
+/// Marks the link of a removed planner whose loans have not ended yet.
 const RETIRED: u64 = u64::MAX;
 
 impl PlannerLink {
@@ -86,12 +91,12 @@
         now < self.lease_end
     }
 
-    /// Records a report that lends these rates until a time, and returns its number.
+    /// Records a report that lends rates until a time, and returns its number.
     fn record_report(&mut self, lent: &[(EndpointId, Rate)], now: Nanos, until: Nanos) -> ReportNumber {
         self.last_report += 1;
         let number = ReportNumber(self.last_report);
         self.sent_reports.push_back((number, now));
-        if self.sent_reports.len() > MAX_REMEMBERED_REPORTS {
+        if self.sent_reports.len() > MAX_RECORDED_REPORTS {
             self.sent_reports.pop_front();
         }
         self.lent.retain(|_, promises| promises.expire(now));
@@ -107,31 +112,32 @@
 pub struct LeaseHolder {
     own: BTreeMap<EndpointId, Rate>,
     terms: LeaseTerms,
-    /// When the forwarder may begin to use and lend its own share: an earlier process may have lent it.
-    own_from: Nanos,
+    /// When the forwarder may start to use and lend its own share. Before, loans of an earlier process may not
+    /// have ended.
+    own_usable_from: Nanos,
     links: Vec<PlannerLink>,
 }
 
 impl LeaseHolder {
-    /// The rates of a forwarder that starts `now`, with this number of planners.
+    /// Creates the state of a forwarder that starts `now` with a number of planners.
     #[must_use]
     pub fn new(terms: LeaseTerms, planners: usize, now: Nanos) -> Self {
         Self {
             own: BTreeMap::new(),
             terms,
-            own_from: now + LeaseTerms::max_local_span(terms.loan),
+            own_usable_from: now + LeaseTerms::max_local_span(terms.loan),
             links: (0..planners).map(|_| PlannerLink::default()).collect(),
         }
     }
 
-    /// Sets the shares that this forwarder owns now, of the endpoints that it uses. Loans that exceed a share
-    /// run on, and nothing of the share is left to use until they end.
+    /// Sets the shares that this forwarder now owns of the endpoints it uses, up to [`MAX_LENT_ENDPOINTS`].
+    /// Loans that exceed a share continue, and nothing of the share can be used until they end.
     pub fn set_own(&mut self, own: impl IntoIterator<Item = (EndpointId, Rate)>) {
         self.own = own.into_iter().take(MAX_LENT_ENDPOINTS).collect();
     }
 
-    /// Replaces the planners: `kept` has, for each new index, the old index of the same planner. Loans to
-    /// planners that are removed run until their end; grants from them end at once.
+    /// Replaces the planners. `kept` has, for each new index, the old index of the same planner, if any. Loans
+    /// to removed planners continue until their end; grants from them end at once.
     pub fn replace_planners(&mut self, kept: &[Option<usize>], now: Nanos) {
         let mut old: Vec<Option<PlannerLink>> =
             std::mem::take(&mut self.links).into_iter().map(Some).collect();
@@ -140,14 +146,14 @@
         for mut removed in old.into_iter().flatten() {
             removed.lent.retain(|_, promises| promises.expire(now));
             if !removed.lent.is_empty() {
-                // Kept among the others, since loans are summed over all links.
+                // Loans are summed over all links, so the link is kept.
                 let lent = removed.lent;
                 self.links.push(PlannerLink { lent, last_report: RETIRED, ..PlannerLink::default() });
             }
         }
     }
 
-    /// The next report to a planner. Nothing is lent to a planner without a live lease.
+    /// Returns the next report to a planner. Nothing is lent to a planner whose lease is not live.
     pub fn next_report(&mut self, planner: usize, now: Nanos) -> LoanReport {
         let lent = self.next_loans(planner, now);
         let until = now + LeaseTerms::max_local_span(self.terms.loan);
@@ -158,17 +164,17 @@
         LoanReport { number, last_plan: link.last_plan, lent }
     }
 
-    /// The rates to lend to a planner: an equal part of each share for each live planner.
+    /// Returns the rates to lend to a planner: of each share, an equal part for each live planner.
     fn next_loans(&self, planner: usize, now: Nanos) -> Vec<(EndpointId, Rate)> {
         let is_live = self.links.get(planner).is_some_and(|link| link.is_live(now));
-        if now < self.own_from || !is_live {
+        if now < self.own_usable_from || !is_live {
             return Vec::new();
         }
         let live = self.live_planners(now) as u64;
         let mut loans = Vec::new();
         for (&endpoint, &own) in &self.own {
-            // Loans to others count against the present share, even if that has become less: loans that are
-            // renewed one by one would outlast the share that they were made of.
+            // Loans to other planners are subtracted from the current share, even if it has decreased.
+            // Otherwise loans that are renewed one after another could outlast the share they were made from.
             let others = self.links.iter().enumerate().filter(|(other, _)| *other != planner);
             let others: Rate = others.map(|(_, link)| link.lent(endpoint, now)).sum();
             let rate = own.split(live).min(own.saturating_sub(others));
@@ -182,7 +188,7 @@
     /// Accepts a plan from a planner.
     ///
     /// # Errors
-    /// Why it is not accepted; nothing is changed then.
+    /// Returns why the plan is not accepted. Nothing is changed in that case.
     pub fn accept_plan(&mut self, planner: usize, plan: &LeasePlan, now: Nanos) -> Result<(), PlanError> {
         let link = self.links.get_mut(planner).ok_or(PlanError::UnknownReport)?;
         let mut sent_reports = link.sent_reports.iter();
@@ -201,8 +207,8 @@
         Ok(())
     }
 
-    /// The rate at which this forwarder may send to an endpoint in slow start now, before the warm-up ramp:
-    /// what is left of its own share, and what it was granted.
+    /// Returns the rate at which this forwarder may now send to an endpoint in slow start, before the warm-up
+    /// ramp is applied: the part of its own share that is not lent, and its grants.
     #[must_use]
     pub fn rate(&self, endpoint: EndpointId, now: Nanos) -> Rate {
         let live = self.links.iter().filter(|link| link.is_live(now));
@@ -210,7 +216,7 @@
         self.unlent(endpoint, now) + granted
     }
 
-    /// The rates that are granted now, by endpoint, and how long all of them hold.
+    /// Returns the currently granted rates by endpoint, and how long all of them stay valid.
     #[must_use]
     pub fn granted_rates(&self, now: Nanos) -> (BTreeMap<EndpointId, Rate>, Nanos) {
         let mut granted: BTreeMap<EndpointId, Rate> = BTreeMap::new();
@@ -224,7 +230,7 @@
         (granted, until.saturating_sub(now))
     }
 
-    /// The rates that are lent now, by endpoint.
+    /// Returns the currently lent rates by endpoint.
     #[must_use]
     pub fn lent_rates(&self, now: Nanos) -> BTreeMap<EndpointId, Rate> {
         let mut lent: BTreeMap<EndpointId, Rate> = BTreeMap::new();
@@ -240,15 +246,15 @@
         self.links.iter().filter(|link| link.is_live(now)).count()
     }
 
-    /// The part of the own share of an endpoint that is lent now.
+    /// The rate of an endpoint that is currently lent.
     #[must_use]
     pub fn lent(&self, endpoint: EndpointId, now: Nanos) -> Rate {
         self.links.iter().map(|link| link.lent(endpoint, now)).sum()
     }
 
-    /// The part of the own share of an endpoint that is not lent.
+    /// The part of the own share of an endpoint that is currently not lent.
     fn unlent(&self, endpoint: EndpointId, now: Nanos) -> Rate {
-        if now < self.own_from {
+        if now < self.own_usable_from {
             return Rate::ZERO;
         }
         let own = self.own.get(&endpoint);
--- a/crates/capacity-leases/src/lease_table.rs
+++ b/crates/capacity-leases/src/lease_table.rs
@@ -1,4 +1,4 @@
-//! A planner's side of the leases: what forwarders have lent to it, and what it grants from that.
+//! The lease table of a planner: the rates that forwarders have lent to it, and the grants made from them.
 
 use std::collections::VecDeque;
 
@@ -11,16 +11,16 @@
 use crate::table_sync::splitmix64;
 use crate::{ForwarderId, PlanNumber, PlannerId, ReportNumber};
 
-/// Plans to one forwarder whose time of sending is remembered.
-const MAX_REMEMBERED_PLANS: usize = 64;
-/// Least rate of a grant, as far as the loans suffice: with less, most forwarders would open connections that
-/// they use once in some seconds.
+/// Number of plans per forwarder whose time of sending is kept.
+const MAX_RECORDED_PLANS: usize = 64;
+/// Minimum rate of a grant, if the loans suffice. With less, most forwarders would open connections that they
+/// use only once in several seconds.
 const MIN_GRANT: Rate = Rate::from_requests_per_second(1);
-/// Most forwarders of a planner, at some hundred bytes for each. Others are refused, and keep their own
-/// shares.
+/// Maximum number of forwarders of a planner, at a few hundred bytes each. Further ones are rejected, and keep
+/// their own shares.
 pub const MAX_FORWARDERS: usize = 65_536;
 
-/// State of one forwarder.
+/// State of a planner for one forwarder.
 #[derive(Debug, Default)]
 struct ForwarderState {
     sent_plans: VecDeque<(PlanNumber, Nanos)>,
@@ -31,28 +31,28 @@
 impl ForwarderState {
     fn record_plan(&mut self, number: PlanNumber, now: Nanos) {
         self.sent_plans.push_back((number, now));
-        if self.sent_plans.len() > MAX_REMEMBERED_PLANS {
+        if self.sent_plans.len() > MAX_RECORDED_PLANS {
             self.sent_plans.pop_front();
         }
     }
 }
 
-/// What is lent to a planner, and what it has granted.
+/// The loans to a planner and its grants.
 #[derive(Debug)]
 pub struct LeaseTable {
     planner: PlannerId,
     terms: LeaseTerms,
-    /// When grants begin: what an earlier process granted may be in use until then.
+    /// When grants start. Before, grants of an earlier process may still be in use.
     grants_from: Nanos,
-    /// Number of the last plan to any forwarder. Shared by all, so that a forwarder that was forgotten and
-    /// returns never receives a number twice.
+    /// Number of the last plan to any forwarder. It is shared by all forwarders, so that one that was removed
+    /// from the table and returns never receives a number twice.
     last_plan: PlanNumber,
     forwarders: FxHashMap<ForwarderId, ForwarderState>,
     granted: FxHashMap<EndpointId, FxHashMap<ForwarderId, RatePromises>>,
 }
 
 impl LeaseTable {
-    /// The empty table of a planner that starts `now`.
+    /// Creates the empty table of a planner that starts `now`.
     #[must_use]
     pub fn new(planner: PlannerId, terms: LeaseTerms, now: Nanos) -> Self {
         Self {
@@ -65,19 +65,20 @@
         }
     }
 
-    /// Accepts a report. Returns false if the planner has too many forwarders for another one.
+    /// Accepts a report. Returns `false` if the forwarder is new and the planner already has
+    /// [`MAX_FORWARDERS`].
     pub fn accept_report(&mut self, forwarder: ForwarderId, report: &LoanReport, now: Nanos) -> bool {
         if !self.forwarders.contains_key(&forwarder) && self.forwarders.len() >= MAX_FORWARDERS {
             return false;
         }
         let state = self.forwarders.entry(forwarder).or_default();
         if report.number <= state.last_report {
-            // A newer report has replaced it.
+            // A newer report has superseded this one.
             return true;
         }
         state.last_report = report.number;
-        // The report may have been delayed until after the end of its loans. It was sent after the plan that
-        // it names, whose time is known: loans count from there.
+        // The report may have been delayed beyond the end of its loans. It was sent after the plan that it
+        // names, whose time of sending is known, so the loans are counted from that time.
         let last_plan = report.last_plan.filter(|(planner, _)| *planner == self.planner);
         let sent_plan =
             last_plan.and_then(|(_, plan)| state.sent_plans.iter().find(|(number, _)| *number == plan));
@@ -91,8 +92,8 @@
         true
     }
 
-    /// The next plan for a forwarder: grants at most the desired rates, as far as loans suffice. `None` for a
-    /// forwarder without a report.
+    /// Returns the next plan for a forwarder. It grants the desired rates as far as the loans suffice. Returns
+    /// `None` if there is no report of the forwarder.
     pub fn next_plan(
         &mut self,
         forwarder: ForwarderId,
@@ -108,9 +109,9 @@
         let mut grants = Vec::new();
         let desired = desired.iter().filter(|_| now >= self.grants_from);
         for &(endpoint, rate) in desired {
-            // Grants to others may end before this one, and so may loans: grants count as they are now, and
-            // loans as they are at the end of this grant. The forwarder's own earlier grant does not count:
-            // it may be made of loans that end sooner.
+            // Other grants and loans may end before this grant does. Grants to other forwarders are therefore
+            // counted as of now, and loans as of the end of this grant. The forwarder's own earlier grant is
+            // not counted, since it may be made of loans that end sooner.
             let lent = self.lent(endpoint, until);
             let holders = self.granted.entry(endpoint).or_default();
             let others = holders.iter().filter(|(id, _)| **id != forwarder);
@@ -124,9 +125,9 @@
         Some(LeasePlan { planner: self.planner, number, answered_report, grants })
     }
 
-    /// The rates that a forwarder should get: of each endpoint that it lends, and so uses, an equal part for
-    /// as many lenders as `MIN_GRANT` allows. The lenders are chosen by the endpoint alone, so that all
-    /// planners choose the same.
+    /// Returns the rates that a forwarder should be granted. Each endpoint that it lends, and therefore uses,
+    /// is divided equally among as many of its lenders as `MIN_GRANT` allows. These are chosen by rendezvous
+    /// hashing of endpoint and forwarder, so that all planners choose the same ones.
     #[must_use]
     pub fn desired_grants(&self, forwarder: ForwarderId, now: Nanos) -> Vec<(EndpointId, Rate)> {
         let Some(state) = self.forwarders.get(&forwarder) else { return Vec::new() };
@@ -148,7 +149,8 @@
         endpoints.into_iter().map(desired).collect()
     }
 
-    /// Forgets loans and grants that have ended, and forwarders without a report for the duration of a loan.
+    /// Removes loans and grants that have ended, and forwarders that have no loans and were sent no plan for
+    /// the duration of a loan.
     pub fn expire(&mut self, now: Nanos) {
         self.granted.retain(|_, holders| {
             holders.retain(|_, promises| promises.expire(now));
@@ -162,14 +164,14 @@
         });
     }
 
-    /// The rate of an endpoint that is lent now and until a time.
+    /// The rate of an endpoint that is currently lent and stays lent until a time.
     #[must_use]
     pub fn lent(&self, endpoint: EndpointId, until: Nanos) -> Rate {
         let promises = self.forwarders.values().filter_map(|state| state.lent.get(&endpoint));
         promises.map(|promises| promises.rate_at(until)).sum()
     }
 
-    /// The rate of an endpoint that is granted now.
+    /// The rate of an endpoint that is currently granted.
     #[must_use]
     pub fn granted(&self, endpoint: EndpointId, now: Nanos) -> Rate {
         let holders = self.granted.get(&endpoint);
@@ -183,8 +185,8 @@
     }
 }
 
-/// Weight of a forwarder for rendezvous hashing: a forwarder that joins or leaves moves the rank of others by
-/// at most one.
+/// Weight of a forwarder in rendezvous hashing. A forwarder that joins or leaves changes the rank of each
+/// other one by at most one.
 fn rendezvous_weight(endpoint: EndpointId, forwarder: ForwarderId) -> (u64, ForwarderId) {
     (splitmix64(splitmix64(u64::from(endpoint.0)) ^ forwarder.0), forwarder)
 }
--- a/crates/capacity-leases/src/table_sync.rs
+++ b/crates/capacity-leases/src/table_sync.rs
@@ -1,30 +1,30 @@
-//! Keeps a table equal on both sides of a connection. Only changes are sent, with a digest of the whole
-//! table, so that a difference by a fault of either side is found with the next change.
+//! Replicates a table over a connection. Only changes are sent, together with a digest of the whole table, so
+//! that a difference caused by a fault on either side is detected with the next change.
 //!
-//! Entries are the bytes that their writer encoded. A reader of an older version, which skips fields that it
-//! does not know, so computes the same digest.
+//! Entries are transferred as the bytes that the sender encoded. A receiver of an older version, which skips
+//! unknown fields when it decodes them, therefore computes the same digest.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
 use thiserror::Error;
 
-/// Most entries of a table: ten times the endpoints of the largest deployment.
+/// Maximum number of entries in a table: ten times the endpoints of the largest deployment.
 pub const MAX_ENTRIES: usize = 25_000;
-/// Longest entry, in bytes.
+/// Maximum size of a value in bytes.
 pub const MAX_ENTRY_BYTES: usize = 1_024;
-/// Size of a key in the limit of a delta, in bytes.
+/// Bytes that the key of a removed entry counts towards the size limit of a delta.
 const KEY_BYTES: usize = 4;
-/// Size of an entry without its value in the limit of a delta, in bytes.
+/// Bytes that an entry, in addition to its value, counts towards the size limit of a delta.
 const ENTRY_OVERHEAD_BYTES: usize = 8;
 
 /// Values by key.
 pub type Table = BTreeMap<u32, Bytes>;
 
-/// Changes of a table.
+/// Changes to a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TableDelta {
-    /// Whether the table is emptied before the changes are applied.
+    /// Whether the table is cleared before the changes are applied.
     pub replaces_all: bool,
     /// New and changed entries.
     pub set: Vec<(u32, Bytes)>,
@@ -34,22 +34,23 @@
     pub digest: u64,
 }
 
-/// Why a delta can't be applied. The table is empty afterwards, and the whole must be requested.
+/// Why a delta cannot be applied. The table is empty afterwards, and the whole table has to be requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SyncError {
-    /// The digests differ.
-    #[error("the table differs from its sender's")]
+    /// The digest of the table differs from the sender's.
+    #[error("table digest mismatch: the table differs from the sender's")]
     DigestMismatch,
     /// The table has more than [`MAX_ENTRIES`].
-    #[error("more than {MAX_ENTRIES} entries")]
+    #[error("table too large: more than {MAX_ENTRIES} entries")]
     TooManyEntries,
-    /// An entry is longer than [`MAX_ENTRY_BYTES`].
-    #[error("an entry of more than {MAX_ENTRY_BYTES} bytes")]
+    /// A value is longer than [`MAX_ENTRY_BYTES`].
+    #[error("table entry too long: more than {MAX_ENTRY_BYTES} bytes")]
     EntryTooLong,
 }
 
-/// Digest of an entry. That of a table is the sum of those of its entries, so that a change needs no other
-/// entries. It protects against faults, not against malicious peers: peers are authenticated.
+/// Returns the digest of an entry. The digest of a table is the sum of the digests of its entries, so that it
+/// can be updated with the changed entries only. It detects faults, but does not protect against malicious
+/// peers, which are kept out by authentication.
 fn entry_digest(key: u32, value: &[u8]) -> u64 {
     let mut hash = splitmix64(u64::from(key) << 32 | value.len() as u64);
     for chunk in value.chunks(8) {
@@ -60,7 +61,7 @@
     hash
 }
 
-/// The finalizer of splitmix64. Unlike hashers of libraries, it is the same in all versions.
+/// One step of splitmix64. Unlike the hash functions of libraries, it is the same in all versions.
 pub(crate) fn splitmix64(word: u64) -> u64 {
     let word = word.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let word = (word ^ (word >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -68,7 +69,7 @@
     word ^ (word >> 31)
 }
 
-/// The sending side of a table.
+/// The sending side of a replicated table.
 #[derive(Debug, Default)]
 pub struct TableSender {
     sent: Table,
@@ -77,8 +78,8 @@
 }
 
 impl TableSender {
-    /// The changes since the last call, up to `max_bytes`; the others come with the next calls. `None` where
-    /// nothing changed.
+    /// Returns the changes since the last call. New and changed entries are limited to `max_bytes`, and the
+    /// others follow with the next calls. Returns `None` if nothing changed.
     pub fn delta(&mut self, table: &Table, max_bytes: usize) -> Option<TableDelta> {
         let replaces_all = !self.started;
         self.started = true;
@@ -88,7 +89,7 @@
         (!is_empty).then_some(TableDelta { replaces_all, set, removed, digest: self.digest })
     }
 
-    /// Removes the entries that the table no longer has, and returns their keys.
+    /// Removes entries that are no longer in the table, and returns their keys.
     fn remove_missing(&mut self, table: &Table) -> Vec<u32> {
         let missing: Vec<u32> = self.sent.keys().filter(|key| !table.contains_key(key)).copied().collect();
         for key in &missing {
@@ -99,8 +100,8 @@
         missing
     }
 
-    /// Sets the entries that are new or changed, and returns them. At least one is returned, if there are
-    /// any, and no more than fit into `max_bytes` after `size` bytes.
+    /// Sets new and changed entries, and returns them. Returns at least one if there are any, and otherwise no
+    /// more than fit into `max_bytes`, of which `size` are already in use.
     fn set_changed(&mut self, table: &Table, max_bytes: usize, mut size: usize) -> Vec<(u32, Bytes)> {
         let mut set = Vec::new();
         for (&key, value) in table {
@@ -120,13 +121,13 @@
         set
     }
 
-    /// Makes the next delta the whole table: the other side has lost its own.
+    /// Makes the next delta contain the whole table, for a receiver that has lost its replica.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 }
 
-/// The receiving side of a table.
+/// The receiving side of a replicated table.
 #[derive(Debug, Default)]
 pub struct TableReplica {
     table: Table,
@@ -134,16 +135,16 @@
 }
 
 impl TableReplica {
-    /// The sender's table, as far as it was received.
+    /// The sender's table as far as it was received.
     #[must_use]
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// Applies changes.
+    /// Applies changes to the table.
     ///
     /// # Errors
-    /// Why they can't be applied; the table is empty then.
+    /// Returns why the changes cannot be applied. The table is empty in that case.
     pub fn apply(&mut self, delta: &TableDelta) -> Result<(), SyncError> {
         let result = self.try_apply(delta);
         if result.is_err() {
@@ -165,7 +166,7 @@
             if value.len() > MAX_ENTRY_BYTES {
                 return Err(SyncError::EntryTooLong);
             }
-            // Copied: a slice would keep the whole received frame in memory.
+            // Copied, since a slice would keep the whole received frame in memory.
             if let Some(old) = self.table.insert(*key, Bytes::copy_from_slice(value)) {
                 self.digest = self.digest.wrapping_sub(entry_digest(*key, &old));
             }
--- a/crates/capacity-leases/src/wire/conversions.rs
+++ b/crates/capacity-leases/src/wire/conversions.rs
@@ -1,4 +1,4 @@
-//! Conversions between messages and the types of leases and tables.
+//! Conversions between wire messages and the types for leases and tables.
 
 use pumicehead_policy::EndpointId;
 
--- a/crates/capacity-leases/src/wire/frames.rs
+++ b/crates/capacity-leases/src/wire/frames.rs
@@ -1,4 +1,4 @@
-//! Frames: a message after its length.
+//! Frames, each consisting of the length of a message and the message.
 
 use bytes::{Buf, Bytes, BytesMut};
 use prost::Message as _;
@@ -6,23 +6,23 @@
 
 use super::messages::{Body, Envelope, Hello, MIN_PROTOCOL_VERSION, PROTOCOL_VERSION};
 
-/// Longest message, in bytes. A larger table is sent in several messages.
+/// Maximum size of a message in bytes. A larger table is sent in several messages.
 pub const MAX_FRAME_BYTES: usize = 256 << 10;
-/// Size of a frame's length, in bytes.
+/// Size of the length prefix of a frame in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Why bytes are not a message of this protocol. The connection can't go on.
+/// Why received bytes are not a message of this protocol. The connection has to be closed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// The length of a frame exceeds [`MAX_FRAME_BYTES`]; the length in bytes.
-    #[error("a frame of {0} bytes, where {MAX_FRAME_BYTES} are allowed")]
+    /// The length of a frame, given in bytes, exceeds [`MAX_FRAME_BYTES`].
+    #[error("frame too long: {0} bytes, the maximum is {MAX_FRAME_BYTES}")]
     FrameTooLong(usize),
-    /// The bytes of a frame can't be decoded.
-    #[error("not a message: {0}")]
+    /// The bytes of a frame cannot be decoded.
+    #[error("malformed message: {0}")]
     Malformed(#[from] prost::DecodeError),
-    /// The versions of the two sides are too far apart.
+    /// The protocol versions of the two sides are incompatible.
     #[error(
-        "version {theirs} (at least {their_min}) and our {PROTOCOL_VERSION} (at least {MIN_PROTOCOL_VERSION}) don't go together"
+        "incompatible protocol versions: the peer has version {theirs} and requires at least {their_min}, this side has version {PROTOCOL_VERSION} and requires at least {MIN_PROTOCOL_VERSION}"
     )]
     IncompatibleVersion {
         /// Version of the other side.
@@ -33,10 +33,10 @@
 }
 
 impl Hello {
-    /// Checks that both sides understand each other.
+    /// Checks that the versions of both sides are compatible.
     ///
     /// # Errors
-    /// The versions, if they don't.
+    /// Returns [`WireError::IncompatibleVersion`] if they are not.
     pub fn check(&self) -> Result<(), WireError> {
         if self.version >= MIN_PROTOCOL_VERSION && self.min_version <= PROTOCOL_VERSION {
             return Ok(());
@@ -45,7 +45,7 @@
     }
 }
 
-/// Encodes a message in its frame.
+/// Encodes a message in a frame.
 #[must_use]
 pub fn encode_frame(body: Body) -> Bytes {
     let envelope = Envelope { body: Some(body) };
@@ -56,7 +56,7 @@
     frame.into()
 }
 
-/// Decodes received bytes to messages.
+/// Decodes messages from received bytes.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: BytesMut,
@@ -68,10 +68,10 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message, if there is one. Messages of unknown kinds are skipped.
+    /// Returns the next complete message, if there is one. Messages of unknown kinds are skipped.
     ///
     /// # Errors
-    /// Bytes that are not a message.
+    /// Returns an error if the bytes are not a message.
     pub fn next_message(&mut self) -> Result<Option<Body>, WireError> {
         while let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() {
             let length = u32::from_be_bytes(*length) as usize;
@@ -90,7 +90,7 @@
         Ok(None)
     }
 
-    /// Bytes of an incomplete message.
+    /// Number of buffered bytes that were not decoded yet.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
--- a/crates/capacity-leases/src/wire/messages.rs
+++ b/crates/capacity-leases/src/wire/messages.rs
@@ -7,7 +7,7 @@
 /// The oldest version that this one understands.
 pub const MIN_PROTOCOL_VERSION: u32 = 1;
 
-/// The first message on a connection, from either side.
+/// The first message of each side on a connection.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Hello {
     /// Version of the sender.
@@ -19,19 +19,19 @@
     /// Id of the sender's process.
     #[prost(fixed64, tag = "3")]
     pub process_id: u64,
-    /// Duration of a lease, in nanoseconds; the same on both sides, as in
+    /// Duration of a lease in nanoseconds, which must be the same on both sides; see
     /// [`LeaseTerms`](crate::lease_terms::LeaseTerms).
     #[prost(uint64, tag = "4")]
     pub lease_ns: u64,
-    /// Duration of a loan, in nanoseconds; the same on both sides.
+    /// Duration of a loan in nanoseconds, which must be the same on both sides.
     #[prost(uint64, tag = "5")]
     pub loan_ns: u64,
 }
 
-/// Changes of a table.
+/// Changes to a table.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct TableChanges {
-    /// Whether the table is emptied before the changes are applied.
+    /// Whether the table is cleared before the changes are applied.
     #[prost(bool, tag = "1")]
     pub replaces_all: bool,
     /// New and changed entries.
@@ -51,38 +51,38 @@
     /// Number of the endpoint.
     #[prost(uint32, tag = "1")]
     pub key: u32,
-    /// An encoded message, as its writer made it.
+    /// An encoded message, in the bytes that its sender encoded.
     #[prost(bytes = "bytes", tag = "2")]
     pub value: Bytes,
 }
 
-/// A report of a forwarder.
+/// A report of a forwarder to a planner.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Report {
-    /// Number of the message.
+    /// Number of the report.
     #[prost(uint64, tag = "1")]
     pub number: u64,
-    /// Id of the planner whose plan was last accepted on this connection; 0 where there is none.
+    /// Id of the planner whose plan was last accepted, or 0 if none was.
     #[prost(fixed64, tag = "2")]
     pub planner: u64,
-    /// Number of that plan.
+    /// Number of the last accepted plan.
     #[prost(uint64, tag = "3")]
     pub last_plan: u64,
     /// Rates that the forwarder lends.
     #[prost(message, repeated, tag = "4")]
     pub lent: Vec<Grant>,
-    /// Changes of its table of [`EndpointObservation`]s.
+    /// Changes to the forwarder's table of [`EndpointObservation`]s.
     #[prost(message, optional, tag = "5")]
     pub endpoints: Option<TableChanges>,
-    /// Whether the sender has lost the table of the plans and requests the whole.
+    /// Whether the forwarder has lost its replica of the planner's table and requests the whole table.
     #[prost(bool, tag = "6")]
     pub requests_resync: bool,
 }
 
-/// A plan of a planner.
+/// A plan of a planner for a forwarder.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Plan {
-    /// Number of the message.
+    /// Number of the plan.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// Number of the last report that the planner has accepted.
@@ -94,35 +94,35 @@
     /// All rates that the forwarder is granted.
     #[prost(message, repeated, tag = "4")]
     pub grants: Vec<Grant>,
-    /// Changes of its table of advice on endpoints.
+    /// Changes to the planner's table of advice on endpoints.
     #[prost(message, optional, tag = "5")]
     pub endpoints: Option<TableChanges>,
-    /// Whether the sender has lost the table of the reports and requests the whole.
+    /// Whether the planner has lost its replica of the forwarder's table and requests the whole table.
     #[prost(bool, tag = "6")]
     pub requests_resync: bool,
 }
 
-/// What a forwarder has observed of an endpoint: an entry of the table in its reports.
+/// A forwarder's observations of an endpoint: a value in the table of its reports.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct EndpointObservation {
-    /// Start of the endpoint's process, as discovery numbers starts. It identifies the process, and is not
-    /// compared with a clock.
+    /// Incarnation of the endpoint, as numbered by discovery. It identifies the process, and is not compared
+    /// with a clock.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
-    /// How long the forwarder has known this process, in nanoseconds; the maximum where the process is older
-    /// than the forwarder.
+    /// How long the forwarder has known this process, in nanoseconds; the maximum value if the process is
+    /// older than the forwarder.
     #[prost(uint64, tag = "2")]
     pub known_for: u64,
     /// Whether the endpoint is draining.
     #[prost(bool, tag = "3")]
     pub draining: bool,
-    /// Attempts that succeeded at this process, since the forwarder's start.
+    /// Number of attempts at this process that succeeded since the forwarder's start.
     #[prost(uint64, tag = "4")]
     pub succeeded: u64,
-    /// Attempts that failed at this process, since the forwarder's start.
+    /// Number of attempts at this process that failed since the forwarder's start.
     #[prost(uint64, tag = "5")]
     pub failed: u64,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     #[prost(uint32, tag = "6")]
     pub in_flight: u32,
     /// The forwarder's concurrency limit for the endpoint.
@@ -136,7 +136,7 @@
     /// Number of the endpoint.
     #[prost(uint32, tag = "1")]
     pub endpoint: u32,
-    /// The rate in millionths of a request a second.
+    /// The rate in millionths of a request per second.
     #[prost(uint64, tag = "2")]
     pub micro_requests_per_s: u64,
 }
@@ -144,7 +144,7 @@
 /// A message of any kind.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Envelope {
-    /// The message; `None` for a kind that only newer versions know.
+    /// The message; `None` if its kind is unknown to this version.
     #[prost(oneof = "Body", tags = "1, 2, 3")]
     pub body: Option<Body>,
 }
--- a/crates/capacity-leases/src/wire/mod.rs
+++ b/crates/capacity-leases/src/wire/mod.rs
@@ -1,8 +1,8 @@
-//! Messages between forwarders and planners: Protocol Buffers (proto3), each in a frame of its length in four
-//! bytes, most significant byte first, and its bytes.
+//! Messages between forwarders and planners, encoded with Protocol Buffers (proto3). Each message is sent in a
+//! frame: its length in four bytes in network byte order, followed by its bytes.
 //!
-//! A reader skips fields that it does not know, so versions mix; a field's number never gets another meaning.
-//! A peer that a reader can't work with is refused by [`MIN_PROTOCOL_VERSION`].
+//! Receivers skip unknown fields, so that versions can be mixed, and the number of a field is never reused
+//! with another meaning. Incompatible peers are rejected by the [`MIN_PROTOCOL_VERSION`] of either side.
 
 mod conversions;
 mod frames;
--- a/crates/capacity-leases/tests/lease_terms.rs
+++ b/crates/capacity-leases/tests/lease_terms.rs
@@ -1,10 +1,10 @@
-//! Terms that can't be used.
+//! Validation of lease terms.
 
 use pumicehead_capacity_leases::lease_terms::{LeaseTerms, LeaseTermsError};
 use pumicehead_policy::SECOND;
 
 #[test]
-fn terms_that_cannot_be_used_are_refused() {
+fn invalid_lease_terms_are_rejected() {
     let good = LeaseTerms { lease: 2 * SECOND, loan: 6 * SECOND };
     assert_eq!(good.check(), Ok(()));
     assert_eq!(LeaseTerms { lease: 0, ..good }.check(), Err(LeaseTermsError::InvalidLease));
--- a/crates/capacity-leases/tests/unit/rate_promise.rs
+++ b/crates/capacity-leases/tests/unit/rate_promise.rs
@@ -1,4 +1,4 @@
-//! Arithmetic of rates, and promises that replace one another.
+//! Arithmetic of rates, and precedence among promised rates.
 
 use super::*;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_largest_promise_holds_until_its_own_end() {
+fn the_largest_promise_is_in_effect_until_it_expires() {
     let rate = Rate::from_micro_requests;
     let mut promises = RatePromises::default();
     promises.add(rate(10), 100);
@@ -32,7 +32,7 @@
     assert_eq!((promises.entries.len(), promises.rate_at(299)), (2, rate(4)));
     promises.add(rate(20), 300);
     assert_eq!((promises.entries.len(), promises.rate_at(0)), (1, rate(20)));
-    // Of two that end at the same time the larger holds, in whichever order they were made.
+    // Of two promises with the same expiry the larger one is in effect, in whichever order they were made.
     promises.add(rate(5), 300);
     assert_eq!((promises.entries.len(), promises.rate_at(0)), (1, rate(20)));
     assert!(!promises.expire(300));
--- a/crates/capacity-leases/tests/wire.rs
+++ b/crates/capacity-leases/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages from older, newer, faulty and hostile peers, and tables that must stay equal.
+//! Decoding of messages from older, newer, faulty and malicious peers, and replication of tables.
 
 use bytes::Bytes;
 use proptest::prelude::*;
@@ -22,7 +22,7 @@
     })
 }
 
-/// Frames are decoded however the bytes are divided.
+/// Frames are decoded regardless of the pieces in which their bytes arrive.
 #[test]
 fn messages_are_decoded_from_pieces_of_any_size() {
     let hello = Body::Hello(Hello {
@@ -37,75 +37,79 @@
     let sent = [hello, report(1), plan, report(2)];
     let bytes: Vec<u8> = sent.iter().flat_map(|body| encode_frame(body.clone()).to_vec()).collect();
     for piece in 1..=bytes.len() {
-        let (mut frames, mut got) = (FrameDecoder::default(), Vec::new());
+        let (mut decoder, mut received) = (FrameDecoder::default(), Vec::new());
         for part in bytes.chunks(piece) {
-            frames.feed(part);
-            while let Some(body) = frames.next_message().unwrap() {
-                got.push(body);
+            decoder.feed(part);
+            while let Some(body) = decoder.next_message().unwrap() {
+                received.push(body);
             }
         }
-        assert_eq!((got.as_slice(), frames.buffered_bytes()), (&sent[..], 0), "in pieces of {piece}");
+        assert_eq!(
+            (received.as_slice(), decoder.buffered_bytes()),
+            (&sent[..], 0),
+            "in pieces of {piece} bytes"
+        );
     }
 }
 
-/// A frame of 4 GB is refused before any of its bytes are received.
+/// A frame of 4 GB is rejected before any bytes of its message are received.
 #[test]
-fn a_too_long_frame_is_refused_by_its_length_alone() {
-    let mut frames = FrameDecoder::default();
-    frames.feed(&u32::MAX.to_be_bytes());
-    assert_eq!(frames.next_message(), Err(WireError::FrameTooLong(u32::MAX as usize)));
-    let mut frames = FrameDecoder::default();
-    frames.feed(&(MAX_FRAME_BYTES as u32).to_be_bytes());
-    assert_eq!(frames.next_message(), Ok(None));
+fn a_too_long_frame_is_rejected_by_its_length_prefix() {
+    let mut decoder = FrameDecoder::default();
+    decoder.feed(&u32::MAX.to_be_bytes());
+    assert_eq!(decoder.next_message(), Err(WireError::FrameTooLong(u32::MAX as usize)));
+    let mut decoder = FrameDecoder::default();
+    decoder.feed(&(MAX_FRAME_BYTES as u32).to_be_bytes());
+    assert_eq!(decoder.next_message(), Ok(None));
 }
 
-/// What a newer version adds, a field or a kind of message, is skipped.
+/// Fields and kinds of messages that a newer version adds are skipped.
 #[test]
 fn unknown_fields_and_messages_are_skipped() {
-    // Field 99 of a report and of the envelope, by hand: tag 99 << 3 | 2, then length and bytes.
+    // Field 99 of a report and of the envelope, encoded by hand: tag 99 << 3 | 2, then length and bytes.
     let unknown = [0x9a, 0x06, 3, b'n', b'e', b'w'];
     let mut inner = Report { number: 4, ..Report::default() }.encode_to_vec();
     inner.extend_from_slice(&unknown);
     let mut newer = vec![0x12, inner.len() as u8];
     newer.extend_from_slice(&inner);
     newer.extend_from_slice(&unknown);
-    let mut frames = FrameDecoder::default();
+    let mut decoder = FrameDecoder::default();
     for message in [&unknown[..], &newer] {
-        frames.feed(&(message.len() as u32).to_be_bytes());
-        frames.feed(message);
+        decoder.feed(&(message.len() as u32).to_be_bytes());
+        decoder.feed(message);
     }
-    let body = frames.next_message().unwrap();
+    let body = decoder.next_message().unwrap();
     assert_eq!(body, Some(Body::Report(Report { number: 4, ..Report::default() })));
-    for (version, least, sound) in
+    for (version, min_version, is_compatible) in
         [(1, 1, true), (9, 1, true), (9, 2, false), (0, 0, MIN_PROTOCOL_VERSION == 0)]
     {
-        let hello = Hello { version, min_version: least, ..Hello::default() };
-        assert_eq!(hello.check().is_ok(), sound, "{version} {least}");
+        let hello = Hello { version, min_version, ..Hello::default() };
+        assert_eq!(hello.check().is_ok(), is_compatible, "version {version}, minimum {min_version}");
     }
 }
 
-/// The digest detects an entry that was lost or changed, and the whole table corrects it.
+/// The digest detects a lost delta, and the whole table replaces the differing one.
 #[test]
 fn a_table_that_differs_is_detected_and_replaced() {
     let mut table: Table = (0..50).map(|key| (key, Bytes::from(vec![key as u8; 9]))).collect();
-    let (mut source, mut mirror) = (TableSender::default(), TableReplica::default());
-    mirror.apply(&source.delta(&table, usize::MAX).unwrap()).unwrap();
-    assert_eq!(source.delta(&table, usize::MAX), None);
+    let (mut sender, mut replica) = (TableSender::default(), TableReplica::default());
+    replica.apply(&sender.delta(&table, usize::MAX).unwrap()).unwrap();
+    assert_eq!(sender.delta(&table, usize::MAX), None);
     table.insert(3, Bytes::from_static(b"other"));
     table.remove(&4);
-    let lost = source.delta(&table, usize::MAX).unwrap();
+    // This delta is lost.
+    let lost = sender.delta(&table, usize::MAX).unwrap();
     assert_eq!((lost.set.len(), lost.removed.as_slice()), (1, &[4][..]));
-    // That one never arrives.
     table.insert(5, Bytes::new());
-    assert_eq!(mirror.apply(&source.delta(&table, usize::MAX).unwrap()), Err(SyncError::DigestMismatch));
-    assert!(mirror.table().is_empty());
-    source.reset();
-    mirror.apply(&source.delta(&table, usize::MAX).unwrap()).unwrap();
-    assert_eq!(*mirror.table(), table);
+    assert_eq!(replica.apply(&sender.delta(&table, usize::MAX).unwrap()), Err(SyncError::DigestMismatch));
+    assert!(replica.table().is_empty());
+    sender.reset();
+    replica.apply(&sender.delta(&table, usize::MAX).unwrap()).unwrap();
+    assert_eq!(*replica.table(), table);
 }
 
 #[test]
-fn too_many_entries_and_too_long_ones_are_refused() {
+fn too_many_or_too_long_entries_are_rejected() {
     let entry = |key| (key, Bytes::new());
     let many = TableDelta { set: (0..=MAX_ENTRIES as u32).map(entry).collect(), ..TableDelta::default() };
     assert_eq!(TableReplica::default().apply(&many), Err(SyncError::TooManyEntries));
@@ -116,13 +120,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: RngSeed::Fixed(13), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Any changes, sent in deltas of any size, lead to equal tables.
+    /// Any changes, sent in deltas of any size, result in equal tables.
     #[test]
-    fn replicas_equal_their_source_after_any_changes(
+    fn replica_equals_the_sender_after_any_changes(
         steps in prop::collection::vec(prop::collection::vec((0u32..40, prop::option::of(prop::collection::vec(any::<u8>(), 0..20))), 0..10), 1..12),
-        piece in 1usize..400,
+        max_bytes in 1usize..400,
     ) {
-        let (mut table, mut source, mut mirror) = (Table::new(), TableSender::default(), TableReplica::default());
+        let (mut table, mut sender, mut replica) = (Table::new(), TableSender::default(), TableReplica::default());
         for step in steps {
             for (key, value) in step {
                 match value {
@@ -130,30 +134,30 @@
                     None => drop(table.remove(&key)),
                 }
             }
-            while let Some(delta) = source.delta(&table, piece) {
+            while let Some(delta) = sender.delta(&table, max_bytes) {
                 let changes = TableChanges::from(delta);
                 let read = TableChanges::decode(changes.encode_to_vec().as_slice()).unwrap();
-                prop_assert_eq!(mirror.apply(&read.into()), Ok(()));
+                prop_assert_eq!(replica.apply(&read.into()), Ok(()));
             }
-            prop_assert_eq!(mirror.table(), &table);
+            prop_assert_eq!(replica.table(), &table);
         }
     }
 
-    /// Arbitrary bytes never cause a panic, and no more is buffered than was received.
+    /// Arbitrary bytes never cause a panic, and no more bytes are buffered than were received.
     #[test]
-    fn arbitrary_bytes_are_an_error_or_a_message(bytes in prop::collection::vec(any::<u8>(), 0..300), cut in 0usize..300) {
-        let mut frames = FrameDecoder::default();
+    fn arbitrary_bytes_are_handled_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), cut in 0usize..300) {
+        let mut decoder = FrameDecoder::default();
         let (first, second) = bytes.split_at(cut.min(bytes.len()));
         for part in [first, second] {
-            frames.feed(part);
-            while let Ok(Some(_)) = frames.next_message() {}
+            decoder.feed(part);
+            while let Ok(Some(_)) = decoder.next_message() {}
         }
-        prop_assert!(frames.buffered_bytes() <= bytes.len());
-        // The same behind a true length, so that the decoder sees them.
-        let mut frames = FrameDecoder::default();
-        frames.feed(&(bytes.len() as u32).to_be_bytes());
-        frames.feed(&bytes);
-        let _ = frames.next_message();
-        prop_assert!(frames.buffered_bytes() <= bytes.len() + 4);
+        prop_assert!(decoder.buffered_bytes() <= bytes.len());
+        // The same bytes after a correct length prefix, so that they reach the message decoder.
+        let mut decoder = FrameDecoder::default();
+        decoder.feed(&(bytes.len() as u32).to_be_bytes());
+        decoder.feed(&bytes);
+        let _ = decoder.next_message();
+        prop_assert!(decoder.buffered_bytes() <= bytes.len() + 4);
     }
 }
--- a/crates/capacity-leases/tests/stored_forms.rs
+++ b/crates/capacity-leases/tests/wire_compatibility.rs
@@ -1,5 +1,6 @@
-//! Messages between forwarders and planners as they travel. The fixtures were written by version 0.2.0,
-//! before its types were renamed, and must stay readable: both levels may run different versions.
+//! Wire compatibility of the messages between forwarders and planners. The fixtures were written by version
+//! 0.2.0, before its types were renamed. Encoding must produce the same bytes, and the fixtures must stay
+//! readable: forwarders and planners may run different versions.
 
 use std::fs;
 use std::path::Path;
@@ -11,13 +12,14 @@
     encode_frame,
 };
 
-/// Compares a whole text with a stored one.
-fn assert_stored_text(name: &str, text: &str) {
+/// Asserts that a text equals the contents of a fixture.
+fn assert_equals_fixture(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
     assert_eq!(text, fs::read_to_string(path).unwrap(), "{name}");
 }
 
-fn stored_bytes(name: &str) -> Vec<u8> {
+/// Decodes a fixture in hexadecimal.
+fn fixture_bytes(name: &str) -> Vec<u8> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
     let text = fs::read_to_string(path).unwrap();
     let digits: String = text.split_whitespace().collect();
@@ -28,7 +30,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n"
 }
 
-fn sighting() -> EndpointObservation {
+fn observation() -> EndpointObservation {
     EndpointObservation {
         incarnation: 1_700_000_000_000_000_000,
         known_for: 9_000_000_000,
@@ -40,9 +42,9 @@
     }
 }
 
-fn changes(whole: bool, value: Vec<u8>) -> TableChanges {
+fn changes(replaces_all: bool, value: Vec<u8>) -> TableChanges {
     TableChanges {
-        replaces_all: whole,
+        replaces_all,
         set: vec![
             TableEntry { key: 7, value: Bytes::from(value) },
             TableEntry { key: 8, value: Bytes::new() },
@@ -70,7 +72,7 @@
             planner: 0x91f0_3b7c_55d2_0a64,
             last_plan: 8,
             lent: grants.clone(),
-            endpoints: Some(changes(true, sighting().encode_to_vec())),
+            endpoints: Some(changes(true, observation().encode_to_vec())),
             requests_resync: false,
         }),
         Body::Report(Report { number: 10, requests_resync: true, ..Report::default() }),
@@ -87,19 +89,20 @@
 }
 
 #[test]
-fn reports_and_plans_travel_as_before() {
+fn messages_are_encoded_as_in_version_0_2_0() {
     let written: String = messages().into_iter().map(|message| hex_line(&encode_frame(message))).collect();
-    assert_stored_text("messages.hex", &written);
-    let (mut frames, mut read) = (FrameDecoder::default(), Vec::new());
-    frames.feed(&stored_bytes("messages.hex"));
-    while let Some(message) = frames.next_message().unwrap() {
+    assert_equals_fixture("messages.hex", &written);
+    let (mut decoder, mut read) = (FrameDecoder::default(), Vec::new());
+    decoder.feed(&fixture_bytes("messages.hex"));
+    while let Some(message) = decoder.next_message().unwrap() {
         read.push(message);
     }
-    assert_eq!((read, frames.buffered_bytes()), (messages(), 0));
+    assert_eq!((read, decoder.buffered_bytes()), (messages(), 0));
 }
 
 #[test]
-fn sightings_travel_as_before() {
-    assert_stored_text("sighting.hex", &hex_line(&sighting().encode_to_vec()));
-    assert_eq!(EndpointObservation::decode(stored_bytes("sighting.hex").as_slice()).unwrap(), sighting());
+fn endpoint_observations_are_encoded_as_in_version_0_2_0() {
+    assert_equals_fixture("endpoint_observation.hex", &hex_line(&observation().encode_to_vec()));
+    let read = EndpointObservation::decode(fixture_bytes("endpoint_observation.hex").as_slice()).unwrap();
+    assert_eq!(read, observation());
 }
