--- a/crates/capacity-leases/src/lease_holder.rs
+++ b/crates/capacity-leases/src/lease_holder.rs
@@ -110,7 +110,7 @@
 /// The rates of a forwarder.
 #[derive(Debug)]
 pub struct LeaseHolder {
-    own: BTreeMap<EndpointId, Rate>,
+    own_shares: BTreeMap<EndpointId, Rate>,
     terms: LeaseTerms,
     /// When the forwarder may start to use and lend its own share. Before, loans of an earlier process may not
     /// have ended.
@@ -123,7 +123,7 @@
     #[must_use]
     pub fn new(terms: LeaseTerms, planners: usize, now: Nanos) -> Self {
         Self {
-            own: BTreeMap::new(),
+            own_shares: BTreeMap::new(),
             terms,
             own_usable_from: now + LeaseTerms::max_local_span(terms.loan),
             links: (0..planners).map(|_| PlannerLink::default()).collect(),
@@ -132,8 +132,8 @@
 
     /// Sets the shares that this forwarder now owns of the endpoints it uses, up to [`MAX_LENT_ENDPOINTS`].
     /// Loans that exceed a share continue, and nothing of the share can be used until they end.
-    pub fn set_own(&mut self, own: impl IntoIterator<Item = (EndpointId, Rate)>) {
-        self.own = own.into_iter().take(MAX_LENT_ENDPOINTS).collect();
+    pub fn set_own_shares(&mut self, shares: impl IntoIterator<Item = (EndpointId, Rate)>) {
+        self.own_shares = shares.into_iter().take(MAX_LENT_ENDPOINTS).collect();
     }
 
     /// Replaces the planners. `kept` has, for each new index, the old index of the same planner, if any. Loans
@@ -172,7 +172,7 @@
         }
         let live = self.live_planners(now) as u64;
         let mut loans = Vec::new();
-        for (&endpoint, &own) in &self.own {
+        for (&endpoint, &own) in &self.own_shares {
             // Loans to other planners are subtracted from the current share, even if it has decreased.
             // Otherwise loans that are renewed one after another could outlast the share they were made from.
             let others = self.links.iter().enumerate().filter(|(other, _)| *other != planner);
@@ -257,7 +257,7 @@
         if now < self.own_usable_from {
             return Rate::ZERO;
         }
-        let own = self.own.get(&endpoint);
+        let own = self.own_shares.get(&endpoint);
         own.map_or(Rate::ZERO, |own| own.saturating_sub(self.lent(endpoint, now)))
     }
 }
--- a/crates/capacity-leases/tests/simulation/mod.rs
+++ b/crates/capacity-leases/tests/simulation/mod.rs
@@ -216,7 +216,7 @@
             let forwarder = self.random_below(self.forwarders.len() as u64) as usize;
             let own = Rate::from_micro_requests(self.random_below(2 * INITIAL_SHARE.micro_requests()));
             self.owned[forwarder].push((self.now, own));
-            self.forwarders[forwarder].holder.set_own(ENDPOINTS.map(|endpoint| (endpoint, own)));
+            self.forwarders[forwarder].holder.set_own_shares(ENDPOINTS.map(|endpoint| (endpoint, own)));
         }
         if self.chance(faults.lag_change) {
             let (forwarder, planner) =
@@ -277,7 +277,7 @@
 /// Creates the state of a forwarder that starts at `now` and owns the same share of all endpoints.
 pub fn new_holder(own: Rate, planners: usize, now: Nanos) -> LeaseHolder {
     let mut holder = LeaseHolder::new(TERMS, planners, now);
-    holder.set_own(ENDPOINTS.map(|endpoint| (endpoint, own)));
+    holder.set_own_shares(ENDPOINTS.map(|endpoint| (endpoint, own)));
     holder
 }
 
--- a/crates/testbed/src/simulation/forwarder.rs
+++ b/crates/testbed/src/simulation/forwarder.rs
@@ -68,7 +68,8 @@
         shares: impl Iterator<Item = (EndpointId, f64)>,
         now: Nanos,
     ) -> Bytes {
-        self.holder.set_own(shares.map(|(server, rate)| (server, Rate::from_requests_per_second_f64(rate))));
+        self.holder
+            .set_own_shares(shares.map(|(server, rate)| (server, Rate::from_requests_per_second_f64(rate))));
         let loans = self.holder.next_report(planner, now);
         let table: Table =
             self.observations.iter().map(|(&server, seen)| (server, seen.encode_to_vec().into())).collect();
