--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -1,57 +1,57 @@
-//! What the decision module has its host do.
+//! Actions that the decision module requests from its host.
 
 use std::sync::Arc;
 
 use crate::ids::{AttemptNo, EndpointId, RequestId, TimerToken};
 use crate::time::Nanos;
 
-/// What a host is to do; the actions of one event in their order.
+/// An action for the host. The actions of one event must be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     StartAttempt {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The endpoint that it is sent to.
         endpoint: EndpointId,
-        /// Its timeout; `None` is until the request's deadline.
+        /// Timeout of the attempt; `None` means the request's deadline.
         timeout: Option<Nanos>,
-        /// An attempt that is not on its way by then must not be sent: endpoints may have forgotten the one
-        /// that it repeats.
+        /// Time from which the attempt must not be sent any more: endpoints may then have forgotten the
+        /// attempt that it repeats.
         start_before: Option<Nanos>,
     },
-    /// Final answer: nothing was executed, the client may retry.
+    /// Give the request its final answer, a rejection: the client may safely retry.
     Reject {
         /// The request.
         id: RequestId,
-        /// When to retry at the earliest, from now.
+        /// Minimum delay before the client retries.
         retry_after: Option<Nanos>,
     },
-    /// Final answer: it failed, and may have been executed.
+    /// Give the request its final answer, a failure: it may have been executed.
     Fail(RequestId),
-    /// Abandon an attempt.
+    /// Cancel an attempt in flight.
     CancelAttempt {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Report [`Event::TimerFired`](crate::Event::TimerFired) at or after a time.
+    /// Report [`Event::TimerFired`](crate::Event::TimerFired) at or after a given time.
     ArmTimer {
-        /// When.
+        /// Earliest time to report it.
         at: Nanos,
-        /// Handed back.
+        /// Token to pass back with the event.
         token: TimerToken,
     },
-    /// Send a load report to another node; it may be lost.
+    /// Send a load report to another node; delivery is best effort.
     SendLoadReport {
-        /// Its index.
+        /// Index of the receiving node.
         to: u32,
-        /// At most 256 bytes.
+        /// Encoded report, at most 256 bytes.
         body: Arc<[u8]>,
     },
     /// Close the idle connections to an endpoint.
     CloseIdleConnections(EndpointId),
-    /// Poll discovery and watch for updates from now on.
+    /// Poll discovery, then watch it for updates.
     Subscribe,
 }
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,4 +1,4 @@
-//! What becomes of a new request: it is dispatched, queued or rejected.
+//! Admission of new requests: they are dispatched, queued or rejected.
 
 use crate::balancer::Balancer;
 use crate::decision_event::{DecisionEvent, RejectionReason};
@@ -7,18 +7,19 @@
 use crate::timer::Timer;
 use crate::{Action, Nanos, NewRequest, RequestId, nanos, seconds};
 
-/// New requests of the lower tiers are rejected when the expected wait exceeds this share of their time left.
+/// New requests of the lower tiers are rejected if the expected wait exceeds this fraction of their time
+/// left.
 const MAX_WAIT_SHARE: f64 = 0.3;
-/// That share is multiplied by a random factor between this ...
+/// Minimum of the random factor by which that threshold is multiplied ...
 const MIN_THRESHOLD_FACTOR: f64 = 0.7;
-/// ... and this much more, so that nodes neither reject in step nor admit all at once.
+/// ... and the range of that factor, so that nodes neither reject in step nor admit all at once.
 const THRESHOLD_JITTER: f64 = 0.3;
-/// Ticks before its deadline at which a queued request is rejected at the latest.
+/// Number of ticks before its deadline at which a queued request is rejected at the latest.
 const DEADLINE_MARGIN_TICKS: Nanos = 2;
 
 impl Balancer {
-    /// Classifies a new request, queues it, and dispatches it if there is capacity. Else it stays queued
-    /// until its time is nearly over; one of the lower tiers is rejected at once if the wait would be too
+    /// Classifies a new request, queues it, and dispatches it if there is capacity. Otherwise it stays queued
+    /// until its time is nearly over; a request of a lower tier is rejected at once if it would wait too
     /// long.
     pub(crate) fn on_request(&mut self, new: &NewRequest, actions: &mut Vec<Action>) {
         let id = new.id;
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Counts a new request and returns it with its tier, cost and times; `None` if its class is unknown.
+    /// Counts a new request, and returns it with its tier, cost and deadlines; `None` if its class is
+    /// unknown.
     fn classify(&mut self, new: &NewRequest) -> Option<Request> {
         let NewRequest { id, class, tenant, cost_hint, key, deadline } = *new;
         let class_settings = self.settings.classes.get(usize::from(class.0))?;
@@ -82,9 +84,9 @@
         })
     }
 
-    /// Returns whether a queued request is to be rejected because its wait takes too large a share of its
-    /// time left. Not while this process catches up after a stall: the queue's length then says nothing of
-    /// how fast it drains.
+    /// Returns whether a queued request must be rejected because its wait would take too large a fraction of
+    /// its time left. Never true while this process recovers from a stall, when the length of the queue says
+    /// nothing about how fast it drains.
     fn is_wait_too_long(&mut self, id: RequestId) -> bool {
         if self.stall.is_recovering(self.now) {
             return false;
@@ -93,7 +95,7 @@
         self.requests.get(&id).is_some_and(|request| self.wait_share(request) > MAX_WAIT_SHARE * factor)
     }
 
-    /// Returns the expected wait of a request's tier as a share of the time that the request may wait.
+    /// Returns the expected wait of a request's tier as a fraction of the time that the request can wait.
     pub(crate) fn wait_share(&self, request: &Request) -> f64 {
         let wait = self.queue.expected_wait(request.tier, self.now);
         let until = request.objective_deadline.min(request.deadline);
@@ -102,14 +104,15 @@
         if left > 0.0 { wait / left } else { f64::INFINITY }
     }
 
-    /// Until when a response has a value.
+    /// Returns the time until which a response has a value.
     pub(crate) fn useful_until(&self, request: &Request) -> Nanos {
         let has_late_value = self.class(request.class).late_weight > 0.0;
         if has_late_value { request.deadline } else { request.objective_deadline.min(request.deadline) }
     }
 
-    /// Returns when a queued request has no time left for its objective. That holds where a late response has
-    /// a value too: served late, it would take the place of a request that can still be in time.
+    /// Returns the time at which a queued request has no time left to meet its objective. Applies even if a
+    /// late response has a value: served late, the request would take the place of one that can still be in
+    /// time.
     pub(crate) fn queue_deadline(&self, request: &Request) -> Nanos {
         let expected = nanos(self.expected_latency(request.class, request.relative_cost));
         let tick_margin = DEADLINE_MARGIN_TICKS * self.settings.tick;
@@ -124,8 +127,8 @@
         }
     }
 
-    /// Answers a request that is still queued when its time is nearly over, whatever its tier, or that still
-    /// waits for its key's turn.
+    /// Answers a request, whatever its tier, that is still queued or still waits for its key's turn when its
+    /// time is nearly over.
     pub(crate) fn on_queue_timeout(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let waits_for_turn = request.key.is_some() && request.attempts.is_empty();
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Records that requests are rejected for overload.
+    /// Records that requests are being rejected for overload.
     pub(crate) fn begin_overload(&mut self) {
         if !std::mem::replace(&mut self.overloaded, true) {
             let queued = self.queue.len() as u32;
--- a/crates/policy/src/attempt_guard.rs
+++ b/crates/policy/src/attempt_guard.rs
@@ -1,4 +1,5 @@
-//! The one place that decides whether an attempt may be sent at all, whatever the other rules prefer.
+//! The mandatory check before every attempt: whether it may be sent at all, regardless of what other rules
+//! prefer.
 
 use crate::balancer::Balancer;
 use crate::endpoints::{Endpoint, EndpointIndex};
@@ -6,10 +7,11 @@
 use crate::{ClassId, DedupScope, Idempotency, Nanos, RequestId};
 
 impl Balancer {
-    /// Returns whether a request may have an attempt at an endpoint now. The request must be open and in time
-    /// and have attempts left, the endpoint must take requests and not have had one that may have executed,
-    /// and the request must have its key's turn. An attempt after one that may have executed must be allowed
-    /// by [`Balancer::may_retry_after`].
+    /// Returns whether a request may have an attempt at an endpoint now. The request must be open, in time
+    /// and below the maximum number of attempts, and must not have an attempt in flight unless concurrent
+    /// attempts are allowed. The endpoint must be ready and must not have had an attempt of this request that
+    /// may have executed. The request must have its key's turn. After an attempt that may have executed,
+    /// [`Balancer::may_retry_after`] must allow another one.
     pub(crate) fn may_send(&self, id: RequestId, index: EndpointIndex) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let endpoint = &self.endpoints[index];
@@ -28,13 +30,13 @@
             && first.is_none_or(|first| self.may_retry_after(request.class, first, Some(endpoint)))
     }
 
-    /// The most attempts for one request.
+    /// Returns the maximum number of attempts per request.
     pub(crate) fn max_attempts(&self) -> usize {
         self.settings.max_attempts as usize
     }
 
-    /// Returns whether a request of which `first` may have executed may have another attempt: at `endpoint`,
-    /// or at any if that is `None`.
+    /// Returns whether a request may have another attempt after `first`, which may have executed: at
+    /// `endpoint`, or at any endpoint if that is `None`.
     pub(crate) fn may_retry_after(
         &self,
         class: ClassId,
@@ -50,7 +52,7 @@
     }
 
     /// Returns until when another attempt may start after `first`, which may have executed. A tenth of the
-    /// time that endpoints remember a key is left for the way to the endpoint.
+    /// time for which endpoints remember a key is reserved for transit to the endpoint.
     pub(crate) fn retry_until(&self, class: ClassId, first: &Attempt) -> Nanos {
         match self.class(class).idempotency {
             Idempotency::Idempotent => Nanos::MAX,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Returns whether a request may be answered with a rejection, which promises that the client may retry.
+    /// Returns whether a request may be answered with a rejection, which tells the client that it may retry.
     pub(crate) fn may_reject(&self, request: &Request) -> bool {
         match self.class(request.class).idempotency {
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DedupScope::All, .. } => true,
--- a/crates/policy/src/attempts.rs
+++ b/crates/policy/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The start and the end of an attempt, and what its outcome teaches.
+//! Start and end of attempts, and what is learned from their outcomes.
 
 use crate::balancer::Balancer;
 use crate::endpoints::{EndpointIndex, InFlightAttempt};
@@ -8,15 +8,15 @@
 use crate::timer::Timer;
 use crate::{Action, AttemptEnded, AttemptOutcome, ClassId, Idempotency, Nanos, RequestId, seconds};
 
-/// What an attempt that timed out counts for in latency, as a multiple of its duration: the answer would have
-/// taken longer.
+/// Latency recorded for an attempt that timed out, as a multiple of its duration, since the response would
+/// have taken longer.
 const TIMEOUT_LATENCY_FACTOR: Nanos = 2;
-/// The timeout of an attempt that may be retried, as a multiple of the hedge delay, where two attempts must
-/// not be in flight at once.
+/// Timeout of an attempt that may be retried, as a multiple of the hedge delay, where two attempts must not
+/// be in flight at once.
 const TIMEOUT_HEDGE_DELAYS: Nanos = 2;
 
 impl Balancer {
-    /// Starts an attempt at an endpoint, if it is allowed.
+    /// Starts an attempt at an endpoint, if it is permitted.
     pub(crate) fn start_attempt(&mut self, id: RequestId, index: EndpointIndex, actions: &mut Vec<Action>) {
         if !self.may_send(id, index) {
             return;
@@ -30,7 +30,8 @@
         self.record_start(id, index, relative_cost, expected_latency);
 
         let hedge_delay = self.hedge_delay(index, expected_latency);
-        // Where two must not be in flight at once, giving up on the first is the only way to another attempt.
+        // Where two attempts must not be in flight at once, another one is only possible after the first is
+        // given up.
         let has_timeout = may_repeat && !self.settings.concurrent_attempts;
         let timeout = has_timeout.then_some(TIMEOUT_HEDGE_DELAYS * hedge_delay);
         let endpoint = self.endpoints[index].id;
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Records a started attempt at its request, at its endpoint and in this node's statistics.
+    /// Records a started attempt in its request, its endpoint and this node's statistics.
     fn record_start(
         &mut self,
         id: RequestId,
@@ -72,7 +73,7 @@
         self.subset[locality].in_flight += 1;
     }
 
-    /// Takes the end of an attempt in, learns from it, and decides what becomes of the request.
+    /// Handles the end of an attempt: learns from it and decides how the request continues.
     pub(crate) fn on_attempt_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
         let (id, number) = (ended.id, usize::from(ended.attempt.0));
         let not_executed = ended.outcome.never_executed(self.settings.rejection_may_execute);
@@ -111,15 +112,15 @@
         endpoint.in_flight.retain(|other| (other.request, other.attempt) != (ended.id, number));
         let zone = endpoint.zone;
         let locality = self.locality(zone);
-        // Attempts at outliers aren't counted; the next refresh corrects the sum.
+        // Attempts at outliers aren't included in the sum; the next refresh corrects it.
         let in_flight = &mut self.subset[locality].in_flight;
         *in_flight = in_flight.saturating_sub(1);
     }
 
-    /// Learns from an outcome of an endpoint. Nothing is learned from an attempt that was in flight during a
-    /// stall of this process, from one that a later one has overtaken (then the connection was silent, not
-    /// the endpoint), or from one that was cancelled early. A late cancellation counts as a failure: else a
-    /// hung endpoint whose attempts are all cancelled for a faster copy would never show.
+    /// Learns from the outcome of an attempt at an endpoint. Nothing is learned from an attempt that was in
+    /// flight during a stall of this process, that a later one has overtaken (the connection was silent, not
+    /// the endpoint), or that was cancelled early. A late cancellation counts as a failure; otherwise a hung
+    /// endpoint whose attempts are all cancelled for a faster copy would never be noticed.
     fn learn_outcome(
         &mut self,
         index: EndpointIndex,
@@ -152,7 +153,7 @@
                 self.learn_latency(index, class, relative_cost, TIMEOUT_LATENCY_FACTOR * duration);
                 self.learn_failure(index, Failure::Broken);
             }
-            // An endpoint that rejects everything may be draining without discovery saying so.
+            // An endpoint that rejects everything may be draining before discovery reports it.
             AttemptOutcome::Rejected => self.learn_failure(index, Failure::Rejected),
             AttemptOutcome::ConnectFailed => self.learn_failure(index, Failure::ConnectFailed),
             AttemptOutcome::NotSent => {}
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,19 +1,19 @@
-//! The state of one node and the dispatch of events to the rules; nothing is decided here.
+//! State of one node, and dispatch of events to the modules that make the decisions.
 //!
 //! The path of a request:
 //! 1. `admission` classifies it into a priority tier. If its class is ordered by key, it waits for its turn
 //!    (`ordered_keys`) and takes no capacity until then.
-//! 2. It joins its tier's queue (`request_queue`), from which the highest tier is dispatched first while
-//!    there is capacity.
-//! 3. `selection` picks, among the endpoints of this node's subset (`subsetting`) with capacity, the one with
-//!    the least latency times requests in flight.
-//! 4. `attempts` starts the attempt after `attempt_guard` has allowed it. Endpoints in slow start are
-//!    protected by `slow_start`, draining ones lose their idle connections in `endpoints`.
-//! 5. Without capacity it stays queued. Requests of the lower tiers are rejected if the expected wait is too
-//!    long (`admission`), any queued one when its time is nearly over.
-//! 6. The end of an attempt teaches latency, limits and outliers (`attempts`); then `retry` answers, retries
-//!    or waits.
-//! 7. Every final answer that this node gives itself comes from `final_answer`.
+//! 2. It joins the queue of its tier (`request_queue`). While there is capacity, the queue is dispatched,
+//!    highest tier first.
+//! 3. `selection` picks, among the endpoints of this node's subset (`subsetting`) that have capacity, the one
+//!    with the lowest product of latency and requests in flight.
+//! 4. `attempts` starts the attempt once `attempt_guard` has permitted it. `slow_start` protects endpoints
+//!    that have just started; `endpoints` closes the idle connections to draining ones.
+//! 5. Without capacity, the request stays queued. It is rejected if its tier is one of the lower ones and the
+//!    expected wait is too long (`admission`), or when its time is nearly over, whatever its tier.
+//! 6. When an attempt ends, latencies, limits and outlier detection are updated (`attempts`). Then `retry`
+//!    answers or retries the request, or lets it wait.
+//! 7. `final_answer` gives every final answer that this node gives itself.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -37,17 +37,17 @@
 use crate::traffic_stats::TrafficStats;
 use crate::{Action, Class, ClassId, Event, Nanos, NodeShare, RequestId, Settings, TimerToken};
 
-/// The decisions of one node.
+/// Balancing decisions of one node.
 pub struct Balancer {
     pub(crate) settings: Settings,
-    /// The number of nodes and this one's index, where the nodes themselves agreed on them.
+    /// Number of nodes and index of this one, if the nodes have agreed on them.
     pub(crate) node_share: Option<NodeShare>,
     rng: Pcg64Mcg,
     pub(crate) now: Nanos,
     pub(crate) endpoints: EndpointTable,
     pub(crate) discovery: DiscoveryWatch,
     pub(crate) subset: Subset,
-    /// Most endpoints of the subset look like outliers, so none is treated as one.
+    /// Whether most endpoints of the subset look like outliers, so that none is treated as one.
     pub(crate) panic_mode: bool,
     pub(crate) latencies: LatencyEstimator,
     pub(crate) limiter: ConcurrencyLimiter,
@@ -59,14 +59,14 @@
     pub(crate) requests: FxHashMap<RequestId, Request>,
     pub(crate) ordered_keys: OrderedKeys,
     pub(crate) queue: RequestQueue,
-    /// Requests have been rejected for overload since the queue was last empty.
+    /// Whether requests have been rejected for overload since the queue was last empty.
     pub(crate) overloaded: bool,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) decision_log: DecisionLog,
 }
 
 impl Balancer {
-    /// A node that knows no endpoint yet. `settings` should have passed [`Settings::check`].
+    /// Returns a node that knows no endpoints yet. `settings` should have passed [`Settings::check`].
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Decides on one event at `now` and appends what is to be done to `actions`.
+    /// Handles one event at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.decision_log.clear();
@@ -114,7 +114,7 @@
             Event::EndpointsUpdated(update) => self.on_endpoints_updated(&update, actions),
             Event::Request(request) => self.on_request(&request, actions),
             Event::AttemptEnded(ended) => self.on_attempt_ended(&ended, actions),
-            // The attempt whose response is on its way to the client goes on; other copies are cancelled.
+            // The attempt whose response is being streamed continues; other copies are cancelled.
             Event::ResponseStarted { id, attempt } => self.end_request(id, Some(attempt), actions),
             Event::ClientDisconnected(id) => self.end_request(id, None, actions),
             Event::TimerFired(token) => self.on_timer(token, actions),
@@ -132,22 +132,22 @@
             Some(Timer::Dispatch) => self.queue.dispatch_timer_armed = false,
             Some(Timer::DiscoveryPoll) => self.on_discovery_poll_timer(actions),
             Some(Timer::CloseIdleConnections(id)) => self.on_close_idle_timer(id, actions),
-            // Keys whose cooldown is over are found at every event.
+            // Every event looks for keys whose cooldown is over.
             Some(Timer::KeyCooldown) | None => {}
         }
     }
 
-    /// Arms a timer, at the earliest for the next nanosecond.
+    /// Arms a timer, for the next nanosecond at the earliest.
     pub(crate) fn arm(&self, at: Nanos, timer: Timer, actions: &mut Vec<Action>) {
         actions.push(Action::ArmTimer { at: at.max(self.now + 1), token: timer.encode() });
     }
 
-    /// A random number, at least 0 and less than 1.
+    /// Returns a random number of at least 0 and less than 1.
     pub(crate) fn random(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The settings of a class.
+    /// Returns the settings of a class.
     pub(crate) fn class(&self, class: ClassId) -> &Class {
         &self.settings.classes[usize::from(class.0)]
     }
--- a/crates/policy/src/capacity_advice.rs
+++ b/crates/policy/src/capacity_advice.rs
@@ -1,19 +1,19 @@
 //! Advice of capacity planners, and the weight that it has as it ages.
 //!
-//! Advice can make a node more careful, or give it capacity of an endpoint in slow start that another node
-//! has lent; nothing else.
+//! Advice can only make a node more careful, or give it capacity of an endpoint in slow start that another
+//! node has lent.
 
 use rustc_hash::FxHashMap;
 
 use crate::{CapacityAdvice, EndpointId, Nanos};
 
-/// An endpoint advised against looks this many times as slow: it gets work only if no other has capacity, so
-/// advice against all endpoints, or all but one, changes little.
+/// An endpoint to avoid looks this many times as slow. It then gets requests only if no other endpoint has
+/// capacity, so that advice against all endpoints, or all but one, changes little.
 const LATENCY_PENALTY: f64 = 16.0;
-/// Most endpoints that are remembered as draining: far more than drain at a time.
+/// Maximum number of endpoints that are remembered as draining: far more than ever drain at a time.
 const MAX_DRAINING: usize = 25_000;
 
-/// The advice in force.
+/// The current advice.
 #[derive(Debug, Default)]
 pub struct CurrentAdvice {
     avoid: FxHashMap<EndpointId, ()>,
@@ -22,12 +22,12 @@
     lent: FxHashMap<EndpointId, f64>,
     granted: FxHashMap<EndpointId, f64>,
     granted_until: Nanos,
-    /// Start time of the processes that drain, by endpoint. A process doesn't stop draining.
+    /// Start times of draining processes, by endpoint. A process never stops draining.
     draining: FxHashMap<EndpointId, Nanos>,
 }
 
 impl CurrentAdvice {
-    /// Replaces all advice but for draining endpoints.
+    /// Replaces all advice except for the draining endpoints, which are added to the known ones.
     pub fn replace(&mut self, advice: &CapacityAdvice, now: Nanos) {
         self.avoid = advice.avoid.iter().map(|&endpoint| (endpoint, ())).collect();
         self.issued_at = now.saturating_sub(advice.age);
@@ -43,7 +43,7 @@
     }
 
     /// Returns the rate that an endpoint in slow start may get from this node before the warm-up fraction is
-    /// applied, in requests a second: `own`, less what was lent, plus what was granted.
+    /// applied, in requests per second: `own`, less what was lent, plus what was granted.
     #[must_use]
     pub fn slow_start_rate(&self, endpoint: EndpointId, own: f64, now: Nanos) -> f64 {
         let granted = self.granted.get(&endpoint).filter(|_| now < self.granted_until);
@@ -51,8 +51,8 @@
         (own - lent).max(0.0) + granted.copied().unwrap_or(0.0).max(0.0)
     }
 
-    /// Returns the factor, at least 1, by which an endpoint is to look slower. It is full for the first half
-    /// of the advice's validity and falls to 1 in the second, so that its end is no jump.
+    /// Returns the factor, at least 1, by which an endpoint is to look slower. It is constant in the first
+    /// half of the advice's validity and falls to 1 in the second half, so that its end causes no jump.
     #[must_use]
     pub fn latency_penalty(&self, endpoint: EndpointId, started_at: Nanos, now: Nanos) -> f64 {
         if self.draining.get(&endpoint) == Some(&started_at) {
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,8 +1,8 @@
 //! Concurrency limits of endpoints, learned from latency.
 //!
-//! Latency is compared with a target between the latency without load and the class's objective; the quotient
-//! is the utilization. All limits follow the utilization of all endpoints, and an endpoint's own limit
-//! follows the difference between its utilization and that of all.
+//! The utilization of an endpoint is its latency divided by a target between the latency without load and the
+//! class's objective. All limits follow the utilization of all endpoints. In addition, the limit of a single
+//! endpoint follows the difference between its utilization and that of all endpoints.
 
 use crate::balancer::Balancer;
 use crate::decision_event::{DecisionEvent, LimitChangeReason};
@@ -10,51 +10,53 @@
 use crate::traffic_stats::RATE_MEMORY_S;
 use crate::{ClassId, Nanos, seconds};
 
-/// Concurrency of an endpoint over all nodes until its limit is learned. Too little rejects what could be
-/// served for as long as limits take to rise; too much is corrected twice as fast.
+/// Concurrency of an endpoint over all nodes until its limit is learned. If it is too low, requests that
+/// could be served are rejected for as long as limits take to rise; if it is too high, it is corrected twice
+/// as fast.
 pub(crate) const INITIAL_ENDPOINT_LIMIT: f64 = 6.0;
-/// Least concurrency of an endpoint over all nodes, so that a limit can be learned upward.
+/// Minimum concurrency of an endpoint over all nodes, so that a limit can still be learned upward.
 pub(crate) const MIN_ENDPOINT_LIMIT: f64 = 1.0;
-/// Largest limit of an endpoint for one node.
+/// Maximum limit of an endpoint for one node.
 pub(crate) const MAX_LIMIT: f64 = 1e4;
-/// The target latency as a fraction of the objective: the rest is for the own queue.
+/// Target latency as a fraction of the objective; the rest is left for this node's queue.
 const TARGET_PER_OBJECTIVE: f64 = 0.25;
-/// Least and largest target latency, as a multiple of the latency without load.
+/// Bounds of the target latency, as multiples of the latency without load.
 const MIN_TARGET_PER_BASELINE: f64 = 1.4;
 const MAX_TARGET_PER_BASELINE: f64 = 1.6;
-/// Largest target as a fraction of the objective, for a baseline that was only ever measured under load.
+/// Maximum target as a fraction of the objective, for a baseline that was only ever measured under load.
 const MAX_TARGET_PER_OBJECTIVE: f64 = 0.6;
-/// How fast limits rise, by factors of e a second at no utilization.
+/// Rate at which limits rise at a utilization of 0, in factors of e per second.
 const INCREASE_PER_S: f64 = 1.25;
-/// How fast they fall at a utilization of 2: faster, since overload costs more than waiting, and a rise that
-/// outruns the latency it is judged by ends in overload.
+/// Rate at which limits fall at a utilization of 2. Higher, since overload costs more than waiting, and
+/// limits that rise faster than the latency by which they are judged lead to overload.
 const DECREASE_PER_S: f64 = 2.5;
-/// How fast limits rise that are below the initial one.
+/// Rate at which limits below the initial one rise.
 const FAST_INCREASE_PER_S: f64 = 5.0;
-/// Samples within [`RATE_MEMORY_S`] that are given half of the full weight.
+/// Number of samples within [`RATE_MEMORY_S`] that have half of the full weight.
 const HALF_CONFIDENCE_SAMPLES: f64 = 10.0;
-/// Largest utilization that a sample can show.
+/// Maximum utilization that a sample can show.
 const MAX_UTILIZATION: f64 = 4.0;
-/// Least and largest weight of a sample in an endpoint's utilization; in between, the gap between two in
-/// seconds.
+/// Bounds of the weight of a sample in an endpoint's utilization; between them, the weight is the time
+/// between two samples in seconds.
 const MIN_ENDPOINT_WEIGHT: f64 = 0.02;
 const MAX_ENDPOINT_WEIGHT: f64 = 0.3;
-/// The same for the utilization of all endpoints.
+/// Bounds of the weight of a sample in the utilization of all endpoints.
 const MIN_NODE_WEIGHT: f64 = 0.01;
 const MAX_NODE_WEIGHT: f64 = 0.1;
-/// Least rate, in a second, by which gaps between samples are computed.
+/// Minimum sample rate per second from which the time between samples is computed.
 const MIN_SAMPLE_RATE: f64 = 0.1;
-/// Least and longest time that a sample may move its endpoint's limit by, in seconds.
+/// Bounds of the time for which one sample moves its endpoint's limit, in seconds.
 const MIN_STEP_S: f64 = 0.01;
 const MAX_STEP_S: f64 = 0.5;
-/// Factor of a limit after an attempt that was rejected or failed through the endpoint's own fault.
+/// Factor applied to a limit after an attempt that was rejected, or that failed through the endpoint's own
+/// fault.
 const FAILURE_FACTOR: f64 = 0.85;
-/// Limits may rise when this fraction of the node's capacity is in use.
+/// Limits may rise if this fraction of the node's capacity is in use.
 const MIN_USE_FOR_INCREASE: f64 = 0.7;
 /// Utilization before the first sample.
 const INITIAL_UTILIZATION: f64 = 0.5;
 
-/// The utilization of all endpoints, and until when the limits have followed it.
+/// The utilization of all endpoints, and the time up to which it has been applied to the limits.
 pub(crate) struct ConcurrencyLimiter {
     /// Smoothed latency relative to its target.
     pub utilization: f64,
@@ -69,14 +71,15 @@
 }
 
 impl ConcurrencyLimiter {
-    /// Learns from the utilization of a sample; `samples_per_s` is the rate of samples.
+    /// Adds the utilization of a sample; `samples_per_s` is the rate of samples.
     fn observe(&mut self, utilization: f64, samples_per_s: f64, now: Nanos) {
         let weight = (1.0 / samples_per_s.max(MIN_SAMPLE_RATE)).clamp(MIN_NODE_WEIGHT, MAX_NODE_WEIGHT);
         self.updated_at = now;
         self.utilization += weight * (utilization - self.utilization);
     }
 
-    /// The time by which limits are behind, in seconds; from now on they are not.
+    /// Returns the time for which the utilization has not been applied to the limits yet, in seconds, and
+    /// marks it as applied.
     fn take_step_s(&mut self) -> f64 {
         let step = seconds(self.updated_at.saturating_sub(self.applied_until)).min(MAX_STEP_S);
         self.applied_until = self.updated_at;
@@ -84,28 +87,28 @@
     }
 }
 
-/// How far so many samples are trusted, from 0 to 1; few of them are mostly noise.
+/// Returns the confidence in a number of samples, from 0 to 1; few samples are mostly noise.
 fn confidence(samples: f64) -> f64 {
     samples / (samples + HALF_CONFIDENCE_SAMPLES)
 }
 
-/// How fast limits follow an error, which is positive where they should rise.
+/// Returns the rate at which limits follow an error, which is positive if they should rise.
 fn gain_per_s(error: f64) -> f64 {
     if error < 0.0 { DECREASE_PER_S } else { INCREASE_PER_S }
 }
 
-/// The factor of limits over a time in seconds.
+/// Returns the factor by which limits change within a time in seconds.
 fn limit_factor(gain_per_s: f64, step_s: f64, error: f64) -> f64 {
     (gain_per_s * step_s * error.max(-1.0)).exp()
 }
 
 impl Balancer {
-    /// Learns the utilization of an endpoint and of all from a latency, and adjusts the endpoint's limit by
-    /// the difference between both. `latency` is of a request of mean cost, `baseline` without load; both in
-    /// seconds.
+    /// Updates the utilization of an endpoint and of all endpoints with a latency, and adjusts the endpoint's
+    /// limit by the difference between the two. `latency` is scaled to a request of mean cost, `baseline` is
+    /// the latency without load; both are in seconds.
     ///
-    /// A sample has the weight of the mean time between two. The time since the last one won't do: at a limit
-    /// of one or two it is the latency itself, and slow answers would count most.
+    /// A sample has the weight of the mean time between two samples. The time since the last sample can't be
+    /// used: at a limit of one or two it equals the latency, and slow responses would count most.
     pub(crate) fn adjust_endpoint_limit(
         &mut self,
         index: EndpointIndex,
@@ -134,8 +137,8 @@
         });
     }
 
-    /// Returns the latency up to which an endpoint isn't crowded, in seconds. A zone that is farther than the
-    /// nearest one is allowed the difference: fewer requests would make the way no shorter.
+    /// Returns the latency up to which an endpoint is not overloaded, in seconds. A zone more distant than
+    /// the nearest one is allowed the difference, since fewer requests wouldn't make the distance shorter.
     fn target_latency(&self, class: ClassId, baseline: f64) -> f64 {
         let objective = seconds(self.class(class).latency_objective);
         let nearest = self.latencies.nearest_baseline(class, baseline);
@@ -144,9 +147,9 @@
             .min(MAX_TARGET_PER_OBJECTIVE * objective + baseline - nearest)
     }
 
-    /// Adjusts all limits by the utilization of all endpoints: down when it is over 1, slowly up when it is
-    /// under 1 and the node's capacity is in use. Goes by time and not by an endpoint's samples, which are
-    /// seldom where a node uses many endpoints.
+    /// Adjusts all limits by the utilization of all endpoints: down if it is over 1, slowly up if it is under
+    /// 1 and the node's capacity is in use. Based on time instead of the samples of an endpoint, which are
+    /// rare if a node uses many endpoints.
     pub(crate) fn adjust_all_limits(&mut self) {
         let step_s = self.limiter.take_step_s();
         let error = 1.0 - self.limiter.utilization;
@@ -155,18 +158,18 @@
         if error >= 0.0 && !is_used {
             return;
         }
-        // With few samples for each endpoint, utilization shows a crowd late.
+        // With few samples per endpoint, utilization shows an overload late.
         let samples = self.traffic.arrivals.get(self.now) * RATE_MEMORY_S / self.subset.width.max(1) as f64;
         let factor = limit_factor(confidence(samples) * gain_per_s(error), step_s, error);
-        self.trace(|me| DecisionEvent::AllLimitsChanged {
+        self.trace(|balancer| DecisionEvent::AllLimitsChanged {
             factor: factor as f32,
-            utilization: me.limiter.utilization as f32,
+            utilization: balancer.limiter.utilization as f32,
         });
         self.scale_limits(factor, step_s, error);
     }
 
-    /// Scales the limits of the endpoints in use. Few nodes start with less than the initial limit of an
-    /// endpoint between them; while there is no overload, they make that up fast.
+    /// Scales the limits of the endpoints in use. If few nodes share an endpoint, their limits together start
+    /// below its initial limit; without overload they are raised to it quickly.
     fn scale_limits(&mut self, factor: f64, step_s: f64, error: f64) {
         let nodes = self.nodes_per_endpoint();
         let (min_limit, initial_limit) = (MIN_ENDPOINT_LIMIT / nodes, INITIAL_ENDPOINT_LIMIT / nodes);
@@ -182,8 +185,8 @@
         }
     }
 
-    /// Lowers an endpoint's limit after a failure. `fault` is how far the failure is the endpoint's own, from
-    /// 0 to 1. Returns the event to be recorded.
+    /// Lowers an endpoint's limit after a failure. `fault` is the degree, from 0 to 1, to which the endpoint
+    /// itself caused the failure. Returns the event to record.
     pub(crate) fn lower_limit_after_failure(&mut self, index: EndpointIndex, fault: f64) -> DecisionEvent {
         let min_limit = MIN_ENDPOINT_LIMIT / self.nodes_per_endpoint();
         let endpoint = &mut self.endpoints[index];
--- a/crates/policy/src/decaying_rate.rs
+++ b/crates/policy/src/decaying_rate.rs
@@ -1,8 +1,8 @@
-//! Rates over a decaying memory.
+//! Exponentially decaying rates.
 
 use crate::time::{Nanos, seconds};
 
-/// A sum that decays over `MEMORY_MS`, read as a rate a second.
+/// An exponentially decaying sum with the time constant `MEMORY_MS`, read as a rate per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingRate<const MEMORY_MS: u32> {
     sum: f64,
@@ -13,7 +13,7 @@
 impl<const MEMORY_MS: u32> DecayingRate<MEMORY_MS> {
     const MEMORY_S: f64 = MEMORY_MS as f64 / 1000.0;
 
-    /// Counts an amount.
+    /// Adds an amount.
     pub fn add(&mut self, now: Nanos, amount: f64) {
         if self.since == 0 {
             self.since = now;
@@ -22,8 +22,8 @@
         self.at = now;
     }
 
-    /// Leaves a span in which nothing could be counted out of the rate.
-    pub fn skip(&mut self, span: Nanos) {
+    /// Excludes a span in which nothing could be counted from the rate.
+    pub fn exclude_span(&mut self, span: Nanos) {
         if self.since > 0 {
             self.at += span;
             self.since += span;
@@ -34,17 +34,18 @@
         self.sum * (-seconds(now.saturating_sub(self.at)) / Self::MEMORY_S).exp()
     }
 
-    /// Returns the rate. Until the memory is filled it is the rate since the first count, else the queue of a
-    /// node that has just started would look as if it hardly drained.
+    /// Returns the rate. Until the time constant has passed it is the rate since the first count; otherwise
+    /// the queue of a node that has just started would seem to drain hardly at all.
     #[must_use]
     pub fn get(&self, now: Nanos) -> f64 {
         let age = seconds(now.saturating_sub(self.since)).max(0.5);
         self.decayed(now) / (Self::MEMORY_S * (1.0 - (-age / Self::MEMORY_S).exp()))
     }
 
-    /// Returns the rate as if the memory were filled: too low at first, never too high for long.
+    /// Returns the rate without the correction for the time since the first count: too low at first, never
+    /// too high for long.
     #[must_use]
-    pub fn low(&self, now: Nanos) -> f64 {
+    pub fn get_uncorrected(&self, now: Nanos) -> f64 {
         self.decayed(now) / Self::MEMORY_S
     }
 }
--- a/crates/policy/src/decision_event.rs
+++ b/crates/policy/src/decision_event.rs
@@ -1,34 +1,34 @@
-//! What was decided and why, beside the actions: for a flight recorder and for the log.
+//! Decisions and their reasons, recorded besides the actions for the flight recorder and the log.
 
 use std::fmt;
 
 use crate::time::seconds;
 use crate::{EndpointId, Nanos, RequestId, SECOND};
 
-/// Why an endpoint couldn't take an attempt.
+/// Reason why an endpoint couldn't take an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ExclusionReason {
     /// Its concurrency limit is reached.
     AtLimit,
-    /// It is ejected, or silent for too long.
+    /// It is ejected, or has been silent for too long.
     Outlier,
-    /// It is on probation: its one attempt is in flight, or this request may not be that attempt.
+    /// It is on probation: its only attempt is in flight, or this request may not be that attempt.
     OnProbation,
-    /// It is in slow start, and its budget is spent.
+    /// It is in slow start and its budget is spent.
     SlowStart,
-    /// The attempt must not be sent: because of draining, idempotency, the order of a key, the time or the
-    /// number of attempts.
+    /// The attempt must not be sent, because of draining, idempotency, key order, time or the number of
+    /// attempts.
     NotPermitted,
 }
 
 impl ExclusionReason {
-    /// All of them, in their order in [`ExclusionReasons`].
+    /// All reasons, in their order in [`ExclusionReasons`].
     pub const ALL: [Self; 5] =
         [Self::AtLimit, Self::Outlier, Self::OnProbation, Self::SlowStart, Self::NotPermitted];
 }
 
-/// How many endpoints couldn't take an attempt, by reason in the order of [`ExclusionReason::ALL`]; more than
-/// 255 count as 255.
+/// Number of endpoints that couldn't take an attempt, by reason in the order of [`ExclusionReason::ALL`].
+/// Each count saturates at 255.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExclusionReasons(pub [u8; 5]);
 
@@ -39,20 +39,20 @@
         *count = count.saturating_add(1);
     }
 
-    /// The commonest reason; `None` if no endpoint was excluded.
+    /// Returns the most common reason; `None` if no endpoint was excluded.
     #[must_use]
-    pub fn most(&self) -> Option<ExclusionReason> {
+    pub fn most_common(&self) -> Option<ExclusionReason> {
         let counted = ExclusionReason::ALL.into_iter().zip(self.0).filter(|&(_, count)| count > 0);
         counted.max_by_key(|&(reason, count)| (count, std::cmp::Reverse(reason))).map(|(reason, _)| reason)
     }
 }
 
-/// Why a request gets no further attempt.
+/// Reason why a request gets no further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoRetryReason {
-    /// It has made all the attempts that it may.
+    /// It has had the maximum number of attempts.
     AttemptsExhausted,
-    /// It may have been executed, and must not be executed again.
+    /// It may have been executed and must not be executed again.
     NotIdempotent,
     /// There is no time left.
     NoTimeLeft,
@@ -60,13 +60,13 @@
     RetryBudgetSpent,
 }
 
-/// Why the module gave the final answer itself. Whether that is a rejection or a failure depends on whether
-/// the request may have been executed.
+/// Reason why the module gave the final answer itself. Whether that answer is a rejection or a failure
+/// depends on the class's idempotency and on whether the request may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// The expected wait of its tier is too large a share of its time left.
+    /// The expected wait of its tier is too large a fraction of its time left.
     ExpectedWaitTooLong,
-    /// It was queued until no time was left for its objective.
+    /// It was queued until no time was left to meet its objective.
     QueueTimeout,
     /// Its key's turn didn't come in time.
     KeyOrderTimeout,
@@ -74,130 +74,131 @@
     NoRetry(NoRetryReason),
 }
 
-/// Why a concurrency limit changed.
+/// Reason why a concurrency limit changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChangeReason {
-    /// The endpoint's latency differs from that of the others.
+    /// The endpoint's utilization differs from that of all endpoints.
     ComparedLatency,
-    /// An attempt there failed or was rejected.
+    /// An attempt at the endpoint failed or was rejected.
     Failure,
 }
 
-/// A decision or a finding of the module.
+/// A decision or an observation of the module.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DecisionEvent {
     /// A request was classified.
     Classified {
-        /// Which.
+        /// The request.
         id: RequestId,
-        /// Its tier, 0 the highest.
+        /// Its tier, 0 for the highest.
         tier: u8,
         /// Its weight, reduced if its tenant is over its share.
         priority_weight: f32,
         /// A response after this is late.
         objective_deadline: Nanos,
     },
-    /// A request is queued, or waits for its key's turn.
+    /// A request was queued, or waits for its key's turn.
     Queued {
-        /// Which.
+        /// The request.
         id: RequestId,
-        /// How many are queued, of all tiers.
+        /// Number of queued requests of all tiers.
         queued: u32,
     },
     /// An endpoint was selected.
     EndpointSelected {
-        /// For which request.
+        /// The request.
         id: RequestId,
         /// The endpoint.
         endpoint: EndpointId,
-        /// Its latency ratio, times attempts in flight and one; the least is best.
+        /// Its score: latency ratio times attempts in flight plus one. The lowest score is selected.
         score: f32,
-        /// The runner-up and its score.
+        /// The endpoint with the second-best score, and that score.
         runner_up: Option<(EndpointId, f32)>,
-        /// Own attempts there before this one.
+        /// This node's attempts in flight there before this one.
         in_flight: u16,
         /// Its concurrency limit.
         limit: f32,
-        /// The endpoints that couldn't take it.
+        /// Number of endpoints that couldn't take the attempt, by reason.
         exclusions: ExclusionReasons,
     },
     /// No endpoint could be selected.
     NoEndpointAvailable {
-        /// For which request.
+        /// The request.
         id: RequestId,
-        /// The reasons; all zero if this node had no capacity at all.
+        /// Number of excluded endpoints, by reason; all zero if this node had no capacity at all.
         exclusions: ExclusionReasons,
     },
-    /// The module gives the final answer itself.
+    /// The module gave the final answer itself.
     AnsweredWithoutEndpoint {
-        /// To which request.
+        /// The request.
         id: RequestId,
         /// Why.
         reason: RejectionReason,
-        /// The expected wait over the time left, for [`RejectionReason::ExpectedWaitTooLong`]; else 0.
+        /// The expected wait divided by the time left, for [`RejectionReason::ExpectedWaitTooLong`];
+        /// otherwise 0.
         wait_share: f32,
     },
     /// An endpoint's concurrency limit changed.
     LimitChanged {
-        /// Whose.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Before.
+        /// Limit before the change.
         from: f32,
-        /// From now on.
+        /// Limit after the change.
         to: f32,
         /// Why.
         reason: LimitChangeReason,
     },
     /// All limits changed with the utilization of all endpoints.
     AllLimitsChanged {
-        /// By this factor.
+        /// Factor applied to the limits.
         factor: f32,
-        /// Smoothed latency relative to its target: above 1 limits fall.
+        /// Smoothed latency relative to its target. Limits fall above 1.
         utilization: f32,
     },
     /// An endpoint was ejected.
     Ejected {
-        /// Which.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// For how long.
+        /// Duration of the ejection.
         duration: Nanos,
     },
-    /// An endpoint on probation has answered.
+    /// An endpoint on probation has answered successfully.
     Reinstated {
-        /// Which.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// How many endpoints in use are outliers, when panic mode begins or ends.
+    /// The number of outliers among the endpoints in use; recorded when panic mode begins or ends.
     OutlierRatio {
-        /// So many.
+        /// Number of outliers.
         outliers: u32,
-        /// Of so many.
+        /// Number of endpoints in use.
         total: u32,
-        /// Most do, so none is treated as an outlier.
+        /// Whether most endpoints are outliers, so that none is treated as one.
         panic_mode: bool,
     },
-    /// The first request was rejected for its expected wait or a queue timeout since the queue was last
-    /// empty.
+    /// A request was rejected for its expected wait or by a queue timeout, for the first time since the queue
+    /// was last empty.
     OverloadStarted {
-        /// How many requests are queued.
+        /// Number of queued requests.
         queued: u32,
     },
     /// The queue is empty again.
     OverloadEnded,
-    /// Discovery is no longer being watched.
+    /// Discovery is no longer watched.
     WatchLost,
-    /// Discovery is being watched again.
+    /// Discovery is watched again.
     WatchRestored,
 }
 
 impl DecisionEvent {
-    /// Whether it is rare enough for a log.
+    /// Returns whether the event is rare enough for a log.
     #[must_use]
     pub fn is_logged(&self) -> bool {
         self.log_kind().is_some()
     }
 
-    /// Its position among the kinds of logged events.
+    /// Returns the index of the event's kind among the kinds that are logged.
     fn log_kind(&self) -> Option<usize> {
         Some(match self {
             Self::WatchLost => 0,
@@ -233,12 +234,12 @@
     }
 }
 
-/// How many kinds of events are logged.
+/// Number of kinds of events that are logged.
 const LOG_KINDS: usize = 7;
-/// Least time between two lines of one kind.
+/// Minimum time between two lines of one kind.
 const LOG_INTERVAL: Nanos = 5 * SECOND;
 
-/// Log lines of decision events, one of each kind every few seconds.
+/// Log lines of decision events, rate-limited by kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RateLimitedLog([Nanos; LOG_KINDS]);
 
--- a/crates/policy/src/decision_log.rs
+++ b/crates/policy/src/decision_log.rs
@@ -1,13 +1,13 @@
-//! The decision events of the last call of [`Balancer::handle`]; they change no decision.
+//! Decision events of the last call of [`Balancer::handle`]. Recording them changes no decision.
 
 use crate::balancer::Balancer;
 use crate::decision_event::DecisionEvent;
 
-/// Decision events in their order.
+/// Decision events, in order.
 #[derive(Default)]
 pub(crate) struct DecisionLog {
     events: Vec<DecisionEvent>,
-    /// Every decision is recorded, not only those for a log.
+    /// Whether every decision is recorded, not only the events that belong in a log.
     records_all: bool,
 }
 
@@ -16,26 +16,26 @@
         self.events.clear();
     }
 
-    /// Records an event that is rare enough for a log.
+    /// Records an event. Frequent events are recorded by [`Balancer::trace`] instead.
     pub fn push(&mut self, event: DecisionEvent) {
         self.events.push(event);
     }
 }
 
 impl Balancer {
-    /// Sets whether every decision is recorded; else, as at the start, only what belongs in a log
-    /// ([`DecisionEvent::is_logged`]).
+    /// Sets whether every decision is recorded. If not, which is the default, only events that belong in a
+    /// log are recorded ([`DecisionEvent::is_logged`]).
     pub fn record_every_decision(&mut self, all: bool) {
         self.decision_log.records_all = all;
     }
 
-    /// What the last [`Balancer::handle`] decided, in order. The next one discards it.
+    /// Returns what the last call of [`Balancer::handle`] decided, in order. The next call discards it.
     #[must_use]
     pub fn decision_events(&self) -> &[DecisionEvent] {
         &self.decision_log.events
     }
 
-    /// Records a frequent event, if every decision is recorded.
+    /// Records a frequent event if every decision is recorded.
     pub(crate) fn trace(&mut self, event: impl FnOnce(&Self) -> DecisionEvent) {
         if self.decision_log.records_all {
             let event = event(self);
--- a/crates/policy/src/deployment_settings.rs
+++ b/crates/policy/src/deployment_settings.rs
@@ -1,17 +1,17 @@
-//! The settings as the platform writes them, in a node's configuration and in the simulator's first message.
-//! Their keys are mapped to the module's terms here and nowhere else; unknown keys are ignored.
+//! Settings in the platform's format, as found in a node's configuration and in the simulator's first
+//! message. Only this module maps their keys to the terms of the decision module. Unknown keys are ignored.
 
 use serde::Deserialize;
 
 use crate::{Class, DedupScope, Discovery, Idempotency, Nanos, Settings, SettingsError, Tenant, ZoneId};
 
-/// Settings as written.
+/// Settings in the platform's format.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
 pub struct DeploymentSettings {
-    /// What the deployment permits.
+    /// Limits and permissions of the deployment.
     pub ceilings: Ceilings,
-    /// The classes of requests.
+    /// The request classes.
     pub classes: Vec<ClassSettings>,
     #[serde(rename = "counted_by")]
     weight_unit: String,
@@ -32,7 +32,7 @@
     /// The tenants.
     pub tenants: Vec<TenantSettings>,
     weights: String,
-    /// The zones, by name.
+    /// Names of the zones.
     pub zones: Vec<String>,
 }
 
@@ -57,20 +57,20 @@
     }
 }
 
-/// What the deployment permits, as written.
+/// Limits and permissions of the deployment, in the platform's format.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
 pub struct Ceilings {
     #[serde(rename = "cancel")]
     cancellation: bool,
-    /// Endpoints close a connection that has been idle for this long.
+    /// Time after which endpoints close an idle connection.
     pub conn_idle_ns: Nanos,
-    /// A connection that isn't established by then has failed.
+    /// Time after which a connection attempt has failed.
     pub dial_timeout_ns: Nanos,
     max_attempts: u32,
-    /// The longest retry delay that clients follow.
+    /// Longest retry delay that clients honour.
     pub max_retry_after_ns: Nanos,
-    /// Most open requests of a node.
+    /// Maximum number of open requests per node.
     pub most_held: usize,
     #[serde(rename = "parallel_tries")]
     concurrent_attempts: bool,
@@ -95,7 +95,7 @@
     }
 }
 
-/// Costs as fractions of a request, as written.
+/// Costs as fractions of a request, in the platform's format.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct Prices {
@@ -109,7 +109,7 @@
     load_report: f64,
 }
 
-/// The platform's rules, as written.
+/// Rules of the platform, in its format.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
 struct Rules {
@@ -149,7 +149,7 @@
     }
 }
 
-/// A class of requests, as written.
+/// A request class, in the platform's format.
 #[derive(Debug, Deserialize)]
 pub struct ClassSettings {
     #[serde(default, rename = "aim_stretch")]
@@ -170,15 +170,15 @@
     latency_objective_ns: Nanos,
     #[serde(default, rename = "window_ns")]
     dedup_window_ns: Nanos,
-    #[serde(default = "one", rename = "worth")]
+    #[serde(default = "default_priority_weight", rename = "worth")]
     priority_weight: f64,
 }
 
-fn one() -> f64 {
+fn default_priority_weight() -> f64 {
     1.0
 }
 
-/// A tenant, as written.
+/// A tenant, in the platform's format.
 #[derive(Debug, Deserialize)]
 pub struct TenantSettings {
     #[serde(default)]
@@ -191,10 +191,9 @@
 }
 
 impl DeploymentSettings {
-    /// Returns the settings of the decision module.
+    /// Converts the settings to those of the decision module.
     ///
-    /// # Errors
-    /// A value that is unknown or out of range.
+    /// # Errors If a value is unknown or out of range.
     pub fn settings(&self) -> Result<Settings, SettingsError> {
         let classes = self.classes.iter().map(ClassSettings::class).collect::<Result<_, _>>()?;
         let settings = Settings {
--- a/crates/policy/src/discovery_poll.rs
+++ b/crates/policy/src/discovery_poll.rs
@@ -1,4 +1,4 @@
-//! When discovery is polled again.
+//! Scheduling of discovery polls.
 
 use crate::balancer::Balancer;
 use crate::decision_event::DecisionEvent;
@@ -6,12 +6,12 @@
 use crate::timer::Timer;
 use crate::{Action, EndpointUpdate, nanos, seconds};
 
-/// After more failed polls in a row than this, the pause is twice as long.
+/// After more consecutive failed polls than this, the pause is twice as long.
 const SHORT_PAUSE_FAILURES: u32 = 2;
-/// The longest pause is at least the time within which an update must be known over this.
+/// The longest pause is at least the time within which an update must be known, divided by this.
 const MIN_PAUSE_DIVISOR: u64 = 20;
 
-/// Whether discovery is being watched.
+/// State of the discovery watch.
 #[derive(Default)]
 pub(crate) struct DiscoveryWatch {
     pub is_watching: bool,
@@ -25,12 +25,12 @@
         self.decision_log.push(DecisionEvent::WatchLost);
     }
 
-    /// Arms the timer of the next poll after an update, unless discovery is being watched.
+    /// Arms the timer for the next poll after an update, unless discovery is being watched.
     ///
     /// The pause is random, so that nodes that start or lose discovery together don't poll together. By the
-    /// platform's protocol an update binds [`DISCOVERY_NOTICE`] after it could be had, and drains a grace
-    /// later. That time, less one lost call and one that is answered, is shared by two pauses, since a poll
-    /// may be rejected; the first ones take at most half of a share.
+    /// platform's protocol, an update is binding [`DISCOVERY_NOTICE`] after it became available, and a drain
+    /// one grace period later. That time, less one lost poll and one answered poll, is divided between two
+    /// pauses, since a poll may also be rejected. The first pauses take at most half of their part.
     pub(crate) fn schedule_poll(&mut self, update: &EndpointUpdate, actions: &mut Vec<Action>) {
         let max_pause = self.max_poll_pause_s();
         let pause = match update {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The longest pause between two polls, in seconds.
+    /// Returns the longest pause between two polls, in seconds.
     fn max_poll_pause_s(&self) -> f64 {
         let notice = DISCOVERY_NOTICE.min(self.settings.poll_interval);
         let spare = (notice + self.settings.drain_grace).saturating_sub(2 * DISCOVERY_CALL_TIMEOUT);
--- a/crates/policy/src/endpoint_info.rs
+++ b/crates/policy/src/endpoint_info.rs
@@ -1,29 +1,29 @@
-//! Endpoints as discovery describes them.
+//! Endpoint information from discovery.
 
 use std::sync::Arc;
 
 use crate::ids::{CellId, EndpointId, ZoneId};
 use crate::time::{Nanos, SECOND};
 
-/// An update counts as known to every node this long after discovery had it and could be reached, whatever
-/// became of the node's calls meanwhile (the platform's protocol).
+/// By the platform's protocol, every node is considered to know an update this long after discovery had it
+/// and was reachable, whether or not the node's polls succeeded in the meantime.
 pub const DISCOVERY_NOTICE: Nanos = 6 * SECOND;
-/// Discovery answers or rejects a poll within 2 s (the platform's protocol). With a second more for the
-/// connection, a poll without an answer after this time is lost, and the host ends it.
+/// Timeout of a discovery poll. Discovery answers or rejects a poll within 2 s (the platform's protocol); one
+/// second is added for connecting. A poll without an answer by then is lost, and the host ends it.
 pub const DISCOVERY_CALL_TIMEOUT: Nanos = 3 * SECOND;
 
-/// Whether an endpoint takes requests.
+/// Whether an endpoint accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Finishes those that it has.
+    /// Finishes its open requests and accepts no new ones.
     Draining,
-    /// No longer there.
+    /// No longer exists.
     Removed,
 }
 
-/// An endpoint as discovery describes it.
+/// Information about one endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointInfo {
     /// Its id.
@@ -32,23 +32,23 @@
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: EndpointState,
-    /// Its relative weight; one that is not positive and finite counts as 1.
+    /// Relative weight; a value that is not positive and finite counts as 1.
     pub weight: f32,
-    /// When its process started; 0 is long ago.
+    /// Start time of its process; 0 means long ago.
     pub started_at: Nanos,
 }
 
-/// An update of the endpoints.
+/// An update from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// Only what changed.
+    /// Only the endpoints that changed.
     Delta(Arc<[EndpointInfo]>),
-    /// All there are; an endpoint not in it is removed.
+    /// All endpoints; one that is missing has been removed.
     Snapshot(Arc<[EndpointInfo]>),
-    /// The last snapshot of an earlier process; possibly stale.
+    /// The last snapshot of an earlier process, which may be stale.
     Restored(Arc<[EndpointInfo]>),
-    /// A poll failed or the watch broke.
+    /// A poll failed, or the watch was lost.
     WatchFailed,
 }
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that this node knows, kept up to date with discovery.
+//! The endpoints known to this node, kept up to date with discovery.
 
 use std::collections::VecDeque;
 use std::ops::{Index, IndexMut};
@@ -17,25 +17,25 @@
     ZoneId,
 };
 
-/// Utilization of an endpoint without samples.
+/// Utilization of an endpoint before its first sample.
 const INITIAL_UTILIZATION: f64 = 0.5;
 
-/// Position of an endpoint in the [`EndpointTable`]; valid until the next update from discovery.
+/// Index of an endpoint in the [`EndpointTable`]; valid until [`EndpointTable::remove_departed`] is called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EndpointIndex(pub usize);
 
-/// An attempt of this node that an endpoint has not answered yet.
+/// An attempt of this node that is in flight at an endpoint.
 #[derive(Clone, Copy)]
 pub(crate) struct InFlightAttempt {
     pub request: RequestId,
-    /// Its position among the request's attempts.
+    /// Its index among the request's attempts.
     pub attempt: usize,
     pub sent_at: Nanos,
     /// In seconds.
     pub expected_latency: f64,
 }
 
-/// An endpoint and what this node has learned of it.
+/// An endpoint and what this node has learned about it.
 #[derive(Default)]
 pub(crate) struct Endpoint {
     pub id: EndpointId,
@@ -43,24 +43,24 @@
     pub cell: CellId,
     pub weight: f64,
     pub ready: bool,
-    /// Start of its process.
+    /// Start time of its process; 0 means long ago.
     pub started_at: Nanos,
-    /// Own attempts, oldest first.
+    /// Attempts of this node in flight, oldest first.
     pub in_flight: VecDeque<InFlightAttempt>,
     pub latency_ratio: LatencyRatio,
     /// Smoothed latency relative to its target.
     pub utilization: f64,
-    /// Own attempts that may be in flight at once; 0 until the endpoint has been in use.
+    /// Maximum number of attempts of this node in flight; 0 until the endpoint is first used.
     pub concurrency_limit: f64,
     pub outlier: OutlierDetector,
-    /// When the latest attempt was sent that it has answered.
+    /// Send time of the latest attempt that succeeded.
     pub last_success_sent_at: Nanos,
-    /// The last attempt that ended was rejected.
+    /// Whether the attempt that ended last was rejected.
     pub last_attempt_rejected: bool,
-    /// Work sent, in requests of mean cost.
+    /// Rate of work sent, in requests of mean cost per second.
     pub sent_rate: Rate,
     pub slow_start: SlowStart,
-    /// Its position on the ring that all nodes share.
+    /// Position on the ring that all nodes share.
     pub ring_position: u64,
 }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Forgets what holds for an earlier process only. `jitter` is a random number from 0 to 1.
+    /// Discards state that only applies to an earlier process. `jitter` is a random number from 0 to 1.
     fn on_restart(&mut self, started_at: Nanos, jitter: f64, now: Nanos) {
         self.started_at = started_at;
         self.latency_ratio.reset();
@@ -117,7 +117,7 @@
         index
     }
 
-    /// Removes the endpoints that take no requests and have no attempt in flight; invalidates indices.
+    /// Removes the endpoints that are not ready and have no attempt in flight. Invalidates indices.
     pub fn remove_departed(&mut self) {
         let is_departed = |endpoint: &Endpoint| !endpoint.ready && endpoint.in_flight.is_empty();
         if self.endpoints.iter().any(is_departed) {
@@ -143,7 +143,8 @@
 }
 
 impl Balancer {
-    /// Applies an update from discovery. An endpoint that a snapshot lacks gets no attempt from this moment.
+    /// Applies an update from discovery. From now on, an endpoint that is missing from a snapshot gets no
+    /// attempts.
     pub(crate) fn on_endpoints_updated(&mut self, update: &EndpointUpdate, actions: &mut Vec<Action>) {
         match update {
             EndpointUpdate::Delta(list) => list.iter().for_each(|info| self.update_endpoint(info)),
@@ -163,8 +164,8 @@
         self.refresh();
     }
 
-    /// Applies what discovery says of one endpoint. A new one starts with the typical limit, since it often
-    /// replaces others; a restarted process starts in slow start.
+    /// Applies discovery's information about one endpoint. A new endpoint starts with the typical limit,
+    /// since it often replaces others. A restarted process begins in slow start.
     pub(crate) fn update_endpoint(&mut self, info: &EndpointInfo) {
         let ready = info.state == EndpointState::Ready;
         let index = match self.endpoints.find(info.id) {
@@ -188,8 +189,8 @@
     }
 
     /// Closes the idle connections to an endpoint that drains, since it waits for its connections to end.
-    /// Done at the update and after each attempt there, and again half of the allowed time later, for a
-    /// connection that was just being opened.
+    /// Called on the update and after each attempt there, and repeated after half of the allowed time, for
+    /// connections that were just being opened.
     pub(crate) fn close_idle_if_draining(&self, index: EndpointIndex, actions: &mut Vec<Action>) {
         let endpoint = &self.endpoints[index];
         if let Some(within) = self.settings.drain_idle_close.filter(|_| !endpoint.ready) {
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,4 +1,4 @@
-//! What a host reports to the decision module.
+//! Events that a host reports to the decision module.
 
 use std::sync::Arc;
 
@@ -7,20 +7,20 @@
 use crate::outcome::AttemptOutcome;
 use crate::time::Nanos;
 
-/// A client's request.
+/// A new request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewRequest {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// Its tenant, where there are tenants.
+    /// Its tenant, if there are tenants.
     pub tenant: Option<TenantId>,
     /// Expected processing time on a standard core.
     pub cost_hint: Option<Nanos>,
-    /// Its key, where requests carry one.
+    /// Its key, if it has one.
     pub key: Option<u64>,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting.
     pub deadline: Nanos,
 }
 
@@ -31,75 +31,78 @@
     pub id: RequestId,
     /// The attempt.
     pub attempt: AttemptNo,
-    /// The endpoint that it went to.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// How long it took.
+    /// Duration of the attempt.
     pub duration: Nanos,
-    /// Whether the request has its final answer, by this or before.
+    /// Whether the request has its final answer, by this attempt or earlier.
     pub final_answer: bool,
 }
 
-/// This node's part in the group of nodes that share the endpoints.
+/// Position of this node in the group of nodes that share the endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeShare {
-    /// Index of this node: its position on the ring of endpoints. Any number that no other node has.
+    /// Index of this node, which determines its position on the ring of endpoints. Any number that no other
+    /// node has.
     pub node_index: u32,
-    /// Number of nodes, this one among them.
+    /// Number of nodes, including this one.
     pub node_count: u32,
 }
 
-/// Advice of capacity planners, from what many nodes report. Each replaces the one before.
+/// Advice of capacity planners, computed from the reports of many nodes. Each advice replaces the previous
+/// one, except that endpoints marked as draining stay marked.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CapacityAdvice {
-    /// Its age when it arrives.
+    /// Age of the advice on arrival.
     pub age: Nanos,
-    /// How long it is valid; in the second half of that it loses weight.
+    /// Validity period. The advice loses weight in the second half of it.
     pub valid_for: Nanos,
     /// Endpoints to avoid for now.
     pub avoid: Arc<[EndpointId]>,
-    /// Endpoints that drain, with the start time of the process that is meant.
+    /// Endpoints that drain, with the start time of the draining process.
     pub draining: Arc<[(EndpointId, Nanos)]>,
-    /// Rate that this node has lent to others on endpoints in slow start, in requests a second before the
+    /// Rates that this node has lent to others on endpoints in slow start, in requests per second before the
     /// warm-up fraction is applied.
     pub lent: Arc<[(EndpointId, f64)]>,
-    /// Rate that it has been granted on such endpoints, in the same unit, for `granted_for` from its arrival.
+    /// Rates granted to this node on such endpoints, in the same unit, for `granted_for` from arrival.
     pub granted: Arc<[(EndpointId, f64)]>,
-    /// How long the grants hold; they end by themselves, however late the next advice is.
+    /// How long the grants are valid. They expire on their own, however late the next advice arrives.
     pub granted_for: Nanos,
 }
 
-/// What a host reports to [`Balancer::handle`](crate::Balancer::handle).
+/// An event for [`Balancer::handle`](crate::Balancer::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The endpoints changed, or discovery failed.
     EndpointsUpdated(EndpointUpdate),
-    /// A client's request, which is owed one final answer.
+    /// A new request of a client, which must get exactly one final answer.
     Request(NewRequest),
-    /// The response to an attempt began to stream to the client, which gets no other.
+    /// The response to an attempt has started to stream to the client, which gets no other response.
     ResponseStarted {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// An attempt ended.
+    /// An attempt has ended.
     AttemptEnded(AttemptEnded),
-    /// The client disconnected; it needs no answer any more.
+    /// The client has disconnected and needs no answer any more.
     ClientDisconnected(RequestId),
-    /// A timer fired.
+    /// A timer has fired.
     TimerFired(TimerToken),
-    /// Advice of capacity planners.
+    /// New advice of the capacity planners.
     CapacityAdvice(CapacityAdvice),
-    /// How many nodes share the endpoints, in place of [`Settings::node_count`](crate::Settings::node_count)
-    /// and [`Settings::node_index`](crate::Settings::node_index).
+    /// Number of nodes that share the endpoints, and index of this node, in place of
+    /// [`Settings::node_count`](crate::Settings::node_count) and
+    /// [`Settings::node_index`](crate::Settings::node_index).
     NodeShare(NodeShare),
-    /// Another node's load report.
+    /// A load report of another node.
     LoadReport {
-        /// Its index.
+        /// Index of the sender.
         from: u32,
-        /// What it sent by [`Action::SendLoadReport`](crate::Action::SendLoadReport).
+        /// The body that it sent with [`Action::SendLoadReport`](crate::Action::SendLoadReport).
         body: Vec<u8>,
     },
 }
--- a/crates/policy/src/event_loop_stall.rs
+++ b/crates/policy/src/event_loop_stall.rs
@@ -1,20 +1,20 @@
-//! Stalls of this process: stopped by the system, or without a processor for long.
+//! Stalls of this process: it was stopped by the system, or got no CPU time for long.
 //!
-//! Everything in flight meanwhile seems to have taken as long, all rates seem to have fallen, and what
-//! clients sent arrives at once. None of that is the endpoints' doing.
+//! After a stall, everything in flight seems to have taken that long, all rates seem to have fallen, and the
+//! requests that clients sent in the meantime arrive at once. None of that is caused by the endpoints.
 
 use crate::balancer::Balancer;
 use crate::{Nanos, SECOND};
 
-/// Longest time for which the queue's length after a stall isn't held against new requests.
+/// Maximum time after a stall in which the length of the queue is not used to reject new requests.
 const MAX_RECOVERY: Nanos = SECOND;
 
 /// The last stall.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StallRecovery {
-    /// Since when this process has run without a stall.
+    /// Time since which this process has run without a stall.
     pub resumed_at: Nanos,
-    /// Until when it works off what arrived during the stall.
+    /// Time until which requests that arrived during the stall are worked off.
     recovers_until: Nanos,
 }
 
@@ -25,20 +25,20 @@
 }
 
 impl Balancer {
-    /// Takes in that this process was stalled for `span` until `now`. Must be called before the events that
-    /// arrived meanwhile are handled.
+    /// Accounts for a stall of this process that lasted `span` and ended at `now`. Must be called before the
+    /// events that arrived during the stall are handled.
     ///
-    /// Attempts in flight are judged by the time that this process ran. Deadlines and obligations to
-    /// endpoints (drains, slow start) go by the clock as before.
+    /// Attempts in flight are judged by the time that this process was running. Deadlines and obligations to
+    /// endpoints (drains, slow start) still follow the clock.
     pub fn recover_from_stall(&mut self, now: Nanos, span: Nanos) {
         self.now = self.now.max(now);
         for endpoint in self.endpoints.iter_mut() {
             endpoint.in_flight.iter_mut().for_each(|attempt| attempt.sent_at += span);
             endpoint.latency_ratio.updated_at += span;
-            endpoint.sent_rate.skip(span);
+            endpoint.sent_rate.exclude_span(span);
         }
-        self.traffic.skip(span);
-        self.queue.skip(span);
+        self.traffic.exclude_span(span);
+        self.queue.exclude_span(span);
         let recovers_until = self.now + span.min(MAX_RECOVERY);
         self.stall = StallRecovery { resumed_at: self.now, recovers_until };
     }
--- a/crates/policy/src/final_answer.rs
+++ b/crates/policy/src/final_answer.rs
@@ -1,5 +1,4 @@
-//! The end of a request: the final answer that this node gives itself, and what follows from any final
-//! answer.
+//! End of a request: final answers given by this node itself, and the consequences of any final answer.
 
 use crate::balancer::Balancer;
 use crate::decision_event::{DecisionEvent, RejectionReason};
@@ -8,11 +7,11 @@
 
 impl Balancer {
     /// Gives a request its final answer. A rejection promises that nothing was executed, or that the client
-    /// may retry all the same; where that isn't certain the answer is a failure.
+    /// may retry nevertheless; where that isn't certain, the answer is a failure.
     pub(crate) fn answer(&mut self, id: RequestId, reason: RejectionReason, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.done) else { return };
         let is_queue_too_long = reason == RejectionReason::ExpectedWaitTooLong;
-        let pressure = if is_queue_too_long { self.wait_share(request) as f32 } else { 0.0 };
+        let wait_share = if is_queue_too_long { self.wait_share(request) as f32 } else { 0.0 };
         if self.may_reject(request) {
             actions.push(Action::Reject { id, retry_after: self.settings.retry_after_hint() });
         } else {
@@ -21,13 +20,13 @@
         if is_queue_too_long || reason == RejectionReason::QueueTimeout {
             self.begin_overload();
         }
-        self.trace(|_| DecisionEvent::AnsweredWithoutEndpoint { id, reason, wait_share: pressure });
+        self.trace(|_| DecisionEvent::AnsweredWithoutEndpoint { id, reason, wait_share });
         self.end_request(id, None, actions);
     }
 
-    /// Ends a request that has its final answer or needs none: no attempt is started any more, those in
-    /// flight are cancelled but for `keep`, and the next request of its key gets its turn after the last has
-    /// ended.
+    /// Ends a request that has its final answer or needs none: no further attempt is started, all attempts in
+    /// flight except `keep` are cancelled, and once the last attempt has ended it is the turn of the next
+    /// request with its key.
     pub(crate) fn end_request(&mut self, id: RequestId, keep: Option<AttemptNo>, actions: &mut Vec<Action>) {
         self.dequeue(id);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -47,7 +46,7 @@
     }
 }
 
-/// The attempts of a request that are in flight.
+/// Returns the attempts of a request that are in flight.
 fn in_flight(request: &Request) -> impl Iterator<Item = AttemptNo> {
     let numbered = (0..).map(AttemptNo).zip(&request.attempts);
     let in_flight = numbered.filter(|(_, attempt)| attempt.execution == Execution::InFlight);
--- a/crates/policy/src/hash_ring.rs
+++ b/crates/policy/src/hash_ring.rs
@@ -1,6 +1,6 @@
-//! Hashing of ids, and the ring on which nodes take their endpoints.
+//! Hashing of ids, and positions of nodes on the endpoint ring.
 
-/// Spreads the bits of a number (the finalizer of a 64-bit hash).
+/// Mixes the bits of a number (the finalizer of SplitMix64, a 64-bit hash).
 #[must_use]
 pub fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -8,12 +8,12 @@
     x ^ (x >> 31)
 }
 
-/// The golden ratio less 1.
-const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
+/// Fractional part of the golden ratio.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 
-/// Returns a node's position on a ring of `of` positions. Multiples of the golden ratio are spread evenly,
-/// and so is any run of them, such as the nodes of one zone.
+/// Returns a node's position on a ring of `positions`. Multiples of the golden ratio are spread evenly, and
+/// so is any run of consecutive ones, such as the nodes of one zone.
 #[must_use]
-pub fn ring(node: u32, of: usize) -> usize {
-    ((f64::from(node) * GOLDEN_RATIO).fract() * of as f64) as usize
+pub fn node_position(node: u32, positions: usize) -> usize {
+    ((f64::from(node) * GOLDEN_RATIO_FRACTION).fract() * positions as f64) as usize
 }
--- a/crates/policy/src/hedging.rs
+++ b/crates/policy/src/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged requests: a second attempt beside one that takes long.
+//! Hedged requests: a second attempt while the first one is slow.
 
 use crate::balancer::Balancer;
 use crate::endpoints::EndpointIndex;
@@ -7,25 +7,25 @@
 use crate::timer::Timer;
 use crate::{Action, Nanos, RequestId, nanos};
 
-/// A hedge is sent after this multiple of the expected latency.
+/// Hedge delay as a multiple of the expected latency.
 pub(crate) const HEDGE_DELAY_LATENCIES: f64 = 3.0;
-/// Least and largest latency ratio of the endpoint that the delay is scaled with.
+/// Bounds of the endpoint's latency ratio by which the hedge delay is scaled.
 const MIN_DELAY_RATIO: f64 = 1.0;
 const MAX_DELAY_RATIO: f64 = 2.0;
-/// Share of the expected latency that must be left before the response has lost its value.
+/// A hedge is only sent if this multiple of the expected latency is left until the response has no value any
+/// more.
 const MIN_TIME_LEFT_LATENCIES: f64 = 0.7;
 
 impl Balancer {
-    /// Returns how long after the start of an attempt a second one may be sent. `expected_latency` is in
-    /// seconds.
+    /// Returns the delay from the start of an attempt to its hedge. `expected_latency` is in seconds.
     pub(crate) fn hedge_delay(&self, index: EndpointIndex, expected_latency: f64) -> Nanos {
         let ratio = self.endpoints[index].selection_latency_ratio(self.now);
         let ratio = ratio.clamp(MIN_DELAY_RATIO, MAX_DELAY_RATIO);
         nanos(HEDGE_DELAY_LATENCIES * expected_latency * ratio)
     }
 
-    /// Sends a second attempt of an idempotent request that takes too long, if there are capacity and budget;
-    /// else looks again after the expected latency.
+    /// Hedges an idempotent request whose attempt is slow, if capacity and retry budget allow it. Otherwise
+    /// tries again after the expected latency.
     pub(crate) fn on_hedge_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.done || request.in_flight != 1 {
@@ -47,8 +47,8 @@
         self.now + nanos(MIN_TIME_LEFT_LATENCIES * expected_latency) <= self.useful_until(request)
     }
 
-    /// Returns whether hedges are allowed: nothing is queued, there are capacity and retry budget, and this
-    /// process hasn't just resumed after a stall, which makes all attempts look old.
+    /// Returns whether hedging is allowed: the queue is empty, there is capacity and retry budget, and this
+    /// process has not just resumed from a stall, which makes all attempts look old.
     fn may_hedge(&self, expected_latency: f64) -> bool {
         self.queue.is_empty()
             && self.has_capacity()
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,5 +1,5 @@
-//! Latency of classes and of endpoints, in seconds: smoothed means, baselines without load, and
-//! peak-sensitive ratios of endpoints.
+//! Latencies of classes and endpoints, in seconds: smoothed means, baselines without load, and peak-sensitive
+//! latency ratios of endpoints.
 
 use crate::balancer::Balancer;
 use crate::endpoints::{Endpoint, EndpointIndex, InFlightAttempt};
@@ -7,44 +7,47 @@
 
 /// Mean latency of a class before its first sample, as a fraction of its objective.
 const INITIAL_MEAN_PER_OBJECTIVE: f64 = 0.2;
-/// Part of a latency that doesn't depend on the cost of the request.
+/// Fraction of a latency that doesn't depend on the cost of the request.
 const FIXED_COST_FRACTION: f64 = 0.5;
-/// Least weight of a sample in a class's mean latency.
+/// Minimum weight of a sample in a class's mean latency.
 const MIN_MEAN_WEIGHT: f64 = 0.03;
-/// Least weight of a sample in a class's mean cost hint.
+/// Minimum weight of a sample in a class's mean cost hint.
 const MIN_HINT_WEIGHT: f64 = 0.01;
-/// Least cost relative to the class's mean that a hint can give.
+/// Minimum cost, relative to the class's mean, that a hint can give.
 const MIN_RELATIVE_COST: f64 = 0.05;
-/// Largest cost relative to the class's mean that a hint can give.
+/// Maximum cost, relative to the class's mean, that a hint can give.
 const MAX_RELATIVE_COST: f64 = 30.0;
-/// A sample counts for at most this multiple of the class's mean.
+/// Samples are capped at this multiple of the class's mean.
 const MAX_SAMPLE_OVER_MEAN: f64 = 5.0;
-/// Memory of the slow mean of which the baseline is the least value.
+/// Time constant, in seconds, of the slow mean, whose recent minimum the baseline tracks.
 const SLOW_MEAN_S: f64 = 15.0;
-/// Largest weight of a sample in the slow mean, and the baseline's largest weight downward.
+/// Maximum weight of a sample in the slow mean, and maximum weight with which the baseline falls.
 const MAX_SLOW_MEAN_WEIGHT: f64 = 0.03;
 const MAX_BASELINE_FALL_WEIGHT: f64 = 0.02;
-/// Time in which a baseline that no longer occurs is given up: long, or an overload would pass for the normal
-/// state.
+/// Time constant with which the baseline rises, in seconds. Long, since otherwise an overload would be taken
+/// for the normal state.
 const BASELINE_RISE_S: f64 = 300.0;
-/// Samples and time until which the baseline is the slow mean itself.
+/// Number of samples, and time in seconds, until which the baseline equals the slow mean.
 const BASELINE_MIN_SAMPLES: u32 = 30;
 const BASELINE_MIN_S: f64 = SLOW_MEAN_S / 3.0;
-/// Weight of a sample above an endpoint's latency ratio: peaks count at once.
+/// Weight of a sample above an endpoint's latency ratio: peaks take effect at once.
 const RISE_WEIGHT: f64 = 0.4;
-/// Least and largest weight of a sample below it; in between it is the time since the last sample in seconds.
+/// Bounds of the weight of a sample below the ratio; between them, the weight is the time since the last
+/// sample in seconds.
 const MIN_FALL_WEIGHT: f64 = 0.08;
 const MAX_FALL_WEIGHT: f64 = 0.5;
-/// Time in which the weight of an unused endpoint's ratio falls to 1/e.
+/// Time constant with which the ratio of an unused endpoint decays, in seconds.
 const RATIO_MEMORY_S: f64 = 5.0;
-/// What the ratio of an unused endpoint decays to: below the mean, so that a slow endpoint is used again.
+/// Value to which the ratio of an unused endpoint decays: below the mean, so that a slow endpoint is used
+/// again.
 const UNUSED_RATIO: f64 = 0.8;
-/// A sample of an endpoint's ratio counts for at most this, so that one very late answer doesn't keep a
-/// recovered endpoint out of use.
+/// Cap of a sample of an endpoint's ratio, so that one very late response doesn't keep a recovered endpoint
+/// out of use.
 const MAX_LATENCY_RATIO: f64 = 10.0;
-/// Least ratio that selection uses.
+/// Minimum ratio that selection uses.
 const MIN_SELECTION_RATIO: f64 = 0.05;
-/// An attempt is overtaken if one that was sent this many times its expected latency later has been answered.
+/// An attempt is overtaken if one that was sent this multiple of the expected latency later has been
+/// answered.
 const OVERTAKEN_LATENCIES: f64 = 2.0;
 
 /// Latency and cost hints of a class.
@@ -58,13 +61,13 @@
     pub hints: u32,
 }
 
-/// Latency of a class in one zone without load.
+/// Latency without load of a class in one zone.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ZoneBaseline {
     /// In seconds.
     pub baseline_latency: f64,
     pub updated_at: Nanos,
-    /// A mean with a longer memory than the class's, in seconds.
+    /// Mean with a longer time constant than the class's mean, in seconds.
     pub slow_mean: f64,
     /// Time of the first sample.
     pub since: Nanos,
@@ -72,8 +75,9 @@
 }
 
 impl ZoneBaseline {
-    /// Learns from a latency in seconds, where `class_mean` is the class's mean. Weights go by time where
-    /// samples are many: the least of a mean over a second or two is mostly noise.
+    /// Adds a latency sample in seconds; `class_mean` is the class's mean latency. With frequent samples,
+    /// weights depend on the time between samples: the minimum of a mean over only a second or two is mostly
+    /// noise.
     fn observe(&mut self, latency: f64, class_mean: f64, now: Nanos) {
         self.samples += 1;
         if self.samples == 1 {
@@ -95,10 +99,10 @@
     }
 }
 
-/// Latencies of all classes.
+/// Latency estimates of all classes.
 pub(crate) struct LatencyEstimator {
     pub classes: Vec<ClassLatency>,
-    /// By class and zone, since the way to a far zone can take longer than the work.
+    /// By class and zone, since the network latency to a distant zone can exceed the processing time.
     pub baselines: Vec<ZoneBaseline>,
     zone_count: u16,
 }
@@ -117,25 +121,25 @@
         }
     }
 
-    /// Adds the classes that new settings have behind the known ones.
+    /// Adds the classes that new settings append to the known ones.
     pub fn add_classes(&mut self, settings: &Settings) {
         let fresh = Self::new(settings);
         self.classes.extend(&fresh.classes[self.classes.len()..]);
         self.baselines.extend(&fresh.baselines[self.baselines.len()..]);
     }
 
-    /// Mean latency over all classes, in seconds.
+    /// Returns the mean latency over all classes, in seconds.
     pub fn mean_of_classes(&self) -> f64 {
         self.classes.iter().map(|class| class.mean).sum::<f64>() / self.classes.len() as f64
     }
 
-    /// Expected latency of a request of this cost, in seconds.
+    /// Returns the expected latency of a request of this relative cost, in seconds.
     pub fn expected(&self, class: ClassId, relative_cost: f64) -> f64 {
         self.classes[usize::from(class.0)].mean * cost_factor(relative_cost)
     }
 
-    /// Learns a class's mean hint and returns this hint's cost relative to it. A plain mean at first, so that
-    /// the first hint doesn't count for more than the next ones.
+    /// Updates a class's mean cost hint and returns the cost of this hint relative to it. The mean starts as
+    /// a plain average, so that the first hint doesn't weigh more than the following ones.
     pub fn learn_hint(&mut self, class: ClassId, hint: Nanos) -> f64 {
         let class = &mut self.classes[usize::from(class.0)];
         class.hints += 1;
@@ -144,8 +148,8 @@
         (hint as f64 / class.mean_hint).clamp(MIN_RELATIVE_COST, MAX_RELATIVE_COST)
     }
 
-    /// Learns a latency, in seconds of a request of mean cost, and returns the baseline of its class and
-    /// zone.
+    /// Adds a latency sample, in seconds and scaled to a request of mean cost. Returns the baseline of its
+    /// class and zone.
     pub fn observe(&mut self, class: ClassId, zone: ZoneId, latency: f64, now: Nanos) -> f64 {
         let zone = usize::from(zone.0.min(self.zone_count - 1));
         let class = usize::from(class.0);
@@ -161,7 +165,7 @@
         baseline.baseline_latency
     }
 
-    /// The least baseline of a class over all zones, at most `baseline`.
+    /// Returns the lowest baseline of a class over all zones, at most `baseline`.
     pub fn nearest_baseline(&self, class: ClassId, baseline: f64) -> f64 {
         let zones = self.baselines.chunks(usize::from(self.zone_count)).nth(usize::from(class.0));
         let sampled = zones.into_iter().flatten().filter(|zone| zone.samples > 0);
@@ -169,12 +173,12 @@
     }
 }
 
-/// How the cost of a request scales its latency.
+/// Returns the factor by which the cost of a request scales its latency.
 fn cost_factor(relative_cost: f64) -> f64 {
     FIXED_COST_FRACTION + (1.0 - FIXED_COST_FRACTION) * relative_cost
 }
 
-/// Smoothed peak latency of an endpoint relative to what was expected (peak EWMA).
+/// Smoothed peak latency of an endpoint relative to the expected latency (peak EWMA).
 #[derive(Clone, Copy, Default)]
 pub(crate) struct LatencyRatio {
     pub value: f64,
@@ -186,12 +190,12 @@
         Self { value: 1.0, updated_at: now }
     }
 
-    /// Forgets what was learned of an earlier process.
+    /// Discards what was learned about an earlier process.
     pub fn reset(&mut self) {
         self.value = 1.0;
     }
 
-    /// The ratio at `now`: without samples it decays to a little under the mean.
+    /// Returns the ratio at `now`: without samples it decays to slightly below the mean.
     pub fn decayed(&self, now: Nanos) -> f64 {
         let weight = (-seconds(now.saturating_sub(self.updated_at)) / RATIO_MEMORY_S).exp();
         UNUSED_RATIO + (self.value - UNUSED_RATIO) * weight
@@ -214,13 +218,14 @@
 }
 
 impl Endpoint {
-    /// Whether a later attempt has overtaken this one by far: then its connection is silent, not the
-    /// endpoint. `expected_latency` is in seconds.
+    /// Returns whether a much later attempt has overtaken one sent at `sent_at`. In that case the connection
+    /// is silent, not the endpoint. `expected_latency` is in seconds.
     pub fn has_overtaken(&self, sent_at: Nanos, expected_latency: f64) -> bool {
         self.last_success_sent_at >= sent_at + nanos(OVERTAKEN_LATENCIES * expected_latency)
     }
 
-    /// Age of the oldest attempt in flight that was not overtaken, relative to its expected latency.
+    /// Returns the age of the oldest attempt in flight that was not overtaken, relative to its expected
+    /// latency.
     pub fn oldest_in_flight_ratio(&self, now: Nanos) -> f64 {
         let waiting =
             |attempt: &&InFlightAttempt| !self.has_overtaken(attempt.sent_at, attempt.expected_latency);
@@ -229,7 +234,8 @@
         })
     }
 
-    /// The latency ratio that selection goes by. What is in flight counts as soon as it is older.
+    /// Returns the latency ratio used by selection. Attempts in flight count as soon as their age exceeds the
+    /// learned ratio.
     pub fn selection_latency_ratio(&self, now: Nanos) -> f64 {
         let learned = self.latency_ratio.decayed(now);
         learned.max(self.oldest_in_flight_ratio(now)).max(MIN_SELECTION_RATIO)
@@ -237,12 +243,14 @@
 }
 
 impl Balancer {
-    /// Expected latency of a request, in seconds. At least a tick, since timers are set by it.
+    /// Returns the expected latency of a request, in seconds; at least one tick, since timers are derived
+    /// from it.
     pub(crate) fn expected_latency(&self, class: ClassId, relative_cost: f64) -> f64 {
         self.latencies.expected(class, relative_cost).max(seconds(self.settings.tick))
     }
 
-    /// Learns from the duration of an attempt: the class's latency, the endpoint's and its limit.
+    /// Updates the latency of the class, the latency ratio of the endpoint and its limit with the duration of
+    /// an attempt.
     pub(crate) fn learn_latency(
         &mut self,
         index: EndpointIndex,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of one node: which endpoint gets a request, whether it is retried, which requests wait or
-//! are rejected.
+//! Balancing decisions of one node: which endpoint gets a request, whether the request is retried, and which
+//! requests are queued or rejected.
 //!
-//! Free of I/O and of clocks: a host feeds [`Event`]s with their times to [`Balancer::handle`] and carries
-//! out the [`Action`]s it gets back, in order. All times are [`Nanos`] on one monotonic clock of the node.
+//! Performs no I/O and reads no clock. The host passes timestamped [`Event`]s to [`Balancer::handle`] and
+//! carries out the returned [`Action`]s in order. All timestamps are [`Nanos`] on one monotonic clock of the
+//! node.
 
 mod action;
 mod admission;
--- a/crates/policy/src/load_reports.rs
+++ b/crates/policy/src/load_reports.rs
@@ -1,8 +1,8 @@
-//! Load reports between the nodes of a group: each says how many attempts its sender has in flight, by
-//! endpoint.
+//! Load reports between the nodes of a group. A report holds the number of attempts that its sender has in
+//! flight at each endpoint.
 //!
-//! A report replaces the sender's previous one, so lost, duplicated and late reports do no lasting harm.
-//! Where reports are missing, a node selects endpoints by its own attempts alone.
+//! A report replaces the sender's previous one, so lost, duplicated and late reports have no lasting effect.
+//! Without reports, a node selects endpoints by its own attempts alone.
 
 use std::sync::Arc;
 
@@ -10,30 +10,31 @@
 
 use crate::balancer::Balancer;
 use crate::endpoints::EndpointIndex;
-use crate::hash_ring::ring;
+use crate::hash_ring::node_position;
 use crate::subsetting::Locality;
 use crate::{Action, EndpointId, Nanos, nanos};
 
-/// Version of the encoding; reports of other versions are ignored.
+/// Version of the encoding. Reports with another version are ignored.
 const VERSION: u8 = 1;
-/// Longest report that may be sent, in bytes.
+/// Maximum size of a report, in bytes.
 const MAX_BYTES: usize = 256;
-/// Bytes of version and sequence number.
+/// Size of the header (version and sequence number), in bytes.
 const HEADER_BYTES: usize = 2;
-/// Bytes of an entry: endpoint and number of attempts.
+/// Size of an entry (endpoint and number of attempts), in bytes.
 const ENTRY_BYTES: usize = 5;
 
-/// Reports that cost more than this fraction of a request are not sent.
+/// No reports are sent if the reports per request would cost more than this fraction of a request.
 const MAX_REPORT_COST: f64 = 0.05;
-/// Bytes of reports for each request and member of the group: two reports with two endpoints each.
+/// Bytes of reports per request and peer of the group: two reports with two endpoints each.
 const BYTES_PER_REQUEST_AND_PEER: f64 = 2.0 * 12.0;
-/// Least mean size of a group. Smaller ones would be too uneven, and such nodes see enough alone.
+/// Minimum mean group size. Smaller groups would be too uneven in size, and the nodes in them see enough of
+/// the load without reports.
 const MIN_GROUP_SIZE: usize = 4;
-/// Largest mean size of a group, since each member reports to each other.
+/// Maximum mean group size, since each member sends reports to every other member.
 const MAX_GROUP_SIZE: usize = 12;
-/// A report is valid for this multiple of the mean latency; it is then repeated if it still holds.
+/// Validity of a report as a multiple of the mean latency. After that it is repeated if it still holds.
 const VALIDITY_LATENCIES: f64 = 2.5;
-/// A peer that sent nothing for so many times the validity is no longer counted as reporting.
+/// A peer that has sent nothing for this many validity periods no longer counts as reporting.
 const SILENT_PEER_VALIDITIES: Nanos = 10;
 
 #[derive(Debug)]
@@ -43,14 +44,14 @@
     in_flight: Vec<(EndpointId, u8)>,
 }
 
-/// The last report of each peer, and their sums by endpoint.
+/// The last report of each peer, and the sums of their counts by endpoint.
 #[derive(Debug, Default)]
 pub struct PeerReports {
     by_peer: FxHashMap<u32, LoadReport>,
     sums: FxHashMap<EndpointId, u32>,
 }
 
-/// Encodes a report. Endpoints without attempts are left out, and so are those beyond the largest size.
+/// Encodes a report. Endpoints without attempts are omitted, and so are entries beyond the maximum size.
 #[must_use]
 pub fn encode(sequence: u8, in_flight: impl IntoIterator<Item = (EndpointId, usize)>) -> Vec<u8> {
     let mut body = vec![VERSION, sequence];
@@ -66,15 +67,15 @@
     (EndpointId(u32::from_le_bytes([entry[0], entry[1], entry[2], entry[3]])), entry[4])
 }
 
-/// Returns the other nodes of a node's group, where `node_count` nodes form `groups` groups.
+/// Returns the other nodes in a node's group, where `node_count` nodes form `groups` groups.
 #[must_use]
 pub fn peers_in_group(node_index: u32, node_count: u32, groups: usize) -> Vec<u32> {
-    let own = ring(node_index, groups);
-    (0..node_count).filter(|&node| node != node_index && ring(node, groups) == own).collect()
+    let own = node_position(node_index, groups);
+    (0..node_count).filter(|&node| node != node_index && node_position(node, groups) == own).collect()
 }
 
 impl PeerReports {
-    /// Records a peer's report; one of unknown form, or no newer than the last, is ignored.
+    /// Records a peer's report. A report that is malformed or not newer than the last one is ignored.
     pub fn record(&mut self, from: u32, body: &[u8], now: Nanos) {
         let [VERSION, sequence, entries @ ..] = body else { return };
         if !entries.len().is_multiple_of(ENTRY_BYTES) {
@@ -92,7 +93,7 @@
         self.by_peer.insert(from, LoadReport { sequence: *sequence, received_at: now, in_flight });
     }
 
-    /// Takes a peer's counts out of the sums.
+    /// Subtracts a peer's counts from the sums.
     fn discard_counts(&mut self, peer: u32) {
         let report = self.by_peer.get_mut(&peer);
         for (endpoint, count) in report.map_or(Vec::new(), |report| std::mem::take(&mut report.in_flight)) {
@@ -116,32 +117,33 @@
         self.by_peer.retain(|_, report| report.received_at >= peers_since);
     }
 
-    /// Attempts that peers have in flight at an endpoint.
+    /// Returns the number of attempts that peers have in flight at an endpoint.
     #[must_use]
     pub fn in_flight(&self, endpoint: EndpointId) -> usize {
         self.sums.get(&endpoint).map_or(0, |&sum| sum as usize)
     }
 
-    /// How many peers have reported lately.
+    /// Returns the number of peers that have reported recently.
     #[must_use]
     pub fn reporting_peers(&self) -> usize {
         self.by_peer.len()
     }
 }
 
-/// Who gets a report.
+/// Recipients of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Recipients {
-    /// Every other peer in turn: enough after the end of an attempt, since counts expire by themselves.
+    /// Every other peer, alternating between the two halves of the group. That is enough after the end of an
+    /// attempt, since counts also expire.
     EveryOtherPeer,
     AllPeers,
 }
 
-/// The reports of this node and of its peers.
+/// Load reports of this node and of its peers.
 #[derive(Default)]
 pub(crate) struct LoadReporting {
     pub peers: PeerReports,
-    /// The other nodes of this node's group; empty if it sends no reports.
+    /// The other nodes of this node's group; empty if this node sends no reports.
     pub group: Vec<u32>,
     sequence: u8,
     sent_at: Nanos,
@@ -157,8 +159,8 @@
         self.due.get_or_insert(Recipients::EveryOtherPeer);
     }
 
-    /// Whether what most of the group has in flight is known.
-    fn is_informed(&self) -> bool {
+    /// Returns whether more than half of the peers have reported recently.
+    fn most_peers_reported(&self) -> bool {
         !self.group.is_empty() && 2 * self.peers.reporting_peers() > self.group.len()
     }
 
@@ -172,9 +174,9 @@
 }
 
 impl Balancer {
-    /// Decides which nodes exchange reports. Where reports are allowed and cheap, groups of nodes share one
-    /// subset each and know each other's attempts: many nodes with little traffic each would otherwise
-    /// select blindly, and some endpoints would be crowded beside idle ones.
+    /// Decides which nodes exchange reports. Where reports are allowed and cheap, the nodes of a group share
+    /// one subset and know each other's attempts. Otherwise many nodes with little traffic each would select
+    /// endpoints blindly, and some endpoints would be overloaded while others are idle.
     pub(crate) fn form_report_group(&mut self) {
         self.reporting.group.clear();
         let endpoints = self.subset[Locality::Local].preference_order.len();
@@ -186,18 +188,18 @@
         let groups = by_width.max(node_count as usize / MAX_GROUP_SIZE).clamp(1, endpoints);
         let group = peers_in_group(node, node_count, groups);
         let bytes = BYTES_PER_REQUEST_AND_PEER * group.len() as f64;
-        let is_dear = self.settings.load_report_cost * bytes / MAX_BYTES as f64 > MAX_REPORT_COST;
-        if is_dear || (node_count as usize) < MIN_GROUP_SIZE * groups {
+        let is_too_expensive = self.settings.load_report_cost * bytes / MAX_BYTES as f64 > MAX_REPORT_COST;
+        if is_too_expensive || (node_count as usize) < MIN_GROUP_SIZE * groups {
             return;
         }
         self.reporting.group = group;
-        // The whole group takes the ring from the same endpoint on.
+        // All nodes of the group start at the same endpoint of the ring.
         let order = &mut self.subset[Locality::Local].preference_order;
-        order.rotate_right(ring(node, endpoints));
-        order.rotate_left(ring(node, groups) * endpoints / groups);
+        order.rotate_right(node_position(node, endpoints));
+        order.rotate_left(node_position(node, groups) * endpoints / groups);
     }
 
-    /// Sends a report if one is due and there is a group.
+    /// Sends a report if one is due and this node has a group.
     pub(crate) fn send_due_load_report(&mut self, actions: &mut Vec<Action>) {
         let Some(recipients) = self.reporting.due.take() else { return };
         if self.reporting.group.is_empty() {
@@ -212,8 +214,8 @@
         actions.extend(to.map(|to| Action::SendLoadReport { to, body: body.clone() }));
     }
 
-    /// Discards old reports of peers, and repeats the own one if it is no longer valid but attempts are in
-    /// flight.
+    /// Discards expired reports of peers. Schedules a new report of this node if its last one has expired and
+    /// attempts are in flight.
     pub(crate) fn expire_load_reports(&mut self) {
         let validity = nanos(VALIDITY_LATENCIES * self.latencies.mean_of_classes());
         let counts_since = self.now.saturating_sub(validity);
@@ -224,13 +226,14 @@
         }
     }
 
-    /// Returns whether limits can be applied to the attempts of the whole group; else a node keeps to its own
-    /// share of them.
+    /// Returns whether limits can be applied to the attempts of the whole group. If not, each node applies
+    /// its own share of them.
     pub(crate) fn knows_group_load(&self) -> bool {
-        self.reporting.is_informed()
+        self.reporting.most_peers_reported()
     }
 
-    /// Attempts known to be in flight at an endpoint: own ones and those that the group reported.
+    /// Returns the number of attempts known to be in flight at an endpoint: this node's own and those
+    /// reported by the group.
     pub(crate) fn known_in_flight(&self, index: EndpointIndex) -> usize {
         let endpoint = &self.endpoints[index];
         endpoint.in_flight.len() + self.reporting.peers.in_flight(endpoint.id)
--- a/crates/policy/src/ordered_keys.rs
+++ b/crates/policy/src/ordered_keys.rs
@@ -1,5 +1,5 @@
-//! Requests of classes that are ordered by key: those with the same key run one at a time, in the order of
-//! their arrival, with a cooldown after an attempt that may still be executing.
+//! Requests of classes that are ordered by key: requests with the same key run one at a time, in the order of
+//! arrival, with a cooldown after an attempt that may still be executing.
 
 use std::collections::VecDeque;
 
@@ -11,42 +11,42 @@
 
 #[derive(Debug, Default)]
 struct KeyQueue {
-    /// The first one is the one whose turn it is.
+    /// Requests in order of arrival; it is the turn of the first one.
     requests: VecDeque<RequestId>,
     cooldown_until: Nanos,
 }
 
-/// What stands between a request and its turn.
+/// Whether a request has its turn, by condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyTurn {
-    /// All earlier requests of the key are over.
+    /// Whether all earlier requests of the key have ended.
     pub is_first: bool,
-    /// The key's cooldown is over.
+    /// Whether the key's cooldown is over.
     pub is_cooled_down: bool,
 }
 
-/// A queue for each key in use; the state of an idle key is freed.
+/// A queue for each key in use. The state of an idle key is freed.
 #[derive(Debug, Default)]
 pub struct OrderedKeys {
     queues: FxHashMap<u64, KeyQueue>,
-    /// Keys in cooldown, in the order in which their cooldowns end.
+    /// Keys in cooldown, ordered by the end of the cooldown.
     cooldowns: VecDeque<(Nanos, u64)>,
 }
 
 impl OrderedKeys {
-    /// Adds a request at the end of its key's queue.
+    /// Appends a request to its key's queue.
     pub fn push(&mut self, key: u64, id: RequestId) {
         self.queues.entry(key).or_default().requests.push_back(id);
     }
 
-    /// Removes a request from its key's queue, wherever it is.
+    /// Removes a request from any position of its key's queue.
     pub fn remove(&mut self, key: u64, id: RequestId) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.requests.retain(|&other| other != id);
         }
     }
 
-    /// Returns whether a request is the first of its key's queue, and whether the key's cooldown is over.
+    /// Returns whether a request is the first one in its key's queue, and whether the key's cooldown is over.
     #[must_use]
     pub fn turn(&self, key: u64, id: RequestId, now: Nanos) -> KeyTurn {
         self.queues.get(&key).map_or(KeyTurn { is_first: false, is_cooled_down: true }, |queue| KeyTurn {
@@ -55,7 +55,8 @@
         })
     }
 
-    /// Returns the first request of a key, unless the key is in cooldown.
+    /// Returns the first request of a key, unless the key is in cooldown. Frees the state of a key without
+    /// requests.
     pub fn first_ready(&mut self, key: u64, now: Nanos) -> Option<RequestId> {
         let queue = self.queues.get(&key).filter(|queue| now >= queue.cooldown_until)?;
         let first = queue.requests.front().copied();
@@ -65,7 +66,7 @@
         first
     }
 
-    /// Starts a key's cooldown; cooldowns must be started in the order of their ends.
+    /// Starts a key's cooldown. Cooldowns must be started in the order of their ends.
     pub fn start_cooldown(&mut self, key: u64, until: Nanos) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.cooldown_until = until;
@@ -73,14 +74,14 @@
         }
     }
 
-    /// Returns a key whose cooldown has ended, each cooldown once.
+    /// Returns a key whose cooldown has ended; each cooldown is returned once.
     pub fn pop_cooled_down(&mut self, now: Nanos) -> Option<u64> {
         self.cooldowns.pop_front_if(|&mut (until, _)| until <= now).map(|(_, key)| key)
     }
 }
 
 impl Balancer {
-    /// Returns whether a request has its key's turn: all earlier ones are over with all their attempts, and
+    /// Returns whether a request has its key's turn: all earlier requests and their attempts have ended, and
     /// the key's cooldown is over. A request that has already made an attempt needs no cooldown.
     pub(crate) fn has_turn(&self, id: RequestId, request: &Request) -> bool {
         request.key.is_none_or(|key| {
@@ -89,8 +90,8 @@
         })
     }
 
-    /// Queues the next request of a key for dispatch. Until its turn it isn't queued, so that it takes no
-    /// capacity and delays no other request.
+    /// Queues the next request of a key for dispatch. Before its turn a request isn't queued, so that it
+    /// takes no capacity and delays no other request.
     pub(crate) fn enqueue_next_of_key(&mut self, key: u64) {
         let Some(id) = self.ordered_keys.first_ready(key, self.now) else { return };
         let is_new = |request: &Request| !request.done && request.attempts.is_empty();
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -1,18 +1,18 @@
-//! How an attempt ended, and what that proves.
+//! Outcomes of attempts, and what they prove.
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A response.
+    /// A successful response.
     Success,
-    /// A response that is an error; may have executed.
+    /// An error response; may have executed.
     Error,
     /// Rejected by the endpoint; not executed, unless
     /// [`Settings::rejection_may_execute`](crate::Settings::rejection_may_execute).
     Rejected,
     /// No response in time; may have executed.
     TimedOut,
-    /// No connection; not executed.
+    /// No connection could be established; not executed.
     ConnectFailed,
     /// Connection lost; may have executed.
     Reset,
@@ -23,15 +23,15 @@
 }
 
 impl AttemptOutcome {
-    /// Whether the outcome proves that the attempt was not executed. Where endpoints may reject work that
-    /// they have begun (`rejection_may_execute`), a rejection proves nothing.
+    /// Returns whether the outcome proves that the attempt was not executed. Where endpoints may reject work
+    /// that they have started (`rejection_may_execute`), a rejection proves nothing.
     #[must_use]
     pub fn never_executed(self, rejection_may_execute: bool) -> bool {
         matches!(self, Self::ConnectFailed | Self::NotSent)
             || (self == Self::Rejected && !rejection_may_execute)
     }
 
-    /// Whether the endpoint may still be executing the attempt.
+    /// Returns whether the endpoint may still be executing the attempt.
     #[must_use]
     pub fn may_still_execute(self) -> bool {
         matches!(self, Self::TimedOut | Self::Reset | Self::Cancelled)
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Which endpoints get no attempts for now: ejection after failures, probation afterwards, and panic mode.
+//! Outlier detection: ejection of endpoints after failures, probation afterwards, and panic mode.
 
 use crate::EndpointId;
 use crate::balancer::Balancer;
@@ -6,45 +6,45 @@
 use crate::endpoints::EndpointIndex;
 use crate::{Idempotency, Nanos, RequestId, nanos};
 
-/// An attempt in flight for this multiple of its expected latency makes its endpoint an outlier.
+/// An endpoint is an outlier if an attempt has been in flight for this multiple of its expected latency.
 const HUNG_LATENCY_RATIO: f64 = 5.0;
-/// First and longest ejection, in seconds, before jitter; each ejection in a row is twice as long as the
-/// last.
+/// First and longest ejection before jitter, in seconds. Each consecutive ejection is twice as long as the
+/// previous one.
 const BASE_EJECTION_S: f64 = 0.5;
 const MAX_EJECTION_S: f64 = 8.0;
-/// Doublings of the ejection that are counted.
+/// Maximum number of doublings of an ejection.
 const MAX_EJECTION_DOUBLINGS: u32 = 6;
-/// Least failures in a row that eject an endpoint.
+/// Minimum number of consecutive failures that eject an endpoint.
 const MIN_CONSECUTIVE_FAILURES: u32 = 3;
-/// More failures in a row are needed where chance alone brings them about with a higher probability than
-/// this, by the rate at which attempts fail at other endpoints.
+/// More consecutive failures are needed if they occur by chance with a higher probability than this, given
+/// the rate at which attempts fail at other endpoints.
 const MAX_CHANCE_PROBABILITY: f64 = 1e-3;
-/// Bounds of the failure rate by which that is computed.
+/// Bounds of the failure rate from which that probability is computed.
 const MIN_COMMON_FAILURE_RATE: f64 = 1e-6;
 const MAX_COMMON_FAILURE_RATE: f64 = 0.9;
 /// Weight of an attempt in an endpoint's failure rate.
 const FAILURE_RATE_WEIGHT: f64 = 0.1;
-/// A failure rate over this multiple of the common one is the endpoint's own fault ...
+/// A failure rate above this multiple of the common one is the endpoint's own fault ...
 const OWN_FAULT_MULTIPLE: f64 = 2.0;
-/// ... in full from so much above it on.
+/// ... entirely so if it is higher by at least this much.
 const OWN_FAULT_RANGE: f64 = 0.25;
-/// Least latency ratio of an endpoint after a failure that is its own fault, so that failing fast doesn't
-/// look like being fast.
+/// Minimum latency ratio of an endpoint after a failure that is its own fault, so that fast failures don't
+/// look like low latency.
 const FAILURE_LATENCY_RATIO: f64 = 3.0;
 
-/// What kind of failure an attempt ended with.
+/// Kind of failure with which an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Failure {
-    /// The endpoint took the attempt and gave no usable response.
+    /// The endpoint accepted the attempt and gave no usable response.
     Broken,
     /// The endpoint rejected the attempt.
     Rejected,
-    /// No connection could be made.
+    /// No connection could be established.
     ConnectFailed,
 }
 
 impl Failure {
-    /// How many failures in a row it counts for.
+    /// Returns the number of consecutive failures that it counts as.
     fn count(self) -> u32 {
         match self {
             Self::Broken | Self::Rejected => 1,
@@ -52,9 +52,9 @@
         }
     }
 
-    /// How far it is the endpoint's own fault, from 0 to 1. Broken attempts count only as far as the endpoint
-    /// breaks more of them than others do: a fault of the network or of one kind of request concerns all
-    /// endpoints alike and must not lower their limits.
+    /// Returns the degree, from 0 to 1, to which the endpoint itself caused the failure. Broken attempts
+    /// count only as far as the endpoint breaks more of them than others do: a fault of the network or of one
+    /// kind of request affects all endpoints alike and must not lower their limits.
     fn fault(self, failure_rate: f64, common_failure_rate: f64) -> f64 {
         match self {
             Self::Rejected | Self::ConnectFailed => 1.0,
@@ -66,7 +66,7 @@
     }
 }
 
-/// The failures and ejections of one endpoint.
+/// Failures and ejections of one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct OutlierDetector {
     pub consecutive_failures: u32,
@@ -74,19 +74,19 @@
     pub failure_rate: f64,
     pub consecutive_ejections: u32,
     pub ejected_until: Nanos,
-    /// It was ejected and hasn't answered since.
+    /// Whether it was ejected and has not answered since.
     pub on_probation: bool,
 }
 
 impl OutlierDetector {
-    /// Forgets what holds for an earlier process only.
+    /// Discards state that only applies to an earlier process.
     pub fn on_restart(&mut self) {
         self.consecutive_failures = 0;
         self.ejected_until = 0;
         self.on_probation = false;
     }
 
-    /// Learns from a success; returns whether it ends the endpoint's probation.
+    /// Records a success. Returns whether it ends the endpoint's probation.
     pub fn record_success(&mut self) -> bool {
         self.failure_rate -= FAILURE_RATE_WEIGHT * self.failure_rate;
         self.consecutive_failures = 0;
@@ -97,15 +97,15 @@
         is_reinstated
     }
 
-    /// Learns from a failure; returns how far it is the endpoint's own fault, from 0 to 1.
+    /// Records a failure. Returns the degree, from 0 to 1, to which the endpoint itself caused it.
     pub fn record_failure(&mut self, failure: Failure, common_failure_rate: f64) -> f64 {
         self.failure_rate += FAILURE_RATE_WEIGHT * (1.0 - self.failure_rate);
         self.consecutive_failures += failure.count();
         failure.fault(self.failure_rate, common_failure_rate)
     }
 
-    /// Ejects the endpoint if it has failed too often in a row, or on probation; returns for how long.
-    /// `jitter` is the factor of that time.
+    /// Ejects the endpoint if it has had too many consecutive failures, or has failed on probation. Returns
+    /// the duration of the ejection; `jitter` is a factor of that duration.
     pub fn eject_if_due(&mut self, common_failure_rate: f64, jitter: f64, now: Nanos) -> Option<Nanos> {
         let is_due = self.consecutive_failures >= failures_to_eject(common_failure_rate) || self.on_probation;
         if !is_due || now < self.ejected_until {
@@ -120,20 +120,20 @@
         Some(duration)
     }
 
-    /// The latest time until which an endpoint may be ejected at `now`, but for jitter.
+    /// Returns the latest time until which an endpoint may be ejected at `now`, without jitter.
     pub fn latest_ejection_end(now: Nanos) -> Nanos {
         now.saturating_add(nanos(MAX_EJECTION_S))
     }
 }
 
-/// Failures in a row that eject an endpoint, where attempts at others fail at a rate.
+/// Returns the number of consecutive failures that eject an endpoint if attempts at others fail at this rate.
 fn failures_to_eject(common_failure_rate: f64) -> u32 {
     let rate = common_failure_rate.clamp(MIN_COMMON_FAILURE_RATE, MAX_COMMON_FAILURE_RATE);
     let beyond_chance = (MAX_CHANCE_PROBABILITY.ln() / rate.ln()).ceil() as u32;
     MIN_CONSECUTIVE_FAILURES.max(beyond_chance)
 }
 
-/// Outliers among the endpoints in use.
+/// Number of outliers among the endpoints in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct OutlierCount {
     pub outliers: u32,
@@ -153,22 +153,22 @@
 
 impl Balancer {
     /// Returns whether an endpoint is ejected, or has been silent for so long that it may be hung. A hung
-    /// endpoint gives no samples, so the age of what is in flight counts as its latency.
+    /// endpoint yields no samples, so the age of attempts in flight counts as its latency.
     pub(crate) fn is_outlier(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[index];
         self.now < endpoint.outlier.ejected_until
             || endpoint.oldest_in_flight_ratio(self.now) > HUNG_LATENCY_RATIO
     }
 
-    /// Whether an endpoint gets nothing new for now: it is unknown, not ready, ejected or silent.
+    /// Returns whether an endpoint gets no new attempts for now: it is unknown, not ready, ejected or silent.
     #[must_use]
     pub fn avoids(&self, id: EndpointId) -> bool {
         let is_avoided = |index| !self.endpoints[index].ready || self.is_outlier(index);
         self.endpoints.find(id).is_none_or(is_avoided)
     }
 
-    /// Enters or leaves panic mode. If most endpoints in use look like outliers the cause lies elsewhere, and
-    /// all of them are used.
+    /// Enters or leaves panic mode. If most endpoints in use look like outliers, the cause lies elsewhere,
+    /// and all of them are used.
     pub(crate) fn update_panic_mode(&mut self, count: OutlierCount) {
         let panic_mode = count.is_majority();
         if panic_mode != self.panic_mode {
@@ -178,9 +178,9 @@
         }
     }
 
-    /// Returns whether an endpoint on probation may get an attempt of this request: one at a time, and only a
-    /// request that may be retried elsewhere. An endpoint that only rejected may get any request, since
-    /// nothing else may be waiting behind those that can't be retried.
+    /// Returns whether an endpoint on probation may get an attempt of this request: only one at a time, and
+    /// only of a request that may be retried elsewhere. An endpoint that only rejected attempts may get any
+    /// request, since there may be no requests waiting besides those that can't be retried.
     pub(crate) fn may_probe(&self, index: EndpointIndex, id: RequestId) -> bool {
         let endpoint = &self.endpoints[index];
         let idempotency = self.class(self.requests[&id].class).idempotency;
@@ -188,7 +188,7 @@
         endpoint.in_flight.is_empty() && !is_risky
     }
 
-    /// Learns from a success of an endpoint.
+    /// Records a success of an endpoint.
     pub(crate) fn learn_success(&mut self, index: EndpointIndex) {
         let endpoint = &mut self.endpoints[index];
         if endpoint.outlier.record_success() {
@@ -196,8 +196,8 @@
         }
     }
 
-    /// Learns from a failure of an endpoint: its limit falls as far as the failure is its own, and it may be
-    /// ejected.
+    /// Records a failure of an endpoint. Its limit falls as far as the failure is its own fault, and it may
+    /// be ejected.
     pub(crate) fn learn_failure(&mut self, index: EndpointIndex, failure: Failure) {
         let jitter = 0.5 + self.random();
         let common = self.common_failure_rate(index);
@@ -211,7 +211,7 @@
         self.trace(|_| limit_changed);
     }
 
-    /// The mean failure rate of the other endpoints in use, or of this one if there is none.
+    /// Returns the mean failure rate of the other endpoints in use, or of this one if there are no others.
     fn common_failure_rate(&self, index: EndpointIndex) -> f64 {
         let others = self.subset.active().filter(|&other| other != index);
         let (sum, count) = others.fold((0.0, 0.0), |(sum, count), other| {
--- a/crates/policy/src/priority.rs
+++ b/crates/policy/src/priority.rs
@@ -2,29 +2,29 @@
 
 use crate::Class;
 
-/// The tier of a request, highest first. The queue is served in this order, and the lower tiers are rejected
-/// when the wait is too long.
+/// Priority tier of a request, highest first. The queue is served in this order, and requests of the lower
+/// tiers are rejected when the expected wait is too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PriorityTier {
-    /// Within the tier, the highest weight is served first.
+    /// Within this tier, requests with the highest weight are served first.
     Highest,
     High,
     Medium,
     Low,
 }
 
-/// Least share of the largest class's weight for the highest tier.
+/// Minimum ratio of a request's weight to the largest class weight for the highest tier.
 const HIGHEST_MIN_SHARE: f64 = 0.8;
-/// Shares above which a request is in the tier high, or medium.
+/// Ratios above which a request is in tier high or medium.
 const HIGH_ABOVE_SHARE: f64 = 0.55;
 const MEDIUM_ABOVE_SHARE: f64 = 0.3;
 
 impl PriorityTier {
-    /// How many tiers there are.
+    /// Number of tiers.
     pub const COUNT: usize = 4;
 
-    /// Returns the tier of a request with this weight, by its share of the largest weight of a class. If all
-    /// classes have the same weight there is nothing to prefer, and no request is above medium.
+    /// Returns the tier of a request with this weight, by its ratio to the largest weight of a class. If all
+    /// classes have the same weight, no request is above medium.
     pub fn classify(priority_weight: f64, classes: &[Class]) -> Self {
         let weights = || classes.iter().map(|class| class.priority_weight);
         let largest = weights().fold(0.0, f64::max);
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Whether requests of this tier may be rejected because the wait is too long.
+    /// Returns whether requests of this tier may be rejected because the expected wait is too long.
     pub fn may_be_shed(self) -> bool {
         self >= Self::Medium
     }
 
-    /// Its position, from 0 for the highest.
+    /// Returns the position of the tier, 0 for the highest.
     pub fn index(self) -> usize {
         self as usize
     }
--- a/crates/policy/src/request_queue.rs
+++ b/crates/policy/src/request_queue.rs
@@ -1,4 +1,4 @@
-//! Queued requests, by priority tier, and their dispatch.
+//! Queue of requests by priority tier, and its dispatch.
 
 use std::collections::BTreeSet;
 
@@ -8,23 +8,23 @@
 use crate::traffic_stats::Rate;
 use crate::{Action, Nanos, RequestId, SECOND};
 
-/// Time until queued requests are looked at again if no event frees capacity.
+/// Interval at which dispatch is tried again if no event frees capacity.
 pub(crate) const DISPATCH_INTERVAL: Nanos = SECOND / 50;
-/// Least rate at which a tier is taken to leave, as a share of the rate of all tiers.
+/// Minimum rate at which a tier is assumed to leave the queue, as a fraction of the rate of all tiers.
 const MIN_TIER_RATE_SHARE: f64 = 0.05;
 
-/// A queued request; entries are in the order in which they are served.
+/// A queued request. Entries sort in the order in which they are served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueEntry {
     pub tier: PriorityTier,
-    /// Within the highest tier less for a higher weight; elsewhere 0.
+    /// In the highest tier, lower for a higher weight; 0 in all others.
     rank: u64,
     /// Order of arrival in the queue.
     sequence: u64,
     pub id: RequestId,
 }
 
-/// Queued requests, and the rates at which the tiers leave.
+/// Queued requests, and the rates at which the tiers leave the queue.
 #[derive(Default)]
 pub(crate) struct RequestQueue {
     entries: BTreeSet<QueueEntry>,
@@ -35,7 +35,8 @@
 }
 
 impl RequestQueue {
-    /// Adds a request. `priority_weight` must not be negative: its bits then have the order of its value.
+    /// Adds a request. `priority_weight` must not be negative, since only then do its bits sort like its
+    /// value.
     pub fn push(&mut self, id: RequestId, tier: PriorityTier, priority_weight: f64) -> QueueEntry {
         self.last_sequence += 1;
         let is_highest = tier == PriorityTier::Highest;
@@ -51,7 +52,7 @@
         self.entries.remove(entry);
     }
 
-    /// The entry to be served next.
+    /// Returns the entry to serve next.
     pub fn first(&self) -> Option<QueueEntry> {
         self.entries.first().copied()
     }
@@ -69,21 +70,21 @@
         self.released_by_tier[tier.index()].add(now, 1.0);
     }
 
-    /// How long a tier's queue takes to drain at the rate at which it left so far, in seconds.
+    /// Returns how long a tier's queue takes to drain at the recent rate, in seconds.
     pub fn expected_wait(&self, tier: PriorityTier, now: Nanos) -> f64 {
         let all: f64 = self.released_by_tier.iter().map(|rate| rate.get(now)).sum();
         let rate = self.released_by_tier[tier.index()].get(now).max(MIN_TIER_RATE_SHARE * all);
         self.queued_by_tier[tier.index()] as f64 / rate
     }
 
-    /// Leaves a span in which this process did not run out of the rates.
-    pub fn skip(&mut self, span: Nanos) {
-        self.released_by_tier.iter_mut().for_each(|rate| rate.skip(span));
+    /// Excludes a span in which this process did not run from the rates.
+    pub fn exclude_span(&mut self, span: Nanos) {
+        self.released_by_tier.iter_mut().for_each(|rate| rate.exclude_span(span));
     }
 }
 
 impl Balancer {
-    /// Queues a request, unless it is queued.
+    /// Queues a request unless it is already queued.
     pub(crate) fn enqueue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.queued.is_none() {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Takes a request out of the queue, if it is queued.
+    /// Removes a request from the queue, if it is queued.
     pub(crate) fn dequeue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if let Some(entry) = request.queued.take() {
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Starts attempts of queued requests, highest tier first, while an endpoint has capacity. The first
-    /// request that no endpoint can take ends it.
+    /// Starts attempts of queued requests, highest tier first, while there is capacity. Stops at the first
+    /// request that no endpoint can take.
     pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         while self.has_capacity() {
             let Some(QueueEntry { tier, id, .. }) = self.queue.first() else { return };
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,7 +1,7 @@
-//! Retries: whether a request gets another attempt after one without success.
+//! Retries: whether a request gets another attempt after an unsuccessful one.
 //!
-//! A request whose body has partly gone to an endpoint can't be retried: the host answers it by that attempt
-//! alone.
+//! A request whose body has been partly sent to an endpoint can't be retried; the host answers it from that
+//! attempt alone.
 
 use crate::balancer::Balancer;
 use crate::decision_event::{NoRetryReason, RejectionReason};
@@ -10,18 +10,19 @@
 use crate::timer::Timer;
 use crate::{Action, RequestId};
 
-/// Tokens at the start.
+/// Initial number of tokens.
 const INITIAL_TOKENS: f64 = 2.0;
-/// Tokens that each request earns: retries and hedges must not multiply an overload.
+/// Tokens that each request earns. Far less than the cost of a retry, since retries and hedges must not
+/// multiply an overload.
 const TOKENS_PER_REQUEST: f64 = 0.1;
-/// Most tokens that are saved up.
+/// Maximum number of accumulated tokens.
 const MAX_TOKENS: f64 = 10.0;
-/// Tokens that a retry costs, or a hedged attempt.
+/// Cost of a retry or a hedge, in tokens.
 pub(crate) const RETRY_COST: f64 = 1.0;
-/// Tokens that a retry costs if no attempt was executed.
+/// Cost of a retry in tokens if no attempt was executed.
 const UNEXECUTED_RETRY_COST: f64 = 0.3;
 
-/// Bounds retries and hedges to a share of all requests.
+/// Token bucket that limits retries and hedges to a fraction of all requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RetryBudget {
     tokens: f64,
@@ -34,7 +35,7 @@
 }
 
 impl RetryBudget {
-    /// Counts a request.
+    /// Adds the tokens that one request earns.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
@@ -49,8 +50,8 @@
 }
 
 impl Balancer {
-    /// Decides what becomes of a request after an attempt without success: it is retried, waits for capacity
-    /// or for another attempt, or is answered.
+    /// Decides how a request continues after an unsuccessful attempt: it is retried, waits for capacity or
+    /// for another attempt, or is answered.
     pub(crate) fn retry_or_answer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.done {
@@ -76,8 +77,9 @@
         }
     }
 
-    /// Returns why a request may not be retried, if so; `cost` is in tokens of the budget. There is no time
-    /// left from the moment at which a queued request is answered, else it would wait without a next step.
+    /// Returns why a request may not be retried, if so; `cost` is in tokens of the budget. No time is left
+    /// from the moment at which a queued request is answered: after that, nothing would decide about a
+    /// waiting request any more.
     fn no_retry_reason(&self, request: &Request, cost: f64) -> Option<NoRetryReason> {
         let first = request.first_maybe_executed();
         if request.attempts.len() >= self.max_attempts() {
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -1,4 +1,4 @@
-//! The selection of an endpoint for an attempt: least latency times requests in flight, among a random
+//! Selection of an endpoint for an attempt: the lowest product of latency and requests in flight in a random
 //! sample.
 
 use crate::balancer::Balancer;
@@ -7,24 +7,24 @@
 use crate::subsetting::Locality;
 use crate::{EndpointId, RequestId};
 
-/// Candidates compared: enough to avoid a bad one, few enough to be fast and to avoid herding.
+/// Number of candidates compared: enough to avoid a bad endpoint, few enough to be fast and to avoid herding.
 const MAX_CANDIDATES: usize = 5;
-/// Endpoints looked at for that many candidates, where some have no capacity.
-const MAX_LOOKS: usize = 4 * MAX_CANDIDATES;
-/// Largest random part of a score, relative to it: decides between equal ones.
+/// Maximum number of endpoints drawn to find the candidates, since some may have no capacity.
+const MAX_DRAWS: usize = 4 * MAX_CANDIDATES;
+/// Maximum random part of a score, relative to it: breaks ties.
 const SCORE_JITTER: f64 = 0.05;
-/// Least weight of an endpoint relative to others.
+/// Minimum weight of an endpoint relative to others.
 const MIN_WEIGHT: f64 = 0.1;
 
 /// An endpoint that can take the attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Candidate {
-    /// The least is best.
+    /// Lower is better.
     pub score: f64,
     pub endpoint: EndpointIndex,
 }
 
-/// The candidates of one selection.
+/// Candidates and exclusions of one selection.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SelectionTrace {
     pub best: Option<Candidate>,
@@ -34,7 +34,7 @@
 }
 
 impl SelectionTrace {
-    /// Adds a candidate; of equal ones the first is best.
+    /// Adds a candidate. Among equal scores the first one is best.
     pub fn add(&mut self, candidate: Candidate) {
         let is_better = |other: Candidate| candidate.score < other.score;
         self.candidates += 1;
@@ -47,8 +47,8 @@
 }
 
 impl Balancer {
-    /// Returns the endpoint for the next attempt of a request, if any can take it. The own zone comes first
-    /// while it has capacity.
+    /// Returns the endpoint for the next attempt of a request, if any can take it. The node's own zone is
+    /// preferred while it has capacity.
     pub(crate) fn select_endpoint(&mut self, id: RequestId) -> Option<EndpointIndex> {
         let mut trace = SelectionTrace::default();
         for locality in Locality::ALL {
@@ -57,7 +57,7 @@
             }
             self.sample_candidates(id, locality, &mut trace);
             if let Some(best) = trace.best {
-                self.trace(|me| me.endpoint_selected(id, best, &trace));
+                self.trace(|balancer| balancer.endpoint_selected(id, best, &trace));
                 return Some(best.endpoint);
             }
         }
@@ -65,15 +65,15 @@
         None
     }
 
-    /// Compares the endpoints of a locality: all of a few, or a sample of many with a bounded number of
-    /// looks.
+    /// Compares the endpoints of a locality: all of them if there are few, otherwise a random sample with a
+    /// bounded number of draws.
     fn sample_candidates(&mut self, id: RequestId, locality: Locality, trace: &mut SelectionTrace) {
         let count = self.subset[locality].active.len();
         let compares_all = count <= MAX_CANDIDATES;
-        for look in 0..if compares_all { count } else { MAX_LOOKS } {
-            let position = if compares_all { look } else { (self.random() * count as f64) as usize };
+        for draw in 0..if compares_all { count } else { MAX_DRAWS } {
+            let position = if compares_all { draw } else { (self.random() * count as f64) as usize };
             let endpoint = self.subset[locality].active[position];
-            match self.check_capacity(endpoint, id) {
+            match self.check_eligibility(endpoint, id) {
                 Ok(()) => trace.add(Candidate { score: self.score(endpoint), endpoint }),
                 Err(reason) => trace.exclusions.add(reason),
             }
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Returns why an endpoint can't take an attempt of a request, if so.
-    fn check_capacity(&mut self, index: EndpointIndex, id: RequestId) -> Result<(), ExclusionReason> {
+    /// Checks whether an endpoint can take an attempt of a request. The error says why it can't.
+    fn check_eligibility(&mut self, index: EndpointIndex, id: RequestId) -> Result<(), ExclusionReason> {
         if self.is_at_limit(index) {
             return Err(ExclusionReason::AtLimit);
         }
@@ -105,8 +105,8 @@
         Ok(())
     }
 
-    /// Returns whether an endpoint's limit, rounded up, is used up: by the group where its attempts are
-    /// known, else by this node.
+    /// Returns whether an endpoint's limit, rounded up, is used up: by the whole group if its attempts are
+    /// known, otherwise by this node.
     fn is_at_limit(&self, index: EndpointIndex) -> bool {
         let endpoint = &self.endpoints[index];
         let (nodes, in_flight) = if self.knows_group_load() {
@@ -117,8 +117,9 @@
         in_flight as f64 >= (endpoint.concurrency_limit * nodes).ceil().max(1.0)
     }
 
-    /// Returns the score of an endpoint: smoothed peak latency relative to the expected, times attempts in
-    /// flight and one, over its weight if that is its capacity. Endpoints advised against look slower.
+    /// Returns the score of an endpoint: smoothed peak latency relative to the expected latency, times
+    /// attempts in flight plus one, divided by its weight if weights are capacities. Endpoints that advice
+    /// says to avoid look slower.
     fn score(&mut self, index: EndpointIndex) -> f64 {
         let jitter = 1.0 + SCORE_JITTER * self.random();
         let endpoint = &self.endpoints[index];
--- a/crates/policy/src/settings_update.rs
+++ b/crates/policy/src/settings_update.rs
@@ -1,16 +1,17 @@
-//! The change of settings while requests are in progress.
+//! Updates of the settings while requests are in progress.
 
 use crate::Settings;
 use crate::balancer::Balancer;
 
 impl Settings {
-    /// Whether a module with these settings may be updated to `new` ones. Open requests must end under the
-    /// rules that they began with, and what was learned is kept by the position of classes and zones and by
-    /// the id of tenants. Classes may be added behind the others; tenants may be added, removed and changed.
+    /// Returns whether a balancer with these settings may be updated to `new` ones. Open requests must end
+    /// under the rules that they started with, and learned state is kept by the index of classes and zones
+    /// and by the id of tenants. So classes may only be appended, while tenants may be added, removed and
+    /// changed.
     #[must_use]
     pub fn can_update_to(&self, new: &Self) -> bool {
         let same_rules = self.classes.iter().zip(&new.classes).all(|(old, new)| {
-            // Idempotency is asked for again whenever an attempt ends.
+            // Idempotency is looked up again whenever an attempt ends.
             old.idempotency == new.idempotency && old.ordered_by_key == new.ordered_by_key
         });
         same_rules
@@ -24,16 +25,16 @@
 }
 
 impl Balancer {
-    /// Goes on with other settings, which should have passed [`Settings::check`]. Queued requests keep their
-    /// priority and objective. Returns whether [`Settings::can_update_to`] allows it; if not, nothing is
-    /// changed.
+    /// Replaces the settings by others, which should have passed [`Settings::check`]. Queued requests keep
+    /// their priority and objective. Returns whether [`Settings::can_update_to`] allows the update; if not,
+    /// nothing changes.
     pub fn update_settings(&mut self, settings: Settings) -> bool {
         let settings = self.with_node_share(settings);
         if !self.settings.can_update_to(&settings) {
             return false;
         }
         self.latencies.add_classes(&settings);
-        self.tenants.forget_unknown(self.now, |id| settings.tenants.get(id).is_some());
+        self.tenants.evict_idle_unknown(self.now, |id| settings.tenants.get(id).is_some());
         self.settings = settings;
         true
     }
--- a/crates/policy/src/tenant_shares.rs
+++ b/crates/policy/src/tenant_shares.rs
@@ -1,4 +1,4 @@
-//! The tenants of a configuration and their shares, held once for all pools.
+//! The tenants of a configuration and their shares, stored once for all pools.
 
 use std::sync::Arc;
 
@@ -10,13 +10,13 @@
 #[derive(Debug)]
 struct Shares {
     by_id: FxHashMap<TenantId, Tenant>,
-    /// Equal for equal shares, whatever their order: unequal ones are found fast.
+    /// Independent of the order of tenants. Detects unequal shares without a comparison of all tenants.
     digest: u64,
-    /// Computed once, since each pool asks for it at each change.
-    is_sound: bool,
+    /// Computed once, since every pool asks for it at each change.
+    is_valid: bool,
 }
 
-/// Shares by the tenants' ids. A clone is another reference to the same shares.
+/// Shares by tenant id. A clone refers to the same allocation.
 #[derive(Clone, Debug)]
 pub struct TenantShares(Arc<Shares>);
 
@@ -27,45 +27,45 @@
 }
 
 impl TenantShares {
-    /// A tenant's share, where it is known.
+    /// Returns the share of a tenant, if the tenant is known.
     #[must_use]
     pub fn get(&self, id: TenantId) -> Option<&Tenant> {
         self.0.by_id.get(&id)
     }
 
-    /// How many tenants there are.
+    /// Returns the number of tenants.
     #[must_use]
     pub fn len(&self) -> usize {
         self.0.by_id.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no tenants.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.by_id.is_empty()
     }
 
-    /// All tenants, in no order.
+    /// Returns all tenants, in unspecified order.
     pub fn iter(&self) -> impl Iterator<Item = (TenantId, &Tenant)> {
         self.0.by_id.iter().map(|(id, tenant)| (*id, tenant))
     }
 
-    /// Whether all shares and allowances are numbers that can be used: finite and not negative.
+    /// Returns whether all shares and allowances are valid: finite and not negative.
     #[must_use]
-    pub fn is_sound(&self) -> bool {
-        self.0.is_sound
+    pub fn is_valid(&self) -> bool {
+        self.0.is_valid
     }
 
-    /// Whether both are one and the same in memory.
+    /// Returns whether both refer to the same allocation.
     #[must_use]
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn ptr_eq(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.0, &other.0)
     }
 }
 
 impl PartialEq for TenantShares {
     fn eq(&self, other: &Self) -> bool {
-        self.is_same(other) || (self.0.digest == other.0.digest && self.0.by_id == other.0.by_id)
+        self.ptr_eq(other) || (self.0.digest == other.0.digest && self.0.by_id == other.0.by_id)
     }
 }
 
@@ -73,12 +73,12 @@
     fn from_iter<T: IntoIterator<Item = (TenantId, Tenant)>>(tenants: T) -> Self {
         let by_id: FxHashMap<_, _> = tenants.into_iter().collect();
         let digest = by_id.iter().fold(0, |sum: u64, (id, tenant)| sum.wrapping_add(digest(*id, tenant)));
-        let is_sound = by_id.values().all(is_sound);
-        Self(Arc::new(Shares { by_id, digest, is_sound }))
+        let is_valid = by_id.values().all(is_valid);
+        Self(Arc::new(Shares { by_id, digest, is_valid }))
     }
 }
 
-/// Tenants whose ids are their positions.
+/// Assigns ids by position, starting at 0.
 impl FromIterator<Tenant> for TenantShares {
     fn from_iter<T: IntoIterator<Item = Tenant>>(tenants: T) -> Self {
         (0..).map(TenantId).zip(tenants).collect()
@@ -91,7 +91,7 @@
     }
 }
 
-fn is_sound(tenant: &Tenant) -> bool {
+fn is_valid(tenant: &Tenant) -> bool {
     [tenant.share, tenant.allowance_per_s].iter().all(|number| number.is_finite() && *number >= 0.0)
 }
 
--- a/crates/policy/src/tenant_table.rs
+++ b/crates/policy/src/tenant_table.rs
@@ -1,22 +1,22 @@
-//! A bounded table of the tenants' allowances in one pool. Whether a tenant is over its share is decided in
-//! `tenant_quota`; this module decides whose record is kept.
+//! A bounded table of the tenants' allowances in one pool. `tenant_quota` decides whether a tenant is over
+//! its share; this module decides which records are kept.
 //!
-//! A tenant earns an allowance for at most [`EARNING_S`] seconds at a time. After so long without a request,
-//! a tenant with a record has what it had left and the earnings of the whole span (up to the most it may
-//! save); one without a record has the earnings alone. Hence:
+//! Between two requests, a tenant earns allowance for at most [`EARNING_S`] seconds. After that long without
+//! a request, a tenant with a record has what was left plus the earnings of the whole span (up to its burst
+//! capacity); a tenant without a record has only the earnings. It follows that:
 //!
-//! 1. The record of a tenant with a request within the last [`EARNING_S`] seconds is never evicted: a new
-//!    record would give the tenant back what it has spent.
-//! 2. A record that is idle for longer may be evicted, the one idle for longest first. Its tenant never gains
-//!    by that; it loses at most what it had saved. Up to [`KEPT_IDLE_TENANT_RECORDS`] none is evicted. Beyond
-//!    that, records idle for [`EVICT_IDLE_AFTER`] are evicted as requests come, and from
-//!    [`MAX_TENANT_RECORDS`] on a new tenant takes the place of one idle for [`EARNING_S`] seconds.
-//! 3. If all [`MAX_TENANT_RECORDS`] records are recent, a new tenant gets none. It is judged by a record made
-//!    up from [`Overflow`], a small table of shared counters that never say less than what the tenant itself
-//!    has used. Once it gets a record, that one begins with what the counters say.
+//! 1. The record of a tenant with a request within the last [`EARNING_S`] seconds is never evicted: with a
+//!    new record the tenant would get back what it has spent.
+//! 2. A record that is idle for longer may be evicted, the one idle for longest first. The tenant never gains
+//!    by that; at most it loses what it had accumulated. Up to [`KEPT_IDLE_TENANT_RECORDS`] records, none is
+//!    evicted. Above that, records idle for [`EVICT_IDLE_AFTER`] are evicted as requests arrive, and from
+//!    [`MAX_TENANT_RECORDS`] on a new tenant replaces one that is idle for [`EARNING_S`] seconds.
+//! 3. If all [`MAX_TENANT_RECORDS`] records are recent, a new tenant gets none. Its requests are checked
+//!    against an estimate from [`Overflow`], a small table of shared counters that never understate what the
+//!    tenant itself has used. If the tenant gets a record later, that record starts with the estimate.
 //!
-//! By 2 and 3 a tenant that earns at a steady rate never has more requests within its share, counted from its
-//! first one, than with a record that is never evicted (`tests/tenant_quota.rs` has this as a property).
+//! By 2 and 3, a tenant that earns at a constant rate never has more requests within its share, counted from
+//! its first one, than with a record that is never evicted (a property test in `tests/tenant_quota.rs`).
 
 mod overflow;
 
@@ -26,22 +26,22 @@
 use crate::{Nanos, SECOND, TenantId};
 use overflow::Overflow;
 
-/// Longest time that a tenant earns for between two of its requests, in seconds.
+/// Longest time between two requests for which a tenant earns allowance, in seconds.
 pub(crate) const EARNING_S: f64 = 10.0;
-/// The same as a span: a record without a request for so long is idle.
+/// [`EARNING_S`] as a duration. A record without a request for that long is idle.
 const EARNING_SPAN: Nanos = EARNING_S as Nanos * SECOND;
-/// Records that a pool keeps however long they are idle.
+/// Number of records that a pool keeps, however long they are idle.
 pub const KEPT_IDLE_TENANT_RECORDS: usize = 256;
-/// Most records of a pool: what fills a hash table of 4,096 buckets.
+/// Maximum number of records of a pool: what fills a hash table with 4,096 buckets.
 pub const MAX_TENANT_RECORDS: usize = 3_584;
-/// Beyond [`KEPT_IDLE_TENANT_RECORDS`], records without a request for so long are evicted.
+/// Above [`KEPT_IDLE_TENANT_RECORDS`], records without a request for this long are evicted.
 const EVICT_IDLE_AFTER: Nanos = 600 * SECOND;
-/// Most records evicted with each request, so that none pays for many.
+/// Maximum number of records evicted per request, to bound the cost of each request.
 const MAX_EVICTIONS_PER_REQUEST: usize = 2;
-/// End of the list of records.
+/// End marker of the list of records.
 const NONE: u32 = u32::MAX;
 
-/// What a tenant has left, in requests, and the time of its last request.
+/// Remaining allowance of a tenant in requests, and the time of its last request.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct TenantState {
     pub allowance: f64,
@@ -53,25 +53,27 @@
 pub(crate) struct TenantRequest {
     pub tenant: TenantId,
     pub at: Nanos,
-    /// What the tenant earns a second, in requests.
+    /// Rate at which the tenant earns allowance, in requests per second.
     pub rate_per_s: f64,
-    /// What it may save at most, in requests.
-    pub max_saved: f64,
+    /// Maximum allowance that the tenant can accumulate, in requests.
+    pub burst_capacity: f64,
 }
 
 impl TenantRequest {
-    /// What a tenant without a record has: the earnings of the whole span, or since the clock began.
+    /// Returns the allowance of a tenant without a record: the earnings of the whole span, or of the time
+    /// since the clock started if that is shorter.
     fn allowance_without_record(&self) -> f64 {
-        (self.rate_per_s * seconds(self.at).min(EARNING_S)).min(self.max_saved)
+        (self.rate_per_s * seconds(self.at).min(EARNING_S)).min(self.burst_capacity)
     }
 
-    /// What it has if the clock has run for so long.
+    /// Returns that allowance for a clock that has run for the whole span.
     fn full_allowance(&self) -> f64 {
-        (self.rate_per_s * EARNING_S).min(self.max_saved)
+        (self.rate_per_s * EARNING_S).min(self.burst_capacity)
     }
 }
 
-/// A record in the list from the oldest to the newest last request; the links are positions.
+/// An entry in the list of records, which is ordered by the time of the last request. The links are indices
+/// of records.
 struct TenantRecord {
     tenant: TenantId,
     state: TenantState,
@@ -79,7 +81,7 @@
     newer: u32,
 }
 
-/// Records of the tenants that have traffic in a pool.
+/// Records of the tenants with traffic in a pool.
 pub(crate) struct TenantTable {
     positions: FxHashMap<TenantId, u32>,
     records: Vec<TenantRecord>,
@@ -96,14 +98,18 @@
 }
 
 impl TenantTable {
-    /// Returns what `is_over` says of a request by its tenant's record, and charges the record if it isn't
-    /// over.
-    pub fn judge(&mut self, request: TenantRequest, is_over: impl FnOnce(&mut TenantState) -> bool) -> bool {
+    /// Returns whether `is_over` finds a request over its tenant's share by the tenant's record, and charges
+    /// the record for the request if not.
+    pub fn check_and_charge(
+        &mut self,
+        request: TenantRequest,
+        is_over: impl FnOnce(&mut TenantState) -> bool,
+    ) -> bool {
         self.evict_idle(request.at);
         let position = self.positions.get(&request.tenant).copied();
         let position = position.or_else(|| self.make_room(request.at).then(|| self.insert(request)));
-        let Some(position) = position else { return self.judge_unlisted(request, is_over) };
-        self.touch(position);
+        let Some(position) = position else { return self.check_and_charge_without_record(request, is_over) };
+        self.move_to_newest(position);
         let state = &mut self.records[position as usize].state;
         let over = is_over(state);
         state.updated_at = request.at;
@@ -113,12 +119,13 @@
         over
     }
 
-    /// Number of records.
+    /// Returns the number of records.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Bytes of memory that the table holds; a bucket of the hash table is its entry and a control byte.
+    /// Returns the memory that the table takes, in bytes. A bucket of the hash table takes its entry and a
+    /// control byte.
     pub fn bytes(&self) -> usize {
         let bucket = size_of::<(TenantId, u32)>() + 1;
         self.records.capacity() * size_of::<TenantRecord>()
@@ -126,8 +133,8 @@
             + self.overflow.as_ref().map_or(0, Overflow::bytes)
     }
 
-    /// Evicts idle records of tenants that are no longer known.
-    pub fn forget_unknown(&mut self, now: Nanos, is_known: impl Fn(TenantId) -> bool) {
+    /// Evicts the idle records of tenants that are no longer known.
+    pub fn evict_idle_unknown(&mut self, now: Nanos, is_known: impl Fn(TenantId) -> bool) {
         let mut position = self.oldest;
         let mut unknown = Vec::new();
         while position != NONE && self.is_idle(position, now, EARNING_SPAN) {
@@ -144,14 +151,14 @@
         }
     }
 
-    /// Judges a request of a tenant that has no record and can't get one.
-    fn judge_unlisted(
+    /// Like [`Self::check_and_charge`], for a tenant that has no record and can't get one.
+    fn check_and_charge_without_record(
         &mut self,
         request: TenantRequest,
         is_over: impl FnOnce(&mut TenantState) -> bool,
     ) -> bool {
         let overflow = self.overflow.get_or_insert_default();
-        let mut state = overflow.state(request);
+        let mut state = overflow.estimated_state(request);
         let over = is_over(&mut state);
         if !over {
             overflow.charge(request, state.allowance - 1.0);
@@ -163,7 +170,7 @@
         now.saturating_sub(self.records[position as usize].state.updated_at) >= span
     }
 
-    /// Evicts what is of no more use, a little at a time.
+    /// Frees the overflow counters once no tenant has a debt, and evicts a bounded number of idle records.
     fn evict_idle(&mut self, now: Nanos) {
         if self.overflow.as_ref().is_some_and(|overflow| overflow.is_clear(now)) {
             self.overflow = None;
@@ -178,7 +185,8 @@
         }
     }
 
-    /// Makes room for another record; returns whether there is any.
+    /// Ensures that there is room for another record, if need be by evicting an idle one. Returns whether
+    /// there is.
     fn make_room(&mut self, now: Nanos) -> bool {
         if self.records.len() < MAX_TENANT_RECORDS {
             return true;
@@ -191,12 +199,12 @@
     }
 
     fn insert(&mut self, request: TenantRequest) -> u32 {
-        let overflow = self.overflow.as_ref().filter(|overflow| overflow.owes(request));
-        let state = overflow.map_or_else(TenantState::default, |overflow| overflow.state(request));
+        let overflow = self.overflow.as_ref().filter(|overflow| overflow.has_debt(request));
+        let state = overflow.map_or_else(TenantState::default, |overflow| overflow.estimated_state(request));
         let position = self.records.len() as u32;
         self.records.push(TenantRecord { tenant: request.tenant, state, older: NONE, newer: NONE });
         self.positions.insert(request.tenant, position);
-        self.link(position);
+        self.push_newest(position);
         position
     }
 
@@ -204,7 +212,7 @@
         self.unlink(position);
         let record = self.records.swap_remove(position as usize);
         self.positions.remove(&record.tenant);
-        // The last record has moved to the free position.
+        // The last record has moved to the freed position.
         if let Some(moved) = self.records.get(position as usize) {
             let (tenant, older, newer) = (moved.tenant, moved.older, moved.newer);
             self.positions.insert(tenant, position);
@@ -218,14 +226,14 @@
         }
     }
 
-    fn touch(&mut self, position: u32) {
+    fn move_to_newest(&mut self, position: u32) {
         if self.newest != position {
             self.unlink(position);
-            self.link(position);
+            self.push_newest(position);
         }
     }
 
-    fn link(&mut self, position: u32) {
+    fn push_newest(&mut self, position: u32) {
         let older = self.newest;
         let record = &mut self.records[position as usize];
         (record.older, record.newer) = (older, NONE);
@@ -239,12 +247,12 @@
         *self.older_of(newer) = older;
     }
 
-    /// The link to the record that is newer than another; newer than the end is the oldest.
+    /// Returns the link to the next newer record. At [`NONE`] this is the link to the oldest record.
     fn newer_of(&mut self, position: u32) -> &mut u32 {
         if position == NONE { &mut self.oldest } else { &mut self.records[position as usize].newer }
     }
 
-    /// The link to the record that is older than another; older than the end is the newest.
+    /// Returns the link to the next older record. At [`NONE`] this is the link to the newest record.
     fn older_of(&mut self, position: u32) -> &mut u32 {
         if position == NONE { &mut self.newest } else { &mut self.records[position as usize].older }
     }
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -6,13 +6,13 @@
 /// One second in [`Nanos`].
 pub const SECOND: Nanos = 1_000_000_000;
 
-/// A duration in seconds.
+/// Converts a duration to seconds.
 #[must_use]
 pub fn seconds(duration: Nanos) -> f64 {
     duration as f64 / SECOND as f64
 }
 
-/// Seconds as a duration; negative ones are zero.
+/// Converts seconds to a duration; negative values become zero.
 #[must_use]
 pub fn nanos(seconds: f64) -> Nanos {
     (seconds.max(0.0) * SECOND as f64) as Nanos
--- a/crates/policy/src/timer.rs
+++ b/crates/policy/src/timer.rs
@@ -1,27 +1,27 @@
-//! The module's timers, and the tokens by which hosts know them.
+//! Timers of the module, and the tokens by which hosts identify them.
 
 use crate::{EndpointId, RequestId, TimerToken};
 
-/// What a timer is for.
+/// Purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// A queued request has no time left.
+    /// A request that is queued or waits for its key's turn has no time left.
     QueueTimeout(RequestId),
-    /// An attempt takes long: another may be sent.
+    /// An attempt is slow; a hedge may be sent.
     Hedge(RequestId),
-    /// Queued requests are looked at again.
+    /// Dispatch of queued requests is tried again.
     Dispatch,
     /// Discovery is polled again.
     DiscoveryPoll,
-    /// Whether a request is retried is decided again.
+    /// The retry decision for a request is made again.
     Retry(RequestId),
-    /// A draining endpoint's idle connections are closed again.
+    /// The idle connections to a draining endpoint are closed again.
     CloseIdleConnections(EndpointId),
-    /// A key's cooldown is over.
+    /// The cooldown of a key has ended.
     KeyCooldown,
 }
 
-/// The kinds of timers in a token; hosts may record tokens, so the numbers are fixed.
+/// Kinds of timers in a token. Hosts may record tokens, so the numbers must not change.
 mod kind {
     pub const QUEUE_TIMEOUT: u32 = 1;
     pub const HEDGE: u32 = 2;
@@ -33,7 +33,7 @@
 }
 
 impl Timer {
-    /// The token: the kind in its upper half, an id or 0 in its lower.
+    /// Returns the token: the kind in the upper half, an id or 0 in the lower half.
     pub fn encode(self) -> TimerToken {
         let (kind, id) = match self {
             Self::QueueTimeout(request) => (kind::QUEUE_TIMEOUT, request.0),
@@ -47,7 +47,7 @@
         TimerToken(u64::from(kind) << 32 | u64::from(id))
     }
 
-    /// The timer of a token; `None` for one that this module has not made.
+    /// Returns the timer of a token; `None` for a token that this module doesn't issue.
     pub fn decode(token: TimerToken) -> Option<Self> {
         let (kind, id) = ((token.0 >> 32) as u32, token.0 as u32);
         Some(match kind {
@@ -64,8 +64,8 @@
 }
 
 impl TimerToken {
-    /// The request that the timer is for, if any. Once that has its final answer and no attempt in flight,
-    /// the timer does nothing, and a host may drop it.
+    /// Returns the request that the timer belongs to, if any. Once that request has its final answer and no
+    /// attempt in flight, the timer has no effect, and a host may drop it.
     #[must_use]
     pub fn request(self) -> Option<RequestId> {
         match Timer::decode(self)? {
--- a/crates/policy/src/warm_state.rs
+++ b/crates/policy/src/warm_state.rs
@@ -1,7 +1,7 @@
-//! What a module has learned, for the next process of the same node.
+//! Learned state, handed over to the next process of the same node.
 //!
-//! The next process is as careful as its predecessor was at once, but trusts what speaks for an endpoint less
-//! the older the state is. Slow-start budgets aren't handed over: they are earned from zero.
+//! The next process is at once as careful as its predecessor was. State in an endpoint's favour is trusted
+//! less the older it is. Slow-start budgets aren't handed over; they are earned from zero.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,20 +12,20 @@
 use crate::time::seconds;
 use crate::{EndpointId, Nanos};
 
-/// Version of the stored form; other ones are not read.
+/// Version of the stored format; other versions are ignored.
 const VERSION: u32 = 1;
-/// Time in seconds after which what speaks for an endpoint is given a weight of 1/e: limits follow load
-/// within some seconds.
+/// Time constant with which the trust in state in an endpoint's favour decays, in seconds: limits follow the
+/// load within some seconds.
 const TRUST_S: f64 = 10.0;
-/// Most endpoints in a stored state: far more than a node ever uses.
+/// Maximum number of endpoints in a stored state: far more than a node ever uses.
 const MAX_ENDPOINTS: usize = 20_000;
-/// Largest limit and mean concurrency that are taken to be true.
+/// Largest plausible limit and mean concurrency.
 const MAX_CONCURRENCY: f64 = 10_000.0;
-/// Largest latency or hint that is taken to be true.
+/// Latencies in seconds and mean cost hints in nanoseconds are implausible from this value on.
 const MAX_STORED_LATENCY: f64 = 1e6;
 
-/// What is known of a class, or of a class in one zone; in seconds and counts. The names are those of the
-/// file.
+/// Stored state of a class, or of a class in one zone. Latencies are in seconds, the cost hint and times in
+/// nanoseconds. The serialized names are those of the file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct StoredLatency {
     mean: f64,
@@ -42,7 +42,7 @@
     hints: u32,
 }
 
-/// What is known of an endpoint's present process. The names are those of the file.
+/// Stored state of an endpoint's current process. The serialized names are those of the file.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct StoredEndpoint {
     id: u32,
@@ -65,8 +65,8 @@
     on_probation: bool,
 }
 
-/// What a module has learned. Times are those of [`Balancer::handle`]: whoever hands it over must make both
-/// processes count from the same point.
+/// Learned state of a [`Balancer`]. Times are those of [`Balancer::handle`], so whoever hands the state over
+/// must make both processes use the same clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WarmState {
     #[serde(rename = "v")]
@@ -143,7 +143,7 @@
         values.iter().all(|x| x.is_finite() && *x >= 0.0) && self.concurrency_limit <= MAX_CONCURRENCY
     }
 
-    /// Restores an endpoint. `trust` is the weight of what speaks for it, from 0 to 1.
+    /// Applies the stored state to an endpoint. `trust` is the weight of state in its favour, from 0 to 1.
     fn restore(&self, endpoint: &mut Endpoint, trust: f64, now: Nanos) {
         endpoint.concurrency_limit = endpoint.concurrency_limit.max(self.concurrency_limit * trust);
         endpoint.utilization = self.utilization;
@@ -160,7 +160,7 @@
 }
 
 impl WarmState {
-    /// How old it is.
+    /// Returns the age of the state.
     #[must_use]
     pub fn age(&self, now: Nanos) -> Nanos {
         now.saturating_sub(self.created_at)
@@ -176,7 +176,7 @@
 }
 
 impl Balancer {
-    /// Returns what has been learned by `now`.
+    /// Returns the state learned by `now`.
     #[must_use]
     pub fn warm_state(&self, now: Nanos) -> WarmState {
         let used = self.endpoints.iter().filter(|e| e.ready && e.concurrency_limit > 0.0);
@@ -190,18 +190,19 @@
         }
     }
 
-    /// Restores what another process has learned, of the classes and endpoints from which this one has had no
-    /// response yet. A state that doesn't fit the settings, or can't be true, is ignored as a whole. May be
-    /// called again as endpoints become known.
+    /// Restores the state learned by another process, for the classes and endpoints from which this one has
+    /// had no response yet. A state that doesn't match the settings or is implausible is ignored as a whole,
+    /// and so is each single endpoint that is implausible. May be called again as more endpoints become
+    /// known.
     pub fn restore_warm_state(&mut self, state: &WarmState, now: Nanos) {
-        let fits = state.classes.len() == self.latencies.classes.len()
+        let matches_settings = state.classes.len() == self.latencies.classes.len()
             && state.baselines.len() == self.latencies.baselines.len();
-        if !fits || !state.is_plausible() {
+        if !matches_settings || !state.is_plausible() {
             return;
         }
         let trust = (-seconds(state.age(now)) / TRUST_S).exp();
         self.restore_latencies(state, now);
-        if self.traffic.arrivals.low(now) == 0.0 && self.traffic.mean_in_flight == 0.0 {
+        if self.traffic.arrivals.get_uncorrected(now) == 0.0 && self.traffic.mean_in_flight == 0.0 {
             self.traffic.mean_in_flight = state.mean_in_flight * trust;
             self.traffic.mean_updated_at = now;
         }
@@ -214,7 +215,7 @@
                 stored.restore(endpoint, trust, now);
             }
         }
-        // The sums over endpoints are computed anew at the next event.
+        // Makes the next event recompute the sums over endpoints.
         self.subset.refreshed_at = 0;
     }
 
--- a/crates/policy/tests/decision_events.rs
+++ b/crates/policy/tests/decision_events.rs
@@ -94,7 +94,7 @@
     node.advance(node.now + SECOND);
     assert!(reasons(&node).contains(&RejectionReason::QueueTimeout));
     let full = node.decision_events.iter().find_map(|event| match event {
-        DecisionEvent::NoEndpointAvailable { exclusions, .. } => exclusions.most(),
+        DecisionEvent::NoEndpointAvailable { exclusions, .. } => exclusions.most_common(),
         _ => None,
     });
     assert!(matches!(full, None | Some(ExclusionReason::AtLimit)));
--- a/crates/policy/tests/tenant_ids.rs
+++ b/crates/policy/tests/tenant_ids.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use proptest::prelude::*;
-use pumicehead_policy::tenant_ids::{RETIRED_FOR, TenantIds};
+use pumicehead_policy::tenant_ids::{RETIRED_ID_LIFETIME, TenantIds};
 use pumicehead_policy::tenant_shares::TenantShares;
 use pumicehead_policy::{Nanos, SECOND, Tenant, TenantId};
 
@@ -34,10 +34,10 @@
     let b = ids.get("b").unwrap();
     update(&mut ids, &["a"], SECOND);
     update(&mut ids, &["a", "new"], SECOND);
-    update(&mut ids, &["a", "new", "b"], SECOND + RETIRED_FOR - 1);
+    update(&mut ids, &["a", "new", "b"], SECOND + RETIRED_ID_LIFETIME - 1);
     assert_eq!(ids.get("b"), Some(b));
     update(&mut ids, &["a", "new"], 100 * SECOND);
-    update(&mut ids, &["a", "new", "b"], 100 * SECOND + RETIRED_FOR);
+    update(&mut ids, &["a", "new", "b"], 100 * SECOND + RETIRED_ID_LIFETIME);
     assert!(ids.get("b").is_some_and(|id| id != b));
 }
 
@@ -48,7 +48,7 @@
     update(&mut ids, &["a", "b"], 0);
     let (names, shares) = (ids.by_name().clone(), ids.shares().clone());
     update(&mut ids, &["b", "a"], SECOND);
-    assert!(std::sync::Arc::ptr_eq(&names, ids.by_name()) && shares.is_same(ids.shares()));
+    assert!(std::sync::Arc::ptr_eq(&names, ids.by_name()) && shares.ptr_eq(ids.shares()));
     ids.update([("a", tenant(0.1)), ("b", tenant(0.2))], SECOND);
     assert!(std::sync::Arc::ptr_eq(&names, ids.by_name()) && shares != *ids.shares());
 }
@@ -57,10 +57,10 @@
 #[test]
 fn unsound_shares_are_found() {
     let shares = |bad: Tenant| TenantShares::from(vec![tenant(0.1), bad, tenant(0.2)]);
-    assert!(TenantShares::default().is_sound() && shares(tenant(0.0)).is_sound());
+    assert!(TenantShares::default().is_valid() && shares(tenant(0.0)).is_valid());
     for bad in [f64::NAN, f64::INFINITY, -0.1] {
-        assert!(!shares(tenant(bad)).is_sound());
-        assert!(!shares(Tenant { share: 0.1, allowance_per_s: bad }).is_sound());
+        assert!(!shares(tenant(bad)).is_valid());
+        assert!(!shares(Tenant { share: 0.1, allowance_per_s: bad }).is_valid());
     }
 }
 
@@ -81,7 +81,7 @@
             for name in &names {
                 let id = ids.get(name).unwrap();
                 let former = last.insert(id, (name.clone(), now));
-                prop_assert!(former.is_none_or(|(other, at)| other == *name || now - at > RETIRED_FOR));
+                prop_assert!(former.is_none_or(|(other, at)| other == *name || now - at > RETIRED_ID_LIFETIME));
             }
         }
     }
--- a/crates/policy/tests/tenant_quota.rs
+++ b/crates/policy/tests/tenant_quota.rs
@@ -240,7 +240,7 @@
                 }
                 Traffic::Pause(span) => subject.now += span,
             }
-            prop_assert!(subject.balancer.tenant_states().0 <= MAX_TENANT_RECORDS);
+            prop_assert!(subject.balancer.tenant_record_usage().0 <= MAX_TENANT_RECORDS);
         }
     }
 }
@@ -307,7 +307,7 @@
             assert!(!subject.is_over(tenant), "tenant {tenant} starved");
             asked += 1;
         }
-        let (states, bytes) = subject.balancer.tenant_states();
+        let (states, bytes) = subject.balancer.tenant_record_usage();
         most = (most.0.max(states), most.1.max(bytes));
     }
     busy.check(MINUTES * 60);
@@ -326,11 +326,11 @@
         starved += u32::from(subject.is_over(BUSY + n));
     }
     assert_eq!(starved, 0);
-    assert_eq!(subject.balancer.tenant_states().0, MAX_TENANT_RECORDS);
+    assert_eq!(subject.balancer.tenant_record_usage().0, MAX_TENANT_RECORDS);
     for round in 0..30 * 20 {
         subject.now += SECOND / 20;
         busy.ask(&mut subject, round);
-        assert!(subject.balancer.tenant_states().1 <= MOST_BYTES);
+        assert!(subject.balancer.tenant_record_usage().1 <= MOST_BYTES);
     }
     busy.check(30);
 }
@@ -342,13 +342,13 @@
     for tenant in 0..3_000 {
         subject.ask(tenant);
     }
-    let (states, bytes) = subject.balancer.tenant_states();
+    let (states, bytes) = subject.balancer.tenant_record_usage();
     assert_eq!(states, 3_000);
     subject.now += 700 * SECOND;
     for _ in 0..2_000 {
         subject.ask(0);
     }
-    let (left, bytes_left) = subject.balancer.tenant_states();
+    let (left, bytes_left) = subject.balancer.tenant_record_usage();
     assert_eq!(left, KEPT_IDLE_TENANT_RECORDS);
     assert!(bytes_left * 3 < bytes, "{bytes_left} of {bytes} bytes");
 }
@@ -394,9 +394,9 @@
         subject.ask(tenant);
     }
     subject.update_tenants(shares(90..200));
-    assert_eq!(subject.balancer.tenant_states().0, 100, "recent ones stay");
+    assert_eq!(subject.balancer.tenant_record_usage().0, 100, "recent ones stay");
     subject.now += 10 * SECOND;
     subject.ask(95);
     subject.update_tenants(shares(90..201));
-    assert_eq!(subject.balancer.tenant_states().0, 10);
+    assert_eq!(subject.balancer.tenant_record_usage().0, 10);
 }
--- a/crates/policy/tests/unit/decision_event.rs
+++ b/crates/policy/tests/unit/decision_event.rs
@@ -5,10 +5,10 @@
 #[test]
 fn exclusions_are_counted_and_the_commonest_is_named() {
     let mut reasons = ExclusionReasons::default();
-    assert_eq!(reasons.most(), None);
+    assert_eq!(reasons.most_common(), None);
     (0..300).for_each(|_| reasons.add(ExclusionReason::SlowStart));
     reasons.add(ExclusionReason::AtLimit);
-    assert_eq!((reasons.0, reasons.most()), ([1, 0, 0, 255, 0], Some(ExclusionReason::SlowStart)));
+    assert_eq!((reasons.0, reasons.most_common()), ([1, 0, 0, 255, 0], Some(ExclusionReason::SlowStart)));
 }
 
 #[test]
--- a/crates/policy/tests/unit/load_reports.rs
+++ b/crates/policy/tests/unit/load_reports.rs
@@ -28,10 +28,10 @@
 #[test]
 fn group_load_is_known_once_most_peers_have_reported() {
     let mut reporting = reporting(0);
-    for (from, is_informed) in [(1, false), (2, false), (3, true)] {
+    for (from, most_peers_reported) in [(1, false), (2, false), (3, true)] {
         reporting.peers.record(from, &encode(1, []), 1);
-        assert_eq!(reporting.is_informed(), is_informed, "{from} of 5");
+        assert_eq!(reporting.most_peers_reported(), most_peers_reported, "{from} of 5");
     }
     reporting.group.clear();
-    assert!(!reporting.is_informed(), "without a group there is nothing to know");
+    assert!(!reporting.most_peers_reported(), "without a group there is nothing to know");
 }
--- a/crates/policy/tests/unit/traffic_stats.rs
+++ b/crates/policy/tests/unit/traffic_stats.rs
@@ -25,7 +25,7 @@
     traffic.update_mean(4, 10 * SECOND);
     let read = |traffic: &TrafficStats, now| (traffic.arrivals.get(now), traffic.served.get(now));
     let before = (read(&traffic, 10 * SECOND), traffic.mean_in_flight);
-    traffic.skip(30 * SECOND);
+    traffic.exclude_span(30 * SECOND);
     traffic.update_mean(0, 40 * SECOND);
     assert_eq!((read(&traffic, 40 * SECOND), traffic.mean_in_flight), before);
 }
