--- a/crates/flight-recorder/src/bounded_text.rs
+++ b/crates/flight-recorder/src/bounded_text.rs
@@ -43,7 +43,7 @@
     let mut hasher = FxHasher::default();
     hasher.write(text.as_bytes());
     // The hasher does not mix the low bits of its last word.
-    pumicehead_policy::hash_ring::mix(hasher.finish())
+    pumicehead_policy::hash_ring::mix64(hasher.finish())
 }
 
 /// Escapes control characters, quotes and characters that are invisible or change the direction of text.
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -61,7 +61,7 @@
 
 /// Returns a span id; the same recording always gives the same ids.
 fn id(timeline: &RequestTimeline, from: Nanos, part: u64) -> u64 {
-    pumicehead_policy::hash_ring::mix(
+    pumicehead_policy::hash_ring::mix64(
         timeline.name.hash ^ from.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15),
     )
     .max(1)
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -6,7 +6,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::balancer::Balancer;
-use crate::hash_ring::mix;
+use crate::hash_ring::mix64;
 use crate::latency::LatencyRatio;
 use crate::outlier_detection::OutlierDetector;
 use crate::slow_start::SlowStart;
@@ -72,7 +72,7 @@
             latency_ratio: LatencyRatio::new(now),
             utilization: INITIAL_UTILIZATION,
             slow_start: SlowStart::new(now),
-            ring_position: mix(u64::from(id.0)),
+            ring_position: mix64(u64::from(id.0)),
             ..Self::default()
         }
     }
--- a/crates/policy/src/hash_ring.rs
+++ b/crates/policy/src/hash_ring.rs
@@ -2,7 +2,7 @@
 
 /// Mixes the bits of a number (the finalizer of SplitMix64, a 64-bit hash).
 #[must_use]
-pub fn mix(mut x: u64) -> u64 {
+pub fn mix64(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
--- a/crates/policy/src/tenant_shares.rs
+++ b/crates/policy/src/tenant_shares.rs
@@ -4,7 +4,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::hash_ring::mix;
+use crate::hash_ring::mix64;
 use crate::{Tenant, TenantId};
 
 #[derive(Debug)]
@@ -96,6 +96,6 @@
 }
 
 fn digest(id: TenantId, tenant: &Tenant) -> u64 {
-    let share = mix(u64::from(id.0) ^ mix(tenant.share.to_bits()));
-    mix(share ^ tenant.allowance_per_s.to_bits())
+    let share = mix64(u64::from(id.0) ^ mix64(tenant.share.to_bits()));
+    mix64(share ^ tenant.allowance_per_s.to_bits())
 }
--- a/crates/policy/src/tenant_table/overflow.rs
+++ b/crates/policy/src/tenant_table/overflow.rs
@@ -8,7 +8,7 @@
 
 use super::{TenantRequest, TenantState};
 use crate::Nanos;
-use crate::hash_ring::mix;
+use crate::hash_ring::mix64;
 use crate::time::{nanos, seconds};
 
 /// Number of counters in a row: enough for 16,000 tenants at once.
@@ -75,6 +75,6 @@
 fn counter_indices(request: TenantRequest) -> impl Iterator<Item = usize> {
     let id = u64::from(request.tenant.0) << 8;
     (0..ROWS).map(move |row| {
-        row * COUNTERS_PER_ROW + (mix(id + row as u64 + 1) % COUNTERS_PER_ROW as u64) as usize
+        row * COUNTERS_PER_ROW + (mix64(id + row as u64 + 1) % COUNTERS_PER_ROW as u64) as usize
     })
 }
