--- a/crates/node/src/net/pool_loop/endpoints.rs
+++ b/crates/node/src/net/pool_loop/endpoints.rs
@@ -128,7 +128,8 @@
     pub(super) fn endpoint_counts(&self) -> EndpointCounts {
         let ids = self.directory.ids();
         let listed = ids.clone().count();
-        let unavailable = ids.filter(|&id| !self.directory.is_ready(id) || self.balancer.avoids(id)).count();
+        let unavailable =
+            ids.filter(|&id| !self.directory.is_ready(id) || self.balancer.is_unavailable(id)).count();
         EndpointCounts { listed, unavailable }
     }
 
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -162,7 +162,7 @@
 
     /// Returns whether an endpoint gets no new attempts for now: it is unknown, not ready, ejected or silent.
     #[must_use]
-    pub fn avoids(&self, id: EndpointId) -> bool {
+    pub fn is_unavailable(&self, id: EndpointId) -> bool {
         let is_avoided = |index| !self.endpoints[index].ready || self.is_outlier(index);
         self.endpoints.find(id).is_none_or(is_avoided)
     }
--- a/crates/policy/tests/warm_state.rs
+++ b/crates/policy/tests/warm_state.rs
@@ -112,7 +112,7 @@
 fn an_ejection_is_handed_over() {
     let (old, now) = learned(SECOND, AttemptOutcome::Reset);
     let aside = |balancer: &Balancer, now| {
-        balancer.avoids(EndpointId(2)) && !balancer.avoids(EndpointId(1)) && now > 0
+        balancer.is_unavailable(EndpointId(2)) && !balancer.is_unavailable(EndpointId(1)) && now > 0
     };
     let until = text(&old.warm_state(now))["servers"][1]["aside_until"].as_u64().unwrap();
     assert!(until > 0, "its failures have set it aside");
@@ -151,9 +151,9 @@
     bad["servers"][0]["aside_until"] = u64::MAX.into();
     let bad: WarmState = serde_json::from_value(bad).unwrap();
     let mut new = newcomer(&bad, now, &servers);
-    assert!(new.avoids(EndpointId(1)));
+    assert!(new.is_unavailable(EndpointId(1)));
     new.handle(now + 9 * SECOND, listing(&servers), &mut Vec::new());
-    assert!(!new.avoids(EndpointId(1)));
+    assert!(!new.is_unavailable(EndpointId(1)));
 }
 
 #[test]
