--- a/crates/node/src/net/discovery/watch.rs
+++ b/crates/node/src/net/discovery/watch.rs
@@ -9,7 +9,7 @@
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use pumicehead_policy::DISCOVERY_CALL_TIMEOUT;
+use pumicehead_policy::DISCOVERY_POLL_TIMEOUT;
 use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
@@ -22,7 +22,7 @@
 /// Interval of heartbeats while nothing changes (the platform's protocol).
 const HEARTBEAT: Duration = Duration::from_secs(2);
 /// Timeout of the response head; the service answers or rejects within 2 s.
-const RESPONSE_TIMEOUT: Duration = Duration::from_nanos(DISCOVERY_CALL_TIMEOUT);
+const RESPONSE_TIMEOUT: Duration = Duration::from_nanos(DISCOVERY_POLL_TIMEOUT);
 /// A watch that is silent for this long has missed two heartbeats and is lost. Changes that it misses bind this node from
 /// 6 s after the last byte on, and drains 2 s later; 3.5 s of these 8 s are left for two retry delays and the answer.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(4_500);
--- a/crates/policy/src/discovery_poll.rs
+++ b/crates/policy/src/discovery_poll.rs
@@ -2,7 +2,7 @@
 
 use crate::balancer::Balancer;
 use crate::decision_event::DecisionEvent;
-use crate::endpoint_info::{DISCOVERY_CALL_TIMEOUT, DISCOVERY_NOTICE};
+use crate::endpoint_info::{DISCOVERY_NOTICE_PERIOD, DISCOVERY_POLL_TIMEOUT};
 use crate::timer::Timer;
 use crate::{Action, EndpointUpdate, nanos, seconds};
 
@@ -28,9 +28,9 @@
     /// Arms the timer for the next poll after an update, unless discovery is being watched.
     ///
     /// The pause is random, so that nodes that start or lose discovery together don't poll together. By the
-    /// platform's protocol, an update is binding [`DISCOVERY_NOTICE`] after it became available, and a drain
-    /// one grace period later. That time, less one lost poll and one answered poll, is divided between two
-    /// pauses, since a poll may also be rejected. The first pauses take at most half of their part.
+    /// platform's protocol, an update is binding [`DISCOVERY_NOTICE_PERIOD`] after it became available, and a
+    /// drain one grace period later. That time, less one lost poll and one answered poll, is divided between
+    /// two pauses, since a poll may also be rejected. The first pauses take at most half of their part.
     pub(crate) fn schedule_poll(&mut self, update: &EndpointUpdate, actions: &mut Vec<Action>) {
         let max_pause = self.max_poll_pause_s();
         let pause = match update {
@@ -56,8 +56,8 @@
 
     /// Returns the longest pause between two polls, in seconds.
     fn max_poll_pause_s(&self) -> f64 {
-        let notice = DISCOVERY_NOTICE.min(self.settings.poll_interval);
-        let spare = (notice + self.settings.drain_grace).saturating_sub(2 * DISCOVERY_CALL_TIMEOUT);
+        let notice = DISCOVERY_NOTICE_PERIOD.min(self.settings.poll_interval);
+        let spare = (notice + self.settings.drain_grace).saturating_sub(2 * DISCOVERY_POLL_TIMEOUT);
         seconds((spare / 2).max(notice / MIN_PAUSE_DIVISOR))
     }
 
--- a/crates/policy/src/endpoint_info.rs
+++ b/crates/policy/src/endpoint_info.rs
@@ -7,10 +7,10 @@
 
 /// By the platform's protocol, every node is considered to know an update this long after discovery had it
 /// and was reachable, whether or not the node's polls succeeded in the meantime.
-pub const DISCOVERY_NOTICE: Nanos = 6 * SECOND;
+pub const DISCOVERY_NOTICE_PERIOD: Nanos = 6 * SECOND;
 /// Timeout of a discovery poll. Discovery answers or rejects a poll within 2 s (the platform's protocol); one
 /// second is added for connecting. A poll without an answer by then is lost, and the host ends it.
-pub const DISCOVERY_CALL_TIMEOUT: Nanos = 3 * SECOND;
+pub const DISCOVERY_POLL_TIMEOUT: Nanos = 3 * SECOND;
 
 /// Whether an endpoint accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -54,7 +54,7 @@
 pub use balancer::Balancer;
 pub use decision_event::DecisionEvent;
 pub use endpoint_info::{
-    DISCOVERY_CALL_TIMEOUT, DISCOVERY_NOTICE, EndpointInfo, EndpointState, EndpointUpdate,
+    DISCOVERY_NOTICE_PERIOD, DISCOVERY_POLL_TIMEOUT, EndpointInfo, EndpointState, EndpointUpdate,
 };
 pub use event::{AttemptEnded, CapacityAdvice, Event, NewRequest, NodeShare};
 pub use ids::{AttemptNo, CellId, ClassId, EndpointId, RequestId, TenantId, TimerToken, ZoneId};
--- a/crates/policy/tests/discovery_poll.rs
+++ b/crates/policy/tests/discovery_poll.rs
@@ -6,8 +6,8 @@
 use common::*;
 use pumicehead_policy::Balancer;
 use pumicehead_policy::{
-    Action, DISCOVERY_CALL_TIMEOUT, DISCOVERY_NOTICE, Discovery, EndpointUpdate, Event, Idempotency, Nanos,
-    SECOND, Settings, TimerToken,
+    Action, DISCOVERY_NOTICE_PERIOD, DISCOVERY_POLL_TIMEOUT, Discovery, EndpointUpdate, Event, Idempotency,
+    Nanos, SECOND, Settings, TimerToken,
 };
 
 /// Discovery answers or rejects a poll within this time.
@@ -33,7 +33,7 @@
 impl Fate {
     fn takes(self) -> Nanos {
         match self {
-            Self::Lost => DISCOVERY_CALL_TIMEOUT,
+            Self::Lost => DISCOVERY_POLL_TIMEOUT,
             Self::TurnedAway => 0,
             Self::TurnedAwayLate | Self::Answered => CALL_WAIT,
         }
@@ -156,7 +156,7 @@
             for grace in [SECOND, 2 * SECOND] {
                 for seed in 0..300 {
                     let took = until_answered(&asking(grace, 10 * SECOND), seed, before, order);
-                    assert!(took <= DISCOVERY_NOTICE + grace, "{before:?} {order:?} {grace}: {took}");
+                    assert!(took <= DISCOVERY_NOTICE_PERIOD + grace, "{before:?} {order:?} {grace}: {took}");
                 }
             }
         }
@@ -179,7 +179,7 @@
 fn a_move_of_discovery_leaves_time_for_a_failed_poll() {
     use Fate::{Answered, TurnedAway};
     let orders: [(Nanos, &[Fate]); 2] =
-        [(DISCOVERY_CALL_TIMEOUT, &[Answered]), (0, &[TurnedAway, TurnedAway, Answered])];
+        [(DISCOVERY_POLL_TIMEOUT, &[Answered]), (0, &[TurnedAway, TurnedAway, Answered])];
     for (spent, order) in orders {
         for seed in 0..300 {
             let mut asker = Asker::new(asking(2 * SECOND, 10 * SECOND), seed);
@@ -265,7 +265,7 @@
         let (last, calls) = start_together(nodes, all_calls * SECOND);
         assert!(last <= all_calls * SECOND + SECOND, "{all_calls} s: the last after {last}");
         assert!(
-            last <= DISCOVERY_NOTICE + 2 * SECOND || all_calls > 6,
+            last <= DISCOVERY_NOTICE_PERIOD + 2 * SECOND || all_calls > 6,
             "{all_calls} s: the last after {last}"
         );
         let most = nodes * 2 * (all_calls + 1);
