--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -155,11 +155,11 @@
         memory: memory.clone(),
         streaming: true,
     };
-    let ceilings = &config.deployment.ceilings;
+    let limits = &config.deployment.limits;
     HttpTransport::new(
         ConnectionRegistry::new(descriptors.upstream),
-        Duration::from_nanos(ceilings.dial_timeout_ns),
-        Duration::from_nanos(ceilings.conn_idle_ns),
+        Duration::from_nanos(limits.connect_timeout_ns),
+        Duration::from_nanos(limits.connection_idle_timeout_ns),
         response_reader,
         stats.upstream_requests.clone(),
     )
@@ -179,7 +179,7 @@
         idle_timeout: IDLE_TIMEOUT,
         max_buffered_body: MAX_BUFFERED_BODY_BYTES,
         max_streamed_body: Some(MAX_BODY_BYTES),
-        max_active_requests: config.deployment.ceilings.most_held,
+        max_active_requests: config.deployment.limits.max_open_requests,
         max_request_deadline: Duration::from_nanos(longest).min(MAX_DRAIN_DEADLINE),
         serves_health_check: true,
         retry_after: config.settings.retry_after_hint(),
--- a/crates/policy/src/deployment_settings.rs
+++ b/crates/policy/src/deployment_settings.rs
@@ -10,7 +10,8 @@
 #[serde(default)]
 pub struct DeploymentSettings {
     /// Limits and permissions of the deployment.
-    pub ceilings: Ceilings,
+    #[serde(rename = "ceilings")]
+    pub limits: DeploymentLimits,
     /// The request classes.
     pub classes: Vec<ClassSettings>,
     #[serde(rename = "counted_by")]
@@ -23,7 +24,8 @@
     zone: u16,
     #[serde(rename = "over_share_worth")]
     over_share_weight: f64,
-    prices: Prices,
+    #[serde(rename = "prices")]
+    costs: Costs,
     #[serde(rename = "quantum_ns")]
     tick_ns: Nanos,
     #[serde(rename = "replicas_of_me")]
@@ -31,7 +33,8 @@
     rules: Rules,
     /// The tenants.
     pub tenants: Vec<TenantSettings>,
-    weights: String,
+    #[serde(rename = "weights")]
+    weight_mode: String,
     /// Names of the zones.
     pub zones: Vec<String>,
 }
@@ -39,19 +42,19 @@
 impl Default for DeploymentSettings {
     fn default() -> Self {
         Self {
-            ceilings: Ceilings::default(),
+            limits: DeploymentLimits::default(),
             classes: Vec::new(),
             weight_unit: "request".into(),
             node_index: 0,
             discovery_mode: "automatic".into(),
             zone: 0,
             over_share_weight: 1.0,
-            prices: Prices::default(),
+            costs: Costs::default(),
             tick_ns: 1_000_000,
             node_count: 1,
             rules: Rules::default(),
             tenants: Vec::new(),
-            weights: "off".into(),
+            weight_mode: "off".into(),
             zones: Vec::new(),
         }
     }
@@ -60,18 +63,21 @@
 /// Limits and permissions of the deployment, in the platform's format.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
-pub struct Ceilings {
+pub struct DeploymentLimits {
     #[serde(rename = "cancel")]
     cancellation: bool,
     /// Time after which endpoints close an idle connection.
-    pub conn_idle_ns: Nanos,
+    #[serde(rename = "conn_idle_ns")]
+    pub connection_idle_timeout_ns: Nanos,
     /// Time after which a connection attempt has failed.
-    pub dial_timeout_ns: Nanos,
+    #[serde(rename = "dial_timeout_ns")]
+    pub connect_timeout_ns: Nanos,
     max_attempts: u32,
     /// Longest retry delay that clients honour.
     pub max_retry_after_ns: Nanos,
     /// Maximum number of open requests per node.
-    pub most_held: usize,
+    #[serde(rename = "most_held")]
+    pub max_open_requests: usize,
     #[serde(rename = "parallel_tries")]
     concurrent_attempts: bool,
     #[serde(rename = "peers")]
@@ -79,15 +85,15 @@
     retry_after: bool,
 }
 
-impl Default for Ceilings {
+impl Default for DeploymentLimits {
     fn default() -> Self {
         Self {
             cancellation: false,
-            conn_idle_ns: 15_000_000_000,
-            dial_timeout_ns: 250_000_000,
+            connection_idle_timeout_ns: 15_000_000_000,
+            connect_timeout_ns: 250_000_000,
             max_attempts: 1,
             max_retry_after_ns: 1_000_000_000,
-            most_held: 10_000,
+            max_open_requests: 10_000,
             concurrent_attempts: false,
             load_reports: false,
             retry_after: false,
@@ -98,7 +104,7 @@
 /// Costs as fractions of a request, in the platform's format.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct Prices {
+struct Costs {
     #[serde(rename = "connection")]
     open_connection: f64,
     #[serde(rename = "cross_zone")]
@@ -207,16 +213,16 @@
             weight_by_work: self.weight_unit == "work",
             discovery: self.discovery()?,
             tick: self.tick_ns,
-            max_attempts: self.ceilings.max_attempts,
-            concurrent_attempts: self.ceilings.concurrent_attempts,
-            cancellation: self.ceilings.cancellation,
-            retry_after: self.ceilings.retry_after,
-            max_retry_after: self.ceilings.max_retry_after_ns,
-            connections_have_cost: self.prices.open_connection > 0.0 || self.prices.new_connection > 0.0,
-            cross_zone_cost: self.prices.cross_zone_attempt,
-            weight_is_capacity: matches!(self.weights.as_str(), "nominal" | "rough"),
-            load_reports: self.ceilings.load_reports,
-            load_report_cost: self.prices.load_report,
+            max_attempts: self.limits.max_attempts,
+            concurrent_attempts: self.limits.concurrent_attempts,
+            cancellation: self.limits.cancellation,
+            retry_after: self.limits.retry_after,
+            max_retry_after: self.limits.max_retry_after_ns,
+            connections_have_cost: self.costs.open_connection > 0.0 || self.costs.new_connection > 0.0,
+            cross_zone_cost: self.costs.cross_zone_attempt,
+            weight_is_capacity: matches!(self.weight_mode.as_str(), "nominal" | "rough"),
+            load_reports: self.limits.load_reports,
+            load_report_cost: self.costs.load_report,
             poll_interval: self.rules.poll_interval_ns,
             drain_grace: self.rules.drain_grace_ns,
             warmup_initial_fraction: self.rules.warmup_initial_fraction,
