--- a/crates/policy/src/deployment_settings.rs
+++ b/crates/policy/src/deployment_settings.rs
@@ -1,17 +1,18 @@
-//! The settings as the platform writes them, in a node's configuration and in the simulator's first message.
-//! Their keys are mapped to the module's terms here and nowhere else; unknown keys are ignored.
+//! Settings in the platform's format, as found in a node's configuration and in the simulator's first
+//! message. Only this module maps their keys to the terms of the decision module. Unknown keys are ignored.
 
 use serde::Deserialize;
 
 use crate::{Class, DedupScope, Discovery, Idempotency, Nanos, Settings, SettingsError, Tenant, ZoneId};
 
-/// Settings as written.
+/// Settings in the platform's format.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
 pub struct DeploymentSettings {
-    /// What the deployment permits.
-    pub ceilings: Ceilings,
-    /// The classes of requests.
+    /// Limits and permissions of the deployment.
+    #[serde(rename = "ceilings")]
+    pub limits: DeploymentLimits,
+    /// The request classes.
     pub classes: Vec<ClassSettings>,
     #[serde(rename = "counted_by")]
     weight_unit: String,
@@ -23,7 +24,8 @@
     zone: u16,
     #[serde(rename = "over_share_worth")]
     over_share_weight: f64,
-    prices: Prices,
+    #[serde(rename = "prices")]
+    costs: Costs,
     #[serde(rename = "quantum_ns")]
     tick_ns: Nanos,
     #[serde(rename = "replicas_of_me")]
@@ -31,47 +33,51 @@
     rules: Rules,
     /// The tenants.
     pub tenants: Vec<TenantSettings>,
-    weights: String,
-    /// The zones, by name.
+    #[serde(rename = "weights")]
+    weight_mode: String,
+    /// Names of the zones.
     pub zones: Vec<String>,
 }
 
 impl Default for DeploymentSettings {
     fn default() -> Self {
         Self {
-            ceilings: Ceilings::default(),
+            limits: DeploymentLimits::default(),
             classes: Vec::new(),
             weight_unit: "request".into(),
             node_index: 0,
             discovery_mode: "automatic".into(),
             zone: 0,
             over_share_weight: 1.0,
-            prices: Prices::default(),
+            costs: Costs::default(),
             tick_ns: 1_000_000,
             node_count: 1,
             rules: Rules::default(),
             tenants: Vec::new(),
-            weights: "off".into(),
+            weight_mode: "off".into(),
             zones: Vec::new(),
         }
     }
 }
 
-/// What the deployment permits, as written.
+/// Limits and permissions of the deployment, in the platform's format.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
-pub struct Ceilings {
+pub struct DeploymentLimits {
     #[serde(rename = "cancel")]
     cancellation: bool,
-    /// Endpoints close a connection that has been idle for this long.
-    pub conn_idle_ns: Nanos,
-    /// A connection that isn't established by then has failed.
-    pub dial_timeout_ns: Nanos,
+    /// Time after which endpoints close an idle connection.
+    #[serde(rename = "conn_idle_ns")]
+    pub connection_idle_timeout_ns: Nanos,
+    /// Time after which a connection attempt has failed.
+    #[serde(rename = "dial_timeout_ns")]
+    pub connect_timeout_ns: Nanos,
     max_attempts: u32,
-    /// The longest retry delay that clients follow.
+    /// Longest retry delay that clients honour.
     pub max_retry_after_ns: Nanos,
-    /// Most open requests of a node.
-    pub most_held: usize,
+    /// Maximum number of open requests per node.
+    #[serde(rename = "most_held")]
+    pub max_open_requests: usize,
     #[serde(rename = "parallel_tries")]
     concurrent_attempts: bool,
     #[serde(rename = "peers")]
@@ -79,15 +85,15 @@
     retry_after: bool,
 }
 
-impl Default for Ceilings {
+impl Default for DeploymentLimits {
     fn default() -> Self {
         Self {
             cancellation: false,
-            conn_idle_ns: 15_000_000_000,
-            dial_timeout_ns: 250_000_000,
+            connection_idle_timeout_ns: 15_000_000_000,
+            connect_timeout_ns: 250_000_000,
             max_attempts: 1,
             max_retry_after_ns: 1_000_000_000,
-            most_held: 10_000,
+            max_open_requests: 10_000,
             concurrent_attempts: false,
             load_reports: false,
             retry_after: false,
@@ -95,10 +101,10 @@
     }
 }
 
-/// Costs as fractions of a request, as written.
+/// Costs as fractions of a request, in the platform's format.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct Prices {
+struct Costs {
     #[serde(rename = "connection")]
     open_connection: f64,
     #[serde(rename = "cross_zone")]
@@ -109,7 +115,7 @@
     load_report: f64,
 }
 
-/// The platform's rules, as written.
+/// Rules of the platform, in its format.
 #[derive(Debug, Deserialize)]
 #[serde(default)]
 struct Rules {
@@ -149,7 +155,7 @@
     }
 }
 
-/// A class of requests, as written.
+/// A request class, in the platform's format.
 #[derive(Debug, Deserialize)]
 pub struct ClassSettings {
     #[serde(default, rename = "aim_stretch")]
@@ -170,15 +176,15 @@
     latency_objective_ns: Nanos,
     #[serde(default, rename = "window_ns")]
     dedup_window_ns: Nanos,
-    #[serde(default = "one", rename = "worth")]
+    #[serde(default = "default_priority_weight", rename = "worth")]
     priority_weight: f64,
 }
 
-fn one() -> f64 {
+fn default_priority_weight() -> f64 {
     1.0
 }
 
-/// A tenant, as written.
+/// A tenant, in the platform's format.
 #[derive(Debug, Deserialize)]
 pub struct TenantSettings {
     #[serde(default)]
@@ -191,10 +197,9 @@
 }
 
 impl DeploymentSettings {
-    /// Returns the settings of the decision module.
+    /// Converts the settings to those of the decision module.
     ///
-    /// # Errors
-    /// A value that is unknown or out of range.
+    /// # Errors If a value is unknown or out of range.
     pub fn settings(&self) -> Result<Settings, SettingsError> {
         let classes = self.classes.iter().map(ClassSettings::class).collect::<Result<_, _>>()?;
         let settings = Settings {
@@ -208,16 +213,16 @@
             weight_by_work: self.weight_unit == "work",
             discovery: self.discovery()?,
             tick: self.tick_ns,
-            max_attempts: self.ceilings.max_attempts,
-            concurrent_attempts: self.ceilings.concurrent_attempts,
-            cancellation: self.ceilings.cancellation,
-            retry_after: self.ceilings.retry_after,
-            max_retry_after: self.ceilings.max_retry_after_ns,
-            connections_have_cost: self.prices.open_connection > 0.0 || self.prices.new_connection > 0.0,
-            cross_zone_cost: self.prices.cross_zone_attempt,
-            weight_is_capacity: matches!(self.weights.as_str(), "nominal" | "rough"),
-            load_reports: self.ceilings.load_reports,
-            load_report_cost: self.prices.load_report,
+            max_attempts: self.limits.max_attempts,
+            concurrent_attempts: self.limits.concurrent_attempts,
+            cancellation: self.limits.cancellation,
+            retry_after: self.limits.retry_after,
+            max_retry_after: self.limits.max_retry_after_ns,
+            connections_have_cost: self.costs.open_connection > 0.0 || self.costs.new_connection > 0.0,
+            cross_zone_cost: self.costs.cross_zone_attempt,
+            weight_is_capacity: matches!(self.weight_mode.as_str(), "nominal" | "rough"),
+            load_reports: self.limits.load_reports,
+            load_report_cost: self.costs.load_report,
             poll_interval: self.rules.poll_interval_ns,
             drain_grace: self.rules.drain_grace_ns,
             warmup_initial_fraction: self.rules.warmup_initial_fraction,
