--- a/crates/admin/src/command.rs
+++ b/crates/admin/src/command.rs
@@ -1,99 +1,99 @@
-//! Admin commands, one line each, and the first words of their replies.
+//! Parsing of admin commands, one per line, and the `OK` and `ERR` reply lines.
 
 use thiserror::Error;
 
-/// Longest line of a command in bytes, its end included.
+/// Maximum length in bytes of a line that [`Command::parse`] accepts.
 pub const MAX_LINE_BYTES: usize = 512;
-/// Longest name of a backend or a node in bytes.
+/// Maximum length of a backend or node name in bytes.
 pub const MAX_NAME_BYTES: usize = 255;
-/// Most characters of an unknown command that its error repeats.
+/// Maximum number of characters of an unknown command that the error message quotes.
 const MAX_QUOTED_CHARS: usize = 20;
 
-/// Usage of all commands.
+/// List of all commands, shown in error messages.
 const USAGE: &str = "PING, INFO, DETACH ID, ATTACH ID, LAMEDUCK, REJOIN, TRACE, METRICS, FILTER LEVELS, \
     RECORD off|on|full, CONFIG, FLEET members, FLEET why NODE";
 
-/// A command of an operator.
+/// An admin command sent by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// `PING`: whether this process serves.
+    /// `PING`: report whether this process is serving.
     Ping,
-    /// `INFO`: StatsD lines.
+    /// `INFO`: return statistics as StatsD lines.
     Info,
     /// `DETACH ID`: disable a backend.
     DisableBackend(String),
-    /// `ATTACH ID`: enable a backend again.
+    /// `ATTACH ID`: re-enable a disabled backend.
     EnableBackend(String),
-    /// `LAMEDUCK`: put this node in lame-duck mode: clients are sent elsewhere.
+    /// `LAMEDUCK`: enter lame-duck mode, so that clients move to other nodes.
     LameDuck,
     /// `REJOIN`: leave lame-duck mode.
     Rejoin,
-    /// `TRACE`: the flight recording as a file.
+    /// `TRACE`: return the flight recording as the bytes of a recording file.
     Recording,
-    /// `METRICS`: OpenMetrics text.
+    /// `METRICS`: return metrics as OpenMetrics text.
     Metrics,
     /// `FILTER LEVELS`: change the log filter.
     LogFilter(String),
-    /// `RECORD off|on|full`: change how much is recorded.
+    /// `RECORD off|on|full`: change the recording level.
     RecordingLevel(RecordingLevel),
-    /// `CONFIG`: revision and digest of the configuration in force.
+    /// `CONFIG`: return the revision and digest of the configuration in force.
     Config,
-    /// `FLEET members`: the group of nodes as this node sees it, as JSON.
+    /// `FLEET members`: return this node's view of the fleet as JSON.
     Members,
-    /// `FLEET why NODE`: why a node has its state, as JSON.
+    /// `FLEET why NODE`: explain the state of a fleet member as JSON.
     ExplainMember(String),
 }
 
-/// How much is recorded.
+/// How much the flight recorder records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordingLevel {
-    /// Nothing.
+    /// Record nothing.
     Off,
-    /// The usual sample.
+    /// Record the default sample.
     On,
-    /// Everything.
+    /// Record everything.
     Full,
 }
 
-/// Why a line is not a command.
+/// Why a line is not a valid command.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
-    /// More than [`MAX_LINE_BYTES`].
+    /// The line is longer than [`MAX_LINE_BYTES`].
     #[error("a line has at most {MAX_LINE_BYTES} bytes")]
     TooLong,
-    /// Not UTF-8.
+    /// The line is not valid UTF-8.
     #[error("not UTF-8")]
     NotUtf8,
-    /// An empty line.
+    /// The line is empty.
     #[error("an empty line; calls are {USAGE}")]
     Empty,
-    /// No command of that name.
+    /// There is no command with this name.
     #[error("no call `{0}`; calls are {USAGE}")]
     Unknown(String),
-    /// This command takes the name of one backend.
+    /// The command requires exactly one argument, a backend name.
     #[error("{0} takes the id of one server")]
     MissingBackend(&'static str),
-    /// The arguments are missing or not the expected ones.
+    /// The arguments are missing or invalid.
     #[error("{command} takes {expected}")]
     InvalidArguments {
         /// The command.
         command: &'static str,
-        /// What it takes.
+        /// Description of the expected arguments.
         expected: &'static str,
     },
-    /// This command takes no arguments.
+    /// The command takes no arguments, but some were given.
     #[error("{0} takes nothing more")]
     UnexpectedArguments(&'static str),
-    /// The name is too long or has control characters.
+    /// The backend name is too long or contains control characters.
     #[error("an id has at most {MAX_NAME_BYTES} bytes, none of them a control character")]
     InvalidName,
 }
 
 impl Command {
-    /// Parses a line, with or without its end.
+    /// Parses a command line, with or without its line ending.
     ///
     /// # Errors
-    /// [`CommandError`].
+    /// Returns a [`CommandError`] if the line is not a valid command.
     pub fn parse(line: &[u8]) -> Result<Self, CommandError> {
         if line.len() > MAX_LINE_BYTES {
             return Err(CommandError::TooLong);
@@ -115,7 +115,7 @@
             "FILTER" => parse_log_filter(&arguments),
             "FLEET" => parse_fleet(&arguments),
             "RECORD" => parse_recording_level(&arguments),
-            other => Err(CommandError::Unknown(quoted(other))),
+            other => Err(CommandError::Unknown(printable_prefix(other))),
         }
     }
 }
@@ -130,7 +130,7 @@
 
 fn backend_argument(name: &'static str, arguments: &[&str]) -> Result<String, CommandError> {
     match arguments {
-        [backend] if is_name(backend) => Ok((*backend).to_owned()),
+        [backend] if is_valid_name(backend) => Ok((*backend).to_owned()),
         [_] => Err(CommandError::InvalidName),
         _ => Err(CommandError::MissingBackend(name)),
     }
@@ -149,7 +149,7 @@
 fn parse_fleet(arguments: &[&str]) -> Result<Command, CommandError> {
     match arguments {
         ["members"] => Ok(Command::Members),
-        ["why", node] if is_name(node) => Ok(Command::ExplainMember((*node).to_owned())),
+        ["why", node] if is_valid_name(node) => Ok(Command::ExplainMember((*node).to_owned())),
         _ => Err(CommandError::InvalidArguments {
             command: "FLEET",
             expected: "`members`, or `why` and a node",
@@ -166,22 +166,23 @@
     }
 }
 
-fn is_name(text: &str) -> bool {
+fn is_valid_name(text: &str) -> bool {
     text.len() <= MAX_NAME_BYTES && !text.chars().any(char::is_control)
 }
 
-/// The start of a word, without characters that would control the operator's terminal.
-fn quoted(word: &str) -> String {
+/// Returns the first [`MAX_QUOTED_CHARS`] characters of a word without its control characters, which could act on the
+/// operator's terminal.
+fn printable_prefix(word: &str) -> String {
     word.chars().filter(|character| !character.is_control()).take(MAX_QUOTED_CHARS).collect()
 }
 
-/// The reply of a command that was carried out, with details where there are any.
+/// Formats the reply to a successful command, with optional details.
 #[must_use]
 pub fn ok_reply(details: &str) -> String {
     if details.is_empty() { "OK\n".into() } else { format!("OK {details}\n") }
 }
 
-/// The reply of a command that failed, with the reason.
+/// Formats the reply to a failed command.
 #[must_use]
 pub fn error_reply(reason: &str) -> String {
     format!("ERR {reason}\n")
--- a/crates/admin/src/disabled_backends.rs
+++ b/crates/admin/src/disabled_backends.rs
@@ -1,5 +1,5 @@
-//! Backends that operators have disabled, and those enabled again a short while ago. Entries are by name, so that they
-//! outlive changes of the endpoint list; the stored form outlives the process.
+//! Backends that operators have disabled, and those that were re-enabled recently. Entries are keyed by name, so that they
+//! survive changes of the endpoint list; the stored form survives a restart of the process.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,33 +8,33 @@
 
 use crate::command::MAX_NAME_BYTES;
 
-/// Unix milliseconds of one machine's clock.
+/// Unix time in milliseconds, always from the clock of the same machine.
 pub type UnixMs = u64;
 
-/// Version of the stored form.
+/// Version of the stored format.
 const STORED_VERSION: u32 = 1;
-/// Most backends that may be disabled at once.
+/// Maximum number of entries, which bounds the number of backends disabled at once.
 pub const MAX_DISABLED: usize = 4_096;
-/// How long the time of an enable is kept, in milliseconds; far longer than a backend's slow start.
+/// How long the entry of a re-enabled backend is kept, in milliseconds; much longer than a backend's slow start.
 pub const ENABLED_RETENTION_MS: UnixMs = 600_000;
-/// Bytes around a name in the stored form, at the most.
+/// Maximum number of bytes of a stored entry in addition to its name.
 const MAX_ENTRY_OVERHEAD_BYTES: usize = 100;
-/// Longest stored form that is read.
+/// Maximum length of a stored form that is accepted, in bytes.
 pub const MAX_STORED_BYTES: usize = MAX_DISABLED * (MAX_NAME_BYTES + MAX_ENTRY_OVERHEAD_BYTES);
 
-/// What operators decided about a backend.
+/// Operator override for a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Override {
-    /// Disabled at this time.
+    /// Disabled since this time.
     #[serde(rename = "out")]
     Disabled(UnixMs),
-    /// Disabled and enabled again.
+    /// Disabled, and later re-enabled.
     #[serde(rename = "back")]
     Enabled {
-        /// When it was first disabled.
+        /// When it was disabled. Disabling it again meanwhile does not change this time.
         #[serde(rename = "out")]
         disabled_at: UnixMs,
-        /// When it was enabled again.
+        /// When it was re-enabled.
         #[serde(rename = "back")]
         enabled_at: UnixMs,
     },
@@ -45,22 +45,22 @@
 pub enum BackendState {
     /// It gets no new requests.
     Disabled,
-    /// It may serve.
+    /// It may get requests.
     Enabled {
-        /// Earliest possible start of its process, in Unix milliseconds; 0 is long ago.
+        /// Assumed start time of its process, in Unix milliseconds; 0 means long ago.
         started_ms: UnixMs,
     },
 }
 
-/// [`MAX_DISABLED`] backends are disabled: no other one can be.
+/// No further backend can be disabled, as there are [`MAX_DISABLED`] entries already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{MAX_DISABLED} servers are out already")]
 pub struct TooManyDisabledError;
 
-/// A stored form can't be read.
+/// Why a stored form can't be read.
 #[derive(Debug, Error)]
 pub enum StoredFormError {
-    /// The stored form has too many bytes.
+    /// The stored form is longer than [`MAX_STORED_BYTES`].
     #[error("disabled backends: {length} bytes, more than {MAX_STORED_BYTES}")]
     TooLong {
         /// Its length in bytes.
@@ -69,20 +69,20 @@
     /// The stored form is not the expected JSON.
     #[error("disabled backends: {0}")]
     Json(#[from] serde_json::Error),
-    /// The stored form is of another version.
+    /// The stored form has an unsupported version.
     #[error("disabled backends: version {found}, not {STORED_VERSION}")]
     Version {
-        /// The version found.
+        /// The version in the stored form.
         found: u32,
     },
-    /// The stored form has too many backends, or too long a name.
+    /// The stored form has more than [`MAX_DISABLED`] entries, or a name longer than [`MAX_NAME_BYTES`].
     #[error(
         "disabled backends: more than {MAX_DISABLED} backends, or a name of more than {MAX_NAME_BYTES} bytes"
     )]
     OutOfBounds,
 }
 
-/// Backends disabled, or enabled again within [`ENABLED_RETENTION_MS`], by name.
+/// Backends that are disabled, or that were re-enabled within the last [`ENABLED_RETENTION_MS`], by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DisabledBackends {
     overrides: BTreeMap<String, Override>,
@@ -97,10 +97,10 @@
 }
 
 impl DisabledBackends {
-    /// Reads what [`to_stored`](Self::to_stored) wrote.
+    /// Parses the output of [`to_stored`](Self::to_stored).
     ///
     /// # Errors
-    /// [`StoredFormError`].
+    /// Returns a [`StoredFormError`] if the input is too long, malformed or of another version.
     pub fn from_stored(stored: &[u8]) -> Result<Self, StoredFormError> {
         if stored.len() > MAX_STORED_BYTES {
             return Err(StoredFormError::TooLong { length: stored.len() as u64 });
@@ -116,19 +116,19 @@
         Ok(Self { overrides: stored.overrides })
     }
 
-    /// The stored form: JSON on one line.
+    /// Serializes the entries as JSON on a single line.
     #[must_use]
     pub fn to_stored(&self) -> String {
         let stored = StoredForm { version: STORED_VERSION, overrides: self.overrides.clone() };
-        serde_json::to_string(&stored).expect("strings and numbers alone are always JSON")
+        serde_json::to_string(&stored).expect("a map of strings and numbers can always be serialized as JSON")
     }
 
-    /// Disables a backend. Repeated, it changes nothing.
+    /// Disables a backend. Disabling a disabled backend has no effect.
     ///
     /// # Errors
-    /// [`TooManyDisabledError`].
+    /// Returns [`TooManyDisabledError`] if a new entry would exceed [`MAX_DISABLED`].
     pub fn disable(&mut self, backend: &str, now: UnixMs) -> Result<(), TooManyDisabledError> {
-        self.forget_expired(now);
+        self.remove_expired(now);
         match self.overrides.get(backend) {
             Some(Override::Disabled(_)) => return Ok(()),
             None if self.overrides.len() >= MAX_DISABLED => return Err(TooManyDisabledError),
@@ -138,9 +138,10 @@
         Ok(())
     }
 
-    /// Enables a backend, however often it was disabled. One that is not disabled stays as it is.
+    /// Re-enables a backend. One call is enough however often it was disabled; a backend that is not disabled is left
+    /// unchanged.
     pub fn enable(&mut self, backend: &str, now: UnixMs) {
-        self.forget_expired(now);
+        self.remove_expired(now);
         if let Some(entry) = self.overrides.get_mut(backend)
             && let Override::Disabled(disabled_at) = *entry
         {
@@ -148,15 +149,16 @@
         }
     }
 
-    fn forget_expired(&mut self, now: UnixMs) {
+    fn remove_expired(&mut self, now: UnixMs) {
         self.overrides.retain(|_, entry| match entry {
             Override::Disabled(_) => true,
             Override::Enabled { enabled_at, .. } => now < enabled_at.saturating_add(ENABLED_RETENTION_MS),
         });
     }
 
-    /// State of a backend whose process started at `started_ms` by the endpoint list. One that was disabled since then
-    /// counts as started when it was enabled again, the latest that a restart meanwhile can have been.
+    /// Returns the state of a backend whose process started at `started_ms` according to the endpoint list. A backend that
+    /// was disabled and re-enabled since then counts as started when it was re-enabled: it may have been restarted while it
+    /// was disabled, and that is the latest possible time of such a restart.
     #[must_use]
     pub fn state(&self, backend: &str, started_ms: UnixMs) -> BackendState {
         match self.overrides.get(backend) {
@@ -168,13 +170,14 @@
         }
     }
 
-    /// Whether there is an entry for a backend: then it was listed once, if only in an earlier process.
+    /// Whether there is an entry for a backend. Such a backend has been listed at some time, possibly only in the lifetime
+    /// of an earlier process.
     #[must_use]
     pub fn contains(&self, backend: &str) -> bool {
         self.overrides.contains_key(backend)
     }
 
-    /// Names whose entries differ between the two sets.
+    /// Returns the names whose entries differ between the two sets.
     #[must_use]
     pub fn changed(&self, other: &Self) -> BTreeSet<String> {
         let differs = |name: &&String| self.overrides.get(*name) != other.overrides.get(*name);
--- a/crates/admin/src/known_backends.rs
+++ b/crates/admin/src/known_backends.rs
@@ -1,23 +1,24 @@
-//! Names that the endpoint list has ever held: a command may only name one of them.
+//! Names of all backends that have ever been in the endpoint list. Commands are accepted for these names only.
 
 use std::collections::BTreeSet;
 
 use thiserror::Error;
 
-/// Names that are kept; beyond this the lexically first one is forgotten, and a command that names it is refused.
+/// Maximum number of names that are kept. Adding another one evicts the lexicographically first name, for which commands
+/// are then rejected.
 pub const MAX_KNOWN: usize = 20_000;
 
-/// The endpoint list never held this backend.
+/// This backend has never been in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("no server `{0}` was ever listed")]
 pub struct UnknownBackendError(pub String);
 
-/// Names that the endpoint list has ever held.
+/// Names of all backends that have ever been in the endpoint list, up to [`MAX_KNOWN`].
 #[derive(Debug, Default)]
 pub struct KnownBackends(BTreeSet<String>);
 
 impl KnownBackends {
-    /// Adds a name.
+    /// Adds a name; evicts the lexicographically first one if the set is full.
     pub fn add(&mut self, name: &str) {
         if self.0.contains(name) {
             return;
@@ -28,15 +29,15 @@
         self.0.insert(name.to_owned());
     }
 
-    /// All names, in their order.
+    /// Returns all names in lexicographic order.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.0.iter().map(String::as_str)
     }
 
-    /// Checks that a name was ever listed.
+    /// Checks that a backend has been listed at some time.
     ///
     /// # Errors
-    /// [`UnknownBackendError`].
+    /// Returns [`UnknownBackendError`] for any other name.
     pub fn check(&self, name: &str) -> Result<(), UnknownBackendError> {
         if self.0.contains(name) { Ok(()) } else { Err(UnknownBackendError(name.into())) }
     }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,7 +1,8 @@
-//! Admin interface of a running node: its commands, its statistics, and the backends that operators have disabled.
+//! Admin interface of a running node: commands, statistics, and the backends that operators have disabled.
 //!
-//! Free of I/O and of clocks: lines and texts come in and go out, and the caller passes Unix milliseconds of one machine's
-//! clock. The node owns the socket (`admin_listener`) and the state file (`platform/state_file`).
+//! The crate does no I/O and reads no clock: it parses command lines and produces reply texts, and the caller passes the
+//! time in Unix milliseconds, always from the clock of the same machine. The node owns the socket (`admin_listener`) and the
+//! state file (`platform/state_file`).
 
 pub mod command;
 pub mod disabled_backends;
--- a/crates/admin/src/stats.rs
+++ b/crates/admin/src/stats.rs
@@ -1,37 +1,37 @@
-//! Counters of a process since its start and gauges of the moment, as StatsD lines (`name:value|c` for counters, `|g` for
+//! Counters since process start and current gauges, formatted as StatsD lines (`name:value|c` for counters, `|g` for
 //! gauges).
 
 use std::cell::Cell;
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// How a request ended for its client.
+/// Outcome of a request from the client's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Served.
+    /// The client got the response.
     Completed,
     /// Rejected by admission; the client may retry.
     Rejected,
-    /// Failed.
+    /// The request failed.
     Failed,
 }
 
-/// Names of the outcomes in the text, in the order of the enum.
+/// Outcome names in the StatsD text, in the order of [`RequestOutcome`].
 const OUTCOME_NAMES: [&str; 3] = ["completed", "rejected", "failed"];
 
 /// Counters of one service class.
 #[derive(Debug, Default)]
 struct ClassCounters {
     name: String,
-    /// By [`RequestOutcome`], in its order.
+    /// One counter per [`RequestOutcome`], indexed by its discriminant.
     by_outcome: [Cell<u64>; OUTCOME_NAMES.len()],
 }
 
-/// Counters since the start of the process, shared on one thread.
+/// Counters since process start, shared within one thread.
 #[derive(Debug, Default)]
 pub struct Stats {
     classes: Vec<ClassCounters>,
-    /// Attempts written whole to backends.
+    /// Attempts that were completely written to a backend.
     pub upstream_requests: Rc<Cell<u64>>,
     /// Configuration reloads.
     pub config_reloads: Cell<u64>,
@@ -39,42 +39,42 @@
     pub config_reload_errors: Cell<u64>,
 }
 
-/// What the node holds at the moment.
+/// Current values of the node's gauges.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
     /// Requests in flight.
     pub pending: usize,
-    /// Endpoints in the list.
+    /// Endpoints in the endpoint list.
     pub members: usize,
-    /// Of these, the ones that get no new requests.
+    /// Listed endpoints that get no new requests.
     pub members_unavailable: usize,
 }
 
-/// Adds one to a counter.
+/// Adds one to a counter, saturating at the maximum.
 pub fn increment(counter: &Cell<u64>) {
     counter.set(counter.get().saturating_add(1));
 }
 
 impl Stats {
-    /// Counters at zero, for the classes of these names.
+    /// Creates zeroed counters for the service classes with these names.
     pub fn new(classes: impl IntoIterator<Item = String>) -> Self {
         let counters = |name| ClassCounters { name, by_outcome: Default::default() };
         Self { classes: classes.into_iter().map(counters).collect(), ..Self::default() }
     }
 
-    /// Counts the end of a request of the class at this index; an unknown class counts nowhere.
+    /// Counts a finished request of the class at this index; an unknown class index is ignored.
     pub fn record_outcome(&self, class: usize, outcome: RequestOutcome) {
         if let Some(class) = self.classes.get(class) {
             increment(&class.by_outcome[outcome as usize]);
         }
     }
 
-    /// StatsD lines, without an end line.
+    /// Formats all counters and gauges as StatsD lines, without a terminating `END` line.
     #[must_use]
     pub fn statsd_text(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64, kind: char| {
-            writeln!(text, "node.{name}:{value}|{kind}").expect("a write to a string does not fail");
+            writeln!(text, "node.{name}:{value}|{kind}").expect("writing to a String cannot fail");
         };
         for class in &self.classes {
             for (outcome, count) in OUTCOME_NAMES.iter().zip(&class.by_outcome) {
--- a/crates/admin/tests/admin.rs
+++ b/crates/admin/tests/admin.rs
@@ -1,4 +1,4 @@
-//! Commands, statistics and the set of disabled backends, without a socket or a clock.
+//! Tests of command parsing, statistics, and the sets of disabled and known backends, without sockets or clocks.
 
 use proptest::prelude::*;
 use pumicehead_admin::command::{Command, CommandError, MAX_LINE_BYTES, MAX_NAME_BYTES};
@@ -9,29 +9,29 @@
 use pumicehead_admin::stats::{Gauges, RequestOutcome, Stats, increment};
 
 #[test]
-fn commands_parse_with_any_line_end() {
+fn commands_parse_with_any_line_ending() {
     for end in ["", "\n", "\r\n", "  \r\n"] {
-        let read = |line: &str| Command::parse(format!("{line}{end}").as_bytes());
-        assert_eq!(read("PING"), Ok(Command::Ping));
-        assert_eq!(read("INFO"), Ok(Command::Info));
-        assert_eq!(read("LAMEDUCK"), Ok(Command::LameDuck));
-        assert_eq!(read("REJOIN"), Ok(Command::Rejoin));
-        assert_eq!(read("DETACH s-1"), Ok(Command::DisableBackend("s-1".into())));
-        assert_eq!(read("ATTACH  s-1"), Ok(Command::EnableBackend("s-1".into())));
+        let parse = |line: &str| Command::parse(format!("{line}{end}").as_bytes());
+        assert_eq!(parse("PING"), Ok(Command::Ping));
+        assert_eq!(parse("INFO"), Ok(Command::Info));
+        assert_eq!(parse("LAMEDUCK"), Ok(Command::LameDuck));
+        assert_eq!(parse("REJOIN"), Ok(Command::Rejoin));
+        assert_eq!(parse("DETACH s-1"), Ok(Command::DisableBackend("s-1".into())));
+        assert_eq!(parse("ATTACH  s-1"), Ok(Command::EnableBackend("s-1".into())));
     }
 }
 
 #[test]
-fn lines_that_are_no_command_have_one_reason() {
-    let read = |line: &str| Command::parse(line.as_bytes()).unwrap_err();
-    assert_eq!(read("\r\n"), CommandError::Empty);
-    assert_eq!(read("DETACH"), CommandError::MissingBackend("DETACH"));
-    assert_eq!(read("ATTACH a b"), CommandError::MissingBackend("ATTACH"));
-    assert_eq!(read("PING me"), CommandError::UnexpectedArguments("PING"));
-    assert_eq!(read("ping"), CommandError::Unknown("ping".into()));
-    assert_eq!(read("\u{1b}[2Jx"), CommandError::Unknown("[2Jx".into()), "nothing that steers a terminal");
-    assert_eq!(read(&format!("DETACH {}", "s".repeat(MAX_NAME_BYTES + 1))), CommandError::InvalidName);
-    assert_eq!(read(&"x".repeat(MAX_LINE_BYTES + 1)), CommandError::TooLong);
+fn each_kind_of_invalid_line_gives_its_own_error() {
+    let error = |line: &str| Command::parse(line.as_bytes()).unwrap_err();
+    assert_eq!(error("\r\n"), CommandError::Empty);
+    assert_eq!(error("DETACH"), CommandError::MissingBackend("DETACH"));
+    assert_eq!(error("ATTACH a b"), CommandError::MissingBackend("ATTACH"));
+    assert_eq!(error("PING me"), CommandError::UnexpectedArguments("PING"));
+    assert_eq!(error("ping"), CommandError::Unknown("ping".into()));
+    assert_eq!(error("\u{1b}[2Jx"), CommandError::Unknown("[2Jx".into()), "control characters are removed");
+    assert_eq!(error(&format!("DETACH {}", "s".repeat(MAX_NAME_BYTES + 1))), CommandError::InvalidName);
+    assert_eq!(error(&"x".repeat(MAX_LINE_BYTES + 1)), CommandError::TooLong);
     assert_eq!(Command::parse(b"DETACH \xff"), Err(CommandError::NotUtf8));
 }
 
@@ -73,18 +73,18 @@
     disabled.disable("a", 100).unwrap();
     disabled.disable("a", 200).unwrap();
     assert_eq!((disabled.state("a", 5), disabled.state("b", 5)), (BackendState::Disabled, NEVER_DISABLED));
-    // Whatever discovery says, also that it has started again.
+    // A restart that discovery reports does not enable the backend.
     assert_eq!(disabled.state("a", 150), BackendState::Disabled);
     disabled.enable("a", 300);
-    // Started before it was disabled: it may have restarted since, at the latest when it was enabled.
+    // The listed start is before the disable: the process may have restarted since, at the latest when it was re-enabled.
     assert_eq!(disabled.state("a", 5), BackendState::Enabled { started_ms: 300 });
-    // Dated after that: the list knows of the restart.
+    // The listed start is after the disable: the list reflects the restart.
     assert_eq!(disabled.state("a", 150), BackendState::Enabled { started_ms: 150 });
     assert_eq!(disabled.state("a", 400), BackendState::Enabled { started_ms: 400 });
-    // A second enable changes nothing.
+    // A second enable has no effect.
     disabled.enable("a", 900);
     assert_eq!(disabled.state("a", 5), BackendState::Enabled { started_ms: 300 });
-    // Never disabled: an enable says nothing about a restart.
+    // Enabling a backend that was never disabled does not change its start time.
     disabled.enable("b", 900);
     assert_eq!(disabled.state("b", 5), NEVER_DISABLED);
     disabled.disable("a", 1_000).unwrap();
@@ -98,7 +98,7 @@
         disabled.disable(&format!("s{n}"), 1).unwrap();
     }
     assert_eq!(disabled.disable("more", 2), Err(TooManyDisabledError));
-    assert_eq!(disabled.disable("s7", 2), Ok(()), "it is disabled already");
+    assert_eq!(disabled.disable("s7", 2), Ok(()), "already disabled, so no new entry is needed");
     disabled.enable("s7", 10);
     assert_eq!(disabled.disable("more", 9 + ENABLED_RETENTION_MS), Err(TooManyDisabledError));
     assert_eq!(disabled.disable("more", 10 + ENABLED_RETENTION_MS), Ok(()));
@@ -113,11 +113,11 @@
     assert_eq!(listed.check("a"), Ok(()));
     (0..MAX_KNOWN).for_each(|n| listed.add(&format!("b{n}")));
     assert_eq!(listed.check("b7"), Ok(()));
-    assert!(listed.check("a").is_err(), "bounded");
+    assert!(listed.check("a").is_err(), "the first name is evicted at MAX_KNOWN");
 }
 
 #[test]
-fn damaged_stored_forms_are_errors() {
+fn invalid_stored_forms_are_rejected() {
     for text in
         ["", "{", "[]", "{\"v\":2,\"servers\":{}}", "{\"v\":1}", "{\"v\":1,\"servers\":{\"a\":{\"out\":-1}}}"]
     {
@@ -129,42 +129,42 @@
     }
     assert!(
         DisabledBackends::from_stored(b"{\"v\":1,\"servers\":{},\"later\":1}").is_ok(),
-        "fields of later versions are skipped"
+        "unknown fields are ignored"
     );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// In any order of commands the last one on a backend decides, the stored form restores the set, and the start of an
-    /// enabled backend is never before that of the list.
+    /// For any sequence of commands, the last command on a backend decides its state, the stored form restores the same
+    /// set, and an enabled backend never counts as started earlier than the endpoint list says.
     #[test]
-    fn the_last_command_on_a_backend_decides(calls in prop::collection::vec((0..4u8, any::<bool>(), 1..1_000u64), 0..40), born in 0..2_000u64) {
+    fn the_last_command_on_a_backend_decides(commands in prop::collection::vec((0..4u8, any::<bool>(), 1..1_000u64), 0..40), listed_start in 0..2_000u64) {
         let mut disabled = DisabledBackends::default();
         let (mut now, mut last) = (1_000, [None; 4]);
-        for (server, out, later) in calls {
-            now += later;
-            let name = format!("s{server}");
-            if out { disabled.disable(&name, now).unwrap() } else { disabled.enable(&name, now) }
-            last[usize::from(server)] = Some(out);
+        for (backend, disable, delay_ms) in commands {
+            now += delay_ms;
+            let name = format!("s{backend}");
+            if disable { disabled.disable(&name, now).unwrap() } else { disabled.enable(&name, now) }
+            last[usize::from(backend)] = Some(disable);
         }
-        for (server, last) in last.iter().enumerate() {
-            match (disabled.state(&format!("s{server}"), born), last) {
-                (BackendState::Disabled, out) => prop_assert_eq!(*out, Some(true)),
-                (BackendState::Enabled { started_ms }, out) => {
-                    prop_assert_ne!(*out, Some(true));
-                    prop_assert!(started_ms >= born && started_ms <= now.max(born));
+        for (backend, last) in last.iter().enumerate() {
+            match (disabled.state(&format!("s{backend}"), listed_start), last) {
+                (BackendState::Disabled, disable) => prop_assert_eq!(*disable, Some(true)),
+                (BackendState::Enabled { started_ms }, disable) => {
+                    prop_assert_ne!(*disable, Some(true));
+                    prop_assert!(started_ms >= listed_start && started_ms <= now.max(listed_start));
                 }
             }
         }
-        let again = DisabledBackends::from_stored(disabled.to_stored().as_bytes()).unwrap();
-        prop_assert!(disabled.changed(&again).is_empty());
-        prop_assert_eq!(again, disabled);
+        let restored = DisabledBackends::from_stored(disabled.to_stored().as_bytes()).unwrap();
+        prop_assert!(disabled.changed(&restored).is_empty());
+        prop_assert_eq!(restored, disabled);
     }
 
-    /// No bytes make the readers fail in another way than they say.
+    /// Arbitrary bytes give at most an error, never a panic.
     #[test]
-    fn any_bytes_can_be_read(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn parsers_do_not_panic_on_arbitrary_bytes(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let _ = Command::parse(&bytes);
         let _ = DisabledBackends::from_stored(&bytes);
     }
--- a/crates/slow-peer/src/lib.rs
+++ b/crates/slow-peer/src/lib.rs
@@ -1,7 +1,8 @@
-//! Detects which side of a streamed body is slow. Free of I/O: the caller passes the time, which must not go back.
+//! Detects which side of a streamed body is slow. The crate does no I/O and reads no clock: the caller passes the time,
+//! which must be monotonic.
 //!
-//! A body goes from its *source* to its *sink*. The source of a response is the endpoint and its sink the client; an
-//! upload goes the other way.
+//! A body flows from its *source* to its *sink*. For a response the source is the endpoint and the sink is the client; for
+//! an upload it is the other way round.
 
 mod monitor;
 
@@ -29,31 +30,31 @@
     }
 }
 
-/// Limits on the pace of a stream.
+/// Limits on the progress of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PaceLimits {
-    /// Longest time without movement.
+    /// Maximum time without progress.
     pub idle_timeout: Duration,
     /// Length of the windows over which throughput is checked.
     pub window: Duration,
-    /// Number of bytes that must move in each window.
+    /// Minimum number of bytes that the source must send in each window.
     pub min_window_bytes: u64,
-    /// Longest duration of a stream, even of one that moves.
+    /// Maximum duration of a stream, even if it makes progress.
     pub max_duration: Duration,
-    /// The source is ahead once the sink has been awaited for this long.
+    /// The source counts as ahead once the sink has been awaited for this long.
     pub min_ahead: Duration,
 }
 
 /// Why a stream has to be aborted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PaceError {
-    /// Nothing moved within the idle timeout, while this side was awaited.
-    #[error("the {} was silent for too long", .0.name())]
+    /// There was no progress within the idle timeout while this side was awaited.
+    #[error("the {} exceeded the idle timeout", .0.name())]
     Idle(Side),
-    /// Too few bytes moved in a window, for most of which this side was awaited.
-    #[error("the {} was too slow", .0.name())]
+    /// Too few bytes were sent in a window, for most of which this side was awaited.
+    #[error("the {} was below the minimum throughput", .0.name())]
     TooSlow(Side),
-    /// The stream exceeded its longest duration.
-    #[error("the stream took too long")]
+    /// The stream reached its maximum duration.
+    #[error("the stream exceeded its maximum duration")]
     MaxDurationExceeded,
 }
--- a/crates/slow-peer/src/monitor.rs
+++ b/crates/slow-peer/src/monitor.rs
@@ -1,27 +1,27 @@
-//! Follows the pace of one stream.
+//! Progress monitor of a single stream.
 
 use std::time::{Duration, Instant};
 
 use crate::{PaceError, PaceLimits, Side};
 
-/// Monitors the pace of one stream.
+/// Monitors the progress of one stream and tracks which side is being waited for.
 #[derive(Debug)]
 pub struct PaceMonitor {
     limits: PaceLimits,
     started_at: Instant,
     awaited: Side,
-    /// When the present wait began; movement begins it anew.
+    /// When the current wait began. Progress restarts it: bytes from the source, or the first demand of the sink after them.
     awaited_since: Instant,
     window: Window,
     total_bytes: u64,
 }
 
-/// What happened in the present window.
+/// Progress in the current window.
 #[derive(Debug)]
 struct Window {
     started_at: Instant,
     bytes: u64,
-    /// How long the sink was awaited, without the present wait.
+    /// How long the sink was awaited, excluding the current wait.
     sink_wait: Duration,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl PaceMonitor {
-    /// Monitors a stream that begins at `now` and awaits its source.
+    /// Creates a monitor for a stream that starts at `now` and waits for its source.
     #[must_use]
     pub fn new(limits: PaceLimits, now: Instant) -> Self {
         Self {
@@ -45,30 +45,30 @@
         }
     }
 
-    /// Total number of bytes that the source has sent.
+    /// Returns the total number of bytes that the source has sent, saturating at the maximum.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.total_bytes
     }
 
-    /// The side that is awaited.
+    /// Returns the side that is currently awaited.
     #[must_use]
     pub fn awaited_side(&self) -> Side {
         self.awaited
     }
 
-    /// Records bytes from the source. The sink is awaited until it asks for more.
+    /// Records bytes received from the source. The sink is then awaited until it asks for more.
     pub fn on_bytes(&mut self, bytes: u64, now: Instant) {
-        self.window.sink_wait += self.present_sink_wait(now);
+        self.window.sink_wait += self.current_sink_wait(now);
         self.window.bytes = self.window.bytes.saturating_add(bytes);
         self.total_bytes = self.total_bytes.saturating_add(bytes);
         self.await_side(Side::Sink, now);
     }
 
-    /// Records that the sink asks for more while there is nothing to pass on.
+    /// Records that the sink asks for more data while none is available.
     pub fn on_demand(&mut self, now: Instant) {
         if self.awaited == Side::Sink {
-            self.window.sink_wait += self.present_sink_wait(now);
+            self.window.sink_wait += self.current_sink_wait(now);
             self.await_side(Side::Source, now);
         }
     }
@@ -78,25 +78,26 @@
         self.awaited_since = now;
     }
 
-    /// The part of the present wait that falls into the window, if the sink is awaited.
-    fn present_sink_wait(&self, now: Instant) -> Duration {
+    /// Returns the part of the current wait that falls into the window if the sink is awaited, otherwise zero.
+    fn current_sink_wait(&self, now: Instant) -> Duration {
         match self.awaited {
             Side::Source => Duration::ZERO,
             Side::Sink => now.saturating_duration_since(self.awaited_since.max(self.window.started_at)),
         }
     }
 
-    /// Returns whether the source waits for the sink: what is left is the sink's to take.
+    /// Returns whether the source is ahead: the sink has been awaited for at least [`PaceLimits::min_ahead`], so that the
+    /// rest of the transfer depends on the sink.
     #[must_use]
     pub fn source_is_ahead(&self, now: Instant) -> bool {
         self.awaited == Side::Sink
             && now.saturating_duration_since(self.awaited_since) >= self.limits.min_ahead
     }
 
-    /// Checks the stream against its limits. To be called regularly, since a window ends only with a call.
+    /// Checks the stream against its limits. Must be called regularly, as a window ends only at such a call.
     ///
     /// # Errors
-    /// The limit that the stream exceeds, with the side that was awaited.
+    /// Returns the limit that the stream violates; for a slow or idle stream with the side that was awaited.
     pub fn check(&mut self, now: Instant) -> Result<(), PaceError> {
         if now.saturating_duration_since(self.started_at) >= self.limits.max_duration {
             return Err(PaceError::MaxDurationExceeded);
@@ -110,10 +111,10 @@
         Ok(())
     }
 
-    /// Checks the throughput of the present window and begins the next one.
+    /// Checks the throughput of the current window and starts the next one.
     fn end_window(&mut self, now: Instant) -> Result<(), PaceError> {
         let length = now.saturating_duration_since(self.window.started_at);
-        let sink_wait = self.window.sink_wait + self.present_sink_wait(now);
+        let sink_wait = self.window.sink_wait + self.current_sink_wait(now);
         let is_slow = self.window.bytes < self.limits.min_window_bytes;
         self.window = Window::new(now);
         if !is_slow {
--- a/crates/slow-peer/tests/pace.rs
+++ b/crates/slow-peer/tests/pace.rs
@@ -1,4 +1,4 @@
-//! Pace checks of streams in virtual time.
+//! Tests of the progress limits of streams in virtual time.
 
 use std::time::{Duration, Instant};
 
@@ -28,7 +28,7 @@
     assert_eq!(pace.check(start + ms(19_999)), Ok(()));
     assert_eq!(pace.check(start + ms(20_000)), Err(PaceError::Idle(Side::Sink)));
     pace.on_demand(start + ms(20_000));
-    // Demand without data is no movement.
+    // Repeated demand without data does not restart the wait.
     pace.on_demand(start + ms(29_000));
     assert_eq!(pace.check(start + ms(30_000)), Err(PaceError::Idle(Side::Source)));
 }
@@ -50,7 +50,7 @@
     let mut pace = PaceMonitor::new(LIMITS, start);
     pace.on_bytes(5_000, start + ms(100));
     assert_eq!(pace.check(start + ms(2_000)), Ok(()));
-    // The sink is still awaited through the whole second window.
+    // The sink is awaited for the whole second window.
     assert_eq!(pace.check(start + ms(4_000)), Err(PaceError::TooSlow(Side::Sink)));
     let mut pace = PaceMonitor::new(LIMITS, start);
     pace.on_bytes(5_000, start + ms(100));
@@ -80,10 +80,11 @@
         pace.check(now).err().map(|error| (error, now))
     });
     assert_eq!(end, Some((PaceError::MaxDurationExceeded, start + LIMITS.max_duration)));
-    assert_eq!(pace.bytes(), u64::MAX, "a count that is full stays so");
+    assert_eq!(pace.bytes(), u64::MAX, "the byte count saturates");
 }
 
-/// Events of a stream: milliseconds since the last one, and the bytes that arrive (0: the sink asks for more).
+/// Generates stream events: milliseconds since the previous event, and the number of bytes received (0: the sink asks for
+/// more).
 fn stream_events() -> impl Strategy<Value = Vec<(u64, u64)>> {
     prop::collection::vec((0..3_000u64, prop_oneof![Just(0), 1..3_000u64]), 1..60)
 }
@@ -91,7 +92,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Once nothing moves, the awaited side is reported within the idle timeout, and never the other one.
+    /// Once a stream makes no progress, the awaited side is reported within the idle timeout, never the other side.
     #[test]
     fn a_stream_without_movement_is_aborted_within_the_idle_timeout(stream_events in stream_events()) {
         let mut now = Instant::now();
@@ -112,18 +113,18 @@
         prop_assert!(matches!(error, PaceError::Idle(side) | PaceError::TooSlow(side) if side == awaited));
     }
 
-    /// Enough bytes in every second keep a stream alive, whatever their pieces and whichever side is awaited.
+    /// A stream with enough bytes in every window is never aborted, whatever the chunk sizes and whichever side is awaited.
     #[test]
-    fn a_stream_that_keeps_pace_is_never_aborted(
-        pieces in prop::collection::vec((1..200u64, any::<bool>()), 1..300),
+    fn a_stream_above_the_minimum_throughput_is_never_aborted(
+        chunks in prop::collection::vec((1..200u64, any::<bool>()), 1..300),
     ) {
         let mut now = Instant::now();
         let mut pace = PaceMonitor::new(LIMITS, now);
-        for (delay_ms, demanded) in pieces {
+        for (delay_ms, demanded) in chunks {
             now += ms(delay_ms);
             pace.on_bytes(delay_ms, now);
             if demanded { pace.on_demand(now) }
-            // 1 byte a millisecond, checked every 200 ms at the latest: over 2 s at least 1,800.
+            // 1 byte per millisecond, checked at least every 200 ms: at least 1,800 bytes in each 2 s window.
             prop_assert_eq!(pace.check(now), Ok(()));
         }
     }
