--- a/crates/node/src/admin_listener.rs
+++ b/crates/node/src/admin_listener.rs
@@ -1,4 +1,4 @@
-//! Listener for admin commands: one command line and one reply for each connection.
+//! Listener for admin commands: one command line and one reply per connection.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -13,30 +13,30 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-/// Connections at once. One more closes the oldest.
+/// Maximum number of open connections. Accepting another one closes the oldest.
 const MAX_CONNECTIONS: usize = 8;
-/// Descriptors that the listener and its connections may hold.
+/// Maximum number of descriptors of the listener and its connections.
 pub const MAX_DESCRIPTORS: usize = 1 + MAX_CONNECTIONS;
-/// Time for a client to send its line, and again to read the reply.
+/// Timeout for receiving the command line, and separately for sending the reply.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time to read a reply of at least [`LONG_REPLY_BYTES`].
+/// Timeout for sending a reply of at least [`LONG_REPLY_BYTES`].
 const LONG_REPLY_TIMEOUT: Duration = Duration::from_secs(60);
-/// A reply is long from this length on, in bytes.
+/// Minimum length of a reply, in bytes, that gets [`LONG_REPLY_TIMEOUT`].
 const LONG_REPLY_BYTES: usize = 256 << 10;
-/// How long bytes that the client still sends are read after the reply ...
+/// How long bytes from the client are still read and discarded after the reply.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// ... and how many of them.
+/// Maximum number of bytes that are read and discarded after the reply.
 const MAX_LINGER_BYTES: u64 = 64 << 10;
-/// Pause after a failed accept, as for lack of descriptors.
+/// Delay after a failed accept, for example when the process is out of descriptors.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Carries out admin commands.
+/// Executes admin commands.
 pub trait CommandHandler: 'static {
-    /// Carries out a command and returns the whole reply.
+    /// Executes a command and returns the complete reply.
     fn handle(&self, command: Command) -> impl Future<Output = Vec<u8>>;
 }
 
-/// Tasks of the open connections, the oldest first.
+/// Tasks of the open connections, oldest first.
 #[derive(Default)]
 struct Connections(RefCell<VecDeque<AbortHandle>>);
 
@@ -54,7 +54,7 @@
         };
         let handler = handler.clone();
         let connection = task::spawn_local(async move {
-            // An I/O error concerns this operator's connection alone, which is closed now.
+            // An I/O error affects only this connection, which is closed when the task ends.
             let _ = serve_connection(&*handler, stream).await;
         });
         connections.add(connection.abort_handle());
@@ -71,9 +71,9 @@
     let reply_timeout = if reply.len() >= LONG_REPLY_BYTES { LONG_REPLY_TIMEOUT } else { CLIENT_TIMEOUT };
     timeout(reply_timeout, stream.write_all(&reply)).await??;
     stream.shutdown().await?;
-    // Closing with unread bytes resets the connection, and the reset can overtake the reply.
-    let mut rest = stream.take(MAX_LINGER_BYTES);
-    let _ = timeout(LINGER_TIMEOUT, tokio::io::copy(&mut rest, &mut tokio::io::sink())).await;
+    // Closing a socket with unread data resets the connection, and the client may then lose the reply.
+    let mut unread = stream.take(MAX_LINGER_BYTES);
+    let _ = timeout(LINGER_TIMEOUT, tokio::io::copy(&mut unread, &mut tokio::io::sink())).await;
     Ok(())
 }
 
@@ -90,8 +90,9 @@
     }
 }
 
-/// Reads a line; `None` where the connection ends before it, since half a name may be another backend's. A line that is
-/// too long is cut at a length that is still too long.
+/// Reads a line without its line feed. Returns `None` if the connection ends first: the end of the line may be missing, and
+/// a truncated name could be that of another backend. A line that is too long is returned with more than
+/// [`MAX_LINE_BYTES`], so that the parser rejects it.
 async fn read_line(stream: &mut TcpStream) -> io::Result<Option<Vec<u8>>> {
     let mut line = Vec::new();
     while line.len() <= MAX_LINE_BYTES {
--- a/crates/node/src/cli.rs
+++ b/crates/node/src/cli.rs
@@ -1,5 +1,5 @@
-//! The command line. Exit codes: 0 success, 1 mistakes in a configuration, 2 a command that failed, 3 a difference found by
-//! `fmt --check` or `diff`.
+//! The command line. Exit codes: 0 success, 1 errors in a configuration, 2 the command failed, 3 `fmt --check` or `diff`
+//! found a difference.
 
 use std::error::Error;
 use std::fs;
@@ -18,8 +18,8 @@
 use crate::standalone::LoadedConfig;
 use crate::{fleet_cli, log, recording_cli};
 
-/// Exit code: a configuration has mistakes.
-const EXIT_MISTAKES: u8 = 1;
+/// Exit code: a configuration has errors.
+const EXIT_INVALID_CONFIG: u8 = 1;
 /// Exit code: a command failed, or the command line is invalid.
 const EXIT_FAILED: u8 = 2;
 /// Exit code: `fmt --check` or `diff` found a difference.
@@ -30,9 +30,9 @@
 #[command(
     name = "pumicehead",
     version,
-    after_help = "Exit codes: 0 success, 1 mistakes in a configuration, \
+    after_help = "Exit codes: 0 success, 1 errors in a configuration, \
     2 the command failed, 3 `fmt --check` or `diff` found a difference.\n\
-    Started without arguments it reads EDGE_CONFIG, as the platform sets it."
+    Without arguments, the node is configured by EDGE_CONFIG, which the platform sets."
 )]
 pub struct Arguments {
     #[command(subcommand)]
@@ -41,9 +41,9 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serves a configuration; SIGHUP reloads it, SIGTERM drains and ends the process.
+    /// Serves a configuration; SIGHUP reloads it, SIGTERM drains the node and ends the process.
     Run {
-        /// The configuration.
+        /// The configuration file.
         file: PathBuf,
         /// Record client requests to a new file, for `pumicehead-load replay`.
         #[arg(long, value_name = "FILE")]
@@ -51,7 +51,7 @@
     },
     /// Fetches the flight recording of a running node.
     Trace {
-        /// The node's admin address.
+        /// Admin address of the node.
         address: SocketAddr,
         /// The file to write.
         #[arg(long, short, value_name = "FILE", default_value = "pumicehead.rec")]
@@ -59,77 +59,77 @@
     },
     /// Analyzes a flight recording: the timeline of a request, or the causes of lost weight.
     Why(recording_cli::AnalyzeArguments),
-    /// Writes a flight recording in a format that other viewers open.
+    /// Converts a flight recording to a format that other viewers can open.
     Export {
-        /// The recording.
+        /// The recording file.
         file: PathBuf,
-        /// The format.
+        /// The output format.
         #[arg(long = "as", value_enum)]
-        form: recording_cli::ExportForm,
+        format: recording_cli::ExportFormat,
     },
     /// Shows the fleet as a running node sees it.
     Fleet {
         #[command(subcommand)]
-        question: fleet_cli::FleetCommand,
+        command: fleet_cli::FleetCommand,
     },
     /// Checks configurations.
     Check {
-        /// The configurations.
+        /// The configuration files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Format of diagnostics.
+        /// Output format of diagnostics.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
-        /// Treat warnings as mistakes.
+        /// Treat warnings as errors.
         #[arg(long)]
         deny_warnings: bool,
     },
-    /// Formats files; included ones must be named.
+    /// Formats configuration files in place; included files are not formatted unless they are given as well.
     Fmt {
-        /// The files.
+        /// The files to format.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Change nothing, and name the files that would change.
+        /// Don't change any file; list the files that would change.
         #[arg(long)]
         check: bool,
     },
-    /// Shows how two configurations differ in meaning.
+    /// Shows the semantic differences between two configurations.
     Diff {
-        /// The old configuration.
+        /// The old configuration file.
         old: PathBuf,
-        /// The new one.
+        /// The new configuration file.
         new: PathBuf,
     },
     /// Shows which route a request takes, and why.
     Explain {
-        /// The configuration.
+        /// The configuration file.
         file: PathBuf,
-        /// `METHOD http://HOST/PATH`, quoted or as two words.
+        /// The request as `METHOD http://HOST/PATH`, quoted or as two arguments.
         #[arg(required = true)]
         request: Vec<String>,
-        /// A header, as `NAME: VALUE`.
+        /// A request header as `NAME: VALUE`; may be repeated.
         #[arg(long, short = 'H')]
         header: Vec<String>,
     },
 }
 
-/// Carries out a command; `run` returns when the process ends.
+/// Executes a command. `pumicehead run` returns when the node has drained.
 ///
 /// # Errors
-/// Why the command failed.
+/// Returns the reason why the command failed.
 pub fn run(command: Command) -> Result<ExitCode, Box<dyn Error>> {
     match command {
         Command::Run { file, record } => serve(file, record),
         Command::Trace { address, out } => recording_cli::fetch(address, &out).map(|()| ExitCode::SUCCESS),
         Command::Why(arguments) => arguments.run().map(|()| ExitCode::SUCCESS),
-        Command::Fleet { question } => fleet_cli::run(&question).map(|()| ExitCode::SUCCESS),
-        Command::Export { file, form } => recording_cli::export(&file, form).map(|()| ExitCode::SUCCESS),
+        Command::Fleet { command } => fleet_cli::run(&command).map(|()| ExitCode::SUCCESS),
+        Command::Export { file, format } => recording_cli::export(&file, format).map(|()| ExitCode::SUCCESS),
         Command::Check { files, format, deny_warnings } => Ok(check_all(&files, format, deny_warnings)),
         Command::Fmt { files, check } => format_all(&files, check),
         Command::Diff { old, new } => Ok(compare(&old, &new)),
         Command::Explain { file, request, header } => {
             let request = Request::parse(&request.join(" "), &header)?;
-            let Some(loaded) = load_valid(&file) else { return Ok(ExitCode::from(EXIT_MISTAKES)) };
+            let Some(loaded) = load_valid(&file) else { return Ok(ExitCode::from(EXIT_INVALID_CONFIG)) };
             print(&explain(&loaded.config, &loaded.sources, &request)?);
             Ok(ExitCode::SUCCESS)
         }
@@ -141,14 +141,14 @@
     let checked = loaded.checked();
     report(&checked.sources, &checked.diagnostics, Format::Text);
     if checked.config.is_none() {
-        return Ok(ExitCode::from(EXIT_MISTAKES));
+        return Ok(ExitCode::from(EXIT_INVALID_CONFIG));
     }
     let (log, _flush) = log::start_with_thread();
     crate::block_on(crate::standalone::serve(file, loaded, record, log))?;
     Ok(ExitCode::SUCCESS)
 }
 
-/// The exit code of a command that failed.
+/// Returns the exit code for a failed command.
 pub fn failure() -> ExitCode {
     ExitCode::from(EXIT_FAILED)
 }
@@ -163,24 +163,25 @@
         if format == Format::Text {
             let count = |severity| checked.diagnostics.iter().filter(|d| d.severity == severity).count();
             let (errors, warnings) = (count(Severity::Error), count(Severity::Warning));
-            let verdict = if errors == 0 { "ok".into() } else { format!("{errors} mistakes") };
-            let note = if warnings == 0 { String::new() } else { format!(", {warnings} warnings") };
-            print(&format!("{}: {verdict}{note}\n", file.display()));
+            let error_summary = if errors == 0 { "ok".into() } else { format!("{errors} errors") };
+            let warning_summary =
+                if warnings == 0 { String::new() } else { format!(", {warnings} warnings") };
+            print(&format!("{}: {error_summary}{warning_summary}\n", file.display()));
         }
     }
-    if all_valid { ExitCode::SUCCESS } else { ExitCode::from(EXIT_MISTAKES) }
+    if all_valid { ExitCode::SUCCESS } else { ExitCode::from(EXIT_INVALID_CONFIG) }
 }
 
 fn format_all(files: &[PathBuf], only_check: bool) -> Result<ExitCode, Box<dyn Error>> {
     let (mut any_invalid, mut any_difference) = (false, false);
     for file in files {
-        let bytes = Disk.read(file).map_err(|fault| format!("{}: {fault}", file.display()))?;
+        let bytes = Disk.read(file).map_err(|error| format!("{}: {error}", file.display()))?;
         let text = String::from_utf8(bytes).map_err(|_| format!("{}: not UTF-8", file.display()))?;
         match format(&text) {
-            Err(faults) => {
+            Err(diagnostics) => {
                 let mut sources = Sources::default();
                 sources.add(file, text.strip_prefix('\u{feff}').unwrap_or(&text).to_owned());
-                report(&sources, &faults, Format::Text);
+                report(&sources, &diagnostics, Format::Text);
                 any_invalid = true;
             }
             Ok(formatted) if formatted == text => {}
@@ -192,15 +193,15 @@
         }
     }
     Ok(match (any_invalid, any_difference) {
-        (true, _) => ExitCode::from(EXIT_MISTAKES),
+        (true, _) => ExitCode::from(EXIT_INVALID_CONFIG),
         (false, true) => ExitCode::from(EXIT_DIFFERENCE),
         (false, false) => ExitCode::SUCCESS,
     })
 }
 
-/// Replaces a file as a whole: a node may read it at any moment.
+/// Replaces a file atomically, since a node may read it at any time.
 fn replace(file: &Path, text: &str) -> Result<(), Box<dyn Error>> {
-    // The target of a symbolic link is replaced, not the link.
+    // Replaces the target of a symbolic link, not the link itself.
     let file = fs::canonicalize(file)?;
     let mut name = file.file_name().unwrap_or_default().to_owned();
     name.push(format!(".{}.new", std::process::id()));
@@ -214,13 +215,13 @@
     written.map_err(|error| format!("{}: {error}", file.display()).into())
 }
 
-/// A configuration without mistakes, and its source texts.
+/// A configuration without errors, and its source texts.
 struct ValidConfig {
     config: Config,
     sources: Sources,
 }
 
-/// Checks a configuration; `None` where it has mistakes, which are reported.
+/// Loads and checks a configuration. If it has errors, reports them and returns `None`; warnings are not reported.
 fn load_valid(file: &Path) -> Option<ValidConfig> {
     let checked = check(&Disk, file);
     let is_error = |diagnostic: &&Diagnostic| diagnostic.severity == Severity::Error;
@@ -231,7 +232,7 @@
 
 fn compare(old: &Path, new: &Path) -> ExitCode {
     let (Some(old), Some(new)) = (load_valid(old), load_valid(new)) else {
-        return ExitCode::from(EXIT_MISTAKES);
+        return ExitCode::from(EXIT_INVALID_CONFIG);
     };
     let changes = diff(&old.config, &new.config);
     for change in &changes {
--- a/crates/node/src/descriptor_budget.rs
+++ b/crates/node/src/descriptor_budget.rs
@@ -1,30 +1,32 @@
-//! How a node's file descriptors are divided between connections.
+//! Division of a node's file descriptors between client connections and connections to backends.
 
 use crate::net::downstream::OVERFLOW_CONNECTIONS;
 
-/// Descriptors of the program itself: standard streams, event loop, discovery, signals, the first listener.
+/// Descriptors reserved for the process itself: standard streams, event loop, discovery, signals, and the first listener.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Parts of ten for clients' connections. Each has at most one request, which has one attempt in flight or two.
+/// Tenths of the remaining descriptors for client connections. Each client connection has at most one request, and each
+/// request has one or two attempts in flight.
 const DOWNSTREAM_TENTHS: usize = 6;
-/// Parts of ten for connections to backends.
+/// Tenths of the remaining descriptors for connections to backends.
 const UPSTREAM_TENTHS: usize = 10 - DOWNSTREAM_TENTHS;
 
-/// Descriptors for connections.
+/// Numbers of file descriptors available for connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// Clients' connections, without those over the limit that are only rejected.
+    /// For client connections, not counting those over the limit that are accepted only to be rejected.
     pub downstream: usize,
-    /// Connections to backends.
+    /// For connections to backends.
     pub upstream: usize,
 }
 
 impl DescriptorBudget {
-    /// Divides `descriptors`, at least 128, of which `listeners` are for listeners and other sockets.
+    /// Divides `descriptors`, which must be at least 128. `listeners` is the number of descriptors for listeners and other
+    /// sockets; the first of them is part of the reserve.
     pub fn new(descriptors: usize, listeners: usize) -> Self {
-        let rest = descriptors.saturating_sub(RESERVED_DESCRIPTORS + listeners.saturating_sub(1));
+        let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS + listeners.saturating_sub(1));
         Self {
-            downstream: (rest * DOWNSTREAM_TENTHS / 10).saturating_sub(OVERFLOW_CONNECTIONS).max(1),
-            upstream: (rest * UPSTREAM_TENTHS / 10).max(1),
+            downstream: (available * DOWNSTREAM_TENTHS / 10).saturating_sub(OVERFLOW_CONNECTIONS).max(1),
+            upstream: (available * UPSTREAM_TENTHS / 10).max(1),
         }
     }
 }
--- a/crates/node/src/fleet_cli/request.rs
+++ b/crates/node/src/fleet_cli/request.rs
@@ -7,7 +7,7 @@
 
 use thiserror::Error;
 
-use crate::report::error;
+use crate::report::print_error;
 
 /// Time limit for each step of a request.
 const TIMEOUT: Duration = Duration::from_secs(10);
@@ -55,7 +55,7 @@
         return Err(RequestError::Rejected { address, reason: reason.trim().to_owned() });
     }
     if answer.is_empty() {
-        error("pumicehead: the node ended before it answered");
+        print_error("pumicehead: the node ended before it answered");
         return Err(RequestError::NoAnswer { address });
     }
     Ok(answer)
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,4 +1,5 @@
-//! The node. Started without arguments and with `EDGE_CONFIG` it is the platform's node, otherwise what the command line says.
+//! Entry point of the node. Without arguments and with `EDGE_CONFIG` set, the process runs as the platform's node; otherwise
+//! the command line decides.
 
 mod admin_listener;
 mod cli;
@@ -22,17 +23,17 @@
 use tokio::task;
 
 fn main() -> ExitCode {
-    // The platform starts it with no arguments; without EDGE_CONFIG that is a mistake on the command line.
+    // The platform starts the process without arguments. Without EDGE_CONFIG, missing arguments are a command line error.
     let on_platform = env::args_os().len() <= 1 && env::var_os("EDGE_CONFIG").is_some();
-    let done = if on_platform {
+    let result = if on_platform {
         platform::socket_activation::reexecute_with_listen_fds()
             .map(|()| serve_platform())
             .map_err(Into::into)
     } else {
         cli::run(cli::Arguments::parse().command)
     };
-    done.unwrap_or_else(|error| {
-        report::error(&format!("pumicehead: {error}"));
+    result.unwrap_or_else(|error| {
+        report::print_error(&format!("pumicehead: {error}"));
         if on_platform { ExitCode::FAILURE } else { cli::failure() }
     })
 }
@@ -42,16 +43,17 @@
     match block_on(platform::serve(log.clone(), writer)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // Through the log: a reader of standard error that has stopped must not keep the process from ending.
+            // Written through the log: a stopped reader of standard error must not keep the process from exiting.
             log.write_plain(&format!("pumicehead: {error}"));
             ExitCode::FAILURE
         }
     }
 }
 
-/// Runs a task and those that it spawns on the process's one event loop, until the task returns.
+/// Runs a task and the tasks that it spawns on the single event loop of the process, until the task returns.
 fn block_on(serve: impl Future<Output = Result<(), Box<dyn Error>>> + 'static) -> Result<(), Box<dyn Error>> {
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default())?;
-    // Spawned, since each wake of the future that the runtime blocks on would be a write to the loop's own descriptor.
+    // Spawned, because each wake-up of the future that `block_on` itself polls is a write to the event loop's wake-up
+    // descriptor.
     runtime.block_on(async { task::spawn_local(serve).await? })
 }
--- a/crates/node/src/recording_cli.rs
+++ b/crates/node/src/recording_cli.rs
@@ -1,4 +1,4 @@
-//! Flight recordings on the command line: fetching, analysis and export.
+//! Command line access to flight recordings: fetching, analysis and export.
 
 use std::error::Error;
 use std::fs;
@@ -11,35 +11,37 @@
 use pumicehead_flight_recorder::breakdown::Breakdown;
 use pumicehead_flight_recorder::findings::{Finding, find};
 use pumicehead_flight_recorder::recording::{MAX_RECORDING_BYTES, Recording};
-use pumicehead_flight_recorder::{bounded_text, export as forms, html_report, timeline_text, timestamp};
+use pumicehead_flight_recorder::{
+    bounded_text, export as export_formats, html_report, timeline_text, timestamp,
+};
 use pumicehead_policy::Nanos;
 use serde_json::json;
 
-use crate::report::{error, print};
+use crate::report::{print, print_error};
 
-/// Timeout of a connection to a node, and of each read from it.
+/// Timeout for connecting to a node, and for each read from it.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest first line of a reply in bytes.
+/// Maximum length of the first line of a reply, in bytes.
 const MAX_REPLY_LINE_BYTES: usize = 1_024;
-/// Findings that are printed.
+/// Maximum number of findings that are printed.
 const MAX_FINDINGS: usize = 5;
-/// Request timelines, or names of requests, that are printed.
+/// Maximum number of request timelines, or of names of example requests, that are printed.
 const MAX_REQUESTS: usize = 3;
-/// Characters of an unknown request's name that the error repeats.
+/// Maximum number of characters of an unknown request's name that the error message quotes.
 const MAX_QUOTED_CHARS: usize = 60;
-const NANOS_PER_MILLI: f64 = 1e6;
+const MICRO_WEIGHTS_PER_WEIGHT: f64 = 1e6;
 
-/// Analysis of a recording.
+/// Arguments of the `why` command, which analyzes a recording.
 #[derive(Args)]
 pub struct AnalyzeArguments {
-    /// The recording.
+    /// The recording file.
     file: PathBuf,
     /// A request, by the name that its client gave it.
     request: Option<String>,
-    /// A time range: seconds since the node's start, or times of day in UTC.
+    /// A time range, in seconds since the start of the node or as times of day in UTC.
     #[arg(long, num_args = 2, value_names = ["FROM", "TO"], conflicts_with = "request")]
     between: Option<Vec<String>>,
-    /// Another recording to compare with.
+    /// Another recording file to compare with.
     #[arg(long, value_name = "FILE", conflicts_with = "request")]
     diff: Option<PathBuf>,
     /// Print the findings as one JSON object.
@@ -47,18 +49,18 @@
     json: bool,
 }
 
-/// Formats that other programs open.
+/// Formats that other programs can open.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub enum ExportForm {
-    /// OpenTelemetry's OTLP/JSON, a line for each request.
+pub enum ExportFormat {
+    /// OpenTelemetry OTLP/JSON, one line per request.
     Otlp,
-    /// Chrome's trace events.
+    /// Chrome trace events.
     Chrome,
-    /// A page.
+    /// An HTML page.
     Html,
 }
 
-/// A time range, in the recording's time.
+/// A time range, on the time axis of the recording.
 #[derive(Clone, Copy)]
 struct TimeRange {
     from: Nanos,
@@ -72,18 +74,19 @@
         return Err(in_file(&format!("{length} bytes, more than {MAX_RECORDING_BYTES}")).into());
     }
     let bytes = fs::read(file).map_err(|error| in_file(&error))?;
-    let dump = Recording::read(&bytes).map_err(|error| in_file(&error))?;
-    if let Some(damage) = dump.damage {
-        let text = format!("damaged from byte {} of {} on; what comes before is read", damage.at, damage.of);
-        error(&format!("pumicehead: {}", in_file(&text)));
+    let recording = Recording::read(&bytes).map_err(|error| in_file(&error))?;
+    if let Some(damage) = recording.damage {
+        let text =
+            format!("damaged from byte {} of {}; only the data before it is used", damage.at, damage.of);
+        print_error(&format!("pumicehead: {}", in_file(&text)));
     }
-    Ok(dump)
+    Ok(recording)
 }
 
-/// Fetches the recording of a running node by an admin command, and writes it to a file.
+/// Fetches the recording of a running node with the admin command `TRACE`, and writes it to a file.
 ///
 /// # Errors
-/// A connection that fails, a reply that is an error or incomplete, or a file that can't be written.
+/// Fails if the connection fails, if the reply is an error or incomplete, or if the file can't be written.
 pub fn fetch(address: SocketAddr, out: &Path) -> Result<(), Box<dyn Error>> {
     let mut stream =
         TcpStream::connect_timeout(&address, FETCH_TIMEOUT).map_err(|error| format!("{address}: {error}"))?;
@@ -92,54 +95,54 @@
     let mut reply = Vec::new();
     stream.take(MAX_RECORDING_BYTES as u64 + MAX_REPLY_LINE_BYTES as u64).read_to_end(&mut reply)?;
     let line_end = reply.iter().take(MAX_REPLY_LINE_BYTES).position(|&byte| byte == b'\n');
-    let line_end = line_end.ok_or_else(|| format!("{address}: no answer of a node"))?;
+    let line_end = line_end.ok_or_else(|| format!("{address}: reply without a status line"))?;
     let line = String::from_utf8_lossy(&reply[..line_end]).into_owned();
     let length = line.strip_prefix("OK ").and_then(|length| length.parse::<usize>().ok());
     let length = length.ok_or_else(|| format!("{address}: {}", bounded_text::escape(&line)))?;
     let recording = &reply[line_end + 1..];
     if recording.len() != length {
-        return Err(format!("{address}: {} of {length} bytes came", recording.len()).into());
+        return Err(format!("{address}: got {} of {length} bytes of the recording", recording.len()).into());
     }
     fs::write(out, recording).map_err(|error| format!("{}: {error}", out.display()))?;
     print(&format!("{}: {length} bytes\n", out.display()));
     Ok(())
 }
 
-/// Writes a recording in another format to standard output.
+/// Converts a recording to another format and writes it to standard output.
 ///
 /// # Errors
-/// A recording that can't be read.
-pub fn export(file: &Path, form: ExportForm) -> Result<(), Box<dyn Error>> {
-    let dump = open(file)?;
-    print(&match form {
-        ExportForm::Otlp => forms::otlp(&dump),
-        ExportForm::Chrome => forms::chrome(&dump),
-        ExportForm::Html => html_report::write(&dump),
+/// Fails if the recording can't be read.
+pub fn export(file: &Path, format: ExportFormat) -> Result<(), Box<dyn Error>> {
+    let recording = open(file)?;
+    print(&match format {
+        ExportFormat::Otlp => export_formats::otlp(&recording),
+        ExportFormat::Chrome => export_formats::chrome(&recording),
+        ExportFormat::Html => html_report::write(&recording),
     });
     Ok(())
 }
 
 impl AnalyzeArguments {
-    /// Prints the timeline of a request, the causes of lost weight, or a comparison.
+    /// Prints the timeline of a request, the causes of lost weight, or a comparison with another recording.
     ///
     /// # Errors
-    /// A recording or time that can't be read, or a request that is not in the recording.
+    /// Fails if a recording or a time can't be read, or if the request is not in the recording.
     pub fn run(&self) -> Result<(), Box<dyn Error>> {
-        let dump = open(&self.file)?;
+        let recording = open(&self.file)?;
         if let Some(request) = &self.request {
-            return print_request(&dump, request);
+            return print_request(&recording, request);
         }
-        let range = self.time_range(&dump)?;
-        let accounts = dump.ledger.as_ref().ok_or("the recording's sums are damaged")?;
-        let breakdown = Breakdown::of_ledger(&dump.header, accounts, range.from, range.to);
+        let range = self.time_range(&recording)?;
+        let ledger = recording.ledger.as_ref().ok_or("the ledger of the recording is damaged")?;
+        let breakdown = Breakdown::of_ledger(&recording.header, ledger, range.from, range.to);
         if let Some(other) = &self.diff {
             return self.print_comparison(&breakdown, other);
         }
-        let findings = find(&dump.header, accounts, range.from, range.to);
+        let findings = find(&recording.header, ledger, range.from, range.to);
         if self.json {
             print(&(json(&breakdown, &findings) + "\n"));
         } else {
-            print_analysis(&dump, &breakdown, &findings);
+            print_analysis(&recording, &breakdown, &findings);
         }
         Ok(())
     }
@@ -148,52 +151,52 @@
         let other = open(other)?;
         let range = self.time_range(&other)?;
         let other = Breakdown::of_recording(&other, range.from, range.to);
-        print(&breakdown.compare(&other.ok_or("the other recording's sums are damaged")?));
+        print(&breakdown.compare(&other.ok_or("the ledger of the other recording is damaged")?));
         Ok(())
     }
 
-    fn time_range(&self, dump: &Recording) -> Result<TimeRange, timestamp::TimestampError> {
+    fn time_range(&self, recording: &Recording) -> Result<TimeRange, timestamp::TimestampError> {
         match self.between.as_deref() {
             Some([from, to]) => Ok(TimeRange {
-                from: timestamp::parse(from, dump.header.start)?,
-                to: timestamp::parse(to, dump.header.start)?,
+                from: timestamp::parse(from, recording.header.start)?,
+                to: timestamp::parse(to, recording.header.start)?,
             }),
             _ => Ok(TimeRange { from: 0, to: Nanos::MAX }),
         }
     }
 }
 
-fn print_analysis(dump: &Recording, breakdown: &Breakdown, findings: &[Finding]) {
+fn print_analysis(recording: &Recording, breakdown: &Breakdown, findings: &[Finding]) {
     print(&breakdown.to_string());
     match findings.first() {
         None => print("nothing was lost\n"),
         Some(first) => print(&format!("largest cause: {}\n", first.text)),
     }
     for finding in findings.iter().take(MAX_FINDINGS) {
-        let lost = finding.lost as f64 / NANOS_PER_MILLI;
+        let lost = finding.lost as f64 / MICRO_WEIGHTS_PER_WEIGHT;
         print(&format!("  {lost:10.1}  {:7} requests  {}\n", finding.requests, finding.text));
     }
-    let examples = dump.timelines.iter().filter(|story| story.cause.is_some()).take(MAX_REQUESTS);
-    let names: Vec<_> = examples.map(|story| story.name.display()).collect();
+    let examples = recording.timelines.iter().filter(|timeline| timeline.cause.is_some()).take(MAX_REQUESTS);
+    let names: Vec<_> = examples.map(|timeline| timeline.name.display()).collect();
     if !names.is_empty() {
         print(&format!("some of them: {}\n", names.join(", ")));
     }
 }
 
-fn print_request(dump: &Recording, request: &str) -> Result<(), Box<dyn Error>> {
-    let found = dump.timelines_of(request);
+fn print_request(recording: &Recording, request: &str) -> Result<(), Box<dyn Error>> {
+    let found = recording.timelines_of(request);
     if found.is_empty() {
-        let recorded = dump.timelines.len();
+        let recorded = recording.timelines.len();
         let name = bounded_text::escape(&request.chars().take(MAX_QUOTED_CHARS).collect::<String>());
-        return Err(format!("no story of `{name}` among the {recorded} that were kept").into());
+        return Err(format!("no request `{name}` among the {recorded} recorded timelines").into());
     }
     for timeline in found.into_iter().take(MAX_REQUESTS) {
-        print(&timeline_text::render(&dump.header, timeline));
+        print(&timeline_text::render(&recording.header, timeline));
     }
     Ok(())
 }
 
-/// The findings as JSON, with the stored names of subjects and causes.
+/// Formats breakdown and findings as a JSON object, with the exported names of subjects and symptoms.
 fn json(breakdown: &Breakdown, findings: &[Finding]) -> String {
     let views = breakdown.views.iter().map(|(name, parts)| {
         let rows = parts
--- a/crates/node/src/report.rs
+++ b/crates/node/src/report.rs
@@ -1,4 +1,4 @@
-//! Output of the command line: results to standard output, diagnostics to standard error.
+//! Command line output: results go to standard output, diagnostics to standard error.
 
 use std::io::{IsTerminal, Write};
 
@@ -6,16 +6,16 @@
 use pumicehead_config::diagnostic::{self, MAX_SHOWN};
 use pumicehead_config::{Diagnostic, Sources};
 
-/// Format of diagnostics.
+/// Output format of diagnostics.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// Text with source lines, to standard error.
+    /// Text with source excerpts, to standard error.
     Text,
-    /// One JSON object for each line, to standard output.
+    /// One JSON object per line, to standard output.
     Json,
 }
 
-/// Writes diagnostics; as text, at most [`MAX_SHOWN`] of them.
+/// Writes diagnostics. In text format, at most [`MAX_SHOWN`] of them are written.
 pub fn report(sources: &Sources, diagnostics: &[Diagnostic], format: Format) {
     match format {
         Format::Json => {
@@ -28,21 +28,21 @@
         Format::Text => {
             let is_styled = std::io::stderr().is_terminal();
             for diagnostic in diagnostics.iter().take(MAX_SHOWN) {
-                error(&format!("{}\n", diagnostic::render(sources, diagnostic, is_styled)));
+                print_error(&format!("{}\n", diagnostic::render(sources, diagnostic, is_styled)));
             }
             if diagnostics.len() > MAX_SHOWN {
-                error(&format!("and {} more", diagnostics.len() - MAX_SHOWN));
+                print_error(&format!("and {} more", diagnostics.len() - MAX_SHOWN));
             }
         }
     }
 }
 
-/// Writes to standard output. A closed pipe, as with `head`, is not an error.
+/// Writes to standard output. Write errors are ignored, as a closed pipe (such as to `head`) is not a failure.
 pub fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-/// Writes a line to standard error.
-pub fn error(text: &str) {
+/// Writes a line to standard error, ignoring write errors.
+pub fn print_error(text: &str) {
     let _ = writeln!(std::io::stderr(), "{text}");
 }
