--- a/crates/node/src/introspection/mod.rs
+++ b/crates/node/src/introspection/mod.rs
@@ -1,5 +1,5 @@
-//! What an operator can ask a running node about itself: its flight recording, its metrics and its log. Recordings are also
-//! written to a folder on SIGUSR1 and on a panic.
+//! Introspection of a running node: flight recording, metrics and log, as admin commands expose them. Recordings are also
+//! written to a directory on SIGUSR1 and on a panic.
 
 mod recording_file;
 
@@ -25,48 +25,48 @@
 use crate::net::recorder_sink::{RecorderSink, SharedRecorder};
 use recording_file::RecordingFile;
 
-/// How often suppressed and dropped log lines are reported.
+/// Interval at which suppressed and dropped log lines are reported.
 const LOG_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// The recorder's default part of a node's memory: 1 MiB of 32 MiB.
-pub const MEMORY_DIVISOR: usize = 32;
-/// Most memory that the recorder takes by default, in bytes.
-pub const MAX_DEFAULT_MEMORY_BYTES: usize = 4 << 20;
+/// By default, the recorder may use the node's memory limit divided by this: 1 MiB of 32 MiB.
+pub const RECORDER_MEMORY_DIVISOR: usize = 32;
+/// Maximum default size of the recorder's memory, in bytes.
+pub const MAX_DEFAULT_RECORDER_BYTES: usize = 4 << 20;
 
-/// Why a recording was written, as the recording's head stores it.
+/// Reason for writing a recording, as stored in its header.
 const REASON_SIGNAL: &str = "asked by a signal";
 const REASON_COMMAND: &str = "asked by a call";
-/// Start of the reason after a panic; its message follows.
+/// Prefix of the reason after a panic, followed by the panic message.
 const REASON_PANIC: &str = "panic";
 
 thread_local! {
-    /// For the panic hook, which gets no arguments of ours.
-    static FOR_PANIC_HOOK: RefCell<Option<Rc<Introspection>>> = const { RefCell::new(None) };
+    /// Read by the panic hook, which is called with no arguments other than the panic information.
+    static PANIC_HOOK_INTROSPECTION: RefCell<Option<Rc<Introspection>>> = const { RefCell::new(None) };
 }
 
-/// Where recordings are written on a signal or a panic, and by whom.
+/// Directory for recordings that are written on a signal or a panic, and how they are written on a signal.
 pub enum RecordingDestination {
-    /// There is no folder for them.
+    /// There is no directory, and no recordings are written.
     None,
-    /// The event loop writes them in slices, for a process without other threads and a folder in memory.
+    /// The event loop writes them in slices: for a single-threaded process and a directory in memory.
     EventLoop(PathBuf),
-    /// A thread of the runtime writes them: a disk may be slow.
+    /// A blocking thread of the runtime writes them, as a disk may be slow.
     BlockingThread(PathBuf),
 }
 
-/// Recorder, metrics and log of a node.
+/// Flight recorder, metrics and log of a node.
 pub struct Introspection {
     recorder: SharedRecorder,
     clock: Clock,
     log: Log,
     destination: RecordingDestination,
-    /// Hash of the node's name, for file names.
+    /// Hash of the node's name, used in file names.
     node_hash: u64,
     files_written: Cell<u32>,
     reported_dropped_lines: Cell<usize>,
 }
 
 impl Introspection {
-    /// For a node of this name, with `memory` bytes for its recorder.
+    /// Creates the introspection of the node with this name. The recorder gets `memory` bytes.
     pub fn new(
         node: &str,
         clock: Clock,
@@ -86,17 +86,17 @@
         })
     }
 
-    /// The log.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// The clock of all event loops of the node.
+    /// The clock that all event loops of the node share.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// A pool's access to the recorder, with the names of its classes in the order of its settings.
+    /// Registers a pool with the recorder and returns the sink for its events. `classes` are the names of the pool's
+    /// classes, in the order of its settings.
     pub fn pool_recorder(&self, pool: &str, settings: &Settings, classes: &[String]) -> RecorderSink {
         let class = |(name, class): (&String, &pumicehead_policy::Class)| ClassInfo {
             name: name.clone(),
@@ -110,28 +110,28 @@
         RecorderSink::new(&self.recorder, self.clock, pool.unwrap_or(PoolId(u16::MAX)))
     }
 
-    /// Sets the names of the tenants of all pools.
+    /// Sets the tenant names, which apply to all pools.
     pub fn set_tenant_names(&self, names: impl Iterator<Item = (TenantId, Arc<str>)>) {
         let names = names.map(|(id, name)| (id.0, name)).collect();
         self.recorder.with(|recorder| recorder.name_tenants(names));
     }
 
-    /// Access to the recorder for events that belong to no pool.
+    /// Returns a sink for events that belong to no pool.
     pub fn node_recorder(&self) -> RecorderSink {
         RecorderSink::new(&self.recorder, self.clock, PoolId(0))
     }
 
-    /// Changes how much is recorded.
+    /// Sets how much is recorded.
     pub fn set_recording_level(&self, level: Level) {
         self.recorder.set_level(level);
     }
 
-    /// The recording as the bytes of a file; `None` while the recorder is in use, as in a panic.
+    /// Returns the recording as the bytes of a file, or `None` while the recorder is in use, which can happen in a panic.
     fn recording(&self, reason: &str) -> Option<Vec<u8>> {
         self.recorder.with(|recorder| recorder.recording(self.clock.now(), reason))
     }
 
-    /// OpenMetrics text with these gauges added.
+    /// Returns the metrics with the given gauges as OpenMetrics text.
     fn metrics(&self, gauges: &[(&'static str, f64)]) -> String {
         let text = self.recorder.with(|recorder| {
             let (memory, max_memory) = (recorder.memory_used() as f64, recorder.memory_limit() as f64);
@@ -145,10 +145,11 @@
         text.unwrap_or_else(|| "# EOF\n".into())
     }
 
-    /// Starts the tasks of a process: reports about the log, and a recording on each SIGUSR1 and on a panic.
+    /// Starts the periodic report of suppressed and dropped log lines, and the writing of a recording on each SIGUSR1 and on
+    /// a panic.
     ///
     /// # Errors
-    /// A signal handler that can't be installed.
+    /// Fails if the signal handler can't be installed.
     pub fn start(self: &Rc<Self>) -> io::Result<()> {
         let mut usr1 = signal(SignalKind::user_defined1())?;
         let introspection = self.clone();
@@ -168,11 +169,11 @@
     }
 
     fn install_panic_hook(self: &Rc<Self>) {
-        FOR_PANIC_HOOK.with(|slot| *slot.borrow_mut() = Some(self.clone()));
+        PANIC_HOOK_INTROSPECTION.with(|slot| *slot.borrow_mut() = Some(self.clone()));
         let previous = std::panic::take_hook();
         std::panic::set_hook(Box::new(move |panic| {
             previous(panic);
-            let introspection = FOR_PANIC_HOOK
+            let introspection = PANIC_HOOK_INTROSPECTION
                 .with(|slot| slot.try_borrow().ok().and_then(|introspection| introspection.clone()));
             if let Some(introspection) = introspection {
                 introspection.write_recording_at_panic(&panic.to_string());
@@ -180,7 +181,7 @@
         }));
     }
 
-    /// The reply to a command about recorder, metrics or log; `None` for all others.
+    /// Returns the reply to a command about the recorder, the metrics or the log, or `None` for any other command.
     pub async fn reply(
         &self,
         command: &Command,
@@ -188,7 +189,7 @@
     ) -> Option<Vec<u8>> {
         Some(match command {
             Command::Recording => match self.recording(REASON_COMMAND) {
-                Some(file) => [ok_reply(&file.len().to_string()).into_bytes(), file].concat(),
+                Some(recording) => [ok_reply(&recording.len().to_string()).into_bytes(), recording].concat(),
                 None => error_reply("the recorder is in use").into_bytes(),
             },
             Command::Metrics => self.metrics(&gauges().await).into_bytes(),
@@ -219,16 +220,16 @@
         self.log.report_suppressed();
         let dropped = self.log.dropped();
         if dropped > self.reported_dropped_lines.replace(dropped) {
-            warn!(target: "log", dropped, "log lines dropped: the reader of standard error does not keep up");
+            warn!(target: "log", dropped, "log lines dropped: standard error is blocked, slow or failing");
         }
     }
 
     async fn write_recording(&self, reason: &str) {
-        let Some((folder, bytes)) = self.folder().zip(self.recording(reason)) else {
-            warn!(target: "recording", "recording not written: there is no folder for recordings");
+        let Some((directory, bytes)) = self.directory().zip(self.recording(reason)) else {
+            warn!(target: "recording", "recording not written: no directory is configured, or the recorder is in use");
             return;
         };
-        let file = RecordingFile::new(folder, self.node_hash, self.next_file_number());
+        let file = RecordingFile::new(directory, self.node_hash, self.next_file_number());
         let written = match self.destination {
             RecordingDestination::BlockingThread(_) => {
                 task::spawn_blocking(move || file.write(&bytes)).await.map_err(io::Error::other).flatten()
@@ -243,11 +244,11 @@
         }
     }
 
-    fn folder(&self) -> Option<&Path> {
+    fn directory(&self) -> Option<&Path> {
         match &self.destination {
             RecordingDestination::None => None,
-            RecordingDestination::EventLoop(folder) | RecordingDestination::BlockingThread(folder) => {
-                Some(folder)
+            RecordingDestination::EventLoop(directory) | RecordingDestination::BlockingThread(directory) => {
+                Some(directory)
             }
         }
     }
@@ -258,11 +259,11 @@
     }
 
     fn write_recording_at_panic(&self, message: &str) {
-        let Some(folder) = self.folder() else { return };
+        let Some(directory) = self.directory() else { return };
         let reason = format!("{REASON_PANIC}: {}", pumicehead_flight_recorder::bounded_text::escape(message));
         if let Some(bytes) = self.recording(&reason) {
-            // The process panics already: an error here has nowhere to go.
-            let _ = RecordingFile::new(folder, self.node_hash, self.next_file_number()).write(&bytes);
+            // The thread is panicking already, so an error can't be reported.
+            let _ = RecordingFile::new(directory, self.node_hash, self.next_file_number()).write(&bytes);
         }
     }
 }
--- a/crates/node/src/introspection/recording_file.rs
+++ b/crates/node/src/introspection/recording_file.rs
@@ -1,4 +1,4 @@
-//! Files of flight recordings: each appears whole or not at all, and the oldest of a node make room for new ones.
+//! Files of flight recordings. A file is created atomically, and only the newest files of a node are kept.
 
 use std::fs;
 use std::io::{self, Write};
@@ -6,44 +6,44 @@
 
 use tokio::task;
 
-/// Recordings of a node that stay in a folder.
+/// Maximum number of recordings of one node that are kept in a directory.
 pub const MAX_FILES: usize = 2;
-/// Bytes that the event loop writes in one turn.
+/// Number of bytes that the event loop writes before it runs other tasks.
 const SLICE_BYTES: usize = 64 << 10;
 
-/// A recording's file that is not written yet.
+/// A recording file that is still to be written.
 pub struct RecordingFile {
-    folder: PathBuf,
-    /// Start of the names of all recordings of the node.
+    directory: PathBuf,
+    /// Common prefix of the file names of all recordings of the node.
     prefix: String,
     path: PathBuf,
-    /// Path until the file is whole.
+    /// Temporary path, used until the file is complete.
     partial_path: PathBuf,
 }
 
 impl RecordingFile {
-    /// The file of a node, by the hash of its name and a number that is new in this process.
-    pub fn new(folder: &Path, node_hash: u64, number: u32) -> Self {
+    /// Creates the file for the node with this name hash. `number` must be unique within the process.
+    pub fn new(directory: &Path, node_hash: u64, number: u32) -> Self {
         let prefix = format!("pumicehead-{node_hash:016x}-");
-        // Two processes of a node may write into one folder: the process is part of the name.
-        let path = folder.join(format!("{prefix}{}-{number}.rec", std::process::id()));
+        // The name contains the process id, as two processes of a node may write to the same directory.
+        let path = directory.join(format!("{prefix}{}-{number}.rec", std::process::id()));
         let partial_path = path.with_extension("part");
-        Self { folder: folder.to_owned(), prefix, path, partial_path }
+        Self { directory: directory.to_owned(), prefix, path, partial_path }
     }
 
-    /// Writes the file in one go, and removes the node's oldest ones beyond [`MAX_FILES`].
+    /// Writes the whole file at once, then removes the node's oldest files beyond [`MAX_FILES`].
     ///
     /// # Errors
-    /// As the file system has them; no partial file stays.
+    /// Returns I/O errors; a partially written file is removed.
     pub fn write(self, bytes: &[u8]) -> io::Result<PathBuf> {
         let written = fs::write(&self.partial_path, bytes);
         self.finish(written)
     }
 
-    /// The same on the event loop, which runs other tasks after each slice.
+    /// Like [`write`](Self::write), but yields to other tasks of the event loop after each slice.
     ///
     /// # Errors
-    /// As [`write`](Self::write).
+    /// Same as [`write`](Self::write).
     pub async fn write_in_slices(self, bytes: &[u8]) -> io::Result<PathBuf> {
         let written = self.write_slices(bytes).await;
         self.finish(written)
@@ -72,7 +72,7 @@
         let is_own = |name: &str| {
             name.starts_with(&self.prefix) && (name.ends_with(".rec") || name.ends_with(".part"))
         };
-        let mut own: Vec<_> = fs::read_dir(&self.folder)?
+        let mut own: Vec<_> = fs::read_dir(&self.directory)?
             .filter_map(Result::ok)
             .filter(|entry| entry.file_name().to_str().is_some_and(is_own))
             .filter_map(|entry| Some((entry.metadata().ok()?.modified().ok()?, entry.path())))
--- a/crates/node/src/log/filter.rs
+++ b/crates/node/src/log/filter.rs
@@ -1,4 +1,4 @@
-//! The log filter: which levels of which targets are logged.
+//! The log filter, which selects the levels that are logged for each target.
 
 use std::str::FromStr;
 
@@ -6,46 +6,46 @@
 use thiserror::Error;
 use tracing_subscriber::filter::Targets;
 
-/// Longest filter in bytes, enough for a dozen targets with their levels.
+/// Maximum length of a filter in bytes, enough for a dozen targets with their levels.
 const MAX_FILTER_BYTES: usize = 300;
-/// Characters of an invalid filter that its error repeats.
+/// Maximum number of characters of an invalid filter that the error message quotes.
 const MAX_QUOTED_CHARS: usize = 60;
-/// The filter at the start of a process.
+/// The filter at process start.
 pub const DEFAULT_FILTER: &str = "info";
 
-/// Targets by their former names, which filters in configuration files may use.
+/// Renamed targets, as (former name, current name). Filters in configuration files may still use the former names.
 const FORMER_TARGETS: [(&str, &str); 1] = [("calls", "admin")];
 
-/// The text is not a filter.
+/// The text is not a valid filter.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is no filter: write levels, for all or for a room, such as `info` or `warn,discovery=debug`")]
 pub struct FilterError(String);
 
-/// Parses a filter: a level, or levels of targets, separated by commas.
+/// Parses a filter: comma-separated directives, each a level or `TARGET=LEVEL`.
 ///
 /// # Errors
-/// [`FilterError`].
+/// Returns [`FilterError`] if the text is too long or a directive is invalid.
 pub fn parse_filter(text: &str) -> Result<Targets, FilterError> {
     let invalid = || FilterError(escape(&text.chars().take(MAX_QUOTED_CHARS).collect::<String>()));
     if text.len() > MAX_FILTER_BYTES || !text.split(',').all(is_directive) {
         return Err(invalid());
     }
-    let directives: Vec<_> = text.split(',').map(with_present_target).collect();
+    let directives: Vec<_> = text.split(',').map(with_current_target).collect();
     Targets::from_str(&directives.join(",")).map_err(|_| invalid())
 }
 
-/// A directive with its target's present name.
-fn with_present_target(directive: &str) -> String {
-    for (former, present) in FORMER_TARGETS {
+/// Replaces the former name of a renamed target by the current one.
+fn with_current_target(directive: &str) -> String {
+    for (former, current) in FORMER_TARGETS {
         if let Some(level) = directive.strip_prefix(former).filter(|rest| rest.starts_with('=')) {
-            return format!("{present}{level}");
+            return format!("{current}{level}");
         }
     }
     directive.to_owned()
 }
 
-/// Whether a part is a level or `TARGET=LEVEL`. The library takes an empty part for "all" and an unknown level for a target,
-/// both of which are mistakes here.
+/// Whether a part is a level or `TARGET=LEVEL`. [`Targets`] would take an empty part for "all levels" and an unknown level
+/// for a target name; here both are errors.
 fn is_directive(part: &str) -> bool {
     const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
     let (target, level) = part.split_once('=').unwrap_or(("", part));
--- a/crates/node/src/log/loop_sink.rs
+++ b/crates/node/src/log/loop_sink.rs
@@ -1,10 +1,10 @@
-//! A sink without a thread: the thread that logs, the event loop's, writes lines that the descriptor takes at once, and
-//! queues a bounded number of others.
+//! A log sink without a thread of its own. The event loop thread, which logs, writes each line directly if the descriptor
+//! accepts it without blocking, and otherwise queues it; the queue is bounded.
 //!
-//! A line costs the loop two system calls, `poll` and `write`. A reader that stops costs lines but no time. A slow disk as
-//! standard error costs time: `poll` reports a regular file as always writable, and a write to it blocks while the kernel
-//! has no room for dirty pages. That time is bounded to a fraction of the loop's: after a slow write, lines are only queued
-//! for [`SLOW_WRITE_PAUSE_FACTOR`] times as long as it took.
+//! A line costs the event loop two system calls, `poll` and `write`. A reader that stops reading causes lines to be dropped
+//! but does not block the loop. A slow disk as standard error does block it: `poll` reports a regular file as always
+//! writable, and a write to it blocks while the kernel limits dirty pages. To bound the share of the loop's time, lines are
+//! only queued after a slow write, for [`SLOW_WRITE_PAUSE_FACTOR`] times its duration.
 
 use std::collections::VecDeque;
 use std::io;
@@ -18,20 +18,21 @@
 use super::output::Output;
 use super::sink::{MAX_QUEUED_LINES, Sink};
 
-/// Lines that are written in one turn of the event loop, some 0.1 ms.
+/// Maximum number of lines written before the event loop runs other tasks; takes about 0.1 ms.
 const MAX_LINES_PER_TURN: usize = 32;
-/// A longer write counts as slow; to a pipe or memory it takes some microseconds.
+/// Writes that take longer than this count as slow. A write to a pipe or to memory takes a few microseconds.
 const SLOW_WRITE: Duration = Duration::from_millis(1);
-/// Pause after a slow write as a multiple of its duration: the log takes 1/20 of the loop's time at most.
+/// Pause after a slow write as a multiple of its duration, so that writing takes at most 1/20 of the event loop's time, as
+/// long as [`MAX_SLOW_WRITE_PAUSE`] does not shorten the pause.
 const SLOW_WRITE_PAUSE_FACTOR: u32 = 20;
-/// Longest pause after a slow write.
+/// Maximum pause after a slow write.
 const MAX_SLOW_WRITE_PAUSE: Duration = Duration::from_secs(10);
-/// First pause after the descriptor took no line; it doubles ...
+/// Initial pause when the descriptor is not ready; doubles on each failed retry.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(10);
-/// ... up to this.
+/// Maximum pause between retries when the descriptor is not ready.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// The sink; see the module's documentation.
+/// Log sink of the event loop; see the module documentation.
 pub struct LoopSink {
     queue: Mutex<Queue>,
     /// Wakes [`LoopSink::write_queued`].
@@ -39,25 +40,25 @@
 }
 
 impl LoopSink {
-    /// A sink that writes to `output`.
+    /// Creates a sink that writes to `output`.
     pub fn new(output: impl Output + 'static) -> Arc<Self> {
         let queue = Queue {
             output: Box::new(output),
             lines: VecDeque::new(),
-            written_of_first: 0,
+            front_bytes_written: 0,
             dropped: 0,
             paused_until: None,
         };
         Arc::new(Self { queue: Mutex::new(queue), line_queued: Notify::new() })
     }
 
-    /// Writes queued lines, for as long as the event loop runs. It wakes only while lines are queued.
+    /// Writes queued lines until the event loop stops. Wakes up only while lines are queued.
     pub async fn write_queued(self: Arc<Self>) {
         loop {
             self.line_queued.notified().await;
             let mut pause = MIN_RETRY_PAUSE;
             loop {
-                // The lock is released before a pause.
+                // `write_some` releases the lock before the task pauses.
                 let (state, has_written) = self.write_some();
                 if has_written {
                     pause = MIN_RETRY_PAUSE;
@@ -69,25 +70,26 @@
                         sleep(pause).await;
                         pause = (pause * 2).min(MAX_RETRY_PAUSE);
                     }
-                    State::Paused(left) => sleep(left).await,
+                    State::Paused(remaining) => sleep(remaining).await,
                 }
             }
         }
     }
 
-    /// Writes and flushes lines from a panic hook. It does nothing where the panic came out of this sink, which still
-    /// holds the lock.
-    pub fn write_and_flush(&self, lines: &[String], limit: Duration) {
+    /// Writes lines and flushes the queue, for use in a panic hook. Does nothing if the lock is held, as it is when the panic
+    /// occurred in this sink.
+    pub fn write_and_flush(&self, lines: &[String], timeout: Duration) {
         let mut queue = match self.queue.try_lock() {
             Ok(queue) => queue,
             Err(TryLockError::Poisoned(poisoned)) => poisoned.into_inner(),
             Err(TryLockError::WouldBlock) => return,
         };
-        lines.iter().for_each(|line| queue.take(line));
-        queue.flush(limit);
+        lines.iter().for_each(|line| queue.push(line));
+        queue.flush(timeout);
     }
 
-    /// Writes some lines; returns the state after it and whether any line was written, as a slow reader still reads.
+    /// Writes some lines. Returns the resulting state, and whether any line was removed from the queue, which shows that a
+    /// slow reader is still reading.
     fn write_some(&self) -> (State, bool) {
         let mut queue = self.queue();
         let before = queue.lines.len();
@@ -103,7 +105,7 @@
 impl Sink for LoopSink {
     fn write(&self, line: &str) {
         let mut queue = self.queue();
-        queue.take(line);
+        queue.push(line);
         if !queue.lines.is_empty() {
             self.line_queued.notify_one();
         }
@@ -113,37 +115,38 @@
         self.queue().dropped
     }
 
-    fn flush(&self, limit: Duration) {
-        self.queue().flush(limit);
+    fn flush(&self, timeout: Duration) {
+        self.queue().flush(timeout);
     }
 }
 
-/// State of the queue after some lines were written.
+/// State of the queue after an attempt to write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// No lines are queued.
     Empty,
-    /// Lines are queued, and the descriptor may take more.
+    /// Lines are queued, and the descriptor may accept more.
     More,
-    /// Lines are queued, and the descriptor takes none now.
+    /// Lines are queued, and a write would block.
     NotReady,
-    /// Lines are queued for this long, after a slow write.
+    /// Lines are queued, and nothing is written for this long because of a slow write.
     Paused(Duration),
 }
 
-/// At most [`MAX_QUEUED_LINES`] lines, and where they go.
+/// An output and at most [`MAX_QUEUED_LINES`] lines that wait for it.
 struct Queue {
     output: Box<dyn Output>,
     lines: VecDeque<Box<str>>,
-    /// Bytes of the first line that a partial write took. The rest of it comes next, so that readers see whole lines.
-    written_of_first: usize,
+    /// Bytes of the front line that a partial write has already written. The rest of it is written next, so that readers see
+    /// complete lines.
+    front_bytes_written: usize,
     dropped: usize,
     paused_until: Option<Instant>,
 }
 
 impl Queue {
-    /// Queues a line, or drops it if the queue is full, and writes what the descriptor takes.
-    fn take(&mut self, line: &str) {
+    /// Queues a line, or drops it if the queue is full, and writes what the descriptor accepts.
+    fn push(&mut self, line: &str) {
         if self.lines.len() >= MAX_QUEUED_LINES {
             self.write_some();
         }
@@ -155,60 +158,60 @@
         self.write_some();
     }
 
-    /// Writes lines that the descriptor takes without blocking, at most [`MAX_LINES_PER_TURN`].
+    /// Writes lines while the descriptor is ready, at most [`MAX_LINES_PER_TURN`].
     fn write_some(&mut self) -> State {
         for _ in 0..MAX_LINES_PER_TURN {
             if self.lines.is_empty() {
                 return State::Empty;
             }
             let now = Instant::now();
-            if let Some(left) = self.paused_until.map(|until| until.saturating_duration_since(now))
-                && !left.is_zero()
+            if let Some(remaining) = self.paused_until.map(|until| until.saturating_duration_since(now))
+                && !remaining.is_zero()
             {
-                return State::Paused(left);
+                return State::Paused(remaining);
             }
-            if !self.output.is_ready(Duration::ZERO) || !self.write_first() {
+            if !self.output.is_ready(Duration::ZERO) || !self.write_front() {
                 return State::NotReady;
             }
-            let took = now.elapsed();
-            self.paused_until = (took > SLOW_WRITE)
-                .then(|| now + took + (took * SLOW_WRITE_PAUSE_FACTOR).min(MAX_SLOW_WRITE_PAUSE));
+            let elapsed = now.elapsed();
+            self.paused_until = (elapsed > SLOW_WRITE)
+                .then(|| now + elapsed + (elapsed * SLOW_WRITE_PAUSE_FACTOR).min(MAX_SLOW_WRITE_PAUSE));
         }
         if self.lines.is_empty() { State::Empty } else { State::More }
     }
 
-    /// Writes the rest of the first line in one write; `false` if the descriptor takes nothing now.
-    fn write_first(&mut self) -> bool {
-        let Some(first) = self.lines.front() else { return true };
-        match self.output.write(&first.as_bytes()[self.written_of_first..]) {
-            // Another process may have made the descriptor non-blocking.
+    /// Writes the rest of the front line with a single write. Returns `false` if the write would block.
+    fn write_front(&mut self) -> bool {
+        let Some(front) = self.lines.front() else { return true };
+        match self.output.write(&front.as_bytes()[self.front_bytes_written..]) {
+            // Another process that shares the descriptor may have made it non-blocking.
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
-            // The reader is gone or the disk is full: this line is dropped, and the next ones as they are tried.
+            // The reader has closed the pipe or the disk is full: the line is dropped, and so is each later one that fails.
             Err(_) => {
                 self.dropped += 1;
-                self.remove_first();
+                self.remove_front();
             }
-            Ok(taken) => {
-                self.written_of_first += taken;
-                if self.written_of_first >= first.len() {
-                    self.remove_first();
+            Ok(written) => {
+                self.front_bytes_written += written;
+                if self.front_bytes_written >= front.len() {
+                    self.remove_front();
                 }
             }
         }
         true
     }
 
-    fn remove_first(&mut self) {
+    fn remove_front(&mut self) {
         self.lines.pop_front();
-        self.written_of_first = 0;
+        self.front_bytes_written = 0;
     }
 
-    /// Writes all queued lines, blocking on the descriptor for `limit` in sum.
-    fn flush(&mut self, limit: Duration) {
+    /// Writes all queued lines, waiting for the descriptor for at most `timeout` in total.
+    fn flush(&mut self, timeout: Duration) {
         let start = Instant::now();
         while !self.lines.is_empty() {
-            let left = limit.saturating_sub(start.elapsed());
-            if left.is_zero() || !self.output.is_ready(left) || !self.write_first() {
+            let remaining = timeout.saturating_sub(start.elapsed());
+            if remaining.is_zero() || !self.output.is_ready(remaining) || !self.write_front() {
                 return;
             }
         }
--- a/crates/node/src/log/panic.rs
+++ b/crates/node/src/log/panic.rs
@@ -1,7 +1,7 @@
-//! The panic hook of a process whose log is a [`LoopSink`].
+//! Panic hook of a process whose log is written by a [`LoopSink`].
 //!
-//! The default hook blocks on standard error: where its reader has stopped, the process would never end. This one queues the
-//! message behind other lines and flushes within a time limit.
+//! The default hook writes to standard error and blocks; if the reader has stopped, the process would never exit. This hook
+//! queues the message behind other lines and flushes the queue within a time limit.
 
 use std::backtrace::{Backtrace, BacktraceStatus};
 use std::panic::{self, PanicHookInfo};
@@ -15,13 +15,13 @@
 use super::loop_sink::LoopSink;
 use super::unix_ms;
 
-/// Replaces the panic hook by one that writes to `sink` and flushes it for `limit` at most.
-pub fn set_hook(sink: Arc<LoopSink>, limit: Duration) {
-    panic::set_hook(Box::new(move |panic| sink.write_and_flush(&lines(panic), limit)));
+/// Replaces the panic hook with one that writes to `sink` and flushes it for at most `timeout`.
+pub fn set_hook(sink: Arc<LoopSink>, timeout: Duration) {
+    panic::set_hook(Box::new(move |panic| sink.write_and_flush(&panic_lines(panic), timeout)));
 }
 
-/// The text of the default hook as log lines, with a backtrace where the environment asks for one.
-fn lines(panic: &PanicHookInfo<'_>) -> Vec<String> {
+/// Formats the message of the default hook as log lines, with a backtrace if the environment enables it.
+fn panic_lines(panic: &PanicHookInfo<'_>) -> Vec<String> {
     let thread = thread::current();
     let message = format!("thread '{}' {panic}", thread.name().unwrap_or("<unnamed>"));
     let message = plain_line(&message).trim_end().to_owned();
--- a/crates/node/src/log/sink.rs
+++ b/crates/node/src/log/sink.rs
@@ -1,4 +1,4 @@
-//! Sinks for finished lines. A sink never blocks the logging thread on a reader.
+//! Sinks for formatted log lines. A slow reader never blocks the logging thread.
 
 use std::io;
 use std::sync::{Mutex, PoisonError};
@@ -6,31 +6,32 @@
 
 use tracing_appender::non_blocking::{ErrorCounter, NonBlocking, NonBlockingBuilder, WorkerGuard};
 
-/// Lines that are queued at most: a burst at a start or in a fault, some 100 KiB at the usual length.
+/// Maximum number of queued lines: enough for a burst at startup or during a failure, about 100 KiB at the usual line
+/// length.
 pub const MAX_QUEUED_LINES: usize = 1_000;
 
-/// Writes lines whole and in order, or drops and counts them.
+/// Writes complete lines in order; lines that it can't write are dropped and counted.
 pub trait Sink: Send + Sync {
-    /// Takes a line with its line feed.
+    /// Writes or queues a line, which must end with a line feed.
     fn write(&self, line: &str);
 
-    /// Lines dropped so far.
+    /// Returns the number of lines dropped so far.
     fn dropped(&self) -> usize;
 
-    /// Writes queued lines for `limit` at most. Called before the process ends: a sink need not take lines after it.
-    fn flush(&self, limit: Duration);
+    /// Writes queued lines for at most `timeout`. Called before the process exits; a sink need not accept lines afterwards.
+    fn flush(&self, timeout: Duration);
 }
 
-/// Writes on a thread of its own, so that not even a slow disk blocks the event loop.
+/// Sink that writes on a separate thread, so that not even a slow disk blocks the event loop.
 pub struct ThreadSink {
     writer: NonBlocking,
     dropped: ErrorCounter,
-    /// Dropping it ends the thread, once that has written the queued lines.
+    /// Dropping the guard stops the thread after it has written the queued lines.
     guard: Mutex<Option<WorkerGuard>>,
 }
 
 impl ThreadSink {
-    /// Starts the thread.
+    /// Starts the thread, which writes to `output`.
     pub fn new(output: impl io::Write + Send + 'static) -> Self {
         let builder = NonBlockingBuilder::default();
         let builder = builder.lossy(true).buffered_lines_limit(MAX_QUEUED_LINES).thread_name("log");
@@ -42,7 +43,7 @@
 
 impl Sink for ThreadSink {
     fn write(&self, line: &str) {
-        // This is a channel: it takes the line, or drops and counts it.
+        // The writer is a channel: it queues the line, or drops and counts it.
         let _ = io::Write::write_all(&mut self.writer.clone(), line.as_bytes());
     }
 
@@ -50,7 +51,7 @@
         self.dropped.dropped_lines()
     }
 
-    /// The limit is the library's own, about a second.
+    /// Ignores the timeout: `tracing-appender` has its own limit of about one second.
     fn flush(&self, _: Duration) {
         drop(self.guard.lock().unwrap_or_else(PoisonError::into_inner).take());
     }
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -120,8 +120,8 @@
 }
 
 fn start_introspection(config: &Config, log: Log) -> Result<Rc<Introspection>, Box<dyn Error>> {
-    let memory =
-        (config.max_memory / introspection::MEMORY_DIVISOR).min(introspection::MAX_DEFAULT_MEMORY_BYTES);
+    let memory = (config.max_memory / introspection::RECORDER_MEMORY_DIVISOR)
+        .min(introspection::MAX_DEFAULT_RECORDER_BYTES);
     let destination = state_folder().map_or(RecordingDestination::None, RecordingDestination::EventLoop);
     let introspection =
         Introspection::new(&config.name, Clock::start(), memory, config.seed, log, destination);
