--- a/crates/node/src/platform/admin.rs
+++ b/crates/node/src/platform/admin.rs
@@ -1,4 +1,4 @@
-//! Admin commands of the platform's node, and the tasks that keep its state files current.
+//! Admin commands of the platform's node, and the tasks that keep its state files up to date.
 
 use std::error::Error;
 use std::rc::Rc;
@@ -21,14 +21,14 @@
 use crate::net::downstream::DownstreamListener;
 use crate::net::pool_handle::PoolHandle;
 
-/// Longest wait of a command for another one that changes the state file.
-const UPDATE_TURN_TIMEOUT: Duration = Duration::from_millis(800);
-/// How often the state file is checked for changes by other processes of this node.
+/// How long a command waits for another command that is changing the state file.
+const UPDATE_LOCK_TIMEOUT: Duration = Duration::from_millis(800);
+/// Interval at which the state file is checked for changes by other processes of this node.
 const STATE_FILE_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How often the warm state is written. The next process may start at any time, and trusts it less the older it is.
+/// Interval at which the warm state is written. The next process may start at any time, and trusts older warm state less.
 const HANDOVER_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Carries out admin commands.
+/// Executes admin commands on the platform's node.
 pub struct AdminHandler {
     pool: PoolHandle,
     listener: Rc<DownstreamListener>,
@@ -36,15 +36,16 @@
     stats: Rc<Stats>,
     /// Disabled backends, shared with the pool.
     overrides: Rc<AdminOverrides>,
-    /// State file of the disabled backends; without one they are in memory alone. One command changes it at a time.
+    /// State file of the disabled backends; without one they are kept in memory only. The mutex lets one command change it
+    /// at a time.
     state_file: Mutex<Option<StateFile>>,
-    /// Where the warm state is left for the next process, if there may be one.
+    /// File in which the warm state is handed over to the next process, if processes may overlap.
     handover_file: Option<HandoverFile>,
     introspection: Rc<Introspection>,
 }
 
 impl AdminHandler {
-    /// For a node with one pool and one listener for clients.
+    /// Creates the handler of a node with one pool and one client listener.
     pub fn new(
         pool: PoolHandle,
         listener: Rc<DownstreamListener>,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Reads the state file whenever another process has changed it. Never returns.
+    /// Applies changes of the state file by other processes. Never returns.
     pub async fn follow_state_file(self: Rc<Self>) {
         loop {
             sleep(STATE_FILE_POLL_INTERVAL).await;
@@ -73,13 +74,13 @@
                 match state_file.read_if_changed() {
                     Ok(Some(disabled)) => self.set_disabled(disabled),
                     Ok(None) => {}
-                    Err(error) => warn!(target: "admin", %error, "disabled backends not read"),
+                    Err(error) => warn!(target: "admin", %error, "state file of disabled backends not read"),
                 }
             }
         }
     }
 
-    /// Writes the warm state at [`HANDOVER_INTERVAL`] until this process drains or can't write it.
+    /// Writes the warm state every [`HANDOVER_INTERVAL`] until this process drains or a write fails.
     pub async fn write_warm_state(self: Rc<Self>) {
         let Some(file) = &self.handover_file else { return };
         while !self.listener.is_draining() {
@@ -97,8 +98,8 @@
         file.write(&HandoverRecord { known_backends, warm_state, lame_duck: self.listener.is_lame_duck() })
     }
 
-    /// Enters or leaves lame-duck mode. The handover is written before the reply: the next process may start at any time
-    /// after it.
+    /// Enters or leaves lame-duck mode. The handover file is written before the reply, as the next process may start at any
+    /// time after the reply.
     async fn set_lame_duck(&self, lame_duck: bool) -> String {
         self.listener.set_lame_duck(lame_duck);
         let written = match &self.handover_file {
@@ -126,7 +127,7 @@
                 error_reply("this node shares nothing with others")
             }
             Command::Config => error_reply("this node's configuration has no revisions"),
-            // Introspection has answered these.
+            // Already handled by `Introspection::reply`.
             Command::Recording | Command::Metrics | Command::LogFilter(_) | Command::RecordingLevel(_) => {
                 String::new()
             }
@@ -152,7 +153,7 @@
         }
     }
 
-    /// The gauges under the names of the metrics.
+    /// The gauges with their metric names.
     async fn metric_gauges(&self) -> Vec<(&'static str, f64)> {
         let gauges = self.gauges().await;
         vec![
@@ -169,7 +170,7 @@
         {
             return error_reply(&error.to_string());
         }
-        let Ok(mut state_file) = timeout(UPDATE_TURN_TIMEOUT, self.state_file.lock()).await else {
+        let Ok(mut state_file) = timeout(UPDATE_LOCK_TIMEOUT, self.state_file.lock()).await else {
             return error_reply("other calls take too long");
         };
         let change = |disabled: &mut DisabledBackends| {
@@ -211,7 +212,7 @@
     }
 }
 
-/// The machine's clock: times in the state file are compared by the processes of one machine.
+/// Current Unix time in milliseconds. Times in the state file are compared only by processes on the same machine.
 fn unix_ms() -> UnixMs {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
--- a/crates/node/src/platform/admission.rs
+++ b/crates/node/src/platform/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of the platform's requests: the class is in the path, everything else in headers.
+//! Admission of the platform's requests: the path names the service class and the ordering key, headers everything else.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::net::exchange::{ProxyRequest, UpstreamRequest};
 use crate::net::pool_handle::PoolHandle;
 
-/// Longest duration that a client may state.
+/// Durations stated by clients are capped at this value.
 const MAX_STATED_DURATION: Duration = Duration::from_secs(600);
 const MICROS_PER_SECOND: f64 = 1e6;
 const MICROS_PER_MILLI: f64 = 1_000.0;
@@ -24,7 +24,7 @@
 const ACCOUNT: &str = "x-account";
 const TIME_LEFT: &str = "x-time-left";
 const COST_HINT: &str = "x-weight-hint";
-/// Headers that go on to the endpoint.
+/// Headers that are forwarded to the endpoint.
 const FORWARDED_HEADERS: [&str; 9] = [
     "host",
     "content-type",
@@ -37,7 +37,7 @@
     "x-facts",
 ];
 
-/// What a class requires of its requests.
+/// Requirements of a service class for its requests.
 struct ClassRule {
     name: String,
     method: Method,
@@ -65,12 +65,12 @@
 }
 
 impl PlatformAdmission {
-    /// With the classes and tenants of a configuration.
+    /// Creates the admission for the classes and tenants of a configuration.
     pub fn new(config: &Config, pool: PoolHandle) -> Self {
         let classes = config.deployment.classes.iter().zip(&config.settings.classes);
         let mut tenants = FxHashMap::default();
         for (tenant, id) in config.deployment.tenants.iter().zip(0..) {
-            // Of two tenants of one name the first counts.
+            // If several tenants have the same name, the first one is used.
             tenants.entry(tenant.name.clone()).or_insert(TenantId(id));
         }
         Self {
@@ -80,16 +80,16 @@
         }
     }
 
-    /// Index of the class that path, header and method name.
+    /// Returns the index of the class with this name, if the service class header and the method match it.
     fn class(&self, class: &str, head: &RequestHead<'_>) -> Result<usize, RequestError> {
         let index = self.classes.iter().position(|rule| rule.name == class);
         let index = index.ok_or(RequestError::UnknownTarget)?;
         let rule = &self.classes[index];
-        let named = required(&head.headers, SERVICE_CLASS)?;
-        if !self.classes.iter().any(|other| other.name == named) {
+        let header_class = required(&head.headers, SERVICE_CLASS)?;
+        if !self.classes.iter().any(|other| other.name == header_class) {
             return Err(RequestError::UnknownTarget);
         }
-        if named != rule.name {
+        if header_class != rule.name {
             return Err(RequestError::InvalidHeader(SERVICE_CLASS.into()));
         }
         if *head.method != rule.method {
@@ -129,7 +129,7 @@
             cost_hint: cost_hint(headers)?,
             ordering_key: path.next_back().filter(|key| !key.is_empty()).map(Into::into),
             revision: None,
-            // Whatever the client states, no request waits longer than its class allows.
+            // The deadline of the class limits the time that the client states.
             time_left: time_left.min(rule.deadline),
             body_read_time: Duration::ZERO,
             upstream: UpstreamRequest {
@@ -149,8 +149,8 @@
     }
 }
 
-/// A target in absolute form (RFC 9112 section 3.2.2) must name the same host as the `Host` field: it goes on in origin
-/// form.
+/// Checks that a target in absolute form (RFC 9112 section 3.2.2) names the same host as the `Host` field: the request is
+/// forwarded in origin form with that field.
 fn check_absolute_form(head: &RequestHead<'_>) -> Result<(), RequestError> {
     let Some(authority) = head.uri.authority() else { return Ok(()) };
     let host = head.headers.get(header::HOST).map(HeaderValue::as_bytes);
@@ -161,7 +161,7 @@
     }
 }
 
-/// The value of a header that must be there once: with two, the endpoint may take the other one.
+/// Returns the value of a header that must occur exactly once. If there were two, the endpoint might use the other one.
 fn required<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, RequestError> {
     let mut values = headers.get_all(name).iter();
     let (Some(value), None) = (values.next(), values.next()) else {
@@ -171,7 +171,7 @@
     value.filter(|text| !text.is_empty()).ok_or(RequestError::InvalidHeader(name.into()))
 }
 
-/// How long the client still waits: a number with `m` for milliseconds or `u` for microseconds.
+/// Parses how long the client will still wait: a number with the suffix `m` (milliseconds) or `u` (microseconds).
 fn time_left(headers: &HeaderMap) -> Result<Duration, RequestError> {
     let text = required(headers, TIME_LEFT)?;
     let time_left = match text.strip_suffix('m') {
@@ -181,7 +181,7 @@
     time_left.ok_or(RequestError::InvalidHeader(TIME_LEFT.into()))
 }
 
-/// The expected work of a request in microseconds, if the client states it.
+/// Parses the expected cost of a request, which the client may state in microseconds; the result is in nanoseconds.
 fn cost_hint(headers: &HeaderMap) -> Result<Option<Nanos>, RequestError> {
     let Some(value) = headers.get(COST_HINT) else { return Ok(None) };
     let hint = value.to_str().ok().and_then(|micros| parse_duration(micros, 1.0));
@@ -189,7 +189,7 @@
     Ok(Some(hint.as_nanos() as Nanos))
 }
 
-/// A decimal number of units, each of `unit_micros` microseconds; at most [`MAX_STATED_DURATION`].
+/// Parses a decimal number of units of `unit_micros` microseconds each, capped at [`MAX_STATED_DURATION`].
 fn parse_duration(number: &str, unit_micros: f64) -> Option<Duration> {
     let is_decimal = number.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     let number: f64 = number.parse().ok().filter(|_| is_decimal)?;
--- a/crates/node/src/platform/config.rs
+++ b/crates/node/src/platform/config.rs
@@ -1,4 +1,4 @@
-//! Configuration of the platform's node: the JSON file that `EDGE_CONFIG` names, and the other `EDGE_*` variables.
+//! Configuration of the platform's node: the JSON file named by `EDGE_CONFIG`, and the other `EDGE_*` variables.
 
 use std::env;
 use std::fs;
@@ -12,11 +12,11 @@
 
 use crate::net::discovery::EndpointList;
 
-/// Fewest descriptors with which a node can serve.
+/// Minimum number of file descriptors that a node needs.
 const MIN_DESCRIPTORS: usize = 128;
 const BYTES_PER_MIB: usize = 1 << 20;
 
-/// A configuration that can't be used.
+/// Why the configuration can't be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// `EDGE_CONFIG` is not set.
@@ -25,28 +25,28 @@
     /// The file can't be read.
     #[error("configuration {path}: {source}")]
     Read {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// The operating system's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file is not the expected JSON.
+    /// The file is not valid JSON or does not have the expected structure.
     #[error("configuration {path}: {source}")]
     Json {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// What the parser says.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// A value is missing or has no meaning.
+    /// A value is missing or invalid.
     #[error("configuration: `{name}` is {problem}")]
     Value {
-        /// Its name.
+        /// Name of the setting.
         name: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with the value.
         problem: String,
     },
-    /// The settings contradict themselves.
+    /// The settings of the decision module are invalid.
     #[error("configuration: {0}")]
     Settings(#[from] SettingsError),
 }
@@ -71,7 +71,7 @@
 struct Limits {
     #[serde(rename = "sockets")]
     descriptors: usize,
-    /// In MiB.
+    /// Memory limit in MiB.
     #[serde(rename = "memory_mb")]
     memory_mib: usize,
 }
@@ -82,39 +82,39 @@
     }
 }
 
-/// A checked configuration.
+/// A validated configuration.
 pub struct Config {
-    /// Its name, for the log.
+    /// Name of the node, used in the log and, hashed, in the names of state files and recordings.
     pub name: String,
-    /// Address for clients.
+    /// Listening address for clients.
     pub listen: SocketAddr,
-    /// Address of discovery.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Address for admin commands, if there is one.
+    /// Listening address for admin commands, if any.
     pub admin: Option<SocketAddr>,
-    /// Seed of random numbers.
+    /// Seed for random numbers.
     pub seed: u64,
-    /// Most file descriptors.
+    /// Maximum number of file descriptors.
     pub max_descriptors: usize,
-    /// Most memory in bytes.
+    /// Maximum memory in bytes.
     pub max_memory: usize,
-    /// The endpoint list that the platform last knew.
+    /// The last endpoint list known to the platform.
     pub last_list: EndpointList,
-    /// The settings as written, with names and limits.
+    /// The settings as written in the file, with names and limits.
     pub deployment: DeploymentSettings,
     /// The settings of the decision module.
     pub settings: Settings,
 }
 
 impl Config {
-    /// Reads the environment and the file it names.
+    /// Loads the configuration from the environment and the file that it names.
     ///
     /// # Errors
-    /// The first thing that is missing or malformed.
+    /// Returns an error for the first value that is missing or invalid.
     pub fn load() -> Result<Self, ConfigError> {
-        let file = read()?;
+        let file = read_file()?;
         let mut settings = file.deployment.settings()?;
-        // Nodes of the platform can't reach each other.
+        // The platform's nodes can't reach each other.
         settings.load_reports = false;
         let seed = file.seed.ok_or_else(|| invalid("seed", "missing"))?;
         let max_descriptors = file.limits.descriptors;
@@ -124,10 +124,10 @@
         }
         Ok(Self {
             name: env::var("EDGE_NAME").ok().or(file.name).unwrap_or_default(),
-            listen: address("listen", "EDGE_LISTEN", file.listen)?,
-            discovery: address("discovery", "EDGE_DISCOVERY", file.discovery)?,
+            listen: required_address("listen", "EDGE_LISTEN", file.listen)?,
+            discovery: required_address("discovery", "EDGE_DISCOVERY", file.discovery)?,
             admin: match env::var("EDGE_ADMIN").ok().or(file.admin) {
-                Some(text) => Some(parse("admin", &text)?),
+                Some(text) => Some(parse_address("admin", &text)?),
                 None => None,
             },
             seed: u64::from_str_radix(&seed, 16).map_err(|error| invalid("seed", &error.to_string()))?,
@@ -140,18 +140,18 @@
     }
 }
 
-/// Reads discovery's address from the file again. The environment is not consulted, since the file is newer; the file must
-/// be valid as a whole.
+/// Reads the address of discovery from the file again. The environment is ignored, as the file is newer. The whole file must
+/// be readable and its settings valid.
 ///
 /// # Errors
-/// The first thing that is missing or malformed.
+/// Returns an error for the first value that is missing or invalid.
 pub fn reload_discovery_address() -> Result<SocketAddr, ConfigError> {
-    let file = read()?;
+    let file = read_file()?;
     file.deployment.settings()?;
-    parse("discovery", &file.discovery.ok_or_else(|| invalid("discovery", "missing"))?)
+    parse_address("discovery", &file.discovery.ok_or_else(|| invalid("discovery", "missing"))?)
 }
 
-fn read() -> Result<ConfigFile, ConfigError> {
+fn read_file() -> Result<ConfigFile, ConfigError> {
     let path = env::var("EDGE_CONFIG").map_err(|_| ConfigError::Unset)?;
     let text =
         fs::read_to_string(&path).map_err(|source| ConfigError::Read { path: path.clone(), source })?;
@@ -162,11 +162,16 @@
     ConfigError::Value { name, problem: problem.into() }
 }
 
-fn address(name: &'static str, var: &str, file: Option<String>) -> Result<SocketAddr, ConfigError> {
-    let text = env::var(var).ok().or(file).ok_or_else(|| invalid(name, "missing"))?;
-    parse(name, &text)
+/// Parses an address from an environment variable or, if that is not set, from the value in the file.
+fn required_address(
+    name: &'static str,
+    variable: &str,
+    file_value: Option<String>,
+) -> Result<SocketAddr, ConfigError> {
+    let text = env::var(variable).ok().or(file_value).ok_or_else(|| invalid(name, "missing"))?;
+    parse_address(name, &text)
 }
 
-fn parse(name: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
+fn parse_address(name: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| invalid(name, &format!("`{text}`, not an IP:port")))
 }
--- a/crates/node/src/platform/mod.rs
+++ b/crates/node/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's node: configured by `EDGE_CONFIG` and the environment, with one pool whose endpoints discovery lists and
-//! clients that send the platform's headers.
+//! The platform's node: it is configured by `EDGE_CONFIG` and the environment, has one pool whose endpoints are listed by
+//! discovery, and serves clients that send the platform's headers.
 
 mod admin;
 mod admission;
@@ -41,26 +41,27 @@
 use admin::AdminHandler;
 use admission::PlatformAdmission;
 use config::Config;
-use restored_state::{RestoredState, state_folder};
+use restored_state::{RestoredState, state_directory};
 use sockets::Sockets;
 
-/// Request bodies up to this are buffered whole, in bytes.
+/// Maximum length in bytes of a request body that is buffered completely; longer ones are streamed.
 const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
-/// Longest body of a request or an answer, in bytes; clients send up to 32 MB.
+/// Maximum length of a request or response body in bytes; clients send up to 32 MB.
 const MAX_BODY_BYTES: u64 = 40 << 20;
-/// Streamed bodies may take this fraction of the memory; the rest is for connections and requests.
+/// Streamed bodies may use the memory limit divided by this; the rest is for connections and requests.
 const STREAMED_BODY_MEMORY_DIVISOR: usize = 4;
-/// Time for a request's head. The platform expects an error or a close within 3 s of connecting.
+/// Timeout for receiving the head of a request, and the body of one that admission rejects. The platform expects an error or
+/// a close within 3 s of connecting.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// Idle time after which a client's connection closes; the platform expects 2 s at the least.
+/// Idle time after which a client connection is closed; the platform expects at least 2 s.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Longest deadline that a drain waits for: SIGKILL comes 0.7 s after it at the earliest.
+/// Maximum deadline that a drain waits for: SIGKILL follows at the earliest 0.7 s after it.
 const MAX_DRAIN_DEADLINE: Duration = Duration::from_secs(3);
 
-/// Serves until SIGTERM, all on the thread that calls it.
+/// Serves until SIGTERM, with everything on the calling thread.
 ///
 /// # Errors
-/// What keeps it from starting, or an event loop that ended.
+/// Fails if the node can't start, or if the pool's event loop ends.
 pub async fn serve(log: Log, writer: LoopWriter) -> Result<(), Box<dyn Error>> {
     task::spawn_local(writer.run());
     let config = Config::load()?;
@@ -105,12 +106,12 @@
     };
     tokio::select! {
         () = listener.run(sockets.clients, stop) => Ok(()),
-        ended = pool_loop => Err(format!("the event loop ended: {ended:?}").into()),
+        ended = pool_loop => Err(format!("the event loop of the pool ended: {ended:?}").into()),
     }
 }
 
-/// Discovery as the source of endpoints. Beside another process of this node it is polled at the start: that process may
-/// know a newer list.
+/// Discovery as the source of endpoints. If another process of this node may be running, discovery is polled at the start,
+/// as that process may already have a newer list.
 fn endpoint_source(config: &Config, poll_at_start: bool) -> EndpointSource {
     EndpointSource::Watch {
         address: config.discovery,
@@ -122,14 +123,14 @@
 fn start_introspection(config: &Config, log: Log) -> Result<Rc<Introspection>, Box<dyn Error>> {
     let memory = (config.max_memory / introspection::RECORDER_MEMORY_DIVISOR)
         .min(introspection::MAX_DEFAULT_RECORDER_BYTES);
-    let destination = state_folder().map_or(RecordingDestination::None, RecordingDestination::EventLoop);
+    let destination = state_directory().map_or(RecordingDestination::None, RecordingDestination::EventLoop);
     let introspection =
         Introspection::new(&config.name, Clock::start(), memory, config.seed, log, destination);
     introspection.start()?;
     Ok(introspection)
 }
 
-/// The way to the recorder of the one pool, with the names of classes and tenants.
+/// Registers the pool with the recorder, along with the names of classes and tenants.
 fn pool_recorder(config: &Config, introspection: &Introspection) -> RecorderSink {
     let classes: Vec<_> = config.deployment.classes.iter().map(|class| class.name.clone()).collect();
     let tenants = (0..).map(TenantId).zip(&config.deployment.tenants);
@@ -173,14 +174,15 @@
     active_requests: &ActiveRequestIds,
     stats: &Rc<Stats>,
 ) -> Rc<DownstreamListener> {
-    let longest = config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+    let longest_deadline =
+        config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
     let options = ListenerOptions {
         request_timeout: REQUEST_TIMEOUT,
         idle_timeout: IDLE_TIMEOUT,
         max_buffered_body: MAX_BUFFERED_BODY_BYTES,
         max_streamed_body: Some(MAX_BODY_BYTES),
         max_active_requests: config.deployment.ceilings.most_held,
-        max_request_deadline: Duration::from_nanos(longest).min(MAX_DRAIN_DEADLINE),
+        max_request_deadline: Duration::from_nanos(longest_deadline).min(MAX_DRAIN_DEADLINE),
         serves_health_check: true,
         retry_after: config.settings.retry_after_hint(),
     };
@@ -203,7 +205,7 @@
     task::spawn_local(admin_listener::serve(handler, socket));
 }
 
-/// Reads discovery's address from the configuration file again at each SIGHUP.
+/// Reloads the address of discovery from the configuration file on each SIGHUP.
 async fn reload_on(mut hangup: Signal, pool: PoolHandle, stats: Rc<Stats>) {
     while hangup.recv().await.is_some() {
         match config::reload_discovery_address() {
--- a/crates/node/src/platform/socket_activation.rs
+++ b/crates/node/src/platform/socket_activation.rs
@@ -1,7 +1,7 @@
-//! The listening socket that the platform holds open, so that a new version can start beside the old one.
+//! Takes over the listening socket that the platform keeps open, so that a new version can start while the old one runs.
 //!
-//! Safe code can't take over a descriptor by its number, and `listenfd` does so by systemd's protocol only. So the program
-//! re-executes itself, as the same process, with the platform's number in the variables of that protocol.
+//! Safe code can't take over a descriptor by number, and `listenfd` supports only systemd's protocol. The program therefore
+//! re-executes itself (in the same process) and passes the platform's descriptor number in the variables of that protocol.
 
 use std::env;
 use std::io;
@@ -12,37 +12,38 @@
 use thiserror::Error;
 use tokio::net::TcpListener;
 
-/// Variable in which the platform passes the descriptor's number.
+/// Environment variable in which the platform passes the descriptor number.
 const DESCRIPTOR_VARIABLE: &str = "EDGE_FD";
-/// Variables of systemd's protocol (`sd_listen_fds(3)`), with `listenfd`'s one for the first descriptor.
+/// Environment variables of systemd's protocol (`sd_listen_fds(3)`), with the `listenfd` extension for the number of the
+/// first descriptor.
 const COUNT_VARIABLE: &str = "LISTEN_FDS";
 const FIRST_DESCRIPTOR_VARIABLE: &str = "LISTEN_FDS_FIRST_FD";
 const PROCESS_VARIABLE: &str = "LISTEN_PID";
-/// Standard input, output and error are no sockets for clients.
+/// The descriptors up to this one are standard input, output and error, and can't be the client socket.
 const LAST_STANDARD_DESCRIPTOR: i32 = 2;
 
-/// The inherited socket can't be used.
+/// Why the inherited socket can't be used.
 #[derive(Debug, Error)]
 pub enum SocketActivationError {
-    /// The variable has no number of a descriptor.
-    #[error("{DESCRIPTOR_VARIABLE} is `{0}`, not the number of a descriptor")]
+    /// The value of the variable is not a valid descriptor number.
+    #[error("{DESCRIPTOR_VARIABLE} is `{0}`, not a valid descriptor number")]
     InvalidNumber(String),
     /// The process can't re-execute itself.
-    #[error("can't start again for {DESCRIPTOR_VARIABLE}: {0}")]
+    #[error("can't re-execute the process to take over the socket of {DESCRIPTOR_VARIABLE}: {0}")]
     Execute(#[source] io::Error),
     /// The descriptor is not a TCP socket, or can't be used as one.
-    #[error("the socket of {DESCRIPTOR_VARIABLE}: {0}")]
+    #[error("can't use the socket of {DESCRIPTOR_VARIABLE}: {0}")]
     Socket(#[source] io::Error),
-    /// The platform names a socket, and systemd's variables name none.
-    #[error("{DESCRIPTOR_VARIABLE} names a socket, and {COUNT_VARIABLE} none")]
+    /// The platform passes a socket, but systemd's variables pass none.
+    #[error("{DESCRIPTOR_VARIABLE} is set, but {COUNT_VARIABLE} passes no socket")]
     NotPassed,
 }
 
-/// Re-executes this process where it inherits a socket and systemd's variables don't name it yet. Must be called before
-/// the process has threads or descriptors of its own.
+/// Re-executes this process if it inherits a socket that is not yet named in systemd's variables. Must be called before the
+/// process starts threads or opens descriptors.
 ///
 /// # Errors
-/// [`SocketActivationError::InvalidNumber`] or [`SocketActivationError::Execute`].
+/// Returns [`SocketActivationError::InvalidNumber`] or [`SocketActivationError::Execute`].
 pub fn reexecute_with_listen_fds() -> Result<(), SocketActivationError> {
     let Some(number) = env::var_os(DESCRIPTOR_VARIABLE) else { return Ok(()) };
     if env::var_os(FIRST_DESCRIPTOR_VARIABLE).as_ref() == Some(&number) {
@@ -58,14 +59,14 @@
         .env(COUNT_VARIABLE, "1")
         .env(FIRST_DESCRIPTOR_VARIABLE, descriptor.to_string())
         .env_remove(PROCESS_VARIABLE);
-    // It returns only where it fails.
+    // `exec` returns only on failure.
     Err(SocketActivationError::Execute(command.exec()))
 }
 
-/// The inherited socket, if there is one.
+/// Returns the inherited socket, if there is one.
 ///
 /// # Errors
-/// [`SocketActivationError::Socket`] or [`SocketActivationError::NotPassed`].
+/// Returns [`SocketActivationError::Socket`] or [`SocketActivationError::NotPassed`].
 pub fn inherited_listener() -> Result<Option<TcpListener>, SocketActivationError> {
     if env::var_os(DESCRIPTOR_VARIABLE).is_none() {
         return Ok(None);
--- a/crates/node/src/platform/sockets.rs
+++ b/crates/node/src/platform/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets that the node listens on: one for clients, inherited or its own, and one for admin commands.
+//! Listening sockets of the node: one for clients, inherited or newly bound, and optionally one for admin commands.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,40 +11,41 @@
 use super::socket_activation::{SocketActivationError, inherited_listener};
 use crate::net::downstream;
 
-/// The sockets can't be opened.
+/// Why the sockets can't be opened.
 #[derive(Debug, Error)]
 pub enum SocketsError {
     /// The inherited socket can't be used.
     #[error(transparent)]
     Inherited(#[from] SocketActivationError),
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     #[error("listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The operating system's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The address of a socket can't be read.
+    /// The local address of a socket can't be determined.
     #[error(transparent)]
     LocalAddress(#[from] io::Error),
 }
 
 /// The listening sockets of the platform's node.
 pub struct Sockets {
-    /// For clients.
+    /// Socket for clients.
     pub clients: TcpListener,
-    /// The clients' socket is inherited: another process of this node may accept from it as well.
+    /// Whether the client socket is inherited, in which case another process of this node may also accept connections from
+    /// it.
     pub is_inherited: bool,
-    /// For admin commands.
+    /// Socket for admin commands, if one is configured.
     pub admin: Option<TcpListener>,
 }
 
 impl Sockets {
-    /// Takes over or binds the sockets of a configuration.
+    /// Takes over the inherited client socket, or binds a new one, and binds the admin socket.
     ///
     /// # Errors
-    /// [`SocketsError`].
+    /// Returns a [`SocketsError`] for the first socket that can't be opened.
     pub fn open(config: &Config) -> Result<Self, SocketsError> {
         let inherited = inherited_listener()?;
         let is_inherited = inherited.is_some();
--- a/crates/node/src/platform/state_file.rs
+++ b/crates/node/src/platform/state_file.rs
@@ -1,4 +1,5 @@
-//! State file of the disabled backends: shared by the processes of a node, read whenever another one has changed it.
+//! State file of the disabled backends, which the processes of a node share. Each process reads it again when another one
+//! has changed it.
 
 use std::fs::{self, File, Metadata, TryLockError};
 use std::io::{self, Write};
@@ -15,40 +16,40 @@
 
 use crate::net::endpoint_directory::unseeded_hash;
 
-/// How long to wait for the lock, which another process holds only while it writes; a process that was stopped in a
-/// write must not stop this one. An admin command must be answered within 1 s.
+/// How long to wait for the lock, which a process holds only while it updates the file. The wait is bounded because a
+/// process that was stopped during an update must not block this one, and an admin command must be answered within 1 s.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(400);
-/// Between two attempts to take the lock.
+/// Delay between two attempts to acquire the lock.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The state file can't be read or changed.
+/// Why the state file can't be read or changed.
 #[derive(Debug, Error)]
 pub enum StateFileError {
     /// A file operation failed.
     #[error("{path}: {source}", path = .path.display())]
     Io {
-        /// The state file or its lock file.
+        /// Path of the state file or its lock file.
         path: PathBuf,
-        /// The operating system's error.
+        /// The I/O error.
         source: io::Error,
     },
     /// Another process held the lock for longer than [`LOCK_TIMEOUT`].
-    #[error("another process holds the book")]
+    #[error("another process holds the lock of the state file")]
     Locked,
-    /// The content can't be read.
+    /// The content is invalid.
     #[error("{path}: {source}", path = .path.display())]
     Content {
-        /// The state file.
+        /// Path of the state file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// What is wrong with the content.
         source: StoredFormError,
     },
-    /// One more backend can't be disabled.
+    /// No further backend can be disabled.
     #[error(transparent)]
     TooManyDisabled(#[from] TooManyDisabledError),
 }
 
-/// Identifies a version of the file's content without reading it.
+/// Metadata that identifies a version of the file without reading its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileVersion {
     inode: u64,
@@ -63,25 +64,25 @@
     }
 }
 
-/// The state file.
+/// The state file of the disabled backends.
 pub struct StateFile {
     path: PathBuf,
-    /// Version that was read or written last; `None` where there was no file.
+    /// Version that was last read or written, or `None` if the file did not exist.
     last_seen: Option<FileVersion>,
 }
 
 impl StateFile {
-    /// The state file of a node in a folder. Nothing is read or written yet.
-    pub fn new(folder: &Path, node: &str) -> Self {
-        // A node's name may have characters that a file name can't.
+    /// Creates a handle to the state file of a node in a directory, without any I/O.
+    pub fn new(directory: &Path, node: &str) -> Self {
+        // The file name contains a hash, as the node name may have characters that are not allowed in file names.
         let hash = unseeded_hash(node.as_bytes());
-        Self { path: folder.join(format!("pumicehead-{hash:016x}.out")), last_seen: None }
+        Self { path: directory.join(format!("pumicehead-{hash:016x}.out")), last_seen: None }
     }
 
-    /// The content, if it has changed since it was last read or written by this process.
+    /// Returns the content if the file has changed since this process last read or wrote it.
     ///
     /// # Errors
-    /// What keeps it from being read. It is read again after the next change.
+    /// Fails if the file can't be read. It is read again only after its next change.
     pub fn read_if_changed(&mut self) -> Result<Option<DisabledBackends>, StateFileError> {
         let version = fs::metadata(&self.path).ok().map(|metadata| FileVersion::of(&metadata));
         if version == self.last_seen {
@@ -104,23 +105,23 @@
         DisabledBackends::from_stored(&stored).map_err(|error| self.content_error(error))
     }
 
-    /// Changes the content, whichever process wrote it last, and returns the new one. A damaged file is replaced,
-    /// starting from `known`.
+    /// Applies a change to the current content of the file and returns the new content. If the content is invalid, the
+    /// change is applied to `fallback` instead and the file is replaced.
     ///
     /// # Errors
-    /// What keeps it from being changed; the file is then as it was.
+    /// Fails if the file can't be locked, read or replaced; its content is then unchanged.
     pub async fn update(
         &mut self,
-        known: &DisabledBackends,
+        fallback: &DisabledBackends,
         change: impl FnOnce(&mut DisabledBackends) -> Result<(), TooManyDisabledError>,
     ) -> Result<DisabledBackends, StateFileError> {
-        // The lock file is never replaced, as the state file is.
+        // The lock is on a separate file, because each write replaces the state file.
         let _lock = self.lock().await?;
         let mut disabled = match self.read() {
             Ok(disabled) => disabled,
             Err(error @ StateFileError::Content { .. }) => {
-                warn!(target: "admin", %error, "state file of disabled backends replaced");
-                known.clone()
+                warn!(target: "admin", %error, "invalid state file of disabled backends replaced");
+                fallback.clone()
             }
             Err(error) => return Err(error),
         };
--- a/crates/node/src/platform/warm_state_handover.rs
+++ b/crates/node/src/platform/warm_state_handover.rs
@@ -1,4 +1,5 @@
-//! What one process of a node hands over to the next: a file in the folder that they share, replaced as a whole.
+//! Handover of state from one process of a node to the next, through a file in a shared directory that is replaced
+//! atomically.
 
 use std::fs;
 use std::io;
@@ -11,48 +12,48 @@
 
 use crate::net::endpoint_directory::unseeded_hash;
 
-/// Longest file that is read, in bytes: the warm state of 20,000 endpoints, and as many names.
+/// Maximum length in bytes of a file that is read: enough for the warm state of 20,000 endpoints and as many names.
 const MAX_FILE_BYTES: u64 = 8 << 20;
 
-/// What is handed over.
+/// State that is handed over to the next process.
 #[derive(Serialize, Deserialize)]
 pub struct HandoverRecord {
-    /// Names of backends that were ever listed.
+    /// Names of all backends that have ever been listed.
     #[serde(rename = "listed")]
     pub known_backends: Vec<String>,
-    /// What the decision module has learned. Its times are Unix time of the one machine.
+    /// What the decision module has learned. Its times are Unix times of the machine's clock.
     #[serde(rename = "knowledge")]
     pub warm_state: WarmState,
-    /// The node is in lame-duck mode. Files of older versions lack it.
+    /// Whether the node is in lame-duck mode. Missing in files of older versions.
     #[serde(rename = "lame", default)]
     pub lame_duck: bool,
 }
 
-/// The handover file can't be read or written.
+/// Why the handover file can't be read or written.
 #[derive(Debug, Error)]
 pub enum HandoverError {
     /// A file operation failed.
     #[error("{path}: {source}", path = .path.display())]
     Io {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The operating system's error.
+        /// The I/O error.
         source: io::Error,
     },
     /// The file is too long to be read.
     #[error("{path}: {length} bytes, more than {MAX_FILE_BYTES}", path = .path.display())]
     TooLong {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Its length in bytes.
+        /// Length of the file in bytes.
         length: u64,
     },
-    /// The file is not the expected JSON, or the record can't be written as JSON.
+    /// The file is not valid JSON of the expected structure, or the record can't be serialized.
     #[error("{path}: {source}", path = .path.display())]
     Json {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the parser says.
+        /// The JSON error.
         source: serde_json::Error,
     },
 }
@@ -61,20 +62,20 @@
 pub struct HandoverFile(PathBuf);
 
 impl HandoverFile {
-    /// The handover file of a node in a folder.
-    pub fn new(folder: &Path, node: &str) -> Self {
+    /// Creates a handle to the handover file of a node in a directory, without any I/O.
+    pub fn new(directory: &Path, node: &str) -> Self {
         let hash = unseeded_hash(node.as_bytes());
-        Self(folder.join(format!("pumicehead-{hash:016x}.learned")))
+        Self(directory.join(format!("pumicehead-{hash:016x}.learned")))
     }
 
-    /// The record of the process before, if there is one that can be read; a cold start is always possible.
+    /// Returns the record of the previous process, or `None` if there is none that can be used; the node then starts cold.
     pub fn read(&self) -> Option<HandoverRecord> {
         match self.try_read() {
             Ok(record) => Some(record),
-            // There is no file after the first start of a node. Any other error of reading it means a cold start too.
+            // At the first start of a node there is no file. Any other I/O error leads to a cold start as well.
             Err(HandoverError::Io { .. }) => None,
             Err(error) => {
-                warn!(target: "upgrade", %error, "warm state not used");
+                warn!(target: "upgrade", %error, "handover file not used; starting cold");
                 None
             }
         }
@@ -92,10 +93,10 @@
     /// Replaces the record.
     ///
     /// # Errors
-    /// What keeps it from being written; the record before then stays.
+    /// Fails if the record can't be written; the previous record then stays.
     pub fn write(&self, record: &HandoverRecord) -> Result<(), HandoverError> {
         let stored = serde_json::to_vec(record).map_err(|source| self.json_error(source))?;
-        // Two processes may write at a time, each to a file of its own.
+        // Two processes may write at the same time, so each uses its own temporary file.
         let new_path = self.0.with_extension(std::process::id().to_string());
         let written = fs::write(&new_path, stored).and_then(|()| fs::rename(&new_path, &self.0));
         written.map_err(|error| self.io_error(error))
