--- a/crates/node/src/standalone/admin.rs
+++ b/crates/node/src/standalone/admin.rs
@@ -8,15 +8,15 @@
 use crate::admin_listener::CommandHandler;
 use crate::fleet::Fleet;
 
-/// Reply to the commands that only the platform's node has.
+/// Reply to commands that only the platform's node supports.
 const UNSUPPORTED: &str = "calls here are PING, LAMEDUCK, REJOIN, TRACE, METRICS, FILTER LEVELS, RECORD off|on|full, \
     CONFIG, FLEET members, FLEET why NODE";
 
-/// Carries out admin commands.
+/// Executes admin commands on a standalone node.
 pub struct AdminHandler {
-    /// The node.
+    /// The running node.
     pub runtime: Rc<Runtime>,
-    /// The fleet, where the configuration has one.
+    /// The fleet membership, if the configuration has one.
     pub fleet: Option<Rc<Fleet>>,
 }
 
--- a/crates/node/src/standalone/affected_pools.rs
+++ b/crates/node/src/standalone/affected_pools.rs
@@ -1,10 +1,10 @@
-//! Pools that a change of the configuration concerns. All others keep their identity without a comparison.
+//! Determines which pools a configuration change affects. All other pools keep their identity without being compared.
 
 use std::collections::HashSet;
 
 use pumicehead_resources::{Change, Delta, Name, Resource, ResourceId, Snapshot};
 
-/// Pools that a change concerns.
+/// Pools that a configuration change affects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AffectedPools {
     /// All pools.
@@ -14,7 +14,7 @@
 }
 
 impl AffectedPools {
-    /// Pools that the delta between two states concerns.
+    /// Returns the pools that the delta between two states affects.
     #[must_use]
     pub fn of_delta(delta: &Delta, old: &Snapshot, new: &Snapshot) -> Self {
         let mut pools = HashSet::new();
@@ -23,16 +23,16 @@
             let id = match change {
                 Change::Set(resource) => resource.id(),
                 Change::Remove(id) => id.clone(),
-                // The order of routes concerns the route matcher alone.
+                // The order of routes affects only the route matcher.
                 Change::MoveRoute { .. } => continue,
             };
             match id {
-                // The settings of every pool have the zones, the tenants and some limits.
+                // Zones, tenants and some limits are part of the settings of every pool.
                 ResourceId::Node | ResourceId::Tenant(_) => return Self::All,
                 ResourceId::Listener(_) => {}
                 ResourceId::Pool(name) | ResourceId::Endpoint { pool: name, .. } => drop(pools.insert(name)),
                 ResourceId::Class(name) => drop(classes.insert(name)),
-                // The classes of a pool are those of its routes.
+                // A pool has the classes of its routes.
                 id @ ResourceId::Route(_) => {
                     pools.extend([old, new].into_iter().filter_map(|state| pool_of(state, &id)));
                 }
@@ -44,7 +44,7 @@
         Self::Some(pools)
     }
 
-    /// Whether a pool is among them.
+    /// Whether the pool with this name is affected.
     #[must_use]
     pub fn contains(&self, pool: &str) -> bool {
         match self {
@@ -54,7 +54,7 @@
     }
 }
 
-/// The pool that a route leads to.
+/// Returns the pool of a route, or `None` if there is no such route.
 fn pool_of(state: &Snapshot, route: &ResourceId) -> Option<Name> {
     match state.get(route) {
         Some(Resource::Route(route)) => Some(route.pool.clone()),
--- a/crates/node/src/standalone/config_diff.rs
+++ b/crates/node/src/standalone/config_diff.rs
@@ -1,4 +1,4 @@
-//! How a loaded configuration differs from the one in force.
+//! Difference between a newly loaded configuration and the one in force.
 
 use pumicehead_config::Span;
 use pumicehead_config::compact_config::CompactConfig;
@@ -8,25 +8,25 @@
 
 use super::affected_pools::AffectedPools;
 
-/// How a configuration differs from the one in force.
+/// Difference between a configuration and the one in force.
 pub struct ConfigDiff {
-    /// Digest of the new state.
+    /// Digest of the new configuration.
     pub digest: Digest,
-    /// Both states are the same.
+    /// Whether both configurations have the same resources.
     pub is_empty: bool,
     /// The changes, for the log.
     pub changes: Vec<Change>,
-    /// Pools that the changes concern.
+    /// Pools that the changes affect.
     pub affected_pools: AffectedPools,
-    /// Settings that changed and take effect at the next start only, in words for the log.
+    /// Descriptions, for the log, of changed settings that take effect only at the next start.
     pub restart_required: Vec<&'static str>,
 }
 
 impl ConfigDiff {
-    /// Diff of the first configuration of a process: no changes, and all pools affected.
+    /// Returns the difference for the first configuration of a process: no changes, and all pools affected.
     ///
     /// # Errors
-    /// A rule of the resource tables that the configuration breaks.
+    /// Fails if the configuration violates a rule of the resource tables.
     pub fn first(config: &Config) -> Result<Self, ValidationError> {
         Ok(Self {
             digest: config.snapshot()?.digest(),
@@ -37,16 +37,17 @@
         })
     }
 
-    /// Diff between the configuration in force and a new one. The resource tables of both are built for it and dropped.
+    /// Compares a new configuration with the one in force. The resource tables of both are built for the comparison and
+    /// dropped afterwards.
     ///
     /// # Errors
-    /// A rule of the resource tables that a configuration breaks.
+    /// Fails if a configuration violates a rule of the resource tables.
     pub fn between(current: &CompactConfig, config: &Config) -> Result<Self, ValidationError> {
         let former = current.restore();
         let (old, new) = (former.snapshot()?, config.snapshot()?);
         let delta = old.difference(&new);
         let mut changes = diff_with_delta(&former, config, &delta);
-        // The source texts of removed resources are gone: their spans point nowhere.
+        // The source texts of removed resources are no longer available, so their spans are reset.
         for removed in changes.iter_mut().filter(|change| change.kind == ChangeKind::Removed) {
             removed.span = Span::default();
         }
@@ -60,7 +61,7 @@
     }
 }
 
-/// Settings that differ and take effect at the next start only.
+/// Describes the changed settings that take effect only at the next start.
 fn restart_required(old: &Snapshot, new: &Snapshot) -> Vec<&'static str> {
     let (old, new) = (old.node(), new.node());
     let (limits, new_limits) = (&old.limits, &new.limits);
--- a/crates/node/src/standalone/config_loader.rs
+++ b/crates/node/src/standalone/config_loader.rs
@@ -1,8 +1,8 @@
-//! Loads a configuration on a thread of its own: the file is read, checked and compared there, and freed there.
+//! Loads a configuration on a dedicated thread, which reads, checks and compares the file and also frees the result.
 //!
-//! Texts, syntax trees and spans take some thousand bytes a route, and what a node keeps of them some hundred. The thread's
-//! allocations go back to the system only if the thread itself frees them: freed by another one, some would stay in that
-//! one's allocator caches, and their pages with them.
+//! Source texts, syntax trees and spans take a few thousand bytes per route; a node keeps only a few hundred of them. The
+//! memory is returned to the system only if the thread that allocated it also frees it: freed by another thread, part of it
+//! would stay in the allocator caches of that thread and keep its pages in use.
 
 use std::path::PathBuf;
 use std::sync::{Arc, mpsc};
@@ -16,44 +16,44 @@
 use super::config_diff::ConfigDiff;
 use super::config_revision::ConfigRevision;
 
-/// A configuration can't be loaded. Mistakes in the file are no such error but diagnostics.
+/// Why a configuration can't be loaded. Errors in the file are not reported this way, but as diagnostics.
 #[derive(Debug, Error)]
 pub enum LoadError {
     /// The thread can't be started.
-    #[error("start a thread that reads the configuration: {0}")]
+    #[error("can't start the thread that loads the configuration: {0}")]
     Thread(#[from] std::io::Error),
     /// The thread panicked, which is a bug.
-    #[error("reading the configuration panicked")]
+    #[error("the thread that loads the configuration panicked")]
     Panicked,
 }
 
 /// The result of a load.
 struct LoadResult {
     checked: Checked,
-    /// `None` where the file has mistakes.
+    /// `None` if the file has errors.
     diff: Option<Result<ConfigDiff, ValidationError>>,
 }
 
-/// A checked configuration that its loader thread owns. What a node keeps of it must be copied.
+/// A checked configuration that is freed by its loader thread. The node must copy what it keeps of it.
 pub struct LoadedConfig {
-    // Field order is drop order: the thread must hold the last reference when `_end` closes.
+    // Fields are dropped in declaration order: the thread must hold the last reference when `_release` is dropped.
     result: Arc<LoadResult>,
-    _end: mpsc::SyncSender<()>,
+    _release: mpsc::SyncSender<()>,
 }
 
 impl LoadedConfig {
-    /// Loads the first configuration of a process; blocks until it is checked.
+    /// Loads the first configuration of a process. Blocks until it is checked.
     ///
     /// # Errors
-    /// [`LoadError`].
+    /// Returns [`LoadError`] if the loader thread can't be started or panics.
     pub fn load_first(path: PathBuf) -> Result<Self, LoadError> {
         Self::load(path, ConfigDiff::first)
     }
 
-    /// Loads a configuration that is to replace the one in force; blocks until it is checked and compared.
+    /// Loads a configuration that is to replace the one in force. Blocks until it is checked and compared.
     ///
     /// # Errors
-    /// [`LoadError`].
+    /// Returns [`LoadError`] if the loader thread can't be started or panics.
     pub fn load_next(path: PathBuf, current: Arc<ConfigRevision>) -> Result<Self, LoadError> {
         Self::load(path, move |config| ConfigDiff::between(&current.config, config))
     }
@@ -62,29 +62,29 @@
         path: PathBuf,
         compare: impl FnOnce(&Config) -> Result<ConfigDiff, ValidationError> + Send + 'static,
     ) -> Result<Self, LoadError> {
-        // Bounded channels allocate their slots here, so that this thread frees nothing that the other one allocated.
+        // Bounded channels allocate their slots on this thread, so that it never frees memory of the loader thread.
         let (result_sender, result_receiver) = mpsc::sync_channel(1);
-        let (end_sender, end_receiver) = mpsc::sync_channel::<()>(1);
-        let read = move || {
+        let (release_sender, release_receiver) = mpsc::sync_channel::<()>(1);
+        let load_and_free = move || {
             let checked = check(&Disk, &path);
             let diff = checked.config.as_ref().map(compare);
             let result = Arc::new(LoadResult { checked, diff });
             if result_sender.send(result.clone()).is_ok() {
-                // Nothing is ever sent: this returns when `LoadedConfig` is dropped.
-                let _ = end_receiver.recv();
+                // Nothing is ever sent: this returns when the `LoadedConfig` is dropped.
+                let _ = release_receiver.recv();
             }
         };
-        thread::Builder::new().name("configuration".into()).spawn(read)?;
+        thread::Builder::new().name("configuration".into()).spawn(load_and_free)?;
         let result = result_receiver.recv().map_err(|_| LoadError::Panicked)?;
-        Ok(Self { result, _end: end_sender })
+        Ok(Self { result, _release: release_sender })
     }
 
-    /// The checked file.
+    /// Returns the result of checking the file.
     pub fn checked(&self) -> &Checked {
         &self.result.checked
     }
 
-    /// The difference from the configuration in force; `None` where the file has mistakes.
+    /// Returns the difference from the configuration in force, or `None` if the file has errors.
     pub fn diff(&self) -> Option<Result<&ConfigDiff, &ValidationError>> {
         self.result.diff.as_ref().map(Result::as_ref)
     }
--- a/crates/node/src/standalone/config_revision.rs
+++ b/crates/node/src/standalone/config_revision.rs
@@ -1,4 +1,4 @@
-//! A revision of the configuration with all that is derived from it.
+//! A revision of the configuration and everything derived from it.
 
 use std::sync::Arc;
 
@@ -12,28 +12,28 @@
 use super::pool_identity::PoolIdentity;
 use super::request_table::RequestTable;
 
-/// A revision of the configuration with all that is derived from it. Immutable and `Send`; it holds no source texts and no
+/// A revision of the configuration and everything derived from it. Immutable and `Send`; contains neither source texts nor
 /// syntax trees.
 pub struct ConfigRevision {
-    /// Number in this process.
+    /// Revision number, counted per process.
     pub revision: Revision,
-    /// Digest of the whole state.
+    /// Digest of the whole configuration.
     pub digest: Digest,
-    /// The settings.
+    /// The configuration in compact form.
     pub config: CompactConfig,
-    /// Identities of the pools, in the order of the configuration.
+    /// Pool identities, in the order of the configuration.
     pub pool_identities: Vec<Arc<PoolIdentity>>,
-    /// The routes and what requests need of them.
+    /// Lookup tables for requests.
     pub table: Arc<RequestTable>,
     /// Ids of the tenants.
     pub tenants: TenantIds,
 }
 
 impl ConfigRevision {
-    /// The first revision of a process. `now` is the time of the event loop.
+    /// Creates the first revision of a process. `now` is the event loop's time.
     ///
     /// # Errors
-    /// [`ApplyError::InvalidSettings`].
+    /// Returns [`ApplyError::InvalidSettings`] if the settings of a pool are invalid.
     pub fn first(config: &Config, digest: Digest, now: Nanos) -> Result<Self, ApplyError> {
         let mut tenants = TenantIds::default();
         tenants.update(config.policy_tenants(), now);
@@ -42,7 +42,7 @@
         Ok(Self::new(Revision::default().next(), digest, config, pool_identities, tenants))
     }
 
-    /// A revision whose pools have these identities, in the order of the configuration.
+    /// Creates a revision. `pool_identities` are in the order of the pools in the configuration.
     pub fn new(
         revision: Revision,
         digest: Digest,
@@ -56,7 +56,7 @@
         Self { revision, digest, config, pool_identities, table, tenants }
     }
 
-    /// Index of the pool of this name.
+    /// Returns the index of the pool with this name.
     pub fn pool_index(&self, name: &str) -> Option<usize> {
         self.config.settings().pools.iter().position(|pool| pool.name == name)
     }
--- a/crates/node/src/standalone/configured_endpoints.rs
+++ b/crates/node/src/standalone/configured_endpoints.rs
@@ -1,4 +1,4 @@
-//! Where a pool's endpoints come from, by its configuration.
+//! Source of a pool's endpoints according to the configuration.
 
 use std::net::SocketAddr;
 
@@ -7,17 +7,17 @@
 use crate::net::discovery::{EndpointList, ListedEndpoint, ListedState};
 use crate::net::pool_loop::EndpointSource;
 
-/// Where a pool's endpoints come from.
+/// Source of a pool's endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfiguredEndpoints {
     /// The configuration lists them.
     Static(EndpointList),
-    /// Discovery at this address lists them.
+    /// The discovery service at this address lists them.
     Discovery(SocketAddr),
 }
 
 impl ConfiguredEndpoints {
-    /// Endpoints of the pool at this index of a configuration.
+    /// Returns the source of the endpoints of the pool at this index of a configuration.
     #[must_use]
     pub fn new(config: &Config, pool_index: usize) -> Self {
         let servers = match &config.pools[pool_index].endpoints {
@@ -36,7 +36,7 @@
         Self::Static(EndpointList { version: 0, complete: true, endpoints: endpoints.collect() })
     }
 
-    /// The source in the form that a new pool loop takes.
+    /// Converts the source to the form that a new pool loop expects.
     #[must_use]
     pub fn into_source(self) -> EndpointSource {
         match self {
--- a/crates/node/src/standalone/error.rs
+++ b/crates/node/src/standalone/error.rs
@@ -1,25 +1,25 @@
-//! Why a configuration can't be put in force.
+//! Errors of applying a configuration.
 
 use std::io;
 use std::net::SocketAddr;
 
 use thiserror::Error;
 
-/// A configuration without mistakes that still can't be put in force.
+/// Why a configuration that has passed its checks still can't be applied.
 #[derive(Debug, Error)]
 pub enum ApplyError {
-    /// An address can't be listened on.
+    /// Listening on an address failed.
     #[error("listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The operating system's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The configuration breaks a rule of the resource tables.
+    /// The configuration violates a rule of the resource tables.
     #[error(transparent)]
     InvalidResources(#[from] pumicehead_resources::ValidationError),
-    /// The decision module can't use the settings of a pool.
+    /// The decision module rejects the settings of a pool.
     #[error("pool {pool}: {source}")]
     InvalidSettings {
         /// Name of the pool.
--- a/crates/node/src/standalone/mod.rs
+++ b/crates/node/src/standalone/mod.rs
@@ -1,4 +1,4 @@
-//! A standalone node: one configuration file, any number of listeners and pools, plain HTTP clients.
+//! A standalone node: a single configuration file, any number of listeners and pools, and plain HTTP or FastCGI clients.
 
 mod admin;
 mod affected_pools;
@@ -45,52 +45,52 @@
 use runtime::Runtime;
 use traffic_recorder::TrafficRecorder;
 
-/// How often the fleet gets this node's load. The fleet sends far fewer of the values to other nodes.
+/// Interval at which the fleet membership gets this node's load. It announces far fewer of these values to other nodes.
 const LOAD_UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A configuration can't be served.
+/// Why a configuration can't be served.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
-    /// The configuration has mistakes.
-    #[error("the configuration can't be used")]
+    /// The configuration has errors.
+    #[error("the configuration has errors")]
     InvalidConfig,
     /// The traffic recording can't be started.
-    #[error("record to {path}: {source}", path = .path.display())]
+    #[error("can't record to {path}: {source}", path = .path.display())]
     TrafficRecorder {
-        /// The file.
+        /// Path of the recording file.
         path: PathBuf,
-        /// The operating system's error.
+        /// The I/O error.
         source: std::io::Error,
     },
 }
 
-/// Serves a configuration until SIGTERM; SIGHUP reloads the file. `loaded` is its content at the start. Client requests are
-/// recorded to the file `record`.
+/// Serves a configuration until SIGTERM; SIGHUP reloads the file at `path`. `loaded` is the configuration at the start. If
+/// `record_path` is given, client requests are recorded to that file.
 ///
 /// # Errors
-/// What keeps the node from starting.
+/// Fails if the node can't start.
 pub async fn serve(
     path: PathBuf,
     loaded: LoadedConfig,
-    record: Option<PathBuf>,
+    record_path: Option<PathBuf>,
     log: Log,
 ) -> Result<(), Box<dyn Error>> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let config = loaded.checked().config.as_ref().ok_or(StartError::InvalidConfig)?;
-    let traffic_recorder = record.as_deref().map(start_traffic_recorder);
+    let traffic_recorder = record_path.as_deref().map(start_traffic_recorder);
     configure_log(&log, &config.observability);
     let seed = random_seed();
     let introspection = start_introspection(config, seed, log)?;
     let admin_socket = config.observability.admin_address.map(listen_for_admin).transpose()?;
     let fleet = match &config.cluster {
-        Some(block) => Some(Fleet::start(block, &config.node, &introspection, seed).await?),
+        Some(cluster) => Some(Fleet::start(cluster, &config.node, &introspection, seed).await?),
         None => None,
     };
     let digest = loaded.diff().ok_or(StartError::InvalidConfig)?.map_err(Clone::clone)?.digest;
     let runtime =
         Runtime::start(config, digest, random_seed(), traffic_recorder.transpose()?, introspection)?;
-    // The node has copied what it needs; the texts and syntax trees are freed here.
+    // The node has copied what it needs, so the source texts and syntax trees can be freed.
     drop(loaded);
     if let Some(fleet) = &fleet {
         task::spawn_local(update_node_share(runtime.clone(), fleet.node_share()));
@@ -103,7 +103,7 @@
     }
     let reloads = task::spawn_local(reload_on(runtime.clone(), path, async move || hangup.recv().await));
     terminate.recv().await;
-    // A reload under way would bind new listeners.
+    // A reload in progress would bind new listeners.
     reloads.abort();
     if let Some(fleet) = fleet {
         fleet.leave().await;
@@ -137,12 +137,12 @@
     downstream::listen(address).map_err(|source| error::ApplyError::Listen { address, source })
 }
 
-/// A seed from the system's randomness, which hash tables take theirs from.
+/// Returns a random seed from the system's randomness, which also seeds hash tables.
 fn random_seed() -> u64 {
     RandomState::new().build_hasher().finish()
 }
 
-/// Sets format and filter of the log by a configuration.
+/// Sets the format and the filter of the log according to a configuration.
 fn configure_log(log: &Log, observe: &Observability) {
     log.set_format(if observe.log_json { LogFormat::Json } else { LogFormat::Text });
     if let Err(error) = log.set_filter(&observe.log_filter) {
@@ -150,7 +150,7 @@
     }
 }
 
-/// Passes this node's share of the endpoints to all pools whenever it changes.
+/// Forwards changes of this node's share of the endpoints to all pools.
 async fn update_node_share(runtime: Rc<Runtime>, mut node_share: watch::Receiver<Option<NodeShare>>) {
     while node_share.changed().await.is_ok() {
         let current = *node_share.borrow_and_update();
@@ -160,7 +160,7 @@
     }
 }
 
-/// Passes this node's load to the fleet, for as long as the process lives.
+/// Periodically passes this node's load to the fleet membership. Never returns.
 async fn update_load(runtime: Rc<Runtime>, fleet: Rc<Fleet>) {
     loop {
         sleep(LOAD_UPDATE_INTERVAL).await;
--- a/crates/node/src/standalone/pool_factory.rs
+++ b/crates/node/src/standalone/pool_factory.rs
@@ -1,4 +1,4 @@
-//! Starts the loops of pools.
+//! Starts the event loops of pools.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,22 +22,22 @@
 use crate::net::upstream::response_classification::StatusPolicy;
 use crate::net::upstream::transport::Transport;
 
-/// What all pools of a node share.
+/// Starts pools, and holds what all pools of a node share.
 pub struct PoolFactory {
-    /// Connections to endpoints.
+    /// Registry of connections to endpoints.
     pub connections: Rc<ConnectionRegistry>,
-    /// Memory for buffered parts of streamed bodies.
+    /// Memory budget for buffered parts of streamed bodies.
     pub memory: Arc<MemoryBudget>,
     /// Requests in flight.
     pub active_requests: ActiveRequestIds,
-    /// Recorder and log.
+    /// Recorder, clock and log.
     pub introspection: Rc<Introspection>,
-    /// Seed of random numbers.
+    /// Seed for random numbers; each pool adds its index.
     pub seed: u64,
 }
 
 impl PoolFactory {
-    /// Starts the loop of the pool at this index of a revision.
+    /// Starts the event loop of the pool at this index of a revision.
     pub fn start(
         &self,
         revision: &ConfigRevision,
--- a/crates/node/src/standalone/pool_identity.rs
+++ b/crates/node/src/standalone/pool_identity.rs
@@ -1,4 +1,4 @@
-//! Identity of a pool: what its learned state depends on, and when it can take a new configuration in place.
+//! Identity of a pool: the settings that its learned state depends on, and whether it can adopt new settings in place.
 
 use pumicehead_config::model::{Config, PoolEndpoints, Protocol};
 use pumicehead_policy::tenant_shares::TenantShares;
@@ -6,19 +6,19 @@
 
 use super::error::ApplyError;
 
-/// Most classes that a pool no longer serves and that stay in its settings, so that the others keep their indices. With
-/// more of them the pool starts anew.
+/// Maximum number of classes that stay in a pool's settings although it no longer serves them, so that the other classes keep
+/// their indices. With more of them, the pool is started anew.
 const MAX_UNUSED_CLASSES: usize = 32;
 
-/// What a pool's learned state depends on. A pool whose identity changes only as [`PoolIdentity::can_update_to`] allows
-/// keeps its loop with its queues, connections and learned limits; any other change starts a new loop.
+/// The settings that a pool's learned state depends on. If they change only as [`PoolIdentity::can_update_to`] allows, the
+/// pool keeps its event loop with its queues, connections and learned limits. Any other change starts a new loop.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolIdentity {
     /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of its classes, in the order of the settings.
+    /// Names of the pool's classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// Settings of its connections.
+    /// Settings of the pool's connections.
     pub connection: ConnectionSettings,
 }
 
@@ -27,31 +27,31 @@
 pub struct ConnectionSettings {
     /// Names of all zones.
     pub zones: Vec<String>,
-    /// The configuration lists the endpoints; discovery does otherwise.
+    /// Whether the configuration lists the endpoints; otherwise discovery does.
     pub has_static_endpoints: bool,
-    /// Timeout of a connect.
+    /// Timeout for connecting to an endpoint.
     pub connect_timeout: Nanos,
-    /// Idle time after which a connection closes.
+    /// Idle time after which a connection is closed.
     pub idle_timeout: Nanos,
-    /// Longest body of an answer, in bytes.
+    /// Maximum length of a response body in bytes.
     pub max_response_body: u64,
     /// Protocol of the endpoints.
     pub protocol: Protocol,
-    /// FastCGI: the script that is run.
+    /// FastCGI: name of the script.
     pub script: String,
-    /// FastCGI: the document root.
+    /// FastCGI: document root.
     pub root: String,
 }
 
 impl PoolIdentity {
-    /// Identity of the pool at this index of a configuration, with the shares of all tenants.
+    /// Returns the identity of the pool at this index of a configuration, with the shares of all tenants.
     ///
     /// # Errors
-    /// [`ApplyError::InvalidSettings`].
+    /// Returns [`ApplyError::InvalidSettings`] if the decision module rejects the settings.
     pub fn new(config: &Config, pool_index: usize, tenants: &TenantShares) -> Result<Self, ApplyError> {
         let pool = &config.pools[pool_index];
         let settings = config.settings_with(pool_index, tenants.clone());
-        // A pool without routes has no classes, and needs no decisions.
+        // A pool without routes has no classes and needs no decisions, so its settings are not checked.
         if !settings.classes.is_empty() {
             settings
                 .check()
@@ -74,8 +74,9 @@
         })
     }
 
-    /// This identity with the classes of the former one at their indices and new ones behind them: requests in the pool
-    /// refer to their class by index. Returned as it is where that would leave too many unused classes.
+    /// Reorders the classes such that those of the former identity keep their indices and new ones follow, because requests
+    /// in the pool refer to their class by index. Former classes that are no longer used are kept. Returns the identity
+    /// unchanged if more than [`MAX_UNUSED_CLASSES`] of them would be kept.
     #[must_use]
     pub fn with_class_order_of(mut self, former: &Self) -> Self {
         let unused = former.classes.iter().filter(|name| !self.classes.contains(name)).count();
@@ -98,7 +99,7 @@
         self
     }
 
-    /// Whether a loop can take over another identity and keep what it has learned.
+    /// Whether the pool's event loop can switch to another identity and keep what it has learned.
     #[must_use]
     pub fn can_update_to(&self, new: &Self) -> bool {
         let same_names = self.classes.iter().zip(&new.classes).all(|(old, new)| old == new);
--- a/crates/node/src/standalone/reload.rs
+++ b/crates/node/src/standalone/reload.rs
@@ -1,7 +1,8 @@
-//! Reload at SIGHUP: the file is read, checked and compared on threads of their own, and the changes are applied on the
-//! event loop.
+//! Configuration reload on SIGHUP: the file is read, checked and compared on separate threads, and the changes are applied
+//! on the event loop.
 //!
-//! One reload runs at a time. Signals that arrive meanwhile cause one further reload after it, which sees the newest file.
+//! Reloads run one at a time. Signals that arrive during a reload cause a single further reload, which reads the latest
+//! file.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -51,16 +52,17 @@
     let (current, now) = (runtime.revision(), runtime.introspection().clock().now());
     let mut prepared = match task::spawn_blocking(move || prepare(path, current, now)).await {
         Ok(Some(prepared)) => prepared,
-        // The reason is in the log already.
+        // The reason has already been logged.
         Ok(None) => return,
         Err(error) => return log_rejected(&error),
     };
     let former = runtime.revision();
     let applied = runtime.apply(&mut prepared.transition);
-    // Log lines of thousands of changes, and freeing the former revision, would block the event loop.
+    // Runs on another thread, because logging thousands of changes and freeing the former revision would block the event
+    // loop.
     let finish = move || finish(&prepared, applied, former);
     if let Err(error) = task::spawn_blocking(finish).await {
-        warn!(target: "settings", %error, "reload: its report failed");
+        warn!(target: "settings", %error, "reload: logging its result failed");
     }
 }
 
@@ -68,7 +70,7 @@
     warn!(target: "settings", %error, "reload: the old configuration stays");
 }
 
-/// Loads and compares the file; `None` where it can't be used, which is logged.
+/// Loads and compares the file. If it can't be used, logs the reason and returns `None`.
 fn prepare(path: PathBuf, current: Arc<ConfigRevision>, now: Nanos) -> Option<PreparedReload> {
     match try_prepare(path, &current, now) {
         Ok(Some(prepared)) => return Some(prepared),
@@ -78,7 +80,8 @@
     None
 }
 
-/// `None` where the file has mistakes, which are reported.
+/// Like [`prepare`], but returns errors instead of logging them. Errors in the file are reported as diagnostics, and the
+/// result is then `None`.
 fn try_prepare(
     path: PathBuf,
     current: &Arc<ConfigRevision>,
@@ -88,12 +91,12 @@
     let checked = loaded.checked();
     report(&checked.sources, &checked.diagnostics, Format::Text);
     let (Some(config), Some(diff)) = (&checked.config, loaded.diff()) else { return Ok(None) };
-    let diff = diff.map_err(|fault| ApplyError::InvalidResources(fault.clone()))?;
+    let diff = diff.map_err(|error| ApplyError::InvalidResources(error.clone()))?;
     let transition = Transition::prepare(current, config, diff, now)?;
     Ok(Some(PreparedReload { loaded, transition }))
 }
 
-/// Logs what was changed, and frees what is no longer in force.
+/// Frees the former revision and logs the changes.
 fn finish(prepared: &PreparedReload, applied: Result<(), ApplyError>, former: Arc<ConfigRevision>) {
     drop(former);
     if let Err(error) = applied {
--- a/crates/node/src/standalone/request_table.rs
+++ b/crates/node/src/standalone/request_table.rs
@@ -1,4 +1,4 @@
-//! Lookup tables that admission uses for each request, one set for each revision of the configuration.
+//! Lookup tables that admission uses for each request. Each revision of the configuration has its own.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,25 +14,25 @@
 
 use crate::net::header_fields;
 
-/// The routes of one revision and what requests need of their classes and pools. Immutable and `Send`: it is built off the
-/// event loop's thread.
+/// The routes of one revision, and the properties of their classes and pools that requests need. Immutable and `Send`, as it
+/// is built outside the event loop thread.
 pub struct RequestTable {
     revision: Revision,
     routes: Arc<RouteTable>,
-    /// For each route the index of its target.
-    target_of: Box<[u32]>,
+    /// For each route, the index of its target in `targets`.
+    target_indices: Box<[u32]>,
     targets: Box<[RouteTarget]>,
-    /// Ids of the configuration's tenants, by their indices in it.
+    /// Tenant ids, by the index of the tenant in the configuration.
     tenants: Box<[Option<TenantId>]>,
-    /// Ids of the tenants that headers may name.
+    /// Ids of the tenants that request headers may name.
     tenants_by_name: Arc<IdsByName>,
-    /// This node's `Via` entry for messages of HTTP/1.0.
+    /// This node's `Via` entry for HTTP/1.0 messages.
     via_http_1_0: Option<HeaderValue>,
-    /// This node's `Via` entry for messages of HTTP/1.1.
+    /// This node's `Via` entry for HTTP/1.1 messages.
     via_http_1_1: Option<HeaderValue>,
 }
 
-/// A class of requests at a pool: what all routes that lead there have in common.
+/// A combination of pool and service class, with the properties that all its routes have in common.
 pub struct RouteTarget {
     /// Index of the pool in the configuration.
     pub pool: usize,
@@ -40,14 +40,14 @@
     pub class: usize,
     /// Deadline of the class.
     pub deadline: Duration,
-    /// Header with the idempotency key, where the class requires one.
+    /// Header with the idempotency key, if the class requires one.
     pub idempotency_key_header: Option<HeaderName>,
-    /// The endpoints get a decoded path, in which an encoded slash would become a separator.
+    /// Whether the endpoints get the path decoded, in which case an encoded slash would become a separator.
     pub decodes_path: bool,
 }
 
 impl RouteTarget {
-    /// `pool_classes` are the names of the pool's classes, in the order of its settings.
+    /// Creates a target. `pool_classes` are the names of the pool's classes, in the order of its settings.
     fn new(config: &Config, class: usize, pool: usize, pool_classes: &[String]) -> Self {
         let class = &config.classes[class];
         let idempotency_key_header = match &class.settings.idempotency {
@@ -56,7 +56,7 @@
         };
         Self {
             pool,
-            // The classes of a pool include those of all its routes.
+            // Always found: the classes of a pool include those of all its routes.
             class: pool_classes.iter().position(|name| *name == class.name).unwrap_or_default(),
             deadline: Duration::from_nanos(class.settings.deadline),
             idempotency_key_header,
@@ -66,11 +66,12 @@
 }
 
 impl RequestTable {
-    /// Table of a configuration. `pool_classes` has for each pool the names of its classes in the order of its settings.
+    /// Builds the table of a configuration. `pool_classes` holds, for each pool, the names of its classes in the order of its
+    /// settings.
     pub fn new(revision: Revision, config: &Config, pool_classes: &[&[String]], tenants: &TenantIds) -> Self {
         let mut targets = Vec::new();
         let mut indices: HashMap<(usize, usize), u32> = HashMap::new();
-        let target_of = config.routes.iter().map(|route| {
+        let target_indices = config.routes.iter().map(|route| {
             let (class, pool) = (route.class, route.pool);
             *indices.entry((class, pool)).or_insert_with(|| {
                 targets.push(RouteTarget::new(config, class, pool, pool_classes[pool]));
@@ -79,7 +80,7 @@
         });
         Self {
             revision,
-            target_of: target_of.collect(),
+            target_indices: target_indices.collect(),
             targets: targets.into(),
             routes: Arc::new(RouteTable::new(&config.routes)),
             tenants: config.tenants.iter().map(|tenant| tenants.get(&tenant.name)).collect(),
@@ -89,32 +90,31 @@
         }
     }
 
-    /// The revision that the table belongs to.
+    /// Returns the revision that the table belongs to.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The routes.
     pub fn routes(&self) -> &Arc<RouteTable> {
         &self.routes
     }
 
-    /// Target of the route at this index.
+    /// Returns the target of the route at this index.
     pub fn target(&self, route: usize) -> &RouteTarget {
-        &self.targets[self.target_of[route] as usize]
+        &self.targets[self.target_indices[route] as usize]
     }
 
-    /// Id of the tenant at this index of the configuration.
+    /// Returns the id of the tenant at this index of the configuration.
     pub fn tenant(&self, index: usize) -> Option<TenantId> {
         self.tenants[index]
     }
 
-    /// Id of the tenant of this name.
+    /// Returns the id of the tenant with this name.
     pub fn tenant_by_name(&self, name: &str) -> Option<TenantId> {
         self.tenants_by_name.get(name).copied()
     }
 
-    /// This node's `Via` entry for messages of a version.
+    /// Returns this node's `Via` entry for messages of an HTTP version.
     pub fn via(&self, version: Version) -> Option<HeaderValue> {
         if version == Version::HTTP_10 { self.via_http_1_0.clone() } else { self.via_http_1_1.clone() }
     }
--- a/crates/node/src/standalone/route_admission.rs
+++ b/crates/node/src/standalone/route_admission.rs
@@ -1,4 +1,4 @@
-//! Admission of plain HTTP requests by the configured routes.
+//! Admission of plain HTTP requests according to the configured routes.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,30 +19,29 @@
 use crate::net::header_fields;
 use crate::net::pool_handle::PoolHandle;
 
-/// Header with the id under which endpoints may log a request.
+/// Header with an id that endpoints may use to log a request.
 const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
-/// `Via` entry of a node whose name is not allowed in one.
+/// `Via` entry of a node whose name is not allowed in a `Via` field.
 const DEFAULT_VIA: HeaderValue = HeaderValue::from_static("1.1 pumicehead");
 
-/// One revision as requests see it. A request takes all that it needs of it in one step, so that none sees parts of two
-/// revisions.
+/// The routing state of one revision. A request takes a reference to it once, so that it never sees parts of two revisions.
 pub struct RoutingState {
-    /// The routes.
+    /// Lookup tables with the routes.
     pub table: Arc<RequestTable>,
-    /// The pools, in the order of the configuration.
+    /// Pool handles, in the order of the configuration.
     pub pools: Vec<PoolHandle>,
 }
 
-/// Admits requests by the routes in force.
+/// Admits requests according to the routes in force.
 pub struct RouteAdmission {
     routing: RefCell<Rc<RoutingState>>,
-    /// First part of all correlation ids of this process.
+    /// Prefix of all correlation ids of this process.
     id_prefix: u64,
     next_id: Cell<u64>,
     traffic_recorder: Option<TrafficRecorder>,
 }
 
-/// What the routes say about a request.
+/// Result of routing a request.
 struct RoutedRequest {
     /// Index of the pool in the configuration.
     pool: usize,
@@ -53,13 +52,13 @@
 }
 
 impl RouteAdmission {
-    /// With the first revision.
+    /// Creates the admission with the routing state of the first revision.
     pub fn new(routing: RoutingState, id_prefix: u64, traffic_recorder: Option<TrafficRecorder>) -> Rc<Self> {
         let routing = RefCell::new(Rc::new(routing));
         Rc::new(Self { routing, id_prefix, next_id: Cell::new(0), traffic_recorder })
     }
 
-    /// Puts a revision in force for requests that arrive after this call.
+    /// Switches to another revision for requests that arrive after this call.
     pub fn set_routing(&self, routing: RoutingState) {
         self.routing.replace(Rc::new(routing));
     }
@@ -85,7 +84,7 @@
         let routing = self.routing.borrow().clone();
         let table = &routing.table;
         if matches!(*head.method, Method::TRACE | Method::CONNECT) {
-            // TRACE would show a client the fields of other hops; CONNECT is for proxies that clients choose.
+            // TRACE would show a client the fields that other hops added; CONNECT is for proxies that clients choose.
             return Err(RequestError::NotImplemented);
         }
         if *head.method == Method::OPTIONS && is_final_recipient(&mut head)? {
@@ -109,23 +108,23 @@
             body_read_time: Duration::ZERO,
             upstream,
         };
-        // Answers of all endpoints count as HTTP/1.1: the node has parsed them whole.
+        // Responses of all endpoints count as HTTP/1.1, since the node has parsed them completely.
         let via = table.via(Version::HTTP_11).unwrap_or(DEFAULT_VIA);
         let pool = routing.pools[routed.pool].clone();
         Ok(AdmittedRequest { pool, request, style: ResponseStyle::Gateway(via), must_be_empty: false })
     }
 }
 
-/// Finds the route of a request and what it says about it.
+/// Finds the route of a request and derives the pool, class, deadline, tenant and ordering key from it.
 fn route(
     table: &RequestTable,
     head: &RequestHead<'_>,
     authority: &str,
 ) -> Result<RoutedRequest, RequestError> {
     let host = request_host(authority)
-        .map_err(|fault| RequestError::AmbiguousTarget(format!("the host is {fault}")))?;
+        .map_err(|error| RequestError::AmbiguousTarget(format!("the host is {error}")))?;
     let path = RequestPath::parse(head.uri.path())
-        .map_err(|fault| RequestError::AmbiguousTarget(fault.to_string()))?;
+        .map_err(|error| RequestError::AmbiguousTarget(error.to_string()))?;
     let query = Query { host: &host, path: &path, method: head.method, headers: &head.headers };
     let route = match table.routes().matcher().find(&query) {
         Found::Route(route) => route,
@@ -162,7 +161,7 @@
     }
 }
 
-/// The fields that go on to the endpoint: end-to-end ones, and those that a gateway adds.
+/// Returns the fields that are forwarded to the endpoint: the end-to-end fields, and those that a gateway adds.
 fn forwarded_headers(
     table: &RequestTable,
     head: RequestHead<'_>,
@@ -181,8 +180,8 @@
     Ok(headers)
 }
 
-/// The host that a request names, with its port: of an absolute target, or else its one `Host` field (RFC 9112
-/// sections 3.2 and 3.2.2). A client of HTTP/1.0 needs none.
+/// Returns the host of a request, with its port if it names one: from a target in absolute form, otherwise from the single
+/// `Host` field (RFC 9112 sections 3.2 and 3.2.2). An HTTP/1.0 request needs no `Host` field.
 fn authority(head: &RequestHead<'_>) -> Result<String, RequestError> {
     let mut hosts = head.headers.get_all(header::HOST).iter();
     let field = match (hosts.next(), hosts.next()) {
@@ -202,8 +201,8 @@
     built.map_err(|_| RequestError::AmbiguousTarget("the target can't be read".into()))
 }
 
-/// Whether an OPTIONS request is for this node, by its target or since it may go no further (RFC 9110 sections
-/// 9.3.7 and 7.6.2); otherwise its `Max-Forwards` is decremented.
+/// Whether an OPTIONS request is for this node, because its target is `*` or because `Max-Forwards` is 0 (RFC 9110 sections
+/// 9.3.7 and 7.6.2). Otherwise decrements `Max-Forwards`, if present.
 fn is_final_recipient(head: &mut RequestHead<'_>) -> Result<bool, RequestError> {
     if head.uri.path() == "*" {
         return Ok(true);
@@ -217,7 +216,7 @@
     Ok(hops == 0)
 }
 
-/// The value of a field that must be there once: with two, the endpoint may take the other one.
+/// Returns the value of a field that must occur exactly once. If there were two, the endpoint might use the other one.
 fn single_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<&'a [u8], RequestError> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
--- a/crates/node/src/standalone/runtime.rs
+++ b/crates/node/src/standalone/runtime.rs
@@ -1,5 +1,5 @@
-//! The running parts of a standalone node: a loop for each pool, a listener for each address, and how the next revision of
-//! the configuration takes effect on them.
+//! The running parts of a standalone node: an event loop for each pool and a listener for each address. Applies new
+//! revisions of the configuration to them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -31,15 +31,15 @@
 use crate::net::pool_handle::Retirement;
 use crate::net::upstream::connection_registry::ConnectionRegistry;
 
-/// Streamed bodies may take this fraction of the memory; the rest is for connections and requests.
+/// Streamed bodies may use the memory limit divided by this; the rest is for connections and requests.
 const STREAMED_BODY_MEMORY_DIVISOR: u64 = 4;
-/// Steps of [`Runtime::load`].
+/// Number of steps of [`Runtime::load`]: the load is in eighths.
 const LOAD_STEPS: usize = 8;
 
-/// The configuration in force and what runs for it.
+/// The configuration in force with its pools and listeners.
 struct ConfigInForce {
     revision: Arc<ConfigRevision>,
-    /// Pools by name.
+    /// Pool handles by pool name.
     pools: HashMap<String, PoolHandle>,
     listeners: Vec<RunningListener>,
 }
@@ -50,16 +50,16 @@
     pool_factory: PoolFactory,
     connection_budget: Rc<ConnectionBudget>,
     in_force: RefCell<ConfigInForce>,
-    /// This node's share of the endpoints, once the fleet has computed it.
+    /// This node's share of the endpoints; `None` until the fleet membership has determined it.
     node_share: Cell<Option<NodeShare>>,
     is_lame_duck: Cell<bool>,
 }
 
 impl Runtime {
-    /// Starts the pools and listeners of the first configuration. `seed` is for random numbers and correlation ids.
+    /// Starts the pools and listeners of the first configuration. `seed` is used for random numbers and correlation ids.
     ///
     /// # Errors
-    /// An address that can't be listened on, or settings that can't be used.
+    /// Fails if an address can't be listened on, or if the settings of a pool are invalid.
     pub fn start(
         config: &Config,
         digest: Digest,
@@ -97,20 +97,21 @@
         Ok(runtime)
     }
 
-    /// The revision in force.
+    /// Returns the revision in force.
     pub fn revision(&self) -> Arc<ConfigRevision> {
         self.in_force.borrow().revision.clone()
     }
 
-    /// Puts the next revision in force, or changes nothing. All of it happens in one turn of the event loop, between two
-    /// requests; the expensive parts are in the prepared transition. Removed listeners drain on their own.
+    /// Puts the next revision in force, or fails without changing anything. The switch is a single step of the event loop,
+    /// so that it falls between two requests; the expensive parts are in the prepared transition. Removed listeners drain in
+    /// the background.
     ///
     /// # Errors
-    /// [`ApplyError::Listen`].
+    /// Returns [`ApplyError::Listen`] if a new address can't be listened on.
     pub fn apply(self: &Rc<Self>, transition: &mut Transition) -> Result<(), ApplyError> {
         let next = transition.next.clone();
         let config = next.config.settings();
-        // Everything that can fail comes first.
+        // Binding is the only step that can fail, so it comes first.
         let addresses: Vec<_> =
             self.in_force.borrow().listeners.iter().map(|listener| listener.address).collect();
         let bound = listeners::bind(config, &addresses)?;
@@ -121,7 +122,7 @@
         if !Arc::ptr_eq(self.revision().tenants.by_name(), next.tenants.by_name()) {
             set_tenant_names(&next, self.introspection());
         }
-        let pools = self.change_pools(&next, std::mem::take(&mut transition.steps));
+        let pools = self.apply_pool_steps(&next, std::mem::take(&mut transition.steps));
         self.admission.set_routing(RoutingState { table: next.table.clone(), pools });
         self.in_force.borrow_mut().revision = next.clone();
         self.stop_removed_listeners(config);
@@ -130,14 +131,14 @@
         Ok(())
     }
 
-    /// Carries out the step of each pool; returns the pools in the order of the configuration.
-    fn change_pools(&self, next: &ConfigRevision, steps: Vec<PoolStep>) -> Vec<PoolHandle> {
+    /// Applies the step of each pool and retires removed pools. Returns the pools in the order of the configuration.
+    fn apply_pool_steps(&self, next: &ConfigRevision, steps: Vec<PoolStep>) -> Vec<PoolHandle> {
         let mut in_force = self.in_force.borrow_mut();
         let mut former = std::mem::take(&mut in_force.pools);
         let mut handles = Vec::with_capacity(steps.len());
         for (index, step) in steps.into_iter().enumerate() {
             let name = &next.config.settings().pools[index].name;
-            let handle = self.change_pool(next, index, step, former.remove(name));
+            let handle = self.apply_pool_step(next, index, step, former.remove(name));
             in_force.pools.insert(name.clone(), handle.clone());
             handles.push(handle);
         }
@@ -147,7 +148,7 @@
         handles
     }
 
-    fn change_pool(
+    fn apply_pool_step(
         &self,
         next: &ConfigRevision,
         index: usize,
@@ -169,12 +170,12 @@
             }
             (PoolStep::Start(endpoints), replaced) => {
                 if let Some(replaced) = replaced {
-                    // Its endpoints are still there: its queued requests may go to them.
+                    // Its endpoints still exist, so its queued requests may still be sent to them.
                     replaced.retire(Retirement::Replaced);
                 }
                 self.start_pool(next, index, endpoints)
             }
-            // A transition keeps or updates only pools of the revision in force, which are all running.
+            // Not expected: a transition keeps or updates only pools of the revision in force, which are all running.
             (PoolStep::Keep | PoolStep::Update { .. }, None) => {
                 self.start_pool(next, index, ConfiguredEndpoints::new(next.config.settings(), index))
             }
@@ -205,7 +206,7 @@
     }
 
     fn new_listener(self: &Rc<Self>, config: &Config) -> Rc<DownstreamListener> {
-        // The runtime owns its listeners: a strong reference back would keep both alive.
+        // The runtime owns its listeners, so a strong reference back would be a cycle and keep both alive.
         let runtime = Rc::downgrade(self);
         let fail_all = move || {
             if let Some(runtime) = runtime.upgrade() {
@@ -245,13 +246,13 @@
         }
     }
 
-    /// Sets this node's share of the endpoints, in all pools.
+    /// Sets this node's share of the endpoints for all current and future pools.
     pub fn set_node_share(&self, node_share: NodeShare) {
         self.node_share.set(Some(node_share));
         self.in_force.borrow().pools.values().for_each(|pool| pool.set_node_share(node_share));
     }
 
-    /// Enters or leaves lame-duck mode, in which clients' connections close with their next answers.
+    /// Enters or leaves lame-duck mode, in which each client connection is closed with its next response.
     pub fn set_lame_duck(&self, is_lame_duck: bool) {
         self.is_lame_duck.set(is_lame_duck);
         for running in &self.in_force.borrow().listeners {
@@ -259,23 +260,23 @@
         }
     }
 
-    /// Whether the node is in lame-duck mode.
     pub fn is_lame_duck(&self) -> bool {
         self.is_lame_duck.get()
     }
 
-    /// Requests in flight, in [`LOAD_STEPS`]ths of the most that are allowed.
+    /// Returns the number of requests in flight relative to the configured maximum, in steps of 1/[`LOAD_STEPS`], rounded
+    /// down and at most [`LOAD_STEPS`].
     pub fn load(&self) -> u32 {
         let max_active = self.revision().config.settings().limits.max_active_requests.max(1);
         (self.pool_factory.active_requests.count() * LOAD_STEPS / max_active).min(LOAD_STEPS) as u32
     }
 
-    /// Recorder, metrics and log.
+    /// Returns the recorder, metrics and log of the node.
     pub fn introspection(&self) -> &Introspection {
         &self.pool_factory.introspection
     }
 
-    /// Gauges of the moment, under the names of the metrics.
+    /// Returns the current gauges with their metric names.
     pub async fn gauges(&self) -> Vec<(&'static str, f64)> {
         let pools: Vec<_> = self.in_force.borrow().pools.values().cloned().collect();
         let revision = self.revision();
@@ -294,10 +295,11 @@
         ]
     }
 
-    /// Drains all listeners; returns once every accepted request is answered.
+    /// Drains all listeners. Returns when all their requests have been answered, or when the time limit of the drain has
+    /// passed.
     pub async fn drain(&self) {
         let listeners = std::mem::take(&mut self.in_force.borrow_mut().listeners);
-        // All of them start to drain before the first is awaited.
+        // All listeners start to drain before the first one is awaited.
         let draining: Vec<_> =
             listeners.into_iter().map(|listener| listener.stop(DrainReason::Process)).collect();
         for done in draining {
@@ -310,7 +312,7 @@
     introspection.set_tenant_names(revision.tenants.by_name().iter().map(|(name, id)| (*id, name.clone())));
 }
 
-/// Descriptors for connections, after those of listeners, admin commands and the fleet.
+/// Returns the descriptors available for connections, after deducting those of listeners, admin commands and the fleet.
 fn descriptor_budget(config: &Config) -> DescriptorBudget {
     let admin =
         if config.observability.admin_address.is_some() { admin_listener::MAX_DESCRIPTORS } else { 0 };
--- a/crates/node/src/standalone/traffic_recorder.rs
+++ b/crates/node/src/standalone/traffic_recorder.rs
@@ -1,5 +1,5 @@
-//! Records client requests to a file that `pumicehead-load replay` plays: one JSON line for each request as it arrived,
-//! before admission, so that rejected and unknown ones are included.
+//! Records client requests to a file that `pumicehead-load replay` can replay. Each request is one JSON line, written as the
+//! request arrives and before admission, so that requests that are rejected or match no route are included.
 
 use std::cell::Cell;
 use std::fs::File;
@@ -13,19 +13,21 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// Lines that wait for the disk; more are dropped and counted. Some 10 s at 5,000 requests a second, and a few MiB.
+/// Maximum number of lines that wait to be written; further ones are dropped and counted. Enough for about 10 s at 5,000
+/// requests per second; a few MiB.
 const MAX_QUEUED_LINES: usize = 50_000;
-/// Longest recorded target in bytes; requests with a longer one are dropped and counted.
+/// Maximum length of a recorded target in bytes; requests with a longer one are dropped and counted.
 const MAX_TARGET_BYTES: usize = 8 << 10;
-/// Longest file in bytes, some hours of a busy node: a forgotten recording must not fill a disk.
+/// Maximum length of the file in bytes, a few hours of a busy node: a forgotten recording must not fill the disk.
 const MAX_FILE_BYTES: u64 = 4 << 30;
-/// Longest time that a written line stays in the buffer.
+/// Interval at which buffered lines are flushed, and timeout for receiving a line. A line stays in the buffer for less than
+/// two intervals.
 const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A line of the file.
+/// One line of the file.
 #[derive(Serialize)]
 struct RecordedRequest<'a> {
-    /// Seconds since the recording began.
+    /// Seconds since the start of the recording.
     #[serde(rename = "at")]
     elapsed_s: f64,
     method: &'a str,
@@ -35,28 +37,28 @@
     body_bytes: u64,
 }
 
-/// Records requests. Dropping it writes the queued lines and logs the counts.
+/// Records requests. Dropping the recorder writes the queued lines and logs the counts.
 pub struct TrafficRecorder {
     started: Instant,
-    /// `None` once the recorder is dropped, which ends the writer.
+    /// `None` once the recorder is being dropped, which stops the writer thread.
     lines: Option<SyncSender<Vec<u8>>>,
     writer: Option<JoinHandle<io::Result<u64>>>,
     dropped: Cell<u64>,
 }
 
 impl TrafficRecorder {
-    /// Starts a new file.
+    /// Creates the file and starts the writer thread.
     ///
     /// # Errors
-    /// A file that exists already or can't be created, or a thread that can't be started.
+    /// Fails if the file already exists or can't be created, or if the thread can't be started.
     pub fn start(path: &Path) -> io::Result<Self> {
         let file = File::create_new(path)?;
         let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
-        // A thread of its own: the event loop must not wait for a disk.
+        // A separate thread writes the file, as the event loop must not wait for a disk.
         let write = move || {
             let written = write_lines(file, &queue);
             if let Err(error) = &written {
-                // Logged at once: the node's end may be days away.
+                // Logged immediately, as the node may run for days before the recorder is dropped.
                 warn!(target: "record", %error, "traffic recording failed");
             }
             written
@@ -65,7 +67,7 @@
         Ok(Self { started: Instant::now(), lines: Some(lines), writer: Some(writer), dropped: Cell::new(0) })
     }
 
-    /// Records a request with a body of so many bytes; 0 where the length is not known yet.
+    /// Records a request. `body_bytes` is the length of its body, or 0 if that is not known yet.
     pub fn record(&self, method: &str, target: &str, body_bytes: u64) {
         let elapsed_s = self.started.elapsed().as_secs_f64();
         let request = RecordedRequest { elapsed_s, method, target, body_bytes };
@@ -89,20 +91,21 @@
             Ok(Ok(requests)) => {
                 info!(target: "record", requests, dropped = self.dropped.get(), "traffic recording ended");
             }
-            // The writer has logged the error.
+            // The writer thread has already logged the error.
             Ok(Err(_)) => {}
             Err(_) => warn!(target: "record", "traffic recording failed: its thread panicked"),
         }
     }
 }
 
-/// Writes lines until the recorder is dropped or the file is full; returns how many.
+/// Writes lines until the recorder is dropped or the file is full. Returns the number of lines written.
 fn write_lines(file: File, queue: &Receiver<Vec<u8>>) -> io::Result<u64> {
     let mut out = BufWriter::new(file);
     let (mut bytes, mut written) = (0, 0);
     let mut flushed_at = std::time::Instant::now();
     loop {
-        // By the clock and not in a pause: with a line every half second there would never be one.
+        // Flushed by the clock rather than on a receive timeout: with a line every half second, there would never be a
+        // timeout.
         if flushed_at.elapsed() >= FLUSH_INTERVAL {
             out.flush()?;
             flushed_at = std::time::Instant::now();
--- a/crates/node/src/standalone/transition.rs
+++ b/crates/node/src/standalone/transition.rs
@@ -1,4 +1,4 @@
-//! The transition from one revision of the configuration to the next, prepared off the event loop's thread.
+//! The transition from one revision of the configuration to the next, which is prepared outside the event loop thread.
 
 use std::fmt;
 use std::sync::Arc;
@@ -14,22 +14,22 @@
 use super::error::ApplyError;
 use super::pool_identity::PoolIdentity;
 
-/// What becomes of a pool.
+/// What a transition does with a pool.
 pub enum PoolStep {
-    /// Nothing has changed: its loop gets no message.
+    /// The pool is unchanged, and its event loop gets no message.
     Keep,
-    /// Its loop takes the changes and keeps what it has learned.
+    /// The event loop adopts the changes and keeps what it has learned.
     Update {
-        /// New settings, where they changed.
+        /// New settings, if they changed.
         settings: Option<Box<Settings>>,
-        /// New endpoints, where they changed.
+        /// New endpoints, if they changed.
         endpoints: Option<ConfiguredEndpoints>,
     },
-    /// A new loop starts; a former one of this name serves the requests that it has.
+    /// A new event loop starts. A former pool with this name only finishes the requests that it already has.
     Start(ConfiguredEndpoints),
 }
 
-/// How many pools a transition keeps, updates and starts.
+/// Numbers of pools that a transition keeps, updates and starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolCounts {
     /// See [`PoolStep::Keep`].
@@ -65,20 +65,20 @@
 pub struct Transition {
     /// The next revision.
     pub next: Arc<ConfigRevision>,
-    /// What becomes of each pool, in the order of the next revision.
+    /// The step of each pool, in the order of the next revision.
     pub steps: Vec<PoolStep>,
     /// Counts of the steps, for the log.
     pub counts: PoolCounts,
-    /// Settings that changed and take effect at the next start only, in words for the log.
+    /// Descriptions, for the log, of changed settings that take effect only at the next start.
     pub restart_required: Vec<&'static str>,
 }
 
 impl Transition {
-    /// The transition from the revision in force to a configuration that differs from it by `diff`. `now` is the time of
-    /// the event loop.
+    /// Prepares the transition from the revision in force to a configuration that differs from it by `diff`. `now` is the
+    /// event loop's time.
     ///
     /// # Errors
-    /// [`ApplyError::InvalidSettings`].
+    /// Returns [`ApplyError::InvalidSettings`] if the settings of a pool are invalid.
     pub fn prepare(
         current: &ConfigRevision,
         config: &Config,
@@ -101,7 +101,7 @@
     }
 }
 
-/// A pool of the next revision.
+/// Identity and step of a pool of the next revision.
 struct PlannedPool {
     identity: Arc<PoolIdentity>,
     step: PoolStep,
--- a/crates/node/tests/record.rs
+++ b/crates/node/tests/record.rs
@@ -45,7 +45,7 @@
         .output()
         .unwrap();
     assert_eq!(again.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&again.stderr).contains("record to "));
+    assert!(String::from_utf8_lossy(&again.stderr).contains("can't record to "));
     fs::remove_file(config).unwrap();
     fs::remove_file(record).unwrap();
 }
