--- a/crates/node/src/net/counting_stream/head_capture.rs
+++ b/crates/node/src/net/counting_stream/head_capture.rs
@@ -40,10 +40,10 @@
     /// Skips the body of the request whose head was taken.
     pub fn skip_body(&mut self, length: u64) {
         let mut received = std::mem::take(&mut self.head);
-        let here = received.len().min(usize::try_from(length).unwrap_or(usize::MAX));
-        self.body_left = length - here as u64;
+        let body_received = received.len().min(usize::try_from(length).unwrap_or(usize::MAX));
+        self.body_left = length - body_received as u64;
         // An idle connection holds no buffer.
-        self.head = received.split_off(here);
+        self.head = received.split_off(body_received);
         self.restart(self.head.is_empty());
     }
 
--- a/crates/node/src/net/counting_stream/mod.rs
+++ b/crates/node/src/net/counting_stream/mod.rs
@@ -37,12 +37,12 @@
     bytes_read: Cell<u64>,
     /// A write waits for the peer to read.
     is_blocked: Cell<bool>,
-    write_mark: RefCell<Option<WriteMark>>,
+    write_threshold: RefCell<Option<WriteThreshold>>,
     head_capture: Option<RefCell<HeadCapture>>,
 }
 
 /// Increments a counter once so many bytes are written.
-struct WriteMark {
+struct WriteThreshold {
     bytes_written: u64,
     counter: Counter,
 }
@@ -86,7 +86,7 @@
             bytes_written: Cell::new(0),
             bytes_read: Cell::new(0),
             is_blocked: Cell::new(false),
-            write_mark: RefCell::default(),
+            write_threshold: RefCell::default(),
             head_capture,
         }))
     }
@@ -135,9 +135,10 @@
     }
 
     /// Increments a counter once `size` more bytes are written.
-    pub fn count_at(&self, size: u64, counter: &Counter) {
+    pub fn count_after_writing(&self, size: u64, counter: &Counter) {
         let bytes_written = self.bytes_written() + size;
-        *self.0.write_mark.borrow_mut() = Some(WriteMark { bytes_written, counter: counter.clone() });
+        *self.0.write_threshold.borrow_mut() =
+            Some(WriteThreshold { bytes_written, counter: counter.clone() });
     }
 
     /// Returns what lies unread. The kernel is asked: the event loop may not have seen the latest data.
@@ -195,9 +196,9 @@
     fn on_written(&self, count: u64) {
         let written = self.0.bytes_written.get() + count;
         self.0.bytes_written.set(written);
-        let mut mark = self.0.write_mark.borrow_mut();
-        if let Some(mark) = mark.take_if(|mark| written >= mark.bytes_written) {
-            mark.counter.set(mark.counter.get() + 1);
+        let mut threshold = self.0.write_threshold.borrow_mut();
+        if let Some(reached) = threshold.take_if(|threshold| written >= threshold.bytes_written) {
+            reached.counter.set(reached.counter.get() + 1);
         }
     }
 
--- a/crates/node/src/net/counting_stream/socket.rs
+++ b/crates/node/src/net/counting_stream/socket.rs
@@ -48,8 +48,8 @@
 
     /// Clears read readiness until the kernel reports more, which spares a read that would find nothing.
     pub fn clear_read_ready(&self) {
-        let nothing = || Err::<(), _>(io::ErrorKind::WouldBlock.into());
-        let _ = either!(self, stream => stream.try_io(Interest::READABLE, nothing));
+        let would_block = || Err::<(), _>(io::ErrorKind::WouldBlock.into());
+        let _ = either!(self, stream => stream.try_io(Interest::READABLE, would_block));
     }
 
     pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize> {
--- a/crates/node/src/net/upstream/http/attempt.rs
+++ b/crates/node/src/net/upstream/http/attempt.rs
@@ -88,7 +88,7 @@
         let upload = request.upload.as_deref();
         let outgoing = OutgoingRequest::new(request, upload.map_or(time_left, |upload| upload.time_left));
         let written_before = connection.stream.bytes_written();
-        connection.stream.count_at(outgoing.min_size, &self.pool.written);
+        connection.stream.count_after_writing(outgoing.min_size, &self.pool.written);
         progress.stage.set(AttemptStage::Written);
         let Ok(response) = connection.sender.send_request(outgoing.message).await else {
             let is_partial = connection.stream.bytes_written() - written_before < outgoing.min_size;
