--- a/crates/node/src/net/upstream/fastcgi/outcome.rs
+++ b/crates/node/src/net/upstream/fastcgi/outcome.rs
@@ -37,20 +37,20 @@
 impl FastCgiEnding {
     /// Returns what it means. In doubt, the request may have been executed.
     pub fn classify(&self) -> ResponseClass {
-        let withheld = ResponseClass::withheld;
+        let not_forwarded = ResponseClass::not_forwarded;
         match self {
-            Self::ConnectFailed => withheld(AttemptOutcome::ConnectFailed),
-            Self::AtCapacity => withheld(AttemptOutcome::Rejected),
+            Self::ConnectFailed => not_forwarded(AttemptOutcome::ConnectFailed),
+            Self::AtCapacity => not_forwarded(AttemptOutcome::Rejected),
             // A request is complete with the empty record that ends its body (section 3.3), and is not executed before.
-            Self::ConnectionLost { request_written: false } => withheld(AttemptOutcome::ConnectFailed),
-            Self::ConnectionLost { request_written: true } => withheld(AttemptOutcome::Reset),
+            Self::ConnectionLost { request_written: false } => not_forwarded(AttemptOutcome::ConnectFailed),
+            Self::ConnectionLost { request_written: true } => not_forwarded(AttemptOutcome::Reset),
             Self::Completed(end, ResponseProgress::Empty) if never_ran(end) => {
-                withheld(AttemptOutcome::Rejected)
+                not_forwarded(AttemptOutcome::Rejected)
             }
             // Rejected, but with output: one of the two is wrong.
-            Self::Completed(end, _) if never_ran(end) => withheld(AttemptOutcome::Reset),
-            Self::Completed(_, ResponseProgress::Empty) => withheld(AttemptOutcome::Error),
-            Self::Completed(_, ResponseProgress::Malformed) => withheld(AttemptOutcome::Reset),
+            Self::Completed(end, _) if never_ran(end) => not_forwarded(AttemptOutcome::Reset),
+            Self::Completed(_, ResponseProgress::Empty) => not_forwarded(AttemptOutcome::Error),
+            Self::Completed(_, ResponseProgress::Malformed) => not_forwarded(AttemptOutcome::Reset),
             // The application's exit status is not the response's: the response is complete whatever it is.
             Self::Completed(_, ResponseProgress::Complete(head)) => StatusPolicy::Gateway.classify(head),
         }
--- a/crates/node/src/net/upstream/http/response_reader.rs
+++ b/crates/node/src/net/upstream/http/response_reader.rs
@@ -110,8 +110,8 @@
         length: Option<u64>,
         method: &Method,
     ) -> ReadResponse {
-        let more_than = if length.is_some() { 0 } else { SMALL_BODY_BYTES };
-        let Some(start) = read_start(&mut body, more_than).await else { return ReadResponse::reset() };
+        let threshold = if length.is_some() { 0 } else { SMALL_BODY_BYTES };
+        let Some(start) = read_start(&mut body, threshold).await else { return ReadResponse::reset() };
         if start.is_complete {
             let response = Some(self.response(parts, start.data.into(), method));
             let result = AttemptResult::without_response(AttemptOutcome::Success);
@@ -175,10 +175,10 @@
     values.flat_map(|value| value.split(',')).any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
 
-/// Reads a body until more than `more_than` bytes have come or it ends; `None` where it breaks off.
-async fn read_start(body: &mut Incoming, more_than: usize) -> Option<BodyStart> {
+/// Reads a body until more than `threshold` bytes have come or it ends; `None` where it breaks off.
+async fn read_start(body: &mut Incoming, threshold: usize) -> Option<BodyStart> {
     let mut start = BytesMut::new();
-    while start.len() <= more_than {
+    while start.len() <= threshold {
         let Some(frame) = body.frame().await else {
             return Some(BodyStart { data: start.freeze(), is_complete: true });
         };
--- a/crates/node/src/net/upstream/response_classification.rs
+++ b/crates/node/src/net/upstream/response_classification.rs
@@ -36,7 +36,7 @@
 
 impl ResponseClass {
     /// The class of a response that is not forwarded.
-    pub fn withheld(outcome: AttemptOutcome) -> Self {
+    pub fn not_forwarded(outcome: AttemptOutcome) -> Self {
         Self { outcome, forward: false }
     }
 }
@@ -55,11 +55,13 @@
     /// Classifies a complete response.
     pub fn classify(self, head: &ResponseHead) -> ResponseClass {
         if self.is_unprocessed_rejection(head) {
-            return ResponseClass::withheld(AttemptOutcome::Rejected);
+            return ResponseClass::not_forwarded(AttemptOutcome::Rejected);
         }
-        let reset = ResponseClass::withheld(AttemptOutcome::Reset);
+        let reset = ResponseClass::not_forwarded(AttemptOutcome::Reset);
         match self {
-            Self::Platform if head.status != StatusCode::OK => ResponseClass::withheld(AttemptOutcome::Error),
+            Self::Platform if head.status != StatusCode::OK => {
+                ResponseClass::not_forwarded(AttemptOutcome::Error)
+            }
             _ if !head.delimited => reset,
             Self::Platform => ResponseClass { outcome: AttemptOutcome::Success, forward: true },
             // No upgrade was requested: what follows is no response.
