--- a/crates/node/src/net/upstream/connection_registry.rs
+++ b/crates/node/src/net/upstream/connection_registry.rs
@@ -8,14 +8,14 @@
 
 /// Share of an endpoint's idle timeout after which this node closes an idle connection: a request that meets the
 /// endpoint's close would end as a reset.
-const IDLE_TIMEOUT_SHARE: f64 = 0.8;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 /// Least time between two sweeps. The loop of each pool asks for one a second, and each sweep visits the connections of
 /// all pools.
 const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Returns for how long this node keeps an idle connection, of an endpoint that closes it after `server_idle_timeout`.
 pub fn max_idle_time(server_idle_timeout: Duration) -> Duration {
-    server_idle_timeout.mul_f64(IDLE_TIMEOUT_SHARE)
+    server_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION)
 }
 
 /// Counts as one connection to an endpoint.
@@ -45,7 +45,7 @@
 /// The connections of all pools.
 pub struct ConnectionRegistry {
     limit: usize,
-    used: Rc<Cell<usize>>,
+    open_count: Rc<Cell<usize>>,
     /// Endpoints with idle connections.
     idle: RefCell<Vec<Rc<dyn IdleConnections>>>,
     last_sweep: Cell<Option<Instant>>,
@@ -54,20 +54,25 @@
 impl ConnectionRegistry {
     /// A registry of at most `limit` connections.
     pub fn new(limit: usize) -> Rc<Self> {
-        Rc::new(Self { limit, used: Rc::default(), idle: RefCell::default(), last_sweep: Cell::default() })
+        Rc::new(Self {
+            limit,
+            open_count: Rc::default(),
+            idle: RefCell::default(),
+            last_sweep: Cell::default(),
+        })
     }
 
     /// Returns a permit for one more connection. At the limit the connection that has been idle longest is closed; `None`
     /// where there is none.
     pub fn acquire(&self) -> Option<ConnectionPermit> {
-        if self.used.get() >= self.limit {
+        if self.open_count.get() >= self.limit {
             let endpoints = self.idle.borrow();
             let idle =
                 endpoints.iter().filter_map(|endpoint| Some((endpoint.oldest_idle_since()?, endpoint)));
             idle.min_by_key(|(since, _)| *since)?.1.close_oldest();
         }
-        self.used.set(self.used.get() + 1);
-        Some(ConnectionPermit(self.used.clone()))
+        self.open_count.set(self.open_count.get() + 1);
+        Some(ConnectionPermit(self.open_count.clone()))
     }
 
     /// Registers an endpoint that has idle connections, unless it is registered.
