--- a/crates/node/src/net/upstream/http/attempt.rs
+++ b/crates/node/src/net/upstream/http/attempt.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use super::connection::HttpConnection;
-use super::idle_connections::SETTLE_TIMEOUT;
+use super::idle_connections::READY_TIMEOUT;
 use super::request::OutgoingRequest;
 use super::response_reader::{ReadResponse, StreamingResponse};
 use super::transport::HttpConnector;
@@ -151,11 +151,13 @@
                 return;
             }
             if connection.sender.is_ready() {
-                endpoint.keep(&registry, connection);
+                endpoint.return_idle(&registry, connection);
             } else if Handle::try_current().is_ok() {
                 // A runtime that shuts down drops its streams and takes no more tasks.
-                let deadline = Instant::now() + SETTLE_TIMEOUT;
-                task::spawn_local(async move { endpoint.settle(&registry, connection, deadline).await });
+                let deadline = Instant::now() + READY_TIMEOUT;
+                task::spawn_local(async move {
+                    endpoint.return_when_ready(&registry, connection, deadline).await
+                });
             }
         });
         on_started(response);
--- a/crates/node/src/net/upstream/http/idle_connections.rs
+++ b/crates/node/src/net/upstream/http/idle_connections.rs
@@ -12,11 +12,11 @@
 use crate::net::upstream::connection_registry::{ConnectionRegistry, IdleConnections};
 
 /// Longest time to wait until a connection is ready for another request after its response.
-pub(super) const SETTLE_TIMEOUT: Duration = Duration::from_millis(5);
+pub(super) const READY_TIMEOUT: Duration = Duration::from_millis(5);
 /// A connection that has been idle for this long is reused first. An endpoint may send a second response some
 /// milliseconds after the first, which on a connection that is reused at once would be taken for the next request's.
 /// Only where unsolicited data has been seen is no connection reused earlier: new ones cost the endpoint work.
-pub(super) const MIN_REST: Duration = Duration::from_millis(10);
+pub(super) const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(10);
 
 /// When data last came from an endpoint of the pool that no request had asked for.
 pub(super) type LastUnsolicitedData = Rc<Cell<Option<Instant>>>;
@@ -62,7 +62,7 @@
     }
 
     /// Keeps a connection for another request, unless the endpoint is retired or has closed it.
-    pub fn keep(self: &Rc<Self>, registry: &ConnectionRegistry, mut connection: HttpConnection) {
+    pub fn return_idle(self: &Rc<Self>, registry: &ConnectionRegistry, mut connection: HttpConnection) {
         connection.mark_idle();
         if self.is_usable.get() && !connection.sender.is_closed() {
             self.push_idle(connection);
@@ -71,31 +71,31 @@
     }
 
     /// Keeps a connection once it is ready for another request; closes one that is not by `deadline` or within
-    /// [`SETTLE_TIMEOUT`].
-    pub async fn settle(
+    /// [`READY_TIMEOUT`].
+    pub async fn return_when_ready(
         self: &Rc<Self>,
         registry: &ConnectionRegistry,
         mut connection: HttpConnection,
         deadline: Instant,
     ) {
-        let deadline = deadline.min(Instant::now() + SETTLE_TIMEOUT);
+        let deadline = deadline.min(Instant::now() + READY_TIMEOUT);
         let is_ready = connection.sender.is_ready()
             || matches!(timeout_at(deadline, connection.sender.ready()).await, Ok(Ok(())));
         if is_ready {
-            self.keep(registry, connection);
+            self.return_idle(registry, connection);
         }
     }
 
-    /// Takes the most recently used connection that has rested for [`MIN_REST`] and is open. Where none has, and none
+    /// Takes the most recently used connection that has rested for [`MIN_IDLE_BEFORE_REUSE`] and is open. Where none has, and none
     /// must, takes the one that has rested longest.
     pub fn take_idle(&self) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
         loop {
-            let rested = idle.iter().rposition(|idle| now >= idle.since + MIN_REST);
-            let index = rested.or((!self.must_rest()).then_some(0))?;
+            let idle_enough = idle.iter().rposition(|idle| now >= idle.since + MIN_IDLE_BEFORE_REUSE);
+            let index = idle_enough.or((!self.requires_min_idle()).then_some(0))?;
             let taken = idle.remove(index)?;
-            self.note_unsolicited_data(&taken.connection, now);
+            self.check_unsolicited_data(&taken.connection, now);
             if taken.since.elapsed() < self.max_idle && taken.connection.is_open() {
                 return Some(taken);
             }
@@ -103,11 +103,11 @@
     }
 
     /// Whether unsolicited data came within the time for which a connection that was idle then is kept.
-    fn must_rest(&self) -> bool {
+    fn requires_min_idle(&self) -> bool {
         self.unsolicited_data.get().is_some_and(|at| at.elapsed() < self.max_idle)
     }
 
-    fn note_unsolicited_data(&self, connection: &HttpConnection, now: Instant) {
+    fn check_unsolicited_data(&self, connection: &HttpConnection, now: Instant) {
         if connection.has_unsolicited_data() {
             self.unsolicited_data.set(Some(now));
         }
@@ -130,7 +130,7 @@
     fn sweep(&self, now: Instant) -> bool {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|idle| {
-            self.note_unsolicited_data(&idle.connection, now);
+            self.check_unsolicited_data(&idle.connection, now);
             now < idle.since + self.max_idle && idle.connection.is_open()
         });
         !idle.is_empty()
--- a/crates/node/src/net/upstream/http/transport.rs
+++ b/crates/node/src/net/upstream/http/transport.rs
@@ -113,7 +113,7 @@
             // Before the outcome is reported, so that the next attempt finds the connection. A response that has been
             // read is the outcome, whatever is cancelled or times out meanwhile.
             if let Some(connection) = end.connection {
-                self.endpoint.settle(&self.pool.connections, connection, deadline).await;
+                self.endpoint.return_when_ready(&self.pool.connections, connection, deadline).await;
             }
             let ConnectionTiming { connect_time, idle_time } = progress.timing.get();
             AttemptResult { connect_time, idle_time, ..end.result }
--- a/crates/node/tests/unit/http_transport.rs
+++ b/crates/node/tests/unit/http_transport.rs
@@ -12,7 +12,7 @@
 use super::*;
 use crate::net::memory_budget::MemoryBudget;
 use crate::net::upstream::http::attempt::AttemptStage;
-use crate::net::upstream::http::idle_connections::MIN_REST;
+use crate::net::upstream::http::idle_connections::MIN_IDLE_BEFORE_REUSE;
 use crate::net::upstream::response_classification::StatusPolicy;
 
 /// Most attempts end long before their deadline, and each wake of the loop costs processor time.
@@ -59,7 +59,7 @@
         let start = Instant::now();
         for connection in connections {
             endpoint.push_idle(connection);
-            tokio::time::advance(MIN_REST * 3 / 5).await;
+            tokio::time::advance(MIN_IDLE_BEFORE_REUSE * 3 / 5).await;
         }
         // They have rested for 18, 12 and 6 ms; each is put back as just used.
         let mut order = Vec::new();
@@ -70,7 +70,7 @@
         }
         pool.unsolicited_data.set(Some(Instant::now()));
         let none = endpoint.take_idle().is_none();
-        tokio::time::advance(MIN_REST).await;
+        tokio::time::advance(MIN_IDLE_BEFORE_REUSE).await;
         (order, none, endpoint.take_idle().is_some())
     });
     assert_eq!(reused.await, (vec![6, 0, 12], true, true));
@@ -99,7 +99,7 @@
             assert!(stream.read(&mut [0; 64]).await.unwrap() > 0);
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone").await.unwrap();
             // Some polls of the sockets: the response is read meanwhile. Where they take longer than a connection may
-            // settle, the attempt has ended before the cancel.
+            // return_when_ready, the attempt has ended before the cancel.
             for _ in 0..200 {
                 task::yield_now().await;
             }
