--- a/crates/node/src/net/upstream/fastcgi/connector.rs
+++ b/crates/node/src/net/upstream/fastcgi/connector.rs
@@ -17,7 +17,7 @@
 
 use super::connection::{FastCgiConnection, FastCgiRequest, Param};
 use super::driver::{ConnectionDriver, DriverContext};
-use super::endpoint_connections::{EndpointConnections, Load};
+use super::endpoint_connections::{EndpointConnections, EndpointLoad};
 use super::outcome::FastCgiEnding;
 use super::transport::FastCgiSettings;
 use crate::net::counting_stream::CountingStream;
@@ -144,8 +144,8 @@
         let result = result.await;
         abort_guard.disarm();
         // The connection ended as the request came to it: nothing of it was written.
-        let unsent = FastCgiEnding::ConnectionLost { request_written: false };
-        result.unwrap_or_else(|_| AttemptResult::without_response(unsent.classify().outcome))
+        let not_written = FastCgiEnding::ConnectionLost { request_written: false };
+        result.unwrap_or_else(|_| AttemptResult::without_response(not_written.classify().outcome))
     }
 
     /// Returns the variables of a request; `None` where it can't be expressed in variables.
@@ -185,7 +185,7 @@
             }
         }
         self.endpoint.remove_closed();
-        let free = self.endpoint.fullest_free(self.max_requests_per_connection());
+        let free = self.endpoint.most_loaded_with_capacity(self.max_requests_per_connection());
         if self.is_at_capacity(free.is_some()) {
             let outcome = FastCgiEnding::AtCapacity.classify().outcome;
             return Err(AttemptResult::without_response(outcome));
@@ -197,11 +197,12 @@
     }
 
     /// Whether the endpoint has said that it takes no more requests, or no more connections where none is free.
-    fn is_at_capacity(&self, has_free: bool) -> bool {
+    fn is_at_capacity(&self, has_free_connection: bool) -> bool {
         let ServerValues::Known(values) = self.values.get() else { return false };
-        let Load { connections, in_flight } = self.endpoint.load();
+        let EndpointLoad { connections, in_flight } = self.endpoint.load();
         let reached = |limit: Option<u32>, count: usize| limit.is_some_and(|max| count >= max as usize);
-        reached(values.requests, in_flight) || !has_free && reached(values.connections, connections)
+        reached(values.requests, in_flight)
+            || !has_free_connection && reached(values.connections, connections)
     }
 
     /// Establishes the first connection and requests the endpoint's values on it. Where the endpoint closes it for that,
--- a/crates/node/src/net/upstream/fastcgi/driver.rs
+++ b/crates/node/src/net/upstream/fastcgi/driver.rs
@@ -102,7 +102,7 @@
             // Some applications never end a request that was aborted.
             let abort_due = self.aborted.values().min().map(|since| *since + ABORT_TIMEOUT);
             let unused = Instant::now() + ABORT_TIMEOUT;
-            let goes_on = tokio::select! {
+            let stays_open = tokio::select! {
                 command = self.commands.recv() => self.on_command(command).await,
                 read = self.reader.read(&mut input) => match read {
                     Ok(count) if count > 0 => self.on_input(&input[..count]),
@@ -118,11 +118,11 @@
                     true
                 }
             };
-            if !goes_on {
+            if !stays_open {
                 break;
             }
         }
-        self.end();
+        self.close();
     }
 
     fn is_done(&self) -> bool {
@@ -271,7 +271,7 @@
     }
 
     /// The connection has ended, and all requests on it with it.
-    fn end(mut self) {
+    fn close(mut self) {
         self.connection.closed.set(true);
         self.connection.stream.take();
         for (_, pending) in std::mem::take(&mut self.pending) {
--- a/crates/node/src/net/upstream/fastcgi/endpoint_connections.rs
+++ b/crates/node/src/net/upstream/fastcgi/endpoint_connections.rs
@@ -22,7 +22,7 @@
 }
 
 /// How much an endpoint has from this node.
-pub(super) struct Load {
+pub(super) struct EndpointLoad {
     /// Number of connections.
     pub connections: usize,
     /// Number of requests on all of them.
@@ -64,16 +64,16 @@
     }
 
     /// Returns the connection with the most requests below `max`, so that others become idle and expire.
-    pub fn fullest_free(&self, max: usize) -> Option<Rc<FastCgiConnection>> {
+    pub fn most_loaded_with_capacity(&self, max: usize) -> Option<Rc<FastCgiConnection>> {
         let connections = self.connections.borrow();
         let free = connections.iter().filter(|connection| connection.in_flight.get() < max);
         free.max_by_key(|connection| (connection.in_flight.get(), connection.idle_since.get())).cloned()
     }
 
-    pub fn load(&self) -> Load {
+    pub fn load(&self) -> EndpointLoad {
         let connections = self.connections.borrow();
         let in_flight = connections.iter().map(|connection| connection.in_flight.get()).sum();
-        Load { connections: connections.len(), in_flight }
+        EndpointLoad { connections: connections.len(), in_flight }
     }
 }
 
--- a/crates/node/src/net/upstream/fastcgi/pending_request.rs
+++ b/crates/node/src/net/upstream/fastcgi/pending_request.rs
@@ -88,7 +88,7 @@
         let Self { request, body, .. } = self;
         let FastCgiRequest { reservation, result, .. } = request;
         let response = head.map(|AnswerHead { status, mut headers }| {
-            let length = stated_length(&headers).cloned();
+            let length = content_length(&headers).cloned();
             strip_hop_by_hop(&mut headers);
             // Of a response without a body it states what the body's length would be.
             if let Some(length) = length.filter(|_| is_bodiless && status != StatusCode::NO_CONTENT) {
@@ -106,9 +106,9 @@
         let Some(head) = self.head.as_ref().filter(|_| !self.is_malformed) else {
             return ResponseProgress::Malformed;
         };
-        let has_stated_length =
-            stated_length(&head.headers).is_none_or(|length| parsed(length) == Some(self.body.len()));
-        if !self.is_bodiless() && !has_stated_length {
+        let length_matches =
+            content_length(&head.headers).is_none_or(|length| parse_length(length) == Some(self.body.len()));
+        if !self.is_bodiless() && !length_matches {
             return ResponseProgress::Malformed;
         }
         ResponseProgress::Complete(ResponseHead {
@@ -125,10 +125,10 @@
     }
 }
 
-fn stated_length(headers: &HeaderMap) -> Option<&HeaderValue> {
+fn content_length(headers: &HeaderMap) -> Option<&HeaderValue> {
     headers.get(header::CONTENT_LENGTH)
 }
 
-fn parsed(length: &HeaderValue) -> Option<usize> {
+fn parse_length(length: &HeaderValue) -> Option<usize> {
     length.to_str().ok().and_then(|text| text.parse().ok())
 }
