--- a/crates/node/src/net/downstream/accept.rs
+++ b/crates/node/src/net/downstream/accept.rs
@@ -49,7 +49,7 @@
     /// Accepts the next connection. Where the budget is exhausted, others are evicted, or it waits for one to end.
     pub(super) async fn accept(&self, listener: &TcpListener) -> Accepted {
         loop {
-            if self.budget.is_overfull() {
+            if self.budget.is_overflow_full() {
                 self.budget.evict_one();
                 sleep(FULL_RETRY_DELAY).await;
                 continue;
@@ -78,8 +78,12 @@
             Protocol::Http => CountingStream::capturing_heads(stream),
             Protocol::FastCgi => CountingStream::new(stream),
         };
-        let connection =
-            DownstreamConnection::new(stream, over_limit, self.options.clone(), self.budget.requesting());
+        let connection = DownstreamConnection::new(
+            stream,
+            over_limit,
+            self.options.clone(),
+            self.budget.requesting_count(),
+        );
         self.budget.add(&connection);
         task::spawn_local(async move {
             match protocol {
--- a/crates/node/src/net/downstream/connection.rs
+++ b/crates/node/src/net/downstream/connection.rs
@@ -24,7 +24,7 @@
     stage: Cell<ConnectionStage>,
     used: Cell<bool>,
     /// The counter of connections with requests; see [`super::connection_budget::ConnectionBudget`].
-    requesting: Rc<Cell<usize>>,
+    requesting_count: Rc<Cell<usize>>,
     /// Whether this connection counts itself there.
     is_counted: Cell<bool>,
     /// When it was accepted, had its last response, or was closed.
@@ -58,13 +58,13 @@
         stream: CountingStream,
         over_limit: bool,
         options: Rc<Cell<ListenerOptions>>,
-        requesting: Rc<Cell<usize>>,
+        requesting_count: Rc<Cell<usize>>,
     ) -> Rc<Self> {
         Rc::new(Self {
             stream,
             stage: Cell::new(ConnectionStage::Waiting),
             used: Cell::new(false),
-            requesting,
+            requesting_count,
             is_counted: Cell::new(false),
             last_activity: Cell::new(Instant::now()),
             index: Cell::new(0),
@@ -94,8 +94,8 @@
             ConnectionStage::Lingering | ConnectionStage::Ending => false,
         };
         if self.is_counted.replace(has_requests) != has_requests {
-            let count = self.requesting.get();
-            self.requesting.set(if has_requests { count + 1 } else { count - 1 });
+            let count = self.requesting_count.get();
+            self.requesting_count.set(if has_requests { count + 1 } else { count - 1 });
         }
     }
 
@@ -169,7 +169,7 @@
 impl Drop for DownstreamConnection {
     fn drop(&mut self) {
         if self.is_counted.get() {
-            self.requesting.set(self.requesting.get() - 1);
+            self.requesting_count.set(self.requesting_count.get() - 1);
         }
     }
 }
--- a/crates/node/src/net/downstream/connection_budget.rs
+++ b/crates/node/src/net/downstream/connection_budget.rs
@@ -13,15 +13,15 @@
 /// Once this part of all descriptors is taken by connections with requests, each connection closes with its next response.
 /// Otherwise clients that keep connections open take all of them while the node is idle. Clients that send many requests
 /// reconnect more often.
-const CROWDED_DIVISOR: usize = 4;
+const KEEP_ALIVE_DIVISOR: usize = 4;
 
 /// The client connections of all listeners.
 pub struct ConnectionBudget {
     connections: RefCell<Vec<Rc<DownstreamConnection>>>,
     /// Number of connections that have a request, or had one and may send another; each counts itself.
-    requesting: Rc<Cell<usize>>,
+    requesting_count: Rc<Cell<usize>>,
     limit: usize,
-    crowded_limit: usize,
+    keep_alive_limit: usize,
 }
 
 impl ConnectionBudget {
@@ -29,9 +29,9 @@
     pub fn new(limit: usize, descriptors: usize) -> Rc<Self> {
         Rc::new(Self {
             connections: RefCell::default(),
-            requesting: Rc::default(),
+            requesting_count: Rc::default(),
             limit,
-            crowded_limit: descriptors / CROWDED_DIVISOR,
+            keep_alive_limit: descriptors / KEEP_ALIVE_DIVISOR,
         })
     }
 
@@ -51,13 +51,13 @@
     }
 
     /// Whether there is no descriptor left for a connection that only gets a rejection.
-    pub fn is_overfull(&self) -> bool {
+    pub fn is_overflow_full(&self) -> bool {
         self.count() >= self.limit + OVERFLOW_CONNECTIONS
     }
 
     /// The counter of connections with requests, for a new connection.
-    pub fn requesting(&self) -> Rc<Cell<usize>> {
-        self.requesting.clone()
+    pub fn requesting_count(&self) -> Rc<Cell<usize>> {
+        self.requesting_count.clone()
     }
 
     /// Adds a connection.
@@ -105,7 +105,7 @@
     }
 
     /// Whether connections with requests leave few descriptors for others.
-    pub fn is_crowded(&self) -> bool {
-        self.requesting.get() >= self.crowded_limit
+    pub fn disables_keep_alive(&self) -> bool {
+        self.requesting_count.get() >= self.keep_alive_limit
     }
 }
--- a/crates/node/src/net/downstream/http.rs
+++ b/crates/node/src/net/downstream/http.rs
@@ -135,12 +135,12 @@
         let read_due = read_from + self.options.get().request_timeout;
         let reply = self.reply(connection, client_ip, request, framing, read_due).await;
         let HttpReply { mut response, is_upload_unfinished } = reply;
-        let is_crowded = connection.over_limit || self.budget.is_crowded();
+        let closes_after_response = connection.over_limit || self.budget.disables_keep_alive();
         // After an error status a client that expects 100 may send its body all the same, or the next request.
         let is_next_ambiguous = expects_continue && response.status().as_u16() >= 400;
         if self.draining.get()
             || self.is_lame_duck()
-            || is_crowded
+            || closes_after_response
             || is_next_ambiguous
             || is_upload_unfinished
             || !matches!(framing, BodyFraming::Length(_))
