--- a/crates/node/src/net/downstream/accept.rs
+++ b/crates/node/src/net/downstream/accept.rs
@@ -100,7 +100,7 @@
 
     /// Reads on after the last response for as long as that may take to arrive.
     pub(super) async fn linger(&self, connection: &DownstreamConnection) {
-        connection.set_stage(ConnectionStage::Lingering, connection.used());
+        connection.set_stage(ConnectionStage::Lingering, connection.has_served());
         connection.last_activity.set(tokio::time::Instant::now());
         tokio::select! {
             _ = timeout(LINGER_TIMEOUT, connection.stream.drain_until_closed()) => {}
--- a/crates/node/src/net/downstream/connection.rs
+++ b/crates/node/src/net/downstream/connection.rs
@@ -11,7 +11,7 @@
 use crate::net::counting_stream::{CountingStream, UnreadState};
 
 /// Where descriptors are short, a connection may be evicted that has sent nothing for this long since it was accepted ...
-const MIN_SILENCE_BEFORE_EVICTION: Duration = Duration::from_millis(60);
+const MIN_INITIAL_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(60);
 /// ... that has been idle for this long since its last response ...
 pub const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(20);
 /// ... or that has taken this long over the head of a request, or over reading its response.
@@ -22,7 +22,7 @@
     /// Its socket.
     pub stream: CountingStream,
     stage: Cell<ConnectionStage>,
-    used: Cell<bool>,
+    has_served: Cell<bool>,
     /// The counter of connections with requests; see [`super::connection_budget::ConnectionBudget`].
     requesting_count: Rc<Cell<usize>>,
     /// Whether this connection counts itself there.
@@ -63,7 +63,7 @@
         Rc::new(Self {
             stream,
             stage: Cell::new(ConnectionStage::Waiting),
-            used: Cell::new(false),
+            has_served: Cell::new(false),
             requesting_count,
             is_counted: Cell::new(false),
             last_activity: Cell::new(Instant::now()),
@@ -80,17 +80,17 @@
     }
 
     /// Whether it has had a response.
-    pub fn used(&self) -> bool {
-        self.used.get()
+    pub fn has_served(&self) -> bool {
+        self.has_served.get()
     }
 
     /// Sets the stage, and whether it has had a response.
-    pub fn set_stage(&self, stage: ConnectionStage, used: bool) {
+    pub fn set_stage(&self, stage: ConnectionStage, has_served: bool) {
         self.stage.set(stage);
-        self.used.set(used);
+        self.has_served.set(has_served);
         let has_requests = match stage {
             ConnectionStage::Busy => true,
-            ConnectionStage::Waiting => used,
+            ConnectionStage::Waiting => has_served,
             ConnectionStage::Lingering | ConnectionStage::Ending => false,
         };
         if self.is_counted.replace(has_requests) != has_requests {
@@ -116,7 +116,7 @@
     }
 
     /// Whether a request has come, as far as can be seen, whose response has not arrived, or only just.
-    pub fn owes_response(&self) -> bool {
+    pub fn has_pending_response(&self) -> bool {
         match self.stage.get() {
             ConnectionStage::Busy => true,
             ConnectionStage::Waiting => self.stream.is_blocked() || self.stream.unread() == UnreadState::Data,
@@ -127,17 +127,17 @@
 
     /// Rank for eviction, lowest first; `None` where it must not be evicted.
     pub fn eviction_rank(&self, now: Instant) -> Option<u8> {
-        let rested = |time| now.saturating_duration_since(self.last_activity.get()) >= time;
+        let inactive_for = |time| now.saturating_duration_since(self.last_activity.get()) >= time;
         match (self.stage.get(), self.stream.head_started_at()) {
-            (ConnectionStage::Lingering, _) => rested(MIN_IDLE_BEFORE_EVICTION).then_some(0),
+            (ConnectionStage::Lingering, _) => inactive_for(MIN_IDLE_BEFORE_EVICTION).then_some(0),
             // Its last response waits for the client to read: closing now would cut it off.
             (ConnectionStage::Waiting, _) if self.stream.is_blocked() => {
-                rested(MIN_STALL_BEFORE_EVICTION).then_some(3)
+                inactive_for(MIN_STALL_BEFORE_EVICTION).then_some(3)
             }
-            (ConnectionStage::Waiting, None) if !self.used.get() => {
-                rested(MIN_SILENCE_BEFORE_EVICTION).then_some(1)
+            (ConnectionStage::Waiting, None) if !self.has_served.get() => {
+                inactive_for(MIN_INITIAL_IDLE_BEFORE_EVICTION).then_some(1)
             }
-            (ConnectionStage::Waiting, None) => rested(MIN_IDLE_BEFORE_EVICTION).then_some(2),
+            (ConnectionStage::Waiting, None) => inactive_for(MIN_IDLE_BEFORE_EVICTION).then_some(2),
             (ConnectionStage::Waiting, Some(started)) => {
                 (now >= started + MIN_STALL_BEFORE_EVICTION).then_some(3)
             }
@@ -150,7 +150,7 @@
         let ListenerOptions { request_timeout, idle_timeout, .. } = self.options.get();
         self.stage.get() == ConnectionStage::Waiting
             && match self.stream.head_started_at() {
-                _ if !self.used.get() => now >= self.last_activity.get() + request_timeout,
+                _ if !self.has_served.get() => now >= self.last_activity.get() + request_timeout,
                 Some(started) => now >= started + request_timeout,
                 None => {
                     now >= self.last_activity.get() + idle_timeout
@@ -161,7 +161,7 @@
 
     /// Closes it at once.
     pub fn close_now(&self) {
-        self.set_stage(ConnectionStage::Ending, self.used());
+        self.set_stage(ConnectionStage::Ending, self.has_served());
         self.close.notify_one();
     }
 }
--- a/crates/node/src/net/downstream/drain.rs
+++ b/crates/node/src/net/downstream/drain.rs
@@ -49,7 +49,7 @@
             // Connections from now on are another process's, those that wait in the socket too.
             drop(listener);
         } else {
-            self.accept_last(listener, start, fail_at).await;
+            self.accept_remaining(listener, start, fail_at).await;
         }
         while self.connection_count() > 0 {
             let now = Instant::now();
@@ -62,7 +62,7 @@
                 self.close_idle(Duration::ZERO, Duration::ZERO);
             }
             // An exit after a request was read, or while its response is written, would lose it.
-            if now >= fail_at && !self.owes_response() || now >= fail_at + EXIT_MARGIN {
+            if now >= fail_at && !self.has_pending_response() || now >= fail_at + EXIT_MARGIN {
                 break;
             }
             sleep(CHECK_INTERVAL).await;
@@ -70,7 +70,7 @@
     }
 
     /// Goes on accepting while new connections come.
-    async fn accept_last(self: &Rc<Self>, listener: TcpListener, start: Instant, end: Instant) {
+    async fn accept_remaining(self: &Rc<Self>, listener: TcpListener, start: Instant, end: Instant) {
         let mut last = start;
         loop {
             self.close_idle(MIN_IDLE_BEFORE_EVICTION, NEW_CONNECTION_GRACE);
@@ -100,10 +100,10 @@
     }
 
     /// Whether a request has come that is without its whole response, or one was written just now.
-    fn owes_response(&self) -> bool {
-        let mut owes = false;
-        self.budget.for_each_of(self, |connection| owes |= connection.owes_response());
-        owes
+    fn has_pending_response(&self) -> bool {
+        let mut has_pending = false;
+        self.budget.for_each_of(self, |connection| has_pending |= connection.has_pending_response());
+        has_pending
     }
 
     fn connection_count(&self) -> usize {
@@ -115,7 +115,7 @@
     /// Closes connections without a request: `used_idle` after their last response, or `new_idle` after the accept.
     pub(super) fn close_idle(&self, used_idle: Duration, new_idle: Duration) {
         self.budget.for_each_of(self, |connection| {
-            let min_idle = if connection.used() { used_idle } else { new_idle };
+            let min_idle = if connection.has_served() { used_idle } else { new_idle };
             if connection.is_idle() && connection.last_activity.get().elapsed() > min_idle {
                 connection.close_now();
             }
--- a/crates/node/src/net/downstream/http.rs
+++ b/crates/node/src/net/downstream/http.rs
@@ -105,7 +105,7 @@
         request: Request<Incoming>,
         progress: &RequestProgress,
     ) -> Response<ResponseBody> {
-        connection.set_stage(ConnectionStage::Busy, connection.used());
+        connection.set_stage(ConnectionStage::Busy, connection.has_served());
         progress.awaits_response.set(true);
         let mut response = self.respond(connection, client_ip, request).await;
         progress.awaits_response.set(false);
@@ -128,7 +128,7 @@
         client_ip: IpAddr,
         request: Request<Incoming>,
     ) -> Response<ResponseBody> {
-        let read_from = if connection.used() { Instant::now() } else { connection.last_activity.get() };
+        let read_from = if connection.has_served() { Instant::now() } else { connection.last_activity.get() };
         let framing = BodyFraming::parse(&connection.stream.take_head());
         connection.stream.skip_body(framing.body_length());
         let expects_continue = request.headers().contains_key(header::EXPECT);
--- a/crates/node/tests/unit/downstream.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -207,7 +207,7 @@
             while !closed {
                 task::yield_now().await;
                 downstream.budget.for_each_of(&downstream, |connection| {
-                    if connection.used() && connection.is_idle() {
+                    if connection.has_served() && connection.is_idle() {
                         // Runs before the connection's task.
                         task::spawn_local(async {});
                         connection.close_now();
@@ -246,7 +246,7 @@
         while !blocked {
             task::yield_now().await;
             downstream.budget.for_each_of(&downstream, |connection| {
-                blocked = connection.used() && connection.stream.is_blocked();
+                blocked = connection.has_served() && connection.stream.is_blocked();
             });
         }
         tokio::time::advance(2 * MIN_IDLE_BEFORE_EVICTION).await;
