--- a/crates/node/src/net/downstream/fastcgi/mod.rs
+++ b/crates/node/src/net/downstream/fastcgi/mod.rs
@@ -32,15 +32,15 @@
         connection: &Rc<DownstreamConnection>,
         client_ip: IpAddr,
     ) {
-        let (to_finished, mut finished) = mpsc::unbounded_channel();
+        let (finished_sender, mut finished) = mpsc::unbounded_channel();
         let idle_timeout = self.options.get().idle_timeout;
-        let mut session = FastCgiSession::new(self.clone(), connection.clone(), client_ip, to_finished);
+        let mut session = FastCgiSession::new(self.clone(), connection.clone(), client_ip, finished_sender);
         let (mut reader, mut writer) = split(connection.stream.clone());
         let mut input = vec![0; CHUNK_BYTES];
         loop {
             session.fill_output();
             session.update_stage();
-            if session.is_over() {
+            if session.is_finished() {
                 return;
             }
             let read_due = session.read_due();
--- a/crates/node/src/net/downstream/fastcgi/session.rs
+++ b/crates/node/src/net/downstream/fastcgi/session.rs
@@ -126,7 +126,7 @@
     }
 
     /// Whether the connection is of no further use.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         let may_close =
             self.listener.draining.get() || self.connection.over_limit && self.connection.has_served();
         self.output.is_empty() && self.server.is_over() || self.is_idle() && may_close
