--- a/crates/node/src/net/admission.rs
+++ b/crates/node/src/net/admission.rs
@@ -42,7 +42,7 @@
     /// How it is answered.
     pub style: ResponseStyle,
     /// It is rejected if it has a body.
-    pub must_be_empty: bool,
+    pub requires_empty_body: bool,
 }
 
 /// Why a request is answered without a pool.
--- a/crates/node/src/net/downstream/proxy.rs
+++ b/crates/node/src/net/downstream/proxy.rs
@@ -19,9 +19,9 @@
         body: ReceivedBody,
         over_limit: bool,
     ) -> Response<ResponseBody> {
-        let AdmittedRequest { pool, mut request, style, must_be_empty } = admitted;
+        let AdmittedRequest { pool, mut request, style, requires_empty_body } = admitted;
         let class = request.class;
-        if must_be_empty && !body.is_empty() {
+        if requires_empty_body && !body.is_empty() {
             return response::error(&RequestError::MethodNotAllowed(Vec::new()));
         }
         if let Some(reason) = self.local_rejection(over_limit) {
--- a/crates/node/src/platform/admission.rs
+++ b/crates/node/src/platform/admission.rs
@@ -139,12 +139,12 @@
                 ..UpstreamRequest::default()
             },
         };
-        let must_be_empty = *head.method == Method::GET;
+        let requires_empty_body = *head.method == Method::GET;
         Ok(AdmittedRequest {
             pool: self.pool.clone(),
             request,
             style: ResponseStyle::Platform,
-            must_be_empty,
+            requires_empty_body,
         })
     }
 }
--- a/crates/node/src/standalone/route_admission.rs
+++ b/crates/node/src/standalone/route_admission.rs
@@ -112,7 +112,7 @@
         // Answers of all endpoints count as HTTP/1.1: the node has parsed them whole.
         let via = table.via(Version::HTTP_11).unwrap_or(DEFAULT_VIA);
         let pool = routing.pools[routed.pool].clone();
-        Ok(AdmittedRequest { pool, request, style: ResponseStyle::Gateway(via), must_be_empty: false })
+        Ok(AdmittedRequest { pool, request, style: ResponseStyle::Gateway(via), requires_empty_body: false })
     }
 }
 
--- a/crates/node/tests/unit/downstream.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -100,7 +100,7 @@
             },
         };
         let style = ResponseStyle::Gateway(HeaderValue::from_static("1.1 a"));
-        Ok(AdmittedRequest { pool: self.pool.clone(), request, style, must_be_empty: false })
+        Ok(AdmittedRequest { pool: self.pool.clone(), request, style, requires_empty_body: false })
     }
 }
 
