--- a/crates/node/src/net/recorder_sink.rs
+++ b/crates/node/src/net/recorder_sink.rs
@@ -11,7 +11,7 @@
 use crate::net::clock::Clock;
 
 /// Greatest number of endpoints whose last state is remembered, to record changes alone.
-const MAX_REMEMBERED_ENDPOINTS: usize = 20_000;
+const MAX_TRACKED_ENDPOINTS: usize = 20_000;
 
 /// A node's recorder; all events come from one thread.
 #[derive(Clone)]
@@ -37,8 +37,8 @@
     }
 
     /// Uses the recorder; `None` where it is in use, as in a panic within a record.
-    pub fn with<T>(&self, use_it: impl FnOnce(&mut Recorder) -> T) -> Option<T> {
-        self.0.recorder.try_borrow_mut().ok().map(|mut recorder| use_it(&mut recorder))
+    pub fn with<T>(&self, operation: impl FnOnce(&mut Recorder) -> T) -> Option<T> {
+        self.0.recorder.try_borrow_mut().ok().map(|mut recorder| operation(&mut recorder))
     }
 }
 
@@ -49,13 +49,13 @@
     clock: Clock,
     pool: PoolId,
     /// The state that was recorded last of each endpoint.
-    recorded: Rc<RefCell<FxHashMap<EndpointId, EndpointState>>>,
+    last_states: Rc<RefCell<FxHashMap<EndpointId, EndpointState>>>,
 }
 
 impl RecorderSink {
     /// A sink for the events of a pool.
     pub fn new(shared: &SharedRecorder, clock: Clock, pool: PoolId) -> Self {
-        Self { shared: shared.clone(), clock, pool, recorded: Rc::default() }
+        Self { shared: shared.clone(), clock, pool, last_states: Rc::default() }
     }
 
     /// Whether anything is recorded.
@@ -93,7 +93,7 @@
     }
 
     fn record_endpoint(&self, info: &EndpointInfo, name: Option<&str>) {
-        if !self.remember(info.id, info.state) {
+        if !self.update_last_state(info.id, info.state) {
             return;
         }
         if let Some(name) = name {
@@ -103,15 +103,15 @@
     }
 
     /// Remembers an endpoint's state; returns whether it has changed.
-    fn remember(&self, id: EndpointId, state: EndpointState) -> bool {
-        let mut recorded = self.recorded.borrow_mut();
-        if recorded.get(&id) == Some(&state) {
+    fn update_last_state(&self, id: EndpointId, state: EndpointState) -> bool {
+        let mut last_states = self.last_states.borrow_mut();
+        if last_states.get(&id) == Some(&state) {
             return false;
         }
-        if recorded.len() >= MAX_REMEMBERED_ENDPOINTS {
-            recorded.clear();
+        if last_states.len() >= MAX_TRACKED_ENDPOINTS {
+            last_states.clear();
         }
-        recorded.insert(id, state);
+        last_states.insert(id, state);
         true
     }
 }
