--- a/crates/node/src/net/downstream/request_body.rs
+++ b/crates/node/src/net/downstream/request_body.rs
@@ -88,7 +88,7 @@
     let wanted = length.map_or(max_buffered, |length| {
         usize::try_from(length).unwrap_or(MAX_RETRYABLE_BYTES).min(MAX_RETRYABLE_BYTES)
     });
-    let limit = if wanted > max_buffered && reservation.try_grow(wanted) { wanted } else { max_buffered };
+    let limit = if wanted > max_buffered && reservation.try_grow_to(wanted) { wanted } else { max_buffered };
     let mut buffer = BytesMut::new();
     let mut pace = PaceMonitor::new(UPLOAD_PACE_LIMITS, Instant::now());
     loop {
--- a/crates/node/src/net/memory_budget.rs
+++ b/crates/node/src/net/memory_budget.rs
@@ -37,7 +37,7 @@
     }
 
     /// Grows to `size` bytes; returns whether the budget allows it.
-    pub fn try_grow(&mut self, size: usize) -> bool {
+    pub fn try_grow_to(&mut self, size: usize) -> bool {
         let more = size.saturating_sub(self.size);
         let Some(left) = self.budget.0.load(Ordering::Relaxed).checked_sub(more) else { return false };
         self.budget.0.store(left, Ordering::Relaxed);
@@ -46,8 +46,8 @@
     }
 
     /// Grows in steps of [`SMALL_BODY_BYTES`] where a body of `size` bytes needs it; returns whether the budget allows it.
-    pub fn try_cover(&mut self, size: usize) -> bool {
-        size <= SMALL_BODY_BYTES.max(self.size) || self.try_grow(size.next_multiple_of(SMALL_BODY_BYTES))
+    pub fn try_grow_to_fit(&mut self, size: usize) -> bool {
+        size <= SMALL_BODY_BYTES.max(self.size) || self.try_grow_to(size.next_multiple_of(SMALL_BODY_BYTES))
     }
 }
 
--- a/crates/node/src/net/upstream/fastcgi/pending_request.rs
+++ b/crates/node/src/net/upstream/fastcgi/pending_request.rs
@@ -64,7 +64,7 @@
             return;
         }
         let size = self.body.len() + part.len();
-        let has_memory = self.request.reservation.try_cover(size);
+        let has_memory = self.request.reservation.try_grow_to_fit(size);
         if size as u64 > self.request.max_body || !has_memory {
             self.is_malformed = true;
             self.body = BytesMut::new();
--- a/crates/node/src/net/upstream/http/response_reader.rs
+++ b/crates/node/src/net/upstream/http/response_reader.rs
@@ -118,7 +118,7 @@
             return ReadResponse::Complete(AttemptResult { response, ..result });
         }
         let mut reservation = self.memory.reservation();
-        if !reservation.try_grow(STREAM_RESERVATION_BYTES) {
+        if !reservation.try_grow_to(STREAM_RESERVATION_BYTES) {
             return ReadResponse::reset();
         }
         let (stream, progress) = StreamedBody::new(start.data, body, length, reservation);
@@ -138,7 +138,7 @@
     ) -> ReadResponse {
         let mut reservation = self.memory.reservation();
         if length.is_some_and(|length| length > SMALL_BODY_BYTES as u64)
-            && !reservation.try_grow(max as usize)
+            && !reservation.try_grow_to(max as usize)
         {
             return ReadResponse::reset();
         }
@@ -197,7 +197,7 @@
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else { continue };
         size += data.len();
-        if size as u64 > max || !reservation.try_cover(size) {
+        if size as u64 > max || !reservation.try_grow_to_fit(size) {
             return None;
         }
         // Most bodies come in one piece, which is passed on without a copy.
