--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -9,7 +9,7 @@
 /// Nanoseconds in a millisecond.
 pub const MILLISECOND: Nanos = SECOND / 1_000;
 /// Furthest time ahead that has an instant, in nanoseconds: a greater one need not fit.
-const MAX_AHEAD: Nanos = u32::MAX as Nanos * SECOND;
+const MAX_INSTANT_OFFSET: Nanos = u32::MAX as Nanos * SECOND;
 
 /// A clock; its copies show the same time. Times are Unix nanoseconds.
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
 
     /// The instant of a time.
     pub fn instant_at(&self, time: Nanos) -> Instant {
-        let ahead = time.saturating_sub(self.started_at).min(MAX_AHEAD);
+        let ahead = time.saturating_sub(self.started_at).min(MAX_INSTANT_OFFSET);
         self.start + Duration::from_nanos(ahead)
     }
 }
--- a/crates/node/src/net/endpoint_directory.rs
+++ b/crates/node/src/net/endpoint_directory.rs
@@ -29,7 +29,7 @@
     /// As the decision module has it.
     info: EndpointInfo,
     /// Its address refused the last connection.
-    refused_last: bool,
+    last_connect_refused: bool,
 }
 
 /// The endpoints of a pool.
@@ -155,10 +155,10 @@
     ) -> Option<EndpointUpdate> {
         let entry = self.entries.get_mut(&id)?;
         if refused {
-            entry.refused_last = true;
+            entry.last_connect_refused = true;
             return None;
         }
-        if !connected || !std::mem::take(&mut entry.refused_last) {
+        if !connected || !std::mem::take(&mut entry.last_connect_refused) {
             return None;
         }
         entry.started_at_ms = now_ms;
@@ -182,7 +182,7 @@
             started_at_ms: endpoint.started_at_ms,
             connector: transport.connector(&endpoint.address),
             info: info.clone(),
-            refused_last: false,
+            last_connect_refused: false,
         };
         let entry = self.entries.entry(id).or_insert_with(new_entry);
         if entry.started_at_ms != endpoint.started_at_ms
--- a/crates/node/src/net/pool_handle.rs
+++ b/crates/node/src/net/pool_handle.rs
@@ -55,9 +55,9 @@
     }
 
     /// Records that a listener rejected a request of this class without asking the pool.
-    pub fn record_local_rejection(&self, class: usize, why: ListenerRejection) {
+    pub fn record_local_rejection(&self, class: usize, reason: ListenerRejection) {
         if let Some(recorder) = &self.recorder {
-            recorder.record(&Event::RejectedByListener { class: class as u16, reason: why });
+            recorder.record(&Event::RejectedByListener { class: class as u16, reason });
         }
     }
 
@@ -67,7 +67,7 @@
     pub async fn proxy(&self, request: ProxyRequest) -> Option<FinalResponse> {
         let id_guard = self.active_requests.claim(&request.correlation_id)?;
         let active_guard = self.active_requests.count_request();
-        let id = self.take_id();
+        let id = self.allocate_id();
         let mut notifier = DisconnectNotifier { handle: self, id, answered: false };
         let (responder, response) = oneshot::channel();
         self.send(PoolMessage::Request(Box::new(NewProxyRequest {
@@ -87,7 +87,7 @@
         Some(response)
     }
 
-    fn take_id(&self) -> RequestId {
+    fn allocate_id(&self) -> RequestId {
         let id = RequestId(self.next_id.get());
         self.next_id.set(id.0.wrapping_add(1));
         id
