--- a/crates/node/src/net/discovery/watch.rs
+++ b/crates/node/src/net/discovery/watch.rs
@@ -20,7 +20,7 @@
 use crate::net::discovery::json_stream::{JsonStream, JsonStreamError};
 
 /// Interval of heartbeats while nothing changes (the platform's protocol).
-const HEARTBEAT: Duration = Duration::from_secs(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// Timeout of the response head; the service answers or rejects within 2 s.
 const RESPONSE_TIMEOUT: Duration = Duration::from_nanos(DISCOVERY_CALL_TIMEOUT);
 /// A watch that is silent for this long has missed two heartbeats and is lost. Changes that it misses bind this node from
@@ -81,20 +81,20 @@
     is_agent: bool,
     mut on_list: impl FnMut(EndpointList),
 ) -> WatchError {
-    match follow(address, after, is_agent, &mut on_list).await {
+    match run_watch(address, after, is_agent, &mut on_list).await {
         Ok(never) => match never {},
         Err(error) => error,
     }
 }
 
-async fn follow(
+async fn run_watch(
     address: SocketAddr,
     after: u64,
     is_agent: bool,
     on_list: &mut impl FnMut(EndpointList),
 ) -> Result<std::convert::Infallible, WatchError> {
     let timeouts = if is_agent {
-        Timeouts { response: AGENT_TIMEOUT, idle: HEARTBEAT + AGENT_TIMEOUT }
+        Timeouts { response: AGENT_TIMEOUT, idle: HEARTBEAT_INTERVAL + AGENT_TIMEOUT }
     } else {
         Timeouts { response: RESPONSE_TIMEOUT, idle: IDLE_TIMEOUT }
     };
@@ -133,11 +133,11 @@
     on_list: &mut impl FnMut(EndpointList),
 ) -> Result<std::convert::Infallible, WatchError> {
     let mut stream = JsonStream::default();
-    let mut document_started: Option<Instant> = None;
+    let mut object_started: Option<Instant> = None;
     let mut idle_due = first_due;
     loop {
         // Heartbeats go on inside a list that was cut off and never ends; nothing after it would be understood.
-        let due = document_started.map_or(idle_due, |started| idle_due.min(started + HEARTBEAT));
+        let due = object_started.map_or(idle_due, |started| idle_due.min(started + HEARTBEAT_INTERVAL));
         let frame = match timeout_at(due, body.frame()).await {
             Ok(Some(frame)) => frame?,
             Ok(None) => return Err(WatchError::Ended),
@@ -145,10 +145,10 @@
             Err(elapsed) => return Err(elapsed.into()),
         };
         let Ok(data) = frame.into_data() else { continue };
-        for document in stream.push(&data) {
-            on_list(serde_json::from_slice(&document?)?);
+        for object in stream.push(&data) {
+            on_list(serde_json::from_slice(&object?)?);
         }
-        document_started = stream.is_inside_object().then(|| document_started.unwrap_or_else(Instant::now));
+        object_started = stream.is_inside_object().then(|| object_started.unwrap_or_else(Instant::now));
         idle_due = Instant::now() + idle;
     }
 }
--- a/crates/node/tests/unit/discovery.rs
+++ b/crates/node/tests/unit/discovery.rs
@@ -70,7 +70,10 @@
         assert!(silent_for(true, sent) + AGENT_RETRY_DELAY < grace);
     }
     let watched = silent_for(true, Sent::List);
-    assert!(watched > HEARTBEAT && watched + AGENT_RETRY_DELAY < HEARTBEAT + grace, "{watched:?}");
+    assert!(
+        watched > HEARTBEAT_INTERVAL && watched + AGENT_RETRY_DELAY < HEARTBEAT_INTERVAL + grace,
+        "{watched:?}"
+    );
 }
 
 /// Two heartbeats of a service that all nodes share may be late, and it may let a call wait for 2 s. A missed change binds 6 s
@@ -81,7 +84,10 @@
     let (call, kept) = (Duration::from_secs(2), Duration::from_secs(8));
     for sent in [Sent::Head, Sent::List] {
         let watched = silent_for(false, sent);
-        assert!(watched > HEARTBEAT * 2 && watched + Duration::from_secs(1) + call < kept, "{watched:?}");
+        assert!(
+            watched > HEARTBEAT_INTERVAL * 2 && watched + Duration::from_secs(1) + call < kept,
+            "{watched:?}"
+        );
     }
     let waited = silent_for(false, Sent::Nothing);
     assert!(waited > call && waited + Duration::from_secs(2) + call < kept, "{waited:?}");
