--- a/crates/node/src/net/pool_loop/attempts.rs
+++ b/crates/node/src/net/pool_loop/attempts.rs
@@ -14,7 +14,7 @@
 use crate::net::upstream::transport::{AttemptDeadlines, EndpointConnector};
 
 /// The outcomes that prove a connection to the endpoint.
-const CONNECTED: [AttemptOutcome; 4] =
+const CONNECTED_OUTCOMES: [AttemptOutcome; 4] =
     [AttemptOutcome::Success, AttemptOutcome::Error, AttemptOutcome::Rejected, AttemptOutcome::TimedOut];
 
 /// An attempt that is about to start.
@@ -42,7 +42,7 @@
         let end = timeout.map_or(in_flight.deadline, |timeout| in_flight.deadline.min(now + timeout));
         let may_start = in_flight.responder.is_some() && now < end && !in_flight.upload_has_started();
         let Some(connector) = self.directory.connector(endpoint).filter(|_| may_start).cloned() else {
-            return self.end_unsent(id, attempt, endpoint);
+            return self.end_without_sending(id, attempt, endpoint);
         };
         let deadlines = AttemptDeadlines {
             deadline: self.clock.instant_at(end),
@@ -78,7 +78,7 @@
     }
 
     /// Ends an attempt that was never written.
-    fn end_unsent(&mut self, id: RequestId, attempt: AttemptNo, endpoint: EndpointId) {
+    fn end_without_sending(&mut self, id: RequestId, attempt: AttemptNo, endpoint: EndpointId) {
         let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
         in_flight.attempts.push(None);
         let outcome = AttemptOutcome::NotSent;
@@ -129,7 +129,7 @@
         if let Some(response) = result.response {
             self.take_response(id, outcome, response);
         }
-        self.finish_partly_sent(id, outcome);
+        self.finish_partially_sent(id, outcome);
         self.observe_connect_result(endpoint, outcome, result.connection_refused);
         let final_answer = self.in_flight.get(&id).is_none_or(|in_flight| in_flight.responder.is_none());
         self.events.push_back(Event::AttemptEnded(AttemptEnded {
@@ -140,7 +140,7 @@
             duration,
             final_answer,
         }));
-        self.release_if_done(id);
+        self.remove_if_done(id);
     }
 
     /// How long the endpoint took, which without a streamed body is the duration of the attempt.
@@ -178,7 +178,7 @@
 
     /// Responds to a request of whose body part was sent to the endpoint: no retry is possible, so the end of this
     /// attempt decides.
-    fn finish_partly_sent(&mut self, id: RequestId, outcome: AttemptOutcome) {
+    fn finish_partially_sent(&mut self, id: RequestId, outcome: AttemptOutcome) {
         let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
         let Some(upload) = in_flight.request.upload.as_ref().filter(|upload| upload.has_started()) else {
             return;
@@ -201,7 +201,7 @@
         if self.watch.has_service() {
             return;
         }
-        let connected = CONNECTED.contains(&outcome);
+        let connected = CONNECTED_OUTCOMES.contains(&outcome);
         let now_ms = self.now() / MILLISECOND;
         if let Some(update) = self.directory.observe_connect_result(endpoint, refused, connected, now_ms) {
             self.publish(update);
--- a/crates/node/src/net/pool_loop/requests.rs
+++ b/crates/node/src/net/pool_loop/requests.rs
@@ -67,12 +67,12 @@
         self.record(&RecordedEvent::RequestEnded { id, outcome: recorded_outcome(&response) });
         // Fails where the client has disconnected.
         let _ = responder.send(response);
-        self.release_if_done(id);
+        self.remove_if_done(id);
         true
     }
 
     /// Forgets a request that is done, and its timers.
-    pub(super) fn release_if_done(&mut self, id: RequestId) {
+    pub(super) fn remove_if_done(&mut self, id: RequestId) {
         if !self.in_flight.get(&id).is_some_and(InFlightRequest::is_done) {
             return;
         }
