--- a/crates/node/src/net/pool_loop/attempts.rs
+++ b/crates/node/src/net/pool_loop/attempts.rs
@@ -198,7 +198,7 @@
 
     /// Without a discovery service, an endpoint that accepts connections again after it refused them has restarted.
     fn observe_connect_result(&mut self, endpoint: EndpointId, outcome: AttemptOutcome, refused: bool) {
-        if self.watch.has_service() {
+        if self.watch.uses_discovery_service() {
             return;
         }
         let connected = CONNECTED_OUTCOMES.contains(&outcome);
--- a/crates/node/src/net/pool_loop/stall.rs
+++ b/crates/node/src/net/pool_loop/stall.rs
@@ -5,7 +5,7 @@
 /// A delay above this may be a stall. It spans some scheduling periods of 100 ms, and is well below any deadline.
 const STALL_THRESHOLD: Nanos = SECOND / 4;
 /// Longest time for which the loop has to be punctual after a stall before another delay counts as one.
-const MAX_PUNCTUAL_TIME: Nanos = SECOND;
+const MAX_RECOVERY_TIME: Nanos = SECOND;
 
 /// Distinguishes single stalls from constant load. A node whose every turn is slow lacks processor time, and has to shed load by
 /// what it measures; only delays after a punctual time as long as the last delay are stalls.
@@ -28,10 +28,10 @@
         if duration <= STALL_THRESHOLD {
             return None;
         }
-        let was_punctual =
-            self.last.is_none_or(|last| from >= last.ended_at + last.duration.min(MAX_PUNCTUAL_TIME));
+        let has_recovered =
+            self.last.is_none_or(|last| from >= last.ended_at + last.duration.min(MAX_RECOVERY_TIME));
         self.last = Some(Delay { ended_at: to, duration });
-        was_punctual.then_some(duration)
+        has_recovered.then_some(duration)
     }
 }
 
--- a/crates/node/src/net/pool_loop/watch_task.rs
+++ b/crates/node/src/net/pool_loop/watch_task.rs
@@ -13,7 +13,7 @@
     /// Of the discovery service; `None` where the configuration lists the endpoints.
     address: Option<SocketAddr>,
     current: Option<RunningWatch>,
-    started: u64,
+    last_number: u64,
 }
 
 struct RunningWatch {
@@ -24,11 +24,11 @@
 impl WatchTask {
     /// Returns one that is not running.
     pub fn new(address: Option<SocketAddr>) -> Self {
-        Self { address, current: None, started: 0 }
+        Self { address, current: None, last_number: 0 }
     }
 
     /// Whether the endpoints come from a discovery service.
-    pub fn has_service(&self) -> bool {
+    pub fn uses_discovery_service(&self) -> bool {
         self.address.is_some()
     }
 
@@ -46,8 +46,8 @@
     pub fn start(&mut self, after: u64, is_agent: bool, messages: mpsc::UnboundedSender<PoolMessage>) {
         self.stop();
         let Some(address) = self.address else { return };
-        self.started += 1;
-        let number = self.started;
+        self.last_number += 1;
+        let number = self.last_number;
         let task = task::spawn_local(async move {
             let on_list = |list| drop(messages.send(PoolMessage::ListReceived { watch: number, list }));
             let error = discovery::watch(address, after, is_agent, on_list).await;
