--- a/crates/node/src/net/upstream/http/response_reader.rs
+++ b/crates/node/src/net/upstream/http/response_reader.rs
@@ -110,15 +110,15 @@
         length: Option<u64>,
         method: &Method,
     ) -> ReadResponse {
-        let more_than = if length.is_some() { 0 } else { SMALL_BODY_BYTES };
-        let Some(start) = read_start(&mut body, more_than).await else { return ReadResponse::reset() };
+        let threshold = if length.is_some() { 0 } else { SMALL_BODY_BYTES };
+        let Some(start) = read_start(&mut body, threshold).await else { return ReadResponse::reset() };
         if start.is_complete {
             let response = Some(self.response(parts, start.data.into(), method));
             let result = AttemptResult::without_response(AttemptOutcome::Success);
             return ReadResponse::Complete(AttemptResult { response, ..result });
         }
         let mut reservation = self.memory.reservation();
-        if !reservation.try_grow(STREAM_RESERVATION_BYTES) {
+        if !reservation.try_grow_to(STREAM_RESERVATION_BYTES) {
             return ReadResponse::reset();
         }
         let (stream, progress) = StreamedBody::new(start.data, body, length, reservation);
@@ -138,7 +138,7 @@
     ) -> ReadResponse {
         let mut reservation = self.memory.reservation();
         if length.is_some_and(|length| length > SMALL_BODY_BYTES as u64)
-            && !reservation.try_grow(max as usize)
+            && !reservation.try_grow_to(max as usize)
         {
             return ReadResponse::reset();
         }
@@ -175,10 +175,10 @@
     values.flat_map(|value| value.split(',')).any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
 
-/// Reads a body until more than `more_than` bytes have come or it ends; `None` where it breaks off.
-async fn read_start(body: &mut Incoming, more_than: usize) -> Option<BodyStart> {
+/// Reads a body until more than `threshold` bytes have come or it ends; `None` where it breaks off.
+async fn read_start(body: &mut Incoming, threshold: usize) -> Option<BodyStart> {
     let mut start = BytesMut::new();
-    while start.len() <= more_than {
+    while start.len() <= threshold {
         let Some(frame) = body.frame().await else {
             return Some(BodyStart { data: start.freeze(), is_complete: true });
         };
@@ -197,7 +197,7 @@
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.ok()?.into_data() else { continue };
         size += data.len();
-        if size as u64 > max || !reservation.try_cover(size) {
+        if size as u64 > max || !reservation.try_grow_to_fit(size) {
             return None;
         }
         // Most bodies come in one piece, which is passed on without a copy.
