--- a/crates/node/tests/cli.rs
+++ b/crates/node/tests/cli.rs
@@ -46,7 +46,7 @@
     let invalid = File::with(&VALID.replace("600ms", "600"));
     let (code, out, err) = run(&["check", valid.name(), invalid.name()]);
     assert_eq!(code, 1);
-    assert!(out.contains(&format!("{}: 1 mistakes", invalid.name())), "{out}");
+    assert!(out.contains(&format!("{}: 1 errors", invalid.name())), "{out}");
     for part in
         ["error[unit-missing]: the time `600` has no unit", ":10:9", "    aim 600", "write `600ms` or `600s`"]
     {
--- a/crates/node/tests/traffic_recording.rs
+++ b/crates/node/tests/traffic_recording.rs
@@ -45,7 +45,7 @@
         .output()
         .unwrap();
     assert_eq!(second.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&second.stderr).contains("record to "));
+    assert!(String::from_utf8_lossy(&second.stderr).contains("can't record to "));
     fs::remove_file(config).unwrap();
     fs::remove_file(record).unwrap();
 }
