--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -53,7 +53,7 @@
 const FAILURE_FACTOR: f64 = 0.85;
 /// Limits may rise if this fraction of the node's capacity is in use.
 const MIN_USE_FOR_INCREASE: f64 = 0.7;
-/// Utilization before the first sample.
+/// Utilization of all endpoints before the first sample.
 const INITIAL_UTILIZATION: f64 = 0.5;
 
 /// The utilization of all endpoints, and the time up to which it has been applied to the limits.
--- a/crates/policy/src/decision_event.rs
+++ b/crates/policy/src/decision_event.rs
@@ -70,7 +70,7 @@
     QueueTimeout,
     /// Its key's turn didn't come in time.
     KeyOrderTimeout,
-    /// An attempt was unsuccessful, and there is no retry.
+    /// An attempt was unsuccessful and is not retried.
     NoRetry(NoRetryReason),
 }
 
@@ -132,7 +132,7 @@
     AnsweredWithoutEndpoint {
         /// The request.
         id: RequestId,
-        /// Why.
+        /// Reason for the answer.
         reason: RejectionReason,
         /// The expected wait divided by the time left, for [`RejectionReason::ExpectedWaitTooLong`];
         /// otherwise 0.
@@ -146,7 +146,7 @@
         from: f32,
         /// Limit after the change.
         to: f32,
-        /// Why.
+        /// Reason for the change.
         reason: LimitChangeReason,
     },
     /// All limits changed with the utilization of all endpoints.
--- a/crates/policy/src/deployment_settings.rs
+++ b/crates/policy/src/deployment_settings.rs
@@ -199,7 +199,8 @@
 impl DeploymentSettings {
     /// Converts the settings to those of the decision module.
     ///
-    /// # Errors If a value is unknown or out of range.
+    /// # Errors
+    /// If a value is unknown or out of range.
     pub fn settings(&self) -> Result<Settings, SettingsError> {
         let classes = self.classes.iter().map(ClassSettings::class).collect::<Result<_, _>>()?;
         let settings = Settings {
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -59,7 +59,7 @@
     pub age: Nanos,
     /// Validity period. The advice loses weight in the second half of it.
     pub valid_for: Nanos,
-    /// Endpoints to avoid for now.
+    /// Endpoints to avoid while the advice is valid.
     pub avoid: Arc<[EndpointId]>,
     /// Endpoints that drain, with the start time of the draining process.
     pub draining: Arc<[(EndpointId, Nanos)]>,
--- a/crates/policy/src/event_loop_stall.rs
+++ b/crates/policy/src/event_loop_stall.rs
@@ -9,7 +9,7 @@
 /// Maximum time after a stall in which the length of the queue is not used to reject new requests.
 const MAX_RECOVERY: Nanos = SECOND;
 
-/// The last stall.
+/// Recovery from the last stall.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StallRecovery {
     /// Time since which this process has run without a stall.
--- a/crates/policy/src/request_queue.rs
+++ b/crates/policy/src/request_queue.rs
@@ -19,7 +19,7 @@
     pub tier: PriorityTier,
     /// In the highest tier, lower for a higher weight; 0 in all others.
     rank: u64,
-    /// Order of arrival in the queue.
+    /// Number that increases in order of arrival in the queue.
     sequence: u64,
     pub id: RequestId,
 }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -140,7 +140,7 @@
 #[derive(Debug, Error, PartialEq)]
 pub enum SettingsError {
     /// There is no request class.
-    #[error("settings name no class of requests")]
+    #[error("settings: there is no request class")]
     NoClass,
     /// A value is out of range; holds the name of the setting.
     #[error("settings: `{0}` is out of range")]
@@ -157,31 +157,32 @@
 
     /// Checks that the values can be used together.
     ///
-    /// # Errors The first value that is missing, out of range or not finite.
+    /// # Errors
+    /// The first value that is missing, out of range or not finite.
     pub fn check(&self) -> Result<(), SettingsError> {
         require(!self.classes.is_empty(), SettingsError::NoClass)?;
-        in_range(self.node_count > 0, "number of nodes")?;
+        in_range(self.node_count > 0, "replicas_of_me")?;
         in_range(self.zone.0 < self.zone_count.max(1), "zone")?;
-        in_range(is_fraction(self.over_share_weight), "over-share worth")?;
-        in_range(is_fraction(self.warmup_initial_fraction), "cold share")?;
+        in_range(is_fraction(self.over_share_weight), "over_share_worth")?;
+        in_range(is_fraction(self.warmup_initial_fraction), "cold_from")?;
         in_range(
             is_finite_non_negative(self.overload_multiple) && self.overload_multiple > 0.0,
-            "fall multiple",
+            "fall_multiple",
         )?;
-        in_range(is_finite_non_negative(self.load_report_cost), "price of notes")?;
-        in_range(is_finite_non_negative(self.cross_zone_cost), "price of crossing zones")?;
+        in_range(is_finite_non_negative(self.load_report_cost), "prices.peer")?;
+        in_range(is_finite_non_negative(self.cross_zone_cost), "prices.cross_zone")?;
         in_range(self.max_attempts > 0, "attempts")?;
         self.classes.iter().try_for_each(Class::check)?;
-        in_range(self.tenants.is_valid(), "tenant share")
+        in_range(self.tenants.is_valid(), "share` or `allowance_per_s")
     }
 }
 
 impl Class {
     fn check(&self) -> Result<(), SettingsError> {
         in_range(is_finite_non_negative(self.priority_weight), "worth")?;
-        in_range(is_fraction(self.late_weight), "late worth")?;
-        in_range(is_finite_non_negative(self.objective_per_work), "aim stretch")?;
-        in_range(self.latency_objective > 0 && self.deadline > 0, "aim or deadline")
+        in_range(is_fraction(self.late_weight), "late_worth")?;
+        in_range(is_finite_non_negative(self.objective_per_work), "aim_stretch")?;
+        in_range(self.latency_objective > 0 && self.deadline > 0, "target_ns` or `deadline_ns")
     }
 }
 
@@ -189,7 +190,8 @@
     if holds { Ok(()) } else { Err(error) }
 }
 
-/// Returns an error that names the setting by its key in the platform's format, unless `holds`.
+/// Returns an error that names the setting by its key in the platform's format, unless `holds`. Only
+/// `attempts` and `zone` are shorter than their keys.
 fn in_range(holds: bool, setting: &'static str) -> Result<(), SettingsError> {
     require(holds, SettingsError::OutOfRange(setting))
 }
--- a/crates/policy/src/subsetting.rs
+++ b/crates/policy/src/subsetting.rs
@@ -63,7 +63,7 @@
     pub limit: f64,
     /// Mean limit of the endpoints in use, without outliers.
     pub typical_limit: f64,
-    /// Rate at which a warm endpoint serves this node, in requests of mean cost a second.
+    /// Rate at which a warm endpoint serves this node, in requests of mean cost per second.
     pub warm_endpoint_rate: f64,
 }
 
--- a/crates/policy/src/traffic_stats.rs
+++ b/crates/policy/src/traffic_stats.rs
@@ -11,9 +11,9 @@
 /// This node's own traffic.
 #[derive(Default)]
 pub(crate) struct TrafficStats {
-    /// Arriving requests.
+    /// Rate of arriving requests.
     pub arrivals: Rate,
-    /// Successful work, in requests of mean cost.
+    /// Rate of work served, in requests of mean cost per second.
     pub served: Rate,
     /// Attempts in flight at all endpoints, including those outside the subset.
     pub total_in_flight: usize,
