--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! A node under test: keeps its timers and actions, and checks the rules on every action.
+//! A balancer under test, with its timers and actions. Every action is checked against the platform's rules.
 
 #![allow(dead_code)]
 
-mod checks;
+mod rule_checks;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 
 pub const MS: Nanos = 1_000_000;
 
-pub fn class(effect: Idempotency, weight: f64) -> Class {
+pub fn class(idempotency: Idempotency, weight: f64) -> Class {
     Class {
         latency_objective: 500 * MS,
         objective_per_work: 0.0,
         deadline: 1000 * MS,
         priority_weight: weight,
         late_weight: 0.0,
-        idempotency: effect,
+        idempotency,
         ordered_by_key: false,
     }
 }
@@ -71,11 +71,11 @@
     }
 }
 
-pub fn list(servers: impl IntoIterator<Item = EndpointInfo>) -> Arc<[EndpointInfo]> {
-    servers.into_iter().collect()
+pub fn list(endpoints: impl IntoIterator<Item = EndpointInfo>) -> Arc<[EndpointInfo]> {
+    endpoints.into_iter().collect()
 }
 
-/// What the checker knows of an attempt.
+/// State of an attempt, as kept for the checks.
 #[derive(Clone)]
 pub struct AttemptRecord {
     pub endpoint: EndpointId,
@@ -84,7 +84,7 @@
     pub ended_at: Nanos,
 }
 
-/// What the checker knows of a request.
+/// State of a request, as kept for the checks.
 #[derive(Clone)]
 pub struct RequestRecord {
     pub class: usize,
@@ -92,10 +92,11 @@
     pub deadline: Nanos,
     pub attempts: Vec<AttemptRecord>,
     pub final_answers: u32,
-    pub over_since: Option<Nanos>,
+    /// When it got its final answer, or its client disconnected.
+    pub done_since: Option<Nanos>,
 }
 
-/// Drives one node and checks the rules independently of it.
+/// Drives one balancer and checks the rules independently of it.
 pub struct TestNode {
     pub balancer: Balancer,
     pub settings: Settings,
@@ -105,10 +106,11 @@
     pub endpoints: HashMap<EndpointId, EndpointInfo>,
     pub actions: Vec<Action>,
     pub decision_events: Vec<DecisionEvent>,
-    /// Rules that were violated, in words.
+    /// Violations of rules. Each text starts with the name of the rule.
     pub violations: Vec<String>,
-    /// When idle connections to an endpoint were closed, and when it was last updated or used.
+    /// When idle connections to an endpoint were last closed.
     idle_closed_at: HashMap<EndpointId, Nanos>,
+    /// When an endpoint last had the start or end of an attempt, or was found to drain.
     last_used_at: HashMap<EndpointId, Nanos>,
     in_flight: BTreeSet<(RequestId, usize)>,
     next_request: u32,
@@ -145,7 +147,7 @@
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
-            self.check(action);
+            self.check_action(action);
         }
         self.actions.extend(actions.iter().cloned());
         self.decision_events.extend(self.balancer.decision_events());
@@ -158,122 +160,104 @@
         actions
     }
 
-    pub fn update_endpoints(&mut self, change: EndpointUpdate) -> Vec<Action> {
+    pub fn update_endpoints(&mut self, update: EndpointUpdate) -> Vec<Action> {
         let now = self.now;
-        for server in self.endpoints.values_mut() {
-            let update = match &change {
+        for endpoint in self.endpoints.values_mut() {
+            let info = match &update {
                 EndpointUpdate::Snapshot(all)
                 | EndpointUpdate::Restored(all)
-                | EndpointUpdate::Delta(all) => all.iter().find(|s| s.id == server.id),
+                | EndpointUpdate::Delta(all) => all.iter().find(|info| info.id == endpoint.id),
                 EndpointUpdate::WatchFailed => None,
             };
-            if update.is_some_and(|s| s.state == EndpointState::Draining)
-                && server.state == EndpointState::Ready
+            if info.is_some_and(|info| info.state == EndpointState::Draining)
+                && endpoint.state == EndpointState::Ready
             {
-                self.last_used_at.insert(server.id, now);
+                self.last_used_at.insert(endpoint.id, now);
             }
         }
-        match &change {
+        match &update {
             EndpointUpdate::Snapshot(all) | EndpointUpdate::Restored(all) => {
-                self.endpoints = all.iter().map(|s| (s.id, s.clone())).collect();
+                self.endpoints = all.iter().map(|info| (info.id, info.clone())).collect();
             }
-            EndpointUpdate::Delta(some) => {
-                self.endpoints.extend(some.iter().map(|s| (s.id, s.clone())));
+            EndpointUpdate::Delta(changed) => {
+                self.endpoints.extend(changed.iter().map(|info| (info.id, info.clone())));
             }
             EndpointUpdate::WatchFailed => {}
         }
-        self.event(Event::EndpointsUpdated(change))
+        self.event(Event::EndpointsUpdated(update))
     }
 
-    pub fn request(&mut self, class: usize, patience: Nanos) -> RequestId {
-        self.request_of_tenant(class, patience, None)
+    pub fn request(&mut self, class: usize, timeout: Nanos) -> RequestId {
+        self.request_of_tenant(class, timeout, None)
     }
 
-    pub fn request_with_key(&mut self, class: usize, patience: Nanos, key: u64) -> RequestId {
-        self.request_with(class, patience, None, Some(key))
+    pub fn request_with_key(&mut self, class: usize, timeout: Nanos, key: u64) -> RequestId {
+        self.request_with(class, timeout, None, Some(key))
     }
 
-    pub fn request_of_tenant(
-        &mut self,
-        class: usize,
-        patience: Nanos,
-        tenant: Option<TenantId>,
-    ) -> RequestId {
-        self.request_with(class, patience, tenant, None)
+    pub fn request_of_tenant(&mut self, class: usize, timeout: Nanos, tenant: Option<TenantId>) -> RequestId {
+        self.request_with(class, timeout, tenant, None)
     }
 
     fn request_with(
         &mut self,
         class: usize,
-        patience: Nanos,
+        timeout: Nanos,
         tenant: Option<TenantId>,
         key: Option<u64>,
     ) -> RequestId {
         self.next_request += 1;
         let id = RequestId(self.next_request);
-        let not_after = self.now + patience;
+        let deadline = self.now + timeout;
         self.requests.insert(
             id.0,
-            RequestRecord {
-                class,
-                key,
-                deadline: not_after,
-                attempts: Vec::new(),
-                final_answers: 0,
-                over_since: None,
-            },
+            RequestRecord { class, key, deadline, attempts: Vec::new(), final_answers: 0, done_since: None },
         );
         let class = ClassId(u16::try_from(class).unwrap());
-        self.event(Event::Request(NewRequest {
-            id,
-            class,
-            tenant,
-            cost_hint: None,
-            key,
-            deadline: not_after,
-        }));
+        self.event(Event::Request(NewRequest { id, class, tenant, cost_hint: None, key, deadline }));
         id
     }
 
-    /// Ends an attempt; a success concludes its request.
+    /// Ends an attempt. A success is the final answer of its request.
     pub fn end_attempt(&mut self, id: RequestId, attempt: usize, outcome: AttemptOutcome) -> Vec<Action> {
-        let known = self.requests.get_mut(&id.0).unwrap();
-        let tried = &mut known.attempts[attempt];
-        if tried.outcome.is_some() {
+        let request = self.requests.get_mut(&id.0).unwrap();
+        let record = &mut request.attempts[attempt];
+        if record.outcome.is_some() {
             return Vec::new();
         }
-        tried.outcome = Some(outcome);
-        tried.ended_at = self.now;
-        self.last_used_at.insert(tried.endpoint, self.now);
+        record.outcome = Some(outcome);
+        record.ended_at = self.now;
+        self.last_used_at.insert(record.endpoint, self.now);
         self.in_flight.remove(&(id, attempt));
-        let (server, took) = (tried.endpoint, self.now - tried.sent_at);
-        if outcome == AttemptOutcome::Success && known.final_answers == 0 {
-            known.final_answers = 1;
-            known.over_since = Some(self.now);
+        let (endpoint, duration) = (record.endpoint, self.now - record.sent_at);
+        if outcome == AttemptOutcome::Success && request.final_answers == 0 {
+            request.final_answers = 1;
+            request.done_since = Some(self.now);
         }
-        let complete = known.final_answers > 0;
+        let final_answer = request.final_answers > 0;
         let attempt = AttemptNo(u8::try_from(attempt).unwrap());
         self.event(Event::AttemptEnded(AttemptEnded {
             id,
             attempt,
-            endpoint: server,
+            endpoint,
             outcome,
-            duration: took,
-            final_answer: complete,
+            duration,
+            final_answer,
         }))
     }
 
-    /// Moves the clock, firing timers and timing attempts out at the clients' deadlines.
+    /// Advances the clock to `to`. Fires timers that are due, and times attempts out at their request's
+    /// deadline.
     pub fn advance(&mut self, to: Nanos) {
         loop {
             let timer = self.timers.keys().next().copied().filter(|&(at, _)| at <= to);
-            let over = self
+            let expired = self
                 .attempts_in_flight()
                 .into_iter()
                 .map(|(id, n)| (self.requests[&id.0].deadline, id, n))
                 .min();
-            let over = over.filter(|&(at, ..)| at <= to);
-            match (timer, over) {
+            let expired = expired.filter(|&(at, ..)| at <= to);
+            match (timer, expired) {
                 (Some((at, n)), None) => self.fire(at, n),
                 (Some((at, n)), Some((end, ..))) if at <= end => self.fire(at, n),
                 (_, Some((end, id, n))) => {
@@ -293,7 +277,7 @@
         self.event(Event::TimerFired(token));
     }
 
-    /// Attempts in flight in the order of requests.
+    /// Returns the attempts in flight, ordered by request.
     pub fn attempts_in_flight(&self) -> Vec<(RequestId, usize)> {
         self.in_flight.iter().copied().collect()
     }
@@ -303,22 +287,23 @@
     }
 
     pub fn queued_count(&self) -> usize {
-        let waiting =
-            |k: &&RequestRecord| k.final_answers == 0 && k.attempts.iter().all(|t| t.outcome.is_some());
-        self.requests.values().filter(waiting).count()
+        let is_queued = |request: &&RequestRecord| {
+            request.final_answers == 0 && request.attempts.iter().all(|attempt| attempt.outcome.is_some())
+        };
+        self.requests.values().filter(is_queued).count()
     }
 
-    /// Every request has had exactly one final answer.
+    /// Returns whether every request has had exactly one final answer.
     pub fn all_answered(&self) -> bool {
-        self.requests.values().all(|known| known.final_answers == 1)
+        self.requests.values().all(|request| request.final_answers == 1)
     }
 }
 
-/// Serves `count` requests one after another, each in `took`.
-pub fn serve(node: &mut TestNode, count: usize, took: Nanos) {
+/// Serves `count` requests one after another, each within `duration`.
+pub fn serve(node: &mut TestNode, count: usize, duration: Nanos) {
     for _ in 0..count {
         node.request(0, 900 * MS);
-        let to = node.now + took;
+        let to = node.now + duration;
         node.advance(to);
         for (id, n) in node.attempts_in_flight() {
             node.end_attempt(id, n, AttemptOutcome::Success);
--- a/crates/policy/tests/common/rule_checks.rs
+++ b/crates/policy/tests/common/rule_checks.rs
@@ -1,150 +1,159 @@
-//! The rules, checked on every action, independently of the module.
+//! Checks of the platform's rules on every action, independent of the module under test.
 
 use pumicehead_policy::*;
 
 use super::{AttemptRecord, MS, TestNode};
 
-/// Whether an outcome proves that nothing was executed; written independently of the module.
-fn proves(outcome: AttemptOutcome, full_unproven: bool) -> bool {
+/// Returns whether an outcome proves that nothing was executed; doesn't use the module's own function.
+fn proves_not_executed(outcome: AttemptOutcome, rejection_may_execute: bool) -> bool {
     match outcome {
         AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent => true,
-        AttemptOutcome::Rejected => !full_unproven,
+        AttemptOutcome::Rejected => !rejection_may_execute,
         _ => false,
     }
 }
 
 impl TestNode {
-    /// Idle connections to a draining endpoint are closed within the limit, where there is one.
+    /// Checks that idle connections to a draining endpoint are closed within the time limit, if there is one.
     pub(super) fn check_idle_connections(&mut self) {
         let Some(within) = self.settings.drain_idle_close else { return };
-        for server in self.endpoints.values().filter(|s| s.state == EndpointState::Draining) {
-            let Some(&used) = self.last_used_at.get(&server.id) else { continue };
-            let busy =
-                self.in_flight.iter().any(|&(id, n)| self.requests[&id.0].attempts[n].endpoint == server.id);
-            let freed = self.idle_closed_at.get(&server.id).copied().unwrap_or(0);
-            if !busy && self.now > used + within && freed < used {
-                self.violations.push(format!("7: links to {:?} open past their time", server.id));
+        for endpoint in self.endpoints.values().filter(|endpoint| endpoint.state == EndpointState::Draining) {
+            let Some(&used_at) = self.last_used_at.get(&endpoint.id) else { continue };
+            let has_attempts = self
+                .in_flight
+                .iter()
+                .any(|&(id, n)| self.requests[&id.0].attempts[n].endpoint == endpoint.id);
+            let closed_at = self.idle_closed_at.get(&endpoint.id).copied().unwrap_or(0);
+            if !has_attempts && self.now > used_at + within && closed_at < used_at {
+                self.violations
+                    .push(format!("idle connections: open to {:?} past the time limit", endpoint.id));
             }
         }
     }
 
-    /// In ordered classes, every earlier request of the key is over, its attempts have ended, and the key's
-    /// cooldown is over if one of them may still be executing.
-    pub(super) fn check_order(&mut self, id: RequestId) {
-        let known = &self.requests[&id.0];
-        if known.key.is_none() || !self.settings.classes[known.class].ordered_by_key {
+    /// Checks the order of requests in ordered classes: every earlier request of the key has its final
+    /// answer, all its attempts have ended, and the key's cooldown is over if one of them may still be
+    /// executing.
+    pub(super) fn check_key_order(&mut self, id: RequestId) {
+        let request = &self.requests[&id.0];
+        if request.key.is_none() || !self.settings.classes[request.class].ordered_by_key {
             return;
         }
-        for earlier in self.requests.range(..id.0).map(|(_, k)| k) {
-            if earlier.key != known.key || !self.settings.classes[earlier.class].ordered_by_key {
+        for earlier in self.requests.range(..id.0).map(|(_, request)| request) {
+            if earlier.key != request.key || !self.settings.classes[earlier.class].ordered_by_key {
                 continue;
             }
-            let rests = |t: &AttemptRecord| {
+            let in_cooldown = |attempt: &AttemptRecord| {
                 matches!(
-                    t.outcome,
+                    attempt.outcome,
                     Some(AttemptOutcome::TimedOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled)
-                ) && self.now < t.ended_at + self.settings.key_cooldown
+                ) && self.now < attempt.ended_at + self.settings.key_cooldown
             };
-            if earlier.over_since.is_none()
-                || earlier.attempts.iter().any(|t| t.outcome.is_none() || rests(t))
+            if earlier.done_since.is_none()
+                || earlier.attempts.iter().any(|attempt| attempt.outcome.is_none() || in_cooldown(attempt))
             {
-                self.violations.push(format!("5: {id:?} sent out of turn"));
+                self.violations.push(format!("key order: {id:?} sent before its turn"));
                 return;
             }
         }
     }
 
-    pub(super) fn check(&mut self, action: &Action) {
+    pub(super) fn check_action(&mut self, action: &Action) {
         match *action {
             Action::ArmTimer { at, token } => {
-                assert!(at > self.now, "a timer in the past");
+                assert!(at > self.now, "a timer was armed for the past");
                 self.next_timer += 1;
                 self.timers.insert((at, self.next_timer), token);
             }
-            Action::StartAttempt { id, endpoint, .. } => self.check_send(id, endpoint),
-            Action::Reject { id, .. } => self.check_final(id, true),
-            Action::Fail(id) => self.check_final(id, false),
+            Action::StartAttempt { id, endpoint, .. } => self.check_attempt(id, endpoint),
+            Action::Reject { id, .. } => self.check_final_answer(id, true),
+            Action::Fail(id) => self.check_final_answer(id, false),
             Action::CancelAttempt { id, attempt } => {
-                let known = &self.requests[&id.0];
-                assert!(usize::from(attempt.0) < known.attempts.len(), "cancel of an attempt never made");
+                let request = &self.requests[&id.0];
+                assert!(
+                    usize::from(attempt.0) < request.attempts.len(),
+                    "an attempt that was never started was cancelled"
+                );
             }
-            Action::CloseIdleConnections(server) => drop(self.idle_closed_at.insert(server, self.now)),
+            Action::CloseIdleConnections(id) => drop(self.idle_closed_at.insert(id, self.now)),
             Action::Subscribe | Action::SendLoadReport { .. } => {}
         }
     }
 
-    pub(super) fn check_send(&mut self, id: RequestId, server: EndpointId) {
-        self.check_order(id);
-        self.last_used_at.insert(server, self.now);
-        let mut broken = Vec::new();
-        let known = self.requests.get_mut(&id.0).unwrap();
-        let (class, full) = (&self.settings.classes[known.class], self.settings.rejection_may_execute);
-        if known.over_since.is_some() {
-            broken.push(format!("1: sent {id:?} after its end"));
+    pub(super) fn check_attempt(&mut self, id: RequestId, endpoint: EndpointId) {
+        self.check_key_order(id);
+        self.last_used_at.insert(endpoint, self.now);
+        let mut violations = Vec::new();
+        let request = self.requests.get_mut(&id.0).unwrap();
+        let class = &self.settings.classes[request.class];
+        let rejection_may_execute = self.settings.rejection_may_execute;
+        if request.done_since.is_some() {
+            violations.push(format!("final answer: {id:?} sent after its end"));
         }
-        let unproven: Vec<&AttemptRecord> =
-            known.attempts.iter().filter(|t| !t.outcome.is_some_and(|end| proves(end, full))).collect();
-        if !unproven.is_empty() {
+        let is_proven = |outcome: AttemptOutcome| proves_not_executed(outcome, rejection_may_execute);
+        let maybe_executed: Vec<&AttemptRecord> =
+            request.attempts.iter().filter(|attempt| !attempt.outcome.is_some_and(is_proven)).collect();
+        if !maybe_executed.is_empty() {
             match class.idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NotIdempotent => broken.push(format!("2: unsafe {id:?} sent twice")),
+                Idempotency::NotIdempotent => {
+                    violations.push(format!("idempotency: {id:?} is not idempotent but was sent again"));
+                }
                 Idempotency::IdempotencyKey { scope, window } => {
-                    let first = unproven.iter().min_by_key(|t| t.sent_at).unwrap();
+                    let first = maybe_executed.iter().min_by_key(|attempt| attempt.sent_at).unwrap();
                     if self.now > first.sent_at + window {
-                        broken.push(format!("2: keyed {id:?} sent outside of its window"));
+                        violations.push(format!("idempotency: {id:?} sent again after its key's window"));
                     }
-                    let (a, b) = (&self.endpoints[&first.endpoint], &self.endpoints[&server]);
-                    let inside = match scope {
+                    let (a, b) = (&self.endpoints[&first.endpoint], &self.endpoints[&endpoint]);
+                    let in_scope = match scope {
                         DedupScope::All => true,
                         DedupScope::Zone => a.zone == b.zone,
                         DedupScope::Cell => a.cell == b.cell,
                     };
-                    if !inside {
-                        broken.push(format!("2: keyed {id:?} sent outside of its group"));
+                    if !in_scope {
+                        violations.push(format!("idempotency: {id:?} sent again outside its key's scope"));
                     }
                 }
             }
         }
-        if known.attempts.iter().any(|t| t.outcome.is_none()) && !self.settings.concurrent_attempts {
-            broken.push(format!("2: two attempts of {id:?} at once"));
+        if request.attempts.iter().any(|attempt| attempt.outcome.is_none())
+            && !self.settings.concurrent_attempts
+        {
+            violations.push(format!("idempotency: two attempts of {id:?} in flight at once"));
         }
-        if known.attempts.len() >= self.settings.max_attempts as usize {
-            broken.push(format!("attempts: too many of {id:?}"));
+        if request.attempts.len() >= self.settings.max_attempts as usize {
+            violations.push(format!("attempts: too many of {id:?}"));
         }
-        if self.endpoints.get(&server).is_none_or(|s| s.state != EndpointState::Ready) {
-            broken.push(format!("3: sent to {server:?}, which drains or is gone"));
+        if self.endpoints.get(&endpoint).is_none_or(|info| info.state != EndpointState::Ready) {
+            violations.push(format!("drain: an attempt was sent to {endpoint:?}, which is not ready"));
         }
-        self.in_flight.insert((id, known.attempts.len()));
-        known.attempts.push(AttemptRecord {
-            endpoint: server,
-            sent_at: self.now,
-            outcome: None,
-            ended_at: 0,
-        });
-        self.violations.extend(broken);
+        self.in_flight.insert((id, request.attempts.len()));
+        request.attempts.push(AttemptRecord { endpoint, sent_at: self.now, outcome: None, ended_at: 0 });
+        self.violations.extend(violations);
     }
 
-    pub(super) fn check_final(&mut self, id: RequestId, refused: bool) {
-        let known = self.requests.get_mut(&id.0).unwrap();
-        known.final_answers += 1;
-        if known.final_answers > 1 {
-            self.violations.push(format!("1: {id:?} answered twice"));
+    pub(super) fn check_final_answer(&mut self, id: RequestId, is_rejection: bool) {
+        let request = self.requests.get_mut(&id.0).unwrap();
+        request.final_answers += 1;
+        if request.final_answers > 1 {
+            self.violations.push(format!("final answer: {id:?} answered twice"));
         }
-        if self.now > known.deadline + 20 * MS {
-            self.violations.push(format!("1: {id:?} answered late"));
+        if self.now > request.deadline + 20 * MS {
+            self.violations.push(format!("final answer: {id:?} answered late"));
         }
-        known.over_since.get_or_insert(self.now);
-        let full = self.settings.rejection_may_execute;
-        let proven = known.attempts.iter().all(|t| t.outcome.is_some_and(|end| proves(end, full)));
-        let effect = self.settings.classes[known.class].idempotency;
-        if refused
-            && !proven
+        request.done_since.get_or_insert(self.now);
+        let rejection_may_execute = self.settings.rejection_may_execute;
+        let is_proven = |outcome: AttemptOutcome| proves_not_executed(outcome, rejection_may_execute);
+        let not_executed = request.attempts.iter().all(|attempt| attempt.outcome.is_some_and(is_proven));
+        let idempotency = self.settings.classes[request.class].idempotency;
+        if is_rejection
+            && !not_executed
             && !matches!(
-                effect,
+                idempotency,
                 Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DedupScope::All, .. }
             )
         {
-            self.violations.push(format!("2: {id:?} refused though it may have run"));
+            self.violations.push(format!("idempotency: {id:?} rejected although it may have executed"));
         }
     }
 }
--- a/crates/policy/tests/concurrency_limit.rs
+++ b/crates/policy/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! Concurrency limits as they are learned.
+//! Learning of concurrency limits.
 
 mod common;
 
@@ -14,10 +14,10 @@
     };
     let node_settings = Settings { node_count: 140, ..settings(vec![node_settings]) };
     let mut node = TestNode::with_endpoints(node_settings, 50);
-    // Far more requests arrive than there is capacity, each served in 300 ms. This node's share of 50
-    // endpoints is one or two attempts at first; in its first second and a half it has next to nothing to
-    // judge by.
-    let mut most = 0;
+    // Far more requests arrive than there is capacity for, and each is served in 300 ms. This node's share of
+    // 50 endpoints is one or two attempts at first. In its first one and a half seconds it has hardly any
+    // samples to learn from.
+    let mut max_in_flight = 0;
     for _ in 0..75 {
         node.request(0, 3 * SECOND);
         node.advance(node.now + 20 * MS);
@@ -26,14 +26,14 @@
                 node.end_attempt(id, n, AttemptOutcome::Success);
             }
         }
-        most = most.max(node.attempts_in_flight().len());
+        max_in_flight = max_in_flight.max(node.attempts_in_flight().len());
     }
-    assert!(most <= 6, "{most} out at once");
+    assert!(max_in_flight <= 6, "{max_in_flight} attempts in flight at once");
     assert!(node.violations.is_empty());
 }
 
-/// Congested endpoints recover only if they get less: one attempt from each of hundreds of nodes is far too
-/// much.
+/// Congested endpoints recover only if they get fewer requests: one attempt from each of hundreds of nodes is
+/// far too many.
 #[test]
 fn limits_under_one_are_not_rounded_up_while_endpoints_are_congested() {
     let node_settings = Settings {
@@ -42,14 +42,14 @@
         ..settings(vec![class(Idempotency::NotIdempotent, 1.0)])
     };
     let mut node = TestNode::with_endpoints(node_settings, 50);
-    let run = |node: &mut TestNode, rounds: usize, took: Nanos| {
+    let run = |node: &mut TestNode, rounds: usize, duration: Nanos| {
         let mut sum = 0;
         for _ in 0..rounds {
             node.request(0, 900 * MS);
             for _ in 0..10 {
                 node.advance(node.now + 10 * MS);
                 for (id, n) in node.attempts_in_flight() {
-                    if node.now >= node.attempts_of(id)[n].sent_at + took {
+                    if node.now >= node.attempts_of(id)[n].sent_at + duration {
                         node.end_attempt(id, n, AttemptOutcome::Success);
                     }
                 }
@@ -58,17 +58,20 @@
         }
         sum as f64 / (10 * rounds) as f64
     };
-    let calm = run(&mut node, 100, 20 * MS);
-    let refused = node.actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
-    assert!(refused == 0 && calm > 0.05, "sent at once while servers are fast: {refused} refused");
+    let uncongested = run(&mut node, 100, 20 * MS);
+    let rejected = node.actions.iter().filter(|action| matches!(action, Action::Reject { .. })).count();
+    assert!(
+        rejected == 0 && uncongested > 0.05,
+        "no request is rejected while endpoints are fast: {rejected} rejected, {uncongested} in flight on average"
+    );
     run(&mut node, 50, 350 * MS);
-    let jammed = run(&mut node, 100, 350 * MS);
-    assert!(jammed < 0.6, "{jammed} out on the mean");
+    let congested = run(&mut node, 100, 350 * MS);
+    assert!(congested < 0.6, "{congested} attempts in flight on average");
     assert!(node.violations.is_empty());
 }
 
-/// A node that is alone on its endpoints and starts with several attempts each would crowd them in its first
-/// seconds, and learn a baseline latency under load.
+/// A node that is alone on its endpoints would overload them in its first seconds if it started with several
+/// attempts each, and would learn a baseline latency under load.
 #[test]
 fn a_node_alone_on_its_endpoints_starts_with_one_attempt_each() {
     let node_settings = Settings { node_count: 20, ..settings(vec![class(Idempotency::Idempotent, 1.0)]) };
@@ -76,12 +79,12 @@
     for _ in 0..40 {
         node.request(0, 900 * MS);
     }
-    let out = node.attempts_in_flight().len();
-    assert!((5..=10).contains(&out), "{out} out at once on 5 servers");
+    let in_flight = node.attempts_in_flight().len();
+    assert!((5..=10).contains(&in_flight), "{in_flight} attempts in flight at 5 endpoints");
 }
 
-/// Endpoints that are replaced all the time must not start with the least limit each: most requests would be
-/// rejected beside idle endpoints.
+/// Endpoints that are replaced all the time must not start with the minimum limit each. Otherwise most
+/// requests would be rejected although endpoints are idle.
 #[test]
 fn replacing_all_endpoints_keeps_the_capacity() {
     let mut node = TestNode::with_endpoints(two_classes(), 4);
@@ -97,8 +100,8 @@
         }
     };
     (0..250).for_each(|_| step(&mut node));
-    let before = node.attempts_in_flight().len();
-    assert!(before >= 16, "{before} out at first");
+    let in_flight_before = node.attempts_in_flight().len();
+    assert!(in_flight_before >= 16, "{in_flight_before} attempts in flight at first");
     node.update_endpoints(EndpointUpdate::Snapshot(list((100..104).map(endpoint))));
     (0..10).for_each(|_| step(&mut node));
     let new: usize = node
@@ -106,15 +109,18 @@
         .iter()
         .filter(|&&(id, n)| node.attempts_of(id)[n].endpoint.0 >= 100)
         .count();
-    assert!(2 * new > before, "{new} out after {before}");
+    assert!(
+        2 * new > in_flight_before,
+        "{new} attempts in flight at the new endpoints, {in_flight_before} before"
+    );
     assert!(node.violations.is_empty());
 }
 
-/// Latency of the network is no sign of overload: if only far endpoints are left, they keep their capacity.
+/// Network latency is no sign of overload: if only distant endpoints are left, they keep their capacity.
 #[test]
 fn network_distance_is_not_taken_for_overload() {
-    let both = Settings { zone_count: 2, ..two_classes() };
-    let mut node = TestNode::with_endpoints(both, 4);
+    let two_zones = Settings { zone_count: 2, ..two_classes() };
+    let mut node = TestNode::with_endpoints(two_zones, 4);
     let far = |id| EndpointInfo { zone: ZoneId(1), ..endpoint(id) };
     node.update_endpoints(EndpointUpdate::Delta(list((11..15).map(far))));
     let step = |node: &mut TestNode, count: usize| {
@@ -124,8 +130,8 @@
         node.advance(node.now + 20 * MS);
         for (id, n) in node.attempts_in_flight() {
             let attempt = &node.attempts_of(id)[n];
-            let takes = if attempt.endpoint.0 >= 11 { 100 } else { 20 };
-            if node.now >= attempt.sent_at + takes * MS {
+            let duration_ms = if attempt.endpoint.0 >= 11 { 100 } else { 20 };
+            if node.now >= attempt.sent_at + duration_ms * MS {
                 node.end_attempt(id, n, AttemptOutcome::Success);
             }
         }
@@ -133,6 +139,6 @@
     (0..500).for_each(|_| step(&mut node, 3));
     node.update_endpoints(EndpointUpdate::Snapshot(list((11..15).map(far))));
     (0..250).for_each(|_| step(&mut node, 3));
-    let out = node.attempts_in_flight().len();
-    assert!(out >= 12, "{out} out at the far servers");
+    let in_flight = node.attempts_in_flight().len();
+    assert!(in_flight >= 12, "{in_flight} attempts in flight at the distant endpoints");
 }
--- a/crates/policy/tests/decision_events.rs
+++ b/crates/policy/tests/decision_events.rs
@@ -1,4 +1,4 @@
-//! Decision events: each reason by its name, and recording changes no decision.
+//! Decision events: each reason is reported, and recording changes no decision.
 
 mod common;
 
@@ -9,8 +9,8 @@
 };
 use pumicehead_policy::*;
 
-fn recording_node(settings: Settings, servers: u32) -> TestNode {
-    let mut node = TestNode::with_endpoints(settings, servers);
+fn recording_node(settings: Settings, endpoints: u32) -> TestNode {
+    let mut node = TestNode::with_endpoints(settings, endpoints);
     node.balancer.record_every_decision(true);
     node
 }
@@ -28,37 +28,37 @@
         .collect()
 }
 
-/// Ends the only attempt in flight.
-fn end_one(node: &mut TestNode, outcome: AttemptOutcome) {
+/// Ends the first attempt in flight.
+fn end_first_attempt(node: &mut TestNode, outcome: AttemptOutcome) {
     let (id, attempt) = node.attempts_in_flight()[0];
     node.end_attempt(id, attempt, outcome);
 }
 
 #[test]
-fn a_request_that_is_not_idempotent_gives_that_reason() {
+fn the_reason_not_idempotent_is_reported() {
     let mut node = recording_node(settings(vec![class(Idempotency::NotIdempotent, 1.0)]), 3);
     node.request(0, 900 * MS);
-    end_one(&mut node, AttemptOutcome::Reset);
+    end_first_attempt(&mut node, AttemptOutcome::Reset);
     assert_eq!(reasons(&node), [RejectionReason::NoRetry(NoRetryReason::NotIdempotent)]);
 }
 
 #[test]
-fn exhausted_attempts_give_that_reason() {
+fn the_reason_attempts_exhausted_is_reported() {
     let mut node = recording_node(
         Settings { max_attempts: 1, ..settings(vec![class(Idempotency::Idempotent, 1.0)]) },
         3,
     );
     node.request(0, 900 * MS);
-    end_one(&mut node, AttemptOutcome::Error);
+    end_first_attempt(&mut node, AttemptOutcome::Error);
     assert_eq!(reasons(&node), [RejectionReason::NoRetry(NoRetryReason::AttemptsExhausted)]);
 }
 
 #[test]
-fn lack_of_time_or_retry_budget_gives_that_reason() {
+fn lack_of_time_or_retry_budget_is_reported() {
     let mut node = recording_node(settings(vec![class(Idempotency::Idempotent, 1.0)]), 3);
     node.request(0, 900 * MS);
     node.now += 600 * MS;
-    end_one(&mut node, AttemptOutcome::Error);
+    end_first_attempt(&mut node, AttemptOutcome::Error);
     assert_eq!(reasons(&node), [RejectionReason::NoRetry(NoRetryReason::NoTimeLeft)]);
     let mut node = recording_node(settings(vec![class(Idempotency::Idempotent, 1.0)]), 3);
     for _ in 0..20 {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn queued_requests_are_rejected_for_queue_length_or_timeout() {
+fn queued_requests_are_rejected_for_the_expected_wait_or_by_timeout() {
     let mut node = recording_node(
         settings(vec![class(Idempotency::Idempotent, 1.0), class(Idempotency::Idempotent, 10.0)]),
         1,
@@ -86,18 +86,18 @@
         node.now += MS;
     }
     assert!(reasons(&node).contains(&RejectionReason::ExpectedWaitTooLong));
-    let pressed = node
+    let has_wait_share = node
         .decision_events
         .iter()
         .any(|event| matches!(event, DecisionEvent::AnsweredWithoutEndpoint { reason: RejectionReason::ExpectedWaitTooLong, wait_share, .. } if *wait_share > 0.2));
-    assert!(pressed, "the wait that it was refused for is recorded");
+    assert!(has_wait_share, "the expected wait of a rejected request is recorded");
     node.advance(node.now + SECOND);
     assert!(reasons(&node).contains(&RejectionReason::QueueTimeout));
-    let full = node.decision_events.iter().find_map(|event| match event {
+    let exclusion = node.decision_events.iter().find_map(|event| match event {
         DecisionEvent::NoEndpointAvailable { exclusions, .. } => exclusions.most_common(),
         _ => None,
     });
-    assert!(matches!(full, None | Some(ExclusionReason::AtLimit)));
+    assert!(matches!(exclusion, None | Some(ExclusionReason::AtLimit)));
     assert!(
         node.decision_events
             .iter()
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_turn_that_does_not_come_in_time_gives_that_reason() {
+fn a_key_order_timeout_is_reported() {
     let mut node = recording_node(
         settings(vec![Class { ordered_by_key: true, ..class(Idempotency::Idempotent, 1.0) }]),
         3,
@@ -120,60 +120,63 @@
 }
 
 #[test]
-fn a_selection_names_the_runner_up_and_the_exclusions() {
+fn a_selection_reports_the_runner_up_and_the_exclusions() {
     let mut node = recording_node(settings(vec![class(Idempotency::Idempotent, 1.0)]), 3);
     node.request(0, 900 * MS);
-    let picked = node.decision_events.iter().find_map(|event| match *event {
-        DecisionEvent::EndpointSelected { endpoint, score, runner_up: Some((second, beaten)), .. } => {
-            Some((endpoint, score, second, beaten))
-        }
+    let selected = node.decision_events.iter().find_map(|event| match *event {
+        DecisionEvent::EndpointSelected {
+            endpoint,
+            score,
+            runner_up: Some((runner_up_id, runner_up_score)),
+            ..
+        } => Some((endpoint, score, runner_up_id, runner_up_score)),
         _ => None,
     });
-    let (endpoint, score, second, beaten) = picked.expect("three servers have room");
-    assert!(endpoint != second && score <= beaten, "{score} {beaten}");
-    // An endpoint that fails again and again is ejected, and excluded from then on.
+    let (endpoint, score, runner_up_id, runner_up_score) = selected.expect("three endpoints have capacity");
+    assert!(endpoint != runner_up_id && score <= runner_up_score, "{score} {runner_up_score}");
+    // An endpoint that fails repeatedly is ejected, and excluded from then on.
     for _ in 0..40 {
         node.request(0, 900 * MS);
         while let Some(&(id, attempt)) = node.attempts_in_flight().first() {
             node.now += 20 * MS;
-            let bad = node.attempts_of(id)[attempt].endpoint == EndpointId(1);
+            let is_failing = node.attempts_of(id)[attempt].endpoint == EndpointId(1);
             node.end_attempt(
                 id,
                 attempt,
-                if bad { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Success },
+                if is_failing { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Success },
             );
         }
-        // Long enough that what was learned of it decays, and it is used again.
+        // Long enough for the learned ratio of the endpoint to decay, so that it is used again.
         node.advance(node.now + 700 * MS);
     }
     let ejected = node
         .decision_events
         .iter()
         .position(|event| matches!(event, DecisionEvent::Ejected { endpoint: EndpointId(1), .. }));
-    let after = &node.decision_events[ejected.expect("it is set ejected")..];
+    let after = &node.decision_events[ejected.expect("endpoint 1 is ejected")..];
     assert!(after.iter().any(|event| matches!(event,
         DecisionEvent::EndpointSelected { exclusions, .. } if exclusions.0[ExclusionReason::Outlier as usize] > 0)));
-    let cut = |event: &DecisionEvent| {
+    let is_lowered = |event: &DecisionEvent| {
         matches!(event,
         DecisionEvent::LimitChanged { endpoint: EndpointId(1), reason: LimitChangeReason::Failure, from, to } if to <= from)
     };
-    assert!(node.decision_events.iter().any(cut));
+    assert!(node.decision_events.iter().any(is_lowered));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
-    /// Recording changes no decision.
+    /// Recording changes neither actions nor logged events.
     #[test]
     fn recording_changes_no_decision(seed: u64, steps in proptest::collection::vec((0usize..2, 0u8..6, 1u64..60), 1..200)) {
-        let play = |all: bool| {
+        let run = |all: bool| {
             let classes = vec![class(Idempotency::Idempotent, 1.0), class(Idempotency::NotIdempotent, 10.0)];
             let mut node = TestNode::new(settings(classes), seed);
             node.update_endpoints(EndpointUpdate::Restored(list((1..=4).map(endpoint))));
             node.balancer.record_every_decision(all);
-            for &(class, what, pause) in &steps {
+            for &(class, outcome, pause) in &steps {
                 node.request(class, 900 * MS);
                 let outcome = [AttemptOutcome::Success, AttemptOutcome::Success, AttemptOutcome::Error, AttemptOutcome::Rejected, AttemptOutcome::Reset,
-                    AttemptOutcome::ConnectFailed][usize::from(what)];
+                    AttemptOutcome::ConnectFailed][usize::from(outcome)];
                 if let Some(&(id, attempt)) = node.attempts_in_flight().first() {
                     node.end_attempt(id, attempt, outcome);
                 }
@@ -182,7 +185,7 @@
             let logged: Vec<_> = node.decision_events.iter().copied().filter(DecisionEvent::is_logged).collect();
             (node.actions, logged)
         };
-        let (recorded, silent) = (play(true), play(false));
-        prop_assert_eq!(recorded, silent);
+        let (recorded, unrecorded) = (run(true), run(false));
+        prop_assert_eq!(recorded, unrecorded);
     }
 }
--- a/crates/policy/tests/discovery_poll.rs
+++ b/crates/policy/tests/discovery_poll.rs
@@ -1,5 +1,5 @@
-//! How soon a node knows an update of the endpoints, over all orders of failed polls: in virtual time, with
-//! the module's own pauses and the protocol's times.
+//! How soon a node learns of an update of the endpoints, over all orders of failed polls: in virtual time,
+//! with the module's own pauses and the times of the protocol.
 
 mod common;
 
@@ -10,60 +10,60 @@
     Nanos, SECOND, Settings, TimerToken,
 };
 
-/// Discovery answers or rejects a poll within this time.
-const CALL_WAIT: Nanos = 2 * SECOND;
-/// The host gives a watch up after this much silence.
-const WATCH_SILENCE: Nanos = 4_500 * MS;
-/// After a move to another discovery service, its updates bind so long after the signal.
-const MOVE_NOTICE: Nanos = 4 * SECOND;
+/// Time within which discovery answers or rejects a poll.
+const MAX_POLL_DURATION: Nanos = 2 * SECOND;
+/// Time without data after which the host gives up a watch.
+const WATCH_IDLE_TIMEOUT: Nanos = 4_500 * MS;
+/// After a switch to another discovery service, its updates are binding this long after the signal.
+const SWITCH_NOTICE_PERIOD: Nanos = 4 * SECOND;
 
-/// What becomes of a poll.
+/// Result of a poll.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
-    /// No response: the host ends it.
+enum PollResult {
+    /// No response; the host ends the poll.
     Lost,
     /// Rejected at once.
-    TurnedAway,
-    /// Rejected after the longest time that a poll may take.
-    TurnedAwayLate,
-    /// Answered after the longest time that a poll may take.
+    Rejected,
+    /// Rejected after the maximum duration of a poll.
+    RejectedLate,
+    /// Answered after the maximum duration of a poll.
     Answered,
 }
 
-impl Fate {
-    fn takes(self) -> Nanos {
+impl PollResult {
+    fn duration(self) -> Nanos {
         match self {
             Self::Lost => DISCOVERY_POLL_TIMEOUT,
-            Self::TurnedAway => 0,
-            Self::TurnedAwayLate | Self::Answered => CALL_WAIT,
+            Self::Rejected => 0,
+            Self::RejectedLate | Self::Answered => MAX_POLL_DURATION,
         }
     }
 }
 
-/// How a node comes to have no watch.
+/// Why a node has no watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Before {
-    /// It starts with a list that may be stale.
+enum NoWatchCause {
+    /// It has just started with a list that may be stale.
     Start,
     /// Its watch has just fallen silent.
     SilentWatch,
-    /// A poll was lost after so many failures in a row: discovery was down.
-    LostCalls(u32),
-    /// So many polls in a row were rejected.
-    RefusedCalls(u32),
+    /// Discovery was down: after this many rejected polls, one was lost.
+    LostPoll(u32),
+    /// This many consecutive polls were rejected.
+    RejectedPolls(u32),
 }
 
-/// The module, its one timer for polls and the clock.
-struct Asker {
+/// The balancer with its timer for polls and a virtual clock.
+struct PollingNode {
     balancer: Balancer,
     now: Nanos,
     due: Option<(Nanos, TimerToken)>,
-    calls: u32,
+    polls: u32,
 }
 
-impl Asker {
+impl PollingNode {
     fn new(settings: Settings, seed: u64) -> Self {
-        Self { balancer: Balancer::new(settings, seed), now: SECOND, due: None, calls: 0 }
+        Self { balancer: Balancer::new(settings, seed), now: SECOND, due: None, polls: 0 }
     }
 
     fn handle(&mut self, event: Event) {
@@ -72,232 +72,252 @@
         for action in actions {
             match action {
                 Action::ArmTimer { at, token } => self.due = Some((at, token)),
-                Action::Subscribe => self.calls += 1,
+                Action::Subscribe => self.polls += 1,
                 other => panic!("{other:?}"),
             }
         }
     }
 
-    fn list(&mut self, change: EndpointUpdate) {
-        self.handle(Event::EndpointsUpdated(change));
+    fn update_endpoints(&mut self, update: EndpointUpdate) {
+        self.handle(Event::EndpointsUpdated(update));
     }
 
     /// Advances to the next poll.
-    fn call(&mut self) {
-        let (calls, (at, token)) = (self.calls, self.due.take().expect("a call is due"));
+    fn next_poll(&mut self) {
+        let (polls, (at, token)) = (self.polls, self.due.take().expect("a poll is due"));
         self.now = at;
         self.handle(Event::TimerFired(token));
-        assert_eq!(self.calls, calls + 1, "the module asks");
+        assert_eq!(self.polls, polls + 1, "the balancer polls");
     }
 
-    /// Makes polls that end so.
-    fn through(&mut self, fates: &[Fate]) {
-        for &fate in fates {
-            self.call();
-            self.now += fate.takes();
-            let answered = fate == Fate::Answered;
-            self.list(if answered { EndpointUpdate::Delta(list([])) } else { EndpointUpdate::WatchFailed });
+    /// Makes polls with the given results.
+    fn poll_with_results(&mut self, results: &[PollResult]) {
+        for &result in results {
+            self.next_poll();
+            self.now += result.duration();
+            let answered = result == PollResult::Answered;
+            self.update_endpoints(if answered {
+                EndpointUpdate::Delta(list([]))
+            } else {
+                EndpointUpdate::WatchFailed
+            });
         }
     }
 }
 
-fn asking(grace: Nanos, ask_every: Nanos) -> Settings {
+fn polling_settings(drain_grace: Nanos, poll_interval: Nanos) -> Settings {
     let mut settings = settings(vec![class(Idempotency::Idempotent, 1.0)]);
-    (settings.discovery, settings.drain_grace, settings.poll_interval) = (Discovery::Poll, grace, ask_every);
+    (settings.discovery, settings.drain_grace, settings.poll_interval) =
+        (Discovery::Poll, drain_grace, poll_interval);
     settings
 }
 
-/// The time from the moment at which discovery could be reached, and had the update, to the response.
-fn until_answered(settings: &Settings, seed: u64, before: Before, then: &[Fate]) -> Nanos {
-    let mut asker = Asker::new(settings.clone(), seed);
-    asker.list(EndpointUpdate::Restored(list([endpoint(1)])));
-    let since = match before {
-        Before::Start => asker.now,
-        Before::SilentWatch => {
-            asker.through(&[Fate::Answered]);
-            let silent = asker.now;
-            asker.now += WATCH_SILENCE;
-            asker.list(EndpointUpdate::WatchFailed);
-            silent
+/// Returns the time from the moment at which discovery was reachable and had the update to the response.
+fn time_until_answered(settings: &Settings, seed: u64, cause: NoWatchCause, results: &[PollResult]) -> Nanos {
+    let mut node = PollingNode::new(settings.clone(), seed);
+    node.update_endpoints(EndpointUpdate::Restored(list([endpoint(1)])));
+    let since = match cause {
+        NoWatchCause::Start => node.now,
+        NoWatchCause::SilentWatch => {
+            node.poll_with_results(&[PollResult::Answered]);
+            let silent_since = node.now;
+            node.now += WATCH_IDLE_TIMEOUT;
+            node.update_endpoints(EndpointUpdate::WatchFailed);
+            silent_since
         }
-        Before::LostCalls(count) => {
-            asker.through(&vec![Fate::TurnedAway; count as usize]);
-            // Just too early.
-            let (reached, _) = asker.due.expect("a call");
-            asker.through(&[Fate::Lost]);
-            reached
+        NoWatchCause::LostPoll(count) => {
+            node.poll_with_results(&vec![PollResult::Rejected; count as usize]);
+            // The poll comes just before discovery can be reached.
+            let (reachable_at, _) = node.due.expect("a poll is due");
+            node.poll_with_results(&[PollResult::Lost]);
+            reachable_at
         }
-        Before::RefusedCalls(count) => {
-            asker.through(&vec![Fate::TurnedAway; count as usize]);
-            // Reachable just after the last of them.
-            asker.now
+        NoWatchCause::RejectedPolls(count) => {
+            node.poll_with_results(&vec![PollResult::Rejected; count as usize]);
+            // Discovery can be reached just after the last of them.
+            node.now
         }
     };
-    asker.through(then);
-    asker.now - since
+    node.poll_with_results(results);
+    node.now - since
 }
 
-/// An update binds after 6 s, and the drain grace follows. A poll that took its whole time counts as a pause
-/// and that time, so it takes the place of a lost one.
+/// An update is binding after 6 s, and the drain grace period follows. A poll that took its maximum duration
+/// counts as a pause plus that duration, so it takes the place of a lost one.
 #[test]
 fn an_update_is_known_before_its_drain_grace_ends_in_every_order_of_failures() {
-    use Fate::{Answered, TurnedAway, TurnedAwayLate};
-    let starts = [Before::Start, Before::SilentWatch]
-        .into_iter()
-        .chain((0..12).flat_map(|count| [Before::LostCalls(count), Before::RefusedCalls(count.max(1))]));
-    let orders: [&[Fate]; 3] = [&[Answered], &[TurnedAway, Answered], &[TurnedAwayLate, Answered]];
-    for before in starts {
+    use PollResult::{Answered, Rejected, RejectedLate};
+    let starts =
+        [NoWatchCause::Start, NoWatchCause::SilentWatch]
+            .into_iter()
+            .chain((0..12).flat_map(|count| {
+                [NoWatchCause::LostPoll(count), NoWatchCause::RejectedPolls(count.max(1))]
+            }));
+    let orders: [&[PollResult]; 3] = [&[Answered], &[Rejected, Answered], &[RejectedLate, Answered]];
+    for cause in starts {
         for order in orders {
-            // One poll is lost, and another one is rejected at once besides.
-            let spent = matches!(before, Before::SilentWatch | Before::LostCalls(_));
-            if spent && order.contains(&TurnedAwayLate) {
+            // After a lost poll, another one may only be rejected at once.
+            let has_lost_poll = matches!(cause, NoWatchCause::SilentWatch | NoWatchCause::LostPoll(_));
+            if has_lost_poll && order.contains(&RejectedLate) {
                 continue;
             }
-            for grace in [SECOND, 2 * SECOND] {
+            for drain_grace in [SECOND, 2 * SECOND] {
                 for seed in 0..300 {
-                    let took = until_answered(&asking(grace, 10 * SECOND), seed, before, order);
-                    assert!(took <= DISCOVERY_NOTICE_PERIOD + grace, "{before:?} {order:?} {grace}: {took}");
+                    let elapsed =
+                        time_until_answered(&polling_settings(drain_grace, 10 * SECOND), seed, cause, order);
+                    assert!(
+                        elapsed <= DISCOVERY_NOTICE_PERIOD + drain_grace,
+                        "{cause:?} {order:?} {drain_grace}: {elapsed}"
+                    );
                 }
             }
         }
     }
 }
 
-/// The same where the settings have a node poll more often than that.
+/// The same if the settings require more frequent polls than that.
 #[test]
 fn a_shorter_poll_interval_bounds_the_delay() {
     for seed in 0..300 {
-        let settings = asking(2 * SECOND, 5 * SECOND);
-        let took = until_answered(&settings, seed, Before::LostCalls(9), &[Fate::Answered]);
-        assert!(took <= 7 * SECOND, "{took}");
+        let settings = polling_settings(2 * SECOND, 5 * SECOND);
+        let elapsed =
+            time_until_answered(&settings, seed, NoWatchCause::LostPoll(9), &[PollResult::Answered]);
+        assert!(elapsed <= 7 * SECOND, "{elapsed}");
     }
 }
 
-/// After a move by a signal, updates of the new service bind 4 s later, and the grace follows. The host polls
-/// at once; the first poll may be lost, or two may be rejected.
+/// After a switch by a signal, updates of the new service are binding 4 s later, and the grace period
+/// follows. The host polls at once. The first poll may be lost, or two may be rejected.
 #[test]
-fn a_move_of_discovery_leaves_time_for_a_failed_poll() {
-    use Fate::{Answered, TurnedAway};
-    let orders: [(Nanos, &[Fate]); 2] =
-        [(DISCOVERY_POLL_TIMEOUT, &[Answered]), (0, &[TurnedAway, TurnedAway, Answered])];
-    for (spent, order) in orders {
+fn a_switch_of_discovery_leaves_time_for_a_failed_poll() {
+    use PollResult::{Answered, Rejected};
+    let orders: [(Nanos, &[PollResult]); 2] =
+        [(DISCOVERY_POLL_TIMEOUT, &[Answered]), (0, &[Rejected, Rejected, Answered])];
+    for (lost_time, order) in orders {
         for seed in 0..300 {
-            let mut asker = Asker::new(asking(2 * SECOND, 10 * SECOND), seed);
-            asker.list(EndpointUpdate::Restored(list([endpoint(1)])));
-            asker.through(&[Answered]);
-            let moved = asker.now;
-            asker.now += spent;
-            asker.list(EndpointUpdate::WatchFailed);
-            asker.through(order);
-            let took = asker.now - moved;
-            assert!(took <= MOVE_NOTICE + 2 * SECOND, "{order:?}: {took}");
+            let mut node = PollingNode::new(polling_settings(2 * SECOND, 10 * SECOND), seed);
+            node.update_endpoints(EndpointUpdate::Restored(list([endpoint(1)])));
+            node.poll_with_results(&[Answered]);
+            let switched_at = node.now;
+            node.now += lost_time;
+            node.update_endpoints(EndpointUpdate::WatchFailed);
+            node.poll_with_results(order);
+            let elapsed = node.now - switched_at;
+            assert!(elapsed <= SWITCH_NOTICE_PERIOD + 2 * SECOND, "{order:?}: {elapsed}");
         }
     }
 }
 
-/// Nodes that lose discovery together poll apart, and a service that stays down isn't polled in bursts.
+/// Nodes that lose discovery together poll at different times, and a service that stays down isn't polled in
+/// bursts.
 #[test]
-fn polls_are_spread_and_bounded() {
-    let settings = asking(2 * SECOND, 10 * SECOND);
-    let firsts = |before: &[Fate]| {
+fn polls_are_spread_and_their_rate_is_bounded() {
+    let settings = polling_settings(2 * SECOND, 10 * SECOND);
+    let first_pauses = |results: &[PollResult]| {
         let pauses = (0..200).map(|seed| {
-            let mut asker = Asker::new(settings.clone(), seed);
-            asker.list(EndpointUpdate::Restored(list([endpoint(1)])));
-            asker.through(before);
-            asker.due.expect("a call").0 - asker.now
+            let mut node = PollingNode::new(settings.clone(), seed);
+            node.update_endpoints(EndpointUpdate::Restored(list([endpoint(1)])));
+            node.poll_with_results(results);
+            node.due.expect("a poll is due").0 - node.now
         });
-        let (least, most) = pauses.fold((Nanos::MAX, 0), |(least, most), x| (least.min(x), most.max(x)));
-        (least, most)
+        let (min, max) = pauses.fold((Nanos::MAX, 0), |(min, max), x| (min.min(x), max.max(x)));
+        (min, max)
     };
-    let (least, most) = firsts(&[]);
-    assert!(least < 50 * MS && most > 400 * MS, "at a start: {least} to {most}");
-    let (least, most) = firsts(&[Fate::TurnedAway]);
-    assert!(least >= 200 * MS && most > 450 * MS, "after a failure: {least} to {most}");
-    let (least, most) = firsts(&[Fate::TurnedAway; 8]);
-    assert!(least >= 400 * MS && most > 900 * MS, "after many: {least} to {most}");
+    let (min, max) = first_pauses(&[]);
+    assert!(min < 50 * MS && max > 400 * MS, "after a start: {min} to {max}");
+    let (min, max) = first_pauses(&[PollResult::Rejected]);
+    assert!(min >= 200 * MS && max > 450 * MS, "after one failure: {min} to {max}");
+    let (min, max) = first_pauses(&[PollResult::Rejected; 8]);
+    assert!(min >= 400 * MS && max > 900 * MS, "after eight failures: {min} to {max}");
 }
 
-/// A service that works through polls in turn, and rejects at once those that it couldn't answer in time.
+/// A service that processes polls one after another, and rejects at once those that it couldn't answer in
+/// time.
 struct Service {
-    call_takes: Nanos,
+    poll_duration: Nanos,
     free_at: Nanos,
 }
 
 impl Service {
-    /// When a poll is answered; `None` if it is rejected.
+    /// Returns when a poll is answered; `None` if it is rejected.
     fn take(&mut self, now: Nanos) -> Option<Nanos> {
-        let done = self.free_at.max(now) + self.call_takes;
-        (done <= now + CALL_WAIT).then(|| self.free_at = done).map(|()| done)
+        let done = self.free_at.max(now) + self.poll_duration;
+        (done <= now + MAX_POLL_DURATION).then(|| self.free_at = done).map(|()| done)
     }
 }
 
-/// Starts so many nodes at once before a service that takes so long for one poll of each. Returns when the
-/// last of them is answered, and the number of polls.
-fn start_together(nodes: u64, all_calls: Nanos) -> (Nanos, u32) {
-    let settings = asking(2 * SECOND, 10 * SECOND);
-    let mut service = Service { call_takes: all_calls / nodes, free_at: 0 };
-    let mut askers: Vec<_> = (0..nodes).map(|seed| Asker::new(settings.clone(), seed)).collect();
+/// Starts `nodes` nodes at once, with a service that needs `total_poll_time` for one poll of each. Returns
+/// when the last node is answered, and the number of polls.
+fn start_together(nodes: u64, total_poll_time: Nanos) -> (Nanos, u32) {
+    let settings = polling_settings(2 * SECOND, 10 * SECOND);
+    let mut service = Service { poll_duration: total_poll_time / nodes, free_at: 0 };
+    let mut nodes_polling: Vec<_> = (0..nodes).map(|seed| PollingNode::new(settings.clone(), seed)).collect();
     let mut due = std::collections::BTreeSet::new();
-    for (number, asker) in askers.iter_mut().enumerate() {
-        asker.list(EndpointUpdate::Restored(list([endpoint(1)])));
-        due.insert((asker.due.expect("a call").0, number));
+    for (number, node) in nodes_polling.iter_mut().enumerate() {
+        node.update_endpoints(EndpointUpdate::Restored(list([endpoint(1)])));
+        due.insert((node.due.expect("a poll is due").0, number));
     }
     let mut last = 0;
     while let Some((now, number)) = due.pop_first() {
-        let asker = &mut askers[number];
-        asker.call();
+        let node = &mut nodes_polling[number];
+        node.next_poll();
         if let Some(done) = service.take(now) {
             last = last.max(done);
         } else {
-            asker.list(EndpointUpdate::WatchFailed);
-            due.insert((asker.due.expect("a further call").0, number));
+            node.update_endpoints(EndpointUpdate::WatchFailed);
+            due.insert((node.due.expect("another poll is due").0, number));
         }
     }
-    (last - SECOND, askers.iter().map(|asker| asker.calls).sum())
+    (last - SECOND, nodes_polling.iter().map(|node| node.polls).sum())
 }
 
-/// If all nodes start at once before a service that rejects polls, it is never idle while a node waits: the
-/// last one is answered little after it could be at all, with some polls a node and second.
+/// If all nodes start at once with a service that rejects polls, the service is never idle while a node
+/// waits: the last node is answered shortly after the earliest possible time, with only a few polls per node
+/// and second.
 #[test]
-fn nodes_that_start_together_are_answered_as_fast_as_discovery_can() {
+fn nodes_that_start_together_are_answered_without_idle_time_of_discovery() {
     let nodes = 300;
-    for all_calls in [2, 4, 6, 8] {
-        let (last, calls) = start_together(nodes, all_calls * SECOND);
-        assert!(last <= all_calls * SECOND + SECOND, "{all_calls} s: the last after {last}");
+    for total_poll_time in [2, 4, 6, 8] {
+        let (last, polls) = start_together(nodes, total_poll_time * SECOND);
+        assert!(
+            last <= total_poll_time * SECOND + SECOND,
+            "{total_poll_time} s: the last node answered after {last}"
+        );
         assert!(
-            last <= DISCOVERY_NOTICE_PERIOD + 2 * SECOND || all_calls > 6,
-            "{all_calls} s: the last after {last}"
+            last <= DISCOVERY_NOTICE_PERIOD + 2 * SECOND || total_poll_time > 6,
+            "{total_poll_time} s: the last node answered after {last}"
         );
-        let most = nodes * 2 * (all_calls + 1);
-        assert!(u64::from(calls) <= most, "{all_calls} s: {calls} calls");
+        let max = nodes * 2 * (total_poll_time + 1);
+        assert!(u64::from(polls) <= max, "{total_poll_time} s: {polls} polls");
     }
 }
 
 #[test]
 fn polls_are_spread_and_repeated_after_a_failure() {
-    let mut first = Vec::new();
+    let mut first_polls = Vec::new();
     for seed in 0..20 {
         let mut node_settings = settings(vec![class(Idempotency::Idempotent, 1.0)]);
         node_settings.discovery = Discovery::Poll;
         let mut node = TestNode::new(node_settings, seed);
         node.update_endpoints(EndpointUpdate::Restored(list([endpoint(1)])));
         let start = node.now;
-        let asks = |node: &TestNode| node.actions.iter().filter(|a| **a == Action::Subscribe).count();
-        while asks(&node) == 0 {
+        let subscriptions =
+            |node: &TestNode| node.actions.iter().filter(|action| **action == Action::Subscribe).count();
+        while subscriptions(&node) == 0 {
             node.advance(node.now + 50 * MS);
             assert!(node.now < start + 6 * SECOND);
         }
-        first.push(node.now - start);
+        first_polls.push(node.now - start);
         node.update_endpoints(EndpointUpdate::WatchFailed);
         node.advance(node.now + 6 * SECOND);
-        assert_eq!(asks(&node), 2);
+        assert_eq!(subscriptions(&node), 2);
         node.update_endpoints(EndpointUpdate::Delta(list([])));
         node.advance(node.now + 60 * SECOND);
-        assert_eq!(asks(&node), 2, "a standing subscription is not asked for again");
+        assert_eq!(subscriptions(&node), 2, "a node with a watch doesn't poll again");
     }
-    first.sort_unstable();
-    assert!(first[19] - first[0] > 300 * MS, "nodes that start together ask apart");
-    // At a resolution of 50 ms: 0.5 s at most, of the 2 s in which an update from before the start has to be
-    // known.
-    assert!(first[19] <= 550 * MS, "and none of them late");
+    first_polls.sort_unstable();
+    assert!(first_polls[19] - first_polls[0] > 300 * MS, "nodes that start together poll at different times");
+    // Measured in steps of 50 ms: at most 0.5 s of the 2 s within which an update from before the start must
+    // be known.
+    assert!(first_polls[19] <= 550 * MS, "no node polls late");
 }
--- a/crates/policy/tests/event_loop_stall.rs
+++ b/crates/policy/tests/event_loop_stall.rs
@@ -1,4 +1,4 @@
-//! Stalls of this process: nothing is learned of endpoints from them.
+//! Stalls of this process: nothing about endpoints is learned from them.
 
 mod common;
 
@@ -6,15 +6,15 @@
 use pumicehead_policy::decision_event::DecisionEvent;
 use pumicehead_policy::*;
 
-/// Endpoints that respond in 20 ms and are idle; the node stalls for 5 s with attempts in flight, and what
-/// clients sent meanwhile arrives at once. Returns the node after the second that follows, and the last
-/// request before the stall.
+/// Endpoints respond in 20 ms and are idle. The node stalls for 5 s with attempts in flight, and the requests
+/// that clients sent in the meantime arrive at once. Returns the node one second later, and the last request
+/// before the stall.
 fn after_a_stall(reported: bool) -> (TestNode, u32) {
     let mut node = TestNode::with_endpoints(
         settings(vec![class(Idempotency::Idempotent, 1.0), class(Idempotency::NotIdempotent, 10.0)]),
         4,
     );
-    let answer = |node: &mut TestNode| {
+    let end_due_attempts = |node: &mut TestNode| {
         for (id, n) in node.attempts_in_flight() {
             if node.now >= node.attempts_of(id)[n].sent_at + 20 * MS {
                 node.end_attempt(id, n, AttemptOutcome::Success);
@@ -24,54 +24,64 @@
     for step in 0..600 {
         node.request(step % 2, 900 * MS);
         node.advance(node.now + 16 * MS);
-        answer(&mut node);
+        end_due_attempts(&mut node);
     }
-    let waiting = node.request(0, 30 * SECOND);
-    let late = node.request(1, 900 * MS);
-    assert!(!node.attempts_of(waiting).is_empty() && !node.attempts_of(late).is_empty(), "both are out");
+    let with_long_deadline = node.request(0, 30 * SECOND);
+    let with_short_deadline = node.request(1, 900 * MS);
+    assert!(
+        !node.attempts_of(with_long_deadline).is_empty() && !node.attempts_of(with_short_deadline).is_empty(),
+        "both attempts are in flight"
+    );
     node.now += 5 * SECOND;
     if reported {
         node.balancer.recover_from_stall(node.now, 5 * SECOND);
     }
-    // The deadline of one has passed; the other's response had arrived during the stall.
-    node.end_attempt(late, 0, AttemptOutcome::TimedOut);
-    node.end_attempt(waiting, 0, AttemptOutcome::Success);
-    let first = node.requests.keys().last().copied().unwrap_or_default();
+    // The deadline of one request has passed. The response to the other one arrived during the stall.
+    node.end_attempt(with_short_deadline, 0, AttemptOutcome::TimedOut);
+    node.end_attempt(with_long_deadline, 0, AttemptOutcome::Success);
+    let last_before_stall = node.requests.keys().last().copied().unwrap_or_default();
     for class in (0..70).map(|number| number % 2) {
         node.request(class, 900 * MS);
     }
     for _ in 0..100 {
         node.advance(node.now + 10 * MS);
-        answer(&mut node);
+        end_due_attempts(&mut node);
     }
-    (node, first)
+    (node, last_before_stall)
 }
 
-/// Violations, but for answers that are late because of the stall.
+/// Violations other than late answers, which the stall explains.
 fn violations(node: &TestNode) -> Vec<&String> {
-    node.violations.iter().filter(|text| !text.starts_with("1: ")).collect()
+    node.violations.iter().filter(|text| !text.starts_with("final answer: ")).collect()
 }
 
-fn rejected(node: &TestNode, first: u32) -> usize {
-    node.actions.iter().filter(|action| matches!(action, Action::Reject { id, .. } if id.0 > first)).count()
+fn rejected(node: &TestNode, last_before_stall: u32) -> usize {
+    node.actions
+        .iter()
+        .filter(|action| matches!(action, Action::Reject { id, .. } if id.0 > last_before_stall))
+        .count()
 }
 
-/// After a reported stall no limit is lowered and no endpoint ejected, and no request that arrived meanwhile
-/// is rejected if an endpoint can serve it in time. After an unreported one, all of that happens.
+/// After a reported stall no endpoint is ejected, and no request that arrived in the meantime is rejected if
+/// an endpoint can serve it in time. After an unreported stall, such requests are rejected.
 #[test]
-fn a_stall_of_this_process_is_not_held_against_endpoints() {
-    let (node, first) = after_a_stall(true);
-    assert_eq!(rejected(&node, first), 0);
-    let waited: Vec<_> = node.requests.range(first + 1..).collect();
-    assert_eq!(waited.iter().filter(|(_, known)| known.final_answers == 1).count(), 70, "all are served");
-    assert!(!node.decision_events.iter().any(|note| matches!(note, DecisionEvent::Ejected { .. })));
+fn a_reported_stall_ejects_no_endpoint_and_rejects_no_request() {
+    let (node, last_before_stall) = after_a_stall(true);
+    assert_eq!(rejected(&node, last_before_stall), 0);
+    let arrived_during_stall: Vec<_> = node.requests.range(last_before_stall + 1..).collect();
+    assert_eq!(
+        arrived_during_stall.iter().filter(|(_, request)| request.final_answers == 1).count(),
+        70,
+        "all requests are answered"
+    );
+    assert!(!node.decision_events.iter().any(|event| matches!(event, DecisionEvent::Ejected { .. })));
     assert!(violations(&node).is_empty(), "{:?}", violations(&node));
-    let (node, first) = after_a_stall(false);
-    assert!(rejected(&node, first) > 20, "{}", rejected(&node, first));
+    let (node, last_before_stall) = after_a_stall(false);
+    assert!(rejected(&node, last_before_stall) > 20, "{}", rejected(&node, last_before_stall));
 }
 
-/// Drains and deadlines go by the clock through a stall: an endpoint that drained before gets nothing after,
-/// and no attempt starts past its time.
+/// Drains and deadlines follow the clock during a stall: an endpoint that starts to drain gets no more
+/// attempts, and no attempt starts after its deadline.
 #[test]
 fn a_stall_extends_neither_drains_nor_deadlines() {
     let mut node = TestNode::with_endpoints(settings(vec![class(Idempotency::Idempotent, 1.0)]), 1);
@@ -80,11 +90,13 @@
     assert!(!queued.is_empty());
     node.now += 5 * SECOND;
     node.balancer.recover_from_stall(node.now, 5 * SECOND);
-    let leaving = EndpointInfo { state: EndpointState::Draining, ..endpoint(1) };
-    node.update_endpoints(EndpointUpdate::Delta(list([leaving])));
+    let draining = EndpointInfo { state: EndpointState::Draining, ..endpoint(1) };
+    node.update_endpoints(EndpointUpdate::Delta(list([draining])));
     node.advance(node.now + 3 * SECOND);
-    let sent =
-        queued.iter().filter(|id| node.attempts_of(**id).iter().any(|one| one.sent_at > 5 * SECOND)).count();
+    let sent = queued
+        .iter()
+        .filter(|id| node.attempts_of(**id).iter().any(|attempt| attempt.sent_at > 5 * SECOND))
+        .count();
     assert_eq!(sent, 0);
     assert!(node.all_answered() && violations(&node).is_empty(), "{:?}", violations(&node));
 }
--- a/crates/policy/tests/load_reports.rs
+++ b/crates/policy/tests/load_reports.rs
@@ -1,5 +1,5 @@
-//! Load reports between nodes: useful when they arrive, harmless when lost, late, duplicated, wrong or
-//! malformed.
+//! Load reports between nodes: they improve selection when they arrive, and do no harm when lost, late,
+//! duplicated, wrong or malformed.
 
 mod common;
 
@@ -18,20 +18,20 @@
         (peers.in_flight(EndpointId(1)), peers.in_flight(EndpointId(2)), peers.reporting_peers()),
         (3, 0, 2)
     );
-    for odd in [&[][..], &[1], &[9, 9, 0, 0], &[1, 2, 1, 0, 0], &[1; 255]] {
-        peers.record(7, odd, SECOND);
+    for ignored in [&[][..], &[1], &[9, 9, 0, 0], &[1, 2, 1, 0, 0], &[1; 255]] {
+        peers.record(7, ignored, SECOND);
     }
-    assert_eq!(peers.in_flight(EndpointId(1)), 3, "of unknown form, or no newer");
+    assert_eq!(peers.in_flight(EndpointId(1)), 3, "malformed reports, or not newer ones, are ignored");
     peers.record(7, &encode(0, [(EndpointId(1), 9)]), SECOND);
     peers.record(7, &encode(1, [(EndpointId(1), 9)]), SECOND);
-    assert_eq!(peers.in_flight(EndpointId(1)), 3, "overtaken on the way, or doubled");
+    assert_eq!(peers.in_flight(EndpointId(1)), 3, "reordered and duplicated reports are ignored");
     peers.record(7, &encode(2, [(EndpointId(3), 1)]), 2 * SECOND);
     assert_eq!((peers.in_flight(EndpointId(1)), peers.in_flight(EndpointId(3))), (1, 1));
     peers.expire(2 * SECOND, SECOND);
     assert_eq!(
         (peers.in_flight(EndpointId(1)), peers.reporting_peers()),
         (0, 2),
-        "an old note no longer counts"
+        "an expired report no longer counts"
     );
     peers.expire(3 * SECOND, 3 * SECOND);
     assert_eq!((peers.in_flight(EndpointId(3)), peers.reporting_peers()), (0, 0));
@@ -40,20 +40,20 @@
 }
 
 #[test]
-fn groups_cover_all_nodes_and_know_each_other() {
+fn groups_cover_all_nodes_and_membership_is_symmetric() {
     for (nodes, groups) in [(100, 7), (1000, 46), (84, 6)] {
         let mut seen = BTreeSet::new();
-        for me in 0..nodes {
-            let others = peers_in_group(me, nodes, groups);
-            assert!(others.len() + 1 >= nodes as usize / groups / 2, "no group is left nearly alone");
-            assert!(others.iter().all(|&other| peers_in_group(other, nodes, groups).contains(&me)));
-            seen.insert(me);
+        for node in 0..nodes {
+            let peers = peers_in_group(node, nodes, groups);
+            assert!(peers.len() + 1 >= nodes as usize / groups / 2, "no group is too small");
+            assert!(peers.iter().all(|&peer| peers_in_group(peer, nodes, groups).contains(&node)));
+            seen.insert(node);
         }
         assert_eq!(seen.len(), nodes as usize);
     }
 }
 
-fn informed() -> (TestNode, Vec<u32>, BTreeSet<EndpointId>) {
+fn node_with_peers() -> (TestNode, Vec<u32>, BTreeSet<EndpointId>) {
     let node_settings = Settings {
         node_count: 60,
         load_reports: true,
@@ -63,7 +63,7 @@
     let mut used = BTreeSet::new();
     for _ in 0..100 {
         let id = node.request(0, 900 * MS);
-        used.extend(node.attempts_of(id).iter().map(|t| t.endpoint));
+        used.extend(node.attempts_of(id).iter().map(|attempt| attempt.endpoint));
         node.advance(node.now + 20 * MS);
         for (id, n) in node.attempts_in_flight() {
             node.end_attempt(id, n, AttemptOutcome::Success);
@@ -72,38 +72,38 @@
     let peers: BTreeSet<u32> = node
         .actions
         .iter()
-        .filter_map(|a| if let Action::SendLoadReport { to, .. } = a { Some(*to) } else { None })
+        .filter_map(|action| if let Action::SendLoadReport { to, .. } = action { Some(*to) } else { None })
         .collect();
     (node, peers.into_iter().collect(), used)
 }
 
-/// Nodes that select blindly crowd one endpoint beside idle ones.
+/// Nodes that select endpoints blindly overload one endpoint while others are idle.
 #[test]
-fn an_endpoint_that_peers_keep_busy_is_avoided() {
-    let (mut node, peers, used) = informed();
+fn an_endpoint_reported_as_busy_by_peers_is_avoided() {
+    let (mut node, peers, used) = node_with_peers();
     assert!(peers.len() >= 3 && !peers.contains(&0), "{peers:?}");
     let busy = *used.first().unwrap();
-    for seq in 0..40 {
+    for sequence in 0..40 {
         for &peer in &peers {
-            let body = encode(seq, [(busy, 1)]);
+            let body = encode(sequence, [(busy, 1)]);
             node.event(Event::LoadReport { from: peer, body });
         }
         let id = node.request(0, 900 * MS);
-        assert!(node.attempts_of(id).iter().all(|t| t.endpoint != busy), "round {seq}");
+        assert!(node.attempts_of(id).iter().all(|attempt| attempt.endpoint != busy), "round {sequence}");
         node.advance(node.now + 10 * MS);
         for (id, n) in node.attempts_in_flight() {
             node.end_attempt(id, n, AttemptOutcome::Success);
         }
     }
-    // The reports cease: soon the endpoint is used again, and everything is served.
+    // After the reports have ceased, the endpoint is soon used again and all requests are served.
     node.advance(node.now + 5 * SECOND);
     let later: BTreeSet<EndpointId> = (0..60)
         .flat_map(|_| {
             let id = node.request(0, 900 * MS);
-            let server = node.attempts_of(id)[0].endpoint;
+            let endpoint = node.attempts_of(id)[0].endpoint;
             node.advance(node.now + 10 * MS);
             node.end_attempt(id, 0, AttemptOutcome::Success);
-            [server]
+            [endpoint]
         })
         .collect();
     assert!(later.contains(&busy));
@@ -111,12 +111,12 @@
 }
 
 #[test]
-fn no_reports_where_not_allowed_or_too_dear() {
-    for (peers, peer_price) in [(false, 0.0), (true, 10.0)] {
+fn no_reports_are_sent_if_disallowed_or_too_expensive() {
+    for (allowed, report_cost) in [(false, 0.0), (true, 10.0)] {
         let node_settings = Settings {
             node_count: 60,
-            load_reports: peers,
-            load_report_cost: peer_price,
+            load_reports: allowed,
+            load_report_cost: report_cost,
             ..settings(vec![class(Idempotency::Idempotent, 1.0)])
         };
         let mut node = TestNode::with_endpoints(node_settings, 20);
@@ -124,6 +124,6 @@
             node.request(0, 900 * MS);
             node.advance(node.now + 20 * MS);
         }
-        assert!(!node.actions.iter().any(|a| matches!(a, Action::SendLoadReport { .. })));
+        assert!(!node.actions.iter().any(|action| matches!(action, Action::SendLoadReport { .. })));
     }
 }
--- a/crates/policy/tests/settings_update.rs
+++ b/crates/policy/tests/settings_update.rs
@@ -1,11 +1,11 @@
-//! The change of settings while a node runs.
+//! Updates of the settings while a node runs.
 
 mod common;
 
 use common::*;
 use pumicehead_policy::*;
 
-/// Other settings keep what was learned, but never change the rules of open requests.
+/// An update is accepted only if it leaves the rules of open requests unchanged.
 #[test]
 fn settings_are_updated_unless_rules_of_open_requests_change() {
     let settings = settings(vec![class(Idempotency::Idempotent, 1.0)]);
--- a/crates/policy/tests/source_size.rs
+++ b/crates/policy/tests/source_size.rs
@@ -1,22 +1,22 @@
-//! The decision module stays readable: each of its sources is bounded in length and width.
+//! Keeps the decision module readable: the length and line width of its source files are limited.
 
 use std::fs;
 use std::path::PathBuf;
 
-/// Longest source of the module, in lines.
+/// Maximum length of a source file, in lines.
 const MAX_LINES: usize = 400;
-/// Widest line, in characters.
+/// Maximum line width, in characters.
 const MAX_WIDTH: usize = 110;
 
-/// All sources below `src`.
+/// Returns all source files below `src`.
 fn sources() -> Vec<PathBuf> {
-    let mut folders = vec![PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("src")];
+    let mut directories = vec![PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("src")];
     let mut files = Vec::new();
-    while let Some(folder) = folders.pop() {
-        for entry in fs::read_dir(folder).expect("a folder of sources can be listed") {
-            let path = entry.expect("an entry can be read").path();
+    while let Some(directory) = directories.pop() {
+        for entry in fs::read_dir(directory).expect("the source directory can be listed") {
+            let path = entry.expect("the directory entry can be read").path();
             if path.is_dir() {
-                folders.push(path);
+                directories.push(path);
             } else {
                 files.push(path);
             }
@@ -26,11 +26,11 @@
 }
 
 #[test]
-fn sources_of_the_decision_module_are_bounded_in_length_and_width() {
+fn source_files_are_limited_in_length_and_width() {
     let files = sources();
     assert!(files.len() > 10, "{files:?}");
     for file in files {
-        let text = fs::read_to_string(&file).expect("a source can be read");
+        let text = fs::read_to_string(&file).expect("the source file can be read");
         let shown = file.display();
         assert!(text.lines().count() <= MAX_LINES, "{shown}: {} lines", text.lines().count());
         for (number, line) in (1..).zip(text.lines()) {
--- a/crates/policy/tests/subsetting.rs
+++ b/crates/policy/tests/subsetting.rs
@@ -19,23 +19,24 @@
 
 #[test]
 fn nodes_use_different_stable_subsets() {
-    let used = |me| {
+    let used_endpoints = |node_index| {
         let mut node_settings = settings(vec![class(Idempotency::Idempotent, 1.0)]);
         (node_settings.node_count, node_settings.node_index, node_settings.connections_have_cost) =
-            (1000, me, true);
+            (1000, node_index, true);
         let mut node = TestNode::new(node_settings, 9);
         node.update_endpoints(EndpointUpdate::Restored(list((1..200).map(endpoint))));
         serve(&mut node, 200, 20 * MS);
-        let all = node.requests.values().flat_map(|k| &k.attempts).map(|t| t.endpoint);
+        let all =
+            node.requests.values().flat_map(|request| &request.attempts).map(|attempt| attempt.endpoint);
         all.collect::<std::collections::BTreeSet<_>>()
     };
-    let (one, two) = (used(1), used(2));
-    assert!(one.len() <= 8 && two.len() <= 8, "few connections: {} and {}", one.len(), two.len());
-    assert_ne!(one, two);
+    let (first, second) = (used_endpoints(1), used_endpoints(2));
+    assert!(first.len() <= 8 && second.len() <= 8, "few connections: {} and {}", first.len(), second.len());
+    assert_ne!(first, second);
 }
 
-/// If all nodes lacked capacity and used more endpoints for it, they would share every endpoint with nodes
-/// whose attempts they can't see.
+/// If all nodes lacked capacity and used more endpoints because of that, every endpoint would be shared by
+/// nodes that can't see each other's attempts.
 #[test]
 fn lack_of_capacity_does_not_widen_the_subset() {
     let node_settings = Settings { node_count: 40, ..settings(vec![class(Idempotency::Idempotent, 1.0)]) };
@@ -51,21 +52,28 @@
             }
         }
     }
-    let used: std::collections::BTreeSet<_> =
-        node.requests.values().flat_map(|k| &k.attempts).map(|t| t.endpoint).collect();
-    assert!(node.actions.iter().any(|a| matches!(a, Action::Reject { .. })), "it lacked room");
-    assert!(used.len() <= 60, "{} of 200 servers used", used.len());
+    let used_endpoints: std::collections::BTreeSet<_> = node
+        .requests
+        .values()
+        .flat_map(|request| &request.attempts)
+        .map(|attempt| attempt.endpoint)
+        .collect();
+    assert!(
+        node.actions.iter().any(|action| matches!(action, Action::Reject { .. })),
+        "the node lacks capacity"
+    );
+    assert!(used_endpoints.len() <= 60, "{} of 200 endpoints used", used_endpoints.len());
     assert!(node.violations.is_empty());
 }
 
-/// If most endpoints of a node are in slow start it uses more of them, so that none lacks capacity while
+/// If most endpoints of a node are in slow start, it uses more of them, so that no node lacks capacity while
 /// others have plenty.
 #[test]
 fn replacing_most_endpoints_leaves_every_node_with_capacity() {
-    let refusals = |me: u32| {
+    let rejections = |node_index: u32| {
         let node_settings = Settings {
             node_count: 300,
-            node_index: me,
+            node_index,
             connections_have_cost: true,
             warmup_duration: 30 * SECOND,
             ..settings(vec![class(Idempotency::Idempotent, 1.0), class(Idempotency::Idempotent, 10.0)])
@@ -86,7 +94,7 @@
             }
         };
         rounds(&mut node, 100);
-        // Two of three are replaced by ones in slow start.
+        // Two of three endpoints are replaced by endpoints in slow start.
         let now = node.now;
         let all = (1..=200).map(|id| match id % 3 {
             0 => endpoint(id),
@@ -98,7 +106,7 @@
         assert!(node.violations.is_empty(), "{:?}", node.violations);
         node.actions[before..].iter().filter(|action| matches!(action, Action::Reject { .. })).count()
     };
-    let all: Vec<_> = (0..40).map(|number| refusals(number * 7)).collect();
+    let all: Vec<_> = (0..40).map(|number| rejections(number * 7)).collect();
     let worst = all.iter().max().copied().unwrap_or_default();
-    assert!(worst <= 10, "of 100: {all:?}");
+    assert!(worst <= 10, "rejections of 100 requests: {all:?}");
 }
--- a/crates/policy/tests/tenant_ids.rs
+++ b/crates/policy/tests/tenant_ids.rs
@@ -1,4 +1,4 @@
-//! Ids of tenants that configurations know by name.
+//! Tenant ids, which belong to the names in the configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,7 @@
     ids.update(names.iter().map(|name| (*name, tenant(0.1))), now);
 }
 
-/// An id means the same name before and after a change, wherever it stands in the file.
+/// An id belongs to the same name before and after an update, whatever the name's position in the file.
 #[test]
 fn a_name_keeps_its_id() {
     let mut ids = TenantIds::default();
@@ -26,9 +26,10 @@
     assert_eq!(ids.shares().len(), 3);
 }
 
-/// A name that comes back soon gets its own id, later one that nobody had.
+/// A name that returns within [`RETIRED_ID_LIFETIME`] gets its previous id. Later it gets an id that no name
+/// has had.
 #[test]
-fn a_name_that_comes_back_soon_has_its_own_id() {
+fn a_name_that_returns_in_time_gets_its_previous_id() {
     let mut ids = TenantIds::default();
     update(&mut ids, &["a", "b"], 0);
     let b = ids.get("b").unwrap();
@@ -41,9 +42,9 @@
     assert!(ids.get("b").is_some_and(|id| id != b));
 }
 
-/// What does not change stays the same in memory, for all pools.
+/// Tables that don't change keep their allocation, which all pools share.
 #[test]
-fn what_is_the_same_is_shared() {
+fn unchanged_tables_keep_their_allocation() {
     let mut ids = TenantIds::default();
     update(&mut ids, &["a", "b"], 0);
     let (names, shares) = (ids.by_name().clone(), ids.shares().clone());
@@ -53,34 +54,34 @@
     assert!(std::sync::Arc::ptr_eq(&names, ids.by_name()) && shares != *ids.shares());
 }
 
-/// Shares that are no numbers, or negative, are found in whatever tenant.
+/// Shares that are negative, infinite or not a number are detected in any tenant.
 #[test]
-fn unsound_shares_are_found() {
-    let shares = |bad: Tenant| TenantShares::from(vec![tenant(0.1), bad, tenant(0.2)]);
+fn invalid_shares_are_detected() {
+    let shares = |invalid: Tenant| TenantShares::from(vec![tenant(0.1), invalid, tenant(0.2)]);
     assert!(TenantShares::default().is_valid() && shares(tenant(0.0)).is_valid());
-    for bad in [f64::NAN, f64::INFINITY, -0.1] {
-        assert!(!shares(tenant(bad)).is_valid());
-        assert!(!shares(Tenant { share: 0.1, allowance_per_s: bad }).is_valid());
+    for invalid in [f64::NAN, f64::INFINITY, -0.1] {
+        assert!(!shares(tenant(invalid)).is_valid());
+        assert!(!shares(Tenant { share: 0.1, allowance_per_s: invalid }).is_valid());
     }
 }
 
 proptest! {
-    /// No id means two names within the time for which it is kept.
+    /// No id belongs to two names within the time for which it is reserved.
     #[test]
-    fn no_id_has_two_names(changes in proptest::collection::vec((0..20 * SECOND, proptest::collection::btree_set(0..12u8, 0..12)), 1..40)) {
+    fn no_id_belongs_to_two_names_while_it_is_reserved(changes in proptest::collection::vec((0..20 * SECOND, proptest::collection::btree_set(0..12u8, 0..12)), 1..40)) {
         let mut ids = TenantIds::default();
-        let mut last: BTreeMap<TenantId, (String, Nanos)> = BTreeMap::new();
+        let mut last_use: BTreeMap<TenantId, (String, Nanos)> = BTreeMap::new();
         let mut now = 0;
         for (after, names) in changes {
             now += after;
             let names: Vec<_> = names.iter().map(|name| format!("tenant-{name}")).collect();
             ids.update(names.iter().map(|name| (name.as_str(), tenant(0.1))), now);
-            let given: BTreeSet<_> = names.iter().filter_map(|name| ids.get(name)).collect();
-            prop_assert_eq!(given.len(), names.len());
-            prop_assert!(given.iter().all(|id| ids.shares().get(*id).is_some()));
+            let assigned: BTreeSet<_> = names.iter().filter_map(|name| ids.get(name)).collect();
+            prop_assert_eq!(assigned.len(), names.len());
+            prop_assert!(assigned.iter().all(|id| ids.shares().get(*id).is_some()));
             for name in &names {
                 let id = ids.get(name).unwrap();
-                let former = last.insert(id, (name.clone(), now));
+                let former = last_use.insert(id, (name.clone(), now));
                 prop_assert!(former.is_none_or(|(other, at)| other == *name || now - at > RETIRED_ID_LIFETIME));
             }
         }
--- a/crates/policy/tests/tenant_quota.rs
+++ b/crates/policy/tests/tenant_quota.rs
@@ -1,4 +1,5 @@
-//! Quotas of tenants: the bounded table of records, against a record for each tenant that is never evicted.
+//! Tenant quotas: the bounded table of records, compared with a reference that keeps a record for each tenant
+//! and never evicts one.
 
 mod common;
 
@@ -15,15 +16,15 @@
 const WEIGHT: f64 = 3.0;
 const OVER_SHARE_WEIGHT: f64 = 0.2;
 
-/// The module as its host sees it: a request's weight says whether it counted as over its tenant's share.
-struct Subject {
+/// The balancer as its host uses it. The weight of a request shows whether the tenant was over its share.
+struct QuotaNode {
     balancer: Balancer,
     settings: Settings,
     now: Nanos,
-    next: u32,
+    next_id: u32,
 }
 
-impl Subject {
+impl QuotaNode {
     fn new(tenants: TenantShares) -> Self {
         let settings = Settings {
             tenants,
@@ -33,13 +34,13 @@
         };
         let mut balancer = Balancer::new(settings.clone(), 1);
         balancer.record_every_decision(true);
-        Self { balancer, settings, now: SECOND, next: 0 }
+        Self { balancer, settings, now: SECOND, next_id: 0 }
     }
 
-    /// The weight that a request of the tenant got.
-    fn ask(&mut self, tenant: u32) -> f64 {
-        self.next += 1;
-        let id = RequestId(self.next);
+    /// Sends a request of the tenant and returns the weight that it got.
+    fn request_weight(&mut self, tenant: u32) -> f64 {
+        self.next_id += 1;
+        let id = RequestId(self.next_id);
         let request = NewRequest {
             id,
             class: ClassId(0),
@@ -55,23 +56,20 @@
             _ => None,
         });
         self.balancer.handle(self.now, Event::ClientDisconnected(id), &mut actions);
-        weight.expect("a event of the request")
+        weight.expect("the request is classified")
     }
 
     fn is_over(&mut self, tenant: u32) -> bool {
-        self.ask(tenant) < WEIGHT
+        self.request_weight(tenant) < WEIGHT
     }
 
     fn update_tenants(&mut self, tenants: TenantShares) {
         self.settings.tenants = tenants;
-        assert!(
-            self.balancer.update_settings(self.settings.clone()),
-            "a change of tenants is taken in place"
-        );
+        assert!(self.balancer.update_settings(self.settings.clone()), "an update of the tenants is accepted");
     }
 }
 
-/// A record for each tenant by its position, never evicted.
+/// Reference implementation: a record for each tenant by its position, never evicted.
 struct Reference {
     records: Vec<(f64, Nanos)>,
     tenants: Vec<Tenant>,
@@ -105,8 +103,8 @@
     Tenant { share: 0.0, allowance_per_s }
 }
 
-/// Spans from nothing to a day: bursts, the earning span of 10 s and its neighbours, and the longest idle
-/// times.
+/// Time spans from zero to a day: bursts, values around the earning span of 10 s and the eviction time of 600
+/// s, and the longest idle times.
 fn spans() -> impl Strategy<Value = Nanos> {
     prop_oneof![
         Just(0),
@@ -118,285 +116,296 @@
     ]
 }
 
-fn tenants(most: usize) -> impl Strategy<Value = Vec<Tenant>> {
+fn tenants(max: usize) -> impl Strategy<Value = Vec<Tenant>> {
     let tenant = (0.0..0.2f64, prop_oneof![Just(0.0), 0.0..0.5f64, 0.0..50.0f64])
         .prop_map(|(share, allowance_per_s)| Tenant { share, allowance_per_s });
-    proptest::collection::vec(tenant, 1..=most)
+    proptest::collection::vec(tenant, 1..=max)
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// After a span, requests of a tenant.
-    Ask { after: Nanos, tenant: usize, count: usize },
-    /// Another number of nodes shares the endpoints.
-    Nodes(u32),
-    /// A tenant's share and allowance are changed.
-    Change { tenant: usize, to: Tenant },
+    /// After a time span, several requests of one tenant.
+    Requests { after: Nanos, tenant: usize, count: usize },
+    /// The number of nodes that share the endpoints changes.
+    NodeCount(u32),
+    /// The share and allowance of a tenant change.
+    ChangeTenant { tenant: usize, to: Tenant },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let ask = (spans(), any::<usize>(), 1..8usize).prop_map(|(after, tenant, count)| Step::Ask {
+    let requests = (spans(), any::<usize>(), 1..8usize).prop_map(|(after, tenant, count)| Step::Requests {
         after,
         tenant,
         count,
     });
     let change = (any::<usize>(), 0.0..0.5f64, 0.0..20.0f64).prop_map(|(tenant, share, allowance_per_s)| {
-        Step::Change { tenant, to: Tenant { share, allowance_per_s } }
+        Step::ChangeTenant { tenant, to: Tenant { share, allowance_per_s } }
     });
-    let step = prop_oneof![20 => ask, 1 => (1..400u32).prop_map(Step::Nodes), 1 => change];
+    let step = prop_oneof![20 => requests, 1 => (1..400u32).prop_map(Step::NodeCount), 1 => change];
     proptest::collection::vec(step, 1..400)
 }
 
 proptest! {
-    /// With few tenants every answer is, to the bit, that of a record for each that is never evicted.
+    /// With few tenants, every weight is bit for bit that of the reference.
     #[test]
-    fn few_tenants_are_judged_as_by_a_record_for_each(tenants in tenants(KEPT_IDLE_TENANT_RECORDS), steps in steps()) {
-        let mut subject = Subject::new(tenants.clone().into());
+    fn few_tenants_get_the_decisions_of_the_reference(tenants in tenants(KEPT_IDLE_TENANT_RECORDS), steps in steps()) {
+        let mut node = QuotaNode::new(tenants.clone().into());
         let mut reference = Reference::new(tenants);
         for step in steps {
             match step {
-                Step::Ask { after, tenant, count } => {
-                    subject.now += after;
+                Step::Requests { after, tenant, count } => {
+                    node.now += after;
                     let tenant = (tenant % reference.tenants.len()) as u32;
                     for _ in 0..count {
-                        let over = reference.is_over(subject.now, tenant);
+                        let over = reference.is_over(node.now, tenant);
                         let expected = if over { WEIGHT * OVER_SHARE_WEIGHT } else { WEIGHT } as f32;
-                        let weight = subject.ask(tenant) as f32;
+                        let weight = node.request_weight(tenant) as f32;
                         prop_assert_eq!(weight.to_bits(), expected.to_bits());
                     }
                 }
-                Step::Nodes(nodes) => {
+                Step::NodeCount(nodes) => {
                     let sharing = Event::NodeShare(NodeShare { node_index: 0, node_count: nodes });
-                    subject.balancer.handle(subject.now, sharing, &mut Vec::new());
+                    node.balancer.handle(node.now, sharing, &mut Vec::new());
                     reference.nodes = nodes;
                 }
-                Step::Change { tenant, to } => {
+                Step::ChangeTenant { tenant, to } => {
                     let tenant = tenant % reference.tenants.len();
                     reference.tenants[tenant] = to;
-                    subject.update_tenants(reference.tenants.clone().into());
+                    node.update_tenants(reference.tenants.clone().into());
                 }
             }
         }
     }
 }
 
-/// What a crowd of tenants does in a step.
+/// Traffic of one step.
 #[derive(Clone, Debug)]
 enum Traffic {
-    /// Tenants from a first one on send one request each within a span.
-    Crowd { first: u32, count: u32, within: Nanos },
-    /// One sends several requests.
-    One { tenant: u32, count: u32 },
-    /// No requests.
+    /// `count` tenants, starting with `first`, send one request each within a time span.
+    ManyTenants { first: u32, count: u32, within: Nanos },
+    /// One tenant sends several requests.
+    OneTenant { tenant: u32, count: u32 },
+    /// No requests for a time span.
     Pause(Nanos),
 }
 
-const CROWD: u32 = 9_000;
+const TRAFFIC_TENANTS: u32 = 9_000;
 
 fn traffic() -> impl Strategy<Value = Vec<Traffic>> {
-    let crowd = (0..CROWD, 0..CROWD, prop_oneof![Just(SECOND / 10), Just(5 * SECOND), Just(60 * SECOND)])
-        .prop_map(|(first, count, within)| Traffic::Crowd { first, count, within });
-    let one = (0..CROWD, 1..40u32).prop_map(|(tenant, count)| Traffic::One { tenant, count });
+    let many_tenants = (
+        0..TRAFFIC_TENANTS,
+        0..TRAFFIC_TENANTS,
+        prop_oneof![Just(SECOND / 10), Just(5 * SECOND), Just(60 * SECOND)],
+    )
+        .prop_map(|(first, count, within)| Traffic::ManyTenants { first, count, within });
+    let one_tenant =
+        (0..TRAFFIC_TENANTS, 1..40u32).prop_map(|(tenant, count)| Traffic::OneTenant { tenant, count });
     let pause = spans().prop_map(Traffic::Pause);
-    proptest::collection::vec(prop_oneof![2 => crowd, 3 => one, 2 => pause], 1..12)
+    proptest::collection::vec(prop_oneof![2 => many_tenants, 3 => one_tenant, 2 => pause], 1..12)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
     /// No tenant gains by being evicted or by having no record: counted from its first request, it never has
-    /// more within its share than with a record that is never evicted. The bound holds throughout.
+    /// more requests within its share than with the reference. The bound on the number of records holds
+    /// throughout.
     #[test]
-    fn no_tenant_gains_by_eviction(
+    fn no_tenant_gains_by_being_evicted(
         begin in spans(),
         rates in proptest::collection::vec(0.0..8.0f64, 7),
         traffic in traffic(),
     ) {
-        let tenants: Vec<_> = (0..CROWD as usize).map(|n| tenant(rates[n % rates.len()])).collect();
-        let mut subject = Subject::new(tenants.clone().into());
-        subject.now += begin;
+        let tenants: Vec<_> = (0..TRAFFIC_TENANTS as usize).map(|n| tenant(rates[n % rates.len()])).collect();
+        let mut node = QuotaNode::new(tenants.clone().into());
+        node.now += begin;
         let mut reference = Reference::new(tenants);
-        let mut within = vec![(0u32, 0u32); CROWD as usize];
-        let mut ask = |subject: &mut Subject, tenant: u32| {
+        let mut within = vec![(0u32, 0u32); TRAFFIC_TENANTS as usize];
+        let mut is_within_reference = |node: &mut QuotaNode, tenant: u32| {
             let (own, kept) = &mut within[tenant as usize];
-            *own += u32::from(!subject.is_over(tenant));
-            *kept += u32::from(!reference.is_over(subject.now, tenant));
+            *own += u32::from(!node.is_over(tenant));
+            *kept += u32::from(!reference.is_over(node.now, tenant));
             *own <= *kept
         };
         for step in traffic {
             match step {
-                Traffic::Crowd { first, count, within } => {
+                Traffic::ManyTenants { first, count, within } => {
                     for n in 0..count {
-                        subject.now += within / u64::from(count);
-                        let tenant = (first + n) % CROWD;
-                        prop_assert!(ask(&mut subject, tenant), "tenant {} gained", tenant);
+                        node.now += within / u64::from(count);
+                        let tenant = (first + n) % TRAFFIC_TENANTS;
+                        prop_assert!(is_within_reference(&mut node, tenant), "tenant {} has more requests within its share than in the reference", tenant);
                     }
                 }
-                Traffic::One { tenant, count } => {
+                Traffic::OneTenant { tenant, count } => {
                     for _ in 0..count {
-                        subject.now += SECOND / 50;
-                        prop_assert!(ask(&mut subject, tenant), "tenant {} gained", tenant);
+                        node.now += SECOND / 50;
+                        prop_assert!(is_within_reference(&mut node, tenant), "tenant {} has more requests within its share than in the reference", tenant);
                     }
                 }
-                Traffic::Pause(span) => subject.now += span,
+                Traffic::Pause(span) => node.now += span,
             }
-            prop_assert!(subject.balancer.tenant_record_usage().0 <= MAX_TENANT_RECORDS);
+            prop_assert!(node.balancer.tenant_record_usage().0 <= MAX_TENANT_RECORDS);
         }
     }
 }
 
 const TENANTS: u32 = 16_000;
-/// Tenants that send requests all the time, the first half of them more than their shares.
-const BUSY: u32 = 10;
-/// Bytes that a pool's records may take: 3,584 records, their hash table, and counters for those without.
-const MOST_BYTES: usize = 448 << 10;
-
-/// Long enough after the clock began that the initial allowances are full.
-const LATER: Nanos = 60 * SECOND;
-
-/// 16,000 tenants with 1 request a second at this node, the busy ones with 5.
-fn many() -> Subject {
-    let allowance = |n: u32| if n < BUSY { 10.0 } else { 2.0 };
-    let subject = Subject::new((0..TENANTS).map(|n| tenant(allowance(n))).collect());
-    Subject { now: LATER, ..subject }
+/// Number of tenants that send requests all the time, the first half of them more than their shares.
+const BUSY_TENANTS: u32 = 10;
+/// Memory that a pool's records may take: 3,584 records, their hash table, and the counters for tenants
+/// without a record.
+const MAX_BYTES: usize = 448 << 10;
+
+/// A time at which the initial allowances are full.
+const START: Nanos = 60 * SECOND;
+
+/// Returns a node with 16,000 tenants. A tenant is entitled to 1 request per second at this node, a busy one
+/// to 5.
+fn node_with_many_tenants() -> QuotaNode {
+    let allowance = |n: u32| if n < BUSY_TENANTS { 10.0 } else { 2.0 };
+    let node = QuotaNode::new((0..TENANTS).map(|n| tenant(allowance(n))).collect());
+    QuotaNode { now: START, ..node }
 }
 
-/// How the requests of the busy ones were judged.
+/// Decisions on the requests of the busy tenants.
 #[derive(Default)]
-struct Busy {
-    within: [u32; BUSY as usize],
-    over: [u32; BUSY as usize],
+struct BusyTenants {
+    within: [u32; BUSY_TENANTS as usize],
+    over: [u32; BUSY_TENANTS as usize],
 }
 
-impl Busy {
-    /// A twentieth of a second: 20 a second of those over their shares, 4 a second of those within.
-    fn ask(&mut self, subject: &mut Subject, round: u32) {
-        for tenant in (0..BUSY).filter(|tenant| *tenant < BUSY / 2 || round.is_multiple_of(5)) {
-            let over = subject.is_over(tenant);
+impl BusyTenants {
+    /// Sends the requests of a twentieth of a second: 20 per second for tenants over their shares, 4 per
+    /// second for those within.
+    fn send_requests(&mut self, node: &mut QuotaNode, round: u32) {
+        for tenant in (0..BUSY_TENANTS).filter(|tenant| *tenant < BUSY_TENANTS / 2 || round.is_multiple_of(5))
+        {
+            let over = node.is_over(tenant);
             let count = if over { &mut self.over } else { &mut self.within };
             count[tenant as usize] += 1;
         }
     }
 
-    /// Those over their shares have had these, and no more than them; the others were never over.
+    /// Checks that tenants over their shares got their shares and not more, and that the others were never
+    /// over.
     fn check(&self, seconds: u32) {
-        for tenant in 0..(BUSY / 2) as usize {
-            let (least, most) = (5 * seconds, 5 * seconds + 17);
-            assert!((least..=most).contains(&self.within[tenant]), "{} of {most}", self.within[tenant]);
-            assert!(self.over[tenant] >= 20 * seconds - most, "{}", self.over[tenant]);
+        for tenant in 0..(BUSY_TENANTS / 2) as usize {
+            let (min, max) = (5 * seconds, 5 * seconds + 17);
+            assert!((min..=max).contains(&self.within[tenant]), "{} of {max}", self.within[tenant]);
+            assert!(self.over[tenant] >= 20 * seconds - max, "{}", self.over[tenant]);
         }
-        assert_eq!(self.over[(BUSY / 2) as usize..], [0; (BUSY / 2) as usize]);
+        assert_eq!(self.over[(BUSY_TENANTS / 2) as usize..], [0; (BUSY_TENANTS / 2) as usize]);
     }
 }
 
-/// 15,990 of 16,000 tenants send a request a minute: busy tenants over their shares stay so, those within are
-/// never over, and neither is any of the crowd.
+/// 15,990 of 16,000 tenants send one request per minute each. Busy tenants over their shares must stay over,
+/// and neither the busy tenants within their shares nor any occasional one may ever be over.
 #[test]
-fn a_crowd_of_occasional_tenants_changes_no_judgement() {
+fn many_occasional_tenants_change_no_quota_decision() {
     const MINUTES: u32 = 3;
     const ROUNDS: u32 = MINUTES * 60 * 20;
-    let mut subject = many();
-    let (mut busy, mut most) = (Busy::default(), (0, 0));
-    let crowd = TENANTS - BUSY;
-    let mut asked = 0;
+    let mut node = node_with_many_tenants();
+    let (mut busy, mut max) = (BusyTenants::default(), (0, 0));
+    let occasional = TENANTS - BUSY_TENANTS;
+    let mut sent = 0;
     for round in 0..ROUNDS {
-        subject.now += SECOND / 20;
-        busy.ask(&mut subject, round);
-        while asked * u64::from(ROUNDS) < u64::from(round) * u64::from(crowd * MINUTES) {
-            let tenant = BUSY + (asked % u64::from(crowd)) as u32;
-            assert!(!subject.is_over(tenant), "tenant {tenant} starved");
-            asked += 1;
+        node.now += SECOND / 20;
+        busy.send_requests(&mut node, round);
+        while sent * u64::from(ROUNDS) < u64::from(round) * u64::from(occasional * MINUTES) {
+            let tenant = BUSY_TENANTS + (sent % u64::from(occasional)) as u32;
+            assert!(!node.is_over(tenant), "occasional tenant {tenant} is over its share");
+            sent += 1;
         }
-        let (states, bytes) = subject.balancer.tenant_record_usage();
-        most = (most.0.max(states), most.1.max(bytes));
+        let (states, bytes) = node.balancer.tenant_record_usage();
+        max = (max.0.max(states), max.1.max(bytes));
     }
     busy.check(MINUTES * 60);
-    assert_eq!(most.0, MAX_TENANT_RECORDS, "the bound was reached, and held");
-    assert!(most.1 <= MOST_BYTES, "{} bytes", most.1);
+    assert_eq!(max.0, MAX_TENANT_RECORDS, "the table is full, and bounded");
+    assert!(max.1 <= MAX_BYTES, "{} bytes", max.1);
 }
 
-/// The same if all of the crowd send a request within a second, more than there are records for, and those
-/// over their shares come after them.
+/// The same if 15,990 tenants send a request within one second, which is more than there are records, before
+/// the busy tenants do.
 #[test]
-fn a_crowd_of_simultaneous_tenants_changes_no_judgement() {
-    let mut subject = many();
-    let (mut busy, mut starved) = (Busy::default(), 0);
-    for n in 0..TENANTS - BUSY {
-        subject.now += SECOND / u64::from(TENANTS);
-        starved += u32::from(subject.is_over(BUSY + n));
+fn many_simultaneous_tenants_change_no_quota_decision() {
+    let mut node = node_with_many_tenants();
+    let (mut busy, mut over_share) = (BusyTenants::default(), 0);
+    for n in 0..TENANTS - BUSY_TENANTS {
+        node.now += SECOND / u64::from(TENANTS);
+        over_share += u32::from(node.is_over(BUSY_TENANTS + n));
     }
-    assert_eq!(starved, 0);
-    assert_eq!(subject.balancer.tenant_record_usage().0, MAX_TENANT_RECORDS);
+    assert_eq!(over_share, 0);
+    assert_eq!(node.balancer.tenant_record_usage().0, MAX_TENANT_RECORDS);
     for round in 0..30 * 20 {
-        subject.now += SECOND / 20;
-        busy.ask(&mut subject, round);
-        assert!(subject.balancer.tenant_record_usage().1 <= MOST_BYTES);
+        node.now += SECOND / 20;
+        busy.send_requests(&mut node, round);
+        assert!(node.balancer.tenant_record_usage().1 <= MAX_BYTES);
     }
     busy.check(30);
 }
 
-/// Records of a crowd are evicted as requests come, and few records stay.
+/// Idle records are evicted as requests arrive, until few are left.
 #[test]
 fn idle_records_are_evicted() {
-    let mut subject = many();
+    let mut node = node_with_many_tenants();
     for tenant in 0..3_000 {
-        subject.ask(tenant);
+        node.request_weight(tenant);
     }
-    let (states, bytes) = subject.balancer.tenant_record_usage();
+    let (states, bytes) = node.balancer.tenant_record_usage();
     assert_eq!(states, 3_000);
-    subject.now += 700 * SECOND;
+    node.now += 700 * SECOND;
     for _ in 0..2_000 {
-        subject.ask(0);
+        node.request_weight(0);
     }
-    let (left, bytes_left) = subject.balancer.tenant_record_usage();
+    let (left, bytes_left) = node.balancer.tenant_record_usage();
     assert_eq!(left, KEPT_IDLE_TENANT_RECORDS);
     assert!(bytes_left * 3 < bytes, "{bytes_left} of {bytes} bytes");
 }
 
-/// Uses up a tenant's allowance.
-fn exhaust(subject: &mut Subject, tenant: u32) {
+/// Spends a tenant's allowance.
+fn spend_allowance(node: &mut QuotaNode, tenant: u32) {
     for _ in 0..100 {
-        subject.ask(tenant);
+        node.request_weight(tenant);
     }
-    assert!(subject.is_over(tenant));
+    assert!(node.is_over(tenant));
 }
 
-/// Tenants are added, removed and changed in place, by their ids: each keeps its own state, and one that is
-/// removed and added again under its id has its own.
+/// Tenants are added, removed and changed in place by their ids. Each keeps its state, also one that is
+/// removed and added again under the same id.
 #[test]
-fn a_change_of_tenants_keeps_states() {
+fn a_tenant_update_keeps_allowances() {
     let shares = |ids: &[u32]| ids.iter().map(|id| (TenantId(*id), tenant(2.0))).collect::<TenantShares>();
-    let mut subject = Subject { now: LATER, ..Subject::new(shares(&[0, 1, 2])) };
-    exhaust(&mut subject, 1);
-    subject.update_tenants(shares(&[0, 1, 2, 3]));
-    assert!(subject.is_over(1) && !subject.is_over(3));
-    subject.update_tenants(shares(&[1, 3]));
-    assert!(subject.is_over(1) && !subject.is_over(3));
-    subject.update_tenants(shares(&[3]));
-    assert!(!subject.is_over(1), "nobody's share");
-    subject.now += SECOND / 2;
-    subject.update_tenants(shares(&[3, 1]));
-    assert!(subject.is_over(1), "half a request earned in half a second");
+    let mut node = QuotaNode { now: START, ..QuotaNode::new(shares(&[0, 1, 2])) };
+    spend_allowance(&mut node, 1);
+    node.update_tenants(shares(&[0, 1, 2, 3]));
+    assert!(node.is_over(1) && !node.is_over(3));
+    node.update_tenants(shares(&[1, 3]));
+    assert!(node.is_over(1) && !node.is_over(3));
+    node.update_tenants(shares(&[3]));
+    assert!(!node.is_over(1), "a removed tenant has no share to exceed");
+    node.now += SECOND / 2;
+    node.update_tenants(shares(&[3, 1]));
+    assert!(node.is_over(1), "only half a request is earned in half a second");
     let more = [(TenantId(1), tenant(40.0)), (TenantId(3), tenant(2.0))];
-    subject.update_tenants(more.into_iter().collect());
-    assert!(subject.is_over(1), "what it may earn from now on is not given at once");
-    subject.now += SECOND / 2;
-    assert!(!subject.is_over(1));
+    node.update_tenants(more.into_iter().collect());
+    assert!(node.is_over(1), "a higher allowance applies only from now on");
+    node.now += SECOND / 2;
+    assert!(!node.is_over(1));
 }
 
-/// Records of removed tenants are evicted with a later change, once they have no effect.
+/// Records of removed tenants are evicted at a later update, once they have no effect.
 #[test]
 fn idle_records_of_removed_tenants_are_evicted() {
     let shares =
         |ids: std::ops::Range<u32>| ids.map(|id| (TenantId(id), tenant(2.0))).collect::<TenantShares>();
-    let mut subject = Subject::new(shares(0..100));
+    let mut node = QuotaNode::new(shares(0..100));
     for tenant in 0..100 {
-        subject.ask(tenant);
+        node.request_weight(tenant);
     }
-    subject.update_tenants(shares(90..200));
-    assert_eq!(subject.balancer.tenant_record_usage().0, 100, "recent ones stay");
-    subject.now += 10 * SECOND;
-    subject.ask(95);
-    subject.update_tenants(shares(90..201));
-    assert_eq!(subject.balancer.tenant_record_usage().0, 10);
+    node.update_tenants(shares(90..200));
+    assert_eq!(node.balancer.tenant_record_usage().0, 100, "recent records stay");
+    node.now += 10 * SECOND;
+    node.request_weight(95);
+    node.update_tenants(shares(90..201));
+    assert_eq!(node.balancer.tenant_record_usage().0, 10);
 }
--- a/crates/policy/tests/unit/attempt_guard.rs
+++ b/crates/policy/tests/unit/attempt_guard.rs
@@ -1,5 +1,5 @@
-//! The guard alone, condition by condition. Other rules also avoid what it forbids; here nothing else stands
-//! between a request and an endpoint.
+//! Each condition of the guard by itself. Other rules also avoid attempts that the guard forbids; here the
+//! guard is the only one.
 
 use super::*;
 use crate::endpoints::EndpointIndex;
@@ -9,7 +9,7 @@
 
 const WINDOW: Nanos = SECOND;
 
-fn settings(effect: Idempotency) -> Settings {
+fn settings(idempotency: Idempotency) -> Settings {
     Settings {
         node_index: 0,
         node_count: 1,
@@ -21,7 +21,7 @@
             deadline: 4 * SECOND,
             priority_weight: 1.0,
             late_weight: 0.0,
-            idempotency: effect,
+            idempotency,
             ordered_by_key: false,
         }],
         tenants: TenantShares::default(),
@@ -51,10 +51,10 @@
     }
 }
 
-/// A node with endpoints 0, 1 (zone 0, cells 0 and 1) and 2 (zone 1, cell 2), and request 7 with such
-/// attempts at endpoint 0, sent at second 10; it is second 10.1 now.
-fn node(effect: Idempotency, attempts: &[Execution]) -> Balancer {
-    let mut node = Balancer::new(settings(effect), 1);
+/// Returns a node with endpoints 0 and 1 (zone 0, cells 0 and 1) and 2 (zone 1, cell 2), and with request 7
+/// whose attempts at endpoint 0 were sent at second 10. It is second 10.1.
+fn node(idempotency: Idempotency, attempts: &[Execution]) -> Balancer {
+    let mut node = Balancer::new(settings(idempotency), 1);
     for (id, zone) in [(0, 0), (1, 0), (2, 1)] {
         let info = EndpointInfo {
             id: EndpointId(id),
@@ -82,7 +82,7 @@
         relative_cost: 1.0,
         objective_deadline: 11 * SECOND,
         deadline: 14 * SECOND,
-        in_flight: attempts.iter().filter(|a| a.execution == Execution::InFlight).count(),
+        in_flight: attempts.iter().filter(|attempt| attempt.execution == Execution::InFlight).count(),
         attempts,
         queued: None,
         done: false,
@@ -93,71 +93,79 @@
     node
 }
 
-fn allowed(node: &Balancer) -> [bool; 3] {
+fn allowed_at_endpoints(node: &Balancer) -> [bool; 3] {
     [0, 1, 2].map(|index| node.may_send(RequestId(7), EndpointIndex(index)))
 }
 
-fn keyed(group: DedupScope) -> Idempotency {
-    Idempotency::IdempotencyKey { scope: group, window: WINDOW }
+fn keyed(scope: DedupScope) -> Idempotency {
+    Idempotency::IdempotencyKey { scope, window: WINDOW }
 }
 
 #[test]
 fn no_attempt_after_the_final_answer_or_too_late() {
-    assert_eq!(allowed(&node(Idempotency::Idempotent, &[])), [true; 3]);
+    assert_eq!(allowed_at_endpoints(&node(Idempotency::Idempotent, &[])), [true; 3]);
     assert!(
         !node(Idempotency::Idempotent, &[]).may_send(RequestId(8), EndpointIndex(1)),
-        "an unknown request"
+        "request 8 is unknown"
     );
-    let mut over = node(Idempotency::Idempotent, &[]);
-    over.requests.get_mut(&RequestId(7)).unwrap().done = true;
-    assert_eq!(allowed(&over), [false; 3]);
+    let mut done = node(Idempotency::Idempotent, &[]);
+    done.requests.get_mut(&RequestId(7)).unwrap().done = true;
+    assert_eq!(allowed_at_endpoints(&done), [false; 3]);
     let mut late = node(Idempotency::Idempotent, &[]);
     late.now = 14 * SECOND;
-    assert_eq!(allowed(&late), [false; 3]);
+    assert_eq!(allowed_at_endpoints(&late), [false; 3]);
 }
 
 #[test]
 fn attempts_that_may_have_executed_are_repeated_only_where_allowed() {
     for execution in [Execution::MaybeExecuted, Execution::InFlight] {
-        let tried = |effect| allowed(&node(effect, &[execution]));
-        assert_eq!(tried(Idempotency::Idempotent), [false, true, true], "elsewhere");
-        assert_eq!(tried(Idempotency::NotIdempotent), [false; 3]);
-        assert_eq!(tried(keyed(DedupScope::Cell)), [false; 3]);
-        assert_eq!(tried(keyed(DedupScope::Zone)), [false, true, false]);
-        assert_eq!(tried(keyed(DedupScope::All)), [false, true, true]);
+        let allowed_after_attempt = |idempotency| allowed_at_endpoints(&node(idempotency, &[execution]));
+        assert_eq!(
+            allowed_after_attempt(Idempotency::Idempotent),
+            [false, true, true],
+            "only at other endpoints"
+        );
+        assert_eq!(allowed_after_attempt(Idempotency::NotIdempotent), [false; 3]);
+        assert_eq!(allowed_after_attempt(keyed(DedupScope::Cell)), [false; 3]);
+        assert_eq!(allowed_after_attempt(keyed(DedupScope::Zone)), [false, true, false]);
+        assert_eq!(allowed_after_attempt(keyed(DedupScope::All)), [false, true, true]);
     }
-    for effect in [Idempotency::Idempotent, Idempotency::NotIdempotent, keyed(DedupScope::Cell)] {
+    for idempotency in [Idempotency::Idempotent, Idempotency::NotIdempotent, keyed(DedupScope::Cell)] {
         assert_eq!(
-            allowed(&node(effect, &[Execution::NotExecuted])),
+            allowed_at_endpoints(&node(idempotency, &[Execution::NotExecuted])),
             [true; 3],
-            "proven that nothing was executed"
+            "nothing was executed"
         );
-        let later = allowed(&node(effect, &[Execution::NotExecuted, Execution::MaybeExecuted]));
-        assert_eq!(later[1], effect == Idempotency::Idempotent, "the later attempt counts as well");
+        let later =
+            allowed_at_endpoints(&node(idempotency, &[Execution::NotExecuted, Execution::MaybeExecuted]));
+        assert_eq!(later[1], idempotency == Idempotency::Idempotent, "later attempts count as well");
     }
-    let mut past = node(keyed(DedupScope::All), &[Execution::MaybeExecuted]);
-    past.now = 10 * SECOND + WINDOW / 10 * 9;
-    assert_eq!(allowed(&past), [false; 3], "the window is nearly over");
-    let mut single = node(Idempotency::Idempotent, &[Execution::InFlight]);
-    single.settings.concurrent_attempts = false;
-    assert_eq!(allowed(&single), [false; 3]);
+    let mut near_window_end = node(keyed(DedupScope::All), &[Execution::MaybeExecuted]);
+    near_window_end.now = 10 * SECOND + WINDOW / 10 * 9;
+    assert_eq!(allowed_at_endpoints(&near_window_end), [false; 3], "the window is nearly over");
+    let mut without_concurrency = node(Idempotency::Idempotent, &[Execution::InFlight]);
+    without_concurrency.settings.concurrent_attempts = false;
+    assert_eq!(allowed_at_endpoints(&without_concurrency), [false; 3]);
 }
 
 #[test]
 fn no_attempt_at_draining_endpoints_or_beyond_max_attempts() {
     let mut draining = node(Idempotency::Idempotent, &[]);
     draining.endpoints[EndpointIndex(1)].ready = false;
-    assert_eq!(allowed(&draining), [true, false, true]);
-    assert_eq!(allowed(&node(Idempotency::Idempotent, &[Execution::NotExecuted; 2])), [true; 3]);
-    assert_eq!(allowed(&node(Idempotency::Idempotent, &[Execution::NotExecuted; 3])), [false; 3]);
+    assert_eq!(allowed_at_endpoints(&draining), [true, false, true]);
+    assert_eq!(allowed_at_endpoints(&node(Idempotency::Idempotent, &[Execution::NotExecuted; 2])), [true; 3]);
+    assert_eq!(
+        allowed_at_endpoints(&node(Idempotency::Idempotent, &[Execution::NotExecuted; 3])),
+        [false; 3]
+    );
 }
 
 #[test]
 fn only_the_first_request_of_a_cooled_down_key_is_sent() {
-    let keyed = |attempts: &[Execution], earlier: bool, in_cooldown: bool| {
+    let keyed = |attempts: &[Execution], has_earlier: bool, in_cooldown: bool| {
         let mut node = node(Idempotency::Idempotent, attempts);
         node.requests.get_mut(&RequestId(7)).unwrap().key = Some(3);
-        if earlier {
+        if has_earlier {
             node.ordered_keys.push(3, RequestId(6));
         }
         node.ordered_keys.push(3, RequestId(7));
@@ -165,11 +173,11 @@
             let until = node.now + 1;
             node.ordered_keys.start_cooldown(3, until);
         }
-        allowed(&node)[1]
+        allowed_at_endpoints(&node)[1]
     };
-    assert!(keyed(&[], false, false), "first of its key");
-    assert!(!keyed(&[], true, false), "an earlier one is not over");
+    assert!(keyed(&[], false, false), "it is the first request of its key");
+    assert!(!keyed(&[], true, false), "an earlier request has not ended");
     assert!(!keyed(&[], false, true), "the key is in cooldown");
     assert!(keyed(&[Execution::MaybeExecuted], false, true), "a retry needs no cooldown");
-    assert!(!keyed(&[Execution::MaybeExecuted], true, false), "not without the turn");
+    assert!(!keyed(&[Execution::MaybeExecuted], true, false), "a retry needs the turn as well");
 }
--- a/crates/policy/tests/unit/concurrency_limit.rs
+++ b/crates/policy/tests/unit/concurrency_limit.rs
@@ -1,20 +1,20 @@
-//! The utilization of all endpoints and what follows from it.
+//! Utilization of all endpoints, and the limits that follow from it.
 
 use super::*;
 use crate::SECOND;
 
 #[test]
-fn utilization_follows_samples_by_the_gap_between_them() {
-    let mut often = ConcurrencyLimiter::default();
-    let mut seldom = ConcurrencyLimiter::default();
-    often.observe(1.5, 1_000.0, SECOND);
-    seldom.observe(1.5, 1.0, SECOND);
-    assert!((often.utilization - (INITIAL_UTILIZATION + MIN_NODE_WEIGHT)).abs() < 1e-12);
-    assert!((seldom.utilization - (INITIAL_UTILIZATION + MAX_NODE_WEIGHT)).abs() < 1e-12);
+fn rare_samples_have_more_weight_in_the_utilization() {
+    let mut frequent = ConcurrencyLimiter::default();
+    let mut rare = ConcurrencyLimiter::default();
+    frequent.observe(1.5, 1_000.0, SECOND);
+    rare.observe(1.5, 1.0, SECOND);
+    assert!((frequent.utilization - (INITIAL_UTILIZATION + MIN_NODE_WEIGHT)).abs() < 1e-12);
+    assert!((rare.utilization - (INITIAL_UTILIZATION + MAX_NODE_WEIGHT)).abs() < 1e-12);
 }
 
 #[test]
-fn limits_follow_each_span_once_and_only_up_to_the_last_sample() {
+fn each_time_step_is_applied_once_and_only_up_to_the_last_sample() {
     let mut limiter = ConcurrencyLimiter::default();
     assert_eq!(limiter.take_step_s(), 0.0);
     limiter.observe(1.0, 10.0, SECOND / 10);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn limits_fall_faster_than_they_rise_and_by_a_bounded_error() {
+fn limits_fall_faster_than_they_rise_and_the_error_is_bounded() {
     let rise = limit_factor(gain_per_s(0.5), 0.1, 0.5).ln();
     let fall = limit_factor(gain_per_s(-0.5), 0.1, -0.5).ln();
     assert!(rise > 0.0 && -fall > 1.9 * rise, "{rise} {fall}");
--- a/crates/policy/tests/unit/decision_event.rs
+++ b/crates/policy/tests/unit/decision_event.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn exclusions_are_counted_and_the_commonest_is_named() {
+fn exclusions_are_counted_and_the_most_common_is_returned() {
     let mut reasons = ExclusionReasons::default();
     assert_eq!(reasons.most_common(), None);
     (0..300).for_each(|_| reasons.add(ExclusionReason::SlowStart));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn lines_of_one_kind_are_logged_every_few_seconds() {
+fn lines_of_one_kind_are_rate_limited() {
     let mut log = RateLimitedLog::default();
     let ejected = |n| DecisionEvent::Ejected { endpoint: EndpointId(n), duration: SECOND };
     assert_eq!(log.line(&ejected(1), SECOND).as_deref(), Some("endpoint 1 ejected for 1.0 s"));
--- a/crates/policy/tests/unit/endpoints.rs
+++ b/crates/policy/tests/unit/endpoints.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn endpoints_are_found_by_id_after_others_have_departed() {
+fn endpoints_are_found_by_id_after_others_are_removed() {
     let mut table = table(&[5, 6, 7]);
     table[EndpointIndex(0)].ready = false;
     table.remove_departed();
--- a/crates/policy/tests/unit/latency.rs
+++ b/crates/policy/tests/unit/latency.rs
@@ -21,21 +21,21 @@
 }
 
 #[test]
-fn the_mean_begins_with_the_first_sample() {
+fn the_first_sample_replaces_the_initial_mean() {
     let mut latencies = estimator(1);
     latencies.observe(ClassId(0), ZoneId(0), 0.4, SECOND);
     assert_eq!(latencies.expected(ClassId(0), 1.0), 0.4);
-    assert_eq!(latencies.expected(ClassId(0), 3.0), 0.8, "half of a latency grows with the cost");
+    assert_eq!(latencies.expected(ClassId(0), 3.0), 0.8, "half of the latency scales with the cost");
     assert_eq!(latencies.expected(ClassId(1), 1.0), 0.1, "other classes are unaffected");
 }
 
 #[test]
-fn a_baseline_falls_within_a_minute_and_rises_within_minutes() {
+fn a_baseline_falls_faster_than_it_rises() {
     let mut latencies = estimator(1);
     let slow = observe_for(&mut latencies, 0.2, 1..100);
     assert!((slow - 0.2).abs() < 1e-9);
     let rising = observe_for(&mut latencies, 0.6, 100..160);
-    assert!(rising < 0.3, "a minute of load isn't taken for the normal state: {rising}");
+    assert!(rising < 0.3, "after a minute of load the baseline has hardly risen: {rising}");
     let fallen = observe_for(&mut latencies, 0.1, 160..300);
     assert!(fallen < 0.12, "{fallen}");
 }
@@ -65,15 +65,15 @@
 }
 
 #[test]
-fn a_ratio_rises_at_once_and_falls_with_time() {
+fn a_ratio_rises_at_once_and_falls_by_elapsed_time() {
     let mut ratio = LatencyRatio::new(SECOND);
     ratio.observe(4.0, SECOND);
     let peak = ratio.value;
     assert!((peak - 2.2).abs() < 1e-9, "{peak}");
     ratio.observe(1.0, SECOND);
-    assert!(ratio.value > 2.0, "a sample right after it counts little: {}", ratio.value);
+    assert!(ratio.value > 2.0, "a sample right after the peak has little weight: {}", ratio.value);
     ratio.observe(1.0, 2 * SECOND);
-    assert!(ratio.value < 1.6, "a second later it counts half: {}", ratio.value);
+    assert!(ratio.value < 1.6, "a sample a second later has half of the weight: {}", ratio.value);
 }
 
 #[test]
@@ -102,5 +102,9 @@
     assert_eq!(endpoint.oldest_in_flight_ratio(3 * SECOND), 20.0);
     assert_eq!(endpoint.selection_latency_ratio(3 * SECOND), 20.0);
     endpoint.last_success_sent_at = SECOND + SECOND / 5;
-    assert_eq!(endpoint.oldest_in_flight_ratio(3 * SECOND), 10.0, "the second one is the oldest now");
+    assert_eq!(
+        endpoint.oldest_in_flight_ratio(3 * SECOND),
+        10.0,
+        "the second attempt is now the oldest that was not overtaken"
+    );
 }
--- a/crates/policy/tests/unit/load_reports.rs
+++ b/crates/policy/tests/unit/load_reports.rs
@@ -1,4 +1,4 @@
-//! Who gets a report.
+//! Recipients of load reports.
 
 use super::*;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_started_attempt_is_reported_to_all_whatever_ended_besides() {
+fn a_started_attempt_is_reported_to_all_peers_even_if_others_end() {
     let mut reporting = reporting(0);
     reporting.on_attempt_ended();
     assert_eq!(reporting.due, Some(Recipients::EveryOtherPeer));
@@ -30,8 +30,12 @@
     let mut reporting = reporting(0);
     for (from, most_peers_reported) in [(1, false), (2, false), (3, true)] {
         reporting.peers.record(from, &encode(1, []), 1);
-        assert_eq!(reporting.most_peers_reported(), most_peers_reported, "{from} of 5");
+        assert_eq!(
+            reporting.most_peers_reported(),
+            most_peers_reported,
+            "after the report of peer {from} of 5"
+        );
     }
     reporting.group.clear();
-    assert!(!reporting.most_peers_reported(), "without a group there is nothing to know");
+    assert!(!reporting.most_peers_reported(), "a node without a group has no peers");
 }
--- a/crates/policy/tests/unit/ordered_keys.rs
+++ b/crates/policy/tests/unit/ordered_keys.rs
@@ -1,10 +1,10 @@
-//! The queues of keys and their cooldowns.
+//! Key queues and cooldowns.
 
 use super::*;
 use crate::SECOND;
 
 #[test]
-fn requests_of_a_key_have_their_turn_in_order_of_arrival() {
+fn requests_of_a_key_get_their_turn_in_order_of_arrival() {
     let mut keys = OrderedKeys::default();
     for id in [1, 2, 3] {
         keys.push(7, RequestId(id));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_key_in_cooldown_gives_no_turn_and_is_reported_once_afterwards() {
+fn a_key_in_cooldown_has_no_ready_request_and_is_returned_once_afterwards() {
     let mut keys = OrderedKeys::default();
     keys.push(7, RequestId(1));
     keys.start_cooldown(7, SECOND);
--- a/crates/policy/tests/unit/outlier_detection.rs
+++ b/crates/policy/tests/unit/outlier_detection.rs
@@ -3,15 +3,16 @@
 use super::*;
 use crate::SECOND;
 
-/// Fails until the endpoint is ejected; returns the number of failures and the duration of the ejection.
-fn fail_until_ejected(detector: &mut OutlierDetector, common: f64, now: Nanos) -> (u32, Nanos) {
+/// Records failures until the endpoint is ejected. Returns the number of failures and the duration of the
+/// ejection.
+fn fail_until_ejected(detector: &mut OutlierDetector, common_failure_rate: f64, now: Nanos) -> (u32, Nanos) {
     for failures in 1..100 {
-        detector.record_failure(Failure::Broken, common);
-        if let Some(duration) = detector.eject_if_due(common, 1.0, now) {
+        detector.record_failure(Failure::Broken, common_failure_rate);
+        if let Some(duration) = detector.eject_if_due(common_failure_rate, 1.0, now) {
             return (failures, duration);
         }
     }
-    panic!("never ejected");
+    panic!("the endpoint was never ejected");
 }
 
 #[test]
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn a_success_in_between_starts_the_count_anew() {
+fn a_success_resets_the_count_of_consecutive_failures() {
     let mut detector = OutlierDetector::default();
     for _ in 0..2 {
         detector.record_failure(Failure::Broken, 0.0);
@@ -33,15 +34,19 @@
 }
 
 #[test]
-fn more_failures_are_needed_where_others_fail_too() {
-    for (common, failures) in [(0.01, 3), (0.2, 5), (0.5, 10), (0.9, 66)] {
+fn more_failures_are_needed_if_other_endpoints_fail_too() {
+    for (common_failure_rate, failures) in [(0.01, 3), (0.2, 5), (0.5, 10), (0.9, 66)] {
         let mut detector = OutlierDetector::default();
-        assert_eq!(fail_until_ejected(&mut detector, common, SECOND).0, failures, "{common}");
+        assert_eq!(
+            fail_until_ejected(&mut detector, common_failure_rate, SECOND).0,
+            failures,
+            "{common_failure_rate}"
+        );
     }
 }
 
 #[test]
-fn failed_connections_count_twice() {
+fn a_failed_connection_counts_as_two_failures() {
     let mut detector = OutlierDetector::default();
     detector.record_failure(Failure::ConnectFailed, 0.0);
     assert_eq!(detector.eject_if_due(0.0, 1.0, SECOND), None);
@@ -50,7 +55,7 @@
 }
 
 #[test]
-fn ejections_in_a_row_double_up_to_a_bound() {
+fn consecutive_ejections_double_up_to_a_maximum() {
     let mut detector = OutlierDetector::default();
     let mut now = SECOND;
     let mut durations = Vec::new();
@@ -62,7 +67,7 @@
 }
 
 #[test]
-fn an_ejected_endpoint_is_not_ejected_again_but_one_failure_on_probation_is_enough() {
+fn one_failure_ejects_again_on_probation_but_not_during_an_ejection() {
     let mut detector = OutlierDetector::default();
     fail_until_ejected(&mut detector, 0.0, SECOND);
     detector.record_failure(Failure::Broken, 0.0);
@@ -72,22 +77,22 @@
 }
 
 #[test]
-fn the_second_success_after_an_ejection_forgets_it() {
+fn the_second_success_after_an_ejection_resets_the_ejection_count() {
     let mut detector = OutlierDetector::default();
     fail_until_ejected(&mut detector, 0.0, SECOND);
-    assert!(detector.record_success(), "the first one ends the probation");
+    assert!(detector.record_success(), "the first success ends the probation");
     assert_eq!(detector.consecutive_ejections, 1);
     assert!(!detector.record_success());
     assert_eq!(detector.consecutive_ejections, 0);
 }
 
 #[test]
-fn broken_attempts_are_the_endpoints_fault_as_far_as_others_break_fewer() {
-    let mut alone = OutlierDetector { failure_rate: 0.5, ..OutlierDetector::default() };
-    assert_eq!(alone.record_failure(Failure::Broken, 0.0), 1.0);
-    let mut like_others = OutlierDetector { failure_rate: 0.5, ..OutlierDetector::default() };
-    assert_eq!(like_others.record_failure(Failure::Broken, 0.5), 0.0);
-    assert_eq!(like_others.record_failure(Failure::Rejected, 0.5), 1.0);
+fn broken_attempts_count_as_the_endpoints_fault_only_if_others_break_fewer() {
+    let mut failing_alone = OutlierDetector { failure_rate: 0.5, ..OutlierDetector::default() };
+    assert_eq!(failing_alone.record_failure(Failure::Broken, 0.0), 1.0);
+    let mut failing_like_others = OutlierDetector { failure_rate: 0.5, ..OutlierDetector::default() };
+    assert_eq!(failing_like_others.record_failure(Failure::Broken, 0.5), 0.0);
+    assert_eq!(failing_like_others.record_failure(Failure::Rejected, 0.5), 1.0);
 }
 
 #[test]
@@ -100,7 +105,7 @@
 }
 
 #[test]
-fn more_than_half_of_all_endpoints_are_a_majority() {
+fn a_majority_is_more_than_half_of_all_endpoints() {
     let majority = |flags: &[bool]| {
         let mut count = OutlierCount::default();
         flags.iter().for_each(|&is_outlier| count.add(is_outlier));
--- a/crates/policy/tests/unit/priority.rs
+++ b/crates/policy/tests/unit/priority.rs
@@ -1,4 +1,4 @@
-//! The tiers of weights.
+//! Priority tiers by weight.
 
 use super::*;
 use crate::Idempotency;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn tiers_go_by_the_share_of_the_largest_weight() {
+fn tiers_depend_on_the_ratio_to_the_largest_weight() {
     let classes = classes(&[1.0, 10.0]);
     let tiers =
         [10.0, 8.0, 7.9, 5.6, 5.5, 3.1, 3.0, 0.0].map(|weight| PriorityTier::classify(weight, &classes));
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn equal_weights_are_medium_and_below_only_over_share() {
-    let equal = classes(&[2.0, 2.0]);
-    assert_eq!(PriorityTier::classify(2.0, &equal), PriorityTier::Medium);
-    assert_eq!(PriorityTier::classify(0.4, &equal), PriorityTier::Low);
+fn equal_weights_are_medium_and_lower_weights_low() {
+    let equal_classes = classes(&[2.0, 2.0]);
+    assert_eq!(PriorityTier::classify(2.0, &equal_classes), PriorityTier::Medium);
+    assert_eq!(PriorityTier::classify(0.4, &equal_classes), PriorityTier::Low);
     assert_eq!(PriorityTier::classify(0.0, &classes(&[0.0])), PriorityTier::Medium);
 }
 
--- a/crates/policy/tests/unit/request_queue.rs
+++ b/crates/policy/tests/unit/request_queue.rs
@@ -1,4 +1,4 @@
-//! The order of the queue and its expected wait.
+//! Order of the queue, and expected wait.
 
 use super::*;
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn expected_wait_is_the_tiers_length_over_the_rate_at_which_it_leaves() {
+fn expected_wait_is_the_length_of_a_tier_divided_by_its_release_rate() {
     let mut queue = RequestQueue::default();
     for tenths in 1..=600 {
         queue.record_release(PriorityTier::Medium, tenths * SECOND / 10);
@@ -47,7 +47,7 @@
     }
     let wait = queue.expected_wait(PriorityTier::Medium, now);
     assert!((1.9..2.1).contains(&wait), "20 requests at 10 a second: {wait} s");
-    // A tier that was never served leaves at a small share of the rate of all.
+    // A tier that was never served is assumed to leave at a small fraction of the rate of all tiers.
     queue.push(RequestId(99), PriorityTier::Low, 1.0);
     let wait = queue.expected_wait(PriorityTier::Low, now);
     assert!((1.9..2.1).contains(&wait), "1 request at 0.5 a second: {wait} s");
--- a/crates/policy/tests/unit/retry.rs
+++ b/crates/policy/tests/unit/retry.rs
@@ -1,4 +1,4 @@
-//! The retry budget.
+//! Retry budget.
 
 use super::*;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn savings_are_bounded() {
+fn accumulated_tokens_are_bounded() {
     let mut budget = RetryBudget::default();
     (0..10_000).for_each(|_| budget.earn());
     assert!(budget.allows(MAX_TOKENS) && !budget.allows(MAX_TOKENS + 0.1));
--- a/crates/policy/tests/unit/selection.rs
+++ b/crates/policy/tests/unit/selection.rs
@@ -1,4 +1,4 @@
-//! The candidates of a selection.
+//! Candidates of a selection.
 
 use super::*;
 
--- a/crates/policy/tests/unit/subsetting.rs
+++ b/crates/policy/tests/unit/subsetting.rs
@@ -1,4 +1,4 @@
-//! How many endpoints of each locality are used.
+//! Number of endpoints used in each locality.
 
 use super::*;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn without_remote_endpoints_none_are_wanted() {
+fn no_remote_endpoints_are_targeted_if_there_are_none() {
     assert_eq!(target_widths(10, 0, 6), [6, 0]);
 }
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn clearing_takes_all_endpoints_out_of_use_and_keeps_their_order() {
+fn clearing_empties_the_active_endpoints_and_keeps_the_preference_order() {
     let mut subset = subset(2, 1, 3);
     for locality in Locality::ALL {
         subset[locality].active = subset[locality].preference_order.clone();
--- a/crates/policy/tests/unit/timer.rs
+++ b/crates/policy/tests/unit/timer.rs
@@ -1,4 +1,4 @@
-//! Tokens of timers.
+//! Timer tokens.
 
 use super::*;
 
@@ -13,20 +13,20 @@
 ];
 
 #[test]
-fn only_timers_about_requests_name_one() {
+fn only_timers_of_requests_have_a_request_id() {
     for (_, timer) in ALL {
-        let about = match timer {
+        let request = match timer {
             Timer::QueueTimeout(id) | Timer::Hedge(id) | Timer::Retry(id) => Some(id),
             _ => None,
         };
-        assert_eq!(timer.encode().request(), about, "{timer:?}");
+        assert_eq!(timer.encode().request(), request, "{timer:?}");
     }
     assert_eq!(Timer::Hedge(RequestId(u32::MAX)).encode().request(), Some(RequestId(u32::MAX)));
     assert_eq!(Timer::CloseIdleConnections(EndpointId(7)).encode().request(), None);
 }
 
 #[test]
-fn tokens_have_fixed_kinds_and_name_their_timer() {
+fn tokens_have_fixed_kind_numbers_and_decode_to_their_timer() {
     for (kind, timer) in ALL {
         assert_eq!(timer.encode().0 >> 32, kind, "{timer:?}");
         assert_eq!(Timer::decode(timer.encode()), Some(timer));
--- a/crates/policy/tests/unit/traffic_stats.rs
+++ b/crates/policy/tests/unit/traffic_stats.rs
@@ -1,10 +1,10 @@
-//! The mean number of attempts in flight.
+//! Mean number of attempts in flight, and excluded time spans.
 
 use super::*;
 use crate::SECOND;
 
 #[test]
-fn the_mean_follows_what_was_in_flight_over_the_last_seconds() {
+fn the_mean_follows_the_attempts_in_flight_of_the_last_seconds() {
     let mut traffic = TrafficStats::default();
     traffic.update_mean(10, SECOND);
     assert!((6.0..6.5).contains(&traffic.mean_in_flight), "{}", traffic.mean_in_flight);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_skipped_span_changes_neither_mean_nor_rates() {
+fn an_excluded_span_changes_neither_the_mean_nor_the_rates() {
     let mut traffic = TrafficStats::default();
     for step in 1..100 {
         traffic.arrivals.add(step * SECOND / 10, 1.0);
