--- a/crates/policy/src/decision_event.rs
+++ b/crates/policy/src/decision_event.rs
@@ -1,4 +1,4 @@
-//! Decisions and their reasons, recorded besides the actions for the flight recorder and the log.
+//! Decisions and their reasons, recorded in addition to the actions for the flight recorder and the log.
 
 use std::fmt;
 
--- a/crates/policy/src/endpoints.rs
+++ b/crates/policy/src/endpoints.rs
@@ -50,7 +50,7 @@
     pub latency_ratio: LatencyRatio,
     /// Smoothed latency relative to its target.
     pub utilization: f64,
-    /// Maximum number of attempts of this node in flight; 0 until the endpoint is first used.
+    /// Maximum number of attempts of this node in flight; 0 means that the endpoint has no limit value yet.
     pub concurrency_limit: f64,
     pub outlier: OutlierDetector,
     /// Send time of the latest attempt that succeeded.
--- a/crates/policy/src/final_answer.rs
+++ b/crates/policy/src/final_answer.rs
@@ -7,7 +7,7 @@
 
 impl Balancer {
     /// Gives a request its final answer. A rejection promises that nothing was executed, or that the client
-    /// may retry nevertheless; where that isn't certain, the answer is a failure.
+    /// may retry anyway. Where that isn't certain, the answer is a failure.
     pub(crate) fn answer(&mut self, id: RequestId, reason: RejectionReason, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|request| !request.done) else { return };
         let is_queue_too_long = reason == RejectionReason::ExpectedWaitTooLong;
--- a/crates/policy/src/hedging.rs
+++ b/crates/policy/src/hedging.rs
@@ -25,7 +25,7 @@
     }
 
     /// Hedges an idempotent request whose attempt is slow, if capacity and retry budget allow it. Otherwise
-    /// tries again after the expected latency.
+    /// tries again after the expected latency, as long as a hedge can be useful.
     pub(crate) fn on_hedge_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.done || request.in_flight != 1 {
--- a/crates/policy/src/outlier_detection.rs
+++ b/crates/policy/src/outlier_detection.rs
@@ -179,8 +179,8 @@
     }
 
     /// Returns whether an endpoint on probation may get an attempt of this request: only one at a time, and
-    /// only of a request that may be retried elsewhere. An endpoint that only rejected attempts may get any
-    /// request, since there may be no requests waiting besides those that can't be retried.
+    /// only of a request that may be retried elsewhere. An endpoint that rejected its last attempt may get
+    /// any request, since possibly only requests that can't be retried are waiting.
     pub(crate) fn may_probe(&self, index: EndpointIndex, id: RequestId) -> bool {
         let endpoint = &self.endpoints[index];
         let idempotency = self.class(self.requests[&id].class).idempotency;
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -128,7 +128,7 @@
     pub overload_multiple: f64,
     /// ... when it is sustained for this long.
     pub overload_duration: Nanos,
-    /// Whether an attempt that an endpoint rejected may have executed nevertheless.
+    /// Whether an attempt that an endpoint rejected may have executed anyway.
     pub rejection_may_execute: bool,
     /// Pause of a key after an attempt that may still execute, for classes that are ordered by key.
     pub key_cooldown: Nanos,
--- a/crates/policy/src/subsetting.rs
+++ b/crates/policy/src/subsetting.rs
@@ -225,7 +225,7 @@
         count
     }
 
-    /// Returns the limit of an endpoint that is used for the first time. Only the first subset starts with
+    /// Returns the limit of an endpoint in use that has no limit value yet. Only the first subset starts with
     /// the usual limit. Endpoints added later start with the minimum, so that a wider subset adds no capacity
     /// by itself.
     fn initial_limit(&self) -> f64 {
--- a/crates/policy/src/warm_state.rs
+++ b/crates/policy/src/warm_state.rs
@@ -65,8 +65,8 @@
     on_probation: bool,
 }
 
-/// Learned state of a [`Balancer`]. Times are those of [`Balancer::handle`], so whoever hands the state over
-/// must make both processes use the same clock.
+/// Learned state of a [`Balancer`]. Times are those of [`Balancer::handle`], so both processes must count
+/// them from the same point in time; the host must ensure that.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WarmState {
     #[serde(rename = "v")]
--- a/crates/policy/tests/concurrency_limit.rs
+++ b/crates/policy/tests/concurrency_limit.rs
@@ -7,12 +7,12 @@
 
 #[test]
 fn bursts_do_not_raise_limits() {
-    let node_settings = Class {
+    let class = Class {
         latency_objective: 2 * SECOND,
         deadline: 3 * SECOND,
         ..class(Idempotency::NotIdempotent, 1.0)
     };
-    let node_settings = Settings { node_count: 140, ..settings(vec![node_settings]) };
+    let node_settings = Settings { node_count: 140, ..settings(vec![class]) };
     let mut node = TestNode::with_endpoints(node_settings, 50);
     // Far more requests arrive than there is capacity for, and each is served in 300 ms. This node's share of
     // 50 endpoints is one or two attempts at first. In its first one and a half seconds it has hardly any
--- a/crates/policy/tests/endpoint_health.rs
+++ b/crates/policy/tests/endpoint_health.rs
@@ -126,21 +126,21 @@
 #[test]
 fn one_silent_attempt_does_not_make_its_endpoint_an_outlier() {
     let mut node = TestNode::with_endpoints(settings(vec![class(Idempotency::NotIdempotent, 1.0)]), 2);
-    let mut hangs = None;
+    let mut silent = None;
     let mut late_attempts = 0;
     for round in 0..200 {
         // More requests than one endpoint takes, so that the other one stays in use.
         for _ in 0..6 {
             let id = node.request(0, 100 * SECOND);
             let Some(endpoint) = node.attempts_of(id).first().map(|first| first.endpoint) else { continue };
-            if round == 50 && hangs.is_none() {
-                hangs = Some((id, endpoint));
+            if round == 50 && silent.is_none() {
+                silent = Some((id, endpoint));
             }
-            late_attempts += usize::from(round > 150 && hangs.is_some_and(|(_, at)| at == endpoint));
+            late_attempts += usize::from(round > 150 && silent.is_some_and(|(_, at)| at == endpoint));
         }
         node.advance(node.now + 20 * MS);
         for (id, n) in node.attempts_in_flight() {
-            if hangs.is_none_or(|(hangs, _)| hangs != id) {
+            if silent.is_none_or(|(silent, _)| silent != id) {
                 node.end_attempt(id, n, AttemptOutcome::Success);
             }
         }
--- a/crates/policy/tests/subsetting.rs
+++ b/crates/policy/tests/subsetting.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn nodes_use_different_stable_subsets() {
+fn nodes_use_different_small_subsets() {
     let used_endpoints = |node_index| {
         let mut node_settings = settings(vec![class(Idempotency::Idempotent, 1.0)]);
         (node_settings.node_count, node_settings.node_index, node_settings.connections_have_cost) =
--- a/crates/policy/tests/unit/attempt_guard.rs
+++ b/crates/policy/tests/unit/attempt_guard.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn no_attempt_after_the_final_answer_or_too_late() {
+fn no_attempt_after_the_final_answer_or_the_deadline() {
     assert_eq!(allowed_at_endpoints(&node(Idempotency::Idempotent, &[])), [true; 3]);
     assert!(
         !node(Idempotency::Idempotent, &[]).may_send(RequestId(8), EndpointIndex(1)),
