--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -140,7 +140,7 @@
 #[derive(Debug, Error, PartialEq)]
 pub enum SettingsError {
     /// There is no request class.
-    #[error("settings: there is no request class")]
+    #[error("settings: no class of requests is configured")]
     NoClass,
     /// A value is out of range; holds the name of the setting.
     #[error("settings: `{0}` is out of range")]
@@ -182,7 +182,7 @@
         in_range(is_finite_non_negative(self.priority_weight), "worth")?;
         in_range(is_fraction(self.late_weight), "late_worth")?;
         in_range(is_finite_non_negative(self.objective_per_work), "aim_stretch")?;
-        in_range(self.latency_objective > 0 && self.deadline > 0, "target_ns` or `deadline_ns")
+        in_range(self.latency_objective > 0 && self.deadline > 0, "aim or deadline")
     }
 }
 
@@ -190,8 +190,7 @@
     if holds { Ok(()) } else { Err(error) }
 }
 
-/// Returns an error that names the setting by its key in the platform's format, unless `holds`. Only
-/// `attempts` and `zone` are shorter than their keys.
+/// Returns an error that names the setting, most by their keys in the platform's format, unless `holds`.
 fn in_range(holds: bool, setting: &'static str) -> Result<(), SettingsError> {
     require(holds, SettingsError::OutOfRange(setting))
 }
