--- a/crates/node/src/fleet/event_loop.rs
+++ b/crates/node/src/fleet/event_loop.rs
@@ -1,4 +1,5 @@
-//! The member's event loop: received datagrams and timers go to the state machine, its outputs to sockets, log and recorder.
+//! Event loop of the fleet member. Passes received datagrams and timers to the state machine, and the outputs of the state
+//! machine to sockets, log and recorder.
 
 use std::rc::Rc;
 
@@ -13,17 +14,17 @@
 
 use super::{Fleet, streams};
 
-/// Time between two updates of the number of nodes, which changes slowly.
+/// Interval at which this node's share is updated; the number of nodes changes slowly.
 const NODE_SHARE_INTERVAL: Nanos = SECOND;
 
 impl Fleet {
-    /// Runs the member until the process ends.
+    /// Runs the member until the process exits.
     pub(super) async fn run(self: Rc<Self>) {
-        // One byte more than the maximum shows that a datagram is too long.
+        // One byte more than the maximum, so that a datagram that is too long can be detected.
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         let mut node_share_at = self.clock.now();
         loop {
-            self.carry_out();
+            self.process_outputs();
             let now = self.clock.now();
             if now >= node_share_at {
                 node_share_at = now + NODE_SHARE_INTERVAL;
@@ -35,7 +36,7 @@
                     Ok((length, from)) => {
                         self.member.borrow_mut().on_datagram(self.clock.now(), from, &buffer[..length]);
                     }
-                    // An earlier datagram was refused; the missing ack says the same.
+                    // Reports that an earlier datagram was refused, which its missing ack shows as well.
                     Err(error) => debug!(target: "fleet", %error, "receiving a datagram failed"),
                 },
                 () = sleep_until(self.clock.instant_at(next)) => self.run_timers(),
@@ -62,11 +63,11 @@
         self.node_share.send_if_modified(|known| std::mem::replace(known, share) != share);
     }
 
-    fn carry_out(self: &Rc<Self>) {
+    fn process_outputs(self: &Rc<Self>) {
         for output in self.take_outputs() {
             match output {
                 Output::Datagram { to, bytes } => {
-                    // A full socket buffer loses the datagram, as a link may.
+                    // If the socket buffer is full, the datagram is lost, as it could be on the network.
                     if let Err(error) = self.datagrams.try_send_to(&bytes, to) {
                         debug!(target: "fleet", %to, %error, "sending a datagram failed");
                     }
@@ -97,13 +98,13 @@
                 info!(target: "fleet", member = %name, from, to = to.as_str(), %reporter, "member state changed");
             }
             Event::ReachabilityChanged { name, reachable: true } => {
-                info!(target: "fleet", member = %name, "member reachable from here again");
+                info!(target: "fleet", member = %name, "member reachable from this node again");
             }
             Event::ReachabilityChanged { name, reachable: false } => {
                 warn!(
                     target: "fleet",
                     member = %name,
-                    "member unreachable from here; others reach it, or this node is isolated"
+                    "member unreachable from this node; other members reach it, or this node is isolated"
                 );
             }
             Event::ProcessStalled { duration } => {
@@ -113,7 +114,7 @@
                 warn!(
                     target: "fleet",
                     %address,
-                    "a later process has this node's name; this one is no member any more"
+                    "a later process has this node's name; this process is no longer a member"
                 );
             }
             Event::PeerRejected { address, error } => {
@@ -124,7 +125,7 @@
     }
 }
 
-/// The code of a state in recordings.
+/// Returns the code of a state in recordings.
 fn recorded_code(state: MemberState) -> u8 {
     state.code() as u8
 }
--- a/crates/node/src/fleet/framing.rs
+++ b/crates/node/src/fleet/framing.rs
@@ -1,4 +1,4 @@
-//! Frames on a stream: each after its length, four bytes in network byte order.
+//! Framing of messages on a stream: each frame is preceded by its length, four bytes in network byte order.
 
 use std::io;
 
@@ -6,13 +6,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Memory is reserved in steps of this as bytes arrive: a stranger's length reserves none by itself.
+/// Frames are read in steps of this size, so that memory is allocated as bytes arrive and not merely because a peer, which is
+/// not trusted, claims a large length.
 const READ_STEP_BYTES: u64 = 64 << 10;
 
-/// Reads a frame; `None` at the end of the stream.
+/// Reads a frame. Returns `None` if the stream ends before the length of a frame is complete.
 ///
 /// # Errors
-/// I/O errors, an incomplete frame, or one over [`MAX_FRAME_BYTES`].
+/// Returns I/O errors, and an error for a frame that is incomplete or longer than [`MAX_FRAME_BYTES`].
 pub async fn read_frame(stream: &mut TcpStream) -> io::Result<Option<Vec<u8>>> {
     let mut length = [0; 4];
     match stream.read_exact(&mut length).await {
@@ -22,7 +23,8 @@
     }
     let length = u32::from_be_bytes(length) as usize;
     if length > MAX_FRAME_BYTES {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, format!("a frame of {length} bytes")));
+        let message = format!("frame of {length} bytes, more than {MAX_FRAME_BYTES}");
+        return Err(io::Error::new(io::ErrorKind::InvalidData, message));
     }
     let mut bytes = Vec::new();
     while bytes.len() < length {
@@ -34,10 +36,10 @@
     Ok(Some(bytes))
 }
 
-/// Writes a frame.
+/// Writes a frame with its length.
 ///
 /// # Errors
-/// I/O errors.
+/// Returns I/O errors, and an error if the length does not fit into four bytes.
 pub async fn write_frame(stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
     let length = u32::try_from(bytes.len()).map_err(io::Error::other)?;
     stream.write_all(&[&length.to_be_bytes(), bytes].concat()).await
--- a/crates/node/src/fleet/mod.rs
+++ b/crates/node/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! This node as a member of its fleet: sockets and time for the state machine of `pumicehead-membership`, and what the rest of
-//! the node learns from it.
+//! Fleet membership of this node: drives the state machine of `pumicehead-membership` with sockets and a clock, and provides
+//! its results to the rest of the node.
 
 mod event_loop;
 mod framing;
@@ -29,24 +29,24 @@
 use crate::net::clock::Clock;
 use crate::net::recorder_sink::RecorderSink;
 
-/// File descriptors that the member may hold: its two sockets, and streams.
+/// Maximum number of file descriptors of the member: its two sockets, and its streams.
 pub const DESCRIPTORS: usize = 2 + streams::MAX_INBOUND_STREAMS + streams::MAX_OUTBOUND_STREAMS;
-/// Attempts to find a port that is free for both TCP and UDP.
+/// The search for a port that is free for both TCP and UDP gives up before this many attempts.
 const MAX_PORT_ATTEMPTS: usize = 32;
-/// Time for the last datagrams to leave before the process ends.
+/// Time for the last datagrams to be sent before the process exits.
 const LEAVE_DELAY: Duration = Duration::from_millis(50);
-/// Nanoseconds in a unit of epochs.
+/// Length of one epoch unit in nanoseconds: epochs are process start times in Unix milliseconds.
 const EPOCH_UNIT: Nanos = 1_000_000;
 
-/// Why this node does not become a member.
+/// Why the fleet membership can't be started.
 #[derive(Debug, Error)]
 pub enum FleetError {
-    /// The listening address cannot be bound.
+    /// The listening address can't be bound.
     #[error("listen on {address} for the fleet: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The cause.
+        /// The I/O error.
         source: io::Error,
     },
     /// The member's configuration is invalid.
@@ -61,7 +61,7 @@
     clock: Clock,
     recorder: RecorderSink,
     datagrams: UdpSocket,
-    /// Wakes the event loop after a call from outside of it, which may have left outputs or moved a timer.
+    /// Wakes the event loop after a call from outside of it, which may have produced outputs or changed a timer.
     changed: Notify,
     node_share: watch::Sender<Option<NodeShare>>,
     outbound_streams: Cell<usize>,
@@ -69,10 +69,10 @@
 }
 
 impl Fleet {
-    /// Binds the sockets and starts to join through the seeds.
+    /// Binds the sockets, starts the event loop and begins to join the fleet through the seeds.
     ///
     /// # Errors
-    /// See [`FleetError`].
+    /// Returns [`FleetError`] if the address can't be bound or the configuration is invalid.
     pub async fn start(
         config: &FleetConfig,
         node: &Node,
@@ -116,12 +116,13 @@
         Ok(fleet)
     }
 
-    /// The node's index and the number of nodes that share the servers, as they change; `None` until the fleet is joined.
+    /// Returns a receiver for this node's index and the number of nodes that share the endpoints. The value is `None` until
+    /// this node has joined the fleet and has a number.
     pub fn node_share(&self) -> watch::Receiver<Option<NodeShare>> {
         self.node_share.subscribe()
     }
 
-    /// Gauges for the metrics.
+    /// Returns the current gauges with their metric names.
     pub fn gauges(&self) -> Vec<(&'static str, f64)> {
         let member = self.member.borrow();
         let table = member.table();
@@ -135,11 +136,11 @@
         ]
     }
 
-    /// The answer to an admin command about the fleet; `None` for other commands.
-    pub fn answer(&self, call: &Command) -> Option<String> {
+    /// Returns the reply to an admin command about the fleet, or `None` for any other command.
+    pub fn reply(&self, command: &Command) -> Option<String> {
         let mut member = self.member.borrow_mut();
         let now = self.clock.now();
-        match call {
+        match command {
             Command::Members => Some(report::fleet(&self.name, &mut member, now)),
             Command::ExplainMember(name) => {
                 let unknown = || error_reply(&format!("nobody here knows `{name}`"));
@@ -149,19 +150,19 @@
         }
     }
 
-    /// Announces that an operator drains this node, or has put it back into service.
+    /// Announces that this node has entered or left lame-duck mode.
     pub fn set_lame_duck(&self, lame_duck: bool) {
         self.member.borrow_mut().set_lame_duck(self.clock.now(), lame_duck);
         self.changed.notify_one();
     }
 
-    /// Updates the utilization that is announced now and then, in eighths.
+    /// Updates the utilization of this node, in eighths. It is announced at a limited rate.
     pub fn set_load(&self, eighths: u32) {
         self.member.borrow_mut().set_load(self.clock.now(), eighths);
         self.changed.notify_one();
     }
 
-    /// Announces the departure, and gives the datagrams time to leave.
+    /// Announces that this node leaves the fleet, and waits for [`LEAVE_DELAY`] so that the datagrams can be sent.
     pub async fn leave(&self) {
         self.member.borrow_mut().leave(self.clock.now());
         for output in self.take_outputs() {
@@ -181,7 +182,7 @@
 fn own_record(config: &FleetConfig, node: &Node, bound: SocketAddr, started_unix: Nanos) -> MemberRecord {
     MemberRecord {
         name: node.name.clone(),
-        // A later start has a later epoch; where the machine's clock went back, the fleet corrects it at the join.
+        // A later start has a greater epoch. If the machine's clock was set back, the epoch is corrected during the join.
         epoch: started_unix / EPOCH_UNIT,
         address: config.advertise_address.unwrap_or(bound).to_string(),
         zone: node.zones[node.zone].clone(),
@@ -191,14 +192,14 @@
     }
 }
 
-/// Binds one port for streams and datagrams.
+/// Binds the same port for TCP streams and UDP datagrams.
 async fn bind(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
     for _ in 1..MAX_PORT_ATTEMPTS {
         let listener = TcpListener::bind(address).await?;
         let bound = listener.local_addr()?;
         match UdpSocket::bind(bound).await {
             Ok(datagrams) => return Ok((listener, datagrams)),
-            // Another program uses this port for datagrams.
+            // The port that was assigned for TCP is in use for UDP, so another one is tried.
             Err(error) if address.port() == 0 && error.kind() == io::ErrorKind::AddrInUse => {}
             Err(error) => return Err(error),
         }
--- a/crates/node/src/fleet/report.rs
+++ b/crates/node/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! The answers to the admin commands about the fleet: one JSON object on one line. The `fleet` command reads them.
+//! Replies to the admin commands about the fleet, each a JSON object on a single line. The `fleet` command parses them.
 
 use pumicehead_membership::{MemberEntry, MemberId, MemberState, Membership, Nanos, SECOND, SignedNanos};
 use pumicehead_membership::{awareness::Awareness, entry::NEVER_HEARD};
@@ -10,79 +10,79 @@
 pub struct FleetReport {
     /// Name of the fleet.
     pub fleet: String,
-    /// Name of the node that answers.
+    /// Name of the reporting node.
     #[serde(rename = "me")]
     pub node: String,
-    /// Fingerprint of its table, in hexadecimal: equal on nodes that hold the same.
+    /// Fingerprint of the node's member table, in hexadecimal; nodes with equal tables have equal fingerprints.
     pub fingerprint: String,
-    /// Whether it has joined the fleet.
+    /// Whether the node has joined the fleet.
     pub joined: bool,
-    /// Whether a later process runs under its name.
+    /// Whether a later process with the same name has replaced the node in the fleet.
     pub superseded: bool,
-    /// Whether it is probably isolated itself.
+    /// Whether the node itself is probably isolated.
     #[serde(rename = "cut")]
     pub isolated: bool,
-    /// Its local health multiplier; 1 is healthy.
+    /// Local health multiplier of the node; 1 is healthy.
     #[serde(rename = "health")]
     pub health_multiplier: u32,
     /// Number of active members.
     #[serde(rename = "there")]
     pub active_members: usize,
-    /// Number of nodes that share the servers.
+    /// Number of nodes that share the endpoints.
     #[serde(rename = "nodes")]
     pub node_count: u32,
-    /// All known members, by name.
+    /// All known members, sorted by name.
     pub members: Vec<MemberReport>,
 }
 
 /// What a node knows about a member.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// The member's name.
+    /// Name of the member.
     pub name: String,
-    /// Its state.
+    /// State of the member.
     pub state: String,
-    /// The phase that it announces.
+    /// Phase that the member announces.
     pub phase: String,
-    /// Whether the node reaches it directly.
+    /// Whether the reporting node can reach the member directly.
     #[serde(rename = "here")]
     pub reachable_from_here: bool,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: String,
-    /// Its address for datagrams and streams.
+    /// Address of the member for datagrams and streams.
     pub address: String,
-    /// The epoch of its process, in hexadecimal.
+    /// Epoch of the member's process, in hexadecimal.
     pub epoch: String,
-    /// The incarnation of its record.
+    /// Incarnation of the member's record.
     pub incarnation: u64,
-    /// Its number among the nodes, from 1; 0 for none.
+    /// Number of the member among the nodes, starting from 1; 0 if it has none.
     #[serde(rename = "number")]
     pub node_number: u32,
-    /// Its announced utilization, in eighths.
+    /// Announced utilization, in eighths.
     #[serde(rename = "load", default)]
     pub load_eighths: u32,
-    /// Version of its program.
+    /// Version of the member's program.
     #[serde(rename = "program", default)]
     pub program_version: String,
-    /// Requests that other members may send it.
+    /// Requests that other members may send to the member.
     #[serde(rename = "offers", default)]
     pub capabilities: Vec<String>,
-    /// Seconds since it entered its state.
+    /// Seconds since the member entered its state.
     #[serde(rename = "since_s")]
     pub in_state_s: Option<f64>,
-    /// Seconds since the node last heard from it; `None` for never.
+    /// Seconds since the reporting node last heard from the member; `None` if never.
     #[serde(rename = "heard_s")]
     pub last_heard_s: Option<f64>,
-    /// Name of the member whose observation the state is.
+    /// Name of the member that observed the state.
     #[serde(rename = "says")]
     pub reporter: String,
-    /// Whether its address refused connections.
+    /// Whether the member's address refused connections.
     #[serde(rename = "refused", default)]
     pub connection_refused: bool,
-    /// The suspicion against it.
+    /// The suspicion against the member, if any.
     #[serde(rename = "doubt", default)]
     pub suspicion: Option<SuspicionReport>,
-    /// Reasons for its state, in words; given for a single member alone.
+    /// Explanations of the state; only in the report on a single member.
     #[serde(rename = "why", default, skip_serializing_if = "Vec::is_empty")]
     pub reasons: Vec<String>,
 }
@@ -93,12 +93,12 @@
     /// Names of the accusers.
     #[serde(rename = "witnesses")]
     pub accusers: Vec<String>,
-    /// Seconds until the member counts as dead for a healthy observer.
+    /// Seconds until a healthy observer considers the member dead.
     #[serde(rename = "ends_in_s")]
     pub expires_in_s: f64,
 }
 
-/// The answer with all members.
+/// Returns the report with all members.
 pub fn fleet(name: &str, member: &mut Membership, now: Nanos) -> String {
     let node_count = member.node_count(now);
     let mut entries: Vec<_> = member.table().iter().collect();
@@ -118,14 +118,14 @@
     line(&report)
 }
 
-/// The answer about one member with the reasons for its state; `None` where it is unknown.
+/// Returns the report on one member with the reasons for its state, or `None` if the member is unknown.
 pub fn member(member: &Membership, name: &str, now: Nanos) -> Option<String> {
     let entry = member.table().get(MemberId::from_name(name))?;
     let report = MemberReport { reasons: reasons(member, entry), ..member_report(member, entry, now) };
     Some(line(&report))
 }
 
-/// A line with the object's keys in the order of [`serde_json::Value`].
+/// Formats a report as a line of JSON, with the keys in the order of [`serde_json::Value`].
 fn line(report: &impl Serialize) -> String {
     format!("{}\n", json!(report))
 }
@@ -169,35 +169,39 @@
     let reporter = if is_own { "this node".to_owned() } else { name_or_id(member, entry.reporter) };
     let mut reasons = vec![state_reason(entry, &reporter)];
     if !entry.reachable_from_here {
-        reasons.push("this node does not reach it itself".into());
+        reasons.push("this node can't reach it directly".into());
     }
     if member.is_isolated() {
-        reasons.push(
-            "this node gets no answer from most of those that it asks: the fault may be its own".into(),
-        );
+        reasons.push("most probes that this node sends get no response: the fault may be on its side".into());
     }
     reasons
 }
 
 fn state_reason(entry: &MemberEntry, reporter: &str) -> String {
     match entry.state {
-        MemberState::Alive => format!("it says so itself, by {reporter}"),
-        MemberState::Left => "it said that it goes".to_owned(),
+        MemberState::Alive => format!("it announced itself as alive; reported by {reporter}"),
+        MemberState::Left => "it announced that it leaves the fleet".to_owned(),
         MemberState::Stalled => {
-            format!("{reporter} finds that its kernel takes connections and it does not answer")
+            format!("its kernel accepts connections but its process does not respond; reported by {reporter}")
         }
         MemberState::Suspect if entry.connection_refused => {
-            format!("{reporter} finds that its address refuses connections")
+            format!("its address refuses connections; reported by {reporter}")
+        }
+        MemberState::Suspect => {
+            format!("it responds to neither direct nor indirect probes; reported by {reporter}")
         }
-        MemberState::Suspect => format!("{reporter} and those that it asked to ask get no answer"),
         MemberState::Dead if entry.connection_refused => {
-            format!("its address refused connections, and it did not say that it lives: {reporter}")
+            format!(
+                "its address refused connections, and it did not refute the suspicion; reported by {reporter}"
+            )
+        }
+        MemberState::Dead => {
+            format!("it responded to no probes until the suspicion expired; reported by {reporter}")
         }
-        MemberState::Dead => format!("it answered nobody for long enough: {reporter}"),
     }
 }
 
-/// Seconds since a time, in whole tenths; `None` for never.
+/// Returns the seconds since a time, rounded down to tenths, or `None` for [`NEVER_HEARD`].
 fn seconds_since(now: Nanos, then: SignedNanos) -> Option<f64> {
     const TENTH: SignedNanos = SECOND as SignedNanos / 10;
     (then != NEVER_HEARD).then(|| ((now as SignedNanos).saturating_sub(then).max(0) / TENTH) as f64 / 10.0)
--- a/crates/node/src/fleet/streams.rs
+++ b/crates/node/src/fleet/streams.rs
@@ -1,4 +1,4 @@
-//! Streams between members: push/pull exchanges and probes, bounded in number and time.
+//! Streams between members, for push/pull exchanges and stream probes. Their number and duration are bounded.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,19 +16,19 @@
 use super::Fleet;
 use super::framing::{read_frame, write_frame};
 
-/// Maximum number of streams from others; more wait to be accepted. Each may hold a frame of
+/// Maximum number of inbound streams; further ones wait to be accepted. Each may buffer a frame of
 /// [`pumicehead_membership::settings::MAX_FRAME_BYTES`].
 pub const MAX_INBOUND_STREAMS: usize = 8;
-/// Maximum number of streams to others; more are not opened.
+/// Maximum number of outbound streams; further ones are not opened.
 pub const MAX_OUTBOUND_STREAMS: usize = 16;
-/// Time limit of a whole exchange, that of a large fleet over a bad link included.
+/// Timeout of a whole exchange, long enough for that of a large fleet over a bad link.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time limit for the answer to a stream probe once the connection is established.
+/// Timeout for the reply to a stream probe once the connection is established.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause after a failed accept, for instance for lack of descriptors.
+/// Delay after a failed accept, for example when the process is out of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts streams for as long as the process lives.
+/// Accepts inbound streams until the process exits.
 pub async fn accept(fleet: Rc<Fleet>, listener: TcpListener) {
     let permits = Arc::new(Semaphore::new(MAX_INBOUND_STREAMS));
     loop {
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-/// Permission to hold an outbound stream, until it is dropped.
+/// Permit for one outbound stream; dropping it releases the permit.
 struct OutboundPermit(Rc<Fleet>);
 
 impl OutboundPermit {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Probes a member over a stream, and reports the outcome to the state machine.
+/// Probes a member over a stream, and passes the outcome to the state machine.
 pub async fn probe(fleet: Rc<Fleet>, seq: SequenceNumber, to: SocketAddr, frame: Vec<u8>) {
     let Some(_permit) = OutboundPermit::acquire(&fleet) else { return };
     let outcome = timeout(2 * PROBE_TIMEOUT, probe_outcome(&fleet, to, &frame)).await;
@@ -102,16 +102,16 @@
         Err(_) => return StreamProbeOutcome::Unreachable,
     };
     let _ = stream.set_nodelay(true);
-    let answer = async {
+    let reply = async {
         write_frame(&mut stream, frame).await?;
         read_frame(&mut stream).await
     };
-    match timeout(PROBE_TIMEOUT, answer).await {
+    match timeout(PROBE_TIMEOUT, reply).await {
         Ok(Ok(Some(bytes))) => {
             fleet.member.borrow_mut().on_stream_reply(fleet.clock.now(), to, &bytes);
             StreamProbeOutcome::Answered
         }
-        // Closed or reset without an answer: no member listens behind this address.
+        // Closed or reset without a reply: no member listens behind this address.
         Ok(Ok(None) | Err(_)) => StreamProbeOutcome::Refused,
         Err(_) => StreamProbeOutcome::NoResponse,
     }
--- a/crates/node/src/fleet_cli/mod.rs
+++ b/crates/node/src/fleet_cli/mod.rs
@@ -1,4 +1,4 @@
-//! The `fleet` command: asks a running node for its view of the fleet where it takes admin commands.
+//! The `fleet` command: requests the view of the fleet from a running node through its admin address.
 
 mod request;
 mod table;
@@ -13,59 +13,59 @@
 use crate::fleet::report::{FleetReport, MemberReport};
 use crate::report::print;
 
-/// What is asked.
+/// Subcommands of the `fleet` command.
 #[derive(Subcommand)]
 pub enum FleetCommand {
     /// Lists the members and their states.
     Members {
-        /// Address where the node takes admin commands.
+        /// Admin address of the node.
         address: SocketAddr,
-        /// Prints one JSON object.
+        /// Print one JSON object.
         #[arg(long)]
         json: bool,
     },
-    /// Prints changes as they come, until interrupted.
+    /// Prints state changes of members until interrupted.
     Watch {
-        /// Address where the node takes admin commands.
+        /// Admin address of the node.
         address: SocketAddr,
-        /// Prints a JSON object a line.
+        /// Print one JSON object per line.
         #[arg(long)]
         json: bool,
     },
-    /// Explains a member's state.
+    /// Explains the state of a member.
     Why {
         /// Name of the member.
         node: String,
-        /// Address where the node that is asked takes admin commands.
+        /// Admin address of the node whose view is explained.
         address: SocketAddr,
-        /// Prints one JSON object.
+        /// Print one JSON object.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// Runs the command and prints the answer.
+/// Runs the command and prints the result.
 ///
 /// # Errors
-/// No answer, or one that cannot be read.
+/// Fails if there is no reply, or if the reply can't be parsed.
 pub fn run(command: &FleetCommand) -> Result<(), Box<dyn Error>> {
     match command {
         FleetCommand::Members { address, json } => {
-            let answer = request(*address, "FLEET members")?;
+            let reply = request(*address, "FLEET members")?;
             if *json {
-                print(&answer);
+                print(&reply);
                 return Ok(());
             }
-            let report: FleetReport = serde_json::from_str(&answer)?;
+            let report: FleetReport = serde_json::from_str(&reply)?;
             print(&table::render(&report));
         }
         FleetCommand::Why { node, address, json } => {
-            let answer = request(*address, &format!("FLEET why {node}"))?;
+            let reply = request(*address, &format!("FLEET why {node}"))?;
             if *json {
-                print(&answer);
+                print(&reply);
                 return Ok(());
             }
-            print_explanation(&serde_json::from_str(&answer)?);
+            print_explanation(&serde_json::from_str(&reply)?);
         }
         FleetCommand::Watch { address, json } => watch::run(*address, *json)?,
     }
@@ -75,12 +75,12 @@
 fn print_explanation(member: &MemberReport) {
     let in_state = member.in_state_s.map_or(String::new(), |seconds| format!(" for {seconds:.1} s"));
     print(&format!(
-        "{} is held {}{in_state}, process {} saying {}\n",
+        "{}: {}{in_state}, epoch {}, incarnation {}\n",
         member.name, member.state, member.epoch, member.incarnation
     ));
     for reason in &member.reasons {
         print(&format!("- {reason}\n"));
     }
-    let heard = member.last_heard_s.map_or("never".into(), |seconds| format!("{seconds:.1} s ago"));
-    print(&format!("- this node heard from it itself {heard}\n"));
+    let last_heard = member.last_heard_s.map_or("never".into(), |seconds| format!("{seconds:.1} s ago"));
+    print(&format!("- last heard from by this node: {last_heard}\n"));
 }
--- a/crates/node/src/fleet_cli/request.rs
+++ b/crates/node/src/fleet_cli/request.rs
@@ -1,4 +1,4 @@
-//! One admin command and its answer.
+//! Sends an admin command and reads its reply.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,20 +9,20 @@
 
 use crate::report::print_error;
 
-/// Time limit for each step of a request.
+/// Timeout for connecting, and for each read and write.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Maximum length of an answer, in bytes: that of the largest fleet fits.
-const MAX_ANSWER_BYTES: u64 = 16 << 20;
+/// Maximum length of a reply in bytes, enough for the largest fleet.
+const MAX_REPLY_BYTES: u64 = 16 << 20;
 
-/// Why there is no answer.
+/// Why a request failed.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// The node cannot be reached.
+    /// Communication with the node failed.
     #[error("{address}: {source}")]
     Io {
         /// Address of the node.
         address: SocketAddr,
-        /// The cause.
+        /// The I/O error.
         source: io::Error,
     },
     /// The node rejected the command.
@@ -30,35 +30,35 @@
     Rejected {
         /// Address of the node.
         address: SocketAddr,
-        /// Its reason.
+        /// Reason given by the node.
         reason: String,
     },
-    /// The node closed the connection without an answer.
-    #[error("{address}: no answer")]
-    NoAnswer {
+    /// The node closed the connection without a reply.
+    #[error("{address}: no reply")]
+    NoReply {
         /// Address of the node.
         address: SocketAddr,
     },
-    /// The answer is not text.
+    /// The reply is not valid UTF-8.
     #[error(transparent)]
     Encoding(#[from] FromUtf8Error),
 }
 
-/// Sends a command and returns the answer.
+/// Sends a command and returns the reply.
 ///
 /// # Errors
-/// See [`RequestError`].
+/// Returns a [`RequestError`] if there is no reply or if it is an error.
 pub fn request(address: SocketAddr, command: &str) -> Result<String, RequestError> {
     let bytes = exchange(address, command).map_err(|source| RequestError::Io { address, source })?;
-    let answer = String::from_utf8(bytes)?;
-    if let Some(reason) = answer.strip_prefix("ERR ") {
+    let reply = String::from_utf8(bytes)?;
+    if let Some(reason) = reply.strip_prefix("ERR ") {
         return Err(RequestError::Rejected { address, reason: reason.trim().to_owned() });
     }
-    if answer.is_empty() {
-        print_error("pumicehead: the node ended before it answered");
-        return Err(RequestError::NoAnswer { address });
+    if reply.is_empty() {
+        print_error("pumicehead: the node closed the connection without a reply");
+        return Err(RequestError::NoReply { address });
     }
-    Ok(answer)
+    Ok(reply)
 }
 
 fn exchange(address: SocketAddr, command: &str) -> io::Result<Vec<u8>> {
@@ -66,7 +66,7 @@
     stream.set_read_timeout(Some(TIMEOUT))?;
     stream.set_write_timeout(Some(TIMEOUT))?;
     stream.write_all(format!("{command}\n").as_bytes())?;
-    let mut answer = Vec::new();
-    stream.take(MAX_ANSWER_BYTES).read_to_end(&mut answer)?;
-    Ok(answer)
+    let mut reply = Vec::new();
+    stream.take(MAX_REPLY_BYTES).read_to_end(&mut reply)?;
+    Ok(reply)
 }
--- a/crates/node/src/fleet_cli/table.rs
+++ b/crates/node/src/fleet_cli/table.rs
@@ -1,11 +1,11 @@
-//! A fleet report as text.
+//! Formats a fleet report as text.
 
 use crate::fleet::report::{FleetReport, MemberReport};
 
-/// A summary, warnings about the node that was asked, and a row for each member.
+/// Formats a summary, warnings about the reporting node, and a table row for each member.
 pub fn render(report: &FleetReport) -> String {
     let mut text = format!(
-        "{} as {} sees it: {} there, {} share the servers, view {}\n",
+        "fleet {} as seen by {}: {} active members, {} nodes share the servers, fingerprint {}\n",
         report.fleet, report.node, report.active_members, report.node_count, report.fingerprint
     );
     text += &warnings(report);
@@ -19,16 +19,16 @@
 fn warnings(report: &FleetReport) -> String {
     let mut text = String::new();
     if report.superseded {
-        text += "a later process has this node's name: it is no member any more\n";
+        text += "a later process has this node's name: this process is no longer a member\n";
     } else if !report.joined {
-        text += "it has not heard from the fleet yet\n";
+        text += "this node has not joined the fleet yet\n";
     }
     if report.isolated {
-        text += "most of those that it asks do not answer: it may be cut off itself\n";
+        text += "most probes that this node sends get no response: it may be isolated\n";
     }
     if report.health_multiplier > 1 {
         text += &format!(
-            "its own health is {} (1 is good): it doubts others so many times as long\n",
+            "the health multiplier of this node is {} (1 is healthy): it multiplies the timeouts for other members\n",
             report.health_multiplier
         );
     }
--- a/crates/node/src/fleet_cli/watch.rs
+++ b/crates/node/src/fleet_cli/watch.rs
@@ -1,4 +1,4 @@
-//! Changes of a node's view as they come.
+//! Polls a node's view of the fleet and prints its changes.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -13,10 +13,10 @@
 use crate::fleet::report::{FleetReport, MemberReport};
 use crate::report::print;
 
-/// Time between two requests.
+/// Delay between two requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What is compared of a member.
+/// The properties of a member whose changes are printed.
 #[derive(Clone, PartialEq, Eq)]
 struct Observed {
     state: String,
@@ -26,7 +26,7 @@
 /// Prints changes until a request fails.
 ///
 /// # Errors
-/// No answer, or one that cannot be read.
+/// Returns the error of the request that failed, or of a reply that can't be parsed.
 pub fn run(address: SocketAddr, json: bool) -> Result<(), Box<dyn Error>> {
     let mut known: Option<BTreeMap<String, Observed>> = None;
     loop {
@@ -78,6 +78,6 @@
         });
         return format!("{change}\n");
     }
-    let here = if *reachable_from_here { "" } else { ", not reached from here" };
-    format!("{name}: {from} -> {state}{here}, says {reporter}\n")
+    let reachability = if *reachable_from_here { "" } else { ", unreachable from this node" };
+    format!("{name}: {from} -> {state}{reachability}, reported by {reporter}\n")
 }
--- a/crates/node/src/standalone/admin.rs
+++ b/crates/node/src/standalone/admin.rs
@@ -38,7 +38,7 @@
                 ok_reply(&format!("revision {} digest {}", revision.revision, revision.digest))
             }
             Command::Members | Command::ExplainMember(_) => match &self.fleet {
-                Some(fleet) => fleet.answer(command).unwrap_or_default(),
+                Some(fleet) => fleet.reply(command).unwrap_or_default(),
                 None => error_reply("the configuration has no block `fleet`"),
             },
             _ => error_reply(UNSUPPORTED),
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -113,12 +113,12 @@
     let admin = one.admin.to_string();
     let list = fleet_command(&["members", &admin]);
     assert!(
-        list.code == Some(0) && list.stdout.contains("3 there") && list.stdout.contains("n2"),
+        list.code == Some(0) && list.stdout.contains("3 active members") && list.stdout.contains("n2"),
         "{}",
         list.stdout
     );
     let why = fleet_command(&["why", "n2", &admin]);
-    assert!(why.code == Some(0) && why.stdout.contains("n2 is held alive"), "{}", why.stdout);
+    assert!(why.code == Some(0) && why.stdout.contains("n2: alive for "), "{}", why.stdout);
     let unknown = fleet_command(&["why", "n9", &admin]);
     assert!(
         unknown.code == Some(2) && unknown.stderr.contains("nobody here knows `n9`"),
