--- a/crates/node/src/standalone/affected_pools.rs
+++ b/crates/node/src/standalone/affected_pools.rs
@@ -10,7 +10,7 @@
     /// All pools.
     All,
     /// The pools of these names.
-    Some(HashSet<Name>),
+    Named(HashSet<Name>),
 }
 
 impl AffectedPools {
@@ -41,7 +41,7 @@
         for route in old.routes().chain(new.routes()).filter(|route| classes.contains(&route.class)) {
             pools.insert(route.pool.clone());
         }
-        Self::Some(pools)
+        Self::Named(pools)
     }
 
     /// Whether the pool with this name is affected.
@@ -49,7 +49,7 @@
     pub fn contains(&self, pool: &str) -> bool {
         match self {
             Self::All => true,
-            Self::Some(pools) => pools.contains(pool),
+            Self::Named(pools) => pools.contains(pool),
         }
     }
 }
--- a/crates/node/tests/unit/affected_pools.rs
+++ b/crates/node/tests/unit/affected_pools.rs
@@ -51,7 +51,7 @@
 }
 
 fn pools(names: &[&str]) -> AffectedPools {
-    AffectedPools::Some(names.iter().map(|name| Arc::from(*name)).collect())
+    AffectedPools::Named(names.iter().map(|name| Arc::from(*name)).collect())
 }
 
 #[test]
