--- a/crates/node/src/net/downstream/http.rs
+++ b/crates/node/src/net/downstream/http.rs
@@ -105,7 +105,7 @@
         request: Request<Incoming>,
         progress: &RequestProgress,
     ) -> Response<ResponseBody> {
-        connection.set_stage(ConnectionStage::Busy, connection.used());
+        connection.set_stage(ConnectionStage::Busy, connection.has_served());
         progress.awaits_response.set(true);
         let mut response = self.respond(connection, client_ip, request).await;
         progress.awaits_response.set(false);
@@ -128,19 +128,19 @@
         client_ip: IpAddr,
         request: Request<Incoming>,
     ) -> Response<ResponseBody> {
-        let read_from = if connection.used() { Instant::now() } else { connection.last_activity.get() };
+        let read_from = if connection.has_served() { Instant::now() } else { connection.last_activity.get() };
         let framing = BodyFraming::parse(&connection.stream.take_head());
         connection.stream.skip_body(framing.body_length());
         let expects_continue = request.headers().contains_key(header::EXPECT);
         let read_due = read_from + self.options.get().request_timeout;
         let reply = self.reply(connection, client_ip, request, framing, read_due).await;
         let HttpReply { mut response, is_upload_unfinished } = reply;
-        let is_crowded = connection.over_limit || self.budget.is_crowded();
+        let closes_after_response = connection.over_limit || self.budget.disables_keep_alive();
         // After an error status a client that expects 100 may send its body all the same, or the next request.
         let is_next_ambiguous = expects_continue && response.status().as_u16() >= 400;
         if self.draining.get()
             || self.is_lame_duck()
-            || is_crowded
+            || closes_after_response
             || is_next_ambiguous
             || is_upload_unfinished
             || !matches!(framing, BodyFraming::Length(_))
