--- a/crates/admin/src/disabled_backends.rs
+++ b/crates/admin/src/disabled_backends.rs
@@ -43,9 +43,9 @@
 /// Whether a backend may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
-    /// It gets no new requests.
+    /// The backend gets no new requests.
     Disabled,
-    /// It may get requests.
+    /// The backend may get requests.
     Enabled {
         /// Assumed start time of its process, in Unix milliseconds; 0 means long ago.
         started_ms: UnixMs,
@@ -66,7 +66,7 @@
         /// Its length in bytes.
         length: u64,
     },
-    /// The stored form is not the expected JSON.
+    /// The stored form is not valid JSON of the expected structure.
     #[error("disabled backends: {0}")]
     Json(#[from] serde_json::Error),
     /// The stored form has an unsupported version.
--- a/crates/admin/src/stats.rs
+++ b/crates/admin/src/stats.rs
@@ -33,7 +33,7 @@
     classes: Vec<ClassCounters>,
     /// Attempts that were completely written to a backend.
     pub upstream_requests: Rc<Cell<u64>>,
-    /// Configuration reloads.
+    /// Successful configuration reloads.
     pub config_reloads: Cell<u64>,
     /// Configuration reloads that failed.
     pub config_reload_errors: Cell<u64>,
--- a/crates/node/src/admin_listener.rs
+++ b/crates/node/src/admin_listener.rs
@@ -40,7 +40,7 @@
 #[derive(Default)]
 struct Connections(RefCell<VecDeque<AbortHandle>>);
 
-/// Accepts connections for as long as the process lives.
+/// Accepts connections until the process exits.
 pub async fn serve(handler: Rc<impl CommandHandler>, listener: TcpListener) {
     let connections = Connections::default();
     loop {
--- a/crates/node/src/fleet/report.rs
+++ b/crates/node/src/fleet/report.rs
@@ -35,7 +35,7 @@
     pub members: Vec<MemberReport>,
 }
 
-/// What a node knows about a member.
+/// What the reporting node knows about a member.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct MemberReport {
     /// Name of the member.
@@ -90,7 +90,7 @@
 /// A suspicion against a member.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct SuspicionReport {
-    /// Names of the accusers.
+    /// Names of the members that reported the suspicion.
     #[serde(rename = "witnesses")]
     pub accusers: Vec<String>,
     /// Seconds until a healthy observer considers the member dead.
--- a/crates/node/src/fleet_cli/watch.rs
+++ b/crates/node/src/fleet_cli/watch.rs
@@ -28,16 +28,16 @@
 /// # Errors
 /// Returns the error of the request that failed, or of a reply that can't be parsed.
 pub fn run(address: SocketAddr, json: bool) -> Result<(), Box<dyn Error>> {
-    let mut known: Option<BTreeMap<String, Observed>> = None;
+    let mut previous: Option<BTreeMap<String, Observed>> = None;
     loop {
         let report: FleetReport = serde_json::from_str(&request(address, "FLEET members")?)?;
-        let now: BTreeMap<_, _> = report.members.iter().map(observe).collect();
-        if let Some(known) = &known {
-            print_changes(known, &now, &report, json);
+        let current: BTreeMap<_, _> = report.members.iter().map(observe).collect();
+        if let Some(previous) = &previous {
+            print_changes(previous, &current, &report, json);
         } else if !json {
             print(&table::render(&report));
         }
-        known = Some(now);
+        previous = Some(current);
         sleep(POLL_INTERVAL);
     }
 }
@@ -48,19 +48,19 @@
 }
 
 fn print_changes(
-    known: &BTreeMap<String, Observed>,
-    now: &BTreeMap<String, Observed>,
+    previous: &BTreeMap<String, Observed>,
+    current: &BTreeMap<String, Observed>,
     report: &FleetReport,
     json: bool,
 ) {
     for member in &report.members {
-        let before = known.get(&member.name);
-        if before != now.get(&member.name) {
+        let before = previous.get(&member.name);
+        if before != current.get(&member.name) {
             let from = before.map_or("new", |observed| &observed.state);
             print(&change(member, from, &report.fingerprint, json));
         }
     }
-    for name in known.keys().filter(|name| !now.contains_key(*name)) {
+    for name in previous.keys().filter(|name| !current.contains_key(*name)) {
         print(&if json {
             format!("{}\n", json!({ "name": name, "to": "forgotten" }))
         } else {
--- a/crates/node/src/platform/config.rs
+++ b/crates/node/src/platform/config.rs
@@ -102,7 +102,7 @@
     pub last_list: EndpointList,
     /// The settings as written in the file, with names and limits.
     pub deployment: DeploymentSettings,
-    /// The settings of the decision module.
+    /// The settings derived from `deployment` for the decision module.
     pub settings: Settings,
 }
 
--- a/crates/node/src/standalone/affected_pools.rs
+++ b/crates/node/src/standalone/affected_pools.rs
@@ -9,7 +9,7 @@
 pub enum AffectedPools {
     /// All pools.
     All,
-    /// The pools of these names.
+    /// Only the pools with these names.
     Named(HashSet<Name>),
 }
 
--- a/crates/node/src/standalone/configured_endpoints.rs
+++ b/crates/node/src/standalone/configured_endpoints.rs
@@ -10,7 +10,7 @@
 /// Source of a pool's endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfiguredEndpoints {
-    /// The configuration lists them.
+    /// The configuration lists the endpoints.
     Static(EndpointList),
     /// The discovery service at this address lists them.
     Discovery(SocketAddr),
--- a/crates/node/src/standalone/route_admission.rs
+++ b/crates/node/src/standalone/route_admission.rs
@@ -210,8 +210,8 @@
     let Some(hops) = head.headers.get(header::MAX_FORWARDS) else { return Ok(false) };
     let hops: Option<u32> = hops.to_str().ok().and_then(|hops| hops.trim().parse().ok());
     let hops = hops.ok_or(RequestError::InvalidHeader("max-forwards".into()))?;
-    if let Some(left) = hops.checked_sub(1) {
-        head.headers.insert(header::MAX_FORWARDS, left.into());
+    if let Some(remaining_hops) = hops.checked_sub(1) {
+        head.headers.insert(header::MAX_FORWARDS, remaining_hops.into());
     }
     Ok(hops == 0)
 }
