--- a/crates/node/src/fleet_cli/watch.rs
+++ b/crates/node/src/fleet_cli/watch.rs
@@ -1,4 +1,4 @@
-//! Changes of a node's view as they come.
+//! Polls a node's view of the fleet and prints its changes.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -13,10 +13,10 @@
 use crate::fleet::report::{FleetReport, MemberReport};
 use crate::report::print;
 
-/// Time between two requests.
+/// Delay between two requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What is compared of a member.
+/// The properties of a member whose changes are printed.
 #[derive(Clone, PartialEq, Eq)]
 struct Observed {
     state: String,
@@ -26,18 +26,18 @@
 /// Prints changes until a request fails.
 ///
 /// # Errors
-/// No answer, or one that cannot be read.
+/// Returns the error of the request that failed, or of a reply that can't be parsed.
 pub fn run(address: SocketAddr, json: bool) -> Result<(), Box<dyn Error>> {
-    let mut known: Option<BTreeMap<String, Observed>> = None;
+    let mut previous: Option<BTreeMap<String, Observed>> = None;
     loop {
         let report: FleetReport = serde_json::from_str(&request(address, "FLEET members")?)?;
-        let now: BTreeMap<_, _> = report.members.iter().map(observe).collect();
-        if let Some(known) = &known {
-            print_changes(known, &now, &report, json);
+        let current: BTreeMap<_, _> = report.members.iter().map(observe).collect();
+        if let Some(previous) = &previous {
+            print_changes(previous, &current, &report, json);
         } else if !json {
             print(&table::render(&report));
         }
-        known = Some(now);
+        previous = Some(current);
         sleep(POLL_INTERVAL);
     }
 }
@@ -48,19 +48,19 @@
 }
 
 fn print_changes(
-    known: &BTreeMap<String, Observed>,
-    now: &BTreeMap<String, Observed>,
+    previous: &BTreeMap<String, Observed>,
+    current: &BTreeMap<String, Observed>,
     report: &FleetReport,
     json: bool,
 ) {
     for member in &report.members {
-        let before = known.get(&member.name);
-        if before != now.get(&member.name) {
+        let before = previous.get(&member.name);
+        if before != current.get(&member.name) {
             let from = before.map_or("new", |observed| &observed.state);
             print(&change(member, from, &report.fingerprint, json));
         }
     }
-    for name in known.keys().filter(|name| !now.contains_key(*name)) {
+    for name in previous.keys().filter(|name| !current.contains_key(*name)) {
         print(&if json {
             format!("{}\n", json!({ "name": name, "to": "forgotten" }))
         } else {
@@ -78,6 +78,6 @@
         });
         return format!("{change}\n");
     }
-    let here = if *reachable_from_here { "" } else { ", not reached from here" };
-    format!("{name}: {from} -> {state}{here}, says {reporter}\n")
+    let reachability = if *reachable_from_here { "" } else { ", unreachable from this node" };
+    format!("{name}: {from} -> {state}{reachability}, reported by {reporter}\n")
 }
