--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,14 +1,13 @@
-//! Which route a request takes. Free of I/O.
+//! Matches requests to routes. Free of I/O.
 //!
-//! The first route in the order of the file that fits wins. [`Matcher`] finds it without asking every route:
-//! hosts are looked up by name, paths walk a trie of segments, and only routes that share host and path are
-//! compared among themselves. It is all that needs to be kept of the routes: what one wants is read back by
-//! [`Matcher::route`]. [`Route::misfit`] is the same question for one route, asked plainly; the tests hold the
-//! matcher to it.
+//! The first route in the order of the file that matches a request is taken. [`Matcher`] finds it without checking
+//! every route: hosts are looked up by name, paths in a trie of segments, and only routes with the same host and
+//! path are checked one by one. The matcher stores the routes completely: [`Matcher::route`] restores one.
+//! [`Route::misfit`] checks a single route without compiled tables; tests compare the matcher with it.
 //!
-//! Paths are compared segment by segment as RFC 3986 section 3.3 divides them, each percent-decoded by itself:
-//! `%2F` never divides. What a backend might read as another path than the matcher does, such as `..` in any
-//! encoding, is refused by [`RequestPath::parse`] and never matched.
+//! Paths are compared segment by segment as RFC 3986 section 3.3 divides them. Each segment is percent-decoded
+//! separately, so `%2F` is never a separator. [`RequestPath::parse`] rejects paths that a backend might read
+//! differently from the matcher, such as `..` in any encoding.
 
 mod host;
 mod matcher;
@@ -21,41 +20,41 @@
 
 pub use host::{HostError, HostPattern, request_host};
 pub use matcher::{Found, Matcher};
-pub use path::{MOST_SEGMENTS, PathError, PathPattern, PatternError, RequestPath};
+pub use path::{MAX_SEGMENTS, PathError, PathPattern, PatternError, RequestPath};
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 
-/// Methods that a route takes.
+/// The methods that a route matches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Methods {
     /// Every method.
     Any,
-    /// These.
+    /// Only these methods.
     Only(Vec<Method>),
 }
 
 impl Methods {
-    /// Whether it takes this one.
+    /// Whether it includes a method.
     #[must_use]
-    pub fn allow(&self, method: &Method) -> bool {
+    pub fn allows(&self, method: &Method) -> bool {
         match self {
             Self::Any => true,
             Self::Only(list) => list.contains(method),
         }
     }
 
-    /// Whether it takes all that another takes.
+    /// Whether it includes every method of `other`.
     #[must_use]
-    pub fn cover(&self, other: &Self) -> bool {
+    pub fn covers(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Any, _) => true,
             (_, Self::Any) => false,
-            (_, Self::Only(list)) => list.iter().all(|method| self.allow(method)),
+            (_, Self::Only(list)) => list.iter().all(|method| self.allows(method)),
         }
     }
 
-    /// Both together.
-    fn join(&mut self, other: &Self) {
+    /// Adds the methods of `other`.
+    fn extend(&mut self, other: &Self) {
         match (&mut *self, other) {
             (Self::Any, _) => {}
             (_, Self::Any) => *self = Self::Any,
@@ -73,17 +72,17 @@
 /// A condition on a header field.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct HeaderRule {
-    /// Its name, in lower case.
+    /// Name of the field, in lower case.
     pub name: Box<str>,
-    /// The value that one of its lines must have; `None` is any.
+    /// The value that one of its lines must have; `None` if any value matches.
     pub value: Option<Box<[u8]>>,
 }
 
 impl HeaderRule {
-    /// Whether a request's fields hold it.
+    /// Whether the header fields of a request meet the condition.
     #[must_use]
-    pub fn holds(&self, headers: &HeaderMap) -> bool {
-        let mut values = values(headers, &self.name);
+    pub fn matches(&self, headers: &HeaderMap) -> bool {
+        let mut values = header_values(headers, &self.name);
         match &self.value {
             None => values.next().is_some(),
             Some(wanted) => values.any(|value| value == &**wanted),
@@ -91,58 +90,58 @@
     }
 }
 
-fn values<'a>(headers: &'a HeaderMap, name: &str) -> impl Iterator<Item = &'a [u8]> {
-    // A name that is none can't be in the map.
+fn header_values<'a>(headers: &'a HeaderMap, name: &str) -> impl Iterator<Item = &'a [u8]> {
+    // A text that is not a field name can't be in the map.
     let name = HeaderName::from_bytes(name.as_bytes()).ok();
-    name.into_iter().flat_map(|name| headers.get_all(name)).map(compared)
+    name.into_iter().flat_map(|name| headers.get_all(name)).map(trimmed_value)
 }
 
-/// A value as conditions compare it: without the space around it.
-fn compared(value: &HeaderValue) -> &[u8] {
+/// The value that conditions are compared with: without leading and trailing whitespace.
+fn trimmed_value(value: &HeaderValue) -> &[u8] {
     value.as_bytes().trim_ascii()
 }
 
-/// What a route wants of a request.
+/// The conditions of a route on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The host asked for.
+    /// Hosts that it matches.
     pub host: HostPattern,
-    /// The path.
+    /// Paths that it matches.
     pub path: PathPattern,
-    /// The method.
+    /// Methods that it matches.
     pub methods: Methods,
-    /// All of these must hold.
+    /// Conditions on header fields; all must be met.
     pub headers: Vec<HeaderRule>,
 }
 
-/// The first thing about a request that a route does not want.
+/// The first condition of a route that a request does not meet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Misfit {
-    /// Its host.
+    /// The host.
     Host,
-    /// Its path.
+    /// The path.
     Path,
-    /// A header field, by its name.
+    /// The condition on the header field with this name.
     Header(Box<str>),
-    /// Its method.
+    /// The method.
     Method,
 }
 
-/// A request as routes see it.
+/// The parts of a request that routes match.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a> {
-    /// From [`request_host`]; empty where the request names none.
+    /// The host, as [`request_host`] returns it; empty if the request has none.
     pub host: &'a str,
-    /// Its path.
+    /// The path.
     pub path: &'a RequestPath<'a>,
-    /// Its method.
+    /// The method.
     pub method: &'a Method,
-    /// Its header fields.
+    /// The header fields.
     pub headers: &'a HeaderMap,
 }
 
 impl Route {
-    /// Why a request does not fit, or nothing where it does.
+    /// The first condition that a request does not meet; `None` if the route matches.
     #[must_use]
     pub fn misfit(&self, query: &Query<'_>) -> Option<Misfit> {
         if !self.host.matches(query.host) {
@@ -151,20 +150,20 @@
         if !self.path.matches(query.path) {
             return Some(Misfit::Path);
         }
-        if let Some(rule) = self.headers.iter().find(|rule| !rule.holds(query.headers)) {
+        if let Some(rule) = self.headers.iter().find(|rule| !rule.matches(query.headers)) {
             return Some(Misfit::Header(rule.name.clone()));
         }
-        (!self.methods.allow(query.method)).then_some(Misfit::Method)
+        (!self.methods.allows(query.method)).then_some(Misfit::Method)
     }
 
-    /// Whether some request may fit both. Header conditions never keep two routes apart: a request may have a
-    /// field twice.
+    /// Whether some request can match both routes. Header conditions are ignored: a request may have a field
+    /// twice, with a value for each route.
     #[must_use]
     pub fn overlaps(&self, other: &Self) -> bool {
-        let methods = match (&self.methods, &other.methods) {
+        let methods_overlap = match (&self.methods, &other.methods) {
             (Methods::Only(one), Methods::Only(other)) => one.iter().any(|method| other.contains(method)),
             _ => true,
         };
-        methods && self.host.overlaps(&other.host) && self.path.overlaps(&other.path)
+        methods_overlap && self.host.overlaps(&other.host) && self.path.overlaps(&other.path)
     }
 }
--- a/crates/route/src/matcher/mod.rs
+++ b/crates/route/src/matcher/mod.rs
@@ -1,9 +1,9 @@
 //! The compiled matcher: tables of numbers, built once and never changed.
 //!
-//! Each distinct host, path segment and header value is stored once ([`Names`]). Paths are a trie for each host
-//! pattern; all tries share one table of nodes. Nodes are numbered level by level, so that a node's children lie
-//! side by side, sorted by their labels: no map and no list of children is stored. A route is a fixed record; what
-//! it wants is read back from the tables ([`Matcher::route`]).
+//! Each distinct host, path segment and header value is stored once ([`NameTable`]). Paths form a trie for each host
+//! pattern; all tries share one table of nodes. Nodes are numbered level by level, so that the children of a node
+//! are adjacent and sorted by label: no map and no list of children is stored. A route is a fixed-size record;
+//! [`Matcher::route`] restores it from the tables.
 
 mod build;
 mod find;
@@ -15,38 +15,38 @@
 use http::{HeaderName, Method};
 
 use crate::methods::MethodSet;
-use crate::names::{NameId, Names};
+use crate::names::{NameId, NameTable};
 use crate::path::Segment;
 use crate::{HeaderRule, HostPattern, Methods, PathPattern, Route};
 use build::Builder;
 
-/// No entry: past every number.
+/// No entry; larger than every index.
 const NONE: u32 = u32::MAX;
-/// The label of a node for any one segment. It sorts behind every name.
+/// The label of a node that matches any one segment. It sorts after every name.
 const ANY_SEGMENT: NameId = NameId(NONE);
-/// A header condition that takes any value. It sorts behind every name.
+/// The value of a header condition that any value meets. It sorts after every name.
 const ANY_VALUE: NameId = NameId(NONE);
 
-/// What the matcher says of a request.
+/// The result of a match.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// The first route that it fits, by its place.
+    /// The index of the first route that matches.
     Route(usize),
-    /// It fits routes but for its method; these would do. 405 (RFC 9110 section 15.5.6).
+    /// Routes match except for the method, with the methods that they allow: 405 (RFC 9110 section 15.5.6).
     Method(Vec<Method>),
-    /// No route takes its host, path and headers. 404.
+    /// No route matches host, path and headers: 404.
     Nothing,
 }
 
-/// Which hosts a trie is for.
+/// The hosts that a trie matches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum HostKey {
     Any,
     Exact(NameId),
-    Under(NameId),
+    Subdomains(NameId),
 }
 
-/// The root of a trie, where there is one.
+/// The root node of a trie, if the trie exists.
 #[derive(Clone, Copy, Debug)]
 struct Root(u32);
 
@@ -62,117 +62,118 @@
     }
 }
 
-/// The tries of a host name: for itself, and for all hosts under it.
+/// The tries of a host name: for the name itself, and for its subdomains.
 #[derive(Clone, Copy, Debug, Default)]
 struct HostRoots {
     exact: Root,
-    under: Root,
+    subdomains: Root,
 }
 
 /// The roots of all tries.
 #[derive(Debug, Default)]
 struct Roots {
-    /// Names of hosts.
-    names: Names,
-    /// By the number of the name.
-    of_name: Box<[HostRoots]>,
+    /// Host names.
+    names: NameTable,
+    /// By the number of the host name.
+    by_name: Box<[HostRoots]>,
     any: Root,
-    /// Some trie is for hosts under a name.
-    has_under: bool,
-    /// The key of each root: roots are the first nodes.
+    /// Whether any trie matches subdomains.
+    has_subdomain_roots: bool,
+    /// The hosts of each root; the roots are the first nodes.
     keys: Box<[HostKey]>,
 }
 
-/// A node of a trie. Its children are the nodes from `children` to before the next node's `children`.
+/// A node of a trie. Its children are the nodes from `children_start` up to the next node's `children_start`.
 #[derive(Clone, Copy, Debug)]
 struct Node {
     parent: u32,
-    /// The first route here or below: no walk goes where nothing earlier can be found.
-    least: u32,
-    children: u32,
-    /// The leaf of routes whose path ends here.
+    /// The first route in this subtree: a search skips subtrees without an earlier route than the best so far.
+    first_route: u32,
+    children_start: u32,
+    /// The leaf of the routes whose path ends here.
     exact: u32,
-    /// The leaf of routes that take any rest from here.
+    /// The leaf of the routes that match any further segments from here.
     rest: u32,
 }
 
-/// Routes that share host and path. Their places are those from `places` to before the next leaf's `places`.
+/// Routes with the same host and path. Their indices are those in `leaf_routes` from `routes_start` up to the next
+/// leaf's `routes_start`.
 #[derive(Clone, Copy, Debug)]
 struct Leaf {
-    /// The first of them.
-    least: u32,
-    places: u32,
-    /// So many have no conditions on headers, and come first. Those that earlier ones here hide are left out, so
-    /// there are no more of them than methods.
-    plain: u32,
-    /// The buckets of the others are those from here to before the next leaf's.
-    buckets: u32,
+    /// The first route of the leaf.
+    first_route: u32,
+    routes_start: u32,
+    /// Number of routes without header conditions, which come first. Those hidden by earlier ones of the leaf are
+    /// left out, so there are no more of them than methods.
+    unconditional_count: u32,
+    /// The buckets of the other routes are those from here up to the next leaf's `buckets_start`.
+    buckets_start: u32,
 }
 
-/// Routes of a leaf whose first condition is the same. A leaf's buckets are sorted by header and value.
+/// Routes of a leaf with the same first header condition. The buckets of a leaf are sorted by header and value.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     rule: Rule,
-    places: u32,
+    routes_start: u32,
     count: u32,
 }
 
 /// A condition on a header field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Rule {
-    /// Its name, by its place among the fields.
+    /// Index of the field name in `fields`.
     field: u32,
-    /// Its value, or [`ANY_VALUE`].
+    /// The value, or [`ANY_VALUE`].
     value: NameId,
 }
 
 /// The name of a header field.
 #[derive(Debug)]
-struct Field {
-    /// As the route has it.
+struct HeaderField {
+    /// The text in the route.
     text: Box<str>,
-    /// `None` where it is no name: no request has such a field.
+    /// `None` if the text is not a valid field name: no request has such a field.
     name: Option<HeaderName>,
 }
 
-/// A route. Its conditions are those from `rules` to before the next route's `rules`.
+/// A route. Its header conditions are those in `rules` from `rules_start` up to the next route's `rules_start`.
 #[derive(Clone, Copy, Debug)]
-struct Record {
-    /// Where its path ends.
+struct RouteRecord {
+    /// The node at which its path ends.
     node: u32,
-    rules: u32,
+    rules_start: u32,
     methods: MethodSet,
-    /// Its path takes any rest.
+    /// Whether its path matches any further segments.
     rest: bool,
 }
 
-/// Methods of a route that have no bit.
+/// The methods of a route that have no bit in a [`MethodSet`].
 #[derive(Debug)]
 struct RareMethods {
-    place: u32,
+    route: u32,
     methods: Box<[Method]>,
 }
 
-/// Routes, compiled. A lookup costs a step for each label of the host and each segment of the path, whatever the
-/// number of routes; only routes with the same host, path and first condition on a header are tried one by one.
+/// Compiled routes. A lookup takes a step for each label of the host and each segment of the path, independent of
+/// the number of routes; only routes with the same host, path and first header condition are checked one by one.
 #[derive(Debug)]
 pub struct Matcher {
-    names: Names,
-    fields: Box<[Field]>,
+    names: NameTable,
+    fields: Box<[HeaderField]>,
     roots: Roots,
-    /// The label of each node; those of roots mean nothing.
+    /// The label of each node; those of roots are unused.
     labels: Box<[NameId]>,
-    /// With one more at the end, where the last one's children end.
+    /// Followed by a sentinel that marks the end of the last node's children.
     nodes: Box<[Node]>,
-    /// With one more at the end.
+    /// Followed by a sentinel.
     leaves: Box<[Leaf]>,
     buckets: Box<[Bucket]>,
-    /// Places of routes.
-    places: Box<[u32]>,
-    /// In the order of the file, with one more at the end.
-    routes: Box<[Record]>,
+    /// Indices of routes, by leaf.
+    leaf_routes: Box<[u32]>,
+    /// In the order of the file, followed by a sentinel.
+    routes: Box<[RouteRecord]>,
     rules: Box<[Rule]>,
-    /// Sorted by place.
+    /// Sorted by route.
     rare: Box<[RareMethods]>,
 }
 
@@ -183,7 +184,7 @@
 }
 
 impl Matcher {
-    /// Compiles routes; the earlier one wins.
+    /// Compiles routes. Earlier routes have precedence.
     #[must_use]
     pub fn new(routes: impl IntoIterator<Item = impl Borrow<Route>>) -> Self {
         let mut builder = Builder::default();
@@ -205,19 +206,19 @@
         self.len() == 0
     }
 
-    /// What a route wants. It equals what the matcher was built of, but for the order of its methods, which is that
-    /// of RFC 9110 with rarer ones behind, and for methods that were named twice.
+    /// Restores a route. It equals the original, except that duplicate methods are removed and methods are sorted:
+    /// common ones in the order of their bits, then the others as they were given.
     ///
     /// # Panics
-    /// Where there is no such route.
+    /// If there is no such route.
     #[must_use]
-    pub fn route(&self, place: usize) -> Route {
-        let record = &self.routes[place];
+    pub fn route(&self, index: usize) -> Route {
+        let record = &self.routes[index];
         let mut labels = Vec::new();
-        let mut at = record.node;
-        while !self.is_root(at) {
-            labels.push(self.labels[at as usize]);
-            at = self.nodes[at as usize].parent;
+        let mut node = record.node;
+        while !self.is_root(node) {
+            labels.push(self.labels[node as usize]);
+            node = self.nodes[node as usize].parent;
         }
         let segment = |label: &NameId| match *label {
             ANY_SEGMENT => Segment::Any,
@@ -225,29 +226,29 @@
         };
         let segments = labels.iter().rev().map(segment).collect();
         Route {
-            host: self.host(self.roots.keys[at as usize]),
+            host: self.host(self.roots.keys[node as usize]),
             path: PathPattern { segments, rest: record.rest },
-            methods: self.methods(place),
-            headers: self.rules(place as u32).iter().map(|rule| self.header_rule(*rule)).collect(),
+            methods: self.methods(index),
+            headers: self.rules(index as u32).iter().map(|rule| self.header_rule(*rule)).collect(),
         }
     }
 
-    /// Bytes on the heap: all tables at the size they were allocated with, without the allocator's own overhead.
+    /// Allocated bytes of all tables, without the overhead of the allocator.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
-        // A `HeaderName` that is not a common one has its text once more.
-        let field = |field: &Field| field.text.len() * if field.name.is_some() { 2 } else { 1 };
-        self.names.heap_bytes()
+        // A `HeaderName` that is not a standard one has its own copy of the text.
+        let field = |field: &HeaderField| field.text.len() * if field.name.is_some() { 2 } else { 1 };
+        self.names.memory_bytes()
             + size_of_val(&*self.fields)
             + self.fields.iter().map(field).sum::<usize>()
-            + self.roots.names.heap_bytes()
-            + size_of_val(&*self.roots.of_name)
+            + self.roots.names.memory_bytes()
+            + size_of_val(&*self.roots.by_name)
             + size_of_val(&*self.roots.keys)
             + size_of_val(&*self.labels)
             + size_of_val(&*self.nodes)
             + size_of_val(&*self.leaves)
             + size_of_val(&*self.buckets)
-            + size_of_val(&*self.places)
+            + size_of_val(&*self.leaf_routes)
             + size_of_val(&*self.routes)
             + size_of_val(&*self.rules)
             + size_of_val(&*self.rare)
@@ -255,12 +256,12 @@
     }
 
     fn host(&self, key: HostKey) -> HostPattern {
-        // Names of hosts came in as text.
+        // Host names were interned from strings.
         let text = |name| String::from_utf8_lossy(self.roots.names.get(name)).into();
         match key {
             HostKey::Any => HostPattern::Any,
             HostKey::Exact(name) => HostPattern::Exact(text(name)),
-            HostKey::Under(name) => HostPattern::Under(text(name)),
+            HostKey::Subdomains(name) => HostPattern::Subdomains(text(name)),
         }
     }
 
@@ -269,18 +270,18 @@
         HeaderRule { name: self.fields[rule.field as usize].text.clone(), value }
     }
 
-    fn methods(&self, place: usize) -> Methods {
-        self.routes[place].methods.methods(self.rare(place as u32))
+    fn methods(&self, index: usize) -> Methods {
+        self.routes[index].methods.methods(self.rare(index as u32))
     }
 
-    fn rare(&self, place: u32) -> &[Method] {
-        let found = self.rare.binary_search_by_key(&place, |rare| rare.place);
+    fn rare(&self, index: u32) -> &[Method] {
+        let found = self.rare.binary_search_by_key(&index, |rare| rare.route);
         found.map_or(&[], |found| &self.rare[found].methods)
     }
 
-    fn rules(&self, place: u32) -> &[Rule] {
-        let place = place as usize;
-        &self.rules[self.routes[place].rules as usize..self.routes[place + 1].rules as usize]
+    fn rules(&self, index: u32) -> &[Rule] {
+        let index = index as usize;
+        &self.rules[self.routes[index].rules_start as usize..self.routes[index + 1].rules_start as usize]
     }
 
     fn is_root(&self, node: u32) -> bool {
@@ -289,7 +290,7 @@
 
     fn children(&self, node: u32) -> Range<usize> {
         let node = node as usize;
-        self.nodes[node].children as usize..self.nodes[node + 1].children as usize
+        self.nodes[node].children_start as usize..self.nodes[node + 1].children_start as usize
     }
 
     fn child(&self, node: u32, label: NameId) -> Option<u32> {
@@ -298,20 +299,21 @@
         Some((children.start + found) as u32)
     }
 
-    /// The child for any one segment: the last one, if any is.
-    fn any_child(&self, node: u32) -> Option<u32> {
+    /// The child that matches any one segment. It is the last child, if it exists.
+    fn any_segment_child(&self, node: u32) -> Option<u32> {
         let last = self.children(node).last()?;
         (self.labels[last] == ANY_SEGMENT).then_some(last as u32)
     }
 
-    /// All places of a leaf, those without conditions first.
-    fn places(&self, leaf: u32) -> &[u32] {
+    /// All routes of a leaf, those without header conditions first.
+    fn leaf_routes(&self, leaf: u32) -> &[u32] {
         let leaf = leaf as usize;
-        &self.places[self.leaves[leaf].places as usize..self.leaves[leaf + 1].places as usize]
+        &self.leaf_routes
+            [self.leaves[leaf].routes_start as usize..self.leaves[leaf + 1].routes_start as usize]
     }
 
     fn buckets(&self, leaf: u32) -> &[Bucket] {
         let leaf = leaf as usize;
-        &self.buckets[self.leaves[leaf].buckets as usize..self.leaves[leaf + 1].buckets as usize]
+        &self.buckets[self.leaves[leaf].buckets_start as usize..self.leaves[leaf + 1].buckets_start as usize]
     }
 }
--- a/crates/route/src/methods.rs
+++ b/crates/route/src/methods.rs
@@ -1,10 +1,10 @@
-//! Methods in two bytes: a bit for each common one, and one that says that rarer ones are listed elsewhere.
+//! Sets of methods in two bytes: a bit for each common method, and a bit for methods that are listed elsewhere.
 
 use http::Method;
 
 use crate::Methods;
 
-/// Methods with a bit of their own (RFC 9110 section 9.3, RFC 5789), in the order of their bits.
+/// Methods with a bit each (RFC 9110 section 9.3, RFC 5789), in the order of the bits.
 static COMMON: [Method; 9] = [
     Method::GET,
     Method::HEAD,
@@ -16,9 +16,9 @@
     Method::TRACE,
     Method::CONNECT,
 ];
-/// Every method.
+/// Bit of a set with every method.
 const ANY: u16 = 1 << 15;
-/// Methods without a bit of their own as well.
+/// Bit of a set that also has methods without a bit of their own.
 const RARE: u16 = 1 << 14;
 
 /// A set of methods.
@@ -26,8 +26,8 @@
 pub(crate) struct MethodSet(u16);
 
 impl MethodSet {
-    /// The set of a route, with the methods that have no bit.
-    pub fn of(methods: &Methods) -> (Self, Vec<Method>) {
+    /// Encodes the methods of a route. Also returns those without a bit.
+    pub fn new(methods: &Methods) -> (Self, Vec<Method>) {
         let Methods::Only(list) = methods else { return (Self(ANY), Vec::new()) };
         let mut bits = 0;
         let mut rare: Vec<Method> = Vec::new();
@@ -44,42 +44,43 @@
         (Self(bits), rare)
     }
 
-    /// The methods again, in the order of their bits and then of `rare`.
+    /// Decodes the set: methods in the order of their bits, followed by `rare`.
     pub fn methods(self, rare: &[Method]) -> Methods {
         if self.0 & ANY != 0 {
             return Methods::Any;
         }
-        let common = COMMON.iter().enumerate().filter(|(place, _)| self.0 & 1 << place != 0);
+        let common = COMMON.iter().enumerate().filter(|(position, _)| self.0 & 1 << position != 0);
         Methods::Only(common.map(|(_, method)| method).chain(rare).cloned().collect())
     }
 
-    /// Whether methods without a bit are in it.
+    /// Whether the set has methods without a bit.
     pub fn has_rare(self) -> bool {
         self.0 & RARE != 0
     }
 
-    /// Whether it holds a method, as far as bits tell; `None` where the rare ones must be asked.
-    pub fn allows(self, asked: AskedMethod) -> Option<bool> {
-        if self.0 & (asked.0 | ANY) != 0 {
+    /// Whether the set has a method; `None` if the bits do not decide it and the list of rare methods must be
+    /// searched.
+    pub fn allows(self, method: RequestMethod) -> Option<bool> {
+        if self.0 & (method.0 | ANY) != 0 {
             return Some(true);
         }
-        (asked.0 != 0 || !self.has_rare()).then_some(false)
+        (method.0 != 0 || !self.has_rare()).then_some(false)
     }
 }
 
-/// A request's method as its bit, or none.
+/// The method of a request as its bit; 0 for a method without one.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AskedMethod(u16);
+pub(crate) struct RequestMethod(u16);
 
-impl AskedMethod {
-    /// Of a request's method.
-    pub fn of(method: &Method) -> Self {
+impl RequestMethod {
+    /// Encodes the method of a request.
+    pub fn new(method: &Method) -> Self {
         Self(bit(method).unwrap_or(0))
     }
 }
 
 fn bit(method: &Method) -> Option<u16> {
-    let place = match *method {
+    let position = match *method {
         Method::GET => 0,
         Method::HEAD => 1,
         Method::POST => 2,
@@ -91,5 +92,5 @@
         Method::CONNECT => 8,
         _ => return None,
     };
-    Some(1 << place)
+    Some(1 << position)
 }
--- a/crates/route/src/names.rs
+++ b/crates/route/src/names.rs
@@ -1,34 +1,35 @@
-//! Byte strings that are stored once each and known by small numbers.
+//! Interned byte strings: each is stored once and identified by a small number.
 
 use std::hash::Hasher;
 use std::mem::size_of_val;
 
 use rustc_hash::FxHasher;
 
-/// A slot of the hash table that holds no name.
+/// Marks a slot of the hash table that is empty.
 const EMPTY: u32 = u32::MAX;
-/// Slots of a table when its first name is added.
-const FEWEST_SLOTS: usize = 8;
+/// Slots of the hash table when the first name is added.
+const MIN_SLOTS: usize = 8;
 
-/// A name's number, from 0 in the order of first use.
+/// Number of a name, from 0 in the order of first use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct NameId(pub u32);
 
-/// Interned names: one text for all of them, and an open-addressing hash table of their numbers.
+/// Interned names: one buffer with all texts, and an open-addressing hash table of their numbers.
 #[derive(Debug, Default)]
-pub(crate) struct Names {
+pub(crate) struct NameTable {
     text: Vec<u8>,
-    /// Where each name ends in `text`; it begins where the one before it ends.
+    /// End of each name in `text`; a name begins at the end of the previous one.
     ends: Vec<u32>,
-    /// Numbers of names, by linear probing; at most half of the slots are taken, and their count is a power of two.
+    /// Hash table of numbers with linear probing; at most half of the slots are used, and their count is a power
+    /// of two.
     slots: Vec<u32>,
 }
 
-impl Names {
-    /// The number of a name, which is added where it is new.
+impl NameTable {
+    /// Returns the number of a name, and adds the name if it is new.
     ///
     /// # Panics
-    /// With 4 GiB of text: configurations are bounded far below.
+    /// If the text reaches 4 GiB, which is far above the size limit of configurations.
     pub fn intern(&mut self, name: &[u8]) -> NameId {
         if self.slots.len() < 2 * (self.ends.len() + 1) {
             self.grow();
@@ -37,13 +38,13 @@
         if self.slots[slot] == EMPTY {
             self.slots[slot] = self.ends.len() as u32;
             self.text.extend_from_slice(name);
-            let end = u32::try_from(self.text.len()).expect("names have less than 4 GiB");
+            let end = u32::try_from(self.text.len()).expect("interned names are smaller than 4 GiB");
             self.ends.push(end);
         }
         NameId(self.slots[slot])
     }
 
-    /// The number of a name, if it is known.
+    /// Returns the number of a name, if it was added.
     pub fn find(&self, name: &[u8]) -> Option<NameId> {
         if self.slots.is_empty() {
             return None;
@@ -52,30 +53,30 @@
         (number != EMPTY).then_some(NameId(number))
     }
 
-    /// The name of a number.
+    /// Returns the name with a number.
     pub fn get(&self, id: NameId) -> &[u8] {
         let number = id.0 as usize;
-        let start = number.checked_sub(1).map_or(0, |before| self.ends[before]);
+        let start = number.checked_sub(1).map_or(0, |previous| self.ends[previous]);
         &self.text[start as usize..self.ends[number] as usize]
     }
 
-    /// How many names there are.
+    /// Number of names.
     pub fn len(&self) -> usize {
         self.ends.len()
     }
 
-    /// Gives back what was reserved for more names.
-    pub fn shrink(&mut self) {
+    /// Frees unused capacity.
+    pub fn shrink_to_fit(&mut self) {
         self.text.shrink_to_fit();
         self.ends.shrink_to_fit();
     }
 
-    /// Bytes on the heap.
-    pub fn heap_bytes(&self) -> usize {
+    /// Allocated bytes.
+    pub fn memory_bytes(&self) -> usize {
         self.text.capacity() + self.ends.capacity() * size_of::<u32>() + size_of_val(&*self.slots)
     }
 
-    /// The slot that holds a name, or the empty one where it belongs.
+    /// The slot of a name, or the empty slot where it would be inserted.
     fn slot(&self, name: &[u8]) -> usize {
         let mask = self.slots.len() - 1;
         let mut slot = hash(name) as usize & mask;
@@ -86,7 +87,7 @@
     }
 
     fn grow(&mut self) {
-        let count = (2 * self.slots.len()).max(FEWEST_SLOTS);
+        let count = (2 * self.slots.len()).max(MIN_SLOTS);
         self.slots = vec![EMPTY; count];
         for number in 0..self.ends.len() as u32 {
             let slot = self.slot(self.get(NameId(number)));
--- a/crates/route/src/path.rs
+++ b/crates/route/src/path.rs
@@ -1,4 +1,4 @@
-//! Paths: what a request asks for, and what a route wants.
+//! Paths of requests, and path patterns of routes.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -6,47 +6,47 @@
 
 use thiserror::Error;
 
-/// Most segments of a path, a request's or a pattern's: deeper ones are no real ones, and each costs a step.
-pub const MOST_SEGMENTS: usize = 64;
+/// Most segments of a path or a pattern. Real paths have fewer, and the cost of a match grows with each segment.
+pub const MAX_SEGMENTS: usize = 64;
 
-/// A request's path that no route may see.
+/// Why the path of a request is rejected before it is matched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PathError {
     /// It does not begin with `/`.
     #[error("the path does not begin with `/`")]
     NotAbsolute,
-    /// A `.` or `..` in any encoding: a backend would read another path than was matched.
+    /// A `.` or `..` in any encoding: a backend may resolve it and read another path than was matched.
     #[error("the path holds `.` or `..` as a segment")]
     DotSegment,
-    /// A `%` without two hexadecimal digits, or one that stands for a NUL.
+    /// A `%` without two hexadecimal digits, or an encoded NUL.
     #[error("the path holds a malformed percent-encoding")]
     Encoding,
-    /// Too many segments.
-    #[error("the path has more than {MOST_SEGMENTS} segments")]
+    /// More than [`MAX_SEGMENTS`] segments.
+    #[error("the path has more than {MAX_SEGMENTS} segments")]
     TooDeep,
 }
 
-/// A request's path in segments, each decoded by itself.
+/// The path of a request as segments, each percent-decoded separately.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestPath<'a> {
     pub(crate) segments: Vec<Cow<'a, [u8]>>,
 }
 
 impl<'a> RequestPath<'a> {
-    /// Divides and decodes the path of a request target, without its query.
+    /// Splits and decodes the path of a request target, given without its query.
     ///
     /// # Errors
-    /// What no route may see.
+    /// Paths that are rejected before they are matched.
     pub fn parse(path: &'a str) -> Result<Self, PathError> {
         let rest = path.strip_prefix('/').ok_or(PathError::NotAbsolute)?;
         let mut segments = Vec::new();
         if !rest.is_empty() {
             for part in rest.split('/') {
-                if segments.len() == MOST_SEGMENTS {
+                if segments.len() == MAX_SEGMENTS {
                     return Err(PathError::TooDeep);
                 }
                 let segment = decode(part)?;
-                // A backend may well take a decoded slash, or a backslash, for one that divides.
+                // A backend may treat a decoded slash or a backslash as a separator.
                 if segment.split(|&b| b == b'/' || b == b'\\').any(|part| part == b"." || part == b"..") {
                     return Err(PathError::DotSegment);
                 }
@@ -56,19 +56,20 @@
         Ok(Self { segments })
     }
 
-    /// The segment at a place, from 0; `None` past the end and where it is empty.
+    /// The segment at an index, from 0; `None` past the end and for an empty segment.
     #[must_use]
-    pub fn segment(&self, place: usize) -> Option<&[u8]> {
-        self.segments.get(place).map(AsRef::as_ref).filter(|segment| !segment.is_empty())
+    pub fn segment(&self, index: usize) -> Option<&[u8]> {
+        self.segments.get(index).map(AsRef::as_ref).filter(|segment| !segment.is_empty())
     }
 
-    /// Whether a segment holds an encoded slash: decoded as a whole, this would be another path.
+    /// Whether a segment contains an encoded slash: if the whole path were decoded at once, it would be another
+    /// path.
     #[must_use]
     pub fn holds_slash(&self) -> bool {
         self.segments.iter().any(|segment| segment.contains(&b'/'))
     }
 
-    /// The last segment; `None` where it is empty.
+    /// The last segment; `None` if it is empty.
     #[must_use]
     pub fn last(&self) -> Option<&[u8]> {
         self.segment(self.segments.len().checked_sub(1)?)
@@ -96,36 +97,36 @@
     Ok(Cow::Owned(decoded))
 }
 
-/// A pattern that is none.
+/// Why a text is not a path pattern.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PatternError {
     /// It does not begin with `/`.
-    #[error("a path begins with `/`")]
+    #[error("a path must begin with `/`")]
     NotAbsolute,
-    /// Two slashes in a row.
-    #[error("a path has no empty segments but a last one")]
+    /// An empty segment before the last one, or before `**`.
+    #[error("only the last segment of a path may be empty")]
     EmptySegment,
-    /// `.` or `..`.
-    #[error("`.` and `..` are no segments: requests that hold them are refused")]
+    /// A `.` or `..` segment.
+    #[error("segments `.` and `..` are not allowed: requests with them are rejected")]
     DotSegment,
-    /// `*` inside a segment, or `**` before the end.
-    #[error("`*` stands for one whole segment, `**` for the rest of the path at its end")]
-    Star,
+    /// A `*` that is only a part of a segment, or `**` before the end.
+    #[error("`*` must be a whole segment, and `**` the last one")]
+    Wildcard,
     /// A malformed percent-encoding.
     #[error("malformed percent-encoding")]
     Encoding,
     /// A query or fragment.
-    #[error("a path holds no `?` or `#`: routes don't see the query")]
+    #[error("`?` and `#` are not allowed: routes do not match the query")]
     Query,
-    /// Too many segments.
-    #[error("a path has at most {MOST_SEGMENTS} segments")]
+    /// More than [`MAX_SEGMENTS`] segments.
+    #[error("a path has at most {MAX_SEGMENTS} segments")]
     TooDeep,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) enum Segment {
     Literal(Box<[u8]>),
-    /// One that is not empty.
+    /// Any segment that is not empty.
     Any,
 }
 
@@ -147,54 +148,57 @@
     }
 }
 
-/// Paths that a route takes: `/a/b` exactly, `*` for one segment, `/**` at the end for any rest, also none.
+/// The paths that a route matches: `/a/b` exactly, with `*` for any one segment, and with `/**` at the end for any
+/// number of further segments, including none.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PathPattern {
     pub(crate) segments: Vec<Segment>,
+    /// Whether further segments may follow: the pattern ends with `/**`.
     pub(crate) rest: bool,
 }
 
 impl PathPattern {
-    /// Every path.
+    /// Matches every path.
     #[must_use]
     pub fn any() -> Self {
         Self { segments: Vec::new(), rest: true }
     }
 
-    /// Whether it takes a path.
+    /// Whether it matches a path.
     #[must_use]
     pub fn matches(&self, path: &RequestPath<'_>) -> bool {
-        let enough = match self.rest {
+        let length_fits = match self.rest {
             true => path.segments.len() >= self.segments.len(),
             false => path.segments.len() == self.segments.len(),
         };
-        enough && self.segments.iter().zip(&path.segments).all(|(wanted, segment)| wanted.matches(segment))
+        length_fits
+            && self.segments.iter().zip(&path.segments).all(|(pattern, segment)| pattern.matches(segment))
     }
 
-    /// Whether it takes every path that the other takes.
+    /// Whether it matches every path that `other` matches.
     #[must_use]
     pub fn covers(&self, other: &Self) -> bool {
-        let enough = match (self.rest, other.rest) {
+        let length_fits = match (self.rest, other.rest) {
             (true, _) => other.segments.len() >= self.segments.len(),
             (false, false) => other.segments.len() == self.segments.len(),
             (false, true) => false,
         };
-        enough && self.segments.iter().zip(&other.segments).all(|(one, other)| one.covers(other))
+        length_fits && self.segments.iter().zip(&other.segments).all(|(one, other)| one.covers(other))
     }
 }
 
 impl PathPattern {
-    /// Whether some path is taken by both.
+    /// Whether some path matches both patterns.
     #[must_use]
     pub fn overlaps(&self, other: &Self) -> bool {
-        let enough = match (self.rest, other.rest) {
+        let length_fits = match (self.rest, other.rest) {
             (true, true) => true,
             (true, false) => other.segments.len() >= self.segments.len(),
             (false, true) => self.segments.len() >= other.segments.len(),
             (false, false) => self.segments.len() == other.segments.len(),
         };
-        let meet = |(one, other): (&Segment, &Segment)| one.covers(other) || other.covers(one);
-        enough && self.segments.iter().zip(&other.segments).all(meet)
+        let segments_overlap = |(one, other): (&Segment, &Segment)| one.covers(other) || other.covers(one);
+        length_fits && self.segments.iter().zip(&other.segments).all(segments_overlap)
     }
 }
 
@@ -214,12 +218,12 @@
             Some((&"**", parts)) => (parts, true),
             _ => (&parts[..], false),
         };
-        if parts.len() > MOST_SEGMENTS {
+        if parts.len() > MAX_SEGMENTS {
             return Err(PatternError::TooDeep);
         }
         let mut segments = Vec::with_capacity(parts.len());
-        for (place, &part) in parts.iter().enumerate() {
-            if part.is_empty() && (rest || place + 1 < parts.len()) {
+        for (index, &part) in parts.iter().enumerate() {
+            if part.is_empty() && (rest || index + 1 < parts.len()) {
                 return Err(PatternError::EmptySegment);
             }
             if part == "*" {
@@ -227,7 +231,7 @@
                 continue;
             }
             if part.contains('*') {
-                return Err(PatternError::Star);
+                return Err(PatternError::Wildcard);
             }
             let literal = decode(part).map_err(|_| PatternError::Encoding)?;
             if literal.split(|&b| b == b'/' || b == b'\\').any(|part| part == b"." || part == b"..") {
@@ -247,9 +251,13 @@
                 Segment::Any => f.write_str("*")?,
                 Segment::Literal(literal) => {
                     for &byte in literal {
-                        // Unreserved and sub-delims (RFC 3986 section 2), less the star.
-                        let plain = byte.is_ascii_alphanumeric() || b"-._~!$&'()+,;=:@".contains(&byte);
-                        if plain { write!(f, "{}", char::from(byte)) } else { write!(f, "%{byte:02X}") }?;
+                        // Unreserved characters and sub-delims (RFC 3986 section 2) without `*`, also `:` and `@`.
+                        let is_literal = byte.is_ascii_alphanumeric() || b"-._~!$&'()+,;=:@".contains(&byte);
+                        if is_literal {
+                            write!(f, "{}", char::from(byte))
+                        } else {
+                            write!(f, "%{byte:02X}")
+                        }?;
                     }
                 }
             }
--- a/crates/route/tests/matching.rs
+++ b/crates/route/tests/matching.rs
@@ -1,4 +1,4 @@
-//! The matcher against the plain question asked of every route, and the readings of hosts and paths.
+//! The matcher compared with checking every route in turn, and the parsing of hosts and paths.
 
 use http::{HeaderMap, HeaderValue, Method};
 use proptest::prelude::*;
@@ -25,11 +25,11 @@
     matcher.find(&Query { host, path: &path, method, headers })
 }
 
-/// What the matcher must say, found without it.
-fn naive(routes: &[Route], query: &Query<'_>) -> Found {
+/// The expected result of a match, found by checking every route.
+fn check_every_route(routes: &[Route], query: &Query<'_>) -> Found {
     let misfits: Vec<_> = routes.iter().map(|route| route.misfit(query)).collect();
-    if let Some(place) = misfits.iter().position(Option::is_none) {
-        return Found::Route(place);
+    if let Some(index) = misfits.iter().position(Option::is_none) {
+        return Found::Route(index);
     }
     let mut allowed = Vec::new();
     for (route, misfit) in routes.iter().zip(misfits) {
@@ -71,9 +71,9 @@
         .prop_map(|(host, path, methods, headers)| route(host, &path, &methods, &headers))
 }
 
-type Asked = (&'static str, String, Method, HeaderMap);
+type RequestParts = (&'static str, String, Method, HeaderMap);
 
-fn any_query() -> impl Strategy<Value = Asked> {
+fn any_query() -> impl Strategy<Value = RequestParts> {
     let host = prop::sample::select(vec!["", "a.org", "b.org", "x.a.org", "y.x.a.org", "org", "c.com"]);
     let segment = prop::sample::select(vec!["a", "b", "c", "", "%2f", "%61"]);
     let path = prop::collection::vec(segment, 1..5)
@@ -94,7 +94,7 @@
     #![proptest_config(ProptestConfig { cases: 2_000, rng_seed: RngSeed::Fixed(9), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_matcher_says_what_asking_every_route_says(
+    fn the_matcher_finds_what_checking_every_route_finds(
         routes in prop::collection::vec(any_route(), 0..40),
         queries in prop::collection::vec(any_query(), 1..20),
     ) {
@@ -102,11 +102,10 @@
         for (host, path, method, headers) in &queries {
             let path = RequestPath::parse(path).unwrap();
             let query = Query { host, path: &path, method, headers };
-            prop_assert_eq!(sorted(matcher.find(&query)), sorted(naive(&routes, &query)));
+            prop_assert_eq!(sorted(matcher.find(&query)), sorted(check_every_route(&routes, &query)));
         }
     }
 
-    /// A route that is said to be hidden is never found.
     #[test]
     fn a_hidden_route_is_never_found(
         routes in prop::collection::vec(any_route(), 1..12),
@@ -115,20 +114,20 @@
         let matcher = Matcher::new(routes.clone());
         for (host, path, method, headers) in &queries {
             let path = RequestPath::parse(path).unwrap();
-            if let Found::Route(place) = matcher.find(&Query { host, path: &path, method, headers }) {
-                prop_assert_eq!(matcher.hiders(place), Vec::<usize>::new());
+            if let Found::Route(index) = matcher.find(&Query { host, path: &path, method, headers }) {
+                prop_assert_eq!(matcher.hiders(index), Vec::<usize>::new());
             }
         }
     }
 
     #[test]
-    fn a_pattern_reads_as_it_is_written(one in any_route()) {
+    fn a_pattern_parses_back_from_its_text(one in any_route()) {
         prop_assert_eq!(&one.path.to_string().parse::<PathPattern>().unwrap(), &one.path);
         prop_assert_eq!(&one.host.to_string().parse::<HostPattern>().unwrap(), &one.host);
     }
 
     #[test]
-    fn no_path_or_host_panics(path in "\\PC*", host in "\\PC*") {
+    fn arbitrary_paths_and_hosts_do_not_panic(path in "\\PC*", host in "\\PC*") {
         let _ = RequestPath::parse(&path);
         let _ = path.parse::<PathPattern>();
         let _ = request_host(&host).map(|host| host.into_owned());
@@ -137,7 +136,7 @@
 }
 
 #[test]
-fn the_first_route_that_fits_wins() {
+fn the_first_matching_route_is_found() {
     let matcher = Matcher::new(vec![
         route("*", "/board/*", &[Method::GET], &[]),
         route("a.org", "/board/top", &[], &[]),
@@ -152,7 +151,7 @@
 }
 
 #[test]
-fn hidden_routes_name_those_that_hide_them() {
+fn hidden_routes_list_the_routes_that_hide_them() {
     let matcher = Matcher::new(vec![
         route("*.org", "/a/**", &[Method::GET], &[]),
         route("*.org", "/a/**", &[Method::POST], &[]),
@@ -166,7 +165,7 @@
         route("x.org", "/z", &[], &[]),
         route("*.x.org", "/a/*/**", &[Method::POST], &[]),
     ]);
-    let hiders: Vec<_> = (0..11).map(|place| matcher.hiders(place)).collect();
+    let hiders: Vec<_> = (0..11).map(|index| matcher.hiders(index)).collect();
     let none = Vec::new();
     assert_eq!(hiders[..2], [none.clone(), none.clone()]);
     assert_eq!(hiders[2], [0, 1]);
@@ -179,7 +178,7 @@
 }
 
 #[test]
-fn paths_that_could_be_read_in_two_ways_are_refused() {
+fn ambiguous_and_malformed_paths_are_rejected() {
     for path in ["/a/../b", "/..", "/.", "/a/%2e%2E/b", "/a/.%2e", "/a%2F..%2Fb", "/a%5C..%5Cb", "/a\\..\\b"]
     {
         assert_eq!(RequestPath::parse(path), Err(PathError::DotSegment), "{path}");
@@ -189,12 +188,12 @@
     }
     assert_eq!(RequestPath::parse("a"), Err(PathError::NotAbsolute));
     assert_eq!(RequestPath::parse("*"), Err(PathError::NotAbsolute));
-    assert_eq!(RequestPath::parse(&"/a".repeat(MOST_SEGMENTS + 1)), Err(PathError::TooDeep));
+    assert_eq!(RequestPath::parse(&"/a".repeat(MAX_SEGMENTS + 1)), Err(PathError::TooDeep));
     assert!(RequestPath::parse("/a...b/.../%2F").is_ok());
 }
 
 #[test]
-fn encoded_slashes_do_not_divide_and_empty_segments_stay() {
+fn encoded_slashes_are_no_separators_and_empty_segments_are_kept() {
     let matcher = Matcher::new(vec![
         route("*", "/a/*", &[], &[]),
         route("*", "/a/b/c", &[], &[]),
@@ -214,7 +213,7 @@
 }
 
 #[test]
-fn hosts_are_read_without_port_case_and_last_dot() {
+fn hosts_are_parsed_without_port_case_and_trailing_dot() {
     assert_eq!(request_host("Board.EXAMPLE.org.:8080").unwrap(), "board.example.org");
     assert_eq!(request_host("[2001:DB8::1]:80").unwrap(), "[2001:db8::1]");
     assert_eq!(request_host("").unwrap(), "");
@@ -225,22 +224,22 @@
     for bad in ["", "a:80", "*.", "*.*", "a*b", "*a.org"] {
         assert!(bad.parse::<HostPattern>().is_err(), "{bad}");
     }
-    assert!(HostPattern::Under("a.org".into()).matches("x.a.org"));
-    assert!(!HostPattern::Under("a.org".into()).matches("a.org"));
-    assert!(!HostPattern::Under("a.org".into()).matches("xa.org"));
+    assert!(HostPattern::Subdomains("a.org".into()).matches("x.a.org"));
+    assert!(!HostPattern::Subdomains("a.org".into()).matches("a.org"));
+    assert!(!HostPattern::Subdomains("a.org".into()).matches("xa.org"));
 }
 
 #[test]
-fn bad_patterns_say_what_is_wrong() {
-    let fault = |text: &str| text.parse::<PathPattern>().unwrap_err();
-    assert_eq!(fault("a"), PatternError::NotAbsolute);
-    assert_eq!(fault("/a//b"), PatternError::EmptySegment);
-    assert_eq!(fault("/a//**"), PatternError::EmptySegment);
-    assert_eq!(fault("/a/../b"), PatternError::DotSegment);
-    assert_eq!(fault("/a/%2e"), PatternError::DotSegment);
-    assert_eq!(fault("/a/b*"), PatternError::Star);
-    assert_eq!(fault("/**/b"), PatternError::Star);
-    assert_eq!(fault("/%4"), PatternError::Encoding);
-    assert_eq!(fault("/a?x"), PatternError::Query);
-    assert_eq!(fault(&"/a".repeat(MOST_SEGMENTS + 1)), PatternError::TooDeep);
+fn each_kind_of_bad_pattern_has_its_error() {
+    let error = |text: &str| text.parse::<PathPattern>().unwrap_err();
+    assert_eq!(error("a"), PatternError::NotAbsolute);
+    assert_eq!(error("/a//b"), PatternError::EmptySegment);
+    assert_eq!(error("/a//**"), PatternError::EmptySegment);
+    assert_eq!(error("/a/../b"), PatternError::DotSegment);
+    assert_eq!(error("/a/%2e"), PatternError::DotSegment);
+    assert_eq!(error("/a/b*"), PatternError::Wildcard);
+    assert_eq!(error("/**/b"), PatternError::Wildcard);
+    assert_eq!(error("/%4"), PatternError::Encoding);
+    assert_eq!(error("/a?x"), PatternError::Query);
+    assert_eq!(error(&"/a".repeat(MAX_SEGMENTS + 1)), PatternError::TooDeep);
 }
--- a/crates/route/tests/unit/differential.rs
+++ b/crates/route/tests/unit/differential.rs
@@ -1,4 +1,4 @@
-//! The compact matcher against the one before it, on generated sets of routes and requests.
+//! The compact matcher compared with the reference matcher, on generated sets of routes and requests.
 
 #[path = "reference.rs"]
 mod reference;
@@ -9,12 +9,12 @@
 
 use crate::{Found, HeaderRule, HostPattern, Matcher, Methods, PathPattern, Query, RequestPath, Route};
 
-/// Routes of the largest sets.
-const MANY: usize = 15_000;
-/// Longest name of a configuration.
-const LONGEST_NAME: usize = 64;
+/// Number of routes of the largest sets.
+const LARGE_SET: usize = 15_000;
+/// Longest name that a configuration may have.
+const MAX_NAME_LENGTH: usize = 64;
 
-/// A request that is asked of both matchers.
+/// A request that is matched by both matchers.
 #[derive(Clone, Debug)]
 struct Request {
     host: String,
@@ -28,9 +28,9 @@
         Self { host: host.into(), path: path.into(), method: Method::GET, headers: HeaderMap::new() }
     }
 
-    fn with<T>(&self, ask: impl FnOnce(&Query<'_>) -> T) -> T {
+    fn with_query<T>(&self, run: impl FnOnce(&Query<'_>) -> T) -> T {
         let path = RequestPath::parse(&self.path).unwrap();
-        ask(&Query { host: &self.host, path: &path, method: &self.method, headers: &self.headers })
+        run(&Query { host: &self.host, path: &path, method: &self.method, headers: &self.headers })
     }
 }
 
@@ -38,7 +38,7 @@
     Route { host: host.parse().unwrap(), path: path.parse().unwrap(), methods, headers }
 }
 
-fn plain(host: &str, path: &str) -> Route {
+fn route_on_path(host: &str, path: &str) -> Route {
     route(host, path, Methods::Any, Vec::new())
 }
 
@@ -46,14 +46,14 @@
     HeaderRule { name: name.into(), value: value.map(|value| value.as_bytes().into()) }
 }
 
-/// An answer with methods as a set: their order depends on the walk.
-fn unordered(found: Found) -> Found {
+/// The result with sorted methods: their order depends on the order of the search.
+fn with_sorted_allowed_methods(found: Found) -> Found {
     let Found::Method(mut list) = found else { return found };
     list.sort_unstable_by(|one, other| one.as_str().cmp(other.as_str()));
     Found::Method(list)
 }
 
-/// A route with its methods as a set.
+/// A route with its methods sorted and without duplicates.
 fn with_sorted_methods(mut route: Route) -> Route {
     if let Methods::Only(list) = &mut route.methods {
         list.sort_unstable_by(|one, other| one.as_str().cmp(other.as_str()));
@@ -62,18 +62,18 @@
     route
 }
 
-/// Both matchers give the same answers, and the compact one gives the routes back.
-fn assert_same(routes: &[Route], requests: &[Request]) {
+/// Asserts that both matchers give the same results, and that the compact one restores the routes.
+fn assert_matches_like_reference(routes: &[Route], requests: &[Request]) {
     let compact = Matcher::new(routes);
-    let former = reference::Matcher::new(routes.to_vec());
+    let expected = reference::Matcher::new(routes.to_vec());
     assert_eq!(compact.len(), routes.len());
     for request in requests {
-        let (one, other) = request.with(|query| (compact.find(query), former.find(query)));
-        assert_eq!(unordered(one), unordered(other), "{request:?}");
+        let (one, other) = request.with_query(|query| (compact.find(query), expected.find(query)));
+        assert_eq!(with_sorted_allowed_methods(one), with_sorted_allowed_methods(other), "{request:?}");
     }
-    for (place, route) in routes.iter().enumerate() {
-        assert_eq!(compact.hiders(place), former.hiders(place), "of route {place}");
-        assert_eq!(with_sorted_methods(compact.route(place)), with_sorted_methods(route.clone()));
+    for (index, route) in routes.iter().enumerate() {
+        assert_eq!(compact.hiders(index), expected.hiders(index), "route {index}");
+        assert_eq!(with_sorted_methods(compact.route(index)), with_sorted_methods(route.clone()));
     }
 }
 
@@ -106,7 +106,7 @@
 }
 
 fn any_rules() -> impl Strategy<Value = Vec<HeaderRule>> {
-    // The last one is no name of a field: it never holds.
+    // The last one is not a valid field name: the condition is never met.
     let name = prop::sample::select(vec!["x-a", "x-b", "accept", "X-A", "not a name"]);
     let value = prop::sample::select(vec![None, Some("1"), Some("2"), Some("a"), Some("")]);
     prop::collection::vec((name, value).prop_map(|(name, value)| rule(name, value)), 0..4)
@@ -141,12 +141,12 @@
         .prop_map(|(host, path, method, headers)| Request { host, path, method, headers })
 }
 
-/// Requests that fit the path of a route, or nearly, so that many are found.
+/// A request that matches a route in most cases, so that many searches find one.
 fn request_of(route: &Route) -> Request {
     let host = match &route.host {
         HostPattern::Any => "unknown".to_owned(),
         HostPattern::Exact(name) => name.to_string(),
-        HostPattern::Under(name) => format!("b.{name}"),
+        HostPattern::Subdomains(name) => format!("b.{name}"),
     };
     let path = route.path.to_string().replace("**", "c/d").replace('*', "b");
     let method = match &route.methods {
@@ -172,31 +172,30 @@
     })]
 
     #[test]
-    fn generated_sets_match_as_before(
+    fn generated_routes_match_like_the_reference(
         routes in prop::collection::vec(any_route(), 0..40),
         mut requests in prop::collection::vec(any_request(), 1..20),
     ) {
         requests.extend(routes.iter().map(request_of));
-        assert_same(&routes, &requests);
+        assert_matches_like_reference(&routes, &requests);
     }
 
-    /// The order of routes changes and nothing else.
     #[test]
-    fn an_order_that_changes_matches_as_before(
+    fn reordered_routes_match_like_the_reference(
         (routes, shuffled) in prop::collection::vec(any_route(), 1..30)
             .prop_flat_map(|routes| (Just(routes.clone()), Just(routes).prop_shuffle())),
     ) {
         let requests: Vec<_> = routes.iter().map(request_of).collect();
-        assert_same(&routes, &requests);
-        assert_same(&shuffled, &requests);
+        assert_matches_like_reference(&routes, &requests);
+        assert_matches_like_reference(&shuffled, &requests);
     }
 }
 
 // ---- Large sets ---------------------------------------------------------------------------------
 
-/// A name of the longest length that ends in a number.
+/// A name of the greatest length that ends with a number.
 fn long_name(number: usize) -> String {
-    format!("{number:x>LONGEST_NAME$}")
+    format!("{number:x>MAX_NAME_LENGTH$}")
 }
 
 fn requests_of(routes: &[Route]) -> Vec<Request> {
@@ -204,36 +203,36 @@
 }
 
 #[test]
-fn many_routes_of_one_host_match_as_before() {
-    let mut routes: Vec<_> = (0..MANY - 1)
+fn many_routes_of_one_host_match_like_the_reference() {
+    let mut routes: Vec<_> = (0..LARGE_SET - 1)
         .map(|number| match number % 3 {
-            0 => plain("one.example.org", &format!("/orders/{number}")),
-            1 => plain("one.example.org", &format!("/orders/{number}/*/items")),
-            _ => plain("one.example.org", &format!("/{number}/**")),
+            0 => route_on_path("one.example.org", &format!("/orders/{number}")),
+            1 => route_on_path("one.example.org", &format!("/orders/{number}/*/items")),
+            _ => route_on_path("one.example.org", &format!("/{number}/**")),
         })
         .collect();
-    routes.push(plain("one.example.org", "/**"));
+    routes.push(route_on_path("one.example.org", "/**"));
     let mut requests = requests_of(&routes);
     requests.push(Request::get("one.example.org", "/orders/unknown"));
     requests.push(Request::get("other.example.org", "/orders/0"));
-    assert_same(&routes, &requests);
+    assert_matches_like_reference(&routes, &requests);
 }
 
 #[test]
-fn many_routes_of_one_path_match_as_before() {
-    // Fewer: each is compared with all before it when hidden ones are looked for.
+fn many_routes_of_one_path_match_like_the_reference() {
+    // Fewer routes: the search for hidden routes compares each with all earlier ones.
     let conditional = |number: usize| {
         let rules = vec![rule("x-tenant", Some(&number.to_string())), rule("x-version", None)];
         route("one.example.org", "/orders/*", Methods::Only(vec![Method::GET]), rules)
     };
-    let mut routes: Vec<_> = (0..MANY / 15).map(conditional).collect();
+    let mut routes: Vec<_> = (0..LARGE_SET / 15).map(conditional).collect();
     routes.push(route("*", "/orders/*", Methods::Only(vec![Method::POST]), Vec::new()));
-    assert_same(&routes, &requests_of(&routes));
+    assert_matches_like_reference(&routes, &requests_of(&routes));
 }
 
 #[test]
-fn the_longest_names_match_as_before() {
-    let routes: Vec<_> = (0..MANY / 10)
+fn routes_with_the_longest_names_match_like_the_reference() {
+    let routes: Vec<_> = (0..LARGE_SET / 10)
         .map(|number| {
             let name = long_name(number);
             let host = format!("{}.{}.{name}", long_name(number % 7), long_name(number % 3));
@@ -241,37 +240,44 @@
             route(&host, &format!("/{name}/*/{name}"), Methods::Only(vec![Method::GET]), rules)
         })
         .collect();
-    assert_same(&routes, &requests_of(&routes));
+    assert_matches_like_reference(&routes, &requests_of(&routes));
 }
 
 #[test]
-fn a_reversed_order_of_many_routes_matches_as_before() {
-    let mut routes: Vec<_> = (0..MANY / 2)
+fn many_routes_in_reverse_order_match_like_the_reference() {
+    let mut routes: Vec<_> = (0..LARGE_SET / 2)
         .flat_map(|number| {
             let host = format!("host-{}.example.org", number % 50);
-            [plain(&host, &format!("/a/{number}")), plain("*.example.org", &format!("/a/{}", number / 2))]
+            [
+                route_on_path(&host, &format!("/a/{number}")),
+                route_on_path("*.example.org", &format!("/a/{}", number / 2)),
+            ]
         })
         .collect();
     let requests = requests_of(&routes);
-    assert_same(&routes, &requests);
+    assert_matches_like_reference(&routes, &requests);
     routes.reverse();
-    assert_same(&routes, &requests);
+    assert_matches_like_reference(&routes, &requests);
 }
 
 #[test]
-fn the_deepest_path_is_given_back() {
-    // A request that fits it has two segments more.
-    let path: PathPattern = ("/a/*".repeat(crate::MOST_SEGMENTS / 2 - 1) + "/**").parse().unwrap();
-    let deep = Route { path, ..plain("*", "/") };
-    assert_same(std::slice::from_ref(&deep), &[request_of(&deep), Request::get("", "/a/b")]);
+fn the_deepest_path_is_restored() {
+    // A request that matches it has two more segments.
+    let path: PathPattern = ("/a/*".repeat(crate::MAX_SEGMENTS / 2 - 1) + "/**").parse().unwrap();
+    let deep = Route { path, ..route_on_path("*", "/") };
+    assert_matches_like_reference(
+        std::slice::from_ref(&deep),
+        &[request_of(&deep), Request::get("", "/a/b")],
+    );
 }
 
 // ---- Memory -------------------------------------------------------------------------------------
 
-/// The aim for all of a route is 300 bytes; its patterns may take half of it.
-const MOST_BYTES_A_ROUTE: usize = 150;
+/// A route may take 300 bytes in all; its pattern may take half of that.
+const MAX_BYTES_PER_ROUTE: usize = 150;
 
-/// Routes as a large site has them: 15,000 of some 400 hosts, most with a parameter, some with conditions.
+/// Routes like those of a large site: 15,000 routes of about 400 services and of many customer domains, most with a
+/// path parameter, some with header conditions.
 fn realistic(count: usize) -> Vec<Route> {
     let safe = || Methods::Only(vec![Method::GET, Method::HEAD, Method::OPTIONS]);
     (0..count)
@@ -289,8 +295,8 @@
                     route(&host, &format!("/boards/{number}/**"), Methods::Any, rules)
                 }
                 _ => {
-                    let wild = format!("*.customer-{number}.example.org");
-                    route(&wild, "/api/v1/*/reports", safe(), Vec::new())
+                    let wildcard_host = format!("*.customer-{number}.example.org");
+                    route(&wildcard_host, "/api/v1/*/reports", safe(), Vec::new())
                 }
             }
         })
@@ -298,24 +304,25 @@
 }
 
 #[test]
-fn a_route_takes_at_most_so_many_bytes() {
-    let bytes_a_route = |count: usize| {
+fn memory_per_route_stays_below_the_limit() {
+    let bytes_per_route = |count: usize| {
         let matcher = Matcher::new(realistic(count));
         assert_eq!(matcher.len(), count);
         matcher.memory_bytes() / count
     };
-    let sizes = [1_000, 4_000, 8_000, MANY].map(bytes_a_route);
-    println!("bytes a route with 1,000, 4,000, 8,000 and 15,000 routes: {sizes:?}");
-    assert!(sizes.iter().all(|&bytes| bytes <= MOST_BYTES_A_ROUTE), "{sizes:?}");
+    let sizes = [1_000, 4_000, 8_000, LARGE_SET].map(bytes_per_route);
+    println!("bytes per route with 1,000, 4,000, 8,000 and 15,000 routes: {sizes:?}");
+    assert!(sizes.iter().all(|&bytes| bytes <= MAX_BYTES_PER_ROUTE), "{sizes:?}");
     let (least, most) = (sizes.iter().min().unwrap(), sizes.iter().max().unwrap());
-    // The hash table of names doubles in steps: it takes 8 to 16 bytes a name.
-    assert!(most * 2 <= least * 3, "linear in the number of routes: {sizes:?}");
+    // The hash table of names doubles when it grows, so it takes 8 to 16 bytes per name.
+    assert!(most * 2 <= least * 3, "memory must grow linearly with the number of routes: {sizes:?}");
 }
 
 #[test]
-fn the_memory_of_the_largest_names_is_counted_once() {
+fn a_name_shared_by_many_routes_is_stored_once() {
     let name = long_name(0);
-    let routes: Vec<_> = (0..MANY).map(|number| plain(&name, &format!("/{name}/{number}"))).collect();
+    let routes: Vec<_> =
+        (0..LARGE_SET).map(|number| route_on_path(&name, &format!("/{name}/{number}"))).collect();
     let bytes = Matcher::new(routes).memory_bytes();
-    assert!(bytes / MANY <= MOST_BYTES_A_ROUTE, "{bytes}");
+    assert!(bytes / LARGE_SET <= MAX_BYTES_PER_ROUTE, "{bytes}");
 }
--- a/crates/route/tests/unit/reference.rs
+++ b/crates/route/tests/unit/reference.rs
@@ -1,35 +1,35 @@
-//! The matcher as it was before the compact one: a trie of maps for each host. The differential test holds the
-//! compact one to it; nothing else uses it.
+//! The reference matcher, which the compact one replaced: a trie of maps for each host. Only the differential test
+//! uses it, to compare its results with those of the compact matcher.
 
 use rustc_hash::FxHashMap;
 
 use crate::path::Segment;
-use crate::{Found, HeaderRule, HostPattern, Methods, Misfit, Query, Route, values};
+use crate::{Found, HeaderRule, HostPattern, Methods, Misfit, Query, Route, header_values};
 
-/// Past every route.
+/// No route; larger than every index.
 const NONE: u32 = u32::MAX;
 
-/// Routes in order, by the value that a header must have; `None` is any.
+/// Routes in order, by the value that a header must have; `None` stands for any value.
 type ByValue = FxHashMap<Option<Box<[u8]>>, Vec<u32>>;
 
-/// Routes that share host and path.
+/// Routes with the same host and path.
 #[derive(Debug)]
 struct Leaf {
-    least: u32,
-    /// Without conditions on headers, in order; those that earlier ones here hide are left out, so there are no
-    /// more of them than methods.
-    plain: Vec<u32>,
-    plain_methods: Methods,
-    /// With conditions, by the name and the value of their first.
+    first_route: u32,
+    /// Routes without header conditions, in order. Those hidden by earlier ones of the leaf are left out, so there
+    /// are no more of them than methods.
+    unconditional: Vec<u32>,
+    unconditional_methods: Methods,
+    /// Routes with header conditions, by name and value of the first condition.
     by_header: Vec<(Box<str>, ByValue)>,
 }
 
 impl Default for Leaf {
     fn default() -> Self {
         Self {
-            least: NONE,
-            plain: Vec::new(),
-            plain_methods: Methods::Only(Vec::new()),
+            first_route: NONE,
+            unconditional: Vec::new(),
+            unconditional_methods: Methods::Only(Vec::new()),
             by_header: Vec::new(),
         }
     }
@@ -37,8 +37,8 @@
 
 #[derive(Debug)]
 struct Node {
-    /// The first route here or below.
-    least: u32,
+    /// The first route in this subtree.
+    first_route: u32,
     literal: FxHashMap<Box<[u8]>, u32>,
     any: Option<u32>,
     exact: Leaf,
@@ -48,7 +48,7 @@
 impl Default for Node {
     fn default() -> Self {
         Self {
-            least: NONE,
+            first_route: NONE,
             literal: FxHashMap::default(),
             any: None,
             exact: Leaf::default(),
@@ -57,7 +57,7 @@
     }
 }
 
-/// Paths of the routes that share a host.
+/// The paths of the routes with the same host.
 #[derive(Debug)]
 struct Trie {
     nodes: Vec<Node>,
@@ -69,55 +69,55 @@
     }
 }
 
-/// Routes, compiled. A lookup costs a step for each label of the host and each segment of the path, whatever the
-/// number of routes; only routes with the same host, path and first condition on a header are tried one by one.
+/// Compiled routes. A lookup takes a step for each label of the host and each segment of the path, independent of
+/// the number of routes; only routes with the same host, path and first header condition are checked one by one.
 #[derive(Debug, Default)]
 pub struct Matcher {
     routes: Vec<Route>,
     exact: FxHashMap<Box<str>, Trie>,
-    under: FxHashMap<Box<str>, Trie>,
+    subdomains: FxHashMap<Box<str>, Trie>,
     any: Trie,
 }
 
 impl Matcher {
-    /// Compiles routes; the earlier one wins.
+    /// Compiles routes. Earlier routes have precedence.
     #[must_use]
     pub fn new(routes: Vec<Route>) -> Self {
         let mut matcher = Self::default();
-        for (place, route) in routes.iter().enumerate() {
+        for (index, route) in routes.iter().enumerate() {
             let trie = match &route.host {
                 HostPattern::Any => &mut matcher.any,
                 HostPattern::Exact(name) => matcher.exact.entry(name.clone()).or_default(),
-                HostPattern::Under(name) => matcher.under.entry(name.clone()).or_default(),
+                HostPattern::Subdomains(name) => matcher.subdomains.entry(name.clone()).or_default(),
             };
-            trie.insert(place as u32, route);
+            trie.insert(index as u32, route);
         }
         matcher.routes = routes;
         matcher
     }
 
-    /// The first route that a request fits.
+    /// Finds the first route that matches a request.
     #[must_use]
     pub fn find(&self, query: &Query<'_>) -> Found {
         let mut best = NONE;
-        self.each_trie(query.host, |trie| trie.find(0, 0, query, &self.routes, &mut best));
+        self.for_each_trie(query.host, |trie| trie.find(0, 0, query, &self.routes, &mut best));
         if best != NONE {
             return Found::Route(best as usize);
         }
         let mut methods = Methods::Only(Vec::new());
-        self.each_trie(query.host, |trie| {
-            trie.each(
+        self.for_each_trie(query.host, |trie| {
+            trie.for_each_leaf(
                 0,
-                &mut |place| match query.path.segments.get(place) {
+                &mut |index| match query.path.segments.get(index) {
                     Some(segment) => Step::Literal(segment),
                     None => Step::End,
                 },
                 0,
                 &mut |leaf| {
-                    leaf.each(|place| {
-                        let route = &self.routes[place as usize];
+                    leaf.for_each_route(|index| {
+                        let route = &self.routes[index as usize];
                         if route.misfit(query) == Some(Misfit::Method) {
-                            methods.join(&route.methods);
+                            methods.extend(&route.methods);
                         }
                     })
                 },
@@ -126,103 +126,106 @@
         match methods {
             Methods::Only(list) if list.is_empty() => Found::Nothing,
             Methods::Only(list) => Found::Method(list),
-            // A route that takes every method would have been found.
+            // Unreachable: a route that allows every method would have matched.
             Methods::Any => Found::Nothing,
         }
     }
 
-    /// Earlier routes that together leave nothing to this one, in order; empty where something is left to it.
+    /// The earlier routes that together match every request that this one matches, in order; empty if this route
+    /// can be taken.
     #[must_use]
-    pub fn hiders(&self, place: usize) -> Vec<usize> {
-        let route = &self.routes[place];
+    pub fn hiders(&self, index: usize) -> Vec<usize> {
+        let route = &self.routes[index];
         let mut covering = Vec::new();
-        let mut look = |trie: &Trie| {
+        let mut visit = |trie: &Trie| {
             let mut step = |at: usize| match route.path.segments.get(at) {
                 Some(Segment::Literal(literal)) => Step::Literal(literal),
                 Some(Segment::Any) => Step::Any,
                 None if route.path.rest => Step::Rest,
                 None => Step::End,
             };
-            trie.each(0, &mut step, 0, &mut |leaf| {
-                leaf.each(|other| {
-                    let earlier = (other as usize) < place;
-                    if earlier && covers_but_method(&self.routes[other as usize], route) {
+            trie.for_each_leaf(0, &mut step, 0, &mut |leaf| {
+                leaf.for_each_route(|other| {
+                    let earlier = (other as usize) < index;
+                    if earlier && covers_except_method(&self.routes[other as usize], route) {
                         covering.push(other as usize);
                     }
                 });
             });
         };
         match &route.host {
-            HostPattern::Any => look(&self.any),
-            HostPattern::Exact(name) => self.each_trie(name, look),
-            HostPattern::Under(name) => {
-                // Those under the name itself cover it as well.
-                self.under.get(name).into_iter().for_each(&mut look);
-                self.each_trie_above(name, look);
+            HostPattern::Any => visit(&self.any),
+            HostPattern::Exact(name) => self.for_each_trie(name, visit),
+            HostPattern::Subdomains(name) => {
+                // The trie of the same name matches all of its subdomains as well.
+                self.subdomains.get(name).into_iter().for_each(&mut visit);
+                self.for_each_parent_trie(name, visit);
             }
         }
         covering.sort_unstable();
-        if let Some(&one) = covering.iter().find(|&&one| self.routes[one].methods.cover(&route.methods)) {
+        if let Some(&one) = covering.iter().find(|&&one| self.routes[one].methods.covers(&route.methods)) {
             return vec![one];
         }
-        let mut together = Methods::Only(Vec::new());
-        covering.iter().for_each(|&one| together.join(&self.routes[one].methods));
-        if together.cover(&route.methods) { covering } else { Vec::new() }
+        let mut combined = Methods::Only(Vec::new());
+        covering.iter().for_each(|&one| combined.extend(&self.routes[one].methods));
+        if combined.covers(&route.methods) { covering } else { Vec::new() }
     }
 
-    fn each_trie<'a>(&'a self, host: &str, mut look: impl FnMut(&'a Trie)) {
-        self.exact.get(host).into_iter().for_each(&mut look);
-        self.each_trie_above(host, look);
+    fn for_each_trie<'a>(&'a self, host: &str, mut visit: impl FnMut(&'a Trie)) {
+        self.exact.get(host).into_iter().for_each(&mut visit);
+        self.for_each_parent_trie(host, visit);
     }
 
-    fn each_trie_above<'a>(&'a self, host: &str, mut look: impl FnMut(&'a Trie)) {
-        if !self.under.is_empty() {
-            let dots = host.match_indices('.').filter(|(place, _)| *place > 0);
-            let parents = dots.filter_map(|(place, _)| self.under.get(&host[place + 1..]));
-            parents.for_each(&mut look);
+    fn for_each_parent_trie<'a>(&'a self, host: &str, mut visit: impl FnMut(&'a Trie)) {
+        if !self.subdomains.is_empty() {
+            let dots = host.match_indices('.').filter(|(index, _)| *index > 0);
+            let parents = dots.filter_map(|(index, _)| self.subdomains.get(&host[index + 1..]));
+            parents.for_each(&mut visit);
         }
-        look(&self.any);
+        visit(&self.any);
     }
 }
 
-/// One step of a walk that collects leaves.
+/// One step of a traversal that collects leaves.
 enum Step<'a> {
-    /// A segment.
+    /// A literal segment.
     Literal(&'a [u8]),
     /// Any one segment.
     Any,
-    /// Any rest.
+    /// Any further segments.
     Rest,
-    /// Nothing more.
+    /// The end of the path.
     End,
 }
 
 impl Trie {
-    fn insert(&mut self, place: u32, route: &Route) {
+    fn insert(&mut self, index: u32, route: &Route) {
         let mut at = 0;
         for segment in &route.path.segments {
-            self.nodes[at].least = self.nodes[at].least.min(place);
-            let fresh = self.nodes.len() as u32;
+            self.nodes[at].first_route = self.nodes[at].first_route.min(index);
+            let new_node = self.nodes.len() as u32;
             let next = match segment {
-                Segment::Literal(literal) => *self.nodes[at].literal.entry(literal.clone()).or_insert(fresh),
-                Segment::Any => *self.nodes[at].any.get_or_insert(fresh),
+                Segment::Literal(literal) => {
+                    *self.nodes[at].literal.entry(literal.clone()).or_insert(new_node)
+                }
+                Segment::Any => *self.nodes[at].any.get_or_insert(new_node),
             };
-            if next == fresh {
+            if next == new_node {
                 self.nodes.push(Node::default());
             }
             at = next as usize;
         }
         let node = &mut self.nodes[at];
-        node.least = node.least.min(place);
+        node.first_route = node.first_route.min(index);
         let leaf = if route.path.rest { &mut node.rest } else { &mut node.exact };
-        leaf.insert(place, route);
+        leaf.insert(index, route);
     }
 
     fn find(&self, at: usize, depth: usize, query: &Query<'_>, routes: &[Route], best: &mut u32) {
         let node = &self.nodes[at];
-        // What can't come earlier than the best so far is not looked at: `*` beside literals would double the
-        // walk at every segment.
-        if node.least >= *best {
+        // Skips subtrees without an earlier route than the best so far: otherwise `*` next to literals would
+        // double the search at every segment.
+        if node.first_route >= *best {
             return;
         }
         node.rest.find(query, routes, best);
@@ -237,23 +240,23 @@
         }
     }
 
-    /// Hands over the leaves whose paths take all that the steps allow.
-    fn each<'s>(
+    /// Visits the leaves whose paths match everything that the steps match.
+    fn for_each_leaf<'s>(
         &self,
         at: usize,
         step: &mut impl FnMut(usize) -> Step<'s>,
         depth: usize,
-        take: &mut impl FnMut(&Leaf),
+        visit: &mut impl FnMut(&Leaf),
     ) {
         let node = &self.nodes[at];
-        take(&node.rest);
+        visit(&node.rest);
         let next = step(depth);
         match next {
             Step::Rest => return,
-            Step::End => return take(&node.exact),
+            Step::End => return visit(&node.exact),
             Step::Literal(segment) => {
                 if let Some(&next) = node.literal.get(segment) {
-                    self.each(next as usize, step, depth + 1, take);
+                    self.for_each_leaf(next as usize, step, depth + 1, visit);
                 }
                 if segment.is_empty() {
                     return;
@@ -262,80 +265,81 @@
             Step::Any => {}
         }
         if let Some(next) = node.any {
-            self.each(next as usize, step, depth + 1, take);
+            self.for_each_leaf(next as usize, step, depth + 1, visit);
         }
     }
 }
 
 impl Leaf {
-    fn insert(&mut self, place: u32, route: &Route) {
+    fn insert(&mut self, index: u32, route: &Route) {
         let Some(first) = route.headers.first() else {
-            if !self.plain_methods.cover(&route.methods) {
-                self.plain_methods.join(&route.methods);
-                self.plain.push(place);
-                self.least = self.least.min(place);
+            if !self.unconditional_methods.covers(&route.methods) {
+                self.unconditional_methods.extend(&route.methods);
+                self.unconditional.push(index);
+                self.first_route = self.first_route.min(index);
             }
             return;
         };
-        self.least = self.least.min(place);
+        self.first_route = self.first_route.min(index);
         let known = self.by_header.iter().position(|(name, _)| *name == first.name);
         let known = known.unwrap_or_else(|| {
             self.by_header.push((first.name.clone(), FxHashMap::default()));
             self.by_header.len() - 1
         });
-        self.by_header[known].1.entry(first.value.clone()).or_default().push(place);
+        self.by_header[known].1.entry(first.value.clone()).or_default().push(index);
     }
 
     fn find(&self, query: &Query<'_>, routes: &[Route], best: &mut u32) {
-        if self.least >= *best {
+        if self.first_route >= *best {
             return;
         }
-        let plain = self.plain.iter().take_while(|&&place| place < *best);
-        let mut fits = plain.filter(|&&place| routes[place as usize].methods.allow(query.method));
-        if let Some(&place) = fits.next() {
-            *best = place;
+        let unconditional = self.unconditional.iter().take_while(|&&index| index < *best);
+        let mut matching =
+            unconditional.filter(|&&index| routes[index as usize].methods.allows(query.method));
+        if let Some(&index) = matching.next() {
+            *best = index;
         }
         for (name, by_value) in &self.by_header {
-            let mut present = false;
+            let mut has_field = false;
             let mut try_all = |list: Option<&Vec<u32>>| {
                 let list = list.into_iter().flatten();
-                for &place in list {
-                    if place >= *best {
+                for &index in list {
+                    if index >= *best {
                         return;
                     }
-                    let route = &routes[place as usize];
-                    let holds = route.headers.iter().all(|rule| rule.holds(query.headers));
-                    if holds && route.methods.allow(query.method) {
-                        *best = place;
+                    let route = &routes[index as usize];
+                    let headers_match = route.headers.iter().all(|rule| rule.matches(query.headers));
+                    if headers_match && route.methods.allows(query.method) {
+                        *best = index;
                         return;
                     }
                 }
             };
-            for value in values(query.headers, name) {
-                present = true;
+            for value in header_values(query.headers, name) {
+                has_field = true;
                 try_all(by_value.get(&Some(value.into())));
             }
-            if present {
+            if has_field {
                 try_all(by_value.get(&None));
             }
         }
     }
 
-    fn each(&self, mut take: impl FnMut(u32)) {
-        self.plain.iter().for_each(|&place| take(place));
+    fn for_each_route(&self, mut visit: impl FnMut(u32)) {
+        self.unconditional.iter().for_each(|&index| visit(index));
         let lists = self.by_header.iter().flat_map(|(_, by_value)| by_value.values());
-        lists.flatten().for_each(|&place| take(place));
+        lists.flatten().for_each(|&index| visit(index));
     }
 }
 
-/// Whether every request that fits `other` fits `one`, but for the method.
-fn covers_but_method(one: &Route, other: &Route) -> bool {
+/// Whether every request that matches `other` matches `one`, except for the method.
+fn covers_except_method(one: &Route, other: &Route) -> bool {
     one.host.covers(&other.host)
         && one.path.covers(&other.path)
-        && one.headers.iter().all(|rule| other.headers.iter().any(|theirs| covers(rule, theirs)))
+        && one.headers.iter().all(|rule| other.headers.iter().any(|theirs| rule_covers(rule, theirs)))
 }
 
-/// Whether a condition holds wherever the other does.
-fn covers(rule: &HeaderRule, other: &HeaderRule) -> bool {
+/// Whether every request that meets `other` meets `rule`.
+fn rule_covers(rule: &HeaderRule, other: &HeaderRule) -> bool {
     rule.name == other.name && (rule.value.is_none() || rule.value == other.value)
 }
