--- a/crates/config/src/explain.rs
+++ b/crates/config/src/explain.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
-use pumicehead_route::{Found, Misfit, Query, RequestPath, request_host};
+use pumicehead_route::{Found, Mismatch, Query, RequestPath, request_host};
 use thiserror::Error;
 
 use crate::model::{Class, Config, Idempotency, KeySource, Pool, PoolEndpoints, Route, TenantSource};
@@ -113,10 +113,10 @@
 
 /// Names the routes that match host and path, but not the method or a header.
 fn write_passed_over(routes: &[Route], sources: &Sources, query: &Query<'_>, text: &mut String) {
-    let passed_over = routes.iter().filter_map(|route| match route.pattern.misfit(query)? {
-        Misfit::Host | Misfit::Path => None,
-        Misfit::Method => Some((route, "its methods are others".to_owned())),
-        Misfit::Header(name) => Some((route, format!("its condition on the header {name} does not hold"))),
+    let passed_over = routes.iter().filter_map(|route| match route.pattern.mismatch(query)? {
+        Mismatch::Host | Mismatch::Path => None,
+        Mismatch::Method => Some((route, "its methods are others".to_owned())),
+        Mismatch::Header(name) => Some((route, format!("its condition on the header {name} does not hold"))),
     });
     for (route, reason) in passed_over.take(MAX_PASSED_OVER) {
         let position = sources.path_and_line(route.spans.name);
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -3,7 +3,7 @@
 //! The first route in the order of the file that matches a request is taken. [`Matcher`] finds it without checking
 //! every route: hosts are looked up by name, paths in a trie of segments, and only routes with the same host and
 //! path are checked one by one. The matcher stores the routes completely: [`Matcher::route`] restores one.
-//! [`Route::misfit`] checks a single route without compiled tables; tests compare the matcher with it.
+//! [`Route::mismatch`] checks a single route without compiled tables; tests compare the matcher with it.
 //!
 //! Paths are compared segment by segment as RFC 3986 section 3.3 divides them. Each segment is percent-decoded
 //! separately, so `%2F` is never a separator. [`RequestPath::parse`] rejects paths that a backend might read
@@ -116,7 +116,7 @@
 
 /// The first condition of a route that a request does not meet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Misfit {
+pub enum Mismatch {
     /// The host.
     Host,
     /// The path.
@@ -143,17 +143,17 @@
 impl Route {
     /// The first condition that a request does not meet; `None` if the route matches.
     #[must_use]
-    pub fn misfit(&self, query: &Query<'_>) -> Option<Misfit> {
+    pub fn mismatch(&self, query: &Query<'_>) -> Option<Mismatch> {
         if !self.host.matches(query.host) {
-            return Some(Misfit::Host);
+            return Some(Mismatch::Host);
         }
         if !self.path.matches(query.path) {
-            return Some(Misfit::Path);
+            return Some(Mismatch::Path);
         }
         if let Some(rule) = self.headers.iter().find(|rule| !rule.matches(query.headers)) {
-            return Some(Misfit::Header(rule.name.clone()));
+            return Some(Mismatch::Header(rule.name.clone()));
         }
-        (!self.methods.allows(query.method)).then_some(Misfit::Method)
+        (!self.methods.allows(query.method)).then_some(Mismatch::Method)
     }
 
     /// Whether some request can match both routes. Header conditions are ignored: a request may have a field
--- a/crates/route/tests/matching.rs
+++ b/crates/route/tests/matching.rs
@@ -27,13 +27,13 @@
 
 /// The expected result of a match, found by checking every route.
 fn check_every_route(routes: &[Route], query: &Query<'_>) -> Found {
-    let misfits: Vec<_> = routes.iter().map(|route| route.misfit(query)).collect();
-    if let Some(index) = misfits.iter().position(Option::is_none) {
+    let mismatchs: Vec<_> = routes.iter().map(|route| route.mismatch(query)).collect();
+    if let Some(index) = mismatchs.iter().position(Option::is_none) {
         return Found::Route(index);
     }
     let mut allowed = Vec::new();
-    for (route, misfit) in routes.iter().zip(misfits) {
-        if let (Some(Misfit::Method), Methods::Only(list)) = (misfit, &route.methods) {
+    for (route, mismatch) in routes.iter().zip(mismatchs) {
+        if let (Some(Mismatch::Method), Methods::Only(list)) = (mismatch, &route.methods) {
             allowed.extend(list.iter().cloned());
         }
     }
--- a/crates/route/tests/unit/reference.rs
+++ b/crates/route/tests/unit/reference.rs
@@ -4,7 +4,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::path::Segment;
-use crate::{Found, HeaderRule, HostPattern, Methods, Misfit, Query, Route, header_values};
+use crate::{Found, HeaderRule, HostPattern, Methods, Mismatch, Query, Route, header_values};
 
 /// No route; larger than every index.
 const NONE: u32 = u32::MAX;
@@ -116,7 +116,7 @@
                 &mut |leaf| {
                     leaf.for_each_route(|index| {
                         let route = &self.routes[index as usize];
-                        if route.misfit(query) == Some(Misfit::Method) {
+                        if route.mismatch(query) == Some(Mismatch::Method) {
                             methods.extend(&route.methods);
                         }
                     })
--- a/crates/testbed/src/measure/config.rs
+++ b/crates/testbed/src/measure/config.rs
@@ -172,7 +172,7 @@
                 Found::Route(place) => Some(place),
                 Found::Method(_) | Found::Nothing => None,
             };
-            let naive = |query: &Query<'_>| routes.iter().position(|route| route.misfit(query).is_none());
+            let naive = |query: &Query<'_>| routes.iter().position(|route| route.mismatch(query).is_none());
             let (cost, found) = all(&compiled, 200);
             let (plain_cost, plain_found) = all(&naive, if SIZES[place] > 1_000 { 1 } else { 20 });
             fast[place] = fast[place].min(cost);
