--- a/crates/config/src/explain.rs
+++ b/crates/config/src/explain.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
-use pumicehead_route::{Found, Mismatch, Query, RequestPath, request_host};
+use pumicehead_route::{MatchResult, Mismatch, Query, RequestPath, request_host};
 use thiserror::Error;
 
 use crate::model::{Class, Config, Idempotency, KeySource, Pool, PoolEndpoints, Route, TenantSource};
@@ -92,17 +92,17 @@
     let query = Query { host, path: &path, method, headers };
     let mut text = String::new();
     let end = match config.matcher().find(&query) {
-        Found::Route(index) => {
+        MatchResult::Route(index) => {
             let explanation = Explanation { config, sources, query: &query };
             explanation.write_route(&config.routes[index], &mut text);
             index
         }
-        Found::Method(methods) => {
+        MatchResult::MethodNotAllowed(methods) => {
             let names: Vec<_> = methods.iter().map(Method::as_str).collect();
             let _ = writeln!(text, "no route: 405, with Allow: {}", names.join(", "));
             config.routes.len()
         }
-        Found::Nothing => {
+        MatchResult::NoMatch => {
             text.push_str("no route: 404\n");
             config.routes.len()
         }
--- a/crates/node/src/standalone/route_admission.rs
+++ b/crates/node/src/standalone/route_admission.rs
@@ -10,7 +10,7 @@
 use pumicehead_config::explain::key_of;
 use pumicehead_config::model::TenantSource;
 use pumicehead_policy::TenantId;
-use pumicehead_route::{Found, Query, RequestPath, request_host};
+use pumicehead_route::{MatchResult, Query, RequestPath, request_host};
 
 use super::request_table::{RequestTable, RouteTarget};
 use super::traffic_recorder::TrafficRecorder;
@@ -128,9 +128,9 @@
         .map_err(|fault| RequestError::AmbiguousTarget(fault.to_string()))?;
     let query = Query { host: &host, path: &path, method: head.method, headers: &head.headers };
     let route = match table.routes().matcher().find(&query) {
-        Found::Route(route) => route,
-        Found::Method(allowed) => return Err(RequestError::MethodNotAllowed(allowed)),
-        Found::Nothing => return Err(RequestError::UnknownTarget),
+        MatchResult::Route(route) => route,
+        MatchResult::MethodNotAllowed(allowed) => return Err(RequestError::MethodNotAllowed(allowed)),
+        MatchResult::NoMatch => return Err(RequestError::UnknownTarget),
     };
     let target: &RouteTarget = table.target(route);
     if target.decodes_path && path.holds_slash() {
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -19,7 +19,7 @@
 mod tests;
 
 pub use host::{HostError, HostPattern, request_host};
-pub use matcher::{Found, Matcher};
+pub use matcher::{MatchResult, Matcher};
 pub use path::{MAX_SEGMENTS, PathError, PathPattern, PatternError, RequestPath};
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
--- a/crates/route/src/matcher/find.rs
+++ b/crates/route/src/matcher/find.rs
@@ -2,7 +2,7 @@
 
 use http::HeaderMap;
 
-use super::{ANY_SEGMENT, ANY_VALUE, Bucket, Found, HostRoots, Matcher, NONE, Rule};
+use super::{ANY_SEGMENT, ANY_VALUE, Bucket, HostRoots, MatchResult, Matcher, NONE, Rule};
 use crate::methods::RequestMethod;
 use crate::names::NameId;
 use crate::{HostPattern, Methods, Query, trimmed_value};
@@ -29,18 +29,18 @@
 impl Matcher {
     /// Finds the first route that matches a request.
     #[must_use]
-    pub fn find(&self, query: &Query<'_>) -> Found {
+    pub fn find(&self, query: &Query<'_>) -> MatchResult {
         let request = EncodedRequest { method: RequestMethod::new(query.method), query };
         let mut best = NONE;
         self.for_each_root(query.host, |root| self.find_below(root, 0, &request, &mut best));
         if best != NONE {
-            return Found::Route(best as usize);
+            return MatchResult::Route(best as usize);
         }
         match self.allowed_methods(&request) {
-            Methods::Only(list) if list.is_empty() => Found::Nothing,
-            Methods::Only(list) => Found::Method(list),
+            Methods::Only(list) if list.is_empty() => MatchResult::NoMatch,
+            Methods::Only(list) => MatchResult::MethodNotAllowed(list),
             // Unreachable: a route that allows every method would have matched.
-            Methods::Any => Found::Nothing,
+            Methods::Any => MatchResult::NoMatch,
         }
     }
 
--- a/crates/route/src/matcher/mod.rs
+++ b/crates/route/src/matcher/mod.rs
@@ -29,13 +29,13 @@
 
 /// The result of a match.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum MatchResult {
     /// The index of the first route that matches.
     Route(usize),
     /// Routes match except for the method, with the methods that they allow: 405 (RFC 9110 section 15.5.6).
-    Method(Vec<Method>),
+    MethodNotAllowed(Vec<Method>),
     /// No route matches host, path and headers: 404.
-    Nothing,
+    NoMatch,
 }
 
 /// The hosts that a trie matches.
--- a/crates/route/tests/matching.rs
+++ b/crates/route/tests/matching.rs
@@ -20,16 +20,16 @@
     }
 }
 
-fn find(matcher: &Matcher, host: &str, path: &str, method: &Method, headers: &HeaderMap) -> Found {
+fn find(matcher: &Matcher, host: &str, path: &str, method: &Method, headers: &HeaderMap) -> MatchResult {
     let path = RequestPath::parse(path).unwrap();
     matcher.find(&Query { host, path: &path, method, headers })
 }
 
 /// The expected result of a match, found by checking every route.
-fn check_every_route(routes: &[Route], query: &Query<'_>) -> Found {
+fn check_every_route(routes: &[Route], query: &Query<'_>) -> MatchResult {
     let mismatchs: Vec<_> = routes.iter().map(|route| route.mismatch(query)).collect();
     if let Some(index) = mismatchs.iter().position(Option::is_none) {
-        return Found::Route(index);
+        return MatchResult::Route(index);
     }
     let mut allowed = Vec::new();
     for (route, mismatch) in routes.iter().zip(mismatchs) {
@@ -37,15 +37,15 @@
             allowed.extend(list.iter().cloned());
         }
     }
-    if allowed.is_empty() { Found::Nothing } else { Found::Method(allowed) }
+    if allowed.is_empty() { MatchResult::NoMatch } else { MatchResult::MethodNotAllowed(allowed) }
 }
 
-fn sorted(found: Found) -> Found {
+fn sorted(found: MatchResult) -> MatchResult {
     match found {
-        Found::Method(mut list) => {
+        MatchResult::MethodNotAllowed(mut list) => {
             list.sort_by(|one, other| one.as_str().cmp(other.as_str()));
             list.dedup();
-            Found::Method(list)
+            MatchResult::MethodNotAllowed(list)
         }
         other => other,
     }
@@ -114,7 +114,7 @@
         let matcher = Matcher::new(routes.clone());
         for (host, path, method, headers) in &queries {
             let path = RequestPath::parse(path).unwrap();
-            if let Found::Route(index) = matcher.find(&Query { host, path: &path, method, headers }) {
+            if let MatchResult::Route(index) = matcher.find(&Query { host, path: &path, method, headers }) {
                 prop_assert_eq!(matcher.hiders(index), Vec::<usize>::new());
             }
         }
@@ -143,11 +143,14 @@
         route("*", "/**", &[Method::GET], &[]),
     ]);
     let none = HeaderMap::new();
-    assert_eq!(find(&matcher, "a.org", "/board/top", &Method::GET, &none), Found::Route(0));
-    assert_eq!(find(&matcher, "a.org", "/board/top", &Method::PUT, &none), Found::Route(1));
-    assert_eq!(find(&matcher, "a.org", "/", &Method::GET, &none), Found::Route(2));
-    assert_eq!(find(&matcher, "b.org", "/x", &Method::PUT, &none), Found::Method(vec![Method::GET]));
-    assert_eq!(find(&Matcher::default(), "", "/", &Method::GET, &none), Found::Nothing);
+    assert_eq!(find(&matcher, "a.org", "/board/top", &Method::GET, &none), MatchResult::Route(0));
+    assert_eq!(find(&matcher, "a.org", "/board/top", &Method::PUT, &none), MatchResult::Route(1));
+    assert_eq!(find(&matcher, "a.org", "/", &Method::GET, &none), MatchResult::Route(2));
+    assert_eq!(
+        find(&matcher, "b.org", "/x", &Method::PUT, &none),
+        MatchResult::MethodNotAllowed(vec![Method::GET])
+    );
+    assert_eq!(find(&Matcher::default(), "", "/", &Method::GET, &none), MatchResult::NoMatch);
 }
 
 #[test]
@@ -201,15 +204,15 @@
     ]);
     let none = HeaderMap::new();
     let get = |path: &str| find(&matcher, "", path, &Method::GET, &none);
-    assert_eq!(get("/a/b%2Fc"), Found::Route(0));
-    assert_eq!(get("/a/b/c"), Found::Route(1));
-    assert_eq!(get("/a//c"), Found::Nothing);
-    assert_eq!(get("/a/"), Found::Nothing);
-    assert_eq!(get("//a/b"), Found::Nothing);
-    assert_eq!(get("/e//x"), Found::Route(2));
-    assert_eq!(get("/e"), Found::Route(2));
-    assert_eq!(get("/%65/x"), Found::Route(2));
-    assert_eq!(get("/E/x"), Found::Nothing);
+    assert_eq!(get("/a/b%2Fc"), MatchResult::Route(0));
+    assert_eq!(get("/a/b/c"), MatchResult::Route(1));
+    assert_eq!(get("/a//c"), MatchResult::NoMatch);
+    assert_eq!(get("/a/"), MatchResult::NoMatch);
+    assert_eq!(get("//a/b"), MatchResult::NoMatch);
+    assert_eq!(get("/e//x"), MatchResult::Route(2));
+    assert_eq!(get("/e"), MatchResult::Route(2));
+    assert_eq!(get("/%65/x"), MatchResult::Route(2));
+    assert_eq!(get("/E/x"), MatchResult::NoMatch);
 }
 
 #[test]
--- a/crates/route/tests/unit/differential.rs
+++ b/crates/route/tests/unit/differential.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use crate::{Found, HeaderRule, HostPattern, Matcher, Methods, PathPattern, Query, RequestPath, Route};
+use crate::{HeaderRule, HostPattern, MatchResult, Matcher, Methods, PathPattern, Query, RequestPath, Route};
 
 /// Number of routes of the largest sets.
 const LARGE_SET: usize = 15_000;
@@ -47,10 +47,10 @@
 }
 
 /// The result with sorted methods: their order depends on the order of the search.
-fn with_sorted_allowed_methods(found: Found) -> Found {
-    let Found::Method(mut list) = found else { return found };
+fn with_sorted_allowed_methods(found: MatchResult) -> MatchResult {
+    let MatchResult::MethodNotAllowed(mut list) = found else { return found };
     list.sort_unstable_by(|one, other| one.as_str().cmp(other.as_str()));
-    Found::Method(list)
+    MatchResult::MethodNotAllowed(list)
 }
 
 /// A route with its methods sorted and without duplicates.
--- a/crates/route/tests/unit/reference.rs
+++ b/crates/route/tests/unit/reference.rs
@@ -4,7 +4,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::path::Segment;
-use crate::{Found, HeaderRule, HostPattern, Methods, Mismatch, Query, Route, header_values};
+use crate::{HeaderRule, HostPattern, MatchResult, Methods, Mismatch, Query, Route, header_values};
 
 /// No route; larger than every index.
 const NONE: u32 = u32::MAX;
@@ -98,11 +98,11 @@
 
     /// Finds the first route that matches a request.
     #[must_use]
-    pub fn find(&self, query: &Query<'_>) -> Found {
+    pub fn find(&self, query: &Query<'_>) -> MatchResult {
         let mut best = NONE;
         self.for_each_trie(query.host, |trie| trie.find(0, 0, query, &self.routes, &mut best));
         if best != NONE {
-            return Found::Route(best as usize);
+            return MatchResult::Route(best as usize);
         }
         let mut methods = Methods::Only(Vec::new());
         self.for_each_trie(query.host, |trie| {
@@ -124,10 +124,10 @@
             );
         });
         match methods {
-            Methods::Only(list) if list.is_empty() => Found::Nothing,
-            Methods::Only(list) => Found::Method(list),
+            Methods::Only(list) if list.is_empty() => MatchResult::NoMatch,
+            Methods::Only(list) => MatchResult::MethodNotAllowed(list),
             // Unreachable: a route that allows every method would have matched.
-            Methods::Any => Found::Nothing,
+            Methods::Any => MatchResult::NoMatch,
         }
     }
 
--- a/crates/testbed/src/measure/config.rs
+++ b/crates/testbed/src/measure/config.rs
@@ -13,7 +13,7 @@
 use hyper::{HeaderMap, Method, Request};
 use pumicehead_config::check;
 use pumicehead_config::disk::Disk;
-use pumicehead_route::{Found, Matcher, Methods, Query, RequestPath, Route};
+use pumicehead_route::{MatchResult, Matcher, Methods, Query, RequestPath, Route};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::runtime::Builder;
@@ -169,8 +169,8 @@
                 (start.elapsed().as_secs_f64() * 1e9 / (times * asked.len()) as f64, sum / times)
             };
             let compiled = |query: &Query<'_>| match matcher.find(query) {
-                Found::Route(place) => Some(place),
-                Found::Method(_) | Found::Nothing => None,
+                MatchResult::Route(place) => Some(place),
+                MatchResult::MethodNotAllowed(_) | MatchResult::NoMatch => None,
             };
             let naive = |query: &Query<'_>| routes.iter().position(|route| route.mismatch(query).is_none());
             let (cost, found) = all(&compiled, 200);
