--- a/crates/config/src/check/cross_checks.rs
+++ b/crates/config/src/check/cross_checks.rs
@@ -140,11 +140,11 @@
     fn check_hidden_routes(&mut self, routes: &[&Route]) {
         let matcher = Matcher::new(routes.iter().map(|route| &route.pattern));
         for (index, route) in routes.iter().enumerate() {
-            let hiders = matcher.hiders(index);
-            if hiders.is_empty() {
+            let hidden_by = matcher.hidden_by(index);
+            if hidden_by.is_empty() {
                 continue;
             }
-            let names: Vec<_> = hiders.iter().map(|&hider| format!("`{}`", routes[hider].name)).collect();
+            let names: Vec<_> = hidden_by.iter().map(|&other| format!("`{}`", routes[other].name)).collect();
             let reason = match &names[..] {
                 [one] => format!("{one}, before it, takes all of it"),
                 _ => format!("earlier ones, {}, take all of it", names.join(" and ")),
@@ -152,8 +152,8 @@
             let message = format!("the route `{}` is never taken: {reason}", route.name);
             let mut diagnostic = Diagnostic::error("hidden-route", route.spans.name, message)
                 .help("put it before the one that hides it, or remove it");
-            for &hider in &hiders {
-                diagnostic = diagnostic.note(routes[hider].spans.name, "takes its requests");
+            for &other in &hidden_by {
+                diagnostic = diagnostic.note(routes[other].spans.name, "takes its requests");
             }
             self.report(diagnostic);
         }
--- a/crates/node/src/standalone/route_admission.rs
+++ b/crates/node/src/standalone/route_admission.rs
@@ -133,7 +133,7 @@
         MatchResult::NoMatch => return Err(RequestError::UnknownTarget),
     };
     let target: &RouteTarget = table.target(route);
-    if target.decodes_path && path.holds_slash() {
+    if target.decodes_path && path.has_encoded_slash() {
         return Err(RequestError::UnknownTarget);
     }
     if let Some(name) = &target.idempotency_key_header {
--- a/crates/route/src/matcher/find.rs
+++ b/crates/route/src/matcher/find.rs
@@ -47,7 +47,7 @@
     /// The earlier routes that together match every request that this one matches, in order; empty if this route
     /// can be taken.
     #[must_use]
-    pub fn hiders(&self, index: usize) -> Vec<usize> {
+    pub fn hidden_by(&self, index: usize) -> Vec<usize> {
         let route = self.route(index);
         let rules = self.rules(index as u32);
         let steps = self.path_steps(index);
--- a/crates/route/src/path.rs
+++ b/crates/route/src/path.rs
@@ -65,7 +65,7 @@
     /// Whether a segment contains an encoded slash: if the whole path were decoded at once, it would be another
     /// path.
     #[must_use]
-    pub fn holds_slash(&self) -> bool {
+    pub fn has_encoded_slash(&self) -> bool {
         self.segments.iter().any(|segment| segment.contains(&b'/'))
     }
 
--- a/crates/route/tests/matching.rs
+++ b/crates/route/tests/matching.rs
@@ -115,7 +115,7 @@
         for (host, path, method, headers) in &queries {
             let path = RequestPath::parse(path).unwrap();
             if let MatchResult::Route(index) = matcher.find(&Query { host, path: &path, method, headers }) {
-                prop_assert_eq!(matcher.hiders(index), Vec::<usize>::new());
+                prop_assert_eq!(matcher.hidden_by(index), Vec::<usize>::new());
             }
         }
     }
@@ -168,16 +168,16 @@
         route("x.org", "/z", &[], &[]),
         route("*.x.org", "/a/*/**", &[Method::POST], &[]),
     ]);
-    let hiders: Vec<_> = (0..11).map(|index| matcher.hiders(index)).collect();
+    let hidden_by: Vec<_> = (0..11).map(|index| matcher.hidden_by(index)).collect();
     let none = Vec::new();
-    assert_eq!(hiders[..2], [none.clone(), none.clone()]);
-    assert_eq!(hiders[2], [0, 1]);
-    assert_eq!(hiders[3], [0]);
-    assert_eq!(hiders[4..6], [none.clone(), none.clone()]);
-    assert_eq!(hiders[6], [5]);
-    assert_eq!(hiders[7..9], [none.clone(), none.clone()]);
-    assert_eq!(hiders[9], [8]);
-    assert_eq!(hiders[10], [1]);
+    assert_eq!(hidden_by[..2], [none.clone(), none.clone()]);
+    assert_eq!(hidden_by[2], [0, 1]);
+    assert_eq!(hidden_by[3], [0]);
+    assert_eq!(hidden_by[4..6], [none.clone(), none.clone()]);
+    assert_eq!(hidden_by[6], [5]);
+    assert_eq!(hidden_by[7..9], [none.clone(), none.clone()]);
+    assert_eq!(hidden_by[9], [8]);
+    assert_eq!(hidden_by[10], [1]);
 }
 
 #[test]
--- a/crates/route/tests/unit/differential.rs
+++ b/crates/route/tests/unit/differential.rs
@@ -72,7 +72,7 @@
         assert_eq!(with_sorted_allowed_methods(one), with_sorted_allowed_methods(other), "{request:?}");
     }
     for (index, route) in routes.iter().enumerate() {
-        assert_eq!(compact.hiders(index), expected.hiders(index), "route {index}");
+        assert_eq!(compact.hidden_by(index), expected.hidden_by(index), "route {index}");
         assert_eq!(with_sorted_methods(compact.route(index)), with_sorted_methods(route.clone()));
     }
 }
--- a/crates/route/tests/unit/reference.rs
+++ b/crates/route/tests/unit/reference.rs
@@ -134,7 +134,7 @@
     /// The earlier routes that together match every request that this one matches, in order; empty if this route
     /// can be taken.
     #[must_use]
-    pub fn hiders(&self, index: usize) -> Vec<usize> {
+    pub fn hidden_by(&self, index: usize) -> Vec<usize> {
         let route = &self.routes[index];
         let mut covering = Vec::new();
         let mut visit = |trie: &Trie| {
