--- a/crates/resources/src/class.rs
+++ b/crates/resources/src/class.rs
@@ -7,36 +7,36 @@
 /// Whether the requests of a class may be sent more than once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// They may: further executions have no effect.
+    /// Yes: further executions have no effect.
     Idempotent,
-    /// They may, with the same key, within `scope` and for `window` after the first attempt that may have
-    /// executed.
+    /// Yes, with the same idempotency key, within `scope` and for `window` after the first attempt that may have
+    /// been executed.
     IdempotencyKey {
-        /// The header that holds the key, in lower case.
+        /// Name of the header with the key, in lower case.
         header: String,
-        /// The endpoints that discard repeats.
+        /// The endpoints among which repeats are recognized and discarded.
         scope: DedupScope,
-        /// How long they do so, in nanoseconds.
+        /// How long repeats are recognized, in nanoseconds.
         window: Nanos,
     },
-    /// They may not: a second execution would take effect again.
+    /// No: a second execution would take effect again.
     NotIdempotent,
 }
 
 /// Settings of a class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// A response within this time counts in full, in nanoseconds.
+    /// A response within this time has its full weight, in nanoseconds.
     pub latency_objective: Nanos,
-    /// How long a client waits over all retries, in nanoseconds.
+    /// How long a client waits for a response, over all attempts, in nanoseconds.
     pub deadline: Nanos,
-    /// Weight of one request in the choice of its priority tier; not negative.
+    /// Weight of one request, from which its priority tier is chosen; not negative.
     pub priority_weight: f64,
-    /// Share of the weight that a response after the objective keeps, 0 to 1.
+    /// Fraction of the weight that a response after the objective still has, 0 to 1.
     pub late_weight: f64,
     /// Whether its requests may be sent more than once.
     pub idempotency: Idempotency,
-    /// Requests with the same key run one at a time, in the order of their arrival.
+    /// Whether requests with the same key run one at a time, in the order of their arrival.
     pub ordered_by_key: bool,
 }
 
@@ -49,13 +49,13 @@
     pub settings: ClassSettings,
 }
 
-/// A tenant, whose requests count together against its share.
+/// A tenant. Its requests are counted together against its share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Name of the tenant.
     pub name: Name,
     /// Fraction of the capacity, 0 to 1.
     pub share: f64,
-    /// Requests a second, over all nodes, that are always within its share.
+    /// Requests per second, over all nodes, that always count as within its share.
     pub allowance_per_s: f64,
 }
--- a/crates/resources/src/delta.rs
+++ b/crates/resources/src/delta.rs
@@ -9,10 +9,10 @@
 use crate::route_order::{LinkedOrder, RouteMove, fewest_moves};
 use crate::snapshot::Snapshot;
 
-/// A change of one resource or of the order of routes.
+/// A change to one resource or to the order of routes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Adds a resource, or replaces the one with the same identity. A new route becomes the last.
+    /// Adds a resource, or replaces the one with the same identity. A new route is added at the end.
     Set(Resource),
     /// Removes a resource.
     Remove(ResourceId),
@@ -20,7 +20,7 @@
     MoveRoute {
         /// The route that moves.
         route: Name,
-        /// The route that it comes directly before; `None` makes it the last.
+        /// The route that it is moved directly before; `None` moves it to the end.
         before: Option<Name>,
     },
 }
@@ -34,10 +34,10 @@
 }
 
 impl Snapshot {
-    /// Applies all changes, or none of them if one can't be applied or the state after them is invalid.
+    /// Applies all changes, or none of them if one can't be applied or the resulting state is invalid.
     ///
     /// # Errors
-    /// Why no change was applied.
+    /// The reason why no change was applied.
     pub fn apply(&mut self, delta: &Delta) -> Result<(), ApplyError> {
         // Resources are shared: this copies the tables only.
         let mut next = self.clone();
@@ -75,7 +75,7 @@
         Ok(())
     }
 
-    /// The delta that leads from this state to another one; empty if they are equal.
+    /// Returns the delta that turns this state into another one; empty if they are equal.
     #[must_use]
     pub fn difference(&self, other: &Self) -> Delta {
         let mut changes = Vec::new();
@@ -109,7 +109,7 @@
             return Err(ApplyError::NotFound(ResourceId::Route(name.clone())));
         }
     }
-    // A route before itself stays where it is.
+    // A move before itself has no effect.
     if before == Some(route) {
         return Ok(());
     }
@@ -118,7 +118,7 @@
     Ok(())
 }
 
-/// Appends the changes between two tables of one kind: first what is removed, then what is added or replaced.
+/// Appends the changes between two tables of one kind: first removals, then additions and replacements.
 fn diff_table<K: Ord, T: PartialEq>(
     old: &BTreeMap<K, Arc<T>>,
     new: &BTreeMap<K, Arc<T>>,
@@ -128,8 +128,8 @@
     let removed = old.iter().filter(|(name, _)| !new.contains_key(name));
     changes.extend(removed.map(|(_, value)| Change::Remove(resource(value.clone()).id())));
     let set = new.iter().filter(|(name, value)| {
-        let former = old.get(name);
-        former.is_none_or(|former| !Arc::ptr_eq(former, value) && former != *value)
+        let old_value = old.get(name);
+        old_value.is_none_or(|old_value| !Arc::ptr_eq(old_value, value) && old_value != *value)
     });
     changes.extend(set.map(|(_, value)| Change::Set(resource(value.clone()))));
 }
--- a/crates/resources/src/digest.rs
+++ b/crates/resources/src/digest.rs
@@ -1,10 +1,10 @@
 //! A digest of a snapshot that is the same on every machine and in every build.
 //!
-//! Each value is hashed in a fixed encoding: numbers in little-endian order, texts and lists after their
-//! length, variants after a number of their own. Tables are hashed in the order of names, so the digest does
-//! not depend on the order of changes; it depends on the order of routes and of zones, which has a meaning.
-//! SipHash with a fixed key finds differences by accident or by a fault; it is no defence against deliberate
-//! collisions.
+//! Each value is hashed in a fixed encoding: numbers in little-endian order, strings and lists prefixed by their
+//! length, enum variants prefixed by a number. Tables are hashed in the order of names, so the digest does not
+//! depend on the order of changes. It does depend on the order of routes and of zones, which has a meaning.
+//! SipHash with a fixed key detects accidental differences and those caused by faults; it does not protect
+//! against deliberate collisions.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -23,16 +23,16 @@
 /// Key of the hash. It identifies the encoding: a changed encoding needs another key.
 const KEY: (u64, u64) = (0x7075_6d69_6365_6865, 1);
 
-/// A digest of a snapshot. Equal snapshots have equal digests; two others have the same one with a
-/// probability of 2^-64.
+/// A digest of a snapshot. Equal snapshots have equal digests; two different ones collide with a probability of
+/// at most 2^-64.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub u128);
 
-/// Bits of a digest that a metric's value, a 64-bit float, holds exactly.
+/// Bits of a digest that the value of a metric, a 64-bit float, represents exactly.
 const METRIC_BITS: u32 = 52;
 
 impl Digest {
-    /// The upper bits, as many as the value of a metric holds exactly: nodes with equal snapshots export
+    /// The upper bits, as many as the value of a metric represents exactly. Nodes with equal snapshots export
     /// equal values.
     #[must_use]
     pub fn short(self) -> u64 {
@@ -57,7 +57,7 @@
         encoder.table(self.endpoints.values(), |encoder, one| encoder.endpoint(one));
         encoder.table(self.classes.values(), |encoder, one| encoder.class(one));
         encoder.table(self.tenants.values(), |encoder, one| encoder.tenant(one));
-        // In the order in which they are matched, not by name.
+        // Routes are hashed in the order in which they are matched, not by name.
         encoder.count(self.routes.len());
         self.routes().for_each(|route| encoder.route(route));
         Digest(encoder.0.finish128().as_u128())
@@ -85,7 +85,7 @@
     }
 
     fn decimal(&mut self, value: f64) {
-        // 0 and -0 are equal, and so must their encodings be.
+        // 0 and -0 are equal, so they need the same encoding.
         let value = if value == 0.0 { 0.0 } else { value };
         self.number(value.to_bits());
     }
--- a/crates/resources/src/error.rs
+++ b/crates/resources/src/error.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ValidationError {
     /// A resource refers to one that does not exist.
-    #[error("{from} names {to}, which is not there")]
+    #[error("{from} refers to {to}, which does not exist")]
     DanglingReference {
         /// The resource that refers to it.
         from: ResourceId,
@@ -16,26 +16,26 @@
         to: ResourceId,
     },
     /// A resource refers to a zone that the node does not have.
-    #[error("{from} is in the zone {zone}, which is not there")]
+    #[error("{from} is in the zone {zone}, which does not exist")]
     UnknownZone {
         /// The resource that refers to it.
         from: ResourceId,
         /// The name of the zone.
         zone: String,
     },
-    /// A kind of which at least one resource must exist has none.
-    #[error("there is no {0}")]
+    /// There is no resource of a kind of which at least one must exist.
+    #[error("at least one {0} is required")]
     NoneOfKind(Kind),
     /// A resource of this kind has an empty name.
-    #[error("a {0} has no name")]
+    #[error("a {0} has an empty name")]
     EmptyName(Kind),
-    /// Two listeners have the same address. Port 0 is any free port, and may be shared.
-    #[error("{0} and {1} have one address")]
+    /// Two listeners have the same address. Port 0 stands for any free port and may be used by several.
+    #[error("{0} and {1} have the same address")]
     DuplicateAddress(ResourceId, ResourceId),
     /// An endpoint belongs to a pool whose endpoints are discovered.
-    #[error("{0} is in a pool whose backends a service lists")]
+    #[error("{0} is in a pool whose backends are discovered")]
     EndpointOfDiscoveredPool(ResourceId),
-    /// A value is outside of its range or not finite.
+    /// A value is out of its range or not finite.
     #[error("{resource}: {setting} is out of range")]
     OutOfRange {
         /// The resource that has the value.
@@ -45,11 +45,11 @@
     },
 }
 
-/// Why a delta is not applied; the snapshot is left unchanged.
+/// Why a delta was not applied. The snapshot is unchanged.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum ApplyError {
     /// It removes or moves a resource that does not exist.
-    #[error("there is no {0}")]
+    #[error("{0} does not exist")]
     NotFound(ResourceId),
     /// It removes the settings of the node itself, which always exist.
     #[error("the settings of the node can't be removed")]
--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -3,8 +3,8 @@
 //! A [`Snapshot`] is one state of the configuration: a table for each kind of resource, the order of the
 //! routes, and the settings of the node itself. A [`Delta`] is a list of typed [`Change`]s.
 //! [`Snapshot::apply`] applies a delta as a whole or not at all, and [`Snapshot::difference`] returns the
-//! delta that leads from one state to another. [`Snapshot::digest`] is equal for equal states, however they
-//! came about.
+//! delta that turns one state into another. [`Snapshot::digest`] is equal for equal states, whatever changes led
+//! to them.
 //!
 //! Free of I/O, clocks and randomness.
 
@@ -33,7 +33,7 @@
 pub use route::{KeySource, Route, TenantSource};
 pub use snapshot::Snapshot;
 
-/// Number of a configuration among those that a process has applied, from 1.
+/// Sequence number of a configuration among those that a process has applied, from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision(pub u64);
 
--- a/crates/resources/src/node.rs
+++ b/crates/resources/src/node.rs
@@ -13,7 +13,7 @@
 pub struct Listener {
     /// Name of the listener.
     pub name: Name,
-    /// Address that it is bound to; port 0 is any free port.
+    /// Address that it is bound to; port 0 stands for any free port.
     pub address: SocketAddr,
     /// Protocol of its clients.
     pub protocol: Protocol,
@@ -24,50 +24,49 @@
 pub struct Limits {
     /// Memory for bodies and connections, in bytes.
     pub memory_bytes: u64,
-    /// File descriptors that the node may hold.
+    /// File descriptors that the node may have open.
     pub max_descriptors: usize,
-    /// Requests that the node may hold without a response.
+    /// Requests without a response that the node may hold at once.
     pub max_active_requests: usize,
     /// Longest body of a request, in bytes.
     pub max_request_body_bytes: u64,
     /// Longest body of a response, in bytes.
     pub max_response_body_bytes: u64,
-    /// Longest time in which a client must send a whole request, in nanoseconds.
+    /// Time within which a client must send a whole request, in nanoseconds.
     pub request_timeout: Nanos,
-    /// Time after which an idle connection of a client is closed, in nanoseconds.
+    /// Time after which an idle client connection is closed, in nanoseconds.
     pub idle_timeout: Nanos,
-    /// Longest delay that a rejection asks a client to keep before its retry, in nanoseconds.
+    /// Longest delay before a retry that a rejection asks of a client, in nanoseconds.
     pub max_retry_after: Nanos,
 }
 
 /// What the node logs and records, and where it can be queried.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Observability {
-    /// Address of the admin listener; `None` where there is none.
+    /// Address of the admin listener, if there is one.
     pub admin_address: Option<SocketAddr>,
-    /// Log levels, of all targets or by target.
+    /// Log levels, for all targets or by target.
     pub log_filter: String,
     /// Whether log lines are JSON.
     pub log_json: bool,
-    /// Memory of the flight recorder, in bytes; 0 is off.
+    /// Memory of the flight recorder, in bytes; 0 disables it.
     pub recorder_bytes: u64,
-    /// Directory to which recordings are written on a signal or in a crash; empty is none.
+    /// Directory to which recordings are written on a signal or in a crash; empty for none.
     pub recording_directory: PathBuf,
 }
 
 /// The cluster of nodes that this node is a member of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cluster {
-    /// Name of the cluster; members of other clusters are refused.
+    /// Name of the cluster; members of other clusters are rejected.
     pub name: String,
-    /// Address on which this node listens for datagrams and streams; port 0 is any free port.
+    /// Address on which this node listens for datagrams and streams; port 0 stands for any free port.
     pub bind_address: SocketAddr,
-    /// Address at which other members reach this node, where it is not `bind_address`.
+    /// Address at which other members reach this node, if it differs from `bind_address`.
     pub advertise_address: Option<SocketAddr>,
-    /// Members that this node contacts to join; none where it is the first itself.
+    /// Members that this node contacts to join; empty for the first member.
     pub seeds: Vec<SocketAddr>,
-    /// Names of members with the addresses at which this node reaches them, in place of those that they
-    /// advertise.
+    /// Names of members, each with the address at which this node reaches it instead of the advertised one.
     pub peer_addresses: Vec<(String, SocketAddr)>,
 }
 
@@ -76,11 +75,11 @@
 pub struct Node {
     /// Name of the node.
     pub name: Name,
-    /// All zones; a zone's number is its position.
+    /// All zones; the number of a zone is its position.
     pub zones: Vec<Name>,
     /// Zone of the node, one of `zones`.
     pub zone: Name,
-    /// How many nodes send to the same endpoints.
+    /// Number of nodes that send to the same endpoints.
     pub node_count: u32,
     /// Index of this node among them, from 0.
     pub node_index: u32,
--- a/crates/resources/src/pool.rs
+++ b/crates/resources/src/pool.rs
@@ -8,7 +8,7 @@
 
 use crate::name::Name;
 
-/// A protocol of requests and responses.
+/// An application protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
     /// HTTP/1.1.
@@ -54,25 +54,28 @@
 pub struct PoolSettings {
     /// Protocol of the endpoints.
     pub protocol: Protocol,
-    /// `SCRIPT_NAME` of a FastCGI application: a prefix of paths without a slash at its end, or empty.
+    /// `SCRIPT_NAME` of a FastCGI application: a prefix of paths without a trailing slash, or empty.
     pub script_name: String,
-    /// `DOCUMENT_ROOT` of a FastCGI application; empty where there is none.
+    /// `DOCUMENT_ROOT` of a FastCGI application; empty if it has none.
     pub document_root: String,
-    /// Slow start: time from an endpoint's start until it has its full capacity, in nanoseconds.
+    /// Slow start: time from the start of an endpoint until it has its full capacity, in nanoseconds.
     pub warmup_duration: Nanos,
     /// Slow start: fraction of its capacity that an endpoint has when it starts, 0 to 1.
     pub warmup_initial_fraction: f64,
-    /// Multiple of its present capacity at which an endpoint in slow start collapses ...
+    /// Slow start: load, as a multiple of its current capacity, under which an endpoint collapses if the load lasts
+    /// for `overload_duration`.
     pub overload_multiple: f64,
-    /// ... when it is sustained for this long, in nanoseconds.
+    /// Slow start: time for which an endpoint must be loaded `overload_multiple` times its current capacity until it
+    /// collapses, in nanoseconds.
     pub overload_duration: Nanos,
     /// Time after which an attempt to connect has failed, in nanoseconds.
     pub connect_timeout: Nanos,
     /// Time after which endpoints close an idle connection, in nanoseconds.
     pub idle_timeout: Nanos,
-    /// Most attempts for one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub max_attempts: u32,
-    /// Two attempts of a request that may be repeated may be in flight at once (hedging).
+    /// Whether two attempts of a request that may be sent more than once may be in flight at the same time
+    /// (hedging).
     pub concurrent_attempts: bool,
     /// Cost of an attempt to another zone, as a fraction of a request.
     pub cross_zone_cost: f64,
@@ -89,8 +92,8 @@
     pub settings: PoolSettings,
 }
 
-/// An endpoint of a pool. Its name is unique within the pool: a move to another pool removes it there and
-/// adds it here.
+/// An endpoint of a pool. Its name is unique within the pool, so a move to another pool is a removal and an
+/// addition.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// Name of its pool.
@@ -103,6 +106,6 @@
     pub zone: Name,
     /// Its capacity relative to that of others.
     pub weight: f64,
-    /// Group of endpoints that know each other's idempotency keys.
+    /// Number of its group of endpoints that know each other's idempotency keys.
     pub cell: u16,
 }
--- a/crates/resources/src/resource.rs
+++ b/crates/resources/src/resource.rs
@@ -20,7 +20,7 @@
     Pool,
     /// [`Endpoint`]; printed as `backend`.
     Endpoint,
-    /// [`ClassInfo`].
+    /// [`Class`].
     Class,
     /// [`Tenant`].
     Tenant,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Identifies a resource for as long as it exists.
+/// Identifies a resource; it does not change while the resource exists.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ResourceId {
     /// The node itself.
--- a/crates/resources/src/route.rs
+++ b/crates/resources/src/route.rs
@@ -1,30 +1,30 @@
-//! Routes, and how the tenant and the key of a request are found.
+//! Routes, and how the tenant and the key of a request are determined.
 
 use pumicehead_route::Route as Pattern;
 
 use crate::name::Name;
 
-/// How the tenant of a request is found. `T` refers to a tenant, by its name or by its index.
+/// How the tenant of a request is determined. `T` identifies a tenant, by name or by index.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum TenantSource<T = Name> {
     /// Requests have no tenant.
     None,
-    /// All requests of the route have this one.
+    /// All requests of the route have this tenant.
     Fixed(T),
-    /// The value of this header names it; in lower case.
+    /// The value of this header names the tenant. The header name is in lower case.
     Header(String),
 }
 
-/// Where the key of a request is found.
+/// Where the key of a request is taken from.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum KeySource {
     /// Requests have no key.
     None,
-    /// A segment of the path, from 0.
+    /// The segment of the path with this index, from 0.
     Segment(usize),
     /// The last segment of the path.
     Last,
-    /// The value of this header; in lower case.
+    /// The value of this header. The header name is in lower case.
     Header(String),
 }
 
@@ -39,8 +39,8 @@
     pub class: Name,
     /// Name of their pool.
     pub pool: Name,
-    /// Their tenant.
+    /// How their tenant is determined.
     pub tenant: TenantSource,
-    /// Their key.
+    /// Where their key is taken from.
     pub key: KeySource,
 }
--- a/crates/resources/src/route_order.rs
+++ b/crates/resources/src/route_order.rs
@@ -9,7 +9,7 @@
 pub(crate) struct RouteMove {
     /// The route that moves.
     pub route: Name,
-    /// The route that it comes directly before; `None` is the end.
+    /// The route that it is moved directly before; `None` for the end.
     pub before: Option<Name>,
 }
 
@@ -20,10 +20,10 @@
         old.iter().enumerate().map(|(position, name)| (name, position)).collect();
     let common: Vec<(usize, &Name)> =
         new.iter().filter_map(|name| Some((*positions.get(name)?, name))).collect();
-    let unmoved = longest_increasing_run(&common);
+    let unmoved = longest_increasing_subsequence(&common);
     let mut moves = Vec::new();
     let mut before = None;
-    // Backwards: the successor of a name is in its final position when the name is moved before it.
+    // In reverse order: the successor of a name is in its final position when the name is moved before it.
     for name in new.iter().rev() {
         if !unmoved.contains(name) {
             moves.push(RouteMove { route: name.clone(), before });
@@ -33,8 +33,8 @@
     moves
 }
 
-/// Returns the names of the longest subsequence with increasing positions: these need no move.
-fn longest_increasing_run<'a>(common: &[(usize, &'a Name)]) -> HashSet<&'a Name> {
+/// Returns the names of the longest subsequence with increasing positions; these need no move.
+fn longest_increasing_subsequence<'a>(common: &[(usize, &'a Name)]) -> HashSet<&'a Name> {
     // For each length, the last entry of the increasing subsequence that ends at the least position.
     let mut ends: Vec<usize> = Vec::new();
     let mut previous = vec![None; common.len()];
@@ -70,7 +70,7 @@
 }
 
 impl LinkedOrder {
-    /// The order of these names.
+    /// Creates the order of a list of names.
     pub fn new(names: &[Name]) -> Self {
         let mut order = Self { links: HashMap::with_capacity(names.len()), first: None, last: None };
         names.iter().for_each(|name| order.insert(name.clone(), None));
@@ -82,7 +82,7 @@
         self.links.contains_key(name)
     }
 
-    /// Inserts a name that is not yet in the order directly before one that is, or at the end.
+    /// Inserts a new name directly before an existing one, or at the end.
     pub fn insert(&mut self, name: Name, before: Option<Name>) {
         let previous = match &before {
             Some(next) => self.links.get_mut(next).and_then(|links| links.previous.replace(name.clone())),
@@ -120,7 +120,7 @@
         }
     }
 
-    /// All names in order.
+    /// Returns all names in order.
     pub fn into_names(self) -> Vec<Name> {
         let mut names = Vec::with_capacity(self.links.len());
         let mut next = self.first;
--- a/crates/resources/src/snapshot.rs
+++ b/crates/resources/src/snapshot.rs
@@ -19,12 +19,12 @@
     pub(crate) node: Arc<Node>,
     pub(crate) listeners: BTreeMap<Name, Arc<Listener>>,
     pub(crate) pools: BTreeMap<Name, Arc<Pool>>,
-    /// By the names of pool and endpoint.
+    /// By pool name and endpoint name.
     pub(crate) endpoints: BTreeMap<(Name, Name), Arc<Endpoint>>,
     pub(crate) classes: BTreeMap<Name, Arc<Class>>,
     pub(crate) tenants: BTreeMap<Name, Arc<Tenant>>,
     pub(crate) routes: BTreeMap<Name, Arc<Route>>,
-    /// Names of all routes; the first that matches a request is taken.
+    /// Names of all routes, in the order in which they are matched.
     pub(crate) route_order: Vec<Name>,
 }
 
@@ -62,7 +62,7 @@
         self.tenants.values()
     }
 
-    /// The routes in their order.
+    /// The routes, in the order in which they are matched.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.route_order.iter().filter_map(|name| self.routes.get(name))
     }
@@ -83,8 +83,8 @@
         })
     }
 
-    /// Inserts a resource into its table, in place of one with the same identity. The order of routes is left
-    /// to the caller.
+    /// Inserts a resource into its table, or replaces the one with the same identity. The caller updates the order
+    /// of routes.
     pub(crate) fn insert(&mut self, resource: Resource) {
         match resource {
             Resource::Node(node) => self.node = node,
@@ -101,7 +101,7 @@
     }
 
     /// Removes a resource from its table, and returns whether it existed. The settings of the node are never
-    /// removed. The order of routes is left to the caller.
+    /// removed. The caller updates the order of routes.
     pub(crate) fn remove(&mut self, id: &ResourceId) -> bool {
         match id {
             ResourceId::Node => false,
--- a/crates/resources/src/validation.rs
+++ b/crates/resources/src/validation.rs
@@ -1,6 +1,6 @@
-//! Validation of a snapshot: what every node requires of a state, wherever the state comes from. The
-//! configuration language has stricter rules, such as the spelling of names and the range of each value; they
-//! are checked where files are read.
+//! Validation of a snapshot: what every node requires of a state, whatever its source. The configuration language
+//! has stricter rules, such as the spelling of names and the range of each value, which are checked when files are
+//! read.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -66,9 +66,9 @@
     }
 
     fn validate_listeners(&self) -> Result<(), ValidationError> {
-        let mut known = BTreeMap::new();
+        let mut seen = BTreeMap::new();
         for listener in self.listeners.values().filter(|listener| listener.address.port() != 0) {
-            if let Some(other) = known.insert(listener.address, listener.name.clone()) {
+            if let Some(other) = seen.insert(listener.address, listener.name.clone()) {
                 let listener = ResourceId::Listener(listener.name.clone());
                 return Err(ValidationError::DuplicateAddress(ResourceId::Listener(other), listener));
             }
@@ -80,7 +80,7 @@
         for Pool { name, settings, .. } in self.pools.values().map(Arc::as_ref) {
             let id = || ResourceId::Pool(name.clone());
             in_range(settings.max_attempts > 0, id, "attempts")?;
-            in_range(is_share(settings.warmup_initial_fraction), id, "cold_from")?;
+            in_range(is_fraction(settings.warmup_initial_fraction), id, "cold_from")?;
             in_range(is_not_negative(settings.overload_multiple), id, "tips_at")?;
             in_range(is_not_negative(settings.cross_zone_cost), id, "crossing")?;
         }
@@ -113,7 +113,7 @@
             in_range(settings.deadline > 0, id, "deadline")?;
             in_range(settings.latency_objective <= settings.deadline, id, "aim")?;
             in_range(is_not_negative(settings.priority_weight), id, "worth")?;
-            in_range(is_share(settings.late_weight), id, "late_worth")?;
+            in_range(is_fraction(settings.late_weight), id, "late_worth")?;
             if let Idempotency::IdempotencyKey { header, .. } = &settings.idempotency {
                 in_range(!header.is_empty(), id, "header")?;
             }
@@ -124,7 +124,7 @@
     fn validate_tenants(&self) -> Result<(), ValidationError> {
         for tenant in self.tenants.values() {
             let id = || ResourceId::Tenant(tenant.name.clone());
-            in_range(is_share(tenant.share), id, "share")?;
+            in_range(is_fraction(tenant.share), id, "share")?;
             in_range(is_not_negative(tenant.allowance_per_s), id, "rate")?;
         }
         Ok(())
@@ -150,13 +150,17 @@
     }
 }
 
-/// The error for a setting that is outside of its range. `setting` is the name that error messages print.
-fn in_range(holds: bool, id: impl Fn() -> ResourceId, setting: &'static str) -> Result<(), ValidationError> {
-    if holds { Ok(()) } else { Err(ValidationError::OutOfRange { resource: id(), setting }) }
+/// Returns an error if a setting is out of range. `setting` is its name in error messages.
+fn in_range(
+    is_in_range: bool,
+    id: impl Fn() -> ResourceId,
+    setting: &'static str,
+) -> Result<(), ValidationError> {
+    if is_in_range { Ok(()) } else { Err(ValidationError::OutOfRange { resource: id(), setting }) }
 }
 
 /// Whether a value is a fraction from 0 to 1.
-fn is_share(value: f64) -> bool {
+fn is_fraction(value: f64) -> bool {
     (0.0..=1.0).contains(&value)
 }
 
--- a/crates/resources/tests/common/mod.rs
+++ b/crates/resources/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Small snapshots, and random changes of them.
+//! Small snapshots, and random changes to them.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test program uses only some of the items")]
 
 use std::sync::Arc;
 
@@ -37,14 +37,14 @@
     }))
 }
 
-pub fn listener(own: &str, port: u16) -> Resource {
+pub fn listener(own_name: &str, port: u16) -> Resource {
     let address = ([127, 0, 0, 1], port).into();
-    Resource::Listener(Arc::new(Listener { name: name(own), address, protocol: Protocol::Http }))
+    Resource::Listener(Arc::new(Listener { name: name(own_name), address, protocol: Protocol::Http }))
 }
 
-pub fn pool(own: &str, attempts: u32) -> Resource {
+pub fn pool(own_name: &str, attempts: u32) -> Resource {
     Resource::Pool(Arc::new(Pool {
-        name: name(own),
+        name: name(own_name),
         endpoint_source: EndpointSource::Static,
         settings: PoolSettings {
             protocol: Protocol::Http,
@@ -63,13 +63,13 @@
     }))
 }
 
-pub fn endpoint(pool: &str, own: &str, zone: &str, weight: f64) -> Resource {
+pub fn endpoint(pool: &str, own_name: &str, zone: &str, weight: f64) -> Resource {
     let address = Address::Tcp(([127, 0, 0, 1], 9_000).into());
     let (pool, zone) = (name(pool), name(zone));
-    Resource::Endpoint(Arc::new(Endpoint { pool, name: name(own), address, zone, weight, cell: 0 }))
+    Resource::Endpoint(Arc::new(Endpoint { pool, name: name(own_name), address, zone, weight, cell: 0 }))
 }
 
-pub fn class(own: &str, priority_weight: f64, idempotency: Idempotency) -> Resource {
+pub fn class(own_name: &str, priority_weight: f64, idempotency: Idempotency) -> Resource {
     let settings = ClassSettings {
         latency_objective: SECOND,
         deadline: 2 * SECOND,
@@ -78,19 +78,19 @@
         idempotency,
         ordered_by_key: false,
     };
-    Resource::Class(Arc::new(Class { name: name(own), settings }))
+    Resource::Class(Arc::new(Class { name: name(own_name), settings }))
 }
 
-pub fn tenant(own: &str, share: f64) -> Resource {
-    Resource::Tenant(Arc::new(Tenant { name: name(own), share, allowance_per_s: 10.0 }))
+pub fn tenant(own_name: &str, share: f64) -> Resource {
+    Resource::Tenant(Arc::new(Tenant { name: name(own_name), share, allowance_per_s: 10.0 }))
 }
 
-pub fn route(own: &str, path: &str, class: &str, pool: &str, tenant: Option<&str>) -> Resource {
+pub fn route(own_name: &str, path: &str, class: &str, pool: &str, tenant: Option<&str>) -> Resource {
     Resource::Route(Arc::new(Route {
-        name: name(own),
+        name: name(own_name),
         pattern: Pattern {
             host: HostPattern::Any,
-            path: path.parse().expect("a path"),
+            path: path.parse().expect("a valid path pattern"),
             methods: Methods::Any,
             headers: Vec::new(),
         },
@@ -127,7 +127,7 @@
     Delta { changes: changes.into_iter().collect() }
 }
 
-/// All resources of a state, the routes in their order.
+/// All resources of a snapshot, routes last and in their order.
 pub fn resources(state: &Snapshot) -> Vec<Resource> {
     let mut all = vec![Resource::Node(Arc::new(state.node().clone()))];
     all.extend(state.listeners().cloned().map(Resource::Listener));
@@ -141,7 +141,7 @@
     all
 }
 
-/// A change of any kind; whether it can be used depends on the state.
+/// A random change of any kind; whether it can be applied depends on the snapshot.
 pub fn change() -> impl Strategy<Value = Change> {
     let few = 0..4_u8;
     prop_oneof![
@@ -151,9 +151,9 @@
             let zone = ["a", "b", "nowhere"][usize::from(zone)];
             Change::Set(endpoint(&format!("p{of}"), &format!("s{n}"), zone, weight.into()))
         }),
-        (few.clone(), 0..3_u8, any::<bool>()).prop_map(|(n, worth, safe)| {
-            let repeats = if safe { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
-            Change::Set(class(&format!("c{n}"), worth.into(), repeats))
+        (few.clone(), 0..3_u8, any::<bool>()).prop_map(|(n, weight, idempotent)| {
+            let idempotency = if idempotent { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
+            Change::Set(class(&format!("c{n}"), weight.into(), idempotency))
         }),
         (few.clone(), 0..3_u8)
             .prop_map(|(n, share)| { Change::Set(tenant(&format!("t{n}"), f64::from(share) / 2.0)) }),
