--- a/crates/node/src/net/upstream/http/attempt.rs
+++ b/crates/node/src/net/upstream/http/attempt.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use super::connection::HttpConnection;
-use super::idle_connections::SETTLE_TIMEOUT;
+use super::idle_connections::READY_TIMEOUT;
 use super::request::OutgoingRequest;
 use super::response_reader::{ReadResponse, StreamingResponse};
 use super::transport::HttpConnector;
@@ -88,7 +88,7 @@
         let upload = request.upload.as_deref();
         let outgoing = OutgoingRequest::new(request, upload.map_or(time_left, |upload| upload.time_left));
         let written_before = connection.stream.bytes_written();
-        connection.stream.count_at(outgoing.min_size, &self.pool.written);
+        connection.stream.count_after_writing(outgoing.min_size, &self.pool.written);
         progress.stage.set(AttemptStage::Written);
         let Ok(response) = connection.sender.send_request(outgoing.message).await else {
             let is_partial = connection.stream.bytes_written() - written_before < outgoing.min_size;
@@ -151,11 +151,13 @@
                 return;
             }
             if connection.sender.is_ready() {
-                endpoint.keep(&registry, connection);
+                endpoint.return_idle(&registry, connection);
             } else if Handle::try_current().is_ok() {
                 // A runtime that shuts down drops its streams and takes no more tasks.
-                let deadline = Instant::now() + SETTLE_TIMEOUT;
-                task::spawn_local(async move { endpoint.settle(&registry, connection, deadline).await });
+                let deadline = Instant::now() + READY_TIMEOUT;
+                task::spawn_local(async move {
+                    endpoint.return_when_ready(&registry, connection, deadline).await
+                });
             }
         });
         on_started(response);
