--- a/crates/config/src/check/cluster.rs
+++ b/crates/config/src/check/cluster.rs
@@ -9,25 +9,25 @@
 use crate::diagnostic::Diagnostic;
 use crate::model::{Cluster, Spanned};
 
-/// Most seeds; the membership protocol has the same limit.
+/// Maximum number of seeds; the membership protocol has the same limit.
 const MAX_SEEDS: usize = 64;
-/// Most peers with addresses of their own: a node may need one for each other node.
+/// Maximum number of `reach` settings: a node may need one for each other node.
 const MAX_PEER_ADDRESSES: usize = 10_000;
-/// The address of a cluster that has none; it is reported as missing.
+/// Placeholder for a missing address, which is reported.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
 impl Checker<'_> {
     pub(super) fn cluster(&mut self, block: &BlockReader<'_>) -> Spanned<Cluster> {
         let name = self.cluster_name(block);
-        // Port 0 is any free port: other members learn it from this node.
+        // Port 0 stands for any free port: other members learn the port from this node.
         let bind = |text: &str| text.parse::<SocketAddr>().or_else(|_| socket_address(text));
         let bind_address = self.required(block, "address", bind).unwrap_or(NO_ADDRESS);
         let advertise = |text: &str| socket_address(text).map(Some);
         let advertise_address = self.parsed(block, "told-as", None, advertise).flatten();
         if advertise_address.is_none() && bind_address.ip().is_unspecified() && block.has("address") {
             let span = block.spans.settings["address"];
-            let message = format!("others can't reach `{bind_address}`");
-            let help = "write the address that others reach it at as `told-as ADDRESS`";
+            let message = format!("other members can't reach `{bind_address}`");
+            let help = "set the address at which other members reach this node with `told-as ADDRESS`";
             self.report(Diagnostic::error("bad-address", span, message).help(help));
         }
         let seeds = self.seeds(block);
@@ -59,17 +59,17 @@
         for statement in block.statements("reach") {
             let Ok(words) = self.values_of(statement) else { continue };
             let [name, address] = &words[..] else {
-                let message = "`reach` takes a node's name and its address as this node reaches it";
+                let message = "`reach` takes a node's name and the address at which this node reaches it";
                 self.report(Diagnostic::error("setting-form", statement.span(), message));
                 continue;
             };
             if !is_name(&name.text) {
                 self.report(invalid_name(name, "node"));
             } else if peers.iter().any(|(known, _)| **known == *name.text) {
-                let message = format!("`reach {}` stands twice", name.text);
+                let message = format!("`reach {}` is set twice", name.text);
                 self.report(Diagnostic::error("set-twice", statement.span(), message));
             } else if peers.len() == MAX_PEER_ADDRESSES {
-                let message = format!("more than {MAX_PEER_ADDRESSES} names with addresses of their own");
+                let message = format!("more than {MAX_PEER_ADDRESSES} `reach` settings");
                 self.report(Diagnostic::error("too-many", statement.span(), message));
                 break;
             } else if let Some(address) = self.read(address, socket_address) {
--- a/crates/config/src/check/limits.rs
+++ b/crates/config/src/check/limits.rs
@@ -8,7 +8,7 @@
 use crate::model::{Limits, Spanned};
 use crate::units::{parse_duration, parse_size};
 
-/// The limits where none are written.
+/// The default limits.
 pub(super) fn default_limits() -> Limits {
     Limits {
         memory_bytes: 64 << 20,
@@ -36,18 +36,18 @@
         Spanned { value: limits, spans: block.spans.clone() }
     }
 
-    /// Reads a size in bytes, if it is written.
-    fn size(&mut self, block: &BlockReader<'_>, keyword: &str, value: &mut u64, least: &str, most: &str) {
-        *value = self.parsed(block, keyword, *value, within(parse_size, least, most)).unwrap_or(*value);
+    /// Reads a size in bytes, if the setting is present.
+    fn size(&mut self, block: &BlockReader<'_>, keyword: &str, value: &mut u64, min: &str, max: &str) {
+        *value = self.parsed(block, keyword, *value, within(parse_size, min, max)).unwrap_or(*value);
     }
 
-    /// Reads a whole number, if it is written.
-    fn count(&mut self, block: &BlockReader<'_>, keyword: &str, value: &mut usize, least: &str, most: &str) {
-        *value = self.parsed(block, keyword, *value, within(integer, least, most)).unwrap_or(*value);
+    /// Reads a whole number, if the setting is present.
+    fn count(&mut self, block: &BlockReader<'_>, keyword: &str, value: &mut usize, min: &str, max: &str) {
+        *value = self.parsed(block, keyword, *value, within(integer, min, max)).unwrap_or(*value);
     }
 
-    /// Reads a duration in nanoseconds, if it is written.
-    fn duration(&mut self, block: &BlockReader<'_>, keyword: &str, value: &mut u64, least: &str, most: &str) {
-        *value = self.parsed(block, keyword, *value, within(parse_duration, least, most)).unwrap_or(*value);
+    /// Reads a duration in nanoseconds, if the setting is present.
+    fn duration(&mut self, block: &BlockReader<'_>, keyword: &str, value: &mut u64, min: &str, max: &str) {
+        *value = self.parsed(block, keyword, *value, within(parse_duration, min, max)).unwrap_or(*value);
     }
 }
--- a/crates/config/src/check/listener.rs
+++ b/crates/config/src/check/listener.rs
@@ -10,7 +10,7 @@
 
 impl Checker<'_> {
     pub(super) fn listener(&mut self, block: &BlockReader<'_>) -> Option<Listener> {
-        // Port 0 is any free port, which the log names.
+        // Port 0 stands for any free port, which is logged.
         let read = |text: &str| text.parse::<SocketAddr>().or_else(|_| socket_address(text));
         let address = self.required(block, "address", read);
         let protocol = self.protocol(block)?;
@@ -19,6 +19,6 @@
 
     /// The protocol of a listener or a pool.
     pub(super) fn protocol(&mut self, block: &BlockReader<'_>) -> Option<Protocol> {
-        self.choice_or(block, "protocol", "is no protocol", &PROTOCOLS, Protocol::Http)
+        self.choice_or(block, "protocol", "is not a protocol", &PROTOCOLS, Protocol::Http)
     }
 }
--- a/crates/config/src/check/node.rs
+++ b/crates/config/src/check/node.rs
@@ -1,4 +1,4 @@
-//! The block `node`: the node among others.
+//! The block `node`: the identity of the node and its position among other nodes.
 
 use super::Checker;
 use super::block_reader::BlockReader;
@@ -8,10 +8,10 @@
 use crate::model::{EntrySpans, Node};
 use crate::syntax::Word;
 
-/// Most zones: a zone's number has 16 bits, and the decision module keeps a mean of each class for each zone.
+/// Maximum number of zones: the decision module has 16-bit zone numbers, and keeps a mean for each class and zone.
 const MAX_ZONES: usize = 256;
 
-/// The node where no block is written.
+/// The node if there is no `node` block.
 pub(super) fn default_node() -> Node {
     Node {
         name: "pumicehead".into(),
@@ -41,7 +41,7 @@
             Ok(Some(zone)) => node.zone = self.zone_index(&node, &zone).unwrap_or(0),
             Ok(None) if node.zones.len() > 1 => {
                 let span = block.spans.settings["zones"];
-                let message = "the node names zones, but not its own";
+                let message = "the node has `zones`, but no `zone` of its own";
                 self.report(Diagnostic::error("missing-setting", span, message).help("write `zone NAME`"));
             }
             _ => {}
@@ -52,7 +52,7 @@
         if node.node_index >= node.node_count {
             let span = block.spans.settings.get("number").copied().unwrap_or(block.spans.name);
             let (index, count) = (node.node_index, node.node_count);
-            let message = format!("number {index} of {count} nodes: numbers begin at 0");
+            let message = format!("`number` is {index}, but {count} nodes are numbered from 0");
             self.report(Diagnostic::error("out-of-range", span, message));
         }
         node
@@ -76,11 +76,11 @@
             let known: Vec<_> =
                 node.zones.iter().map(String::as_str).filter(|zone| !zone.is_empty()).collect();
             if known.is_empty() {
-                let message = format!("the zone `{}` is not among the node's", word.text);
+                let message = format!("the zone `{}` is not one of the node's zones", word.text);
                 let help = "write `zones NAME ...` and `zone NAME` in the `node` block";
                 self.report(Diagnostic::error("unknown-name", word.span, message).help(help));
             } else {
-                self.report_unknown_word(word, "is none of the node's zones", known);
+                self.report_unknown_word(word, "is not one of the node's zones", known);
             }
         }
         index
--- a/crates/config/src/check/observability.rs
+++ b/crates/config/src/check/observability.rs
@@ -10,14 +10,14 @@
 use crate::model::{Observability, Spanned};
 use crate::units::{ValueError, parse_size};
 
-/// Levels of a log, the fewest lines first.
+/// Log levels, from the fewest lines to the most.
 const LOG_LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 /// Longest log filter, in bytes.
 const MAX_LOG_FILTER_BYTES: usize = 300;
-/// Memory of the flight recorder where none is written, in bytes.
+/// Default memory of the flight recorder, in bytes.
 const DEFAULT_RECORDER_BYTES: u64 = 1 << 20;
 
-/// The settings where no block is written.
+/// The default settings.
 pub(super) fn default_observability() -> Observability {
     Observability {
         admin_address: None,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Levels with commas between, each of all targets or of one: `warn,discovery=debug`.
+/// Parses a list of log levels, separated by commas, each for all targets or for one: `warn,discovery=debug`.
 fn parse_log_filter(text: &str) -> Result<String, ValueError> {
     let is_level = |part: &str| {
         let (target, level) = part.split_once('=').unwrap_or(("", part));
@@ -58,12 +58,14 @@
     }
     Err(ValueError {
         code: "bad-levels",
-        message: format!("`{text}` names no levels of a log"),
-        help: Some("write `info`, or a room's own as in `warn,discovery=debug`".into()),
+        message: format!("`{text}` is not a valid list of log levels"),
+        help: Some(
+            "write a level such as `info`, or add levels for targets, as in `warn,discovery=debug`".into(),
+        ),
     })
 }
 
-/// A size in bytes, or `off`, which is 0.
+/// Parses a size in bytes, or `off`, which is 0.
 fn parse_recorder_size(text: &str) -> Result<u64, ValueError> {
     match text {
         "off" => Ok(0),
@@ -75,6 +77,6 @@
     if text.starts_with('/') && !text.contains('\0') {
         return Ok(text.into());
     }
-    let message = format!("`{text}` is no folder: write its whole path");
+    let message = format!("`{text}` is not an absolute path of a directory");
     Err(ValueError { code: "bad-path", message, help: None })
 }
--- a/crates/config/src/compact_config.rs
+++ b/crates/config/src/compact_config.rs
@@ -1,24 +1,29 @@
-//! A configuration as a running node keeps it, for the difference to the next one.
+//! The compact form of a configuration that a running node keeps to diff it with the next one.
 
 use std::sync::Arc;
 
 use crate::model::{Config, EntrySpans, Pool, PoolEndpoints, Tenant};
 use crate::route_table::RouteTable;
 
-/// A configuration with compact routes. Routes, endpoints and tenants, of which there may be thousands, have
-/// no spans: the texts that spans refer to are not kept either.
+/// A configuration with compact routes. Routes, endpoints and tenants, of which there may be thousands, have no
+/// spans; the texts that spans refer to are not kept either.
 #[derive(Debug)]
 pub struct CompactConfig {
-    /// Everything but the routes.
+    /// Everything except for the routes.
     settings: Config,
     routes: Arc<RouteTable>,
 }
 
 impl CompactConfig {
-    /// Keeps a configuration and the table of its routes, which may be shared with what serves requests.
+    /// Builds the compact form from a configuration and the table of its routes, which may be shared with the request
+    /// path.
     #[must_use]
     pub fn new(config: &Config, routes: Arc<RouteTable>) -> Self {
-        debug_assert_eq!(config.routes.len(), routes.len(), "the table is of this configuration");
+        debug_assert_eq!(
+            config.routes.len(),
+            routes.len(),
+            "the route table must belong to the configuration"
+        );
         let settings = Config {
             node: config.node.clone(),
             listeners: config.listeners.clone(),
@@ -33,7 +38,7 @@
         Self { settings, routes }
     }
 
-    /// Everything but the routes; the list of routes is empty.
+    /// Everything except for the routes; the list of routes is empty.
     #[must_use]
     pub fn settings(&self) -> &Config {
         &self.settings
@@ -45,7 +50,7 @@
         &self.routes
     }
 
-    /// Restores the configuration, with all values and without the spans that were dropped.
+    /// Restores the configuration with all values, but without the spans that were dropped.
     #[must_use]
     pub fn restore(&self) -> Config {
         Config { routes: self.routes.routes().collect(), ..self.settings.clone() }
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -5,9 +5,9 @@
 
 use crate::span::{LineColumn, Sources, Span};
 
-/// Width of a message in columns; longer source lines are cut around the span.
+/// Width of a message in columns; longer source lines are truncated around the span.
 const MAX_WIDTH: usize = 120;
-/// Most messages that are printed.
+/// Maximum number of diagnostics that are printed.
 pub const MAX_SHOWN: usize = 100;
 
 /// Whether a configuration with this problem can be used.
@@ -25,15 +25,15 @@
 pub struct Diagnostic {
     /// Whether the configuration can be used.
     pub severity: Severity,
-    /// Name of the kind of problem; it stays the same between versions.
+    /// Identifies the kind of problem; stable between versions.
     pub code: &'static str,
-    /// Where the problem is; `None` where a file can't be read.
+    /// Where the problem is; `None` if the first file can't be read.
     pub span: Option<Span>,
     /// What is wrong.
     pub message: String,
     /// How to correct it.
     pub help: Option<String>,
-    /// Other places that are involved, each with a text.
+    /// Related positions, each with a text.
     pub notes: Vec<(Span, String)>,
 }
 
@@ -55,14 +55,14 @@
         Self { severity: Severity::Warning, ..Self::error(code, span, message) }
     }
 
-    /// Adds how to correct it.
+    /// Adds a hint how to correct it.
     #[must_use]
     pub fn help(mut self, help: impl Into<String>) -> Self {
         self.help = Some(help.into());
         self
     }
 
-    /// Adds another place that is involved.
+    /// Adds a related position.
     #[must_use]
     pub fn note(mut self, span: Span, text: impl Into<String>) -> Self {
         self.notes.push((span, text.into()));
@@ -70,8 +70,8 @@
     }
 }
 
-/// Sorts diagnostics by span and keeps one for each span and code: a mistake in a constant that is used in
-/// five places is reported once.
+/// Sorts diagnostics by span and keeps one for each span and code: a mistake in a constant is reported once, however
+/// often the constant is used.
 pub fn sort_and_dedup(diagnostics: &mut Vec<Diagnostic>) {
     diagnostics.sort_by_key(|diagnostic| diagnostic.span);
     diagnostics
@@ -116,7 +116,7 @@
         }
         at
     };
-    // Only the line of the span is passed on: files may have megabytes.
+    // Only the line of the span is passed to the renderer: files may have megabytes.
     let start = boundary(span.start as usize);
     let first = text[..start].rfind('\n').map_or(0, |newline| newline + 1);
     let rest = text[start..].find('\n').map_or(text.len(), |newline| start + newline);
@@ -155,7 +155,7 @@
     message: &'a str,
 }
 
-/// Converts a diagnostic to a JSON object. Lines and columns count from 1; they are 0 where there is no span.
+/// Converts a diagnostic to a JSON object. Lines and columns count from 1; they are 0 if there is no span.
 #[must_use]
 pub fn json<'a>(sources: &Sources, diagnostic: &'a Diagnostic) -> JsonDiagnostic<'a> {
     let file = |span: Span| sources.get(span.file).map(|s| s.path.display().to_string()).unwrap_or_default();
@@ -182,12 +182,12 @@
     }
 }
 
-/// The known word that a misspelled one is probably meant to be.
+/// The known word that a misspelled word is most similar to, if any is similar enough to suggest.
 #[must_use]
 pub fn nearest<'a>(word: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     let distance = |known: &str| strsim::damerau_levenshtein(&word.to_lowercase(), &known.to_lowercase());
     let ranked = known.into_iter().map(|known| (distance(known), known));
-    // Longer words may have more mistakes. Words that have little in common are no help.
+    // Longer words may have more typing errors. Words with less in common are not suggested.
     ranked
         .min()
         .filter(|(distance, known)| *distance <= (known.len().max(3) / 3).max(1))
--- a/crates/config/src/diff/display.rs
+++ b/crates/config/src/diff/display.rs
@@ -5,10 +5,10 @@
 use super::{Change, ChangeKind};
 use crate::span::{Sources, Span};
 
-/// Most affected entries that a line names.
-const MAX_NAMED: usize = 4;
+/// Maximum number of affected entries that a line lists.
+const MAX_LISTED: usize = 4;
 
-/// Displays a change as a line, with the place in the file if it is known.
+/// Displays a change as a line, with its position in the file if it is known.
 pub struct DisplayChange<'a> {
     /// The change.
     pub change: &'a Change,
@@ -35,10 +35,10 @@
             write!(f, " ({})", self.sources.path_and_line(*span))?;
         }
         if !affects.is_empty() {
-            let named = affects.iter().take(MAX_NAMED).cloned().collect::<Vec<_>>().join(", ");
-            write!(f, "; affects {named}")?;
-            if affects.len() > MAX_NAMED {
-                write!(f, " and {} more", affects.len() - MAX_NAMED)?;
+            let listed = affects.iter().take(MAX_LISTED).cloned().collect::<Vec<_>>().join(", ");
+            write!(f, "; affects {listed}")?;
+            if affects.len() > MAX_LISTED {
+                write!(f, " and {} more", affects.len() - MAX_LISTED)?;
             }
         }
         Ok(())
--- a/crates/config/src/diff/effective_settings.rs
+++ b/crates/config/src/diff/effective_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a configuration in one written form, those that no file writes included.
+//! All settings of a configuration in a normalized notation, including defaults.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 
 /// Kind and name of an entry; the name is empty for a kind with only one entry.
 pub(super) type EntryKey = (&'static str, String);
-/// Settings of an entry by keyword, as they are written.
+/// Settings of an entry by keyword, in the notation of the configuration language.
 type Settings = Vec<(&'static str, String)>;
 
 /// All settings of a configuration, by entry.
@@ -30,7 +30,7 @@
 }
 
 impl EffectiveSettings {
-    /// The same without spans: equal for two texts with the same meaning.
+    /// Removes the spans. The results are equal for two texts with the same meaning.
     #[must_use]
     pub fn without_spans(mut self) -> Self {
         self.entries.values_mut().for_each(|entry| entry.spans = EntrySpans::default());
@@ -44,7 +44,7 @@
     selected_settings(config, &|_, _| true)
 }
 
-/// The settings of the entries that `is_selected` accepts by kind and name. Entries of which there is one are
+/// The settings of the entries whose kind and name `is_selected` accepts. Entries of kinds with only one entry are
 /// always included.
 pub(super) fn selected_settings(
     config: &Config,
@@ -242,7 +242,7 @@
 }
 
 fn format_share(share: f64) -> String {
-    // Shares are written in decimals, and 0.29 * 100.0 is not 29.
+    // Rounded, because shares are given as decimals and `0.29 * 100.0` is not 29.
     let text = format!("{:.7}", share * 100.0);
     format!("{}%", text.trim_end_matches('0').trim_end_matches('.'))
 }
--- a/crates/config/src/diff/mod.rs
+++ b/crates/config/src/diff/mod.rs
@@ -1,5 +1,5 @@
-//! The difference in meaning between two configurations. Comments, layout, files and the order of entries are
-//! ignored; the order of two routes is not where a request can match both.
+//! The semantic difference between two configurations. Comments, layout, files and the order of entries are
+//! ignored, except for the order of two routes that can match the same request.
 
 mod display;
 mod effective_settings;
@@ -24,7 +24,7 @@
     pub entry_name: String,
     /// What changed.
     pub kind: ChangeKind,
-    /// Where it is written: in the new configuration, or in the old one if the entry was removed.
+    /// Position in the new configuration, or in the old one if the entry was removed.
     pub span: Span,
     /// Other entries that the change affects.
     pub affects: Vec<String>,
@@ -46,7 +46,7 @@
         /// New value.
         new: String,
     },
-    /// A route now comes before one that it came after, and requests can match both.
+    /// A route is now before another one that it was after, and a request can match both.
     Moved {
         /// Name of the other route.
         before: String,
@@ -62,12 +62,12 @@
     }
 }
 
-/// Returns all differences, where the difference of the snapshots is known. Only the entries that it names
-/// are compared, so the cost depends on the size of the change.
+/// Returns all differences, given the difference of the snapshots. Only entries that the delta changes are
+/// compared, so the cost depends on the size of the change.
 #[must_use]
 pub fn diff_with_delta(old: &Config, new: &Config, delta: &Delta) -> Vec<Change> {
-    let named: HashSet<_> = delta.changes.iter().filter_map(entry_key).collect();
-    diff_selected(old, new, &|kind, name| named.contains(&(kind, name.to_owned())))
+    let changed: HashSet<_> = delta.changes.iter().filter_map(entry_key).collect();
+    diff_selected(old, new, &|kind, name| changed.contains(&(kind, name.to_owned())))
 }
 
 /// Kind and name of the entry that a change is about; `None` for the node and for moves of routes.
@@ -101,7 +101,7 @@
         match (before.get(key), after.get(key)) {
             (None, Some(entry)) => changes.push(change(key, ChangeKind::Added, entry.spans.name, new)),
             (Some(entry), None) => changes.push(change(key, ChangeKind::Removed, entry.spans.name, old)),
-            (Some(former), Some(entry)) => diff_entry(key, former, entry, new, &mut changes),
+            (Some(old_entry), Some(new_entry)) => diff_entry(key, old_entry, new_entry, new, &mut changes),
             (None, None) => {}
         }
     }
@@ -115,28 +115,28 @@
     Change { entry_kind, entry_name: entry_name.clone(), kind, span, affects }
 }
 
-/// Appends the settings of an entry that have other values.
+/// Appends the settings of an entry whose values differ.
 fn diff_entry(
     key: &EntryKey,
-    former: &EffectiveEntry,
-    entry: &EffectiveEntry,
+    old_entry: &EffectiveEntry,
+    new_entry: &EffectiveEntry,
     new: &Config,
     changes: &mut Vec<Change>,
 ) {
-    let keywords: BTreeSet<_> = former.settings.keys().chain(entry.settings.keys()).collect();
+    let keywords: BTreeSet<_> = old_entry.settings.keys().chain(new_entry.settings.keys()).collect();
     for setting in keywords {
         let value =
             |entry: &EffectiveEntry| entry.settings.get(setting).cloned().unwrap_or_else(|| "none".into());
-        let (old_value, new_value) = (value(former), value(entry));
+        let (old_value, new_value) = (value(old_entry), value(new_entry));
         if old_value != new_value {
-            let span = entry.spans.settings.get(setting).copied().unwrap_or(entry.spans.name);
+            let span = new_entry.spans.settings.get(setting).copied().unwrap_or(new_entry.spans.name);
             let kind = ChangeKind::Changed { setting, old: old_value, new: new_value };
             changes.push(change(key, kind, span, new));
         }
     }
 }
 
-/// Entries that lead to one that changed; for a route, those that it leads to.
+/// The routes that use or may use a changed entry; for a changed route, the class and the pool that it uses.
 fn affected_entries(kind: &str, name: &str, config: &Config) -> Vec<String> {
     let routes = |is_affected: &dyn Fn(&Route) -> bool| {
         let affected = config.routes.iter().filter(|route| is_affected(route));
@@ -156,29 +156,29 @@
         }),
         "route" => {
             let route = config.routes.iter().find(|route| route.name == name);
-            let leads_to = |route: &Route| {
+            let class_and_pool = |route: &Route| {
                 let (class, pool) = (&config.classes[route.class].name, &config.pools[route.pool].name);
                 vec![format!("class {class}"), format!("pool {pool}")]
             };
-            route.map(leads_to).unwrap_or_default()
+            route.map(class_and_pool).unwrap_or_default()
         }
         _ => Vec::new(),
     }
 }
 
-/// Appends the routes whose order changed and that can match the same request. Compares only the routes
-/// between the old and the new position of one that moved.
+/// Appends the pairs of routes whose order changed and that can match the same request. A route is compared only
+/// with those that moved from after it to before it.
 fn diff_route_order(old: &Config, new: &Config, changes: &mut Vec<Change>) {
     let old_positions: HashMap<_, _> =
         old.routes.iter().enumerate().map(|(index, route)| (route.name.as_str(), index)).collect();
     let old_position = |route: &Route| old_positions.get(route.name.as_str()).copied();
     let common: Vec<_> = new.routes.iter().filter_map(|route| Some((old_position(route)?, route))).collect();
-    // A route is out of order where one before it came later in the old order.
+    // A route was overtaken if an earlier one had a later position in the old order.
     let mut latest = 0;
     for (index, (position, route)) in common.iter().enumerate() {
         if *position < latest {
-            let overtook = common[..index].iter().filter(|(other, _)| other > position);
-            let overlapping = overtook.filter(|(_, other)| other.pattern.overlaps(&route.pattern));
+            let overtaking = common[..index].iter().filter(|(other, _)| other > position);
+            let overlapping = overtaking.filter(|(_, other)| other.pattern.overlaps(&route.pattern));
             changes.extend(overlapping.map(|(_, other)| Change {
                 entry_kind: "route",
                 entry_name: other.name.clone(),
--- a/crates/config/src/disk.rs
+++ b/crates/config/src/disk.rs
@@ -1,4 +1,4 @@
-//! Files of the file system. The only module with I/O.
+//! Access to the file system. The only module with I/O.
 
 use std::fs::{self, File};
 use std::io::{self, Read};
@@ -6,13 +6,13 @@
 
 use crate::load::{Files, MAX_FILE_BYTES, ReadError};
 
-/// The file system of this machine.
+/// The local file system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Disk;
 
 impl Files for Disk {
     fn read(&self, path: &Path) -> Result<Vec<u8>, ReadError> {
-        // Checked before the file is opened: to open a pipe without a writer blocks.
+        // Checked before the file is opened: opening a pipe without a writer blocks.
         let metadata = fs::metadata(path).map_err(read_error)?;
         if metadata.is_dir() {
             return Err(ReadError::Directory);
@@ -24,7 +24,7 @@
             return Err(ReadError::TooLarge(metadata.len()));
         }
         let mut bytes = Vec::new();
-        // The file may have grown since.
+        // The file may have grown since the check, so the limit applies to the read as well.
         File::open(path)
             .map_err(read_error)?
             .take(MAX_FILE_BYTES + 1)
--- a/crates/config/src/explain.rs
+++ b/crates/config/src/explain.rs
@@ -1,4 +1,4 @@
-//! Explains which route a request takes, and why.
+//! Explains which route matches a request, and why.
 
 use std::fmt::Write;
 
@@ -10,20 +10,20 @@
 use crate::span::{Sources, Span};
 use crate::units::format_duration;
 
-/// Most routes without a match that are named.
+/// Most routes without a match that are listed.
 const MAX_PASSED_OVER: usize = 8;
 
-/// Why a request can't be explained.
+/// Why a request can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// The request line is not of the form.
-    #[error("a request is `METHOD http://HOST/PATH`, or `METHOD /PATH`; a method that is left out is GET")]
+    /// The request line is malformed.
+    #[error("write a request as `METHOD http://HOST/PATH` or `METHOD /PATH`; the default method is GET")]
     Form,
-    /// A header is not of the form; the line.
-    #[error("`{0}` is no header: write `NAME: VALUE`")]
+    /// This header line is malformed.
+    #[error("`{0}` is not a header: write `NAME: VALUE`")]
     Header(String),
-    /// The node would reject the request with 400; why.
-    #[error("{0}: the node answers 400")]
+    /// The node would reject the request with 400, for this reason.
+    #[error("{0}: the node responds with 400")]
     Rejected(String),
 }
 
@@ -40,7 +40,7 @@
     /// Parses `METHOD URL` and header lines.
     ///
     /// # Errors
-    /// Text that is not of that form, and requests that a node rejects before it routes them.
+    /// Malformed text, and requests that a node rejects before it routes them.
     pub fn parse(text: &str, headers: &[String]) -> Result<Self, RequestError> {
         let words: Vec<_> = text.split_whitespace().collect();
         let (method, url) = match words[..] {
@@ -82,7 +82,7 @@
     RequestPath::parse(path).map_err(|error| RequestError::Rejected(error.to_string()))
 }
 
-/// Explains what the node does with a request, as lines of text.
+/// Explains how the node handles a request, as lines of text.
 ///
 /// # Errors
 /// None for a request that [`Request::parse`] returned.
@@ -91,9 +91,9 @@
     let Request { method, host, headers, .. } = request;
     let query = Query { host, path: &path, method, headers };
     let mut text = String::new();
-    let end = match config.matcher().find(&query) {
+    let passed_over_end = match config.matcher().find(&query) {
         MatchResult::Route(index) => {
-            let explanation = Explanation { config, sources, query: &query };
+            let explanation = RouteExplanation { config, sources, query: &query };
             explanation.write_route(&config.routes[index], &mut text);
             index
         }
@@ -107,11 +107,11 @@
             config.routes.len()
         }
     };
-    write_passed_over(&config.routes[..end], sources, &query, &mut text);
+    write_passed_over(&config.routes[..passed_over_end], sources, &query, &mut text);
     Ok(text)
 }
 
-/// Names the routes that match host and path, but not the method or a header.
+/// Lists the routes that match host and path, but not the method or a header.
 fn write_passed_over(routes: &[Route], sources: &Sources, query: &Query<'_>, text: &mut String) {
     let passed_over = routes.iter().filter_map(|route| match route.pattern.mismatch(query)? {
         Mismatch::Host | Mismatch::Path => None,
@@ -124,14 +124,14 @@
     }
 }
 
-/// What the explanation of a route is made from.
-struct Explanation<'a> {
+/// The inputs for the explanation of a route.
+struct RouteExplanation<'a> {
     config: &'a Config,
     sources: &'a Sources,
     query: &'a Query<'a>,
 }
 
-impl Explanation<'_> {
+impl RouteExplanation<'_> {
     fn write_route(&self, route: &Route, text: &mut String) {
         let class = &self.config.classes[route.class];
         let position = self.position(route.spans.name);
@@ -150,7 +150,7 @@
         }
     }
 
-    /// The conditions of a route that the request meets.
+    /// The conditions of a route, all of which the request meets.
     fn conditions(&self, route: &Route) -> Vec<String> {
         let pattern = &route.pattern;
         let host = if self.query.host.is_empty() || pattern.host.to_string() == "*" {
--- a/crates/config/src/format.rs
+++ b/crates/config/src/format.rs
@@ -1,5 +1,5 @@
-//! The formatter: four spaces a level, one space between words, at most one empty line. Comments, quotes and
-//! the order of statements are kept.
+//! The formatter: indents by four spaces per level, with one space between words and at most one empty line in a
+//! row. Comments, quotes and the order of statements are kept.
 
 use crate::diagnostic::Diagnostic;
 use crate::span::{FileId, Span};
@@ -7,7 +7,7 @@
 
 const INDENT: &str = "    ";
 
-/// Formats a text. A byte order mark and carriage returns are removed.
+/// Formats a text. Removes a byte order mark and carriage returns.
 ///
 /// # Errors
 /// Those of [`parse`].
@@ -30,7 +30,7 @@
         self.trivia(&tree.after, depth, tree.statements.is_empty(), true);
     }
 
-    fn raw(&mut self, span: Span) {
+    fn source_text(&mut self, span: Span) {
         self.out.push_str(self.text[span.range()].trim_end());
     }
 
@@ -38,14 +38,14 @@
         self.out.push_str(&INDENT.repeat(depth));
     }
 
-    /// Prints comments and empty lines. Empty lines at the start and the end of a block are removed.
+    /// Prints comments and empty lines, except for empty lines at the start and the end of a block.
     fn trivia(&mut self, trivia: &[Trivia], depth: usize, first: bool, last: bool) {
         let mut at_start = first;
         for (index, item) in trivia.iter().enumerate() {
             match item {
                 Trivia::Comment(span) => {
                     self.indent(depth);
-                    self.raw(*span);
+                    self.source_text(*span);
                     self.out.push('\n');
                     at_start = false;
                 }
@@ -67,7 +67,7 @@
                 if index > 0 {
                     self.out.push(' ');
                 }
-                self.raw(word.span);
+                self.source_text(word.span);
             }
             if let Some(block) = &statement.block {
                 self.block(block, depth);
@@ -80,7 +80,7 @@
     fn comment(&mut self, comment: Option<Span>) {
         if let Some(span) = comment {
             self.out.push_str("  ");
-            self.raw(span);
+            self.source_text(span);
         }
     }
 
--- a/crates/config/src/lexer.rs
+++ b/crates/config/src/lexer.rs
@@ -1,4 +1,4 @@
-//! The lexer: from text to tokens.
+//! The lexer: splits a text into tokens.
 
 use logos::Logos;
 
@@ -8,9 +8,9 @@
 /// Longest line, in bytes.
 pub const MAX_LINE_BYTES: usize = 4_096;
 
-/// Characters without a width.
+/// Zero-width characters.
 const ZERO_WIDTH: [char; 5] = ['\u{feff}', '\u{200b}', '\u{200c}', '\u{200d}', '\u{2060}'];
-/// Quotes that word processors put in place of `"` and `'`.
+/// Quotes that word processors insert instead of `"` and `'`.
 const TYPOGRAPHIC_QUOTES: [char; 4] = ['\u{201c}', '\u{201d}', '\u{2018}', '\u{2019}'];
 
 /// A token; spaces and tabs only separate tokens.
@@ -23,10 +23,10 @@
     /// From `#` to the end of the line.
     #[regex(r"#[^\r\n]*", allow_greedy = true)]
     Comment,
-    /// A name or a value without quotes. `#` begins a comment only where a word could begin.
+    /// A name or an unquoted value. `#` begins a comment only where a word could begin.
     #[regex(r##"[^ \t\r\n{};"#\x00-\x1f\x7f][^ \t\r\n{};"\x00-\x1f\x7f]*"##)]
     Word,
-    /// A value in quotes; `\"` and `\\` stand for themselves.
+    /// A value in quotes, with the escapes `\"` and `\\`.
     #[regex(r#""([^"\\\r\n\x00-\x1f\x7f]|\\["\\])*""#)]
     Quoted,
     /// Opens a block.
@@ -35,7 +35,7 @@
     /// Closes a block.
     #[token("}")]
     Close,
-    /// Ends a statement before its line does.
+    /// Ends a statement before the end of its line.
     #[token(";")]
     Semicolon,
 }
@@ -45,7 +45,7 @@
 pub struct Lexeme {
     /// The token.
     pub token: Token,
-    /// Where it is.
+    /// Its position.
     pub span: Span,
 }
 
@@ -58,7 +58,8 @@
     let mut start = 0;
     for line in text.split_inclusive('\n') {
         if line.len() > MAX_LINE_BYTES {
-            let message = format!("a line of {} bytes; the longest may have {MAX_LINE_BYTES}", line.len());
+            let message =
+                format!("the line has {} bytes, more than the maximum of {MAX_LINE_BYTES}", line.len());
             return Err(Diagnostic::error("line-too-long", at(start, start + 1), message));
         }
         start += line.len();
@@ -79,11 +80,11 @@
 }
 
 fn check_word(word: &str, span: Span) -> Result<(), Diagnostic> {
-    // Pasted text may have other spaces and quotes that look like the ASCII ones.
+    // Pasted text may contain spaces and quotes that look like the ASCII ones.
     if let Some((offset, c)) = word.char_indices().find(|(_, c)| is_invisible(*c)) {
         let message = format!("the invisible character U+{:04X}", u32::from(c));
         let diagnostic = Diagnostic::error("invisible-character", char_span(span, offset, c), message);
-        return Err(diagnostic.help("replace it by a plain space"));
+        return Err(diagnostic.help("replace it with a plain space"));
     }
     if let Some((offset, c)) = word.char_indices().find(|(_, c)| TYPOGRAPHIC_QUOTES.contains(c)) {
         let message = format!("the typographic quote `{c}`");
@@ -103,7 +104,7 @@
     Span { start, end: start + c.len_utf8() as u32, ..word }
 }
 
-/// The error for text that is no token, at `start`.
+/// The error for text at `start` that is not a token.
 fn invalid_token(text: &str, start: usize, span: impl Fn(usize, usize) -> Span) -> Diagnostic {
     let rest = &text[start..];
     let first = rest.chars().next().unwrap_or_default();
@@ -112,14 +113,14 @@
         '"' => invalid_quote(rest, start, span),
         '\r' => {
             Diagnostic::error("bare-carriage-return", span(start, end), "a carriage return without a newline")
-                .help("end lines with a newline, or with both")
+                .help("end lines with a newline, or with a carriage return and a newline")
         }
         c => control_character(c, span(start, end)),
     }
 }
 
-/// The error for a quoted value that is no token: a bad escape, a control character, or no end on its line.
-/// `rest` begins with the quote, at `start`.
+/// The error for a malformed quoted value: an unknown escape, a control character, or no closing quote on its line.
+/// `rest` begins with the opening quote, at `start`.
 fn invalid_quote(rest: &str, start: usize, span: impl Fn(usize, usize) -> Span) -> Diagnostic {
     let line_end = rest.find(['\r', '\n']).unwrap_or(rest.len());
     let inside = &rest[1..line_end];
@@ -127,10 +128,10 @@
     for (offset, c) in inside.char_indices() {
         let here = start + 1 + offset;
         if escaped && c != '"' && c != '\\' {
-            let message = format!("`\\{c}` stands for nothing");
+            let message = format!("the unknown escape `\\{c}`");
             let span = span(here - 1, here + c.len_utf8());
             return Diagnostic::error("unknown-escape", span, message)
-                .help("only `\\\"` and `\\\\` are written with a backslash");
+                .help("the only escapes are `\\\"` and `\\\\`");
         }
         if c.is_control() && c != '\t' {
             return control_character(c, span(here, here + c.len_utf8()));
@@ -141,7 +142,7 @@
         }
         escaped = !escaped && c == '\\';
     }
-    let message = "a quote that its line does not close";
+    let message = "a quoted value that is not closed on its line";
     Diagnostic::error("unclosed-quote", span(start, start + line_end), message).help("close it with `\"`")
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,11 @@
 //! The configuration language of a standalone node.
 //!
 //! [`load`] reads a file and its includes through [`Files`], [`syntax`] parses them to trees that keep
-//! comments and spans, `check` turns these into a [`Config`] or into [`Diagnostic`]s, and
-//! [`format`](mod@format) and [`diff`](mod@diff) work on trees and on configurations. The grammar is in
+//! comments and spans, and `check` converts the trees to a [`Config`] or to [`Diagnostic`]s.
+//! [`format`](mod@format) works on trees, and [`diff`](mod@diff) on configurations. The grammar is in
 //! `docs/grammar.ebnf`.
 //!
-//! Nothing here does I/O but [`disk`], which implements [`Files`].
+//! Only [`disk`], which implements [`Files`], does I/O.
 
 mod check;
 pub mod compact_config;
@@ -41,12 +41,12 @@
     pub config: Option<Config>,
 }
 
-/// Reads and checks a configuration. Every problem is reported as a diagnostic; [`load`] has limits on the
-/// size and the number of files.
+/// Reads and checks a configuration. Every problem is reported as a diagnostic, also when the limits of
+/// [`load`] on the size and the number of files are exceeded.
 pub fn check(files: &dyn Files, path: &Path) -> Checked {
     let loaded = load::load(files, path);
     let (sources, mut diagnostics) = (loaded.sources, loaded.diagnostics);
-    // An incomplete tree would give diagnostics about what was not read.
+    // Checks of an incomplete tree would report what was not read as missing.
     let config = diagnostics.is_empty().then(|| check::check(&loaded.statements, &mut diagnostics));
     diagnostic::sort_and_dedup(&mut diagnostics);
     let failed = diagnostics.iter().any(|diagnostic| diagnostic.severity == Severity::Error);
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -9,11 +9,11 @@
 use crate::span::{FileId, Sources, Span};
 use crate::syntax::{self, Statement, Word};
 
-/// Largest file, in bytes: some 100,000 routes.
+/// Largest file, in bytes: about 100,000 routes.
 pub const MAX_FILE_BYTES: u64 = 4 << 20;
-/// Most bytes of all files together. It bounds the memory that a reload takes.
+/// Maximum size of all files together, in bytes. It bounds the memory that a reload takes.
 pub const MAX_TOTAL_BYTES: u64 = 32 << 20;
-/// Most files of a configuration.
+/// Maximum number of files of a configuration.
 pub const MAX_FILES: usize = 1_024;
 /// Deepest nesting of includes.
 pub const MAX_INCLUDE_DEPTH: usize = 16;
@@ -22,21 +22,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ReadError {
     /// It does not exist.
-    #[error("there is no such file")]
+    #[error("no such file")]
     Missing,
     /// It is a directory.
     #[error("it is a directory")]
     Directory,
-    /// It is a pipe, a socket or a device, whose read may never end.
-    #[error("it is no regular file")]
+    /// It is a pipe, a socket or a device; reading it might never end.
+    #[error("it is not a regular file")]
     NotRegular,
     /// There is no permission to read it.
-    #[error("no permission to read it")]
+    #[error("permission denied")]
     Denied,
     /// It is larger than [`MAX_FILE_BYTES`]; its size in bytes.
-    #[error("it has {0} bytes; the largest may have {MAX_FILE_BYTES}")]
+    #[error("it has {0} bytes, more than the maximum of {MAX_FILE_BYTES}")]
     TooLarge(u64),
-    /// Another error of the system.
+    /// Another error of the operating system.
     #[error("{0}")]
     Other(String),
 }
@@ -46,24 +46,24 @@
     /// Reads a file.
     ///
     /// # Errors
-    /// Why it can't be read.
+    /// The reason why it can't be read.
     fn read(&self, path: &Path) -> Result<Vec<u8>, ReadError>;
 
     /// Lists the names in a directory, in any order.
     ///
     /// # Errors
-    /// Why it can't be listed.
+    /// The reason why it can't be listed.
     fn list(&self, directory: &Path) -> Result<Vec<String>, ReadError>;
 
-    /// A path that is the same for all paths to one file.
+    /// Returns a canonical path, which is the same for all paths to one file.
     fn identity(&self, path: &Path) -> PathBuf;
 }
 
-/// The statements of a file, with those of the files that it includes in place of the includes.
+/// The statements of a file. Each include is replaced by the statements of the included files.
 pub struct Loaded {
     /// The texts that spans refer to.
     pub sources: Sources,
-    /// Errors, in the order of reading.
+    /// Errors, in the order in which files were read.
     pub diagnostics: Vec<Diagnostic>,
     /// The statements in order.
     pub statements: Vec<Statement>,
@@ -86,14 +86,14 @@
 struct OpenFile {
     identity: PathBuf,
     path: PathBuf,
-    /// The include that led to it; `None` for the first file.
+    /// The include statement that it is read for; `None` for the first file.
     included_at: Option<Span>,
 }
 
 struct Loader<'a> {
     files: &'a dyn Files,
     loaded: Loaded,
-    /// The files that are being read, each included by the one before it.
+    /// The files that are being read, each included by the previous one.
     chain: Vec<OpenFile>,
     /// Identities of the files that were read.
     done: HashSet<PathBuf>,
@@ -111,7 +111,7 @@
     fn load_file(&mut self, path: &Path, included_at: Option<Span>) {
         let identity = self.files.identity(path);
         if let Some(first) = self.chain.iter().position(|file| file.identity == identity) {
-            return self.report_circle(first, path, included_at);
+            return self.report_circular_include(first, path, included_at);
         }
         if self.done.contains(&identity) || !self.is_within_limits(included_at) {
             return;
@@ -137,11 +137,11 @@
     }
 
     /// Reports that a file includes itself. `first` is its index in the chain.
-    fn report_circle(&mut self, first: usize, path: &Path, included_at: Option<Span>) {
-        let circle = self.chain[first..].iter().map(|file| file.path.display().to_string());
-        let names: Vec<_> = circle.chain([path.display().to_string()]).collect();
+    fn report_circular_include(&mut self, first: usize, path: &Path, included_at: Option<Span>) {
+        let cycle = self.chain[first..].iter().map(|file| file.path.display().to_string());
+        let names: Vec<_> = cycle.chain([path.display().to_string()]).collect();
         let includes = self.chain[first + 1..].iter().filter_map(|file| file.included_at);
-        let notes = includes.map(|span| (span, "on the way round".into())).collect();
+        let notes = includes.map(|span| (span, "included here".into())).collect();
         self.loaded.diagnostics.push(Diagnostic {
             severity: Severity::Error,
             code: "circular-include",
@@ -152,15 +152,15 @@
         });
     }
 
-    /// Whether one more file may be read; reports the limit that it would exceed.
+    /// Whether one more file may be read. Reports the limit that it would exceed.
     fn is_within_limits(&mut self, included_at: Option<Span>) -> bool {
         if self.chain.len() == MAX_INCLUDE_DEPTH {
-            let message = format!("more than {MAX_INCLUDE_DEPTH} files include one another");
+            let message = format!("includes nested deeper than {MAX_INCLUDE_DEPTH}");
             self.error(included_at, "include-chain", message, None);
             return false;
         }
         if self.loaded.sources.len() == MAX_FILES {
-            // Reported once, not for every further include.
+            // Reported only once, not for every further include.
             if !self.loaded.diagnostics.iter().any(|diagnostic| diagnostic.code == "too-many-files") {
                 self.error(included_at, "too-many-files", format!("more than {MAX_FILES} files"), None);
             }
@@ -169,7 +169,7 @@
         true
     }
 
-    /// Reads a file; `None` where it can't be read or all files are too large, which is reported.
+    /// Reads a file. Reports an error and returns `None` if it can't be read or all files together are too large.
     fn read(&mut self, path: &Path, included_at: Option<Span>) -> Option<Vec<u8>> {
         let bytes = match self.files.read(path) {
             Ok(bytes) => bytes,
@@ -185,18 +185,18 @@
         };
         self.total_bytes += bytes.len() as u64;
         if self.total_bytes > MAX_TOTAL_BYTES {
-            let message = format!("all files together have more than {MAX_TOTAL_BYTES} bytes");
+            let message = format!("all files together have more than the maximum of {MAX_TOTAL_BYTES} bytes");
             self.error(included_at, "too-large", message, None);
             return None;
         }
         Some(bytes)
     }
 
-    /// Decodes a file and adds it to the sources; bytes that are not UTF-8 are reported.
+    /// Decodes a file and adds it to the sources. Reports bytes that are not UTF-8.
     fn decode(&mut self, path: &Path, bytes: Vec<u8>) -> Option<FileId> {
         match String::from_utf8(bytes) {
             Ok(mut text) => {
-                // Some editors write a byte order mark; spans count from after it.
+                // Some editors write a byte order mark; offsets of spans begin after it.
                 if text.starts_with('\u{feff}') {
                     text.drain(..'\u{feff}'.len_utf8());
                 }
@@ -238,13 +238,12 @@
         }
     }
 
-    /// Includes all files of a directory whose names match a pattern; hidden files are left out, as in
-    /// shells.
+    /// Includes all files of a directory whose names match a pattern. Hidden files are skipped, as in shells.
     fn include_all(&mut self, path: &Path, target: &Word) {
         let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default().to_owned();
         let directory = path.parent().unwrap_or(Path::new(""));
         if directory.to_string_lossy().contains('*') || !name.contains('*') {
-            let message = "`*` stands in the name of the file only, not of a directory".into();
+            let message = "`*` is only allowed in the file name, not in a directory".into();
             return self.error(Some(target.span), "include-form", message, None);
         }
         let mut names = match self.files.list(directory) {
@@ -255,7 +254,7 @@
             }
         };
         names.retain(|entry| !entry.starts_with('.') && matches(&name, entry));
-        // A directory has no defined order; the order of names is chosen by the operator.
+        // Directory listings have no defined order; sorting by name lets the operator choose the order.
         names.sort_unstable();
         for entry in names {
             self.load_file(&directory.join(entry), Some(target.span));
@@ -263,7 +262,7 @@
     }
 }
 
-/// Whether a name matches a pattern in which `*` stands for any text.
+/// Whether a name matches a pattern in which `*` matches any text.
 fn matches(pattern: &str, name: &str) -> bool {
     let mut parts = pattern.split('*');
     let first = parts.next().unwrap_or_default();
--- a/crates/config/src/model/mod.rs
+++ b/crates/config/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! A configuration as checked values, each with the spans at which it is written.
+//! A configuration as checked values, with the spans of its entries.
 
 mod policy_settings;
 mod spans;
@@ -16,7 +16,7 @@
 /// A node's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// The node among others.
+    /// The identity of the node.
     pub node: Node,
     /// Addresses on which the node accepts connections; at least one.
     pub listeners: Vec<Listener>,
@@ -26,7 +26,7 @@
     pub classes: Vec<Class>,
     /// Tenants, possibly none.
     pub tenants: Vec<Tenant>,
-    /// Routes in order: the first that matches a request is taken. At least one.
+    /// Routes in the order in which they are matched; at least one.
     pub routes: Vec<Route>,
     /// Limits of the node.
     pub limits: Spanned<Limits>,
@@ -44,20 +44,20 @@
     }
 }
 
-/// The node among others.
+/// The identity of the node and its position among other nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
     /// Name of the node, in logs and in `Via`.
     pub name: String,
-    /// Names of all zones; a single one without a name where none are written.
+    /// Names of all zones; a single one with an empty name if none are configured.
     pub zones: Vec<String>,
     /// Index of the node's own zone.
     pub zone: usize,
-    /// How many nodes send to the same endpoints.
+    /// Number of nodes that send to the same endpoints.
     pub node_count: u32,
     /// Index of this node among them, from 0.
     pub node_index: u32,
-    /// Where it is written.
+    /// Its spans in the files.
     pub spans: EntrySpans,
 }
 
@@ -66,11 +66,11 @@
 pub struct Listener {
     /// Name of the listener.
     pub name: String,
-    /// Address that it is bound to; port 0 is any free port.
+    /// Address that it is bound to; port 0 stands for any free port.
     pub address: SocketAddr,
     /// Protocol of its clients.
     pub protocol: Protocol,
-    /// Where it is written.
+    /// Its spans in the files.
     pub spans: EntrySpans,
 }
 
@@ -83,16 +83,16 @@
     pub endpoints: PoolEndpoints,
     /// All other settings.
     pub settings: PoolSettings,
-    /// Where it is written.
+    /// Its spans in the files.
     pub spans: EntrySpans,
 }
 
-/// The endpoints of a pool, or where they are listed.
+/// The endpoints of a pool, or the source that lists them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PoolEndpoints {
-    /// In the configuration.
+    /// Listed in the configuration.
     Static(Vec<Endpoint>),
-    /// By a discovery service.
+    /// Listed by a discovery service.
     Discovered {
         /// Address of the service.
         address: SocketAddr,
@@ -102,7 +102,7 @@
 }
 
 impl PoolEndpoints {
-    /// The endpoints that the configuration lists.
+    /// The endpoints that are listed in the configuration.
     #[must_use]
     pub fn listed(&self) -> &[Endpoint] {
         match self {
@@ -112,7 +112,7 @@
     }
 }
 
-/// An endpoint that the configuration lists.
+/// An endpoint that is listed in the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// Name of the endpoint.
@@ -123,9 +123,9 @@
     pub zone: usize,
     /// Its capacity relative to that of others.
     pub weight: f64,
-    /// Group of endpoints that know each other's idempotency keys.
+    /// Number of its group of endpoints that know each other's idempotency keys.
     pub cell: u16,
-    /// Where it is written.
+    /// Its spans in the files.
     pub spans: EntrySpans,
 }
 
@@ -136,24 +136,24 @@
     pub name: String,
     /// Its settings.
     pub settings: ClassSettings,
-    /// Where it is written.
+    /// Its spans in the files.
     pub spans: EntrySpans,
 }
 
-/// A tenant, whose requests count together against its share.
+/// A tenant. Its requests are counted together against its share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Name of the tenant.
     pub name: String,
     /// Fraction of the capacity, 0 to 1.
     pub share: f64,
-    /// Requests a second, over all nodes, that are always within its share.
+    /// Requests per second, over all nodes, that always count as within its share.
     pub allowance_per_s: f64,
-    /// Where it is written.
+    /// Its spans in the files.
     pub spans: EntrySpans,
 }
 
-/// How the tenant of a request is found; a fixed one by its index.
+/// How the tenant of a request is determined; a fixed tenant is given by its index.
 pub type TenantSource = pumicehead_resources::TenantSource<usize>;
 
 /// Which requests go to which pool.
@@ -167,10 +167,10 @@
     pub class: usize,
     /// Index of their pool.
     pub pool: usize,
-    /// Their tenant.
+    /// How their tenant is determined.
     pub tenant: TenantSource,
-    /// Their key.
+    /// Where their key is taken from.
     pub key: KeySource,
-    /// Where it is written.
+    /// Its spans in the files.
     pub spans: EntrySpans,
 }
--- a/crates/config/src/model/policy_settings.rs
+++ b/crates/config/src/model/policy_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a pool as its decision module takes them.
+//! Converts the settings of a pool to those of its decision module.
 
 use pumicehead_policy::tenant_shares::TenantShares;
 use pumicehead_policy::{
@@ -8,20 +8,20 @@
 
 use super::{Class, Config, Idempotency, PoolEndpoints, Tenant};
 
-/// Factor on the priority weight of a request beyond its tenant's share.
+/// Factor for the priority weight of a request beyond its tenant's share.
 const OVER_SHARE_WEIGHT: f64 = 0.1;
-/// Least time between two batches of events: the node handles events as they arrive.
+/// Minimum time between two batches of events: the node handles events as they arrive.
 const TICK: Nanos = SECOND / 1_000;
-/// Time between two polls of a node without a watch.
+/// Time between two polls of a node that does not watch the discovery service.
 const POLL_INTERVAL: Nanos = 10 * SECOND;
-/// Time within which attempts to a draining endpoint cease.
+/// Time within which attempts to a draining endpoint must have ceased.
 const DRAIN_GRACE: Nanos = 2 * SECOND;
 /// Time within which idle connections to a draining endpoint are closed.
 const DRAIN_IDLE_CLOSE: Nanos = SECOND;
 
 impl Config {
-    /// Indices of the classes that routes to a pool have, in the order of the file. The decision module of a
-    /// pool knows no other classes.
+    /// Indices of the classes of the routes to a pool, in the order of the file. The decision module of a pool has
+    /// only these classes.
     #[must_use]
     pub fn classes_of(&self, pool: usize) -> Vec<usize> {
         let mut used = vec![false; self.classes.len()];
@@ -31,21 +31,21 @@
         (0..used.len()).filter(|class| used[*class]).collect()
     }
 
-    /// The tenants by name, as the decision module takes them.
+    /// The tenants with their names, in the form that the decision module takes.
     pub fn policy_tenants(&self) -> impl Iterator<Item = (&str, PolicyTenant)> {
         let policy =
             |tenant: &Tenant| PolicyTenant { share: tenant.share, allowance_per_s: tenant.allowance_per_s };
         self.tenants.iter().map(move |tenant| (tenant.name.as_str(), policy(tenant)))
     }
 
-    /// The settings of a pool's decision module. Its classes are those of [`classes_of`](Self::classes_of),
-    /// and ids of tenants are their indices.
+    /// The settings of a pool's decision module. Its classes are those of [`classes_of`](Self::classes_of), and the
+    /// ids of tenants are their indices.
     #[must_use]
     pub fn settings(&self, pool: usize) -> Settings {
         self.settings_with(pool, self.policy_tenants().map(|(_, tenant)| tenant).collect())
     }
 
-    /// The same with ids of tenants that the caller has chosen, so that all pools can share them.
+    /// Like [`settings`](Self::settings), with tenant ids assigned by the caller, so that all pools can share them.
     #[must_use]
     pub fn settings_with(&self, pool: usize, tenants: TenantShares) -> Settings {
         let classes = self.classes_of(pool).into_iter().map(|class| self.classes[class].policy()).collect();
@@ -86,7 +86,7 @@
 }
 
 impl PoolEndpoints {
-    /// How updates of the endpoints arrive; those of a file are pushed.
+    /// How updates of the endpoints arrive; those from a file are pushed.
     fn discovery(&self) -> Discovery {
         match self {
             Self::Static(_) => Discovery::Push,
--- a/crates/config/src/route_table.rs
+++ b/crates/config/src/route_table.rs
@@ -1,7 +1,7 @@
-//! The routes of a configuration as a running node keeps them: compact, without text, spans or trees.
+//! The compact form of the routes of a configuration, which a running node keeps instead of text, spans and trees.
 //!
-//! Patterns are in the matcher, names in one text, and the rest in records of numbers; equal tenants and keys
-//! are stored once. The routes can be restored, for the difference to a newer configuration.
+//! Patterns are stored in the matcher, names in one string, and everything else in records of numbers; equal tenants
+//! and keys are stored once. The routes can be restored to diff them with a newer configuration.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -11,7 +11,7 @@
 
 use crate::model::{EntrySpans, KeySource, Route, TenantSource};
 
-/// Where a route leads. Class and pool are indices in the configuration.
+/// Class, pool, tenant and key of a route. Class and pool are indices in the configuration.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     class: u32,
@@ -30,9 +30,9 @@
     names: Box<str>,
     /// End of each name in `names`; a name begins at the end of the previous one.
     name_ends: Box<[u32]>,
-    /// Distinct values.
+    /// Without duplicates.
     tenants: Box<[TenantSource]>,
-    /// Distinct values.
+    /// Without duplicates.
     keys: Box<[KeySource]>,
 }
 
@@ -77,7 +77,7 @@
         self.entries.is_empty()
     }
 
-    /// Finds the route that a request takes, as an index of this table.
+    /// The matcher. It finds routes by their index in this table.
     #[must_use]
     pub fn matcher(&self) -> &Matcher {
         &self.matcher
@@ -86,7 +86,7 @@
     /// The name of a route.
     #[must_use]
     pub fn name(&self, index: usize) -> &str {
-        let start = index.checked_sub(1).map_or(0, |before| self.name_ends[before]);
+        let start = index.checked_sub(1).map_or(0, |previous| self.name_ends[previous]);
         &self.names[start as usize..self.name_ends[index] as usize]
     }
 
@@ -96,19 +96,19 @@
         self.entries[index].class as usize
     }
 
-    /// Index of the pool that a route leads to.
+    /// Index of the pool of a route.
     #[must_use]
     pub fn pool(&self, index: usize) -> usize {
         self.entries[index].pool as usize
     }
 
-    /// How the tenant of a route's requests is found.
+    /// How the tenant of a route's requests is determined.
     #[must_use]
     pub fn tenant(&self, index: usize) -> &TenantSource {
         &self.tenants[self.entries[index].tenant as usize]
     }
 
-    /// Where the key of a route's requests is found.
+    /// Where the key of a route's requests is taken from.
     #[must_use]
     pub fn key(&self, index: usize) -> &KeySource {
         &self.keys[self.entries[index].key as usize]
@@ -133,7 +133,7 @@
         (0..self.len()).map(|index| self.route(index))
     }
 
-    /// Bytes on the heap, without the allocator's own overhead.
+    /// Allocated bytes, without the overhead of the allocator.
     #[must_use]
     pub fn memory_bytes(&self) -> usize {
         let tenant_text = |tenant: &TenantSource| match tenant {
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -1,5 +1,4 @@
-//! Converts a configuration to tables of typed resources, which are equal for two files with the same
-//! meaning.
+//! Converts a configuration to a snapshot of typed resources. Files with the same meaning give equal snapshots.
 
 use std::sync::Arc;
 
@@ -12,16 +11,16 @@
 };
 
 impl Config {
-    /// Builds the tables. Lists whose order has no meaning are sorted.
+    /// Builds the snapshot. Lists whose order has no meaning are sorted.
     ///
     /// # Errors
-    /// What the tables don't allow; a configuration that was read from files has passed stricter checks.
+    /// Configurations that are invalid as a snapshot; one that was read from files has passed stricter checks.
     pub fn snapshot(&self) -> Result<Snapshot, ValidationError> {
         Snapshot::build(Converter::new(self).resources())
     }
 }
 
-/// A configuration with the names that its entries refer to by index. Resources share the names.
+/// A configuration, and the names that its entries refer to by index. Resources share the names.
 struct Converter<'a> {
     config: &'a Config,
     zones: Vec<Name>,
@@ -140,7 +139,7 @@
     }
 }
 
-/// The same cluster with its lists sorted: their order has no meaning.
+/// The cluster with sorted lists: their order has no meaning.
 fn sorted_cluster(cluster: &Cluster) -> Cluster {
     let mut cluster = cluster.clone();
     cluster.seeds.sort_unstable();
--- a/crates/config/src/span.rs
+++ b/crates/config/src/span.rs
@@ -1,8 +1,8 @@
-//! Files that were read, and places in them.
+//! Files that were read, and positions in them.
 
 use std::path::{Path, PathBuf};
 
-/// Number of a file, in the order of reading.
+/// Number of a file, in the order in which files are read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FileId(pub u32);
 
@@ -18,7 +18,7 @@
 }
 
 impl Span {
-    /// From the start of this one to the end of another in the same file.
+    /// The span from the start of this one to the end of another one in the same file.
     #[must_use]
     pub fn to(self, other: Self) -> Self {
         Self { end: other.end.max(self.end), ..self }
@@ -31,7 +31,7 @@
     }
 }
 
-/// A file's text.
+/// A file and its text.
 #[derive(Clone, Debug)]
 pub struct Source {
     /// Path of the file, as it was given.
@@ -66,7 +66,7 @@
         self.0.len()
     }
 
-    /// Whether nothing was read.
+    /// Whether no file was read.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -78,7 +78,7 @@
         self.0.get(file.0 as usize)
     }
 
-    /// All files in the order of reading.
+    /// All files, in the order in which they were read.
     pub fn iter(&self) -> impl Iterator<Item = &Source> {
         self.0.iter()
     }
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -1,4 +1,4 @@
-//! The parser: from tokens to a tree of statements, with all comments and spans.
+//! The parser: converts tokens to a tree of statements, with all comments and spans.
 
 use crate::diagnostic::Diagnostic;
 use crate::lexer::{Lexeme, Token, lex};
@@ -10,11 +10,11 @@
 /// A name or a value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Word {
-    /// Where it is, quotes included.
+    /// Its position, including quotes.
     pub span: Span,
-    /// Its text without quotes and escapes.
+    /// Its text, with quotes removed and escapes replaced.
     pub text: Box<str>,
-    /// Whether it is in quotes; then it does not refer to a constant.
+    /// Whether it is quoted. A quoted word never refers to a constant.
     pub quoted: bool,
 }
 
@@ -27,14 +27,14 @@
     Blank,
 }
 
-/// Words, and possibly a block.
+/// One or more words, and possibly a block.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
     /// Comments and empty lines before it.
     pub before: Vec<Trivia>,
-    /// At least one.
+    /// Its words; at least one.
     pub words: Vec<Word>,
-    /// Its block. Boxed, since most statements have none.
+    /// Its block. Boxed because most statements have none.
     pub block: Option<Box<Block>>,
     /// A comment at the end of its last line.
     pub comment: Option<Span>,
@@ -98,7 +98,7 @@
 }
 
 fn unclosed_block(open: Span) -> Diagnostic {
-    Diagnostic::error("unclosed-block", open, "a block that is never closed").help("close it with `}`")
+    Diagnostic::error("unclosed-block", open, "the block is never closed").help("close it with `}`")
 }
 
 struct Parser<'a> {
@@ -113,7 +113,7 @@
 #[derive(Default)]
 struct Body {
     statements: Vec<Statement>,
-    /// Comments and empty lines since the last statement.
+    /// Comments and empty lines after the last statement.
     trivia: Vec<Trivia>,
     /// Newlines since the last statement or comment; 0 on the line of an opening brace.
     newlines: usize,
@@ -122,7 +122,7 @@
 }
 
 impl Body {
-    /// Adds a newline. The first of several empty lines is kept, unless it is at the start.
+    /// Adds a newline. Several empty lines are kept as one, and none at the start.
     fn add_newline(&mut self) {
         self.newlines += 1;
         let started = !self.statements.is_empty() || !self.trivia.is_empty();
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Adds a comment: to the last statement if it is on the same line, else as a line of its own.
+    /// Adds a comment: to the last statement if it is on the same line, else as a separate line.
     fn add_comment(&mut self, span: Span) {
         let same_line = self.newlines == 0 && self.trivia.is_empty();
         let last = self.statements.last_mut();
@@ -170,14 +170,14 @@
                 Token::Comment => body.add_comment(span),
                 Token::Close if open.is_some() => return Ok(Body { close_brace: span, ..body }),
                 Token::Close => {
-                    let diagnostic = Diagnostic::error("stray-brace", span, "`}` closes nothing");
+                    let diagnostic = Diagnostic::error("stray-brace", span, "`}` has no matching `{`");
                     self.diagnostics.push(diagnostic.help("remove it"));
                 }
                 Token::Open => {
-                    // The statements that follow are in the block: parse it as if it had a name.
-                    let message = "`{` opens a block that has no name on its line";
+                    // The following statements belong to the block: parse it as if it had a name.
+                    let message = "`{` without the name of a block on its line";
                     let diagnostic = Diagnostic::error("stray-brace", span, message);
-                    let help = "put it at the end of the line that names the block";
+                    let help = "move it to the end of the line with the name of the block";
                     self.diagnostics.push(diagnostic.help(help));
                     self.block(span, depth)?;
                     body.newlines = 0;
@@ -228,13 +228,13 @@
             match self.peek() {
                 Some(token @ (Token::Word | Token::Quoted)) => {
                     if let Some(Lexeme { span, .. }) = self.next() {
-                        // Reported once: a file in another language has many of them.
+                        // Reported only once: a file in another language has many such words.
                         let joined = statement.words.last().is_some_and(|last| last.span.end == span.start);
                         if joined && self.diagnostics.is_empty() {
                             let message = "a quote begins or ends inside a word";
                             self.diagnostics.push(
                                 Diagnostic::error("missing-space", span, message)
-                                    .help("put a space between them, or quote the whole value"),
+                                    .help("insert a space, or quote the whole value"),
                             );
                         }
                         statement.words.push(self.word(span, token));
@@ -247,7 +247,7 @@
                     }
                     return Ok(statement);
                 }
-                // Ends of statements and comments are left to `body`.
+                // `body` handles ends of statements and comments.
                 _ => {
                     statement.words.shrink_to_fit();
                     return Ok(statement);
@@ -262,11 +262,11 @@
             return Word { span, text: text.into(), quoted: false };
         }
         let inside = text.strip_prefix('"').and_then(|text| text.strip_suffix('"')).unwrap_or(text);
-        let mut plain = String::with_capacity(inside.len());
+        let mut unescaped = String::with_capacity(inside.len());
         let mut chars = inside.chars();
         while let Some(c) = chars.next() {
-            plain.push(if c == '\\' { chars.next().unwrap_or(c) } else { c });
+            unescaped.push(if c == '\\' { chars.next().unwrap_or(c) } else { c });
         }
-        Word { span, text: plain.into(), quoted: true }
+        Word { span, text: unescaped.into(), quoted: true }
     }
 }
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,5 +1,4 @@
-//! Parsers and formatters of durations, sizes, shares, rates and numbers. Durations and sizes always carry a
-//! unit.
+//! Parsers and formatters of durations, sizes, shares, rates and numbers. Durations and sizes always need a unit.
 
 use pumicehead_policy::Nanos;
 use thiserror::Error;
@@ -25,14 +24,14 @@
     ("MiB", 1 << 20),
     ("GiB", 1 << 30),
 ];
-/// Most digits after a decimal point.
+/// Maximum number of digits after a decimal point.
 const MAX_DECIMALS: usize = 9;
 
 /// Why a value can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{message}")]
 pub struct ValueError {
-    /// Stable name of the kind of mistake.
+    /// Identifies the kind of mistake; stable between versions.
     pub code: &'static str,
     /// What is wrong.
     pub message: String,
@@ -44,13 +43,13 @@
     ValueError { code, message, help }
 }
 
-/// An exact decimal number: `digits` divided by 10 to the power of `decimals`.
+/// An exact decimal number: `digits` / 10^`decimals`.
 struct Decimal {
     digits: u128,
     decimals: u32,
 }
 
-/// Splits a value into its number, the text of the number, and the unit after it.
+/// Splits a value into its number, the text of the number, and the unit. `what` describes the expected value.
 fn split_number<'a>(text: &'a str, what: &str) -> Result<(Decimal, &'a str, &'a str), ValueError> {
     if text.starts_with('-') {
         return Err(value_error("below-zero", format!("`{text}` is below 0"), None));
@@ -62,12 +61,11 @@
         return Err(value_error("not-a-number", format!("`{text}` is not {what}"), None));
     }
     if part.len() > MAX_DECIMALS {
-        let message = format!("`{text}` has more than {MAX_DECIMALS} digits behind the point");
+        let message = format!("`{text}` has more than {MAX_DECIMALS} digits after the decimal point");
         return Err(value_error("not-a-number", message, None));
     }
     let digits = format!("{whole}{part}").parse();
-    let digits =
-        digits.map_err(|_| value_error("too-large", format!("`{text}` is too large a number"), None))?;
+    let digits = digits.map_err(|_| value_error("too-large", format!("`{text}` is too large"), None))?;
     Ok((Decimal { digits, decimals: part.len() as u32 }, number, unit))
 }
 
@@ -77,12 +75,16 @@
     let scaled = number.digits.checked_mul(unit).ok_or_else(too_large)?;
     let whole = 10u128.pow(number.decimals);
     if scaled % whole != 0 {
-        return Err(value_error("too-fine", format!("`{text}` is finer than the smallest unit"), None));
+        return Err(value_error(
+            "too-fine",
+            format!("`{text}` is more precise than the smallest unit"),
+            None,
+        ));
     }
     u64::try_from(scaled / whole).map_err(|_| too_large())
 }
 
-/// The size of a unit, if it is known.
+/// The size of a unit; `None` if it is unknown.
 fn unit_size(units: &[(&str, u128)], unit: &str) -> Option<u128> {
     units.iter().find(|(name, _)| *name == unit).map(|(_, size)| *size)
 }
@@ -95,7 +97,7 @@
 /// Parses a duration such as `600ms` to nanoseconds.
 ///
 /// # Errors
-/// No number, a missing or unknown unit, or more than 64 bits of nanoseconds.
+/// No number, a missing, ambiguous or unknown unit, or more nanoseconds than 64 bits hold.
 pub fn parse_duration(text: &str) -> Result<Nanos, ValueError> {
     let (decimal, number, unit) = split_number(text, "a time, such as `600ms`")?;
     if let Some(unit) = unit_size(&DURATION_UNITS, unit) {
@@ -112,11 +114,9 @@
             format!("`m` in `{text}` may mean milliseconds or minutes"),
             Some(format!("write `{number}ms` or `{number}min`")),
         ),
-        _ if unit_size(&SIZE_UNITS, unit).is_some() => value_error(
-            "unit-of-size",
-            format!("`{text}` is a size; a time is wanted, such as `600ms`"),
-            None,
-        ),
+        _ if unit_size(&SIZE_UNITS, unit).is_some() => {
+            value_error("unit-of-size", format!("`{text}` is a size; expected a time, such as `600ms`"), None)
+        }
         _ => unknown_unit(text, number, unit, &DURATION_UNITS, "time"),
     })
 }
@@ -124,7 +124,7 @@
 /// Parses a size such as `64KiB` to bytes.
 ///
 /// # Errors
-/// No number, a missing, ambiguous or unknown unit, or more than 64 bits of bytes.
+/// No number, a missing, ambiguous or unknown unit, or more bytes than 64 bits hold.
 pub fn parse_size(text: &str) -> Result<u64, ValueError> {
     let (decimal, number, unit) = split_number(text, "a size, such as `64KiB`")?;
     if let Some(unit) = unit_size(&SIZE_UNITS, unit) {
@@ -140,20 +140,18 @@
             let letter = unit[..1].to_uppercase();
             value_error(
                 "unit-ambiguous",
-                format!("`{unit}` in `{text}` may count by 1,000 or by 1,024"),
+                format!("`{unit}` in `{text}` may mean multiples of 1,000 or of 1,024"),
                 Some(format!("write `{number}{letter}B` for 1,000 or `{number}{letter}iB` for 1,024")),
             )
         }
-        _ if unit_size(&DURATION_UNITS, unit).is_some() => value_error(
-            "unit-of-time",
-            format!("`{text}` is a time; a size is wanted, such as `64KiB`"),
-            None,
-        ),
+        _ if unit_size(&DURATION_UNITS, unit).is_some() => {
+            value_error("unit-of-time", format!("`{text}` is a time; expected a size, such as `64KiB`"), None)
+        }
         _ => unknown_unit(text, number, unit, &SIZE_UNITS, "size"),
     })
 }
 
-/// The error for a unit that is not known, with the one that is probably meant.
+/// The error for an unknown unit, with a suggestion.
 fn unknown_unit(
     text: &str,
     number: &str,
@@ -162,19 +160,20 @@
     what: &str,
 ) -> ValueError {
     let known = nearest(unit, units.iter().map(|(name, _)| *name));
-    let spelled = [("seconds", "s"), ("second", "s"), ("sec", "s"), ("minutes", "min"), ("minute", "min")];
-    let spelled = spelled.iter().find(|(long, _)| *long == unit).map(|(_, short)| *short);
-    let help = match spelled.or(known) {
+    let spelled_out =
+        [("seconds", "s"), ("second", "s"), ("sec", "s"), ("minutes", "min"), ("minute", "min")];
+    let spelled_out = spelled_out.iter().find(|(long, _)| *long == unit).map(|(_, short)| *short);
+    let help = match spelled_out.or(known) {
         Some(known) => format!("write `{number}{known}`"),
         None => format!("units of {what} are {}", unit_names(units)),
     };
-    value_error("unit-unknown", format!("`{unit}` in `{text}` is no unit of {what}"), Some(help))
+    value_error("unit-unknown", format!("`{unit}` in `{text}` is not a unit of {what}"), Some(help))
 }
 
 /// Parses a share such as `30%` to a fraction from 0 to 1.
 ///
 /// # Errors
-/// No number, no `%`, or more than 100 %.
+/// No number, no `%`, or more than 100%.
 pub fn parse_share(text: &str) -> Result<f64, ValueError> {
     let (decimal, number, unit) = split_number(text, "a share, such as `30%`")?;
     let value = to_float(&decimal);
@@ -205,7 +204,7 @@
 /// Parses a whole number.
 ///
 /// # Errors
-/// Anything else, and what has more than 64 bits.
+/// Anything else, and numbers that don't fit in 64 bits.
 pub fn parse_integer(text: &str) -> Result<u64, ValueError> {
     let (decimal, _, unit) = split_number(text, "a whole number")?;
     if !unit.is_empty() || decimal.decimals > 0 {
@@ -232,7 +231,7 @@
             let help = "units of rate are `/s`, `/min`, `/h`".to_owned();
             return Err(value_error(
                 "unit-unknown",
-                format!("`{unit}` in `{text}` is no unit of rate"),
+                format!("`{unit}` in `{text}` is not a unit of rate"),
                 Some(help),
             ));
         }
@@ -244,22 +243,22 @@
     decimal.digits as f64 / 10f64.powi(decimal.decimals as i32)
 }
 
-/// Formats a duration in its largest whole unit.
+/// Formats a duration in the largest unit that gives a whole number.
 #[must_use]
-pub fn format_duration(span: Nanos) -> String {
-    format_in_largest_unit(u128::from(span), &DURATION_UNITS, "ns")
+pub fn format_duration(duration: Nanos) -> String {
+    format_in_largest_unit(u128::from(duration), &DURATION_UNITS, "ns")
 }
 
-/// Formats a size in its largest whole unit.
+/// Formats a size in the largest unit that gives a whole number.
 #[must_use]
 pub fn format_size(bytes: u64) -> String {
     format_in_largest_unit(u128::from(bytes), &SIZE_UNITS, "B")
 }
 
-fn format_in_largest_unit(value: u128, units: &[(&str, u128)], least: &str) -> String {
+fn format_in_largest_unit(value: u128, units: &[(&str, u128)], smallest: &str) -> String {
     let whole = units.iter().filter(|(_, unit)| value >= *unit && value.is_multiple_of(*unit));
     match whole.max_by_key(|(_, unit)| *unit) {
         Some((name, unit)) => format!("{}{name}", value / unit),
-        None => format!("{value}{least}"),
+        None => format!("{value}{smallest}"),
     }
 }
