--- a/crates/node/src/net/active_requests.rs
+++ b/crates/node/src/net/active_requests.rs
@@ -1,11 +1,11 @@
-//! Requests of a node that have no final response yet, and the correlation ids that they use.
+//! The active requests of a node, and the correlation ids in use.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
 use rustc_hash::FxHashSet;
 
-/// Counts active requests and holds the ids in use. All pools of a node share one.
+/// Counts active requests and holds the correlation ids in use. Shared by all pools of a node.
 #[derive(Clone, Default)]
 pub struct ActiveRequestIds(Rc<ActiveRequestState>);
 
@@ -16,25 +16,26 @@
 }
 
 impl ActiveRequestIds {
-    /// Number of requests whose final response has not been sent completely.
+    /// Returns the number of requests that have no final response, or whose streamed response has not ended.
     pub fn count(&self) -> usize {
         self.0.count.get()
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as active until the returned guard is dropped.
     pub(in crate::net) fn count_request(&self) -> ActiveRequestGuard {
         self.0.count.set(self.count() + 1);
         ActiveRequestGuard(self.clone())
     }
 
-    /// Reserves a correlation id; `None` where it is in use.
+    /// Reserves a correlation id; returns `None` if it is in use.
     pub(in crate::net) fn claim(&self, correlation_id: &str) -> Option<Rc<RequestIdGuard>> {
         let is_new = self.0.ids.borrow_mut().insert(correlation_id.into());
         is_new.then(|| Rc::new(RequestIdGuard { ids: self.clone(), correlation_id: correlation_id.into() }))
     }
 }
 
-/// Reserves a correlation id. Held until the final response has been sent and no attempt of the request is in flight.
+/// Reserves a correlation id. Held until the final response has been given, a streamed response has ended, and no
+/// attempt of the request is in flight.
 pub(in crate::net) struct RequestIdGuard {
     ids: ActiveRequestIds,
     correlation_id: Box<str>,
@@ -46,7 +47,7 @@
     }
 }
 
-/// Counts as one active request.
+/// Counts as one active request until dropped.
 pub(in crate::net) struct ActiveRequestGuard(ActiveRequestIds);
 
 impl Drop for ActiveRequestGuard {
--- a/crates/node/src/net/admin_overrides.rs
+++ b/crates/node/src/net/admin_overrides.rs
@@ -1,4 +1,4 @@
-//! Endpoints that operators have disabled or enabled by hand.
+//! Endpoints that operators have disabled or enabled through the admin interface.
 
 use std::cell::RefCell;
 
@@ -8,8 +8,8 @@
 /// Shared by the admin listener and the pool loops.
 #[derive(Default)]
 pub struct AdminOverrides {
-    /// The overrides, by name of the endpoint.
+    /// Overrides by endpoint name.
     pub disabled: RefCell<DisabledBackends>,
-    /// All names that were ever listed.
+    /// Names of all endpoints that have been listed.
     pub known: RefCell<KnownBackends>,
 }
--- a/crates/node/src/net/admission.rs
+++ b/crates/node/src/net/admission.rs
@@ -1,4 +1,5 @@
-//! The interface that decides, from a request's head, which pool it goes to or how it is answered without one.
+//! The interface that decides, from the head of a request, to which pool it is sent or how it is answered without a
+//! pool.
 
 use std::borrow::Cow;
 use std::net::IpAddr;
@@ -10,12 +11,14 @@
 use crate::net::exchange::ProxyRequest;
 use crate::net::pool_handle::PoolHandle;
 
-/// How final responses are worded.
+/// Format of final responses.
 #[derive(Clone)]
 pub enum ResponseStyle {
-    /// The platform's: status 200 with body and type alone, and `Retry-After` in decimals.
+    /// The platform's format: status 200 with the body and its `Content-Type` only, and `Retry-After` in decimal
+    /// seconds.
     Platform,
-    /// A gateway's (RFC 9110): status, end-to-end fields and body of the endpoint's response, with this `Via`.
+    /// The format of a gateway (RFC 9110): status, end-to-end fields and body of the endpoint's response, with this
+    /// `Via` entry.
     Gateway(HeaderValue),
 }
 
@@ -23,41 +26,41 @@
 pub struct RequestHead<'a> {
     /// Method.
     pub method: &'a Method,
-    /// Target.
+    /// Request target.
     pub uri: &'a Uri,
-    /// The client's version of HTTP.
+    /// HTTP version of the client.
     pub version: Version,
-    /// Fields; those that are forwarded are made of them.
+    /// Header fields, from which the forwarded fields are derived.
     pub headers: HeaderMap,
     /// The client's address.
     pub client_ip: IpAddr,
 }
 
-/// A request that is admitted.
+/// An admitted request.
 pub struct AdmittedRequest {
-    /// The pool that it goes to.
+    /// The pool to which the request is sent.
     pub pool: PoolHandle,
     /// The request, without its body.
     pub request: ProxyRequest,
-    /// How it is answered.
+    /// Format of its response.
     pub style: ResponseStyle,
-    /// It is rejected if it has a body.
+    /// Whether the request is rejected if it has a body.
     pub requires_empty_body: bool,
 }
 
-/// Why a request is answered without a pool.
+/// Why a request is answered without being sent to a pool.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// A field is missing or malformed.
+    /// A header field is missing or malformed.
     #[error("header {0} is missing or malformed")]
     InvalidHeader(Cow<'static, str>),
-    /// There is no class or path of that name.
+    /// No class or path with this name exists.
     #[error("no such class or path")]
     UnknownTarget,
-    /// The target could be understood in two ways.
+    /// The request target is ambiguous.
     #[error("{0}")]
     AmbiguousTarget(String),
-    /// The target does not allow the method; these are allowed.
+    /// The target does not allow the method, only these methods.
     #[error("method not allowed")]
     MethodNotAllowed(Vec<Method>),
     /// The method is never forwarded.
@@ -66,25 +69,25 @@
     /// The body is too long.
     #[error("body too long")]
     BodyTooLong,
-    /// The end of the body is missing.
+    /// The body is incomplete.
     #[error("body broken off")]
     BodyIncomplete,
-    /// The body took too long.
+    /// The body was not received in time.
     #[error("body too slow")]
     BodyTimeout,
-    /// The body may hide another request.
+    /// The end of the body is ambiguous, so that the body may contain another request.
     #[error("Content-Length more than once or with Transfer-Encoding")]
     AmbiguousFraming,
-    /// Another active request has its correlation id.
+    /// Another active request has the same correlation id.
     #[error("a request with this X-Correlation-Id is open")]
     DuplicateId,
-    /// No error: the node answers with this status.
+    /// Not an error: the node itself responds with this status.
     #[error("")]
     LocalResponse(StatusCode),
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// Returns the status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::InvalidHeader(_)
@@ -101,7 +104,8 @@
         }
     }
 
-    /// Whether the connection closes with the response: the end of the request is unknown, or too far to read on.
+    /// Whether the connection is closed after the response, because the end of the request is unknown, or too far
+    /// away to read up to it.
     pub fn closes_connection(&self) -> bool {
         matches!(self, Self::BodyTooLong | Self::BodyIncomplete | Self::BodyTimeout | Self::AmbiguousFraming)
     }
@@ -109,9 +113,9 @@
 
 /// Admits requests.
 pub trait Admission {
-    /// Decides which pool a request goes to.
+    /// Selects the pool of a request.
     ///
     /// # Errors
-    /// What is wrong with the request, or the response that needs no pool.
+    /// Why the request is rejected, or the status of a response that needs no pool.
     fn admit(&self, head: RequestHead<'_>) -> Result<AdmittedRequest, RequestError>;
 }
--- a/crates/node/src/net/clock.rs
+++ b/crates/node/src/net/clock.rs
@@ -1,5 +1,5 @@
-//! The node's clock: Unix time at its start, then the monotonic clock. It never jumps, and start times of endpoints, which
-//! are Unix times, can be compared with it.
+//! The node's clock: the Unix time at its start, advanced by the monotonic clock. It never jumps, and can be compared
+//! with the start times of endpoints, which are Unix times.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -8,10 +8,11 @@
 
 /// Nanoseconds in a millisecond.
 pub const MILLISECOND: Nanos = SECOND / 1_000;
-/// Furthest time ahead that has an instant, in nanoseconds: a greater one need not fit.
+/// Maximum offset from the start of the clock that is converted to an [`Instant`], in nanoseconds; a greater one
+/// might overflow.
 const MAX_INSTANT_OFFSET: Nanos = u32::MAX as Nanos * SECOND;
 
-/// A clock; its copies show the same time. Times are Unix nanoseconds.
+/// A clock whose copies show the same time. Times are in Unix nanoseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -24,29 +25,29 @@
         Self { start: Instant::now(), started_at: unix_ns() }
     }
 
-    /// When it was started.
+    /// Returns the time at which the clock was started.
     pub fn started_at(&self) -> Nanos {
         self.started_at
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Nanos {
         self.time_of(Instant::now())
     }
 
-    /// The time of an instant.
+    /// Returns the time of an instant.
     pub fn time_of(&self, instant: Instant) -> Nanos {
         self.started_at + instant.saturating_duration_since(self.start).as_nanos() as Nanos
     }
 
-    /// The instant of a time.
+    /// Returns the instant of a time.
     pub fn instant_at(&self, time: Nanos) -> Instant {
         let ahead = time.saturating_sub(self.started_at).min(MAX_INSTANT_OFFSET);
         self.start + Duration::from_nanos(ahead)
     }
 }
 
-/// The system's clock, in Unix nanoseconds.
+/// Returns the time of the system clock, in Unix nanoseconds.
 pub fn unix_ns() -> Nanos {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as Nanos
 }
--- a/crates/node/src/net/endpoint_directory.rs
+++ b/crates/node/src/net/endpoint_directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a pool, by the names of the list and by the ids of the decision module.
+//! The endpoints of a pool, by the names in the list and by the ids that the decision module uses.
 
 use std::hash::Hasher;
 use std::rc::Rc;
@@ -14,33 +14,33 @@
 use crate::net::discovery::{EndpointList, ListedEndpoint, ListedState};
 use crate::net::upstream::transport::{EndpointConnector, Transport};
 
-/// An endpoint's zone is not one of the configuration's.
+/// The zone of an endpoint is not in the configuration.
 #[derive(Debug, Error)]
 #[error("unknown zone `{0}`")]
 pub struct UnknownZoneError(String);
 
 struct EndpointEntry {
     name: String,
-    /// As it was listed, without overrides.
+    /// The endpoint as listed, without admin overrides.
     listed: ListedEndpoint,
-    /// When its process started, in Unix milliseconds.
+    /// When the endpoint's process started, in Unix milliseconds.
     started_at_ms: u64,
     connector: Rc<dyn EndpointConnector>,
-    /// As the decision module has it.
+    /// The endpoint as last reported to the decision module.
     info: EndpointInfo,
-    /// Its address refused the last connection.
+    /// Whether the endpoint's address refused the last connection.
     last_connect_refused: bool,
 }
 
 /// The endpoints of a pool.
 pub struct EndpointDirectory {
-    /// Names of the zones, by zone id.
+    /// Zone names by zone id.
     zones: Vec<String>,
     transport: Rc<dyn Transport>,
     entries: FxHashMap<EndpointId, EndpointEntry>,
     ids: FxHashMap<String, EndpointId>,
     overrides: Rc<AdminOverrides>,
-    /// Version of the list that was applied last.
+    /// Version of the last list that was applied.
     pub version: u64,
 }
 
@@ -62,30 +62,31 @@
         self.entries.keys().copied()
     }
 
-    /// Whether an endpoint takes requests, by the list and by the admin overrides.
+    /// Whether an endpoint takes requests according to the list and the admin overrides.
     pub fn is_ready(&self, id: EndpointId) -> bool {
         self.entries.get(&id).is_some_and(|entry| entry.info.state == EndpointState::Ready)
     }
 
-    /// How attempts reach the endpoints.
+    /// Returns the transport through which attempts reach the endpoints.
     pub fn transport(&self) -> &dyn Transport {
         &*self.transport
     }
 
-    /// An endpoint's name.
+    /// Returns the name of an endpoint.
     pub fn name(&self, id: EndpointId) -> Option<&str> {
         self.entries.get(&id).map(|entry| entry.name.as_str())
     }
 
-    /// An endpoint's connector.
+    /// Returns the connector of an endpoint.
     pub fn connector(&self, id: EndpointId) -> Option<&Rc<dyn EndpointConnector>> {
         self.entries.get(&id).map(|entry| &entry.connector)
     }
 
-    /// Applies a list, or the changes to one; `is_restored` marks the complete list of an earlier process.
+    /// Applies a complete list or a list of changes. `is_restored` marks the complete list that an earlier process
+    /// had.
     ///
     /// # Errors
-    /// A zone is unknown; then nothing is changed.
+    /// A zone is unknown. Nothing is changed in this case.
     pub fn apply(
         &mut self,
         list: EndpointList,
@@ -125,7 +126,7 @@
         unlisted.iter().for_each(|name| self.remove(name));
     }
 
-    /// Applies changed admin overrides for endpoints of these names; `None` where none of them is listed.
+    /// Applies changed admin overrides to the endpoints with these names; returns `None` if none of them is listed.
     pub fn refresh_overrides(&mut self, names: &[String]) -> Option<EndpointUpdate> {
         let entries = names.iter().filter_map(|name| self.entries.get(self.ids.get(name)?));
         let listed: Vec<_> = entries.map(|entry| (entry.listed.clone(), entry.info.zone)).collect();
@@ -134,8 +135,8 @@
         (!infos.is_empty()).then_some(EndpointUpdate::Delta(infos))
     }
 
-    /// Sets the start times of endpoints from a configuration: one that is known under its name and address has not
-    /// restarted, any other may just have been started.
+    /// Sets the start times of endpoints from a configuration. An endpoint that is known under the same name and
+    /// address has not been restarted; any other one may just have been started.
     pub fn assign_start_times(&self, list: &mut EndpointList, now_ms: u64) {
         for endpoint in &mut list.endpoints {
             let entry = self.ids.get(&endpoint.name).and_then(|id| self.entries.get(id));
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Takes what an attempt showed of an endpoint that no discovery service watches: one that accepts connections after
-    /// it refused them has restarted, and gets a new start time.
+    /// Processes the connection result of an attempt, for endpoints without a discovery service. An endpoint that
+    /// accepts connections again after refusing them has been restarted, and gets a new start time.
     pub fn observe_connect_result(
         &mut self,
         id: EndpointId,
@@ -167,9 +168,9 @@
         Some(EndpointUpdate::Delta(Arc::from([entry.info.clone()])))
     }
 
-    /// Adds an endpoint or changes it; returns what the decision module needs to know of it. Another start time or
-    /// address means another process, which gets a connector of its own: what is on its way to the old process must not
-    /// reach the new one.
+    /// Adds or updates an endpoint; returns what the decision module needs to know about it. A different start time
+    /// or address means a different process, which gets a connector of its own, so that requests in flight to the old
+    /// process can't reach the new one.
     fn upsert(&mut self, listed: ListedEndpoint, zone: ZoneId) -> EndpointInfo {
         self.overrides.known.borrow_mut().add(&listed.name);
         let endpoint = self.with_override(&listed);
@@ -225,7 +226,8 @@
         }
     }
 
-    /// Returns an id that is the same at every node, since nodes order endpoints by id on a ring that they share.
+    /// Returns an id that is the same on every node, unless the hashes of two names collide, because nodes order
+    /// endpoints by id on a shared ring.
     fn id_for(&self, name: &str) -> EndpointId {
         if let Some(&id) = self.ids.get(name) {
             return id;
@@ -257,7 +259,7 @@
     unix_ms.saturating_mul(MILLISECOND)
 }
 
-/// A hash that is the same in every process.
+/// Returns a hash that is the same in every process.
 pub fn unseeded_hash(bytes: &[u8]) -> u64 {
     let mut hasher = FxHasher::default();
     hasher.write(bytes);
--- a/crates/node/src/net/exchange.rs
+++ b/crates/node/src/net/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests and responses on their way between listeners, pool loops and transports, whatever the protocols.
+//! Protocol-independent requests and responses that listeners, pool loops and transports exchange.
 
 use std::cell::Cell;
 use std::net::IpAddr;
@@ -14,45 +14,45 @@
 use crate::net::response_body::ResponseBody;
 use crate::net::upload::Upload;
 
-/// A request as it is sent to an endpoint.
+/// A request to send to an endpoint.
 #[derive(Default)]
 pub struct UpstreamRequest {
     /// Method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// End-to-end fields.
+    /// End-to-end header fields.
     pub headers: HeaderMap,
-    /// The body, or the part of it that is buffered.
+    /// The complete body, or its buffered part if the rest is streamed.
     pub body: Bytes,
-    /// The rest of the body, where it is streamed.
+    /// The rest of the body, if it is streamed.
     pub upload: Option<Rc<Upload>>,
-    /// The client's address, for protocols that pass it on.
+    /// The client's address, for protocols that forward it.
     pub client_ip: Option<IpAddr>,
-    /// The client has its final response or has disconnected: an attempt that is not written must not be, whether
-    /// attempts are cancelled or not. The pool loop alone sets it.
+    /// Set once the final response has been given or the client has disconnected. An attempt that has not written the
+    /// request by then must not write it, even if the attempt is not cancelled. Only the pool loop sets it.
     pub finished: Cell<bool>,
 }
 
-/// A client's request, with what the decision module needs to know of it.
+/// A client's request, with the metadata that the decision module needs.
 pub struct ProxyRequest {
-    /// Unique among the active requests of a node.
+    /// Correlation id, unique among the active requests of a node.
     pub correlation_id: Box<str>,
-    /// Index of its class.
+    /// Index of the request's class.
     pub class: usize,
-    /// Its tenant, where there are tenants.
+    /// The request's tenant, if tenants are configured.
     pub tenant: Option<TenantId>,
-    /// Expected cost.
+    /// Expected cost, if known.
     pub cost_hint: Option<Nanos>,
-    /// Requests of the same key are ordered.
+    /// Requests with the same key are kept in order.
     pub ordering_key: Option<Vec<u8>>,
-    /// Revision of the configuration that it was admitted under, where there are several.
+    /// Revision of the configuration under which the request was admitted, if the configuration has revisions.
     pub revision: Option<u64>,
-    /// How long the client waits from now on.
+    /// How long the client still waits.
     pub time_left: Duration,
-    /// How long it took to read the body.
+    /// Time taken to read the body.
     pub body_read_time: Duration,
-    /// What is sent to an endpoint.
+    /// The request to send to an endpoint.
     pub upstream: UpstreamRequest,
 }
 
@@ -60,7 +60,7 @@
 pub struct UpstreamResponse {
     /// Status.
     pub status: StatusCode,
-    /// Fields.
+    /// Header fields.
     pub headers: HeaderMap,
     /// Body.
     pub body: ResponseBody,
@@ -68,24 +68,24 @@
 
 /// The final response to a request.
 pub enum FinalResponse {
-    /// An endpoint's.
+    /// The response of an endpoint.
     Upstream(UpstreamResponse),
-    /// The request was not executed; a retry is possible after this delay, where it is known.
+    /// The request was not executed. The client may retry it after this delay, if one is known.
     Rejected(Option<Nanos>),
-    /// The request failed, and may have been executed.
+    /// The request failed and may have been executed.
     Failed,
-    /// The request has failed since its deadline has passed.
+    /// The request failed because its deadline has passed.
     DeadlineExceeded,
-    /// The client's body was too slow or incomplete while it was streamed.
+    /// The client's body was too slow or incomplete while it was streamed to an endpoint.
     BodyIncomplete,
-    /// The client's body proved too long while it was streamed.
+    /// The client's body exceeded the size limit while it was streamed to an endpoint.
     BodyTooLong,
-    /// The client has disconnected and gets no response.
+    /// The client has disconnected, so no response is sent.
     ClientDisconnected,
 }
 
 impl FinalResponse {
-    /// What it counts as.
+    /// Returns the outcome under which the statistics count the request.
     pub fn outcome(&self) -> RequestOutcome {
         match self {
             Self::Upstream(response) if response.status.is_server_error() => RequestOutcome::Failed,
--- a/crates/node/src/net/header_fields.rs
+++ b/crates/node/src/net/header_fields.rs
@@ -1,4 +1,4 @@
-//! Header fields that end at a hop, and those that a gateway adds.
+//! Hop-by-hop header fields, and the header fields that a gateway adds.
 
 use std::fmt::Write;
 use std::net::IpAddr;
@@ -6,10 +6,10 @@
 use hyper::Version;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 
-/// Longest head of an HTTP message, in bytes.
+/// Maximum size of the head of an HTTP message, in bytes.
 pub const MAX_HEAD_BYTES: usize = 32 << 10;
 
-/// Fields of one connection (RFC 9110 section 7.6.1), and those of the framing, which each side has its own of.
+/// Connection-specific fields (RFC 9110 section 7.6.1), and framing fields, which each connection sets for itself.
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -21,13 +21,13 @@
     header::EXPECT,
     header::CONTENT_LENGTH,
 ];
-/// Fields that are forwarded even if `Connection` names them: without them a request means something else.
+/// Fields that are forwarded even if `Connection` names them, because a request has a different meaning without them.
 const ALWAYS_FORWARDED: [HeaderName; 2] = [header::HOST, header::COOKIE];
 
-/// Longest entry of `Forwarded` without the host, in bytes.
+/// Maximum size of a `Forwarded` entry without the host, in bytes.
 const MAX_FORWARDED_BYTES: usize = 80;
 
-/// Removes the fields of this connection: the standard ones, and those that `Connection` names.
+/// Removes the hop-by-hop fields: the standard ones and those that `Connection` names.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -42,15 +42,15 @@
     }
 }
 
-/// Returns an entry of `Via` (RFC 9110 section 7.6.3): the version of the received message, and this gateway's name.
+/// Returns a `Via` entry (RFC 9110 section 7.6.3) with the version of the received message and this gateway's name.
 pub fn via(version: Version, name: &str) -> Option<HeaderValue> {
     let version = if version == Version::HTTP_10 { "1.0" } else { "1.1" };
     HeaderValue::from_str(&format!("{version} {name}")).ok()
 }
 
-/// Returns an entry of `Forwarded` (RFC 7239 section 4).
+/// Returns a `Forwarded` entry (RFC 7239 section 4).
 pub fn forwarded(peer: IpAddr, host: Option<&str>) -> Option<HeaderValue> {
-    // Built for every request, so with one allocation.
+    // Built for every request, so memory is allocated only once.
     let mut entry = String::with_capacity(MAX_FORWARDED_BYTES + host.map_or(0, str::len));
     let _ = match peer.to_canonical() {
         IpAddr::V4(peer) => write!(entry, "for={peer}"),
--- a/crates/node/src/net/mod.rs
+++ b/crates/node/src/net/mod.rs
@@ -1,9 +1,9 @@
 //! The request path: client connections, one event loop for each pool of endpoints, and connections to endpoints.
 //!
-//! No decision is made here; `pumicehead-policy` makes them all. A listener in [`downstream`] reads a request, has
-//! [`admission::Admission`] say which pool it goes to, and sends it to that pool's loop through a
-//! [`pool_handle::PoolHandle`]. The [`pool_loop`] starts attempts through the [`upstream::transport::Transport`] of
-//! the protocol that the endpoints speak.
+//! All load-balancing decisions are made by `pumicehead-policy`; this module carries them out. A listener in
+//! [`downstream`] reads a request, selects its pool through [`admission::Admission`], and sends it to that pool's
+//! event loop through a [`pool_handle::PoolHandle`]. The [`pool_loop`] starts attempts through the
+//! [`upstream::transport::Transport`] for the endpoints' protocol.
 
 pub mod active_requests;
 pub mod admin_overrides;
--- a/crates/node/src/net/pool_handle.rs
+++ b/crates/node/src/net/pool_handle.rs
@@ -1,4 +1,4 @@
-//! The handle through which listeners and the configuration reach a pool's event loop.
+//! The handle through which listeners and configuration changes reach a pool's event loop.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -21,13 +21,13 @@
 #[derive(Clone)]
 pub struct PoolHandle {
     messages: mpsc::UnboundedSender<PoolMessage>,
-    /// Shared by all clones; the loop sees through a weak reference whether any is left.
+    /// Shared by all clones. The event loop holds a weak reference, which tells it whether any clone is left.
     next_id: Rc<Cell<u32>>,
     active_requests: ActiveRequestIds,
     recorder: Option<RecorderSink>,
 }
 
-/// Reports a client disconnect to the loop, unless the response came first.
+/// Reports a client disconnect to the event loop when dropped, unless the response was received first.
 struct DisconnectNotifier<'a> {
     handle: &'a PoolHandle,
     id: RequestId,
@@ -43,7 +43,7 @@
 }
 
 impl PoolHandle {
-    /// Returns a handle, and what its loop needs to see whether any clone of it is left.
+    /// Returns a handle, and a weak reference that tells the event loop whether any clone of the handle is left.
     pub(in crate::net) fn new(
         messages: mpsc::UnboundedSender<PoolMessage>,
         active_requests: ActiveRequestIds,
@@ -54,7 +54,7 @@
         (Self { messages, next_id, active_requests, recorder }, alive)
     }
 
-    /// Records that a listener rejected a request of this class without asking the pool.
+    /// Records that a listener rejected a request of this class without sending it to the pool.
     pub fn record_local_rejection(&self, class: usize, reason: ListenerRejection) {
         if let Some(recorder) = &self.recorder {
             recorder.record(&Event::RejectedByListener { class: class as u16, reason });
@@ -63,7 +63,7 @@
 
     /// Sends a request to the pool and waits for its final response. Dropping the future reports a client disconnect.
     ///
-    /// Returns `None` where the correlation id is in use; the request is then not sent.
+    /// Returns `None`, without sending the request, if the correlation id is in use.
     pub async fn proxy(&self, request: ProxyRequest) -> Option<FinalResponse> {
         let id_guard = self.active_requests.claim(&request.correlation_id)?;
         let active_guard = self.active_requests.count_request();
@@ -93,12 +93,12 @@
         id
     }
 
-    /// Moves the watch to a discovery service at another address.
+    /// Switches the watch to the discovery service at another address.
     pub fn move_discovery(&self, address: SocketAddr) {
         self.send(PoolMessage::DiscoveryMoved(address));
     }
 
-    /// Replaces the endpoints of a pool whose list is in the configuration.
+    /// Replaces the endpoints of a pool that lists them in the configuration.
     pub fn set_endpoints(&self, list: EndpointList) {
         self.send(PoolMessage::SetEndpoints(list));
     }
@@ -108,42 +108,42 @@
         self.send(PoolMessage::UpdateSettings(settings));
     }
 
-    /// Sets how many nodes share the endpoints.
+    /// Sets how many nodes share the endpoints, and the index of this node.
     pub fn set_node_share(&self, share: NodeShare) {
         self.send(PoolMessage::SetNodeShare(share));
     }
 
-    /// Ends the loop after the last request that it has.
+    /// Ends the event loop once all its requests are done and no handle is left.
     pub fn retire(&self, reason: Retirement) {
         self.send(PoolMessage::Retire(reason));
     }
 
-    /// Applies changes of the admin overrides for endpoints of these names.
+    /// Applies changed admin overrides to the endpoints with these names.
     pub fn refresh_overrides(&self, names: Vec<String>) {
         self.send(PoolMessage::RefreshOverrides(names));
     }
 
-    /// Counts the endpoints; zero where the loop has ended.
+    /// Counts the endpoints; returns zero if the event loop has ended.
     pub async fn endpoint_counts(&self) -> EndpointCounts {
         let (reply, counts) = oneshot::channel();
         self.send(PoolMessage::CountEndpoints(reply));
         counts.await.unwrap_or_default()
     }
 
-    /// Returns what the decision module has learned; `None` where the loop has ended.
+    /// Returns what the decision module has learned, or `None` if the event loop has ended.
     pub async fn warm_state(&self) -> Option<WarmState> {
         let (reply, warm_state) = oneshot::channel();
         self.send(PoolMessage::GetWarmState(reply));
         warm_state.await.ok()
     }
 
-    /// Fails all active requests: the process is about to exit.
+    /// Fails all active requests, because the process is about to exit.
     pub fn fail_all(&self) {
         self.send(PoolMessage::FailAll);
     }
 
     fn send(&self, message: PoolMessage) {
-        // Fails where the loop has ended.
+        // Fails if the event loop has ended.
         let _ = self.messages.send(message);
     }
 }
--- a/crates/node/src/net/pool_message.rs
+++ b/crates/node/src/net/pool_message.rs
@@ -13,12 +13,12 @@
 use crate::net::exchange::{FinalResponse, ProxyRequest, UpstreamResponse};
 use crate::net::upstream::transport::AttemptResult;
 
-/// Number of endpoints of a pool.
+/// Numbers of endpoints in a pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointCounts {
-    /// All in the list.
+    /// All listed endpoints.
     pub listed: usize,
-    /// Those that get no new requests: drained, disabled by an operator, or ejected.
+    /// Endpoints that get no new requests: draining, disabled by an operator, ejected or unresponsive.
     pub unavailable: usize,
 }
 
@@ -26,18 +26,18 @@
 pub(super) struct NewProxyRequest {
     pub id: RequestId,
     pub request: ProxyRequest,
-    /// When it was sent to the loop; its time to live counts from here.
+    /// When the request was sent to the loop. Its deadline counts from this time.
     pub arrived: Instant,
     pub responder: oneshot::Sender<FinalResponse>,
     pub id_guard: Rc<RequestIdGuard>,
 }
 
-/// The end of an attempt.
+/// An attempt that has ended.
 pub(super) struct EndedAttempt {
     pub id: RequestId,
     pub attempt: AttemptNo,
     pub endpoint: EndpointId,
-    /// When it was started.
+    /// When the attempt was started.
     pub started_at: Nanos,
     pub result: AttemptResult,
 }
@@ -46,41 +46,41 @@
 pub(super) enum PoolMessage {
     Request(Box<NewProxyRequest>),
     ClientDisconnected(RequestId),
-    /// The head of a streamed response has come.
+    /// The start of a streamed response has been received.
     ResponseStarted {
         id: RequestId,
         attempt: AttemptNo,
         response: UpstreamResponse,
     },
     AttemptEnded(EndedAttempt),
-    /// A list from the watch of this number.
+    /// A list received by the watch with this number.
     ListReceived {
         watch: u64,
         list: EndpointList,
     },
-    /// The watch of this number has ended.
+    /// The watch with this number has ended.
     WatchEnded {
         watch: u64,
         error: WatchError,
     },
     DiscoveryMoved(SocketAddr),
-    /// The endpoints of the configuration.
+    /// Replaces the endpoints with those of the configuration.
     SetEndpoints(EndpointList),
     UpdateSettings(Box<Settings>),
     SetNodeShare(NodeShare),
     Retire(Retirement),
     FailAll,
-    /// Admin overrides have changed for endpoints of these names.
+    /// The admin overrides of the endpoints with these names have changed.
     RefreshOverrides(Vec<String>),
     CountEndpoints(oneshot::Sender<EndpointCounts>),
     GetWarmState(oneshot::Sender<WarmState>),
 }
 
-/// Why a pool's loop is to end.
+/// Why a pool's event loop has to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retirement {
-    /// The configuration has the pool no more: its endpoints are removed after a grace period.
+    /// The pool was removed from the configuration. Its endpoints are removed after a grace period.
     Removed,
-    /// Another loop serves the pool from now on: queued requests may still go to the endpoints.
+    /// Another loop serves the pool from now on. Queued requests may still be sent to the endpoints.
     Replaced,
 }
--- a/crates/node/src/net/recorder_sink.rs
+++ b/crates/node/src/net/recorder_sink.rs
@@ -1,4 +1,4 @@
-//! The way of events from the request path to the flight recorder.
+//! Passes events from the request path to the flight recorder.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,16 +10,16 @@
 
 use crate::net::clock::Clock;
 
-/// Greatest number of endpoints whose last state is remembered, to record changes alone.
+/// Maximum number of endpoints whose last state is tracked, so that only changes are recorded.
 const MAX_TRACKED_ENDPOINTS: usize = 20_000;
 
-/// A node's recorder; all events come from one thread.
+/// The flight recorder of a node. All events come from one thread.
 #[derive(Clone)]
 pub struct SharedRecorder(Rc<SharedRecorderState>);
 
 struct SharedRecorderState {
     recorder: RefCell<Recorder>,
-    /// The recorder's level, to be read without a borrow.
+    /// The recorder's level, readable without borrowing the recorder.
     level: Cell<Level>,
 }
 
@@ -30,13 +30,14 @@
         Self(Rc::new(SharedRecorderState { recorder: RefCell::new(recorder), level }))
     }
 
-    /// Sets how much is recorded.
+    /// Sets the recording level.
     pub fn set_level(&self, level: Level) {
         self.0.recorder.borrow_mut().set_level(level);
         self.0.level.set(level);
     }
 
-    /// Uses the recorder; `None` where it is in use, as in a panic within a record.
+    /// Calls `operation` with the recorder. Returns `None` if the recorder is in use, as in a panic while an event is
+    /// being recorded.
     pub fn with<T>(&self, operation: impl FnOnce(&mut Recorder) -> T) -> Option<T> {
         self.0.recorder.try_borrow_mut().ok().map(|mut recorder| operation(&mut recorder))
     }
@@ -48,34 +49,34 @@
     shared: SharedRecorder,
     clock: Clock,
     pool: PoolId,
-    /// The state that was recorded last of each endpoint.
+    /// The last recorded state of each endpoint.
     last_states: Rc<RefCell<FxHashMap<EndpointId, EndpointState>>>,
 }
 
 impl RecorderSink {
-    /// A sink for the events of a pool.
+    /// Returns a sink for the events of a pool.
     pub fn new(shared: &SharedRecorder, clock: Clock, pool: PoolId) -> Self {
         Self { shared: shared.clone(), clock, pool, last_states: Rc::default() }
     }
 
-    /// Whether anything is recorded.
+    /// Whether recording is enabled.
     pub fn is_recording(&self) -> bool {
         self.shared.0.level.get() != Level::Off
     }
 
-    /// Records an event at the time now.
+    /// Records an event with the current time.
     pub fn record(&self, event: &Event) {
         if self.is_recording() {
             self.record_at(self.clock.now(), event);
         }
     }
 
-    /// Records an event at a time.
+    /// Records an event with the given time.
     pub fn record_at(&self, at: Nanos, event: &Event) {
         self.shared.with(|recorder| recorder.record(at, self.pool, event));
     }
 
-    /// Records the endpoints whose state an update changes; `name` looks up their names.
+    /// Records the changed states of endpoints in an update; `name` looks up endpoint names.
     pub fn record_endpoints<'a>(
         &self,
         update: &EndpointUpdate,
@@ -102,7 +103,7 @@
         self.record(&Event::EndpointStateChanged { endpoint: info.id, state: info.state });
     }
 
-    /// Remembers an endpoint's state; returns whether it has changed.
+    /// Stores the state of an endpoint; returns whether it has changed.
     fn update_last_state(&self, id: EndpointId, state: EndpointState) -> bool {
         let mut last_states = self.last_states.borrow_mut();
         if last_states.get(&id) == Some(&state) {
--- a/crates/node/src/net/upload.rs
+++ b/crates/node/src/net/upload.rs
@@ -1,4 +1,5 @@
-//! The streamed rest of a request's body. It goes to one endpoint, and can't be sent again once it has begun.
+//! The streamed part of a request's body. It is sent to a single endpoint, and can't be sent again once streaming has
+//! started.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -11,16 +12,16 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use pumicehead_slow_peer::{PaceError, PaceLimits, PaceMonitor, Side};
 
-/// A client that has begun to send may be silent for this long.
+/// Maximum pause of a client that has started to send its body.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// A client has to send [`MIN_WINDOW_BYTES`] within this time.
+/// Window in which a client has to send at least [`MIN_WINDOW_BYTES`].
 const PACE_WINDOW: Duration = Duration::from_secs(4);
-/// 4 KiB a second; clients on slow lines send 64 kB a second.
+/// 4 KiB/s; clients on slow links send 64 kB/s.
 const MIN_WINDOW_BYTES: u64 = 16 << 10;
-/// Longest duration of an upload: 32 MB at 64 kB a second take 500 s.
+/// Maximum duration of an upload. For comparison, 32 MB at 64 kB/s take 500 s.
 const MAX_DURATION: Duration = Duration::from_secs(900);
 
-/// Bounds on the pace of uploads.
+/// Pace limits of uploads.
 pub const UPLOAD_PACE_LIMITS: PaceLimits = PaceLimits {
     idle_timeout: IDLE_TIMEOUT,
     window: PACE_WINDOW,
@@ -29,36 +30,36 @@
     min_ahead: PACE_WINDOW,
 };
 
-/// How far an upload has come.
+/// Progress of an upload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Nothing beyond the buffered part has been read.
+    /// Only the buffered part has been read.
     Buffered,
-    /// It is sent to an endpoint.
+    /// The rest is being sent to an endpoint.
     InProgress,
-    /// Its last byte was sent then.
+    /// The last byte was handed over for sending at this time.
     Completed(Instant),
-    /// The client broke it off, or was too slow.
+    /// The client aborted the upload or was too slow.
     Incomplete,
-    /// It is longer than it may be.
+    /// The body exceeds the size limit.
     TooLong,
 }
 
-/// The part of a body that is not buffered.
+/// The part of a request's body that is not buffered.
 pub struct Upload {
     rest: RefCell<Option<Incoming>>,
     pace: RefCell<PaceMonitor>,
     stage: Cell<Stage>,
-    /// The whole body's stated length.
+    /// Length of the whole body, if stated.
     length: Option<u64>,
-    /// Number of bytes that may still come.
+    /// Number of further bytes that are allowed.
     allowed: Cell<u64>,
-    /// How long the client waits after the last byte.
+    /// How long the client waits for its response after the last byte of the body.
     pub time_left: Duration,
 }
 
 impl Upload {
-    /// The rest of a body whose start is buffered: at most `allowed` bytes.
+    /// Returns the rest of a body whose start is buffered. At most `allowed` more bytes are accepted.
     pub fn new(rest: Incoming, length: Option<u64>, allowed: u64, time_left: Duration) -> Rc<Self> {
         Rc::new(Self {
             rest: RefCell::new(Some(rest)),
@@ -70,35 +71,35 @@
         })
     }
 
-    /// Whether part of it was sent, so that it can't be sent again.
+    /// Whether streaming has started, so that the body can't be sent again.
     pub fn has_started(&self) -> bool {
         self.stage.get() != Stage::Buffered
     }
 
-    /// When its last byte was sent.
+    /// When the last byte was handed over for sending.
     pub fn completed_at(&self) -> Option<Instant> {
         if let Stage::Completed(at) = self.stage.get() { Some(at) } else { None }
     }
 
-    /// Whether it failed by the client's fault.
+    /// Whether the upload failed because of the client.
     pub fn is_client_fault(&self) -> bool {
         matches!(self.stage.get(), Stage::Incomplete | Stage::TooLong)
     }
 
-    /// Whether it is longer than it may be, which shows late where no length is stated.
+    /// Whether the body exceeds the size limit. If no length is stated, this is only detected while streaming.
     pub fn is_too_long(&self) -> bool {
         self.stage.get() == Stage::TooLong
     }
 
-    /// Whether it has started and not ended.
+    /// Whether the upload has started and not ended.
     pub fn is_in_progress(&self) -> bool {
         self.stage.get() == Stage::InProgress
     }
 
-    /// Checks its pace while it is in progress.
+    /// Checks the pace of the upload while it is in progress.
     ///
     /// # Errors
-    /// The side that is too slow; the source is the client.
+    /// Which pace limit was violated, and by which side; the source is the client.
     pub fn check_pace(&self) -> Result<(), PaceError> {
         if !self.is_in_progress() {
             return Ok(());
@@ -115,7 +116,7 @@
         pace
     }
 
-    /// The whole body's stated length.
+    /// Length of the whole body, if stated.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
@@ -150,7 +151,8 @@
                 }
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    // With a stated length the library need not be polled for the end.
+                    // With a stated length, the end is known with the last frame, and the body may not be polled
+                    // again.
                     let is_last = body.is_end_stream();
                     Poll::Ready(Some(self.on_data(data, is_last, now)))
                 }
@@ -172,16 +174,16 @@
     }
 }
 
-/// A request's body as it is sent to an endpoint: the buffered part, then the rest.
+/// The body of a request to an endpoint: the buffered part, followed by the streamed rest.
 pub struct OutgoingBody {
     buffered: Bytes,
     upload: Option<Rc<Upload>>,
-    /// Number of bytes that were handed over.
+    /// Number of bytes handed over for sending.
     sent: u64,
 }
 
 impl OutgoingBody {
-    /// A body of which nothing is sent yet.
+    /// Returns a body of which nothing has been sent yet.
     pub fn new(buffered: Bytes, upload: Option<Rc<Upload>>) -> Self {
         Self { buffered, upload, sent: 0 }
     }
