--- a/crates/node/src/net/upstream/connect.rs
+++ b/crates/node/src/net/upstream/connect.rs
@@ -10,7 +10,7 @@
 /// Waits for a connection; a timeout or an error ends the attempt.
 ///
 /// # Errors
-/// The result of the attempt.
+/// The result of the attempt, if no connection was established.
 pub(super) async fn connect<S>(
     connecting: impl Future<Output = io::Result<S>>,
     connect_timeout: Duration,
@@ -22,7 +22,8 @@
     }
 }
 
-/// Whether no process listens at the address. A Unix socket without a process may not exist at all.
+/// Whether the error shows that no process listens at the address. The file of a Unix socket may not exist if no
+/// process listens on it.
 fn is_refusal(error: io::ErrorKind) -> bool {
     matches!(error, io::ErrorKind::ConnectionRefused | io::ErrorKind::NotFound)
 }
--- a/crates/node/src/net/upstream/connection_registry.rs
+++ b/crates/node/src/net/upstream/connection_registry.rs
@@ -1,4 +1,4 @@
-//! The node's limit of connections to endpoints, shared by all pools and protocols, and its idle connections.
+//! The node's limit on connections to endpoints, shared by all pools and protocols, and its idle connections.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -6,19 +6,19 @@
 
 use tokio::time::Instant;
 
-/// Share of an endpoint's idle timeout after which this node closes an idle connection: a request that meets the
-/// endpoint's close would end as a reset.
+/// Fraction of an endpoint's idle timeout after which this node closes an idle connection. A request that is sent
+/// while the endpoint closes the connection would end as a reset.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
-/// Least time between two sweeps. The loop of each pool asks for one a second, and each sweep visits the connections of
-/// all pools.
+/// Minimum time between two sweeps. The event loop of each pool requests a sweep every second, and each sweep visits
+/// the connections of all pools.
 const MIN_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Returns for how long this node keeps an idle connection, of an endpoint that closes it after `server_idle_timeout`.
+/// Returns how long this node keeps an idle connection to an endpoint that closes it after `server_idle_timeout`.
 pub fn max_idle_time(server_idle_timeout: Duration) -> Duration {
     server_idle_timeout.mul_f64(IDLE_TIMEOUT_FRACTION)
 }
 
-/// Counts as one connection to an endpoint.
+/// Counts as one connection to an endpoint until dropped.
 pub struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl Drop for ConnectionPermit {
@@ -29,30 +29,31 @@
 
 /// The idle connections of an endpoint.
 pub trait IdleConnections {
-    /// Whether the endpoint is registered; [`ConnectionRegistry`] alone changes it.
+    /// Whether the endpoint is registered. Only [`ConnectionRegistry`] changes this flag.
     fn registered(&self) -> &Cell<bool>;
 
-    /// Since when the connection that has been idle longest is idle; `None` where there is none.
+    /// Returns since when the longest idle connection has been idle, or `None` if there is no idle connection.
     fn oldest_idle_since(&self) -> Option<Instant>;
 
-    /// Closes the connection that has been idle longest.
+    /// Closes the longest idle connection.
     fn close_oldest(&self);
 
-    /// Closes connections that have been idle for too long or were closed by the endpoint; returns whether any is left.
+    /// Closes connections that have been idle for too long or were closed by the endpoint; returns whether any
+    /// connection is left.
     fn sweep(&self, now: Instant) -> bool;
 }
 
-/// The connections of all pools.
+/// Registry of the connections of all pools.
 pub struct ConnectionRegistry {
     limit: usize,
     open_count: Rc<Cell<usize>>,
-    /// Endpoints with idle connections.
+    /// Endpoints that may have idle connections.
     idle: RefCell<Vec<Rc<dyn IdleConnections>>>,
     last_sweep: Cell<Option<Instant>>,
 }
 
 impl ConnectionRegistry {
-    /// A registry of at most `limit` connections.
+    /// Returns a registry that allows at most `limit` connections.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self {
             limit,
@@ -62,8 +63,8 @@
         })
     }
 
-    /// Returns a permit for one more connection. At the limit the connection that has been idle longest is closed; `None`
-    /// where there is none.
+    /// Returns a permit for one more connection. At the limit, closes the longest idle connection, or returns `None`
+    /// if there is no idle connection.
     pub fn acquire(&self) -> Option<ConnectionPermit> {
         if self.open_count.get() >= self.limit {
             let endpoints = self.idle.borrow();
@@ -75,16 +76,16 @@
         Some(ConnectionPermit(self.open_count.clone()))
     }
 
-    /// Registers an endpoint that has idle connections, unless it is registered.
+    /// Registers an endpoint that has idle connections, unless it is already registered.
     pub fn register<T: IdleConnections + 'static>(&self, endpoint: &Rc<T>) {
-        // The flag spares a search among a thousand endpoints after every response.
+        // The flag avoids a search through a thousand endpoints after every response.
         if !endpoint.registered().replace(true) {
             self.idle.borrow_mut().push(endpoint.clone());
         }
     }
 
-    /// Closes connections that have been idle for too long, and forgets endpoints without idle connections. Does nothing
-    /// within [`MIN_SWEEP_INTERVAL`] of the last sweep.
+    /// Closes connections that have been idle for too long, and unregisters endpoints that have no connections left.
+    /// Does nothing within [`MIN_SWEEP_INTERVAL`] of the last sweep.
     pub fn sweep(&self) {
         let now = Instant::now();
         if self.last_sweep.get().is_some_and(|last| now < last + MIN_SWEEP_INTERVAL) {
--- a/crates/node/src/net/upstream/fastcgi/connection.rs
+++ b/crates/node/src/net/upstream/fastcgi/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a FastCGI endpoint, as the attempts that use it see it.
+//! The handle of a connection to a FastCGI endpoint, which its driver shares with the attempts that use it.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,22 +18,22 @@
     pub value: Bytes,
 }
 
-/// A request for a connection.
+/// A request to send on a connection.
 pub(super) struct FastCgiRequest {
     pub params: Vec<Param>,
     pub body: Bytes,
     pub method: Method,
-    /// Greatest number of bytes of the response's body.
+    /// Maximum size of the response's body, in bytes.
     pub max_body: u64,
-    /// Memory for a long body.
+    /// Memory reservation for a long response body.
     pub reservation: Reservation,
-    /// Takes the result of the attempt; dropped where nothing was written.
+    /// Receives the result of the attempt; dropped without a result if nothing was written.
     pub result: oneshot::Sender<AttemptResult>,
-    /// Set once part of it may have been written.
+    /// Set once part of the request may have been written.
     pub is_written: Rc<Cell<bool>>,
 }
 
-/// A command for the connection's driver; requests have numbers.
+/// A command for the connection's driver. Requests are identified by numbers.
 pub(super) enum ConnectionCommand {
     Send(u64, FastCgiRequest),
     Abort(u64),
@@ -44,9 +44,9 @@
     commands: mpsc::UnboundedSender<ConnectionCommand>,
     /// Number of requests that have not ended.
     pub in_flight: Cell<usize>,
-    /// It takes no more requests.
+    /// Whether the connection accepts no more requests.
     pub closed: Cell<bool>,
-    /// Since when it has had no request.
+    /// When the last request on the connection ended.
     pub idle_since: Cell<Instant>,
     /// Wakes the driver after `closed` was set.
     pub close: Notify,
@@ -55,7 +55,7 @@
     pub stream: RefCell<Option<CountingStream>>,
 }
 
-/// A request on a connection. Dropped before its end, the request is aborted.
+/// Aborts a request on a connection when dropped, unless the request has ended.
 pub(super) struct AbortGuard {
     connection: Rc<FastCgiConnection>,
     number: u64,
@@ -63,7 +63,7 @@
 }
 
 impl AbortGuard {
-    /// The request has ended.
+    /// Disarms the guard because the request has ended.
     pub fn disarm(mut self) {
         self.is_armed = false;
     }
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Sends a request. Where the driver has ended, the request is dropped, and its result with it.
+    /// Sends a request. If the driver has ended, the request is dropped together with the sender of its result.
     pub fn send(self: &Rc<Self>, request: FastCgiRequest) -> AbortGuard {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
@@ -99,7 +99,7 @@
         AbortGuard { connection: self.clone(), number, is_armed: true }
     }
 
-    /// A request has ended.
+    /// Counts a request as ended.
     pub fn end_request(&self) {
         let in_flight = self.in_flight.get().saturating_sub(1);
         self.in_flight.set(in_flight);
@@ -108,18 +108,19 @@
         }
     }
 
-    /// Whether it has no request.
+    /// Whether the connection has no request in flight.
     pub fn is_idle(&self) -> bool {
         self.in_flight.get() == 0
     }
 
-    /// Whether a request may be sent on it. The kernel is asked: the event loop may not have seen the endpoint's close.
+    /// Whether a request may be sent on the connection. Queries the kernel, because the event loop may not have seen
+    /// yet that the endpoint has closed the connection.
     pub fn is_open(&self) -> bool {
         let stream = self.stream.borrow();
         !self.closed.get() && stream.as_ref().is_some_and(|stream| stream.unread() != UnreadState::Closed)
     }
 
-    /// Closes it after its last request, at once if it has none.
+    /// Closes the connection after its last request, or immediately if it has none.
     pub fn retire(&self) {
         self.closed.set(true);
         self.close.notify_one();
--- a/crates/node/src/net/upstream/fastcgi/connector.rs
+++ b/crates/node/src/net/upstream/fastcgi/connector.rs
@@ -1,4 +1,5 @@
-//! Attempts at one process of a FastCGI endpoint: kept connections, with as many requests on each as the endpoint allows.
+//! Attempts at one process of a FastCGI endpoint, over persistent connections with as many concurrent requests as the
+//! endpoint allows.
 
 use std::borrow::Cow;
 use std::cell::Cell;
@@ -28,16 +29,17 @@
     AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, OnResponseStarted,
 };
 
-/// Longest wait for the values that an endpoint states; one that states none gets one request at a time on a connection.
+/// Maximum time to wait for the values of an endpoint. An endpoint that returns none gets one request at a time on a
+/// connection.
 const VALUES_TIMEOUT: Duration = Duration::from_millis(250);
-/// Greatest number of requests on one connection, whatever the endpoint states: they fail together.
+/// Maximum number of requests on one connection, regardless of the endpoint's values, because they all fail together.
 const MAX_REQUESTS_PER_CONNECTION: usize = 64;
 
-/// The values that an endpoint states of itself (`FCGI_GET_VALUES`).
+/// The values that an endpoint returns about itself (`FCGI_GET_VALUES`).
 #[derive(Clone, Copy)]
 enum ServerValues {
     NotRequested,
-    /// It closed the connection or was silent; they are not requested again.
+    /// The endpoint closed the connection or did not respond; the values are not requested again.
     Unavailable,
     Known(Values),
 }
@@ -48,7 +50,7 @@
     settings: Rc<FastCgiSettings>,
     endpoint: Rc<EndpointConnections>,
     values: Cell<ServerValues>,
-    /// Held by the one attempt that requests the values.
+    /// Held by the attempt that requests the values.
     values_request: Semaphore,
     driver_context: DriverContext,
 }
@@ -83,7 +85,7 @@
             tokio::select! {
                 biased;
                 result = self.exchange(&request, deadlines, is_written.clone()) => result,
-                // The sender lives as long as the attempt is in flight.
+                // The sender is kept while the attempt is in flight, so the channel only completes on a cancellation.
                 _ = cancel => AttemptResult::without_response(AttemptOutcome::Cancelled),
                 // A timeout before anything was written proves that the request was not executed.
                 () = sleep_until(deadlines.deadline) => AttemptResult::without_response(
@@ -123,7 +125,7 @@
             Ok(connection) => connection,
             Err(result) => return result,
         };
-        // Time has passed until there is a connection: the deadlines, the endpoint and the client are checked again.
+        // Since it may take time to get a connection, the deadlines, the endpoint and the client are checked again.
         let not_sent = AttemptResult::without_response(AttemptOutcome::NotSent);
         let time_left = deadlines.time_left(Instant::now());
         if time_left.is_zero() || !self.endpoint.is_usable.get() || request.finished.get() {
@@ -143,12 +145,12 @@
         });
         let result = result.await;
         abort_guard.disarm();
-        // The connection ended as the request came to it: nothing of it was written.
+        // The connection ended before any part of the request was written.
         let not_written = FastCgiEnding::ConnectionLost { request_written: false };
         result.unwrap_or_else(|_| AttemptResult::without_response(not_written.classify().outcome))
     }
 
-    /// Returns the variables of a request; `None` where it can't be expressed in variables.
+    /// Returns the variables of a request, or `None` if it can't be expressed in variables.
     fn params(&self, request: &UpstreamRequest, time_left: Duration) -> Option<Vec<Param>> {
         let mut headers = request.headers.clone();
         headers.insert("x-time-left", format!("{}u", time_left.as_micros()).parse().ok()?);
@@ -166,7 +168,7 @@
         Some(list.into_iter().map(owned).collect())
     }
 
-    /// Greatest number of requests on one connection.
+    /// Returns the maximum number of requests on one connection.
     fn max_requests_per_connection(&self) -> usize {
         match self.values.get() {
             ServerValues::Known(Values { multiplexes: Some(true), requests, .. }) => requests
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Returns a connection that takes another request, or the attempt's result where there is none.
+    /// Returns a connection that accepts another request, or the attempt's result if there is none.
     async fn connection(&self) -> Result<Rc<FastCgiConnection>, AttemptResult> {
         if matches!(self.values.get(), ServerValues::NotRequested) {
             // Other attempts wait for the one that requests the values.
@@ -196,7 +198,8 @@
         }
     }
 
-    /// Whether the endpoint has said that it takes no more requests, or no more connections where none is free.
+    /// Whether the limits stated by the endpoint allow no more requests, or no more connections if none has capacity
+    /// left.
     fn is_at_capacity(&self, has_free_connection: bool) -> bool {
         let ServerValues::Known(values) = self.values.get() else { return false };
         let EndpointLoad { connections, in_flight } = self.endpoint.load();
@@ -205,8 +208,8 @@
             || !has_free_connection && reached(values.connections, connections)
     }
 
-    /// Establishes the first connection and requests the endpoint's values on it. Where the endpoint closes it for that,
-    /// another one is established: no request has been sent.
+    /// Establishes the first connection and requests the endpoint's values on it. If the endpoint closes it in
+    /// response, another connection is established, which is safe because no request has been sent.
     async fn connect_and_request_values(&self) -> Result<Rc<FastCgiConnection>, AttemptResult> {
         let (sender, values) = oneshot::channel();
         let connection = self.connect(Some(sender)).await?;
@@ -222,7 +225,7 @@
         Ok(connection)
     }
 
-    /// Establishes a connection; `values` takes the endpoint's values, which are then requested on it.
+    /// Establishes a connection. If `values` is given, the endpoint's values are requested on it and sent there.
     async fn connect(
         &self,
         values: Option<oneshot::Sender<Values>>,
--- a/crates/node/src/net/upstream/fastcgi/driver.rs
+++ b/crates/node/src/net/upstream/fastcgi/driver.rs
@@ -21,25 +21,25 @@
 use crate::net::upstream::connection_registry::ConnectionPermit;
 use crate::net::upstream::transport::AttemptResult;
 
-/// Bytes that are read at once.
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 16 << 10;
-/// Room for the records of a request beside its body, in bytes.
+/// Initial buffer capacity for the records of a request in addition to its body, in bytes.
 const REQUEST_RECORDS_BYTES: usize = 1_024;
-/// Longest wait for the end of an aborted request before its connection takes no more requests.
+/// Maximum time to wait for the end of an aborted request, after which its connection accepts no more requests.
 const ABORT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Least time between two log lines about an endpoint's standard error.
+/// Minimum time between two log lines about an endpoint's standard error.
 const STDERR_LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// Most that such a line shows of it.
+/// Maximum number of bytes of standard error in such a line.
 const MAX_STDERR_LOG_BYTES: usize = 200;
 
-/// What the drivers of an endpoint's connections share.
+/// State shared by the drivers of an endpoint's connections.
 #[derive(Clone)]
 pub(super) struct DriverContext {
-    /// A connection may carry several requests at once.
+    /// Whether a connection may carry several requests at once.
     pub multiplexes: Rc<Cell<bool>>,
     /// The endpoint's address, for the log.
     pub endpoint: Rc<str>,
-    /// When its standard error was logged last.
+    /// When the endpoint's standard error was last logged.
     pub last_stderr_log: Rc<Cell<Option<Instant>>>,
 }
 
@@ -52,12 +52,12 @@
     commands: mpsc::UnboundedReceiver<ConnectionCommand>,
     client: Client,
     output: VecDeque<Bytes>,
-    /// Bytes that were put into the output since the start.
+    /// Number of bytes put into the output since the start.
     bytes_queued: u64,
-    /// Bytes of these that were written.
+    /// Number of these bytes that were written.
     bytes_written: u64,
     pending: HashMap<RequestId, PendingRequest>,
-    /// Aborted requests that the application has not ended, and when each was aborted.
+    /// Aborted requests that the application has not ended yet, with the time of the abort.
     aborted: HashMap<RequestId, Instant>,
     values: Option<oneshot::Sender<Values>>,
     context: DriverContext,
@@ -65,8 +65,8 @@
 }
 
 impl ConnectionDriver {
-    /// Returns the driver of a connection that was established. Where `values` is given, the endpoint's values are
-    /// requested first.
+    /// Returns the driver of an established connection. If `values` is given, the endpoint's values are requested
+    /// first.
     pub fn new(
         stream: CountingStream,
         context: DriverContext,
@@ -93,13 +93,13 @@
         (driver, connection)
     }
 
-    /// Runs until the connection ends or is of no further use.
+    /// Runs until the connection ends or is no longer needed.
     pub async fn run(mut self) {
         self.request_values();
         let connection = self.connection.clone();
         let mut input = vec![0; READ_BYTES];
         while !self.is_done() {
-            // Some applications never end a request that was aborted.
+            // Some applications never end an aborted request.
             let abort_due = self.aborted.values().min().map(|since| *since + ABORT_TIMEOUT);
             let unused = Instant::now() + ABORT_TIMEOUT;
             let stays_open = tokio::select! {
@@ -142,11 +142,12 @@
         self.output.push_back(output.freeze());
     }
 
-    /// Carries out a command; returns whether the connection goes on.
+    /// Executes a command; returns whether the connection stays open.
     async fn on_command(&mut self, command: Option<ConnectionCommand>) -> bool {
         match command {
             Some(ConnectionCommand::Send(number, request)) => {
-                // A request that is written after the endpoint has closed may have been executed, for all that is known.
+                // If a request is written after the endpoint has closed the connection, it can't be ruled out that it
+                // was executed.
                 if self.pending.is_empty() && self.reader.unread() == UnreadState::Closed {
                     return false;
                 }
@@ -176,8 +177,8 @@
         self.pending.insert(id, PendingRequest::new(number, request, self.bytes_queued));
     }
 
-    /// Aborts a request that nobody waits for any more; returns whether the connection goes on. One that carries a single
-    /// request at a time ends.
+    /// Aborts a request that is no longer awaited; returns whether the connection stays open. A connection that
+    /// carries one request at a time is closed.
     async fn abort(&mut self, number: u64) -> bool {
         let found = self.pending.iter().find(|(_, pending)| pending.number == number);
         let Some(id) = found.map(|(id, _)| *id) else { return true };
@@ -190,7 +191,8 @@
         if self.context.multiplexes.get() && !self.connection.closed.get() {
             return true;
         }
-        // Writes what the kernel takes at once, so that the application sees the abort before the connection's end.
+        // Writes as much as the kernel accepts immediately, so that the application sees the abort before the
+        // connection is closed.
         if let Some(front) = self.output.front()
             && let Ok(Ok(count)) = timeout(Duration::ZERO, self.writer.write(front)).await
         {
@@ -199,7 +201,7 @@
         !self.pending.is_empty()
     }
 
-    /// Takes the result of a write; returns whether the connection goes on.
+    /// Handles the result of a write; returns whether the connection stays open.
     fn on_written(&mut self, written: io::Result<usize>) -> bool {
         match written {
             Ok(count) if count > 0 => {
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Removes bytes that were written from the output.
+    /// Removes written bytes from the output.
     fn advance(&mut self, count: usize) {
         self.bytes_written += count as u64;
         if let Some(front) = self.output.front_mut() {
@@ -221,7 +223,7 @@
         }
     }
 
-    /// Takes bytes from the endpoint; returns whether the connection goes on.
+    /// Handles bytes from the endpoint; returns whether the connection stays open.
     fn on_input(&mut self, input: &[u8]) -> bool {
         let mut events = Vec::new();
         let result = self.client.receive(input, &mut events);
@@ -251,7 +253,7 @@
     fn on_request_ended(&mut self, id: RequestId, end: End) {
         self.aborted.remove(&id);
         if let Some(pending) = self.pending.remove(&id) {
-            // Before the result is sent, so that the next attempt finds the connection free.
+            // This happens before the result is sent, so that the next attempt finds the connection free.
             self.connection.end_request();
             pending.finish(end);
         }
@@ -270,7 +272,7 @@
         warn!(target: "fastcgi", endpoint = %self.context.endpoint, "stderr: {shown}");
     }
 
-    /// The connection has ended, and all requests on it with it.
+    /// Fails all requests on the connection, which has ended.
     fn close(mut self) {
         self.connection.closed.set(true);
         self.connection.stream.take();
--- a/crates/node/src/net/upstream/fastcgi/endpoint_connections.rs
+++ b/crates/node/src/net/upstream/fastcgi/endpoint_connections.rs
@@ -16,16 +16,16 @@
     /// Whether requests may be written.
     pub is_usable: Cell<bool>,
     connections: RefCell<Vec<Rc<FastCgiConnection>>>,
-    /// Idle connections are kept for this long.
+    /// How long idle connections are kept.
     max_idle: Duration,
     registered: Cell<bool>,
 }
 
-/// How much an endpoint has from this node.
+/// The load of an endpoint from this node.
 pub(super) struct EndpointLoad {
     /// Number of connections.
     pub connections: usize,
-    /// Number of requests on all of them.
+    /// Number of requests on all connections.
     pub in_flight: usize,
 }
 
@@ -44,7 +44,8 @@
         self.connections.borrow_mut().push(connection);
     }
 
-    /// Closes idle connections. Those of a retired endpoint that carry requests close after the last of these.
+    /// Closes idle connections. If the endpoint is retired, connections that carry requests are closed after their
+    /// last request.
     pub fn close_idle(&self) {
         let is_usable = self.is_usable.get();
         self.connections.borrow_mut().retain(|connection| {
@@ -56,14 +57,15 @@
         });
     }
 
-    /// Forgets connections that take no more requests.
+    /// Removes connections that accept no more requests.
     pub fn remove_closed(&self) {
         self.connections
             .borrow_mut()
             .retain(|connection| !connection.is_idle() && !connection.closed.get() || connection.is_open());
     }
 
-    /// Returns the connection with the most requests below `max`, so that others become idle and expire.
+    /// Returns the connection with the most requests in flight below `max`, so that other connections become idle and
+    /// expire.
     pub fn most_loaded_with_capacity(&self, max: usize) -> Option<Rc<FastCgiConnection>> {
         let connections = self.connections.borrow();
         let free = connections.iter().filter(|connection| connection.in_flight.get() < max);
--- a/crates/node/src/net/upstream/fastcgi/mod.rs
+++ b/crates/node/src/net/upstream/fastcgi/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints that speak FastCGI. Client connections over FastCGI are in `downstream/fastcgi`.
+//! The transport for endpoints that speak FastCGI. Client connections over FastCGI are in `downstream/fastcgi`.
 
 mod connection;
 mod connector;
--- a/crates/node/src/net/upstream/fastcgi/pending_request.rs
+++ b/crates/node/src/net/upstream/fastcgi/pending_request.rs
@@ -1,4 +1,4 @@
-//! A request on a FastCGI connection, and the response as far as it has come.
+//! A request on a FastCGI connection, and the part of its response received so far.
 
 use bytes::BytesMut;
 use hyper::header::{self, HeaderMap, HeaderValue};
@@ -17,7 +17,7 @@
 pub(super) struct PendingRequest {
     pub number: u64,
     request: FastCgiRequest,
-    /// Number of bytes that the connection has written once all of this request is written.
+    /// Number of bytes that the connection has written once this request is written completely.
     written_at: u64,
     head_reader: HeadReader,
     head: Option<AnswerHead>,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Takes a part of the application's output.
+    /// Handles a part of the application's output.
     pub fn on_output(&mut self, part: &[u8]) {
         self.is_empty = false;
         if self.is_malformed {
@@ -73,14 +73,14 @@
         self.body.extend_from_slice(part);
     }
 
-    /// Whether the response has no body, whatever the application writes.
+    /// Whether the response has no body, regardless of what the application writes.
     fn is_bodiless(&self) -> bool {
         let status = self.head.as_ref().map(|head| head.status);
         self.request.method == Method::HEAD
             || matches!(status, Some(StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED))
     }
 
-    /// The application has ended the request.
+    /// Sends the result of a request that the application has ended.
     pub fn finish(mut self, end: End) {
         let class = FastCgiEnding::Completed(end, self.progress()).classify();
         let is_bodiless = self.is_bodiless();
@@ -90,7 +90,7 @@
         let response = head.map(|AnswerHead { status, mut headers }| {
             let length = content_length(&headers).cloned();
             strip_hop_by_hop(&mut headers);
-            // Of a response without a body it states what the body's length would be.
+            // For a response without a body, this field states how long the body would be.
             if let Some(length) = length.filter(|_| is_bodiless && status != StatusCode::NO_CONTENT) {
                 headers.insert(header::CONTENT_LENGTH, length);
             }
@@ -118,7 +118,8 @@
         })
     }
 
-    /// The connection has ended after `written` bytes of its output; what was not written never arrived.
+    /// Sends the result of a request whose connection ended after `written` bytes of output. Bytes that were not
+    /// written never arrived.
     pub fn fail(self, written: u64) {
         let ending = FastCgiEnding::ConnectionLost { request_written: written >= self.written_at };
         let _ = self.request.result.send(AttemptResult::without_response(ending.classify().outcome));
--- a/crates/node/src/net/upstream/fastcgi/transport.rs
+++ b/crates/node/src/net/upstream/fastcgi/transport.rs
@@ -11,19 +11,19 @@
 use crate::net::upstream::connection_registry::ConnectionRegistry;
 use crate::net::upstream::transport::{EndpointConnector, Transport};
 
-/// What the connectors of a pool share.
+/// Settings shared by the connectors of a pool.
 pub struct FastCgiSettings {
-    /// Timeout of a connect.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// Endpoints close idle connections after this.
+    /// The time after which endpoints close idle connections.
     pub server_idle_timeout: Duration,
-    /// Greatest number of bytes of a response's body.
+    /// Maximum size of a response's body, in bytes.
     pub max_body: u64,
-    /// Memory for long bodies.
+    /// Memory budget for long bodies.
     pub memory: Arc<MemoryBudget>,
-    /// The part of paths that names the application.
+    /// The part of request paths that names the application.
     pub script: String,
-    /// The folder of its files.
+    /// The document root of the application.
     pub root: String,
 }
 
--- a/crates/node/src/net/upstream/http/attempt.rs
+++ b/crates/node/src/net/upstream/http/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt over HTTP: a connection, the request, the response. A request is written at most once.
+//! An attempt over HTTP: obtains a connection, writes the request and reads the response. A request is written at
+//! most once.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -18,43 +19,43 @@
 use crate::net::upload::Upload;
 use crate::net::upstream::transport::{AttemptDeadlines, AttemptResult, OnResponseStarted};
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum AttemptStage {
-    /// Nothing is written.
+    /// Nothing has been written.
     #[default]
     Connecting,
-    /// Part of the request may be written.
+    /// Part of the request may have been written.
     Written,
-    /// The response is streamed.
+    /// The response is being streamed.
     Streaming,
 }
 
-/// How an attempt got its connection.
+/// How an attempt obtained its connection.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ConnectionTiming {
-    /// Time to establish it; zero for one that was reused.
+    /// Time to establish the connection; zero for a reused connection.
     pub connect_time: Duration,
-    /// How long a reused one had been idle.
+    /// How long a reused connection had been idle.
     pub idle_time: Option<Duration>,
 }
 
-/// What can be seen of an attempt from beside it.
+/// Progress of an attempt that can be observed while it is running.
 #[derive(Default)]
 pub(super) struct AttemptProgress {
     pub stage: Cell<AttemptStage>,
     pub timing: Cell<ConnectionTiming>,
 }
 
-/// The end of an attempt.
+/// The result of an attempt, and its connection.
 pub(super) struct AttemptEnd {
     pub result: AttemptResult,
-    /// Its connection, where that may be of further use.
+    /// The connection, if it may be reused.
     pub connection: Option<HttpConnection>,
 }
 
 impl AttemptEnd {
-    /// An end without a response, after which the connection closes.
+    /// Returns an end without a response, after which the connection is closed.
     pub fn with_outcome(outcome: AttemptOutcome) -> Self {
         AttemptResult::without_response(outcome).into()
     }
@@ -67,8 +68,8 @@
 }
 
 impl HttpConnector {
-    /// Makes the attempt. Time passes until there is a connection, so the deadlines, the endpoint and the client are
-    /// checked again right before the first byte is written, with no wait in between.
+    /// Makes the attempt. Since it may take time to get a connection, the deadlines, the endpoint and the client are
+    /// checked again immediately before the first byte is written, with no await in between.
     pub(super) async fn exchange(
         &self,
         request: &UpstreamRequest,
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Returns a connection that is ready for a request: an idle one, or else a new one.
+    /// Returns a connection that is ready for a request: an idle one if there is one, otherwise a new one.
     async fn ready_connection(
         &self,
         started: Instant,
@@ -136,8 +137,8 @@
         }
     }
 
-    /// Passes a streamed response on and waits until the endpoint has sent it. The connection belongs to the stream, which
-    /// may end long after the attempt.
+    /// Passes a streamed response to `on_started` and waits until the endpoint has sent it. The connection is owned
+    /// by the stream, which may end long after the attempt.
     async fn stream(
         &self,
         connection: HttpConnection,
@@ -153,7 +154,7 @@
             if connection.sender.is_ready() {
                 endpoint.return_idle(&registry, connection);
             } else if Handle::try_current().is_ok() {
-                // A runtime that shuts down drops its streams and takes no more tasks.
+                // A runtime that is shutting down drops its streams and accepts no more tasks.
                 let deadline = Instant::now() + READY_TIMEOUT;
                 task::spawn_local(async move {
                     endpoint.return_when_ready(&registry, connection, deadline).await
@@ -169,10 +170,11 @@
     }
 }
 
-/// The outcome where no response came; `is_partial` where the request surely was not written completely.
+/// Returns the outcome if no response was received. `is_partial` means that the request was certainly not written
+/// completely.
 fn failed_exchange_outcome(upload: Option<&Upload>, is_partial: bool) -> AttemptOutcome {
     if upload.is_some_and(Upload::is_client_fault) {
-        // The client broke its body off, or is too slow.
+        // The client aborted its body, sent too much or was too slow.
         AttemptOutcome::NotSent
     } else if upload.is_some_and(Upload::is_in_progress) || is_partial {
         AttemptOutcome::ConnectFailed
--- a/crates/node/src/net/upstream/http/attempt_timeout.rs
+++ b/crates/node/src/net/upstream/http/attempt_timeout.rs
@@ -1,4 +1,4 @@
-//! When an attempt over HTTP times out, and what that means.
+//! Timeouts of attempts over HTTP and their outcomes.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -13,18 +13,18 @@
 use crate::net::exchange::UpstreamRequest;
 use crate::net::upload::Upload;
 
-/// Interval at which an attempt with a streamed body is checked.
+/// Interval at which an attempt with a streamed request body is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Waits until an attempt times out. A timeout before anything was written proves that the request was not executed. The
-/// time of a streamed body counts from its last byte; a streamed response does not time out here.
+/// Waits until an attempt times out. A timeout before anything was written proves that the request was not executed.
+/// For a streamed request body, the timeout counts from its last byte. A streamed response does not time out here.
 pub(super) async fn timeout_outcome(
     request: &UpstreamRequest,
     deadline: Instant,
     stage: &Cell<AttemptStage>,
 ) -> AttemptOutcome {
     if request.upload.is_none() {
-        // Nothing moves the deadline, so it is enough to wake then.
+        // Nothing can move the deadline, so it is sufficient to wake up once, at the deadline.
         sleep_until(deadline).await;
     }
     loop {
@@ -37,7 +37,7 @@
                 Err(outcome) => return outcome,
             },
             None if Instant::now() >= deadline => return outcome_at_deadline(stage.get()),
-            // A body or a response may begin to stream in the meantime.
+            // The request body or the response may start to be streamed in the meantime.
             None => deadline,
         };
         sleep_until(next_check.min(Instant::now() + CHECK_INTERVAL)).await;
@@ -52,10 +52,11 @@
     if stage == AttemptStage::Written { AttemptOutcome::TimedOut } else { AttemptOutcome::NotSent }
 }
 
-/// Returns when a streamed body has to be checked again.
+/// Returns when a streamed request body has to be checked again.
 ///
 /// # Errors
-/// The outcome of the attempt, where it is over. Before the last byte of the body is written, the request is not executed.
+/// The outcome of the attempt, if it has timed out. A request is not executed before the last byte of its body is
+/// written.
 fn check_upload(upload: &Upload) -> Result<Instant, AttemptOutcome> {
     let (completed, pace) = (upload.completed_at(), upload.check_pace());
     if let Some(completed) = completed {
--- a/crates/node/src/net/upstream/http/connection.rs
+++ b/crates/node/src/net/upstream/http/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an HTTP endpoint: one request at a time.
+//! A connection to an HTTP endpoint, which carries one request at a time.
 
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
@@ -19,25 +19,25 @@
 pub(super) struct HttpConnection {
     pub sender: http1::SendRequest<OutgoingBody>,
     pub stream: CountingStream,
-    /// Bytes that had been read from it when it became idle.
+    /// Number of bytes that had been read when the connection became idle.
     bytes_read_when_idle: u64,
-    /// Holds the one task that drives the connection.
+    /// Holds the single task that drives the connection.
     _driver: JoinSet<hyper::Result<()>>,
     _permit: ConnectionPermit,
 }
 
 impl HttpConnection {
-    /// Whether the endpoint has neither closed it nor sent anything unread.
+    /// Whether the connection is open and has no unread data.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed() && self.stream.unread() == UnreadState::Empty
     }
 
-    /// Marks that all data so far belongs to requests.
+    /// Marks all data received so far as belonging to requests.
     pub fn mark_idle(&mut self) {
         self.bytes_read_when_idle = self.stream.bytes_read();
     }
 
-    /// Whether data has come since it became idle.
+    /// Whether data has been received since the connection became idle.
     pub fn has_unsolicited_data(&self) -> bool {
         self.stream.bytes_read() != self.bytes_read_when_idle || self.stream.unread() == UnreadState::Data
     }
@@ -48,7 +48,7 @@
     pub async fn connect(&self, endpoint: &EndpointConnections) -> Result<HttpConnection, AttemptResult> {
         let permit = self.connections.acquire().ok_or_else(AttemptResult::connection_limit_reached)?;
         let Address::Tcp(address) = endpoint.address else {
-            // The configuration's check rejects other addresses for this protocol.
+            // The configuration check rejects other addresses for this protocol.
             return Err(AttemptResult::connect_failed(false));
         };
         let stream = connect(TcpStream::connect(address), self.connect_timeout).await?;
--- a/crates/node/src/net/upstream/http/idle_connections.rs
+++ b/crates/node/src/net/upstream/http/idle_connections.rs
@@ -11,14 +11,15 @@
 use super::connection::HttpConnection;
 use crate::net::upstream::connection_registry::{ConnectionRegistry, IdleConnections};
 
-/// Longest time to wait until a connection is ready for another request after its response.
+/// Maximum time to wait after a response until its connection is ready for another request.
 pub(super) const READY_TIMEOUT: Duration = Duration::from_millis(5);
-/// A connection that has been idle for this long is reused first. An endpoint may send a second response some
-/// milliseconds after the first, which on a connection that is reused at once would be taken for the next request's.
-/// Only where unsolicited data has been seen is no connection reused earlier: new ones cost the endpoint work.
+/// Connections that have been idle for at least this long are preferred for reuse. An endpoint may send a second
+/// response some milliseconds after the first; on a connection that is reused immediately it would be taken for the
+/// response to the next request. Since new connections cost the endpoint work, this time is only enforced while
+/// unsolicited data has been seen recently.
 pub(super) const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(10);
 
-/// When data last came from an endpoint of the pool that no request had asked for.
+/// When unsolicited data, which belongs to no request, was last seen from an endpoint of the pool.
 pub(super) type LastUnsolicitedData = Rc<Cell<Option<Instant>>>;
 
 /// An idle connection.
@@ -32,10 +33,10 @@
     pub address: Address,
     /// Whether requests may be written.
     pub is_usable: Cell<bool>,
-    /// Ordered by the time since which they are idle.
+    /// Ordered by the time at which they became idle.
     idle: RefCell<VecDeque<IdleConnection>>,
     unsolicited_data: LastUnsolicitedData,
-    /// Idle connections are kept for this long.
+    /// How long idle connections are kept.
     max_idle: Duration,
     registered: Cell<bool>,
 }
@@ -56,12 +57,12 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Adds a connection that has become idle now.
+    /// Adds a connection that has just become idle.
     pub fn push_idle(&self, connection: HttpConnection) {
         self.idle.borrow_mut().push_back(IdleConnection { since: Instant::now(), connection });
     }
 
-    /// Keeps a connection for another request, unless the endpoint is retired or has closed it.
+    /// Makes a connection available for another request, unless the endpoint is retired or the connection is closed.
     pub fn return_idle(self: &Rc<Self>, registry: &ConnectionRegistry, mut connection: HttpConnection) {
         connection.mark_idle();
         if self.is_usable.get() && !connection.sender.is_closed() {
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Keeps a connection once it is ready for another request; closes one that is not by `deadline` or within
-    /// [`READY_TIMEOUT`].
+    /// Makes a connection available once it is ready for another request. Closes it if it is not ready by `deadline`
+    /// or within [`READY_TIMEOUT`].
     pub async fn return_when_ready(
         self: &Rc<Self>,
         registry: &ConnectionRegistry,
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Takes the most recently used connection that has rested for [`MIN_IDLE_BEFORE_REUSE`] and is open. Where none has, and none
-    /// must, takes the one that has rested longest.
+    /// Takes the most recently used open connection that has been idle for at least [`MIN_IDLE_BEFORE_REUSE`]. If
+    /// there is none, and the minimum idle time is not enforced, takes the longest idle connection.
     pub fn take_idle(&self) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Whether unsolicited data came within the time for which a connection that was idle then is kept.
+    /// Whether connections must be idle for [`MIN_IDLE_BEFORE_REUSE`] before reuse: unsolicited data was seen so
+    /// recently that a connection that was idle then may still be kept.
     fn requires_min_idle(&self) -> bool {
         self.unsolicited_data.get().is_some_and(|at| at.elapsed() < self.max_idle)
     }
--- a/crates/node/src/net/upstream/http/mod.rs
+++ b/crates/node/src/net/upstream/http/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints that speak HTTP/1.1.
+//! The transport for endpoints that speak HTTP/1.1.
 
 mod attempt;
 mod attempt_timeout;
--- a/crates/node/src/net/upstream/http/request.rs
+++ b/crates/node/src/net/upstream/http/request.rs
@@ -8,18 +8,18 @@
 use crate::net::exchange::UpstreamRequest;
 use crate::net::upload::OutgoingBody;
 
-/// Bytes of a header field on the wire beside its name and value: `: ` and the line end.
+/// Bytes of a header field on the wire in addition to its name and value: `: ` and the line ending.
 const FIELD_OVERHEAD_BYTES: usize = 4;
 
-/// A request to write.
+/// A request that is ready to be written.
 pub(super) struct OutgoingRequest {
     pub message: Request<OutgoingBody>,
-    /// Its size on the wire is not below this, in bytes.
+    /// Lower bound of its size on the wire, in bytes.
     pub min_size: u64,
 }
 
 impl OutgoingRequest {
-    /// Builds the message; `time_left` is what the client still waits for.
+    /// Builds the message. `time_left` is how long the client still waits.
     pub fn new(request: &UpstreamRequest, time_left: Duration) -> Self {
         let mut message = Request::new(OutgoingBody::new(request.body.clone(), request.upload.clone()));
         *message.method_mut() = request.method.clone();
--- a/crates/node/src/net/upstream/http/response_reader.rs
+++ b/crates/node/src/net/upstream/http/response_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the response of an HTTP endpoint: as a whole within bounds, or streamed.
+//! Reads the response of an HTTP endpoint, either completely, up to size limits, or as a stream.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -20,44 +20,44 @@
 };
 use crate::net::upstream::transport::AttemptResult;
 
-/// Memory that a streamed response reserves: the buffers of its two connections, when full.
+/// Memory that a streamed response reserves, which covers the full buffers of its two connections.
 const STREAM_RESERVATION_BYTES: usize = 96 << 10;
 
 /// How responses are read.
 #[derive(Clone)]
 pub struct ResponseReader {
-    /// What statuses mean.
+    /// How statuses are classified.
     pub status_policy: StatusPolicy,
-    /// Greatest number of bytes of a body; a longer stated length fails at once.
+    /// Maximum size of a body, in bytes. A longer stated length fails immediately.
     pub max_body: u64,
-    /// Greatest number of bytes of a body whose length is not stated.
+    /// Maximum size of a body without a stated length, in bytes.
     pub max_unsized_body: u64,
-    /// Memory for long bodies.
+    /// Memory budget for long bodies.
     pub memory: Arc<MemoryBudget>,
-    /// Whether long successful responses are streamed; otherwise all are read as a whole.
+    /// Whether long successful responses are streamed; otherwise all responses are read completely.
     pub streaming: bool,
 }
 
-/// A response as far as it was read.
+/// A response that was read completely or whose start was read.
 pub enum ReadResponse {
-    /// It is complete, or has failed.
+    /// The response is complete or has failed.
     Complete(AttemptResult),
-    /// It is streamed.
+    /// The response is streamed.
     Streaming(StreamingResponse),
 }
 
-/// A streamed response whose start has come.
+/// A streamed response whose start has been received.
 pub struct StreamingResponse {
     /// The response.
     pub response: UpstreamResponse,
-    /// To follow its stream.
+    /// Progress of the stream.
     pub progress: Rc<StreamProgress>,
 }
 
 /// The start of a body.
 struct BodyStart {
     data: Bytes,
-    /// The body ends with it.
+    /// Whether the body ends with this data.
     is_complete: bool,
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl ResponseReader {
-    /// Reads a response. One that is incomplete, too long, or not known to be complete is a reset.
+    /// Reads a response. A response that is incomplete, too long, or not known to be complete counts as a reset.
     pub async fn read(&self, response: Response<Incoming>, method: &Method) -> ReadResponse {
         let (parts, body) = response.into_parts();
         let length = body.size_hint().exact();
@@ -84,7 +84,7 @@
                 || announces_close(&parts.headers),
         };
         if self.status_policy.is_unprocessed_rejection(&head) {
-            // The body is read to reuse the connection; it changes nothing.
+            // The body is read only so that the connection can be reused.
             let _ = Limited::new(body, SMALL_BODY_BYTES).collect().await;
             return ReadResponse::with_outcome(AttemptOutcome::Rejected);
         }
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Reads the start of a body and streams the rest. One without a stated length may still turn out to be short.
+    /// Reads the start of a body and streams the rest. A body without a stated length may turn out to be short; it is
+    /// then not streamed.
     async fn read_streamed(
         &self,
         parts: Parts,
@@ -126,7 +127,7 @@
         ReadResponse::Streaming(StreamingResponse { response, progress })
     }
 
-    /// Reads a body as a whole. Memory for a stated length is reserved before any of it has come.
+    /// Reads a complete body. Memory for a stated length is reserved before the body is read.
     async fn read_complete(
         &self,
         parts: Parts,
@@ -153,8 +154,8 @@
         UpstreamResponse { status: parts.status, headers, body }
     }
 
-    /// Returns the fields that are forwarded. A gateway keeps the length of a response without a body, which states what
-    /// the body's length would be (RFC 9110 section 8.6).
+    /// Returns the header fields to forward. A gateway keeps the `Content-Length` of a response without a body, which
+    /// states how long the body would be (RFC 9110 section 8.6).
     fn forwarded_headers(&self, mut headers: HeaderMap, status: StatusCode, method: &Method) -> HeaderMap {
         if self.status_policy == StatusPolicy::Gateway {
             let is_bodiless = *method == Method::HEAD || status == StatusCode::NOT_MODIFIED;
@@ -168,14 +169,15 @@
     }
 }
 
-/// Whether the endpoint announces that the connection ends with this response. Its end may then be the body's end (RFC 9112
-/// section 6.3), since a connection that broke is reset. Without the announcement a truncated response looks complete.
+/// Whether the endpoint announces that it closes the connection after this response. The close may then mark the end
+/// of the body (RFC 9112 section 6.3), because a broken connection shows as a reset. Without the announcement, a
+/// truncated response would look complete.
 fn announces_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(header::CONNECTION).iter().filter_map(|value| value.to_str().ok());
     values.flat_map(|value| value.split(',')).any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
 
-/// Reads a body until more than `threshold` bytes have come or it ends; `None` where it breaks off.
+/// Reads a body until more than `threshold` bytes have been received or it ends; returns `None` if it is aborted.
 async fn read_start(body: &mut Incoming, threshold: usize) -> Option<BodyStart> {
     let mut start = BytesMut::new();
     while start.len() <= threshold {
@@ -189,7 +191,8 @@
     Some(BodyStart { data: start.freeze(), is_complete: false })
 }
 
-/// Reads a whole body of at most `max` bytes; `None` where it is longer, breaks off, or exceeds the memory budget.
+/// Reads a complete body of at most `max` bytes; returns `None` if it is longer, is aborted, or exceeds the memory
+/// budget.
 async fn read_full(mut body: Incoming, max: u64, reservation: &mut Reservation) -> Option<Bytes> {
     let mut first: Option<Bytes> = None;
     let mut joined = BytesMut::new();
@@ -200,7 +203,7 @@
         if size as u64 > max || !reservation.try_grow_to_fit(size) {
             return None;
         }
-        // Most bodies come in one piece, which is passed on without a copy.
+        // Most bodies arrive in a single frame, which is passed on without copying.
         match first.take() {
             None if joined.is_empty() => first = Some(data),
             None => joined.extend_from_slice(&data),
--- a/crates/node/src/net/upstream/http/transport.rs
+++ b/crates/node/src/net/upstream/http/transport.rs
@@ -18,11 +18,11 @@
     AttemptDeadlines, AttemptFuture, AttemptResult, EndpointConnector, OnResponseStarted, Transport,
 };
 
-/// What the connectors of a pool share.
+/// State shared by the connectors of a pool.
 pub(super) struct PoolTransport {
     pub connections: Rc<ConnectionRegistry>,
     pub connect_timeout: Duration,
-    /// Idle connections are kept for this long.
+    /// How long idle connections are kept.
     pub max_idle: Duration,
     pub reader: ResponseReader,
     /// Number of attempts whose request was written completely.
@@ -34,8 +34,8 @@
 pub struct HttpTransport(pub(super) Rc<PoolTransport>);
 
 impl HttpTransport {
-    /// Returns the transport of a pool whose endpoints close idle connections after `server_idle_timeout`. `written` counts
-    /// attempts whose request was written completely.
+    /// Returns the transport of a pool whose endpoints close idle connections after `server_idle_timeout`. `written`
+    /// counts attempts whose request was written completely.
     pub fn new(
         connections: Rc<ConnectionRegistry>,
         connect_timeout: Duration,
@@ -104,14 +104,15 @@
             let end = tokio::select! {
                 biased;
                 end = self.exchange(&request, deadlines, &progress, on_started) => end,
-                // The sender lives as long as the attempt is in flight.
+                // The sender is kept while the attempt is in flight, so the channel only completes on a cancellation.
                 _ = cancel => AttemptEnd::with_outcome(AttemptOutcome::Cancelled),
                 outcome = timeout_outcome(&request, deadline, &progress.stage) => {
                     AttemptEnd::with_outcome(outcome)
                 }
             };
-            // Before the outcome is reported, so that the next attempt finds the connection. A response that has been
-            // read is the outcome, whatever is cancelled or times out meanwhile.
+            // The connection is made available before the outcome is reported, so that the next attempt finds it. A
+            // response that has been read is the outcome, even if the attempt is cancelled or times out in the
+            // meantime.
             if let Some(connection) = end.connection {
                 self.endpoint.return_when_ready(&self.pool.connections, connection, deadline).await;
             }
--- a/crates/node/src/net/upstream/mod.rs
+++ b/crates/node/src/net/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: the interface that attempts are made through, and an implementation for each protocol.
+//! Connections to endpoints: the transport interface for attempts, and an implementation for each protocol.
 
 mod connect;
 pub mod connection_registry;
--- a/crates/node/src/net/upstream/response_classification.rs
+++ b/crates/node/src/net/upstream/response_classification.rs
@@ -1,5 +1,5 @@
-//! What an endpoint's response means for the decision module, and whether it may be forwarded: the table of
-//! `docs/answers.md`.
+//! Classifies the response of an endpoint for the decision module, and decides whether it may be forwarded. The rules
+//! are tabulated in `docs/answers.md`.
 
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
@@ -8,42 +8,42 @@
 /// How statuses are classified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusPolicy {
-    /// The platform's: 200 is a success, any other status an error.
+    /// The platform's rules: 200 is a success, any other status an error.
     Platform,
-    /// A gateway's: any status that a healthy endpoint may answer is a success.
+    /// The rules of a gateway: any status that a healthy endpoint may return is a success.
     Gateway,
 }
 
-/// What counts of a response's head.
+/// The properties of a response's head that determine its class.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseHead {
-    /// Its status.
+    /// Status.
     pub status: StatusCode,
-    /// It has `X-Unprocessed: 1`: the request was not executed.
+    /// Whether the response has `X-Unprocessed: 1`, which means that the request was not executed.
     pub unprocessed: bool,
-    /// The end of the body can be distinguished from a broken connection.
+    /// Whether the end of the body can be distinguished from a broken connection.
     pub delimited: bool,
 }
 
-/// What a complete response means.
+/// Class of a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseClass {
-    /// For the decision module.
+    /// Outcome for the decision module.
     pub outcome: AttemptOutcome,
-    /// Whether it may be forwarded.
+    /// Whether the response may be forwarded.
     pub forward: bool,
 }
 
 impl ResponseClass {
-    /// The class of a response that is not forwarded.
+    /// Returns the class of a response that is not forwarded.
     pub fn not_forwarded(outcome: AttemptOutcome) -> Self {
         Self { outcome, forward: false }
     }
 }
 
 impl StatusPolicy {
-    /// Whether the endpoint rejected the request without executing it, whatever the rest of the response is. The status
-    /// alone proves nothing: an endpoint behind the endpoint may have executed the request.
+    /// Whether the endpoint rejected the request without executing it, regardless of the rest of the response. The
+    /// status alone does not prove this, because another server behind the endpoint may have executed the request.
     pub fn is_unprocessed_rejection(self, head: &ResponseHead) -> bool {
         let is_rejection = match self {
             Self::Platform => matches!(head.status.as_u16(), 503 | 504),
@@ -64,7 +64,7 @@
             }
             _ if !head.delimited => reset,
             Self::Platform => ResponseClass { outcome: AttemptOutcome::Success, forward: true },
-            // No upgrade was requested: what follows is no response.
+            // No upgrade was requested, so what follows is not a response.
             Self::Gateway if head.status == StatusCode::SWITCHING_PROTOCOLS => reset,
             Self::Gateway if is_endpoint_failure(head.status) => {
                 ResponseClass { outcome: AttemptOutcome::Error, forward: true }
@@ -74,8 +74,8 @@
     }
 }
 
-/// Whether a status is about the endpoint and not about the request. 501 and 505 are about the request: as errors they
-/// would let one client have a healthy endpoint ejected.
+/// Whether a status indicates a fault of the endpoint and not of the request. 501 and 505 indicate a fault of the
+/// request; if they counted as errors, a single client could get a healthy endpoint ejected.
 fn is_endpoint_failure(status: StatusCode) -> bool {
     match status.as_u16() {
         408 | 429 => true,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Whether a response says that its request was not executed.
+/// Whether a response states that its request was not executed.
 pub fn is_marked_unprocessed(headers: &HeaderMap) -> bool {
     headers.get("x-unprocessed").is_some_and(|value| value == "1")
 }
--- a/crates/node/src/net/upstream/transport.rs
+++ b/crates/node/src/net/upstream/transport.rs
@@ -1,4 +1,4 @@
-//! The interface that attempts are made through, with one implementation for each protocol that endpoints speak.
+//! The transport interface for attempts, with one implementation for each protocol of the endpoints.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -12,28 +12,28 @@
 
 use crate::net::exchange::{UpstreamRequest, UpstreamResponse};
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub struct AttemptResult {
-    /// For the decision module.
+    /// Outcome for the decision module.
     pub outcome: AttemptOutcome,
-    /// The complete response, where it may be forwarded: the final one with [`AttemptOutcome::Success`], a substitute in
-    /// case nothing better comes with [`AttemptOutcome::Error`].
+    /// The complete response, if it may be forwarded. With [`AttemptOutcome::Success`] it is the final response; with
+    /// [`AttemptOutcome::Error`] it is only used if no attempt succeeds.
     pub response: Option<UpstreamResponse>,
-    /// The address refused the connection: no process listens there.
+    /// Whether the connection was refused, because no process listens at the address.
     pub connection_refused: bool,
-    /// How long the endpoint took, where that is not the duration of the attempt: up to the first bytes of a streamed
-    /// response, or from the last byte of a streamed request on.
+    /// How long the endpoint took, if this differs from the duration of the attempt: measured up to the first bytes
+    /// of a streamed response, or from the last byte of a streamed request.
     pub server_time: Option<Duration>,
-    /// Time to establish the connection; zero for one that was reused.
+    /// Time to establish the connection; zero for a reused connection.
     pub connect_time: Duration,
     /// How long a reused connection had been idle.
     pub idle_time: Option<Duration>,
-    /// The node has reached its limit of upstream connections.
+    /// Whether the node had reached its limit of upstream connections.
     pub connection_limit_reached: bool,
 }
 
 impl AttemptResult {
-    /// A result that has an outcome alone.
+    /// Returns a result without a response.
     pub fn without_response(outcome: AttemptOutcome) -> Self {
         Self {
             outcome,
@@ -46,43 +46,46 @@
         }
     }
 
-    /// No connection was established; `refused` where no process listens at the address.
+    /// Returns the result if no connection was established. `refused` means that no process listens at the address.
     pub fn connect_failed(refused: bool) -> Self {
         Self { connection_refused: refused, ..Self::without_response(AttemptOutcome::ConnectFailed) }
     }
 
-    /// The node has no descriptor for another connection, which says nothing about the endpoint.
+    /// Returns the result if the node has no descriptor for another connection, which says nothing about the
+    /// endpoint.
     pub fn connection_limit_reached() -> Self {
         Self { connection_limit_reached: true, ..Self::without_response(AttemptOutcome::NotSent) }
     }
 }
 
-/// Takes a response that is streamed, once its first bytes have come: it is the final one.
+/// Called with a streamed response once its first bytes have been received. It is the final response.
 pub type OnResponseStarted = Box<dyn FnOnce(UpstreamResponse)>;
 
 /// A running attempt.
 pub type AttemptFuture = Pin<Box<dyn Future<Output = AttemptResult>>>;
 
-/// Makes connectors for the endpoints of a pool.
+/// Creates connectors for the endpoints of a pool.
 pub trait Transport {
-    /// Returns a connector for one process of an endpoint: after a restart or at another address it needs a new one.
+    /// Returns a connector for one process of an endpoint. After a restart or a change of address, the endpoint needs
+    /// a new connector.
     fn connector(&self, address: &Address) -> Rc<dyn EndpointConnector>;
 
     /// Closes connections that have been idle for too long. Called about once a second.
     fn sweep(&self);
 }
 
-/// The times of an attempt.
+/// Deadlines of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptDeadlines {
-    /// The attempt times out.
+    /// When the attempt times out.
     pub deadline: Instant,
-    /// A request that is not written by then must not be written: the attempt retries one that may have been executed.
+    /// The request must not be written at or after this time, which is set for retries of requests that may have been
+    /// executed, because endpoints may forget the earlier attempt.
     pub start_before: Instant,
 }
 
 impl AttemptDeadlines {
-    /// Time left for an attempt that is written now; zero where it must not be.
+    /// Returns the time left for an attempt whose request is written now; zero if it must not be written.
     #[must_use]
     pub fn time_left(&self, now: Instant) -> Duration {
         if now < self.start_before { self.deadline.saturating_duration_since(now) } else { Duration::ZERO }
@@ -91,21 +94,22 @@
 
 /// Makes attempts at one process of an endpoint.
 pub trait EndpointConnector {
-    /// The endpoint's address.
+    /// Returns the address of the endpoint.
     fn address(&self) -> &Address;
 
     /// Whether requests may be written.
     fn is_usable(&self) -> bool;
 
-    /// Writes no new request from now on: the endpoint drains, is gone or has restarted. Attempts that are still
-    /// connecting end as not sent.
+    /// Prevents new requests from being written, because the endpoint drains, was removed or has restarted. Attempts
+    /// that are still connecting end as not sent.
     fn retire(&self);
 
     /// Closes idle connections.
     fn close_idle(&self);
 
-    /// Makes one attempt, until its deadline or a message on `cancel`; the request is written at most once. Once
-    /// `on_started` was called, both are ignored, and the attempt ends when the endpoint has sent the whole response.
+    /// Makes one attempt, which ends at the latest at its deadline or with a message on `cancel`. The request is
+    /// written at most once. Once `on_started` was called, neither of the two stops the response, the deadline is
+    /// ignored, and the attempt ends when the endpoint has sent the whole response.
     fn attempt(
         self: Rc<Self>,
         request: Rc<UpstreamRequest>,
