--- a/crates/node/src/net/counting_stream/head_capture.rs
+++ b/crates/node/src/net/counting_stream/head_capture.rs
@@ -1,5 +1,5 @@
-//! Captures the heads of HTTP requests as they were received. The HTTP library drops a `Content-Length` beside a
-//! `Transfer-Encoding`, so its fields can't show a request that hides another one.
+//! Captures the heads of HTTP requests as they were received. The HTTP library drops a `Content-Length` next to a
+//! `Transfer-Encoding`, so request smuggling can't be detected in the header fields that it returns.
 
 use tokio::time::Instant;
 
@@ -7,14 +7,14 @@
 #[derive(Default)]
 pub(super) struct HeadCapture {
     head: Vec<u8>,
-    /// Bytes of the last request's body that are still to come.
+    /// Number of bytes of the last request's body that have not been received yet.
     body_left: u64,
-    /// When the first byte of `head` came.
+    /// When the first byte of `head` was received.
     started_at: Option<Instant>,
 }
 
 impl HeadCapture {
-    /// Takes bytes that were read.
+    /// Handles bytes that were read.
     pub fn on_read(&mut self, bytes: &[u8]) {
         let skipped = bytes.len().min(usize::try_from(self.body_left).unwrap_or(usize::MAX));
         self.body_left -= skipped as u64;
@@ -25,12 +25,12 @@
         self.head.extend_from_slice(rest);
     }
 
-    /// When the first byte of a head that is not taken came.
+    /// Returns when the first byte of a head that was not taken yet was received.
     pub fn started_at(&self) -> Option<Instant> {
         self.started_at
     }
 
-    /// Takes the head that is complete.
+    /// Takes the complete head.
     pub fn take_head(&mut self) -> Vec<u8> {
         let rest = self.head.split_off(head_end(&self.head));
         self.restart(rest.is_empty());
@@ -42,7 +42,7 @@
         let mut received = std::mem::take(&mut self.head);
         let body_received = received.len().min(usize::try_from(length).unwrap_or(usize::MAX));
         self.body_left = length - body_received as u64;
-        // An idle connection holds no buffer.
+        // The buffer is split off so that an idle connection holds no buffer.
         self.head = received.split_off(body_received);
         self.restart(self.head.is_empty());
     }
@@ -52,8 +52,8 @@
     }
 }
 
-/// Returns where the first head ends, its empty line included; all bytes where it has no end. Empty lines ahead of a request
-/// are allowed (RFC 9112 section 2.2).
+/// Returns the length of the first head including its empty line, or the length of all bytes if the head is
+/// incomplete. Empty lines before a request are allowed (RFC 9112 section 2.2).
 fn head_end(bytes: &[u8]) -> usize {
     let mut end = 0;
     let mut has_begun = false;
--- a/crates/node/src/net/counting_stream/mod.rs
+++ b/crates/node/src/net/counting_stream/mod.rs
@@ -1,4 +1,4 @@
-//! A socket that counts the bytes that pass, and can be examined beside the library that reads and writes it.
+//! A socket that counts the transferred bytes and can be inspected while a library reads and writes it.
 
 mod head_capture;
 mod socket;
@@ -19,63 +19,64 @@
 use self::head_capture::HeadCapture;
 use self::socket::Socket;
 
-/// Most that is read and dropped of what the peer of a closed connection still sends.
+/// Maximum number of bytes that are read and discarded from the peer of a closed connection.
 const MAX_DRAIN_BYTES: usize = 1 << 20;
-/// Bytes that are read at once while draining.
+/// Size of the read buffer while draining, in bytes.
 const DRAIN_READ_BYTES: usize = 4096;
 
-/// A shared socket; the descriptor closes with its last clone.
+/// A shared socket. The descriptor is closed with the last clone.
 #[derive(Clone)]
 pub struct CountingStream(Rc<StreamState>);
 
-/// A counter that others read.
+/// A shared counter.
 pub type Counter = Rc<Cell<u64>>;
 
 struct StreamState {
     socket: Socket,
     bytes_written: Cell<u64>,
     bytes_read: Cell<u64>,
-    /// A write waits for the peer to read.
+    /// Whether a write is blocked until the peer reads.
     is_blocked: Cell<bool>,
     write_threshold: RefCell<Option<WriteThreshold>>,
     head_capture: Option<RefCell<HeadCapture>>,
 }
 
-/// Increments a counter once so many bytes are written.
+/// Increments a counter once this number of bytes has been written.
 struct WriteThreshold {
     bytes_written: u64,
     counter: Counter,
 }
 
-/// What lies unread in a socket.
+/// State of the unread data in a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreadState {
-    /// Nothing; the connection is open.
+    /// No data; the connection is open.
     Empty,
-    /// Data.
+    /// There is unread data.
     Data,
-    /// The end of the connection.
+    /// The connection has ended.
     Closed,
 }
 
 impl CountingStream {
-    /// Takes a TCP stream.
+    /// Wraps a TCP stream.
     pub fn new(stream: TcpStream) -> Self {
         Self::from_tcp(stream, None)
     }
 
-    /// Takes a Unix stream.
+    /// Wraps a Unix stream.
     pub fn from_unix(stream: UnixStream) -> Self {
         Self::from_socket(Socket::Unix(stream), None)
     }
 
-    /// Takes a TCP stream of a client, and captures the heads of its requests.
+    /// Wraps the TCP stream of a client, and captures the heads of its requests.
     pub fn capturing_heads(stream: TcpStream) -> Self {
         Self::from_tcp(stream, Some(RefCell::default()))
     }
 
     fn from_tcp(stream: TcpStream, head_capture: Option<RefCell<HeadCapture>>) -> Self {
-        // Small messages must not wait for acknowledgements. An error means a dead socket, which its first use shows.
+        // Disables Nagle's algorithm, so that small messages do not wait for acknowledgements. An error means that
+        // the socket is broken, which its first use will show.
         let _ = stream.set_nodelay(true);
         Self::from_socket(Socket::Tcp(stream), head_capture)
     }
@@ -91,57 +92,59 @@
         }))
     }
 
-    /// Takes the head that was received completely; what follows it is the body.
+    /// Takes the head that was received completely. The data after it is the body.
     pub fn take_head(&self) -> Vec<u8> {
         self.0.head_capture.as_ref().map_or_else(Vec::new, |capture| capture.borrow_mut().take_head())
     }
 
-    /// Skips the body, of this many bytes, of the request whose head was taken.
+    /// Skips the body of the request whose head was taken; `length` is its size in bytes.
     pub fn skip_body(&self, length: u64) {
         if let Some(capture) = &self.0.head_capture {
             capture.borrow_mut().skip_body(length);
         }
     }
 
-    /// When the first byte of a head came that is not taken.
+    /// Returns when the first byte of a head that was not taken yet was received.
     pub fn head_started_at(&self) -> Option<Instant> {
         self.0.head_capture.as_ref()?.borrow().started_at()
     }
 
-    /// Writes what the kernel takes at once: a message on a connection that the HTTP library has no response for.
+    /// Writes as much as the kernel accepts immediately, for a message on a connection for which the HTTP library has
+    /// no response.
     pub fn write_best_effort(&self, text: &[u8]) {
         let _ = self.0.socket.try_write(text);
     }
 
-    /// Whether a write waits for the peer to read.
+    /// Whether a write is blocked until the peer reads.
     pub fn is_blocked(&self) -> bool {
         self.0.is_blocked.get()
     }
 
-    /// Makes the kernel buffer as little as it can for a peer that does not read.
+    /// Reduces the kernel's send buffer to the minimum, for tests with a peer that does not read.
     #[cfg(test)]
     pub fn shrink_send_buffer(&self) {
         self.0.socket.as_ref().set_send_buffer_size(1).unwrap();
     }
 
-    /// Number of bytes that have been read.
+    /// Returns the number of bytes that have been read.
     pub fn bytes_read(&self) -> u64 {
         self.0.bytes_read.get()
     }
 
-    /// Number of bytes that the kernel has taken.
+    /// Returns the number of bytes that have been written to the kernel.
     pub fn bytes_written(&self) -> u64 {
         self.0.bytes_written.get()
     }
 
-    /// Increments a counter once `size` more bytes are written.
+    /// Increments a counter once `size` more bytes have been written.
     pub fn count_after_writing(&self, size: u64, counter: &Counter) {
         let bytes_written = self.bytes_written() + size;
         *self.0.write_threshold.borrow_mut() =
             Some(WriteThreshold { bytes_written, counter: counter.clone() });
     }
 
-    /// Returns what lies unread. The kernel is asked: the event loop may not have seen the latest data.
+    /// Returns the state of the unread data. Queries the kernel, because the event loop may not have seen the latest
+    /// data yet.
     pub fn unread(&self) -> UnreadState {
         match self.0.socket.as_ref().peek(&mut [MaybeUninit::uninit()]) {
             Ok(0) => UnreadState::Closed,
@@ -151,28 +154,28 @@
         }
     }
 
-    /// Waits until the peer has closed its side, whatever data lies unread before that. The HTTP library sees a close only
-    /// where it holds no data of a next request.
+    /// Waits until the peer has closed its side, even if there is unread data before the close. The HTTP library only
+    /// notices a close if it holds no data of a next request.
     pub async fn peer_closed(&self) {
         match self.0.socket.peer_closed().await {
             Ok(ready) if ready.is_read_closed() => {}
-            // Not a close: the reader gets the error.
+            // Not a close; the reader gets the error.
             _ => pending().await,
         }
     }
 
-    /// Whether the peer has closed its side, as far as the event loop has seen.
+    /// Whether the event loop has seen that the peer has closed its side.
     pub fn has_peer_closed(&self) -> bool {
         pin!(self.peer_closed()).poll(&mut Context::from_waker(Waker::noop())).is_ready()
     }
 
-    /// Closes this side.
+    /// Closes this side of the connection for writing.
     pub fn close_writing(&self) {
         let _ = self.0.socket.as_ref().shutdown(Shutdown::Write);
     }
 
-    /// Reads and drops what the peer still sends until it closes. To close on unread data resets the connection, and a
-    /// reset can overtake the response that was just written.
+    /// Reads and discards what the peer still sends, until it closes the connection. Closing a socket with unread
+    /// data resets the connection, and the reset can overtake the response that was just written.
     pub async fn drain_until_closed(&self) {
         let mut scratch = [0; DRAIN_READ_BYTES];
         let mut drained = 0;
@@ -230,8 +233,9 @@
             match self.0.socket.try_read_buf(buf) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 result => {
-                    // A read that does not fill the buffer has taken all there was. A close that has been seen stays
-                    // seen, and none is missed: only this thread polls the socket.
+                    // A read that does not fill the buffer has read all available data. Clearing the readiness does
+                    // not lose a close that was already seen, and can't miss another one, because only this thread
+                    // polls the socket.
                     if result.as_ref().is_ok_and(|&count| count > 0) && buf.remaining() > 0 {
                         self.0.socket.clear_read_ready();
                     }
--- a/crates/node/src/net/counting_stream/socket.rs
+++ b/crates/node/src/net/counting_stream/socket.rs
@@ -13,7 +13,7 @@
     Unix(UnixStream),
 }
 
-/// Does the same with either kind.
+/// Evaluates the same expression for either kind of stream.
 macro_rules! either {
     ($socket:expr, $stream:ident => $do:expr) => {
         match $socket {
@@ -32,7 +32,8 @@
         either!(self, stream => stream.poll_write_ready(cx))
     }
 
-    /// Waits until the peer has closed. Priority interest wakes for nothing else: urgent data is not registered.
+    /// Waits until the peer has closed the connection. Priority interest wakes up for nothing else, because urgent
+    /// data is not registered.
     pub async fn peer_closed(&self) -> io::Result<Ready> {
         either!(self, stream => stream.ready(Interest::PRIORITY).await)
     }
@@ -41,12 +42,12 @@
         either!(self, stream => stream.readable().await)
     }
 
-    /// Reads into memory that need not be cleared first.
+    /// Reads into memory that need not be initialized.
     pub fn try_read_buf(&self, buffer: &mut ReadBuf<'_>) -> io::Result<usize> {
         either!(self, stream => stream.try_read_buf(buffer))
     }
 
-    /// Clears read readiness until the kernel reports more, which spares a read that would find nothing.
+    /// Clears the read readiness until the kernel reports more data, which avoids a read that would find none.
     pub fn clear_read_ready(&self) {
         let would_block = || Err::<(), _>(io::ErrorKind::WouldBlock.into());
         let _ = either!(self, stream => stream.try_io(Interest::READABLE, would_block));
--- a/crates/node/src/net/discovery/endpoint_list.rs
+++ b/crates/node/src/net/discovery/endpoint_list.rs
@@ -1,11 +1,11 @@
-//! The list of endpoints as the discovery service and the configuration write it.
+//! The list of endpoints, in the format of the discovery service and the configuration.
 
 use std::net::SocketAddr;
 
 use pumicehead_config::model::Address;
 use serde::{Deserialize, Deserializer};
 
-/// The endpoints of a pool, all of them or those that changed.
+/// The endpoints of a pool: all of them, or those that have changed.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct EndpointList {
     /// Version of the list.
@@ -22,25 +22,25 @@
 /// An endpoint in a list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ListedEndpoint {
-    /// Its name, the same at every node.
+    /// The endpoint's name, which is the same on every node.
     #[serde(rename = "host")]
     pub name: String,
     /// The address at which this node reaches it.
     #[serde(rename = "dial", deserialize_with = "tcp_address")]
     pub address: Address,
-    /// Name of its zone.
+    /// Name of the endpoint's zone.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Its cell.
+    /// The endpoint's cell.
     #[serde(default, rename = "block")]
     pub cell: u16,
-    /// Whether it takes requests.
+    /// Whether the endpoint takes requests.
     #[serde(rename = "health")]
     pub state: ListedState,
-    /// Its weight; 1 is usual.
+    /// The endpoint's weight; the default is 1.
     #[serde(default = "default_weight", rename = "share")]
     pub weight: f32,
-    /// When it last started, in Unix milliseconds; 0 is long ago.
+    /// When the endpoint last started, in Unix milliseconds; 0 if long ago.
     #[serde(default, rename = "born_ms")]
     pub started_at_ms: u64,
 }
@@ -48,18 +48,18 @@
 /// Whether an endpoint takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum ListedState {
-    /// It does.
+    /// The endpoint takes requests.
     #[serde(rename = "active")]
     Ready,
-    /// It finishes those that it has.
+    /// The endpoint takes no new requests and finishes those in flight.
     #[serde(rename = "leaving")]
     Draining,
-    /// It is gone.
+    /// The endpoint was removed.
     #[serde(rename = "left")]
     Removed,
 }
 
-/// The discovery service lists TCP addresses alone.
+/// Parses a TCP address; the discovery service lists no other addresses.
 fn tcp_address<'de, D: Deserializer<'de>>(from: D) -> Result<Address, D::Error> {
     SocketAddr::deserialize(from).map(Address::Tcp)
 }
--- a/crates/node/src/net/discovery/json_stream.rs
+++ b/crates/node/src/net/discovery/json_stream.rs
@@ -1,27 +1,29 @@
-//! Splits a stream of bytes into JSON objects, whatever the layout: one a line, over many lines, several in one piece, or
-//! in pieces cut anywhere. Only strings and brackets are parsed; the reader parses the objects.
+//! Splits a stream of bytes into JSON objects, regardless of layout and chunk boundaries: an object may span several
+//! lines or chunks, and a line or chunk may contain several objects. Only strings and brackets are parsed; the caller
+//! parses the objects.
 
 use bytes::{Buf, BytesMut};
 use thiserror::Error;
 
-/// Longest object. Far above any real list; it keeps a broken stream from exhausting memory.
+/// Maximum size of an object, in bytes. Far above the size of real lists; it prevents a malformed stream from
+/// exhausting memory.
 const MAX_OBJECT_BYTES: usize = 4 << 20;
 
-/// Why a stream holds no further objects.
+/// Why no further objects can be read from a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum JsonStreamError {
     /// An object is longer than [`MAX_OBJECT_BYTES`].
-    #[error("too long")]
+    #[error("object longer than {MAX_OBJECT_BYTES} bytes")]
     TooLong,
-    /// Something other than an object stands between two objects.
+    /// There is something other than whitespace outside of objects.
     #[error("text outside of an object")]
     NotAnObject,
 }
 
-/// Where in the stream the next byte is.
+/// Parser state at the next byte of the stream.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 enum Position {
-    /// Between two objects.
+    /// Outside of objects.
     #[default]
     Outside,
     /// In an object, outside of strings.
@@ -36,15 +38,15 @@
 #[derive(Default)]
 pub struct JsonStream {
     buffer: BytesMut,
-    /// Number of bytes of the buffer that were parsed.
+    /// Number of bytes of the buffer that have been parsed.
     parsed: usize,
-    /// Number of brackets that are open.
+    /// Number of open brackets.
     depth: usize,
     position: Position,
 }
 
 impl JsonStream {
-    /// Takes a piece of the stream; returns the objects that are complete now. An error is the last entry.
+    /// Adds a chunk of the stream; returns the objects that it completes. An error is always the last entry.
     pub fn push(&mut self, piece: &[u8]) -> Vec<Result<BytesMut, JsonStreamError>> {
         self.buffer.extend_from_slice(piece);
         let mut objects = Vec::new();
@@ -58,7 +60,7 @@
         objects
     }
 
-    /// Whether an object has begun and not ended.
+    /// Whether the stream is inside an object.
     pub fn is_inside_object(&self) -> bool {
         self.position != Position::Outside
     }
--- a/crates/node/src/net/discovery/mod.rs
+++ b/crates/node/src/net/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The discovery service: its list of endpoints, and the watch that brings changes of it.
+//! Client of the discovery service: the list of endpoints, and the watch that receives changes to it.
 
 mod endpoint_list;
 mod json_stream;
--- a/crates/node/src/net/discovery/watch.rs
+++ b/crates/node/src/net/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! A watch of the discovery service: one HTTP request whose response is a stream of endpoint lists.
+//! A watch of the discovery service: an HTTP request whose response is a stream of endpoint lists.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,44 +19,46 @@
 use crate::net::discovery::EndpointList;
 use crate::net::discovery::json_stream::{JsonStream, JsonStreamError};
 
-/// Interval of heartbeats while nothing changes (the platform's protocol).
+/// Interval of heartbeats while nothing changes, as the platform's protocol specifies.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// Timeout of the response head; the service answers or rejects within 2 s.
 const RESPONSE_TIMEOUT: Duration = Duration::from_nanos(DISCOVERY_CALL_TIMEOUT);
-/// A watch that is silent for this long has missed two heartbeats and is lost. Changes that it misses bind this node from
-/// 6 s after the last byte on, and drains 2 s later; 3.5 s of these 8 s are left for two retry delays and the answer.
+/// Maximum time without data. A watch that is silent for this long has missed two heartbeats and counts as lost.
+/// Changes that it misses become binding for this node 6 s after the last byte, and drains 2 s later. Of these 8 s,
+/// 3.5 s remain for two retry delays and the response.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(4_500);
-/// An agent on this machine answers at once. One that is silent for this long may have lost the call, or on a running
-/// watch, beyond a heartbeat, the watch; to call it again costs nothing.
+/// Maximum time without data from an agent on this machine, which responds immediately; on a running watch it is
+/// added to the heartbeat interval. An agent that is silent for longer may have lost the request or the watch, and
+/// repeating the request costs nothing.
 const AGENT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Delay before an agent that pushes the list is called again.
+/// Delay before the request to an agent that pushes the list is repeated.
 pub const AGENT_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Why a watch ended.
 #[derive(Debug, Error)]
 pub enum WatchError {
-    /// No connection, or it broke.
+    /// No connection was established, or it broke.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// The response is not the HTTP that was expected.
+    /// The response is not valid HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
     /// The request could not be built.
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
-    /// Nothing came for too long.
+    /// No data was received within the timeout.
     #[error("no data within the timeout")]
     Timeout(#[from] Elapsed),
     /// The status is not 200.
-    #[error("status {0}")]
+    #[error("unexpected status {0}")]
     Status(StatusCode),
-    /// The stream holds something that is no JSON object.
+    /// The stream contains something other than JSON objects.
     #[error("malformed list: {0}")]
     MalformedStream(#[from] JsonStreamError),
-    /// A JSON object is no list.
+    /// A JSON object is not a list.
     #[error("malformed list: {0}")]
     MalformedList(#[from] serde_json::Error),
-    /// A list has begun and does not go on.
+    /// The rest of a list was not received in time.
     #[error("incomplete list")]
     IncompleteList,
     /// The service ended the stream.
@@ -67,14 +69,14 @@
 /// The timeouts of a watch.
 #[derive(Clone, Copy)]
 struct Timeouts {
-    /// Of the response head.
+    /// Timeout for the response head.
     response: Duration,
-    /// Between two pieces of the stream.
+    /// Timeout between two chunks of the stream.
     idle: Duration,
 }
 
-/// Watches the list from a version on and hands each list to `on_list` until the watch ends, which it always does with
-/// an error. An agent is on this machine.
+/// Watches the list from version `after` on, and passes each received list to `on_list` until the watch ends, which
+/// is always with an error. `is_agent` tells that the service is an agent on this machine.
 pub async fn watch(
     address: SocketAddr,
     after: u64,
@@ -104,7 +106,7 @@
     let mut driver = JoinSet::new();
     driver.spawn_local(connection);
     let response = request_list(&mut sender, address, after, response_due).await?;
-    // An agent has its list at hand. A service that has nothing new may wait for its first heartbeat.
+    // An agent sends its list immediately. A service that has no changes may send nothing until its first heartbeat.
     let first_due = if is_agent { response_due } else { Instant::now() + timeouts.idle };
     read_lists(response.into_body(), first_due, timeouts.idle, on_list).await
 }
@@ -125,7 +127,7 @@
     Ok(response)
 }
 
-/// Reads lists until the stream ends or is silent: until `first_due` for its first piece, for `idle` after each.
+/// Reads lists until the stream ends or times out: at `first_due` for its first chunk, and `idle` after each chunk.
 async fn read_lists(
     mut body: Incoming,
     first_due: Instant,
@@ -136,7 +138,8 @@
     let mut object_started: Option<Instant> = None;
     let mut idle_due = first_due;
     loop {
-        // Heartbeats go on inside a list that was cut off and never ends; nothing after it would be understood.
+        // If a list is cut off, heartbeats continue inside it, and nothing after it could be parsed. So a list must
+        // be complete within a heartbeat interval.
         let due = object_started.map_or(idle_due, |started| idle_due.min(started + HEARTBEAT_INTERVAL));
         let frame = match timeout_at(due, body.frame()).await {
             Ok(Some(frame)) => frame?,
--- a/crates/node/src/net/response_body/mod.rs
+++ b/crates/node/src/net/response_body/mod.rs
@@ -1,4 +1,4 @@
-//! Bodies of responses to clients: complete, or streamed.
+//! Bodies of responses to clients, either complete or streamed.
 
 use std::io;
 use std::pin::Pin;
@@ -18,9 +18,9 @@
 /// How a streamed body ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// All of it was passed on.
+    /// The whole body was passed on.
     Complete,
-    /// The endpoint broke it off, or the stream was given up.
+    /// The endpoint aborted the response, or the stream was aborted because of its pace.
     UpstreamFailed,
     /// The client disconnected.
     ClientDisconnected,
@@ -28,26 +28,26 @@
 
 /// The body of a response.
 pub enum ResponseBody {
-    /// All of it.
+    /// The complete body.
     Full(Bytes),
-    /// As it comes.
+    /// A body that is streamed.
     Stream(Box<StreamedBody>),
 }
 
 impl ResponseBody {
-    /// Adds a hook for the end of a streamed body; a complete one drops it.
+    /// Adds a hook that is called at the end of a streamed body; a complete body drops it.
     pub fn on_end(&mut self, hook: impl FnOnce(StreamEnd) + 'static) {
         if let Self::Stream(stream) = self {
             stream.hooks.push(Box::new(hook));
         }
     }
 
-    /// Whether it is streamed.
+    /// Whether the body is streamed.
     pub fn is_stream(&self) -> bool {
         matches!(self, Self::Stream(_))
     }
 
-    /// Sets how a streamed body is aborted: by closing the client's connection.
+    /// Sets the hook that aborts a streamed body by closing the client's connection.
     pub fn set_abort_hook(&self, hook: impl Fn() + 'static) {
         if let Self::Stream(stream) = self {
             stream.progress.set_abort_hook(Box::new(hook));
@@ -66,19 +66,19 @@
 
 /// A streamed body.
 pub struct StreamedBody {
-    /// The start, until it is passed on.
+    /// The start of the body, until it has been passed on.
     start: Option<Bytes>,
     rest: Incoming,
-    /// The stated length.
+    /// Length, if stated.
     length: Option<u64>,
     progress: Rc<StreamProgress>,
     hooks: Vec<EndHook>,
-    /// Memory of the connections' buffers.
+    /// Reservation for the buffers of the connections.
     _reservation: Reservation,
 }
 
 impl StreamedBody {
-    /// Returns a body whose start has come. Its pace is checked in a task that ends with the stream.
+    /// Returns a body whose start has been received. Its pace is checked in a task that ends with the stream.
     pub fn new(
         start: Bytes,
         rest: Incoming,
@@ -139,7 +139,7 @@
                         self.progress.on_data(data.len(), now);
                         Poll::Ready(Some(Ok(Frame::data(data))))
                     }
-                    // Trailers end at this hop: neither side has negotiated them.
+                    // Trailers are not forwarded, because neither side has negotiated them.
                     Err(_) => continue,
                 },
             };
--- a/crates/node/src/net/response_body/progress.rs
+++ b/crates/node/src/net/response_body/progress.rs
@@ -1,4 +1,4 @@
-//! The progress of a streamed response, seen from beside the stream.
+//! The progress of a streamed response, shared with the stream.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,19 +13,20 @@
 
 /// Interval at which the pace of a stream is checked.
 const PACE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// An endpoint that is silent for this long within a response hangs; a client that reads nothing for this long is gone.
-/// Some endpoints pause for several seconds.
+/// Maximum time without progress. An endpoint that sends nothing for this long within a response is considered hung,
+/// and a client that reads nothing for this long is considered gone. Some endpoints pause for several seconds.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// [`MIN_WINDOW_BYTES`] have to pass within this time, which is long enough for pauses in it.
+/// Window in which at least [`MIN_WINDOW_BYTES`] have to be passed on. It is long enough to contain pauses.
 const PACE_WINDOW: Duration = Duration::from_secs(20);
-/// 1 KiB a second, a hundredth of the slowest line in use.
+/// 1 KiB/s, a hundredth of the slowest link in use.
 const MIN_WINDOW_BYTES: u64 = 20 << 10;
-/// Longest duration of a response: 32 MB at 18 KB a second.
+/// Maximum duration of a response. It allows 32 MB at 18 kB/s.
 const MAX_DURATION: Duration = Duration::from_secs(1_800);
-/// The endpoint is ahead of a client that has been waited for this long, since the kernel and two libraries buffer too.
+/// Time of waiting for the client after which the endpoint counts as ahead of it, since the kernel and two libraries
+/// also buffer data.
 const MIN_AHEAD: Duration = Duration::from_millis(250);
 
-/// Bounds on the pace of streamed responses.
+/// Pace limits of streamed responses.
 const PACE_LIMITS: PaceLimits = PaceLimits {
     idle_timeout: IDLE_TIMEOUT,
     window: PACE_WINDOW,
@@ -38,7 +39,7 @@
 pub struct StreamProgress {
     pace: RefCell<PaceMonitor>,
     end: Cell<Option<StreamEnd>>,
-    /// The endpoint is done with the response, or the stream has ended.
+    /// Notified when the endpoint has finished the response, or the stream has ended.
     upstream_done: Notify,
     aborted: Cell<bool>,
     /// Closes the client's connection.
@@ -56,7 +57,7 @@
         })
     }
 
-    /// Waits until the endpoint is done with the response; returns how the stream ended, if it has.
+    /// Waits until the endpoint has finished the response; returns how the stream ended, if it has.
     pub async fn upstream_done(&self) -> Option<StreamEnd> {
         self.upstream_done.notified().await;
         self.end.get()
@@ -66,7 +67,7 @@
         *self.abort_hook.borrow_mut() = Some(hook);
     }
 
-    /// Number of bytes that were passed on.
+    /// Returns the number of bytes that were passed on.
     pub(super) fn bytes(&self) -> u64 {
         self.pace.borrow().bytes()
     }
@@ -75,7 +76,7 @@
         self.pace.borrow_mut().on_bytes(bytes as u64, now);
     }
 
-    /// The client waits for the endpoint.
+    /// Records that the client waits for data from the endpoint.
     pub(super) fn on_pending(&self, now: Instant) {
         self.pace.borrow_mut().on_demand(now);
     }
@@ -84,7 +85,7 @@
         self.aborted.get()
     }
 
-    /// The stream has ended; returns whether it had not before.
+    /// Records the end of the stream; returns whether it had not ended before.
     pub(super) fn finish(&self, end: StreamEnd) -> bool {
         if self.end.get().is_some() {
             return false;
@@ -94,7 +95,7 @@
         true
     }
 
-    /// Checks the pace until the stream has ended.
+    /// Checks the pace until the stream has ended, and aborts the stream if it violates the limits.
     pub(super) async fn enforce_pace(self: Rc<Self>) {
         while self.end.get().is_none() {
             sleep(PACE_CHECK_INTERVAL).await;
@@ -111,7 +112,8 @@
         }
     }
 
-    /// Aborts the stream. Whichever side was too slow, the client has to see that the response is incomplete.
+    /// Aborts the stream. Regardless of which side was too slow, the client has to see that the response is
+    /// incomplete.
     fn abort(&self, reason: PaceError) {
         warn!(target: "stream", bytes = self.bytes(), %reason, "response aborted (source: endpoint, sink: client)");
         self.aborted.set(true);
