--- a/crates/node/src/net/downstream/accept.rs
+++ b/crates/node/src/net/downstream/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts client connections, as far as the connection budget goes.
+//! Accepts client connections within the connection budget.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -18,13 +18,13 @@
 
 /// Backlog of the listening socket.
 const BACKLOG: u32 = 4096;
-/// Connections beyond the limit that get a rejection instead of waiting in the kernel.
+/// Number of connections beyond the limit that are accepted only to be rejected, instead of waiting in the kernel.
 pub const OVERFLOW_CONNECTIONS: usize = 32;
-/// Delay after an accept that failed for lack of descriptors: without it the loop would spin.
+/// Delay after an accept that failed for lack of descriptors, without which the loop would spin.
 pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Delay before the budget is checked again where it is exhausted.
+/// Delay before an exhausted budget is checked again.
 const FULL_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Longest time that a closed connection is read on, so that its last response arrives.
+/// Maximum time for which a closed connection is still read, so that its last response arrives.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// An accepted socket.
@@ -36,17 +36,17 @@
 /// Binds an address that clients connect to.
 ///
 /// # Errors
-/// Those of the system.
+/// The system's error, if a call fails.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    // A restarted node binds while connections of its earlier process are in TIME_WAIT.
+    // A restarted node binds the address while connections of its previous process are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
 impl DownstreamListener {
-    /// Accepts the next connection. Where the budget is exhausted, others are evicted, or it waits for one to end.
+    /// Accepts the next connection. If the budget is exhausted, evicts other connections and waits until one ends.
     pub(super) async fn accept(&self, listener: &TcpListener) -> Accepted {
         loop {
             if self.budget.is_overflow_full() {
@@ -98,7 +98,7 @@
         });
     }
 
-    /// Reads on after the last response for as long as that may take to arrive.
+    /// Continues to read after the last response, for as long as the response may take to arrive.
     pub(super) async fn linger(&self, connection: &DownstreamConnection) {
         connection.set_stage(ConnectionStage::Lingering, connection.has_served());
         connection.last_activity.set(tokio::time::Instant::now());
--- a/crates/node/src/net/downstream/body_framing.rs
+++ b/crates/node/src/net/downstream/body_framing.rs
@@ -1,13 +1,14 @@
-//! How the head of an HTTP request says where the body ends.
+//! Body framing in the head of an HTTP request.
 
-/// How the end of a request's body is found.
+/// How the end of a request's body is determined.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// After this many bytes; 0 where there is no body.
+    /// By its length in bytes; 0 if there is no body.
     Length(u64),
     /// By chunked encoding.
     Chunked,
-    /// The head says it in more than one way, or in a malformed one: the body may hide another request.
+    /// The head states it more than once, in more than one way, or malformed, so that the body may contain another
+    /// request.
     Ambiguous,
 }
 
@@ -15,7 +16,7 @@
     /// Parses the head as it was received.
     pub fn parse(head: &[u8]) -> Self {
         let lines = head.split(|&byte| byte == b'\n').map(<[u8]>::trim_ascii_end);
-        // The fields follow the request line; empty lines are allowed ahead of that.
+        // The fields follow the request line, which may be preceded by empty lines.
         let fields = lines.skip_while(|line| line.is_empty()).skip(1);
         let mut length = None;
         let mut lengths = 0;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Number of bytes of the body; the greatest number where it is not stated.
+    /// Returns the length of the body in bytes, or `u64::MAX` if it is not stated.
     pub fn body_length(self) -> u64 {
         if let Self::Length(length) = self { length } else { u64::MAX }
     }
--- a/crates/node/src/net/downstream/connection.rs
+++ b/crates/node/src/net/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: its stage, and when it may be closed in favour of another one.
+//! A client's connection: its stage, and when it may be evicted in favour of another one.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,11 +10,14 @@
 use super::ListenerOptions;
 use crate::net::counting_stream::{CountingStream, UnreadState};
 
-/// Where descriptors are short, a connection may be evicted that has sent nothing for this long since it was accepted ...
+/// If descriptors are scarce, a connection may be evicted once it has sent nothing for this long since it was
+/// accepted.
 const MIN_INITIAL_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(60);
-/// ... that has been idle for this long since its last response ...
+/// If descriptors are scarce, a connection may be evicted once it has been idle for this long since its last
+/// response.
 pub const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(20);
-/// ... or that has taken this long over the head of a request, or over reading its response.
+/// If descriptors are scarce, a connection may be evicted once its client has taken this long to send the head of a
+/// request or to read a response.
 const MIN_STALL_BEFORE_EVICTION: Duration = Duration::from_millis(500);
 
 /// A client's connection.
@@ -23,37 +26,37 @@
     pub stream: CountingStream,
     stage: Cell<ConnectionStage>,
     has_served: Cell<bool>,
-    /// The counter of connections with requests; see [`super::connection_budget::ConnectionBudget`].
+    /// The shared count of connections with requests; see [`super::connection_budget::ConnectionBudget`].
     requesting_count: Rc<Cell<usize>>,
-    /// Whether this connection counts itself there.
+    /// Whether this connection is included in `requesting_count`.
     is_counted: Cell<bool>,
-    /// When it was accepted, had its last response, or was closed.
+    /// When the connection was accepted, got its last response, or was closed.
     pub last_activity: Cell<Instant>,
-    /// Index in the budget, which alone changes it.
+    /// Index in the budget's list of connections. Only the budget changes it.
     pub index: Cell<usize>,
-    /// Accepted over the limit: its request is rejected and it is closed.
+    /// Whether the connection was accepted over the limit, so that its request is rejected and it is closed.
     pub over_limit: bool,
-    /// Options of its listener; the listener is identified by them.
+    /// Options of the connection's listener. Their address also identifies the listener.
     pub options: Rc<Cell<ListenerOptions>>,
-    /// Wakes the connection's task to close it at once.
+    /// Wakes the connection's task to close the connection immediately.
     pub close: Notify,
 }
 
 /// The stage of a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionStage {
-    /// Waits for a request, or for the rest of its head.
+    /// Waiting for a request, or for the rest of its head.
     Waiting,
-    /// A request is read or answered.
+    /// A request is being read or answered.
     Busy,
-    /// Closed, but for what the client still sends.
+    /// Closed, except that data which the client still sends is read.
     Lingering,
     /// About to end.
     Ending,
 }
 
 impl DownstreamConnection {
-    /// Returns a connection that was just accepted.
+    /// Returns a newly accepted connection.
     pub fn new(
         stream: CountingStream,
         over_limit: bool,
@@ -74,17 +77,17 @@
         })
     }
 
-    /// Its stage.
+    /// Returns the stage.
     pub fn stage(&self) -> ConnectionStage {
         self.stage.get()
     }
 
-    /// Whether it has had a response.
+    /// Whether a response has been passed on or, over FastCGI, a request has been received.
     pub fn has_served(&self) -> bool {
         self.has_served.get()
     }
 
-    /// Sets the stage, and whether it has had a response.
+    /// Sets the stage, and the value of [`Self::has_served`].
     pub fn set_stage(&self, stage: ConnectionStage, has_served: bool) {
         self.stage.set(stage);
         self.has_served.set(has_served);
@@ -99,7 +102,7 @@
         }
     }
 
-    /// A response was passed on: it waits for the next request.
+    /// Records that a response was passed on, so that the connection waits for the next request.
     pub fn mark_answered(&self) {
         self.last_activity.set(Instant::now());
         if self.stage() == ConnectionStage::Busy {
@@ -107,7 +110,8 @@
         }
     }
 
-    /// Whether no part of a request has come and no response is being written, as far as can be seen.
+    /// Whether no part of a request is known to have been received, and no response is known to be in the process of
+    /// being written.
     pub fn is_idle(&self) -> bool {
         self.stage.get() == ConnectionStage::Waiting
             && self.stream.head_started_at().is_none()
@@ -115,7 +119,7 @@
             && self.stream.unread() != UnreadState::Data
     }
 
-    /// Whether a request has come, as far as can be seen, whose response has not arrived, or only just.
+    /// Whether a request is known to have been received whose response is not finished, or was only just written.
     pub fn has_pending_response(&self) -> bool {
         match self.stage.get() {
             ConnectionStage::Busy => true,
@@ -125,12 +129,12 @@
         }
     }
 
-    /// Rank for eviction, lowest first; `None` where it must not be evicted.
+    /// Returns the rank for eviction, lowest first, or `None` if the connection must not be evicted.
     pub fn eviction_rank(&self, now: Instant) -> Option<u8> {
         let inactive_for = |time| now.saturating_duration_since(self.last_activity.get()) >= time;
         match (self.stage.get(), self.stream.head_started_at()) {
             (ConnectionStage::Lingering, _) => inactive_for(MIN_IDLE_BEFORE_EVICTION).then_some(0),
-            // Its last response waits for the client to read: closing now would cut it off.
+            // The last response is still waiting for the client to read it; closing now would truncate it.
             (ConnectionStage::Waiting, _) if self.stream.is_blocked() => {
                 inactive_for(MIN_STALL_BEFORE_EVICTION).then_some(3)
             }
@@ -145,7 +149,8 @@
         }
     }
 
-    /// Whether it has taken too long over a request, or has been idle for too long.
+    /// Whether the client has taken too long to send the head of a request, or the connection has been idle for too
+    /// long.
     pub fn has_timed_out(&self, now: Instant) -> bool {
         let ListenerOptions { request_timeout, idle_timeout, .. } = self.options.get();
         self.stage.get() == ConnectionStage::Waiting
@@ -159,7 +164,7 @@
             }
     }
 
-    /// Closes it at once.
+    /// Closes the connection immediately.
     pub fn close_now(&self) {
         self.set_stage(ConnectionStage::Ending, self.has_served());
         self.close.notify_one();
--- a/crates/node/src/net/downstream/connection_budget.rs
+++ b/crates/node/src/net/downstream/connection_budget.rs
@@ -1,4 +1,4 @@
-//! The node's limit of client connections, shared by all its listeners.
+//! The node's limit on client connections, shared by all its listeners.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,22 +10,23 @@
 use super::connection::{ConnectionStage, DownstreamConnection};
 use crate::net::counting_stream::UnreadState;
 
-/// Once this part of all descriptors is taken by connections with requests, each connection closes with its next response.
-/// Otherwise clients that keep connections open take all of them while the node is idle. Clients that send many requests
-/// reconnect more often.
+/// Once connections with requests take this fraction (1/n) of all descriptors, keep-alive is disabled, and each
+/// connection is closed after its next response. Otherwise clients that keep connections open could take all
+/// descriptors while the node is idle. The cost is that clients that send many requests reconnect more often.
 const KEEP_ALIVE_DIVISOR: usize = 4;
 
 /// The client connections of all listeners.
 pub struct ConnectionBudget {
     connections: RefCell<Vec<Rc<DownstreamConnection>>>,
-    /// Number of connections that have a request, or had one and may send another; each counts itself.
+    /// Number of connections that have a request, or had one and may send another. Each connection updates the count
+    /// for itself.
     requesting_count: Rc<Cell<usize>>,
     limit: usize,
     keep_alive_limit: usize,
 }
 
 impl ConnectionBudget {
-    /// A budget of `limit` connections, at a node that may open this many descriptors.
+    /// Returns a budget of `limit` connections, for a node that may open `descriptors` descriptors.
     pub fn new(limit: usize, descriptors: usize) -> Rc<Self> {
         Rc::new(Self {
             connections: RefCell::default(),
@@ -35,27 +36,27 @@
         })
     }
 
-    /// Greatest number of connections.
+    /// Returns the maximum number of connections.
     pub fn limit(&self) -> usize {
         self.limit
     }
 
-    /// Number of connections.
+    /// Returns the number of connections.
     pub fn count(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Whether one more connection would be over the limit.
+    /// Whether another connection would exceed the limit.
     pub fn is_full(&self) -> bool {
         self.count() >= self.limit
     }
 
-    /// Whether there is no descriptor left for a connection that only gets a rejection.
+    /// Whether there is no descriptor left even for a connection that is only rejected.
     pub fn is_overflow_full(&self) -> bool {
         self.count() >= self.limit + OVERFLOW_CONNECTIONS
     }
 
-    /// The counter of connections with requests, for a new connection.
+    /// Returns the shared count of connections with requests, for a new connection.
     pub fn requesting_count(&self) -> Rc<Cell<usize>> {
         self.requesting_count.clone()
     }
@@ -67,7 +68,7 @@
         connections.push(connection.clone());
     }
 
-    /// Removes a connection that has ended. Its index spares a search among thousands.
+    /// Removes a connection that has ended. Its index avoids a search through thousands of connections.
     pub fn remove(&self, connection: &Rc<DownstreamConnection>) {
         let mut connections = self.connections.borrow_mut();
         let index = connection.index.get();
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Visits the connections of one listener.
+    /// Calls `visit` for each connection of a listener.
     pub fn for_each_of(&self, owner: &DownstreamListener, mut visit: impl FnMut(&DownstreamConnection)) {
         let connections = self.connections.borrow();
         connections
@@ -88,7 +89,8 @@
             .for_each(|connection| visit(connection));
     }
 
-    /// Closes the connection with the lowest eviction rank, among equals the oldest; returns whether there was one.
+    /// Closes the connection with the lowest eviction rank, or the one with the least recent activity among equals;
+    /// returns whether a connection was closed.
     pub fn evict_one(&self) -> bool {
         let (connections, now) = (self.connections.borrow(), Instant::now());
         let rank = |connection: &Rc<DownstreamConnection>| {
@@ -96,7 +98,8 @@
         };
         let ranked = connections.iter().filter_map(|connection| Some((rank(connection)?, connection)));
         let Some((_, connection)) = ranked.min_by_key(|(rank, _)| *rank) else { return false };
-        // A request may have come that the event loop has not read: the kernel is asked about the chosen socket alone.
+        // A request may have been received that the event loop has not read yet. The kernel is only queried for the
+        // chosen socket.
         if connection.stage() == ConnectionStage::Waiting && connection.stream.unread() == UnreadState::Data {
             return false;
         }
@@ -104,7 +107,8 @@
         true
     }
 
-    /// Whether connections with requests leave few descriptors for others.
+    /// Whether connections with requests take so many descriptors that connections are closed after their next
+    /// response.
     pub fn disables_keep_alive(&self) -> bool {
         self.requesting_count.get() >= self.keep_alive_limit
     }
--- a/crates/node/src/net/downstream/drain.rs
+++ b/crates/node/src/net/downstream/drain.rs
@@ -1,4 +1,4 @@
-//! The orderly end of a listener: at SIGTERM, or when it is gone from the configuration.
+//! Graceful shutdown of a listener, on SIGTERM or when it is removed from the configuration.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,23 +10,25 @@
 use super::accept::ACCEPT_RETRY_DELAY;
 use super::connection::MIN_IDLE_BEFORE_EVICTION;
 
-/// Connections still come for up to 0.4 s after SIGTERM; accepting goes on at least for this ...
+/// Minimum time for which a draining listener continues to accept, because connections still arrive for up to 0.4 s
+/// after SIGTERM.
 const MIN_ACCEPT_TIME: Duration = Duration::from_millis(500);
-/// ... and until no connection has come for this ...
+/// After the minimum time, a draining listener continues to accept until no connection has arrived for this time.
 const ACCEPT_QUIET_TIME: Duration = Duration::from_millis(200);
-/// ... but at most for this.
+/// Maximum time for which a draining listener continues to accept.
 const MAX_ACCEPT_TIME: Duration = Duration::from_millis(1_500);
-/// A new connection without a request counts as idle after this.
+/// Time after which a new connection without a request counts as idle.
 pub(super) const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(700);
-/// Where another process goes on accepting, idle connections are kept for this, to be closed with a response.
+/// If another process continues to accept, idle connections are kept for this long, so that they can be closed
+/// together with a response.
 const SHARED_IDLE_GRACE: Duration = Duration::from_millis(1_000);
-/// After this all idle connections close: the rest of the drain covers the longest deadline.
+/// Time after which all idle connections are closed. The rest of the drain covers the longest deadline.
 const CLOSE_ALL_IDLE_AFTER: Duration = Duration::from_millis(2_000);
-/// SIGKILL comes 0.7 s after the last deadline: requests fail this long after it ...
+/// Time after the last deadline at which requests fail. SIGKILL follows 0.7 s after the last deadline.
 const FAIL_MARGIN: Duration = Duration::from_millis(400);
-/// ... and the process exits this much later, whatever is open.
+/// Further time after which the process exits, regardless of open connections.
 const EXIT_MARGIN: Duration = Duration::from_millis(200);
-/// Interval at which a drain is checked.
+/// Interval at which the progress of a drain is checked.
 const CHECK_INTERVAL: Duration = ACCEPT_RETRY_DELAY;
 
 /// Why a listener drains.
@@ -34,19 +36,20 @@
 pub enum DrainReason {
     /// The process is about to exit.
     Process,
-    /// The listener is gone from the configuration; others go on.
+    /// The listener was removed from the configuration; others continue.
     Listener,
 }
 
 impl DownstreamListener {
-    /// Goes on accepting while new connections come, unless another process does, answers with `Connection: close`,
-    /// closes what is idle, and returns when all requests that were taken have been answered.
+    /// Continues to accept while new connections arrive, unless another process accepts from the socket; responds
+    /// with `Connection: close`; closes idle connections; and returns when all requests that were taken have been
+    /// answered, or at the latest [`EXIT_MARGIN`] after the time at which requests fail.
     pub(super) async fn drain(self: Rc<Self>, listener: TcpListener, reason: DrainReason) {
         self.draining.set(true);
         let start = Instant::now();
         let fail_at = start + self.options.get().max_request_deadline + FAIL_MARGIN;
         if self.is_socket_shared.get() {
-            // Connections from now on are another process's, those that wait in the socket too.
+            // Another process gets all further connections, including those that are waiting in the socket.
             drop(listener);
         } else {
             self.accept_remaining(listener, start, fail_at).await;
@@ -54,14 +57,16 @@
         while self.connection_count() > 0 {
             let now = Instant::now();
             self.close_idle_while_draining(start, now);
-            // A single listener must not fail the requests of others; its own end by their deadlines.
+            // A single listener must not fail the requests of other listeners; its own requests end by their
+            // deadlines.
             if now >= fail_at && reason == DrainReason::Process {
-                // Requests that are read from now on are rejected: clients use each connection that stays open.
+                // Requests that are read from now on are rejected, because clients use every connection that stays
+                // open.
                 self.is_exiting.set(true);
                 (self.fail_all)();
                 self.close_idle(Duration::ZERO, Duration::ZERO);
             }
-            // An exit after a request was read, or while its response is written, would lose it.
+            // Exiting after a request was read, or while its response is being written, would lose the request.
             if now >= fail_at && !self.has_pending_response() || now >= fail_at + EXIT_MARGIN {
                 break;
             }
@@ -69,7 +74,7 @@
         }
     }
 
-    /// Goes on accepting while new connections come.
+    /// Continues to accept while new connections arrive.
     async fn accept_remaining(self: &Rc<Self>, listener: TcpListener, start: Instant, end: Instant) {
         let mut last = start;
         loop {
@@ -92,14 +97,15 @@
         if !self.is_socket_shared.get() {
             self.close_idle(MIN_IDLE_BEFORE_EVICTION, NEW_CONNECTION_GRACE);
         } else if now >= start + SHARED_IDLE_GRACE {
-            // A request that meets a close is lost, so connections that have long been silent go first.
+            // A request that is sent while its connection is being closed is lost, so connections that have been idle
+            // for long are closed first.
             let all = now >= start + CLOSE_ALL_IDLE_AFTER;
             let idle_time = if all { MIN_IDLE_BEFORE_EVICTION } else { SHARED_IDLE_GRACE };
             self.close_idle(idle_time, idle_time);
         }
     }
 
-    /// Whether a request has come that is without its whole response, or one was written just now.
+    /// Whether a request has been received whose response is not finished, or was only just written.
     fn has_pending_response(&self) -> bool {
         let mut has_pending = false;
         self.budget.for_each_of(self, |connection| has_pending |= connection.has_pending_response());
@@ -112,7 +118,8 @@
         count
     }
 
-    /// Closes connections without a request: `used_idle` after their last response, or `new_idle` after the accept.
+    /// Closes connections without a request that have been idle for `used_idle` since their last response, or for
+    /// `new_idle` since they were accepted.
     pub(super) fn close_idle(&self, used_idle: Duration, new_idle: Duration) {
         self.budget.for_each_of(self, |connection| {
             let min_idle = if connection.has_served() { used_idle } else { new_idle };
--- a/crates/node/src/net/downstream/fastcgi/mod.rs
+++ b/crates/node/src/net/downstream/fastcgi/mod.rs
@@ -1,4 +1,4 @@
-//! Client connections over FastCGI: web servers with several requests at once on each.
+//! Client connections over FastCGI, on which web servers send several requests at once.
 
 mod session;
 
@@ -22,11 +22,11 @@
 use crate::net::admission::{RequestError, RequestHead};
 use crate::net::response_body::ResponseBody;
 
-/// Bytes that are read at once, and that are made ready to be written.
+/// Size of the read buffer, and of the output that is prepared for writing at once, in bytes.
 const CHUNK_BYTES: usize = 32 << 10;
 
 impl DownstreamListener {
-    /// Serves a connection to its end.
+    /// Serves a connection until it ends.
     pub(super) async fn serve_fastcgi(
         self: &Rc<Self>,
         connection: &Rc<DownstreamConnection>,
@@ -46,7 +46,8 @@
             let read_due = session.read_due();
             let write_due = session.write_due(idle_timeout);
             tokio::select! {
-                // What has been read goes ahead of a close from this side, and responses ahead of further reads.
+                // Requests that have been read have priority over a close by this side, and responses over further
+                // reads.
                 biased;
                 Some(request) = finished.recv() => session.on_finished(request),
                 written = writer.write(&session.output), if !session.output.is_empty() => match written {
@@ -57,15 +58,15 @@
                     Ok(count) if count > 0 => if !session.on_input(&input[..count]) {
                         return;
                     },
-                    // The client is gone; its requests end with the session's tasks.
+                    // The client has disconnected. Its requests end with the session's tasks.
                     _ => return,
                 },
                 () = sleep_until(read_due.unwrap_or(write_due)), if read_due.is_some() => {
                     session.end_slow_requests().await;
                 }
-                // A client that reads nothing holds the memory of its responses.
+                // A client that does not read would keep the memory of its responses in use.
                 () = sleep_until(write_due), if !session.output.is_empty() => return,
-                // Unless a request has been read since the connection was idle.
+                // The connection stays open if a request has been read since it was selected as idle.
                 () = connection.close.notified() => if session.server.is_idle() {
                     return;
                 },
@@ -105,7 +106,7 @@
     }
 }
 
-/// Returns a response in the form of an application's output.
+/// Returns a response as the output of a FastCGI application.
 async fn application_output(method: &Method, response: Response<ResponseBody>) -> Vec<Bytes> {
     let (mut head, body) = response.into_parts();
     let body = body.collect().await.map(Collected::to_bytes).unwrap_or_default();
--- a/crates/node/src/net/downstream/fastcgi/session.rs
+++ b/crates/node/src/net/downstream/fastcgi/session.rs
@@ -1,4 +1,4 @@
-//! The state of a client connection over FastCGI: requests that are being read or answered, and output.
+//! The state of a client connection over FastCGI: its requests that are being read or answered, and its output.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -18,18 +18,18 @@
 use crate::net::downstream::connection::{ConnectionStage, DownstreamConnection};
 use crate::net::downstream::{DownstreamListener, response};
 
-/// Greatest number of requests at once on a connection.
+/// Maximum number of concurrent requests on a connection.
 const MAX_REQUESTS: usize = 1_000;
-/// Greatest size of a request's variables.
+/// Maximum total size of a request's variables, in bytes.
 const MAX_PARAMS_BYTES: usize = 64 << 10;
-/// Greatest number of a request's variables.
+/// Maximum number of a request's variables.
 const MAX_PARAMS: usize = 512;
-/// Bytes of requests that are being read, on one connection.
+/// Maximum size of the requests that are being read on one connection, in bytes.
 const MAX_INCOMING_BYTES: usize = 4 << 20;
-/// Bytes of responses that wait to be written, on one connection.
+/// Maximum size of the responses that wait to be written on one connection, in bytes.
 const MAX_OUTGOING_BYTES: usize = 4 << 20;
 
-/// A response in the form of an application's output.
+/// A request with its response as the output of a FastCGI application.
 pub(super) struct FinishedRequest {
     id: u16,
     serial: u64,
@@ -38,7 +38,8 @@
 
 /// A request that is being answered.
 struct RunningRequest {
-    /// Ids are used again: a response that crosses an abort must not end the next request of its id.
+    /// Distinguishes requests that use the same id one after the other: a response that is sent while its request is
+    /// being aborted must not end the next request with the same id.
     serial: u64,
     task: AbortHandle,
 }
@@ -49,15 +50,15 @@
     connection: Rc<DownstreamConnection>,
     client_ip: IpAddr,
     pub server: Server,
-    /// Requests that are being read, and when each must be complete.
+    /// Requests that are being read, and when each of them must be complete.
     incoming: HashMap<u16, Instant>,
     running: HashMap<u16, RunningRequest>,
     last_serial: u64,
-    /// Aborted with the connection, which reports a disconnect to the pools.
+    /// Aborted when the connection ends, which reports a disconnect to the pools.
     tasks: JoinSet<()>,
     finished: mpsc::UnboundedSender<FinishedRequest>,
     pub output: BytesMut,
-    /// When output was made or written last.
+    /// When output was last produced or written, or there was none.
     last_progress: Instant,
 }
 
@@ -102,12 +103,12 @@
         }
     }
 
-    /// When the first request that is being read has to be complete.
+    /// Returns when the first of the requests that are being read has to be complete.
     pub fn read_due(&self) -> Option<Instant> {
         self.incoming.values().min().copied()
     }
 
-    /// When the client has stalled, unless output is written until then.
+    /// Returns when the client counts as stalled, unless output is written before.
     pub fn write_due(&self, idle_timeout: Duration) -> Instant {
         self.last_progress + idle_timeout
     }
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Whether the connection is of no further use.
+    /// Whether the connection is no longer needed.
     pub fn is_finished(&self) -> bool {
         let may_close =
             self.listener.draining.get() || self.connection.over_limit && self.connection.has_served();
@@ -137,10 +138,10 @@
         self.last_progress = Instant::now();
     }
 
-    /// Takes bytes from the client; returns whether the connection is of further use.
+    /// Handles bytes from the client; returns whether they were valid, so that the connection can still be used.
     pub fn on_input(&mut self, input: &[u8]) -> bool {
         if self.listener.draining.get() {
-            // Requests that begin now are rejected; those that have begun are answered.
+            // Requests that begin from now on are rejected; those that have begun are answered.
             self.server.stop();
         }
         let due = Instant::now() + self.listener.options.get().request_timeout;
@@ -156,7 +157,7 @@
                 Event::Aborted(id) => self.on_aborted(id),
             }
         }
-        // Tasks that have ended are released.
+        // Releases tasks that have ended.
         while self.tasks.try_join_next().is_some() {}
         result.is_ok()
     }
@@ -188,7 +189,7 @@
         self.running.insert(id, RunningRequest { serial, task });
     }
 
-    /// Ends a request that the client has aborted. Dropping its task reports a disconnect to the pool.
+    /// Ends a request that the client has aborted. Aborting its task reports a disconnect to the pool.
     fn on_aborted(&mut self, id: u16) {
         self.incoming.remove(&id);
         if let Some(running) = self.running.remove(&id) {
@@ -197,7 +198,7 @@
         self.server.end(id, [], 0);
     }
 
-    /// Ends a request with its response; one that was aborted has ended already.
+    /// Ends a request with its response, unless the request was aborted and has already ended.
     pub fn on_finished(&mut self, request: FinishedRequest) {
         let FinishedRequest { id, serial, output } = request;
         if self.running.get(&id).is_some_and(|running| running.serial == serial) {
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Answers requests that took too long to read.
+    /// Responds to requests that took too long to read.
     pub async fn end_slow_requests(&mut self) {
         let now = Instant::now();
         let slow: Vec<_> = self.incoming.iter().filter(|(_, due)| **due <= now).map(|(id, _)| *id).collect();
--- a/crates/node/src/net/downstream/http.rs
+++ b/crates/node/src/net/downstream/http.rs
@@ -23,16 +23,16 @@
 use crate::net::header_fields::MAX_HEAD_BYTES;
 use crate::net::response_body::ResponseBody;
 
-/// Written to a client that began a request and did not go on.
+/// Written to a client that began a request and did not complete its head.
 const REQUEST_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// How far the request that a connection has now has come.
+/// Progress of the current request of a connection.
 #[derive(Default)]
 struct RequestProgress {
-    /// Read, and without a response.
+    /// Whether the request is being read or has no response yet.
     awaits_response: Cell<bool>,
-    /// Its response is streamed.
+    /// Whether the response is being streamed.
     is_streaming: Cell<bool>,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl DownstreamListener {
-    /// Serves a connection to its end.
+    /// Serves a connection until it ends.
     pub(super) async fn serve_http(&self, connection: &Rc<DownstreamConnection>, client_ip: IpAddr) {
         let progress = RequestProgress::default();
         let service = service_fn(|request| async {
@@ -68,25 +68,26 @@
         let mut has_peer_closed = false;
         loop {
             tokio::select! {
-                // What has been read goes ahead of a close from this side.
+                // Requests that have been read have priority over a close by this side.
                 biased;
-                // Dropping a request that waits reports the disconnect to its pool. The HTTP library finishes a response
-                // that is being written; a request behind it is rejected in `reply`.
+                // Dropping a waiting request reports the disconnect to its pool. The HTTP library finishes a response
+                // that is being written; a pipelined request after it is rejected in `reply`.
                 () = peer_closed.as_mut(), if !has_peer_closed => {
                     if progress.awaits_response.get() {
                         return;
                     }
                     has_peer_closed = true;
                 }
-                // An error leaves nothing more to say to the client.
+                // After an error, nothing more can be sent to the client.
                 _ = served.as_mut() => break,
                 () = connection.close.notified() => {
-                    // It was idle when it was chosen; a request that has been read since is answered.
+                    // The connection was idle when it was selected; a request that has been read since then is
+                    // answered.
                     if progress.awaits_response.get() {
                         served.as_mut().graceful_shutdown();
                         continue;
                     }
-                    // Not into a response that is being written.
+                    // This must not be written into the middle of a response.
                     if connection.stream.head_started_at().is_some() && !progress.is_streaming.get() {
                         connection.stream.write_best_effort(REQUEST_TIMEOUT_RESPONSE);
                     }
@@ -97,7 +98,7 @@
         self.linger(connection).await;
     }
 
-    /// Serves one request, and keeps the stage of its connection.
+    /// Serves one request, and updates the stage of its connection.
     async fn serve_request(
         &self,
         connection: &Rc<DownstreamConnection>,
@@ -121,7 +122,7 @@
         response
     }
 
-    /// Responds to a request, and decides whether the connection closes with the response.
+    /// Responds to a request, and decides whether the connection is closed after the response.
     async fn respond(
         &self,
         connection: &DownstreamConnection,
@@ -136,7 +137,8 @@
         let reply = self.reply(connection, client_ip, request, framing, read_due).await;
         let HttpReply { mut response, is_upload_unfinished } = reply;
         let closes_after_response = connection.over_limit || self.budget.disables_keep_alive();
-        // After an error status a client that expects 100 may send its body all the same, or the next request.
+        // After an error status, a client that expects `100 Continue` may either send its body anyway or send the
+        // next request.
         let is_next_ambiguous = expects_continue && response.status().as_u16() >= 400;
         if self.draining.get()
             || self.is_lame_duck()
@@ -162,7 +164,8 @@
             return self.health_response().into();
         }
         if connection.stream.has_peer_closed() {
-            // The client sent this request behind another one and closed: nobody waits for the response.
+            // The client pipelined this request after another one and closed the connection, so it does not wait for
+            // the response.
             return response::rejection(&ResponseStyle::Platform, None).into();
         }
         let read_started = Instant::now();
@@ -184,7 +187,7 @@
         response::plain(status, "")
     }
 
-    /// Reads a request until `due`, and has it admitted.
+    /// Reads a request until `due`, and asks for its admission.
     async fn read_request(
         &self,
         request: Request<Incoming>,
@@ -206,10 +209,11 @@
         let expects_continue = head.headers.contains_key(header::EXPECT);
         let admitted = self.admission.admit(head);
         if admitted.is_err() && expects_continue {
-            // The client has not sent its body, and need not (RFC 9110 section 10.1.1).
+            // The client has not sent its body and need not send it (RFC 9110 section 10.1.1).
             return admitted.map(|admitted| ReadRequest { admitted, body: ReceivedBody::Full(Bytes::new()) });
         }
-        // The body is read before an error is reported, so that the response meets no client that is still writing.
+        // The body is read before an error is reported, so that the response is not sent to a client that is still
+        // writing.
         let ListenerOptions { max_buffered_body, max_streamed_body, .. } = self.options.get();
         let body = match (max_streamed_body, &admitted) {
             (Some(max), Ok(AdmittedRequest { request, .. })) => {
--- a/crates/node/src/net/downstream/mod.rs
+++ b/crates/node/src/net/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: requests are read, sent to a pool, and given exactly one response each.
+//! Client connections: reads requests, sends them to a pool, and gives each exactly one response.
 
 mod accept;
 mod body_framing;
@@ -36,28 +36,31 @@
 
 /// Interval at which connections are checked for timeouts.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// A node in lame-duck mode keeps idle connections for this long, to close each with its next response: load balancers in
-/// front of it learn meanwhile that it takes no requests, and few requests meet a close.
+/// How long a node in lame-duck mode keeps idle connections, so that each can be closed with its next response.
+/// Meanwhile load balancers in front of it learn that it takes no requests, so few requests are sent while their
+/// connection is being closed.
 const LAME_DUCK_GRACE: Duration = Duration::from_secs(1);
 
 /// Options of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerOptions {
-    /// Longest time from the accept, or from the first byte of a later request, to the last byte of a request.
+    /// Maximum time to receive a request completely, counted from the accept, or from the first byte of a later
+    /// request.
     pub request_timeout: Duration,
-    /// Connections that had a response and are idle are closed after this.
+    /// Time after which idle connections that have had a response are closed.
     pub idle_timeout: Duration,
-    /// Greatest number of bytes of a body that is read as a whole.
+    /// Maximum size of a body that is read completely, in bytes.
     pub max_buffered_body: usize,
-    /// Longer bodies are streamed up to this many bytes; `None` where they are rejected.
+    /// Maximum size of a streamed body, in bytes; `None` if longer bodies are rejected.
     pub max_streamed_body: Option<u64>,
-    /// Greatest number of active requests at the node.
+    /// Maximum number of active requests on the node.
     pub max_active_requests: usize,
-    /// Requests without a response this long after the process began to drain fail.
+    /// Longest deadline of a request. Requests that have no response this long, plus a margin, after the process
+    /// began to drain are failed.
     pub max_request_deadline: Duration,
-    /// `GET /healthz` is answered by the node itself.
+    /// Whether the node itself responds to `/healthz`.
     pub serves_health_check: bool,
-    /// `Retry-After` of the node's own rejections, where there is one.
+    /// `Retry-After` of the node's own rejections, if any.
     pub retry_after: Option<Nanos>,
 }
 
@@ -68,11 +71,11 @@
     options: Rc<Cell<ListenerOptions>>,
     budget: Rc<ConnectionBudget>,
     draining: Cell<bool>,
-    /// The process is about to exit: new requests are rejected.
+    /// Whether the process is about to exit, so that new requests are rejected.
     is_exiting: Cell<bool>,
-    /// Since when the node is in lame-duck mode, where an operator has set that.
+    /// Since when the node has been in lame-duck mode, if an operator has set it.
     lame_duck_since: Cell<Option<Instant>>,
-    /// Other processes accept from the same socket.
+    /// Whether other processes accept from the same socket.
     is_socket_shared: Cell<bool>,
     stats: Rc<Stats>,
     /// Memory for the buffered part of long bodies.
@@ -81,7 +84,7 @@
     protocol: Cell<Protocol>,
     /// Fails all active requests of the node.
     fail_all: Box<dyn Fn()>,
-    /// The flight recorder, for what no pool sees.
+    /// The flight recorder, for events that no pool sees.
     recorder: OnceCell<RecorderSink>,
 }
 
@@ -95,7 +98,8 @@
 }
 
 impl DownstreamListener {
-    /// Returns a listener that shares the budget with others. `fail_all` fails all active requests of the node.
+    /// Returns a listener that shares the budget with other listeners. `fail_all` fails all active requests of the
+    /// node.
     pub fn new(
         admission: Rc<dyn Admission>,
         active_requests: ActiveRequestIds,
@@ -122,7 +126,7 @@
         })
     }
 
-    /// Sets the recorder; the first one that is set stays.
+    /// Sets the recorder, unless one was set before.
     pub fn set_recorder(&self, recorder: RecorderSink) {
         let _ = self.recorder.set(recorder);
     }
@@ -137,7 +141,8 @@
         self.protocol.set(protocol);
     }
 
-    /// Enters or leaves lame-duck mode: health checks fail and connections close, but requests are served.
+    /// Enters or leaves lame-duck mode, in which health checks fail and connections are closed, but requests are
+    /// served.
     pub fn set_lame_duck(&self, is_lame_duck: bool) {
         let since = is_lame_duck.then(|| self.lame_duck_since.get().unwrap_or_else(Instant::now));
         self.lame_duck_since.set(since);
@@ -148,12 +153,13 @@
         self.lame_duck_since.get().is_some()
     }
 
-    /// Whether it takes no more connections.
+    /// Whether the listener is draining.
     pub fn is_draining(&self) -> bool {
         self.draining.get()
     }
 
-    /// Marks that other processes accept from the same socket: connections that wait there at the end are theirs.
+    /// Marks that other processes accept from the same socket, so that connections that wait there during a drain are
+    /// left to them.
     pub fn set_socket_shared(&self) {
         self.is_socket_shared.set(true);
     }
--- a/crates/node/src/net/downstream/proxy.rs
+++ b/crates/node/src/net/downstream/proxy.rs
@@ -1,4 +1,4 @@
-//! Sends an admitted request to its pool and words the response, for all protocols of clients.
+//! Sends an admitted request to its pool and builds the response, for all client protocols.
 
 use hyper::Response;
 use pumicehead_admin::stats::RequestOutcome;
@@ -12,7 +12,7 @@
 use crate::net::response_body::{ResponseBody, StreamEnd};
 
 impl DownstreamListener {
-    /// Proxies a request. One on a connection that is `over_limit` is rejected.
+    /// Proxies a request. A request on a connection that is `over_limit` is rejected.
     pub(super) async fn proxy(
         &self,
         admitted: AdmittedRequest,
@@ -37,7 +37,7 @@
         response::from_final(&style, final_response)
     }
 
-    /// Why a request is rejected without asking its pool; `None` where it is not.
+    /// Returns why a request is rejected without sending it to its pool, or `None` if it is not rejected.
     fn local_rejection(&self, over_limit: bool) -> Option<ListenerRejection> {
         if over_limit {
             return Some(ListenerRejection::ConnectionLimit);
@@ -46,7 +46,7 @@
         (self.is_exiting.get() || is_full).then_some(ListenerRejection::RequestLimit)
     }
 
-    /// Counts the outcome of a request; that of a streamed response is known at its end.
+    /// Counts the outcome of a request. The outcome of a streamed response is only known at its end.
     fn count_outcome(&self, class: usize, response: &mut FinalResponse) {
         match response {
             FinalResponse::Upstream(upstream) if upstream.body.is_stream() => {
--- a/crates/node/src/net/downstream/request_body.rs
+++ b/crates/node/src/net/downstream/request_body.rs
@@ -14,17 +14,17 @@
 use crate::net::memory_budget::MemoryBudget;
 use crate::net::upload::{UPLOAD_PACE_LIMITS, Upload};
 
-/// Most that is buffered of a body that is streamed, where the memory budget allows it: up to here a request can be
-/// retried.
+/// Maximum part of a streamed body that is buffered if the memory budget allows it, in bytes. A request can be
+/// retried until more than the buffered part is sent.
 const MAX_RETRYABLE_BYTES: usize = 1 << 20;
 /// Interval at which the pace of a body is checked.
 const PACE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A body as far as it was read.
+/// A body that was read completely or in part.
 pub enum ReceivedBody {
-    /// All of it.
+    /// The complete body.
     Full(Bytes),
-    /// Its start, and the rest that is still to be read.
+    /// The start of the body, and the rest that has not been read yet.
     Partial(Bytes, Rc<Upload>),
 }
 
@@ -34,12 +34,12 @@
         matches!(self, Self::Full(body) if body.is_empty())
     }
 
-    /// The rest that is still to be read.
+    /// Returns the rest that has not been read yet.
     pub fn upload(&self) -> Option<Rc<Upload>> {
         if let Self::Partial(_, upload) = self { Some(upload.clone()) } else { None }
     }
 
-    /// The buffered part and the rest.
+    /// Returns the buffered part and the rest.
     pub fn into_parts(self) -> (Bytes, Option<Rc<Upload>>) {
         match self {
             Self::Full(body) => (body, None),
@@ -48,7 +48,7 @@
     }
 }
 
-/// Reads a whole body of at most `max` bytes.
+/// Reads a complete body of at most `max` bytes.
 ///
 /// # Errors
 /// The body is longer or incomplete.
@@ -67,8 +67,8 @@
     Ok(buffer.into())
 }
 
-/// Reads a body of at most `max_streamed` bytes: all of it where it has at most `max_buffered` bytes or the memory budget
-/// allows more, else its start. `time_left` is how long the client waits after the last byte.
+/// Reads a body of at most `max_streamed` bytes: completely if it has at most `max_buffered` bytes or the memory
+/// budget allows more, otherwise only its start. `time_left` is how long the client waits after the last byte.
 ///
 /// # Errors
 /// The body is longer, incomplete or too slow.
@@ -84,7 +84,8 @@
         return Err(RequestError::BodyTooLong);
     }
     let mut reservation = memory.reservation();
-    // Memory for the stated length is reserved at once: reserved by pieces, many bodies would have some and none enough.
+    // Memory for the stated length is reserved all at once. If it were reserved in pieces, many bodies could hold
+    // some memory and none of them enough.
     let wanted = length.map_or(max_buffered, |length| {
         usize::try_from(length).unwrap_or(MAX_RETRYABLE_BYTES).min(MAX_RETRYABLE_BYTES)
     });
--- a/crates/node/src/net/downstream/response.rs
+++ b/crates/node/src/net/downstream/response.rs
@@ -1,4 +1,4 @@
-//! Final responses as HTTP messages to clients.
+//! Converts final responses to HTTP messages for clients.
 
 use bytes::Bytes;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -9,7 +9,7 @@
 use crate::net::exchange::{FinalResponse, UpstreamResponse};
 use crate::net::response_body::ResponseBody;
 
-/// Returns the message of a final response.
+/// Returns the message for a final response.
 pub fn from_final(style: &ResponseStyle, response: FinalResponse) -> Response<ResponseBody> {
     match response {
         FinalResponse::Upstream(upstream) => from_upstream(style, upstream),
@@ -74,7 +74,7 @@
     }
 }
 
-/// Returns a message of the node itself.
+/// Returns a message from the node itself.
 pub fn plain(status: StatusCode, text: &str) -> Response<ResponseBody> {
     let mut response = Response::new(Bytes::copy_from_slice(text.as_bytes()).into());
     *response.status_mut() = status;
--- a/crates/node/src/net/pool_loop/actions.rs
+++ b/crates/node/src/net/pool_loop/actions.rs
@@ -1,4 +1,4 @@
-//! Actions of the decision module, carried out.
+//! Executes the actions of the decision module.
 
 use pumicehead_policy::{Action, AttemptNo, EndpointId, Nanos, RequestId};
 use tokio::sync::oneshot;
@@ -18,18 +18,20 @@
             Action::ArmTimer { at, token } => self.arm_policy_timer(at, token),
             Action::CloseIdleConnections(endpoint) => self.close_idle_connections(endpoint),
             Action::Subscribe => self.ensure_watch(),
-            // Load reports need a connection to other nodes, which there is none of here; the configuration keeps them off.
+            // Load reports need a connection to other nodes, which does not exist here; the configuration keeps them
+            // disabled.
             Action::SendLoadReport { .. } => {}
         }
     }
 
-    /// Rejects a request. An endpoint's error response goes first: it says more than that a retry is possible.
+    /// Rejects a request. An endpoint's error response takes precedence, because it says more than that a retry is
+    /// possible.
     fn reject(&mut self, id: RequestId, retry_after: Option<Nanos>) {
         let error = self.in_flight.get_mut(&id).and_then(|in_flight| in_flight.error_response.take());
         self.respond(id, error.map_or(FinalResponse::Rejected(retry_after), FinalResponse::Upstream));
     }
 
-    /// Fails a request, with an endpoint's error response where there is one.
+    /// Fails a request, with an endpoint's error response if there is one.
     fn fail(&mut self, id: RequestId) {
         let now = self.now();
         let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
@@ -39,7 +41,7 @@
         self.respond(id, error.unwrap_or(without_error));
     }
 
-    /// Cancels an attempt. It stays in flight until it reports its end.
+    /// Cancels an attempt, which stays in flight until it reports its end.
     fn cancel_attempt(&mut self, id: RequestId, attempt: AttemptNo) {
         let in_flight = self.in_flight.get_mut(&id);
         let cancel = in_flight.and_then(|in_flight| in_flight.attempts.get_mut(usize::from(attempt.0)));
--- a/crates/node/src/net/pool_loop/attempts.rs
+++ b/crates/node/src/net/pool_loop/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of a pool's requests: started, and what their ends mean for the request.
+//! Starts the attempts of a pool's requests, and handles their ends.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 use crate::net::pool_message::{EndedAttempt, PoolMessage};
 use crate::net::upstream::transport::{AttemptDeadlines, EndpointConnector};
 
-/// The outcomes that prove a connection to the endpoint.
+/// The outcomes that prove that there was a connection to the endpoint.
 const CONNECTED_OUTCOMES: [AttemptOutcome; 4] =
     [AttemptOutcome::Success, AttemptOutcome::Error, AttemptOutcome::Rejected, AttemptOutcome::TimedOut];
 
@@ -26,8 +26,9 @@
 }
 
 impl PoolLoop {
-    /// Starts an attempt, which times out after `timeout` and must not be written after `start_before`. It ends at once
-    /// where the endpoint or the request is gone, or part of the body went to another endpoint.
+    /// Starts an attempt, which times out after `timeout` and whose request must not be written after `start_before`.
+    /// It ends immediately if the endpoint was removed, the request already has its final response, its time is up,
+    /// or part of its body was sent to another endpoint.
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
@@ -52,8 +53,8 @@
         self.spawn_attempt(start, connector, deadlines);
     }
 
-    /// Runs an attempt in a task of its own, which reports its end to this loop and ends at its deadline or when it is
-    /// cancelled.
+    /// Runs an attempt in a separate task, which reports its end to this loop. It ends at the latest at its deadline
+    /// or when it is cancelled.
     fn spawn_attempt(
         &mut self,
         start: AttemptStart,
@@ -77,7 +78,7 @@
         });
     }
 
-    /// Ends an attempt that was never written.
+    /// Ends an attempt whose request was never written.
     fn end_without_sending(&mut self, id: RequestId, attempt: AttemptNo, endpoint: EndpointId) {
         let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
         in_flight.attempts.push(None);
@@ -102,8 +103,7 @@
         }));
     }
 
-    /// Passes a streamed response on. Another attempt may have been faster; this response is then dropped, which ends
-    /// its attempt.
+    /// Forwards a streamed response. If another attempt was faster, the response is dropped, which ends its attempt.
     pub(super) fn on_response_started(
         &mut self,
         id: RequestId,
@@ -143,7 +143,7 @@
         self.remove_if_done(id);
     }
 
-    /// How long the endpoint took, which without a streamed body is the duration of the attempt.
+    /// Returns how long the endpoint took, which is the duration of the attempt unless a body was streamed.
     fn attempt_duration(&self, ended: &EndedAttempt) -> Nanos {
         ended
             .result
@@ -167,7 +167,8 @@
         }
     }
 
-    /// A successful response is the final one; an error response is kept for the case that nothing better comes.
+    /// Handles a complete response. A successful one is the final response; an error response is kept in case no
+    /// attempt succeeds.
     fn take_response(&mut self, id: RequestId, outcome: AttemptOutcome, response: UpstreamResponse) {
         if outcome == AttemptOutcome::Success {
             self.respond(id, FinalResponse::Upstream(response));
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Responds to a request of whose body part was sent to the endpoint: no retry is possible, so the end of this
-    /// attempt decides.
+    /// Responds to a request after part of its body was sent to an endpoint. No retry is possible, so this attempt
+    /// determines the final response.
     fn finish_partially_sent(&mut self, id: RequestId, outcome: AttemptOutcome) {
         let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
         let Some(upload) = in_flight.request.upload.as_ref().filter(|upload| upload.has_started()) else {
@@ -196,7 +197,8 @@
         self.respond(id, error.unwrap_or(without_error));
     }
 
-    /// Without a discovery service, an endpoint that accepts connections again after it refused them has restarted.
+    /// Detects restarts of endpoints if there is no discovery service: an endpoint that accepts connections again
+    /// after refusing them has been restarted.
     fn observe_connect_result(&mut self, endpoint: EndpointId, outcome: AttemptOutcome, refused: bool) {
         if self.watch.uses_discovery_service() {
             return;
--- a/crates/node/src/net/pool_loop/config.rs
+++ b/crates/node/src/net/pool_loop/config.rs
@@ -1,4 +1,4 @@
-//! What a pool's event loop is made of.
+//! Configuration of a pool's event loop.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,19 +11,19 @@
 use crate::net::recorder_sink::RecorderSink;
 use crate::net::upstream::transport::Transport;
 
-/// Warm state of an earlier process is used up to this age, in nanoseconds.
+/// Maximum age of the warm state of an earlier process, in nanoseconds.
 pub const WARM_STATE_MAX_AGE: Nanos = 30 * SECOND;
 
 /// Where the list of endpoints comes from.
 pub enum EndpointSource {
-    /// A discovery service, which is watched.
+    /// A discovery service that is watched.
     Watch {
         /// Address of the service.
         address: SocketAddr,
-        /// The last known list; where there is none, the watch starts at once.
+        /// The last known list; if there is none, the watch starts immediately.
         last_list: Option<EndpointList>,
-        /// Starts the watch at once instead of when the decision module asks for it. Set where this process takes
-        /// over from another one, whose list it must not fall behind.
+        /// Whether the watch starts immediately instead of when the decision module requests it. Set if this process
+        /// takes over from another one, because its list must not be older than that of the other process.
         poll_at_start: bool,
     },
     /// The configuration.
@@ -31,7 +31,7 @@
 }
 
 impl EndpointSource {
-    /// Address of the discovery service, where there is one.
+    /// Returns the address of the discovery service, if there is one.
     pub(super) fn service_address(&self) -> Option<SocketAddr> {
         match self {
             Self::Watch { address, .. } => Some(*address),
@@ -40,24 +40,24 @@
     }
 }
 
-/// What a pool's event loop is made of.
+/// Configuration of a pool's event loop.
 pub struct PoolConfig {
     /// Settings of the decision module.
     pub settings: Settings,
     /// Seed of the decision module's random numbers.
     pub seed: u64,
-    /// Names of the zones, by zone id.
+    /// Zone names by zone id.
     pub zones: Vec<String>,
     /// Where the endpoints come from.
     pub endpoints: EndpointSource,
-    /// How attempts reach the endpoints.
+    /// The transport through which attempts reach the endpoints.
     pub transport: Rc<dyn Transport>,
-    /// Endpoints that operators have disabled.
+    /// The operators' admin overrides for endpoints.
     pub overrides: Rc<AdminOverrides>,
-    /// What an earlier process of this node had learned.
+    /// What an earlier process of this node had learned, if available.
     pub warm_state: Option<WarmState>,
     /// The node's clock.
     pub clock: Clock,
-    /// The flight recorder, where there is one.
+    /// The flight recorder, if there is one.
     pub recorder: Option<RecorderSink>,
 }
--- a/crates/node/src/net/pool_loop/endpoints.rs
+++ b/crates/node/src/net/pool_loop/endpoints.rs
@@ -1,4 +1,4 @@
-//! The pool's list of endpoints: loaded, watched and published to the decision module.
+//! Loads and watches the pool's list of endpoints, and publishes it to the decision module.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -15,12 +15,12 @@
 use crate::net::endpoint_directory::UnknownZoneError;
 use crate::net::pool_message::{EndpointCounts, Retirement};
 
-/// A pool that is gone from the configuration starts attempts for this long, well within the 2 s in which a drain must
-/// be honoured.
+/// How long a pool that was removed from the configuration still starts attempts; well within the 2 s in which a
+/// drain must be honoured.
 const RETIREMENT_GRACE: Nanos = SECOND;
 
 impl PoolLoop {
-    /// Loads the first list and starts the watch, as the source demands.
+    /// Loads the first list and starts the watch if the source requires it.
     pub(super) fn load_endpoints(&mut self, source: EndpointSource) {
         match source {
             EndpointSource::Fixed(list) => self.set_endpoints(list),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes the last known list over; one that can't be used counts as empty.
+    /// Restores the last known list. A list that can't be used counts as empty.
     fn restore_list(&mut self, list: EndpointList) {
         if let Err(error) = self.apply_list(list, true) {
             warn!(target: "discovery", %error, "endpoint list of the configuration ignored");
@@ -45,21 +45,23 @@
         }
     }
 
-    /// Starts a watch, in place of any that is running.
+    /// Starts a watch, which replaces a running one.
     fn start_watch(&mut self) {
         if !self.retired {
             self.watch.start(self.directory.version, self.list_is_pushed, self.sender.clone());
         }
     }
 
-    /// Starts a watch unless one is running: a running one is as good as a new one, which would only wait behind it.
+    /// Starts a watch unless one is running. A running watch is as good as a new one, which would only wait behind
+    /// it.
     pub(super) fn ensure_watch(&mut self) {
         if !self.watch.is_running() {
             self.start_watch();
         }
     }
 
-    /// Moves the watch to another discovery service. Its versions are its own, so the complete list is requested.
+    /// Switches the watch to another discovery service. Each service has its own versions, so the complete list is
+    /// requested.
     pub(super) fn move_discovery(&mut self, address: SocketAddr) {
         if self.watch.set_address(address) {
             self.directory.version = 0;
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Applies a list of the running watch. One that can't be used ends the watch.
+    /// Applies a list received by the running watch. A list that can't be used ends the watch.
     pub(super) fn on_list_received(&mut self, watch: u64, list: EndpointList) {
         if self.watch.is_current(watch)
             && let Err(error) = self.apply_list(list, false)
@@ -76,7 +78,8 @@
         }
     }
 
-    /// Arms a retry for a watch of an agent; the decision module decides on others.
+    /// Handles the end of a watch. The watch of an agent is retried by a timer; for other watches, the decision
+    /// module decides.
     pub(super) fn on_watch_ended(&mut self, watch: u64, error: &dyn Error) {
         if !self.watch.is_current(watch) {
             return;
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Applies the endpoints of a configuration that was read again.
+    /// Applies the endpoints of a reloaded configuration.
     pub(super) fn on_set_endpoints(&mut self, mut list: EndpointList) {
         self.directory.assign_start_times(&mut list, self.now() / MILLISECOND);
         self.set_endpoints(list);
@@ -109,7 +112,7 @@
         Ok(())
     }
 
-    /// Hands an update to the recorder and to the decision module.
+    /// Passes an update to the recorder and to the decision module.
     pub(super) fn publish(&mut self, update: EndpointUpdate) {
         if let Some(recorder) = &self.recorder {
             recorder.record_endpoints(&update, |id| self.directory.name(id));
@@ -117,7 +120,7 @@
         self.events.push_back(Event::EndpointsUpdated(update));
     }
 
-    /// Applies changed admin overrides for endpoints of these names.
+    /// Applies changed admin overrides to the endpoints with these names.
     pub(super) fn refresh_overrides(&mut self, names: &[String]) {
         if let Some(update) = self.directory.refresh_overrides(names) {
             self.publish(update);
@@ -132,8 +135,9 @@
         EndpointCounts { listed, unavailable }
     }
 
-    /// Ends this loop after its last request. No route leads here any more; requests that were admitted before may still
-    /// arrive. Endpoints that the configuration has no more are removed after [`RETIREMENT_GRACE`].
+    /// Makes this loop end after its last request. No route leads to this pool any more, but requests that were
+    /// admitted before may still arrive. If the pool was removed from the configuration, its endpoints are removed
+    /// after [`RETIREMENT_GRACE`].
     pub(super) fn retire(&mut self, reason: Retirement) {
         self.retired = true;
         self.watch.stop();
--- a/crates/node/src/net/pool_loop/in_flight.rs
+++ b/crates/node/src/net/pool_loop/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request that a pool's event loop has not finished.
+//! A request that is not yet finished by the pool's event loop.
 
 use std::rc::Rc;
 
@@ -9,20 +9,20 @@
 use crate::net::active_requests::RequestIdGuard;
 use crate::net::exchange::{FinalResponse, UpstreamRequest, UpstreamResponse};
 
-/// A request that has no final response, or of which an attempt is in flight.
+/// A request that has no final response or still has attempts in flight.
 pub(super) struct InFlightRequest {
     pub request: Rc<UpstreamRequest>,
-    /// Taken by the final response.
+    /// Sends the final response; `None` once it has been given.
     pub responder: Option<oneshot::Sender<FinalResponse>>,
     pub deadline: Nanos,
-    /// An endpoint's error response: the final response where no attempt succeeds.
+    /// An endpoint's error response, which becomes the final response if no attempt succeeds.
     pub error_response: Option<UpstreamResponse>,
-    /// By attempt number, the sender that cancels it; `None` once it has ended.
+    /// The sender that cancels an attempt, by attempt number; `None` once the attempt has ended.
     pub attempts: Vec<Option<oneshot::Sender<()>>>,
-    /// Held while an attempt is in flight, after a disconnect too: a second request under the id would repeat an effect
-    /// that an endpoint still works on.
+    /// Held while an attempt is in flight, even after a disconnect, because a second request with the same id could
+    /// repeat a side effect that an endpoint is still processing.
     pub _id_guard: Rc<RequestIdGuard>,
-    /// Timers that were armed for this request. They are removed with it, so that they don't wake the loop for nothing.
+    /// Timers armed for this request. They are removed together with it, so that they don't wake the loop needlessly.
     pub timers: Vec<Timer>,
 }
 
@@ -32,7 +32,7 @@
         self.responder.is_none() && self.attempts.iter().all(Option::is_none)
     }
 
-    /// Whether part of the request's body was sent to an endpoint: it can't be sent to another one.
+    /// Whether part of the request's body was sent to an endpoint, so that the body can't be sent to another one.
     pub fn upload_has_started(&self) -> bool {
         self.request.upload.as_ref().is_some_and(|upload| upload.has_started())
     }
--- a/crates/node/src/net/pool_loop/messages.rs
+++ b/crates/node/src/net/pool_loop/messages.rs
@@ -1,4 +1,4 @@
-//! Messages to a pool's event loop, each handled by one function.
+//! Dispatches messages to a pool's event loop to their handlers.
 
 use pumicehead_flight_recorder::event::Event as RecordedEvent;
 use pumicehead_policy::{Event, NodeShare};
@@ -33,7 +33,7 @@
             PoolMessage::Retire(reason) => self.retire(reason),
             PoolMessage::FailAll => self.fail_all(),
             PoolMessage::RefreshOverrides(names) => self.refresh_overrides(&names),
-            // The receiver of a reply may be gone.
+            // The receiver of a reply may have been dropped.
             PoolMessage::CountEndpoints(reply) => drop(reply.send(self.endpoint_counts())),
             PoolMessage::GetWarmState(reply) => drop(reply.send(self.balancer.warm_state(self.now()))),
         }
--- a/crates/node/src/net/pool_loop/mod.rs
+++ b/crates/node/src/net/pool_loop/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop of a pool. It hands events to the decision module one at a time and carries out the module's actions
-//! in their order. A node runs one loop for each pool of endpoints.
+//! The event loop of a pool. It passes events to the decision module one at a time and executes the module's actions
+//! in order. A node runs one event loop for each pool of endpoints.
 
 mod actions;
 mod attempts;
@@ -47,26 +47,26 @@
     clock: Clock,
     recorder: Option<RecorderSink>,
     timers: BTreeSet<Timer>,
-    /// Events for the decision module, in their order.
+    /// Queue of events for the decision module.
     events: VecDeque<Event>,
     in_flight: FxHashMap<RequestId, InFlightRequest>,
-    /// An agent on this machine pushes the list.
+    /// Whether an agent on this machine pushes the list.
     list_is_pushed: bool,
-    /// As `Settings::rejection_may_execute`.
+    /// Copy of `Settings::rejection_may_execute`.
     rejection_may_execute: bool,
-    /// `Retry-After` of a rejection that the loop decides on itself, where the settings allow one.
+    /// `Retry-After` of rejections by the loop itself, if the settings allow one.
     retry_after: Option<Nanos>,
     watch: WatchTask,
-    /// Alive while a handle to this loop is.
+    /// Tells whether any handle to this loop is left.
     handles: Weak<Cell<u32>>,
     retired: bool,
-    /// Restored as endpoints become known, up to [`WARM_STATE_MAX_AGE`].
+    /// Restored for endpoints as they become known, and dropped when it is older than [`WARM_STATE_MAX_AGE`].
     warm_state: Option<WarmState>,
     stall_detector: StallDetector,
 }
 
 impl PoolLoop {
-    /// Returns a loop that is not running, and the handle to it.
+    /// Returns a loop that is not running yet, and the handle to it.
     pub fn new(config: PoolConfig, active_requests: ActiveRequestIds) -> (Self, PoolHandle) {
         let PoolConfig {
             settings,
@@ -127,7 +127,8 @@
                 },
                 () = sleep_until(wake) => {}
             }
-            // The event of a message that came during a stall is dispatched after the stall is reported.
+            // The event of a message that arrived during a stall is only dispatched after the stall has been
+            // reported.
             self.check_stall(next_due.max(turn_end), self.now());
         }
     }
@@ -136,7 +137,8 @@
         self.retired && self.in_flight.is_empty() && self.handles.strong_count() == 0
     }
 
-    /// Reports a stall to the decision module where the loop made no progress between two times; returns whether it did.
+    /// Checks whether the loop stalled between two times, and reports a stall to the decision module; returns whether
+    /// there was one.
     fn check_stall(&mut self, from: Nanos, to: Nanos) -> bool {
         let Some(duration) = self.stall_detector.observe(from, to) else { return false };
         warn!(target: "loop", duration_ms = duration / MILLISECOND, "event loop stalled");
@@ -154,8 +156,8 @@
         }
     }
 
-    /// Hands all waiting events to the decision module. An event that an action causes is handed over after all
-    /// actions of the event before it.
+    /// Passes all queued events to the decision module. An event that is caused by an action is passed on after all
+    /// actions of the previous event have been executed.
     fn dispatch_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Logs and records what the decision module decided on an event, and why.
+    /// Logs and records the decisions that the decision module made on an event, with their reasons.
     fn report_decisions(&mut self, now: Nanos) {
         for decision in self.balancer.decision_events() {
             if decision.is_logged() {
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Restores the warm state for endpoints that have become known; drops it once it is too old.
+    /// Restores the warm state of endpoints that have become known, and drops it once it is too old.
     fn restore_warm_state(&mut self, endpoints_changed: bool) {
         let now = self.now();
         let is_expired = |state: &WarmState| state.age(now) > WARM_STATE_MAX_AGE;
--- a/crates/node/src/net/pool_loop/requests.rs
+++ b/crates/node/src/net/pool_loop/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of a pool: taken, given their one final response, released.
+//! Accepts the requests of a pool, gives each exactly one final response, and removes them when they are done.
 
 use std::rc::Rc;
 
@@ -14,11 +14,11 @@
 use crate::net::exchange::{FinalResponse, ProxyRequest};
 use crate::net::pool_message::NewProxyRequest;
 
-/// Interval at which the due time of a request is checked again while its body is being sent.
+/// Interval at which a request whose body is being sent is checked for being overdue.
 const UPLOAD_CHECK_INTERVAL: Nanos = SECOND / 10;
 
 impl PoolLoop {
-    /// Takes a new request: its deadline starts to count when it was sent to this loop.
+    /// Accepts a new request. Its deadline counts from the time at which it was sent to this loop.
     pub(super) fn on_request(&mut self, new: NewProxyRequest) {
         let NewProxyRequest { id, request, arrived, responder, id_guard } = new;
         let deadline = self.clock.time_of(arrived) + request.time_left.as_nanos() as Nanos;
@@ -59,19 +59,19 @@
         }
     }
 
-    /// Gives a request its final response, unless it has one; returns whether it was this one.
+    /// Gives a request its final response, unless it already has one; returns whether the response was used.
     pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) -> bool {
         let Some(in_flight) = self.in_flight.get_mut(&id) else { return false };
         let Some(responder) = in_flight.responder.take() else { return false };
         in_flight.request.finished.set(true);
         self.record(&RecordedEvent::RequestEnded { id, outcome: recorded_outcome(&response) });
-        // Fails where the client has disconnected.
+        // Fails if the client has disconnected.
         let _ = responder.send(response);
         self.remove_if_done(id);
         true
     }
 
-    /// Forgets a request that is done, and its timers.
+    /// Removes a request that is done, with its timers.
     pub(super) fn remove_if_done(&mut self, id: RequestId) {
         if !self.in_flight.get(&id).is_some_and(InFlightRequest::is_done) {
             return;
@@ -89,25 +89,26 @@
         }
     }
 
-    /// Fails a request that is overdue, or that the process can't wait for.
+    /// Fails a request that is overdue, or that the exiting process can't wait for.
     pub(super) fn fail_overdue(&mut self, id: RequestId) {
         if self.respond(id, FinalResponse::DeadlineExceeded) {
             self.events.push_back(Event::ClientDisconnected(id));
         }
     }
 
-    /// Fails all requests: the process is about to exit.
+    /// Fails all requests, because the process is about to exit.
     pub(super) fn fail_all(&mut self) {
         let ids: Vec<_> = self.in_flight.keys().copied().collect();
         for id in ids {
             self.fail_overdue(id);
-            // After each request, or its freed capacity would go to another one that is about to fail.
+            // Dispatched after each request, because otherwise its freed capacity would go to another request that is
+            // about to fail.
             self.dispatch_events();
         }
     }
 
-    /// Returns the later due time of a request whose body is being sent or was sent just now: its time counts from the
-    /// last byte of the body. `None` where it is due.
+    /// Returns the extended due time of a request whose body is being sent or was sent recently, since its deadline
+    /// counts from the last byte of the body; `None` if the request is overdue.
     pub(super) fn extended_due_time(&self, id: RequestId) -> Option<Nanos> {
         let upload = self.in_flight.get(&id)?.request.upload.as_ref()?;
         let due = match upload.completed_at() {
@@ -121,7 +122,7 @@
     }
 }
 
-/// How a final response is recorded.
+/// Returns the outcome under which a final response is recorded.
 fn recorded_outcome(response: &FinalResponse) -> RequestOutcome {
     match response {
         FinalResponse::Upstream(upstream) if upstream.status.is_server_error() => RequestOutcome::ServedError,
--- a/crates/node/src/net/pool_loop/stall.rs
+++ b/crates/node/src/net/pool_loop/stall.rs
@@ -1,14 +1,16 @@
-//! Detects stalls of the event loop: times in which this process was stopped or got no processor.
+//! Detects stalls of the event loop: periods in which this process was stopped or got no processor time.
 
 use pumicehead_policy::{Nanos, SECOND};
 
-/// A delay above this may be a stall. It spans some scheduling periods of 100 ms, and is well below any deadline.
+/// A delay above this threshold may be a stall. It spans several scheduling periods of 100 ms, and is well below any
+/// deadline.
 const STALL_THRESHOLD: Nanos = SECOND / 4;
-/// Longest time for which the loop has to be punctual after a stall before another delay counts as one.
+/// Maximum time without a delay that is required after a delay, before another delay counts as a stall.
 const MAX_RECOVERY_TIME: Nanos = SECOND;
 
-/// Distinguishes single stalls from constant load. A node whose every turn is slow lacks processor time, and has to shed load by
-/// what it measures; only delays after a punctual time as long as the last delay are stalls.
+/// Distinguishes single stalls from constant load. If every turn of the event loop is slow, the node lacks processor
+/// time and has to shed load according to its measurements. So a delay only counts as a stall if the loop ran without
+/// delay before it for as long as the last delay took, or for [`MAX_RECOVERY_TIME`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StallDetector {
     last: Option<Delay>,
@@ -22,7 +24,7 @@
 }
 
 impl StallDetector {
-    /// Takes that the loop made no progress between two times; returns the duration where that is a stall.
+    /// Records that the loop made no progress between two times; returns the duration if it counts as a stall.
     pub fn observe(&mut self, from: Nanos, to: Nanos) -> Option<Nanos> {
         let duration = to.saturating_sub(from);
         if duration <= STALL_THRESHOLD {
--- a/crates/node/src/net/pool_loop/timers.rs
+++ b/crates/node/src/net/pool_loop/timers.rs
@@ -5,22 +5,22 @@
 use super::PoolLoop;
 use crate::net::discovery::EndpointList;
 
-/// A request without a final response this long after its deadline is failed by the loop. The decision module acts
-/// earlier, on the timeout of an attempt or on its own timers.
+/// The loop fails a request that has no final response this long after its deadline. The decision module normally
+/// acts earlier, on the timeout of an attempt or on its own timers.
 pub(super) const OVERDUE_MARGIN: Nanos = SECOND / 100;
 /// Interval between sweeps of idle connections.
 pub(super) const SWEEP_INTERVAL: Nanos = SECOND;
 
-/// What a timer is for. Timers that are due at the same time fire in the order of the variants.
+/// Purpose of a timer. Timers that are due at the same time fire in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
     /// Armed by the decision module, with its token.
     Policy(u64),
-    /// A request's deadline has passed.
+    /// Fails a request whose deadline has passed.
     RequestOverdue(u32),
     SweepIdleConnections,
     RetryWatch,
-    /// Removes the endpoints of a pool that is gone from the configuration.
+    /// Removes the endpoints of a pool that was removed from the configuration.
     ClearEndpoints,
 }
 
@@ -61,7 +61,7 @@
 
     fn on_overdue_timer(&mut self, timer: Timer, id: RequestId) {
         if !self.messages.is_empty() {
-            // The response may be among the waiting messages: a loop that runs late must not discard it.
+            // The response may be among the waiting messages, and a loop that runs late must not discard it.
             self.timers.insert(timer);
             self.handle_waiting_messages();
             return;
@@ -76,7 +76,7 @@
         self.timers.insert(Timer { due, kind });
     }
 
-    /// Arms a timer of the decision module. One for a request that has ended is dropped.
+    /// Arms a timer of the decision module. A timer for a request that has ended is dropped.
     pub(super) fn arm_policy_timer(&mut self, due: Nanos, token: TimerToken) {
         let timer = Timer { due, kind: TimerKind::Policy(token.0) };
         if let Some(id) = token.request() {
--- a/crates/node/src/net/pool_loop/watch_task.rs
+++ b/crates/node/src/net/pool_loop/watch_task.rs
@@ -1,4 +1,5 @@
-//! Owns the task that watches the discovery service. One watch runs at a time; messages of earlier ones are stale.
+//! Owns the task that watches the discovery service. At most one watch runs at a time; messages of earlier watches
+//! are stale.
 
 use std::net::SocketAddr;
 
@@ -10,7 +11,7 @@
 
 /// The watch of a pool.
 pub(super) struct WatchTask {
-    /// Of the discovery service; `None` where the configuration lists the endpoints.
+    /// Address of the discovery service; `None` if the configuration lists the endpoints.
     address: Option<SocketAddr>,
     current: Option<RunningWatch>,
     last_number: u64,
@@ -22,7 +23,7 @@
 }
 
 impl WatchTask {
-    /// Returns one that is not running.
+    /// Returns a watch that is not running.
     pub fn new(address: Option<SocketAddr>) -> Self {
         Self { address, current: None, last_number: 0 }
     }
@@ -32,7 +33,7 @@
         self.address.is_some()
     }
 
-    /// Sets the address for the next start; returns whether it is another one.
+    /// Sets the address for the next start; returns whether it has changed.
     pub fn set_address(&mut self, address: SocketAddr) -> bool {
         let changes = self.address.is_some_and(|old| old != address);
         if changes {
@@ -41,8 +42,8 @@
         changes
     }
 
-    /// Starts a watch after a version of the list, in place of any that is running. Lists and the end are sent as
-    /// messages that carry the watch's number.
+    /// Starts a watch after version `after` of the list, which replaces a running one. The lists and the end of the
+    /// watch are sent as messages that carry the watch's number.
     pub fn start(&mut self, after: u64, is_agent: bool, messages: mpsc::UnboundedSender<PoolMessage>) {
         self.stop();
         let Some(address) = self.address else { return };
@@ -61,7 +62,7 @@
         self.current.is_some()
     }
 
-    /// Whether the watch of this number is the running one.
+    /// Whether the watch with this number is the running one.
     pub fn is_current(&self, number: u64) -> bool {
         self.current.as_ref().is_some_and(|watch| watch.number == number)
     }
