--- a/crates/node/tests/crossings_list.rs
+++ b/crates/node/tests/crossings_list.rs
@@ -64,7 +64,7 @@
 
 /// The same at an agent that takes a call and sends nothing, as one that is down does: its list binds at its return, and
 /// drains have to be honoured 2 s later. The delay of the second call is tested with a paused clock
-/// (`silent_agent_is_called_again_in_time`); here the first call stays open, and the list of the second one is used.
+/// (`watch_of_silent_agent_is_retried_in_time`); here the first call stays open, and the list of the second one is used.
 #[test]
 fn silent_agent_is_called_again_after_discovery_returns() {
     let backend = Backend::start(|_| ok("done"));
--- a/crates/node/tests/unit/affected_pools.rs
+++ b/crates/node/tests/unit/affected_pools.rs
@@ -1,4 +1,4 @@
-//! Pools that a change concerns.
+//! Tests which pools a configuration change affects.
 
 use std::sync::Arc;
 
@@ -8,10 +8,10 @@
 
 use super::*;
 
-/// One file in memory.
-struct OneFile(String);
+/// A single configuration file in memory.
+struct InMemoryFile(String);
 
-impl Files for OneFile {
+impl Files for InMemoryFile {
     fn read(&self, _: &std::path::Path) -> Result<Vec<u8>, pumicehead_config::ReadError> {
         Ok(self.0.clone().into_bytes())
     }
@@ -40,8 +40,8 @@
 ";
 
 fn config(text: &str) -> Config {
-    let checked = pumicehead_config::check(&OneFile(text.into()), std::path::Path::new("main.conf"));
-    checked.config.expect("a sound configuration")
+    let checked = pumicehead_config::check(&InMemoryFile(text.into()), std::path::Path::new("main.conf"));
+    checked.config.expect("the configuration should be valid")
 }
 
 fn affected(from: &str, to: &str) -> AffectedPools {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_change_affects_only_the_pools_it_concerns() {
+fn change_affects_only_the_pools_that_use_it() {
     let cases: &[(&str, &str, &[&str])] = &[
         ("127.0.0.1:9002", "127.0.0.1:9009", &["two"]),
         ("127.0.0.1:9002; zone b", "127.0.0.1:9002; zone a", &["two"]),
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn an_order_of_routes_touches_no_pool() {
+fn reordering_routes_affects_no_pool() {
     let first = "route first { path /a/**; class read; pool one }\n";
     let moved = BASE.replace(first, "") + first;
     assert_ne!(BASE, moved);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn tenants_and_the_node_touch_all_pools() {
+fn tenant_and_node_changes_affect_all_pools() {
     for (from, to) in
         [("rate 100/s", "rate 90/s"), ("zones a b;", "zones a b c;"), ("tenant acme", "tenant other")]
     {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn no_change_touches_nothing() {
+fn unchanged_configuration_affects_no_pool() {
     let state = config(BASE).snapshot().unwrap();
     assert_eq!(AffectedPools::of_delta(&Delta::default(), &state, &state), pools(&[]));
     assert_eq!(affected(BASE, &format!("# a comment\n{BASE}")), pools(&[]));
--- a/crates/node/tests/unit/connection_registry.rs
+++ b/crates/node/tests/unit/connection_registry.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// An endpoint with idle connections that counts their sweeps.
+/// An endpoint that counts the sweeps of its idle connections.
 #[derive(Default)]
 struct CountingEndpoint {
     registered: Cell<bool>,
@@ -24,9 +24,9 @@
     }
 }
 
-/// Each of many pools asks for a sweep a second, and all share one.
+/// Each of many pools requests a sweep every second, and all these requests share a single sweep.
 #[tokio::test(start_paused = true)]
-async fn pools_share_a_sweep() {
+async fn sweep_requests_of_many_pools_share_one_sweep() {
     let connections = ConnectionRegistry::new(8);
     let endpoint = Rc::new(CountingEndpoint::default());
     connections.register(&endpoint);
--- a/crates/node/tests/unit/fastcgi_outcome.rs
+++ b/crates/node/tests/unit/fastcgi_outcome.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn every_ending_has_its_outcome() {
+fn every_ending_maps_to_its_outcome() {
     use ProtocolStatus::{CantMultiplex, Complete, Other, Overloaded, UnknownRole};
     assert_eq!(FastCgiEnding::ConnectFailed.classify().outcome, AttemptOutcome::ConnectFailed);
     assert_eq!(FastCgiEnding::AtCapacity.classify().outcome, AttemptOutcome::Rejected);
--- a/crates/node/tests/unit/introspection.rs
+++ b/crates/node/tests/unit/introspection.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 #[test]
-fn a_panic_leaves_a_recording() {
+fn panic_writes_a_recording() {
     let folder = std::env::temp_dir().join(format!("pumicehead-panic-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
     let (log, _flush) = crate::log::start_with_thread();
@@ -20,17 +20,17 @@
             RecordingDestination::BlockingThread(folder.clone()),
         );
         introspection.start().unwrap();
-        let broke = task::spawn_local(async { panic!("on purpose, in a test") }).await;
-        assert!(broke.is_err());
+        let result = task::spawn_local(async { panic!("on purpose, in a test") }).await;
+        assert!(result.is_err());
     });
     let file = fs::read_dir(&folder).unwrap().next().unwrap().unwrap().path();
-    let dump = pumicehead_flight_recorder::recording::Recording::read(&fs::read(file).unwrap()).unwrap();
-    assert!(dump.header.reason.contains("on purpose"), "{}", dump.header.reason);
+    let recording = pumicehead_flight_recorder::recording::Recording::read(&fs::read(file).unwrap()).unwrap();
+    assert!(recording.header.reason.contains("on purpose"), "{}", recording.header.reason);
     fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn a_folder_keeps_the_newest_recordings_of_a_node() {
+fn only_the_newest_recordings_of_a_node_are_kept() {
     let folder = std::env::temp_dir().join(format!("pumicehead-introspection-{}", std::process::id()));
     fs::create_dir_all(&folder).unwrap();
     fs::write(folder.join("other.rec"), "x").unwrap();
--- a/crates/node/tests/unit/response_classification.rs
+++ b/crates/node/tests/unit/response_classification.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn gateway_forwards_what_a_healthy_endpoint_may_answer() {
+fn gateway_classifies_and_forwards_delimited_responses() {
     for status in [200, 201, 204, 206, 301, 304, 400, 401, 404, 409, 412, 501, 505] {
         assert_eq!(
             classify(StatusPolicy::Gateway, status, false, true),
--- a/crates/node/tests/unit/state_file.rs
+++ b/crates/node/tests/unit/state_file.rs
@@ -13,13 +13,13 @@
 }
 
 #[test]
-fn processes_read_and_extend_what_others_wrote() {
+fn processes_extend_the_state_written_by_others() {
     let folder = folder("two");
     let (mut one, mut other) = (StateFile::new(&folder, "n/1"), StateFile::new(&folder, "n/1"));
     assert!(one.read_if_changed().unwrap().is_none());
     let empty = DisabledBackends::default();
     block_on(one.update(&empty, |disabled| disabled.disable("a", 1))).unwrap();
-    assert!(one.read_if_changed().unwrap().is_none(), "its own write is no change");
+    assert!(one.read_if_changed().unwrap().is_none(), "its own write is not reported as a change");
     assert_eq!(other.read_if_changed().unwrap().unwrap().state("a", 0), BackendState::Disabled);
     let disabled = block_on(other.update(&empty, |disabled| disabled.disable("b", 2))).unwrap();
     assert_eq!(
@@ -31,14 +31,14 @@
 }
 
 #[test]
-fn a_damaged_file_is_replaced_from_what_is_known() {
+fn damaged_file_is_replaced_from_known_state() {
     let folder = folder("damaged");
     let mut state_file = StateFile::new(&folder, "n1");
     let mut known = DisabledBackends::default();
     known.disable("a", 1).unwrap();
     fs::write(&state_file.path, "{\"v\":1,\"serv").unwrap();
     assert!(matches!(state_file.read_if_changed(), Err(StateFileError::Content { .. })));
-    assert!(state_file.read_if_changed().unwrap().is_none(), "reported once");
+    assert!(state_file.read_if_changed().unwrap().is_none(), "the error is reported only once");
     let disabled = block_on(state_file.update(&known, |disabled| disabled.disable("b", 2))).unwrap();
     assert_eq!(disabled.state("a", 0), BackendState::Disabled);
     assert_eq!(StateFile::new(&folder, "n1").read_if_changed().unwrap(), Some(disabled));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_lock_that_stays_held_fails_the_update_in_time() {
+fn update_fails_in_time_if_the_lock_stays_held() {
     let folder = folder("locked");
     let mut state_file = StateFile::new(&folder, "n1");
     let held = File::create(state_file.path.with_extension("lock")).unwrap();
--- a/crates/node/tests/unit/traffic_recorder.rs
+++ b/crates/node/tests/unit/traffic_recorder.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_recording_has_every_request_and_overwrites_no_file() {
+fn recording_contains_requests_and_overwrites_no_file() {
     let path = env::temp_dir().join(format!("record-{}.jsonl", process::id()));
     let recorder = TrafficRecorder::start(&path).unwrap();
     recorder.record("GET", "/a\"b?c=d", 0);
@@ -11,7 +11,7 @@
     recorder.record("OPTIONS", "*", 0);
     recorder.record("GET", &format!("/{}", "x".repeat(MAX_TARGET_BYTES)), 0);
     assert_eq!(recorder.dropped.get(), 2);
-    assert!(TrafficRecorder::start(&path).is_err(), "a recording took another's file");
+    assert!(TrafficRecorder::start(&path).is_err(), "an existing recording was overwritten");
     drop(recorder);
     let text = fs::read_to_string(&path).unwrap();
     let lines: Vec<serde_json::Value> =
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_stalled_disk_drops_lines_instead_of_blocking() {
+fn stalled_disk_drops_lines_instead_of_blocking() {
     let (lines, waiting) = sync_channel(1);
     let recorder =
         TrafficRecorder { started: Instant::now(), lines: Some(lines), writer: None, dropped: Cell::new(0) };
