--- a/crates/node/tests/unit/downstream.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -25,7 +25,7 @@
 
 const ADDRESS: Address = Address::Tcp(SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 1));
 
-/// Endpoints that answer at once with a body, and count the requests.
+/// Endpoints that respond immediately with a body, and count their requests.
 #[derive(Clone, Default)]
 struct InstantEndpoint {
     requests: Rc<Cell<usize>>,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Admits every request to one pool, and numbers them.
+/// Admits every request to the same pool, and numbers the requests.
 struct AdmitAll {
     pool: PoolHandle,
     admitted: Cell<usize>,
@@ -149,14 +149,14 @@
     )
 }
 
-/// A request that is read in the moment in which its idle connection is chosen to be closed has its response, and not a
-/// close of the connection under it. The connection's task learns both when it runs: the event loop polls the sockets
-/// between the choice and that.
+/// A request that is received while its idle connection is being closed gets its response, and the connection is not
+/// closed without one. The event loop polls the sockets between the decision to close the connection and the next run
+/// of the connection's task, which then sees both.
 #[test]
-fn request_read_as_its_connection_is_closed_is_answered() {
+fn request_received_while_its_connection_is_closed_is_answered() {
     let http = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n".to_vec();
-    for (protocol, request) in [(Protocol::Http, http), (Protocol::FastCgi, fastcgi())] {
-        for closed in request_during_close(protocol, &request) {
+    for (protocol, request) in [(Protocol::Http, http), (Protocol::FastCgi, fastcgi_request())] {
+        for closed in requests_during_close(protocol, &request) {
             let ClosedConnection { response, was_executed } = closed;
             let is_http = protocol == Protocol::Http;
             assert!(was_executed && response.contains("done"), "{is_http} {was_executed} {response:?}");
@@ -164,8 +164,8 @@
     }
 }
 
-/// A request of a web server that keeps its connection.
-fn fastcgi() -> Vec<u8> {
+/// Returns a FastCGI request of a web server that keeps its connection open.
+fn fastcgi_request() -> Vec<u8> {
     let (mut out, mut params) = (BytesMut::new(), BytesMut::new());
     pairs::put(&mut params, b"REQUEST_METHOD", b"GET");
     pairs::put(&mut params, b"REQUEST_URI", b"/");
@@ -177,15 +177,16 @@
     out.to_vec()
 }
 
-/// What a client saw of a connection that was closed under its second request.
+/// What a client observed on a connection that was closed during its second request.
 struct ClosedConnection {
     response: String,
     was_executed: bool,
 }
 
-/// Opens some connections, each with a first request and a second one as it is closed.
-fn request_during_close(protocol: Protocol, request: &[u8]) -> Vec<ClosedConnection> {
-    // One task, then the sockets, then the next task.
+/// Opens several connections one after the other, and sends two requests on each, the second one while the connection
+/// is being closed.
+fn requests_during_close(protocol: Protocol, request: &[u8]) -> Vec<ClosedConnection> {
+    // The event loop polls the sockets after every task.
     let mut builder = Builder::new_current_thread();
     let runtime = builder.enable_all().event_interval(1).build_local(LocalOptions::default()).unwrap();
     runtime.block_on(async {
@@ -200,15 +201,15 @@
             let (stream, peer) = socket.accept().await.unwrap();
             downstream.clone().spawn_connection(Accepted { stream, client_ip: peer.ip() });
             client.set_nonblocking(true).unwrap();
-            // Its first request, after which it is idle.
+            // The first request, after which the connection is idle.
             client.write_all(request).unwrap();
-            assert!(read(&mut client).await.contains("done"));
+            assert!(read_response(&mut client).await.contains("done"));
             let mut closed = false;
             while !closed {
                 task::yield_now().await;
                 downstream.budget.for_each_of(&downstream, |connection| {
                     if connection.has_served() && connection.is_idle() {
-                        // Runs before the connection's task.
+                        // This task runs before the connection's task.
                         task::spawn_local(async {});
                         connection.close_now();
                         closed = true;
@@ -216,7 +217,7 @@
                 });
             }
             client.write_all(request).unwrap();
-            let response = read(&mut client).await;
+            let response = read_response(&mut client).await;
             let was_executed = endpoint.requests.get() == 2 * round;
             closed_connections.push(ClosedConnection { response, was_executed });
             drop(client);
@@ -228,7 +229,7 @@
     })
 }
 
-/// A response that its client has yet to read is not cut off by an eviction of its connection.
+/// A response that the client has not read yet is not truncated by an eviction of its connection.
 #[test]
 fn connection_with_unread_response_is_not_evicted() {
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default()).unwrap();
@@ -252,28 +253,28 @@
         tokio::time::advance(2 * MIN_IDLE_BEFORE_EVICTION).await;
         let early = downstream.budget.evict_one();
         client.set_nonblocking(true).unwrap();
-        let response = read(&mut client).await;
-        // Nothing waits to be written any more.
+        let response = read_response(&mut client).await;
+        // Nothing is waiting to be written any more.
         let late = downstream.budget.evict_one();
         (early, late, response)
     });
     assert!(!early && late && response.ends_with("done"), "{early} {late} {}", response.len());
 }
 
-/// Returns what has come once there is a response, or the connection's end.
-async fn read(client: &mut Client) -> String {
-    let (mut all, mut some) = (Vec::new(), [0; 1024]);
+/// Returns the received data once there is a complete response, or the connection has ended.
+async fn read_response(client: &mut Client) -> String {
+    let (mut received, mut chunk) = (Vec::new(), [0; 1024]);
     loop {
-        match client.read(&mut some) {
+        match client.read(&mut chunk) {
             Ok(0) => break,
-            Ok(count) => all.extend_from_slice(&some[..count]),
+            Ok(count) => received.extend_from_slice(&chunk[..count]),
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => task::yield_now().await,
             Err(_) => break,
         }
-        let tail = all.len().saturating_sub(some.len() + 4);
-        if all[tail..].windows(4).any(|part| part == b"done") {
+        let tail = received.len().saturating_sub(chunk.len() + 4);
+        if received[tail..].windows(4).any(|part| part == b"done") {
             break;
         }
     }
-    String::from_utf8_lossy(&all).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
--- a/crates/node/tests/unit/http_transport.rs
+++ b/crates/node/tests/unit/http_transport.rs
@@ -15,7 +15,7 @@
 use crate::net::upstream::http::idle_connections::MIN_IDLE_BEFORE_REUSE;
 use crate::net::upstream::response_classification::StatusPolicy;
 
-/// Most attempts end long before their deadline, and each wake of the loop costs processor time.
+/// Most attempts end long before their deadline, and each wake-up of the event loop costs processor time.
 #[tokio::test(start_paused = true)]
 async fn attempt_without_upload_does_not_wake_before_its_deadline() {
     let (request, stage) = (UpstreamRequest::default(), Cell::new(AttemptStage::Written));
@@ -40,10 +40,11 @@
     HttpTransport::new(ConnectionRegistry::new(8), second, 60 * second, reader, Counter::default())
 }
 
-/// A second response may still be on its way on a connection that has only just had its first. While no unsolicited data has
-/// been seen, a rested connection goes first and no new one is made; after that, none is reused that has not rested.
+/// A second response may still be in flight on a connection that has only just received its first one. As long as no
+/// unsolicited data has been seen, connections that have been idle for [`MIN_IDLE_BEFORE_REUSE`] are preferred, and
+/// no new connection is needed; after that, no other connections are reused.
 #[tokio::test]
-async fn rested_connections_are_reused_first() {
+async fn connections_idle_for_the_minimum_are_reused_first() {
     let local = LocalSet::new();
     let reused = local.run_until(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -61,7 +62,7 @@
             endpoint.push_idle(connection);
             tokio::time::advance(MIN_IDLE_BEFORE_REUSE * 3 / 5).await;
         }
-        // They have rested for 18, 12 and 6 ms; each is put back as just used.
+        // They have been idle for 18, 12 and 6 ms; each is put back as just used.
         let mut order = Vec::new();
         for _ in 0..3 {
             let idle = endpoint.take_idle().unwrap();
@@ -76,10 +77,11 @@
     assert_eq!(reused.await, (vec![6, 0, 12], true, true));
 }
 
-/// A response that has been read is the outcome, although the attempt is cancelled while its connection settles: the endpoint
-/// has answered before it had the whole body, so the connection is not ready for another request, which is waited for.
+/// A response that has been read is the outcome, even if the attempt is cancelled while it waits for its connection
+/// to become ready for another request. The connection is not ready because the endpoint responded before it received
+/// the whole request body.
 #[tokio::test]
-async fn response_that_was_read_is_the_outcome_despite_a_cancel() {
+async fn response_that_was_read_is_the_outcome_despite_cancellation() {
     let local = LocalSet::new();
     let outcome = local.run_until(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -98,8 +100,8 @@
             let (mut stream, _) = listener.accept().await.unwrap();
             assert!(stream.read(&mut [0; 64]).await.unwrap() > 0);
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone").await.unwrap();
-            // Some polls of the sockets: the response is read meanwhile. Where they take longer than a connection may
-            // return_when_ready, the attempt has ended before the cancel.
+            // The response is read while the sockets are polled several times. If this takes longer than the time in
+            // which a connection has to become ready, the attempt ends before the cancellation.
             for _ in 0..200 {
                 task::yield_now().await;
             }
--- a/crates/node/tests/unit/pool_loop.rs
+++ b/crates/node/tests/unit/pool_loop.rs
@@ -23,7 +23,7 @@
 const SUBSCRIBE: &str = r#"{"classes":[{"name":"submit","effect":"side_effect","target_ns":100000000,"deadline_ns":100000000}],
     "zones":["a"],"membership_mode":"subscribe","quantum_ns":5000000,"ceilings":{"max_attempts":1}}"#;
 
-/// A transport whose attempts never end: the test reports their ends itself.
+/// A transport whose attempts never end, because the test itself reports their ends.
 struct PendingTransport;
 
 impl Transport for PendingTransport {
@@ -75,9 +75,9 @@
     }
 }
 
-/// A response that was reported before the loop runs late is given: the request does not fail as overdue.
+/// A response that was reported before the loop falls behind is used, and the request does not fail as overdue.
 #[tokio::test(start_paused = true)]
-async fn reported_response_is_given_although_the_request_is_overdue() {
+async fn reported_response_is_used_although_the_request_is_overdue() {
     let list =
         r#"{"seq":1,"whole":true,"hosts":[{"host":"s","dial":"127.0.0.1:1","site":"a","health":"active"}]}"#;
     let config = config(AUTOMATIC, EndpointSource::Fixed(serde_json::from_str(list).unwrap()));
@@ -109,7 +109,7 @@
         let started_at = pool.now();
         let (id, attempt) = (RequestId(0), AttemptNo(0));
         let attempts = pool.in_flight.get(&id).map(|in_flight| in_flight.attempts.len());
-        assert_eq!(attempts, Some(1), "it is sent");
+        assert_eq!(attempts, Some(1), "the request is sent");
         let ended = EndedAttempt { id, attempt, endpoint, started_at, result };
         pool.sender.send(PoolMessage::AttemptEnded(ended)).unwrap();
         tokio::time::advance(Duration::from_millis(400)).await;
@@ -119,9 +119,10 @@
     assert!(matches!(response.await, Some(FinalResponse::Upstream(_))));
 }
 
-/// A process that takes over from another one requests the list at its start, others when the decision module asks.
+/// A process that takes over from another one requests the list when it starts. Other processes request it when the
+/// decision module asks for it.
 #[tokio::test]
-async fn takeover_starts_the_watch_at_once() {
+async fn takeover_starts_the_watch_immediately() {
     for poll_at_start in [true, false] {
         let discovery = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let endpoints = EndpointSource::Watch {
