--- a/crates/node/src/net/counting_stream/head_capture.rs
+++ b/crates/node/src/net/counting_stream/head_capture.rs
@@ -8,7 +8,7 @@
 pub(super) struct HeadCapture {
     head: Vec<u8>,
     /// Number of bytes of the last request's body that have not been received yet.
-    body_left: u64,
+    body_bytes_remaining: u64,
     /// When the first byte of `head` was received.
     started_at: Option<Instant>,
 }
@@ -16,8 +16,8 @@
 impl HeadCapture {
     /// Handles bytes that were read.
     pub fn on_read(&mut self, bytes: &[u8]) {
-        let skipped = bytes.len().min(usize::try_from(self.body_left).unwrap_or(usize::MAX));
-        self.body_left -= skipped as u64;
+        let skipped = bytes.len().min(usize::try_from(self.body_bytes_remaining).unwrap_or(usize::MAX));
+        self.body_bytes_remaining -= skipped as u64;
         let rest = &bytes[skipped..];
         if !rest.is_empty() && self.head.is_empty() {
             self.started_at = Some(Instant::now());
@@ -41,7 +41,7 @@
     pub fn skip_body(&mut self, length: u64) {
         let mut received = std::mem::take(&mut self.head);
         let body_received = received.len().min(usize::try_from(length).unwrap_or(usize::MAX));
-        self.body_left = length - body_received as u64;
+        self.body_bytes_remaining = length - body_received as u64;
         // The buffer is split off so that an idle connection holds no buffer.
         self.head = received.split_off(body_received);
         self.restart(self.head.is_empty());
--- a/crates/node/src/net/discovery/endpoint_list.rs
+++ b/crates/node/src/net/discovery/endpoint_list.rs
@@ -60,8 +60,8 @@
 }
 
 /// Parses a TCP address; the discovery service lists no other addresses.
-fn tcp_address<'de, D: Deserializer<'de>>(from: D) -> Result<Address, D::Error> {
-    SocketAddr::deserialize(from).map(Address::Tcp)
+fn tcp_address<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Address, D::Error> {
+    SocketAddr::deserialize(deserializer).map(Address::Tcp)
 }
 
 fn default_weight() -> f32 {
--- a/crates/node/src/net/downstream/connection_budget.rs
+++ b/crates/node/src/net/downstream/connection_budget.rs
@@ -81,7 +81,11 @@
     }
 
     /// Calls `visit` for each connection of a listener.
-    pub fn for_each_of(&self, owner: &DownstreamListener, mut visit: impl FnMut(&DownstreamConnection)) {
+    pub fn for_each_connection_of(
+        &self,
+        owner: &DownstreamListener,
+        mut visit: impl FnMut(&DownstreamConnection),
+    ) {
         let connections = self.connections.borrow();
         connections
             .iter()
--- a/crates/node/src/net/downstream/drain.rs
+++ b/crates/node/src/net/downstream/drain.rs
@@ -108,20 +108,21 @@
     /// Whether a request has been received whose response is not finished, or was only just written.
     fn has_pending_response(&self) -> bool {
         let mut has_pending = false;
-        self.budget.for_each_of(self, |connection| has_pending |= connection.has_pending_response());
+        self.budget
+            .for_each_connection_of(self, |connection| has_pending |= connection.has_pending_response());
         has_pending
     }
 
     fn connection_count(&self) -> usize {
         let mut count = 0;
-        self.budget.for_each_of(self, |_| count += 1);
+        self.budget.for_each_connection_of(self, |_| count += 1);
         count
     }
 
     /// Closes connections without a request that have been idle for `used_idle` since their last response, or for
     /// `new_idle` since they were accepted.
     pub(super) fn close_idle(&self, used_idle: Duration, new_idle: Duration) {
-        self.budget.for_each_of(self, |connection| {
+        self.budget.for_each_connection_of(self, |connection| {
             let min_idle = if connection.has_served() { used_idle } else { new_idle };
             if connection.is_idle() && connection.last_activity.get().elapsed() > min_idle {
                 connection.close_now();
--- a/crates/node/src/net/downstream/mod.rs
+++ b/crates/node/src/net/downstream/mod.rs
@@ -189,7 +189,7 @@
 
     fn close_timed_out(&self) {
         let now = Instant::now();
-        self.budget.for_each_of(self, |connection| {
+        self.budget.for_each_connection_of(self, |connection| {
             if connection.has_timed_out(now) {
                 connection.close_now();
             }
--- a/crates/node/src/net/pool_loop/mod.rs
+++ b/crates/node/src/net/pool_loop/mod.rs
@@ -58,7 +58,7 @@
     retry_after: Option<Nanos>,
     watch: WatchTask,
     /// Tells whether any handle to this loop is left.
-    handles: Weak<Cell<u32>>,
+    handle_alive: Weak<Cell<u32>>,
     retired: bool,
     /// Restored for endpoints as they become known, and dropped when it is older than [`WARM_STATE_MAX_AGE`].
     warm_state: Option<WarmState>,
@@ -80,7 +80,7 @@
             recorder,
         } = config;
         let (sender, messages) = mpsc::unbounded_channel();
-        let (handle, handles) = PoolHandle::new(sender.clone(), active_requests, recorder.clone());
+        let (handle, handle_alive) = PoolHandle::new(sender.clone(), active_requests, recorder.clone());
         let mut pool = Self {
             list_is_pushed: settings.discovery == Discovery::Push,
             rejection_may_execute: settings.rejection_may_execute,
@@ -95,7 +95,7 @@
             events: VecDeque::new(),
             in_flight: FxHashMap::default(),
             watch: WatchTask::new(endpoints.service_address()),
-            handles,
+            handle_alive,
             retired: false,
             warm_state,
             stall_detector: StallDetector::default(),
@@ -134,7 +134,7 @@
     }
 
     fn is_finished(&self) -> bool {
-        self.retired && self.in_flight.is_empty() && self.handles.strong_count() == 0
+        self.retired && self.in_flight.is_empty() && self.handle_alive.strong_count() == 0
     }
 
     /// Checks whether the loop stalled between two times, and reports a stall to the decision module; returns whether
--- a/crates/node/src/net/upload.rs
+++ b/crates/node/src/net/upload.rs
@@ -53,7 +53,7 @@
     /// Length of the whole body, if stated.
     length: Option<u64>,
     /// Number of further bytes that are allowed.
-    allowed: Cell<u64>,
+    remaining_bytes: Cell<u64>,
     /// How long the client waits for its response after the last byte of the body.
     pub time_left: Duration,
 }
@@ -66,7 +66,7 @@
             pace: RefCell::new(PaceMonitor::new(UPLOAD_PACE_LIMITS, Instant::now())),
             stage: Cell::new(Stage::Buffered),
             length,
-            allowed: Cell::new(allowed),
+            remaining_bytes: Cell::new(allowed),
             time_left,
         })
     }
@@ -161,11 +161,11 @@
     }
 
     fn on_data(&self, data: Bytes, is_last: bool, now: Instant) -> Result<Frame<Bytes>, io::Error> {
-        let Some(allowed) = self.allowed.get().checked_sub(data.len() as u64) else {
+        let Some(remaining) = self.remaining_bytes.get().checked_sub(data.len() as u64) else {
             self.stage.set(Stage::TooLong);
             return Err(io::ErrorKind::FileTooLarge.into());
         };
-        self.allowed.set(allowed);
+        self.remaining_bytes.set(remaining);
         self.pace.borrow_mut().on_bytes(data.len() as u64, now);
         if is_last {
             self.stage.set(Stage::Completed(now));
--- a/crates/node/tests/unit/downstream.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -207,7 +207,7 @@
             let mut closed = false;
             while !closed {
                 task::yield_now().await;
-                downstream.budget.for_each_of(&downstream, |connection| {
+                downstream.budget.for_each_connection_of(&downstream, |connection| {
                     if connection.has_served() && connection.is_idle() {
                         // This task runs before the connection's task.
                         task::spawn_local(async {});
@@ -240,13 +240,15 @@
         let mut client = Client::connect(socket.local_addr().unwrap()).unwrap();
         let (stream, peer) = socket.accept().await.unwrap();
         downstream.clone().spawn_connection(Accepted { stream, client_ip: peer.ip() });
-        downstream.budget.for_each_of(&downstream, |connection| connection.stream.shrink_send_buffer());
+        downstream
+            .budget
+            .for_each_connection_of(&downstream, |connection| connection.stream.shrink_send_buffer());
         tokio::time::pause();
         client.write_all(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
         let mut blocked = false;
         while !blocked {
             task::yield_now().await;
-            downstream.budget.for_each_of(&downstream, |connection| {
+            downstream.budget.for_each_connection_of(&downstream, |connection| {
                 blocked = connection.has_served() && connection.stream.is_blocked();
             });
         }
