--- a/crates/node/tests/compatibility.rs
+++ b/crates/node/tests/compatibility.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use pumicehead_testbed::program::{LIMIT, Standalone, temporary, wait_for};
+use pumicehead_testbed::program::{LIMIT, StandaloneNode, temporary, wait_for};
 use pumicehead_testbed::scripted::{Backend, Client, Node, Setup, ok, request};
 use serde_json::Value;
 
@@ -222,7 +222,7 @@
 }
 
 /// Waits for a log line that ends in these words and an address. Returns the address.
-fn logged_address(node: &Standalone, words: &str) -> SocketAddr {
+fn logged_address(node: &StandaloneNode, words: &str) -> SocketAddr {
     let find = || {
         let log = node.log.lock().unwrap();
         log.iter().find_map(|line| line.split_once(words)?.1.trim().parse().ok())
@@ -234,8 +234,10 @@
 #[test]
 fn admin_responses_of_a_fleet_node_keep_their_fields() {
     let server = Backend::start(|_| ok("x"));
-    let node =
-        Standalone::start(&fixture_text("fleet_node.conf").replace("SERVER", &server.address.to_string()), 1);
+    let node = StandaloneNode::start(
+        &fixture_text("fleet_node.conf").replace("SERVER", &server.address.to_string()),
+        1,
+    );
     let admin = logged_address(&node, " takes admin commands on ");
     let mut client = Client::connect(node.address());
     client.write("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
--- a/crates/node/tests/fastcgi.rs
+++ b/crates/node/tests/fastcgi.rs
@@ -10,7 +10,7 @@
 
 use bytes::BytesMut;
 use pumicehead_fastcgi::record::{Begin, End, Kind, ProtocolStatus, Record, Role, put, put_stream};
-use pumicehead_testbed::program::{Standalone, temporary, wait_for};
+use pumicehead_testbed::program::{StandaloneNode, temporary, wait_for};
 use pumicehead_testbed::scripted_backend::{
     Act, Protocol, ProtocolClient, ScriptedBackends, ScriptedRequest, served,
 };
@@ -30,9 +30,9 @@
     )
 }
 
-fn start_node(front: Protocol, servers: &[SocketAddr], more: &str) -> Standalone {
+fn start_node(front: Protocol, servers: &[SocketAddr], more: &str) -> StandaloneNode {
     let servers: Vec<_> = servers.iter().map(SocketAddr::to_string).collect();
-    Standalone::start(&text(front, &servers, more), 1)
+    StandaloneNode::start(&text(front, &servers, more), 1)
 }
 
 fn script(acts: Vec<Act>) -> Arc<dyn Fn(&ScriptedRequest) -> Act + Send + Sync> {
@@ -180,7 +180,7 @@
         ProtocolClient::connect(node.address(), Protocol::Http).unwrap().ask("GET", "/boards/x", "", b"");
     assert_eq!((answer.status, answer.body.as_slice()), (200, b"12345".as_slice()));
     // 24 MB in well under a minute give one line per second at most, and no long line.
-    assert!((1..60).contains(&node.said("stderr: eee")), "{}", node.said("stderr"));
+    assert!((1..60).contains(&node.count_log_lines("stderr: eee")), "{}", node.count_log_lines("stderr"));
     assert!(node.log.lock().unwrap().iter().all(|line| line.len() < 400));
     assert!(node.peak_memory() < 24 << 20, "{}", node.peak_memory());
 }
@@ -279,7 +279,7 @@
         }
     });
     let servers = [format!("unix:{}", path.display())];
-    let node = Standalone::start(&text(Protocol::Http, &servers, ""), 1);
+    let node = StandaloneNode::start(&text(Protocol::Http, &servers, ""), 1);
     let mut client = ProtocolClient::connect(node.address(), Protocol::Http).unwrap();
     assert_eq!(client.ask("GET", "/boards/a%20b?x=%2F", "", b"").status, 200);
     assert_eq!(boards.seen().lines, ["GET /boards/a%20b?x=%2F"]);
@@ -324,7 +324,7 @@
     bytes
 }
 
-fn connect(node: &Standalone) -> ProtocolClient {
+fn connect(node: &StandaloneNode) -> ProtocolClient {
     ProtocolClient::connect(node.address(), Protocol::FastCgi).unwrap()
 }
 
@@ -476,7 +476,7 @@
     }));
     let servers: Vec<_> = (0..3).map(|_| boards.start(Protocol::FastCgi).to_string()).collect();
     let before = text(Protocol::FastCgi, &servers, "");
-    let mut node = Standalone::start(&before, 1);
+    let mut node = StandaloneNode::start(&before, 1);
     let mut client = connect(&node);
     client
         .write(&[request(1, "/boards/slow", "", b""), request(2, "/runs/slow", "1", b"x")].concat())
--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 use std::time::Duration;
 
-use pumicehead_testbed::program::{Standalone, built, wait_for};
+use pumicehead_testbed::program::{StandaloneNode, built, wait_for};
 use pumicehead_testbed::scripted::{Backend, Client, ok};
 use serde_json::Value;
 
@@ -27,7 +27,7 @@
 }
 
 /// Waits for a log line that ends in these words and an address. Returns the address.
-fn logged_address(node: &Standalone, words: &str) -> SocketAddr {
+fn logged_address(node: &StandaloneNode, words: &str) -> SocketAddr {
     let find = || {
         let log = node.log.lock().unwrap();
         log.iter().find_map(|line| line.split_once(words)?.1.trim().parse().ok())
@@ -38,7 +38,7 @@
 
 /// A running node in a fleet.
 struct Member {
-    process: Standalone,
+    process: StandaloneNode,
     /// Address at which other members reach it.
     fleet: SocketAddr,
     /// Address of the admin listener.
@@ -46,7 +46,7 @@
 }
 
 fn start(name: &str, server: &Backend, fleet: &str, seeds: &[SocketAddr]) -> Member {
-    let process = Standalone::start(&config(name, server, fleet, seeds), 1);
+    let process = StandaloneNode::start(&config(name, server, fleet, seeds), 1);
     let fleet = logged_address(&process, " fleet_address=");
     let admin = logged_address(&process, " takes admin commands on ");
     Member { process, fleet, admin }
@@ -165,7 +165,7 @@
         let _ = stream.read_to_end(&mut Vec::new());
     }
     wait_for("messages of the other fleet to be rejected", || {
-        one.process.said("reason=of another fleet") >= 1
+        one.process.count_log_lines("reason=of another fleet") >= 1
     });
     assert!(has_states(one.admin, &[("n1", "alive")]) && has_states(other.admin, &[("n2", "alive")]));
     assert_serves(&one);
@@ -180,7 +180,7 @@
     wait_for("n2 to join", || has_states(one.admin, &[("n1", "alive"), ("n2", "alive")]));
     let late = start("n2", &server, "tablero", &[one.fleet]);
     wait_for("the earlier process to be superseded", || {
-        early.process.said("a later process has this node's name") == 1
+        early.process.count_log_lines("a later process has this node's name") == 1
             && view(early.admin)["superseded"] == true
     });
     wait_for("the later process's address", || {
@@ -219,7 +219,7 @@
     let printed = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success() && printed.contains("for the fleet"), "{printed}");
     let alone = good.split("fleet {").next().unwrap().to_owned();
-    let node = Standalone::start(&alone, 1);
+    let node = StandaloneNode::start(&alone, 1);
     let answer = fleet_command(&["members", &logged_address(&node, " takes admin commands on ").to_string()]);
     assert!(answer.code == Some(2) && answer.stderr.contains("no block `fleet`"), "{}", answer.stderr);
     let _ = std::fs::remove_file(file);
--- a/crates/node/tests/introspection.rs
+++ b/crates/node/tests/introspection.rs
@@ -12,7 +12,7 @@
 use pumicehead_flight_recorder::event_ring::decode_records;
 use pumicehead_flight_recorder::recording::Recording;
 use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
-use pumicehead_testbed::program::{LIMIT, Standalone, built, temporary, wait_for};
+use pumicehead_testbed::program::{LIMIT, StandaloneNode, built, temporary, wait_for};
 use pumicehead_testbed::scripted::*;
 
 fn new_folder() -> PathBuf {
@@ -135,7 +135,7 @@
          observe {{ calls 127.0.0.1:0 }}\n",
         hung.address
     );
-    let node = Standalone::start(&text, 1);
+    let node = StandaloneNode::start(&text, 1);
     let admin = admin_address(&node);
     // Requests of the highest tier are not rejected because of the queue's length.
     let get = || "GET /high HTTP/1.1\r\nHost: a\r\n\r\n".to_owned();
@@ -148,8 +148,8 @@
 }
 
 /// Returns the admin address of a standalone node.
-fn admin_address(node: &Standalone) -> SocketAddr {
-    wait_for("the admin listener", || node.said("takes admin commands on") == 1);
+fn admin_address(node: &StandaloneNode) -> SocketAddr {
+    wait_for("the admin listener", || node.count_log_lines("takes admin commands on") == 1);
     let log = node.log.lock().unwrap();
     log.iter().find_map(|line| line.split_once("takes admin commands on ")?.1.parse().ok()).unwrap()
 }
@@ -297,7 +297,7 @@
          observe {{ calls 127.0.0.1:0 }}\n",
         backend.address
     );
-    let node = Standalone::start(&text, 1);
+    let node = StandaloneNode::start(&text, 1);
     let admin = admin_address(&node);
     let mut client = Client::connect(node.address());
     client.write("POST /run HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx");
@@ -307,5 +307,5 @@
     let breakdown = Breakdown::of_recording(&recording, 0, u64::MAX).unwrap().to_string();
     assert!(breakdown.contains("hasty in boards") && breakdown.contains("100.00%"), "{breakdown}");
     node.reload(&text.replace("calls 127.0.0.1:0", "calls 127.0.0.1:0; log warn,settings=info"));
-    assert_eq!(node.said("at the next start"), 0);
+    assert_eq!(node.count_log_lines("at the next start"), 0);
 }
--- a/crates/node/tests/parity.rs
+++ b/crates/node/tests/parity.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicehead_testbed::parity::{compare_all, pairings, script, text};
-use pumicehead_testbed::program::{Standalone, wait_for};
+use pumicehead_testbed::program::{StandaloneNode, wait_for};
 use pumicehead_testbed::scripted::refusing;
 use pumicehead_testbed::scripted_backend::{Act, ProtocolClient, ScriptedBackends, served};
 
@@ -24,7 +24,7 @@
     for (front, back) in pairings() {
         let boards = ScriptedBackends::new(script(vec![Act::Silent]));
         let servers = [boards.start(back), boards.start(back)];
-        let node = Standalone::start(
+        let node = StandaloneNode::start(
             &text(front, back, &servers, "").replace("deadline 1500ms", "deadline 1min"),
             1,
         );
@@ -49,7 +49,7 @@
             Box::new(served("rank 1")),
         )]));
         let servers = [boards.start(back)];
-        let node = Standalone::start(&text(front, back, &servers, "limits { held 1 }\n"), 1);
+        let node = StandaloneNode::start(&text(front, back, &servers, "limits { held 1 }\n"), 1);
         let mut first = ProtocolClient::connect(node.address(), front).unwrap();
         first.send("GET", "/boards/x", "X-Unit: 1\r\n", b"").unwrap();
         wait_for("the first request", || boards.seen().lines.len() == 1);
@@ -81,7 +81,7 @@
         let (removed, added) =
             (ScriptedBackends::new(script(later())), ScriptedBackends::new(script(vec![served("stays")])));
         let (first, second) = (removed.start(back), added.start(back));
-        let mut node = Standalone::start(&text(first), 1);
+        let mut node = StandaloneNode::start(&text(first), 1);
         let mut client = ProtocolClient::connect(node.address(), front).unwrap();
         client.send("POST", "/runs/x", "X-Unit: 1\r\n", b"x").unwrap();
         wait_for("the request in flight", || removed.seen().lines.len() == 1);
@@ -110,7 +110,7 @@
         let address = refusing();
         let text = text(front, back, &[steady.start(back), address], "");
         let text = text.replace("pool boards {", "pool boards { warm-up 1h from 1%\n");
-        let node = Standalone::start(&text, 1);
+        let node = StandaloneNode::start(&text, 1);
         let stopped = Arc::new(std::sync::atomic::AtomicBool::new(false));
         let clients: Vec<_> = (0..6)
             .map(|_| {
--- a/crates/node/tests/reloads.rs
+++ b/crates/node/tests/reloads.rs
@@ -13,7 +13,7 @@
 use pumicehead_flight_recorder::event::Event;
 use pumicehead_flight_recorder::event_ring::decode_records;
 use pumicehead_flight_recorder::recording::Recording;
-use pumicehead_testbed::program::{LIMIT, Standalone, wait_for};
+use pumicehead_testbed::program::{LIMIT, StandaloneNode, wait_for};
 use pumicehead_testbed::scripted::{Act, Backend, Client, Crowd, Message, ok, refusing};
 
 /// The text of a pool with these endpoints.
@@ -44,7 +44,7 @@
     format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n")
 }
 
-fn ask(node: &Standalone, path: &str) -> Message {
+fn ask(node: &StandaloneNode, path: &str) -> Message {
     let mut client = Client::connect(node.address());
     client.write(&get(path));
     client.read().expect("a response")
@@ -85,7 +85,7 @@
 }
 
 /// Sends a request without reading the response.
-fn send(node: &Standalone, path: &str) -> Client {
+fn send(node: &StandaloneNode, path: &str) -> Client {
     let mut client = Client::connect(node.address());
     client.write(&get(path));
     client
@@ -97,27 +97,27 @@
     let (one, two, more) = (backend("one"), backend("two"), backend("more"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
     let before = text(&pools);
-    let node = Standalone::start(&before, 1);
+    let node = StandaloneNode::start(&before, 1);
     // The text is another, the configuration is the same.
     node.reload(&format!("# nothing new\n{}", before.replace("; ", ";\n  ")));
-    wait_for("no change", || node.said("0 changes; revision 1,") == 1);
-    assert_eq!(node.said("pools: 2 kept, 0 updated, 0 started"), 1);
+    wait_for("no change", || node.count_log_lines("0 changes; revision 1,") == 1);
+    assert_eq!(node.count_log_lines("pools: 2 kept, 0 updated, 0 started"), 1);
     let grown = text(
         &(pool("one", &[("a", one.address), ("c", more.address)]) + &pool("two", &[("b", two.address)])),
     );
     node.reload(&grown);
-    assert_eq!(node.said("revision 2,"), 1);
-    assert_eq!(node.said("pools: 1 kept, 1 updated, 0 started"), 1);
+    assert_eq!(node.count_log_lines("revision 2,"), 1);
+    assert_eq!(node.count_log_lines("pools: 1 kept, 1 updated, 0 started"), 1);
     // Another path for a route of the same class affects no pool.
     node.reload(&grown.replace("path /two/**", "path /second/**"));
-    assert_eq!(node.said("pools: 2 kept, 0 updated, 0 started"), 2);
+    assert_eq!(node.count_log_lines("pools: 2 kept, 0 updated, 0 started"), 2);
     assert_eq!((ask(&node, "/second/x").status(), ask(&node, "/two/x").status()), (200, 404));
     // A class that is new in a pool, and one whose latency objective has changed, are updated in place.
     node.reload(
         &grown.replace("class submit; pool one", "class submit; pool two").replace("aim 5s", "aim 4s"),
     );
-    assert_eq!(node.said("pools: 0 kept, 2 updated, 0 started"), 1);
-    assert_eq!(node.said("started") - node.said("0 started"), 0);
+    assert_eq!(node.count_log_lines("pools: 0 kept, 2 updated, 0 started"), 1);
+    assert_eq!(node.count_log_lines("started") - node.count_log_lines("0 started"), 0);
 }
 
 /// Guards that a new order of routes is a change, and that it affects no pool.
@@ -130,13 +130,13 @@
         "route some { path /some/*; class read; pool one }\n",
     );
     let (base, admin) = with_admin(&text(&pools));
-    let node = Standalone::start(&format!("{base}{first}{second}"), 1);
+    let node = StandaloneNode::start(&format!("{base}{first}{second}"), 1);
     assert_eq!(ask(&node, "/some/x").body, b"two");
     let (_, digest) = in_force(admin);
     node.reload(&format!("{base}{second}{first}"));
     assert_eq!(ask(&node, "/some/x").body, b"one");
-    assert_eq!(node.said("now before route"), 1);
-    assert_eq!(node.said("pools: 2 kept, 0 updated, 0 started"), 1);
+    assert_eq!(node.count_log_lines("now before route"), 1);
+    assert_eq!(node.count_log_lines("pools: 2 kept, 0 updated, 0 started"), 1);
     let (revision, other) = in_force(admin);
     assert_eq!(revision, 2);
     assert_ne!(other, digest);
@@ -152,14 +152,14 @@
     let (one, two) = (backend("one"), backend("two"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
     let (base, admin) = with_admin(&text(&pools));
-    let node = Standalone::start(&base, 1);
+    let node = StandaloneNode::start(&base, 1);
     let changed = base.replace("aim 5s", "aim 3s");
     node.reload(&changed);
     node.reload(&changed.replace("/submit/**", "/send/**"));
     node.reload(&changed);
     let (revision, digest) = in_force(admin);
     assert_eq!(revision, 4);
-    assert!(node.said(&format!("revision 4, digest {digest}")) == 1);
+    assert!(node.count_log_lines(&format!("revision 4, digest {digest}")) == 1);
     let metrics = String::from_utf8(admin_command(admin, "METRICS")).expect("text");
     assert!(metrics.contains("pumicehead_config_revision 4\n"), "{metrics}");
     let short = u64::from_str_radix(&digest[..13], 16).expect("a digest");
@@ -172,7 +172,7 @@
     let other_form: String =
         others.chain(routes).map(|line| format!("# a comment\n{}\n", line.replace(' ', "  "))).collect();
     drop(node);
-    let restarted = Standalone::start(&other_form, 1);
+    let restarted = StandaloneNode::start(&other_form, 1);
     assert_eq!(in_force(admin), (1, digest));
     drop(restarted);
 }
@@ -186,7 +186,7 @@
     let pools = pool("one", &[("a", servers[0].address), ("b", servers[1].address)])
         + &pool("two", &[("c", two.address)]);
     let (base, admin) = with_admin(&text(&pools));
-    let node = Standalone::start(&base, 1);
+    let node = StandaloneNode::start(&base, 1);
     admin_command(admin, "RECORD full");
     let mut early = send(&node, "/one/slow");
     wait_for("the slow request", || servers.iter().map(Backend::count).sum::<usize>() == 1);
@@ -219,7 +219,7 @@
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
     let before =
         text(&pools).replace("route one", "route gone { path /gone/**; class read; pool two }\nroute one");
-    let node = Standalone::start(&before, 1);
+    let node = StandaloneNode::start(&before, 1);
     let mut in_flight = send(&node, "/one/slow");
     wait_for("the request in flight", || one.count() == 1);
     // The endpoint's in-flight limit is 1: these requests are queued.
@@ -227,7 +227,7 @@
     let stays = |line: &&str| !line.contains("pool one");
     let after: String = before.lines().filter(stays).map(|line| format!("{line}\n")).collect();
     node.reload(&after);
-    assert_eq!(node.said("reload: pool one: removed"), 1, "{after}");
+    assert_eq!(node.count_log_lines("reload: pool one: removed"), 1, "{after}");
     assert_eq!(ask(&node, "/one/x").status(), 404);
     assert_eq!(ask(&node, "/two/x").body, b"two");
     released.store(true, Ordering::SeqCst);
@@ -270,12 +270,12 @@
             servers.iter().map(count).sum::<usize>()
         };
         let before = text(&pools).replace("class read; pool", "key last-segment; class read; pool");
-        let node = Standalone::start(&before, 1);
+        let node = StandaloneNode::start(&before, 1);
         let mut early = send(&node, "/one/slow-cut/cut");
         wait_for("the request in flight", || seen("/slow-cut") == 1);
         let after = before.replace("deadline 20s; repeats safe", &format!("deadline 20s; {rule}"));
         node.reload(&after);
-        assert_eq!(node.said("pools: 0 kept, 0 updated, 2 started"), 1, "{rule}");
+        assert_eq!(node.count_log_lines("pools: 0 kept, 0 updated, 2 started"), 1, "{rule}");
         released.store(true, Ordering::SeqCst);
         // It was admitted as idempotent: it is retried, and rejected when its attempts are exhausted.
         assert_eq!(early.read().expect("a response").status(), 503);
@@ -306,7 +306,7 @@
     };
     let (fixed_one, fixed_two) = (server("a", one.address, "east"), server("b", two.address, "east"));
     let moving_server = |zone: &str| server("m", moving.address, zone);
-    let node = Standalone::start(
+    let node = StandaloneNode::start(
         &pools(&[fixed_one.clone(), moving_server("east")], std::slice::from_ref(&fixed_two)),
         1,
     );
@@ -317,11 +317,11 @@
         moving.count() > 0
     });
     node.reload(&pools(&[fixed_one.clone(), moving_server("west")], std::slice::from_ref(&fixed_two)));
-    assert_eq!(node.said("zone east -> west"), 1);
-    assert_eq!(node.said("pools: 1 kept, 1 updated, 0 started"), 1);
+    assert_eq!(node.count_log_lines("zone east -> west"), 1);
+    assert_eq!(node.count_log_lines("pools: 1 kept, 1 updated, 0 started"), 1);
     // It replaces the endpoint of the new pool, so that the requests of that pool reach it or none.
     node.reload(&pools(&[fixed_one], &[moving_server("west")]));
-    assert_eq!(node.said("pools: 0 kept, 2 updated, 0 started"), 1);
+    assert_eq!(node.count_log_lines("pools: 0 kept, 2 updated, 0 started"), 1);
     let before = moving.count();
     for _ in 0..20 {
         assert_eq!(ask(&node, "/one/x").body, b"one");
@@ -341,7 +341,7 @@
     let pools =
         |second: &Backend| pool("one", &[("a", one.address)]) + &pool("two", &[("b", second.address)]);
     let (before, admin) = with_admin(&text(&pools(&two)));
-    let node = Standalone::start(&before, 1);
+    let node = StandaloneNode::start(&before, 1);
     let revision_before = in_force(admin);
     let other_socket = TcpListener::bind("127.0.0.1:0").expect("a socket");
     let in_use = other_socket.local_addr().expect("an address");
@@ -353,8 +353,8 @@
     // The listener at the free address is bound first, and closed again.
     let listeners = format!("listener free {{ address {free} }}\nlistener clash {{ address {in_use} }}\n");
     node.reload(&format!("{listeners}{change}"));
-    assert_eq!(node.said(&format!("listen on {in_use}")), 1);
-    assert_eq!(node.said("reload: the old configuration stays"), 1);
+    assert_eq!(node.count_log_lines(&format!("listen on {in_use}")), 1);
+    assert_eq!(node.count_log_lines("reload: the old configuration stays"), 1);
     assert_eq!(in_force(admin), revision_before);
     assert!(TcpStream::connect(free).is_err());
     assert_eq!((ask(&node, "/one/x").body, ask(&node, "/two/x").body), (b"one".to_vec(), b"two".to_vec()));
@@ -390,7 +390,7 @@
     let (one, two) = (backend("one"), backend("two"));
     let pools = pool("one", &[("a", one.address)]) + &pool("two", &[("b", two.address)]);
     let (base, admin) = with_admin(&(text(&pools) + &many_routes(3_000)));
-    let node = Standalone::start(&base, 1);
+    let node = StandaloneNode::start(&base, 1);
     let last = base.replace("path /two/**", "path /third/**");
     // Two files in quick succession, and a third while these are read.
     node.replace(&base.replace("path /two/**", "path /first/**"));
@@ -403,16 +403,16 @@
     }
     wait_for("the last file", || ask(&node, "/third/x").status() == 200);
     // A further reload is done after all before it.
-    let done = node.said("reload: done");
+    let done = node.count_log_lines("reload: done");
     node.signal("HUP");
-    wait_for("a further reload", || node.said("reload: done") > done);
+    wait_for("a further reload", || node.count_log_lines("reload: done") > done);
     // The 22 signals in quick succession caused fewer reloads.
-    assert!(node.said("reload: done") < 22, "{}", node.said("reload: done"));
+    assert!(node.count_log_lines("reload: done") < 22, "{}", node.count_log_lines("reload: done"));
     assert_eq!((ask(&node, "/two/x").status(), ask(&node, "/second/x").status()), (404, 404));
     let (revision, digest) = in_force(admin);
     assert!(revision <= 4, "{revision}");
     drop(node);
-    let _restarted = Standalone::start(&last, 1);
+    let _restarted = StandaloneNode::start(&last, 1);
     assert_eq!(in_force(admin).1, digest);
 }
 
@@ -426,7 +426,7 @@
     let pools = pool("one", &[("a", servers[0].address), ("b", servers[1].address)])
         + &pool("two", &[("c", two.address)]);
     let base = text(&pools) + &many_routes(5_000);
-    let mut node = Standalone::start(&base, 1);
+    let mut node = StandaloneNode::start(&base, 1);
     let mut early = send(&node, "/one/slow");
     wait_for("the slow request", || servers.iter().map(Backend::count).sum::<usize>() == 1);
     node.replace(&format!(
@@ -440,7 +440,7 @@
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert_eq!(node.wait().code(), Some(0));
     // The file was applied completely before the drain began, or not at all.
-    assert_eq!(node.said("reload: done"), node.said("reload: class other: added"));
+    assert_eq!(node.count_log_lines("reload: done"), node.count_log_lines("reload: class other: added"));
 }
 
 /// Few enough that each is logged: of each kind of message the log has the first ten in ten seconds.
@@ -457,7 +457,7 @@
         let pools = pool("one", &ones) + &pool("two", &[("e", server.address)]);
         text(&(pools.replace("server e {", &format!("server e {{ weight {weight};"))))
     };
-    let node = Standalone::start(&with(&two, 1), 1);
+    let node = StandaloneNode::start(&with(&two, 1), 1);
     let load = Crowd::asking(node.address(), 3, || get("/one/x"));
     for round in 0..RELOADS {
         let server = if round % 2 == 0 { &three } else { &two };
@@ -465,7 +465,7 @@
         thread::sleep(Duration::from_millis(100));
     }
     let statuses = load.end();
-    assert_eq!(node.said("pools: 1 kept, 1 updated, 0 started"), RELOADS as usize);
+    assert_eq!(node.count_log_lines("pools: 1 kept, 1 updated, 0 started"), RELOADS as usize);
     assert!(statuses.len() > 100, "{}", statuses.len());
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
 }
--- a/crates/node/tests/route_memory.rs
+++ b/crates/node/tests/route_memory.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use pumicehead_testbed::program::{Standalone, memory, wait_for};
+use pumicehead_testbed::program::{StandaloneNode, memory, wait_for};
 use pumicehead_testbed::scripted::{Backend, Client, ok};
 
 /// Routes of the large configuration.
@@ -41,8 +41,8 @@
 #[test]
 fn an_added_route_takes_little_memory_and_is_served() {
     let backend = Backend::start(|_| ok("rank 1"));
-    let small = Standalone::start(&text(SMALL_ROUTES, &backend), 1);
-    let large = Standalone::start(&text(LARGE_ROUTES, &backend), 1);
+    let small = StandaloneNode::start(&text(SMALL_ROUTES, &backend), 1);
+    let large = StandaloneNode::start(&text(LARGE_ROUTES, &backend), 1);
     let mut client = Client::connect(large.address());
     for number in [0, 1, LARGE_ROUTES / 2, LARGE_ROUTES - 1] {
         assert_eq!(status(&mut client, &format!("/api/v1/resource-{number}/7")), 200);
--- a/crates/node/tests/standalone.rs
+++ b/crates/node/tests/standalone.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_testbed::program::{Standalone, wait_for};
+use pumicehead_testbed::program::{StandaloneNode, wait_for};
 use pumicehead_testbed::scripted::{Act, Backend, Client, Crowd, Gauge, Message, answer, ok, refusing};
 
 /// A configuration with two pools and a class of each kind of idempotency; `more` is appended.
@@ -50,7 +50,7 @@
     format!("POST {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-fn ask(node: &Standalone, request: &str) -> Message {
+fn ask(node: &StandaloneNode, request: &str) -> Message {
     let mut client = Client::connect(node.address());
     client.write(request);
     client.read().expect("a response")
@@ -62,7 +62,7 @@
     let fields = "Set-Cookie: a=1\r\nSet-Cookie: b=2\r\nConnection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=9\r\nETag: \"7\"\r\n";
     let boards = Backend::start(move |_| Act::Write(answer("200 OK", fields, "rank 1")));
     let archive = Backend::start(|_| ok("old"));
-    let node = Standalone::start(&text(&[&boards], &[&archive], ""), 1);
+    let node = StandaloneNode::start(&text(&[&boards], &[&archive], ""), 1);
     let served = ask(
         &node,
         &get(
@@ -96,7 +96,7 @@
 #[test]
 fn ambiguous_and_unrouted_requests_reach_no_backend() {
     let server = Backend::start(|_| ok("x"));
-    let node = Standalone::start(&text(&[&server], &[&other_backend()], ""), 1);
+    let node = StandaloneNode::start(&text(&[&server], &[&other_backend()], ""), 1);
     let cases = [
         (get("/boards/../runs/1", ""), 400),
         (get("/boards/%2e%2E/runs/1", ""), 400),
@@ -147,7 +147,7 @@
         };
         Act::Write(text.into())
     });
-    let node = Standalone::start(&text(&[&server], &[&other_backend()], ""), 1);
+    let node = StandaloneNode::start(&text(&[&server], &[&other_backend()], ""), 1);
     let mut client = Client::connect(node.address());
     client.write("HEAD /boards/head HTTP/1.1\r\nHost: a\r\n\r\n");
     let head = client.read_head().unwrap();
@@ -168,7 +168,7 @@
 #[test]
 fn expect_continue_is_answered_only_for_routed_requests() {
     let server = Backend::start(|request| ok(&String::from_utf8_lossy(&request.body)));
-    let node = Standalone::start(&text(&[&server], &[&other_backend()], ""), 1);
+    let node = StandaloneNode::start(&text(&[&server], &[&other_backend()], ""), 1);
     let head = |path: &str| {
         format!("POST {path} HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
     };
@@ -202,7 +202,7 @@
         _ => ok("fine"),
     };
     let (one, other) = (Backend::start(fail), Backend::start(fail));
-    let node = Standalone::start(&text(&[&one, &other], &[&other_backend()], ""), 1);
+    let node = StandaloneNode::start(&text(&[&one, &other], &[&other_backend()], ""), 1);
     let attempts = |path: &str| {
         let count = |backend: &Backend| {
             backend.seen.lock().unwrap().iter().filter(|m| m.first.contains(path)).count()
@@ -235,7 +235,7 @@
     let short = text(&[&one, &other], &[&other_backend()], "")
         .replace("deadline 20s; worth", "deadline 900ms; worth");
     let short = short.replace("class submit { aim 5s", "class submit { aim 300ms");
-    let node = Standalone::start(&short, 1);
+    let node = StandaloneNode::start(&short, 1);
     let late = ask(&node, &post("/runs/1", "x"));
     assert_eq!(late.status(), 504);
     assert_eq!(one.count() + other.count(), 1);
@@ -249,7 +249,7 @@
     let boards = [holding_backend(&released, "boards"), holding_backend(&released, "boards")];
     let archive = Backend::start(|_| ok("archive"));
     let before = text(&[&boards[0], &boards[1]], &[&archive], "");
-    let mut node = Standalone::start(&before, 1);
+    let mut node = StandaloneNode::start(&before, 1);
     let mut slow = Client::connect(node.address());
     slow.write(&get("/boards/slow", ""));
     wait_for("the slow request", || boards[0].count() + boards[1].count() == 1);
@@ -260,11 +260,11 @@
         node.reload(&invalid);
         assert_eq!(ask(&node, &get("/boards/x", "")).body, b"boards");
     }
-    assert!(node.said("has no unit") > 0 && node.said("did you mean `archive`?") > 0);
+    assert!(node.count_log_lines("has no unit") > 0 && node.count_log_lines("did you mean `archive`?") > 0);
     let moved = before
         .replace("path /boards/**; class read; pool boards", "path /boards/**; class read; pool archive");
     node.reload(&moved);
-    assert!(node.said("reload: route read: pool boards -> archive") == 1);
+    assert!(node.count_log_lines("reload: route read: pool boards -> archive") == 1);
     assert_eq!(ask(&node, &get("/boards/x", "")).body, b"archive");
     released.store(true, Ordering::SeqCst);
     assert_eq!(slow.read().unwrap().body, b"boards");
@@ -279,7 +279,7 @@
     let server = || holding_backend(&released, "served");
     let (stays, leaves, pool) = (server(), server(), server());
     let before = text(&[&stays, &leaves], &[&pool], "");
-    let node = Standalone::start(&before, 1);
+    let node = StandaloneNode::start(&before, 1);
     let old = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: x.old.example.org\r\n\r\n");
     let mut open: Vec<_> = (0..2)
         .map(|_| {
@@ -316,7 +316,7 @@
     let other = other_backend();
     let first = refusing();
     let one = text(&[&server[0], &server[1]], &[&other], "").replace("127.0.0.1:0", &first.to_string());
-    let mut node = Standalone::start(&one, 1);
+    let mut node = StandaloneNode::start(&one, 1);
     let mut slow = Client::connect(first);
     slow.write(&get("/boards/slow", ""));
     wait_for("the slow request", || server[0].count() + server[1].count() == 1);
@@ -325,7 +325,7 @@
     let conflicting = format!("{one}listener clash {{ address {in_use} }}\n")
         .replace("pool boards }\n", "pool archive }\n");
     node.reload(&conflicting);
-    assert!(node.said(&format!("listen on {in_use}")) == 1);
+    assert!(node.count_log_lines(&format!("listen on {in_use}")) == 1);
     assert_eq!(ask(&node, &get("/boards/x", "")).body, b"served");
     let second = refusing();
     node.reload(&one.replace(&first.to_string(), &second.to_string()));
@@ -345,7 +345,7 @@
     let other = other_backend();
     let before = text(&[&server], &[&other], "");
     let after = before.replace("worth 10", "worth 8");
-    let mut node = Standalone::start(&before, 1);
+    let mut node = StandaloneNode::start(&before, 1);
     let load = Crowd::asking(node.address(), 4, || get("/boards/x", ""));
     for round in 0..100 {
         node.replace(if round % 2 == 0 { &after } else { &before });
@@ -353,7 +353,7 @@
         thread::sleep(Duration::from_millis(5));
     }
     node.reload(&after);
-    wait_for("the last file", || node.said("class submit: worth 10 -> 8") > 0);
+    wait_for("the last file", || node.count_log_lines("class submit: worth 10 -> 8") > 0);
     let statuses = load.end();
     // A pool whose loop has just started has low in-flight limits and may reject requests, which clients may retry; no request
     // fails.
@@ -379,7 +379,7 @@
     );
     let other = other_backend();
     let text = text(&[], &[&other], "").replace("pool boards {  }", &format!("pool boards {{ {servers} }}"));
-    let node = Standalone::start(&text, 1);
+    let node = StandaloneNode::start(&text, 1);
     let load = Crowd::asking(node.address(), 8, || get("/boards/x", ""));
     wait_for("requests at the steady endpoint", || steady.count() > 300);
     let restarted = Backend::start_at(address, serve(gauges[1].clone()));
@@ -403,7 +403,7 @@
     let server = [holding_backend(&released, "served"), holding_backend(&released, "served")];
     let other = other_backend();
     let text = text(&[&server[0], &server[1]], &[&other], "listener second { address 127.0.0.1:0 }\n");
-    let mut node = Standalone::start(&text, 2);
+    let mut node = StandaloneNode::start(&text, 2);
     let mut clients: Vec<_> = node.addresses().into_iter().map(Client::connect).collect();
     clients.iter_mut().for_each(|client| client.write(&get("/boards/slow", "")));
     wait_for("both requests", || server[0].count() + server[1].count() == 2);
@@ -431,7 +431,7 @@
     });
     let other = other_backend();
     let more = "tenant acme { share 50%; rate 1000/s }\nroute partner { path /partner/**; class read; pool boards; tenant header X-Account }\n";
-    let node = Standalone::start(&text(&[&server], &[&other], more), 1);
+    let node = StandaloneNode::start(&text(&[&server], &[&other], more), 1);
     for (headers, status) in [
         ("X-Account: acme\r\n", 200),
         ("X-Account: other\r\n", 400),
--- a/crates/node/tests/tenants.rs
+++ b/crates/node/tests/tenants.rs
@@ -12,7 +12,7 @@
 use pumicehead_flight_recorder::recording::Recording;
 use pumicehead_flight_recorder::timeline_text;
 use pumicehead_policy::decision_event::DecisionEvent;
-use pumicehead_testbed::program::{LIMIT, Standalone, wait_for};
+use pumicehead_testbed::program::{LIMIT, StandaloneNode, wait_for};
 use pumicehead_testbed::scripted::{Backend, Client, Crowd, ok};
 
 /// A configuration with one pool and routes with and without tenants. The pool may have several endpoints, so that there is
@@ -44,7 +44,7 @@
     format!("POST {path} HTTP/1.1\r\nHost: a\r\nX-Account: {tenant}\r\nContent-Length: 1\r\n\r\nx")
 }
 
-fn status(node: &Standalone, request: &str) -> u16 {
+fn status(node: &StandaloneNode, request: &str) -> u16 {
     let mut client = Client::connect(node.address());
     client.write(request);
     client.read().expect("a response").status()
@@ -54,7 +54,7 @@
 #[test]
 fn tenant_changes_keep_the_pool_loop() {
     let servers = [Backend::start(|_| ok("done"))];
-    let node = Standalone::start(&text(&servers, &[("acme", 100)]), 1);
+    let node = StandaloneNode::start(&text(&servers, &[("acme", 100)]), 1);
     let changes: [&[(&str, u32)]; 6] = [
         &[("acme", 100), ("zeta", 100)],
         &[("new", 100), ("zeta", 100), ("acme", 100)],
@@ -93,7 +93,7 @@
     let servers: Vec<_> = (0..4).map(start).collect();
     let served = || servers.iter().map(Backend::count).sum::<usize>();
     let both = [("acme", 100), ("zeta", 100)];
-    let node = Standalone::start(&text(&servers, &both), 1);
+    let node = StandaloneNode::start(&text(&servers, &both), 1);
     let loads = [
         Crowd::asking(node.address(), 2, || get("/boards/x", "acme")),
         Crowd::asking(node.address(), 2, || get("/plain/x", "")),
@@ -137,8 +137,8 @@
 }
 
 /// Returns the recording of the node.
-fn recording(node: &Standalone) -> Recording {
-    wait_for("the admin listener", || node.said("takes admin commands on") == 1);
+fn recording(node: &StandaloneNode) -> Recording {
+    wait_for("the admin listener", || node.count_log_lines("takes admin commands on") == 1);
     let admin = {
         let log = node.log.lock().unwrap();
         log.iter()
@@ -166,7 +166,7 @@
     let servers = [Backend::start(|_| ok("done"))];
     let with = |tenants: &str| text(&servers, &[("other", 1)]) + "observe { calls 127.0.0.1:0 }\n" + tenants;
     let greedy = "tenant greedy { share 0%; rate 12/min }\n";
-    let node = Standalone::start(&with(greedy), 1);
+    let node = StandaloneNode::start(&with(greedy), 1);
     let started = Instant::now();
     let ask = || (0..10).for_each(|_| assert_eq!(status(&node, &get("/boards/x", "greedy")), 200));
     for _ in 0..3 {
@@ -205,7 +205,7 @@
         text(&servers, others) + "observe { calls 127.0.0.1:0 }\n" + greedy
     };
     let greedy = "tenant greedy { share 0%; rate 12/min }\n";
-    let node = Standalone::start(&with(&[("a", 1)], ""), 1);
+    let node = StandaloneNode::start(&with(&[("a", 1)], ""), 1);
     let started = Instant::now();
     let others: [&[(&str, u32)]; 4] =
         [&[("a", 1)], &[("a", 1), ("b", 1)], &[], &[("c", 1), ("d", 1), ("a", 1)]];
--- a/crates/node/tests/traffic_recording.rs
+++ b/crates/node/tests/traffic_recording.rs
@@ -3,7 +3,7 @@
 use std::fs;
 
 use pumicehead_load_generator::trace::{Replay, parse};
-use pumicehead_testbed::program::{Standalone, temporary};
+use pumicehead_testbed::program::{StandaloneNode, temporary};
 use pumicehead_testbed::scripted::{Backend, Client, ok};
 
 #[test]
@@ -19,7 +19,7 @@
     );
     fs::write(&config, text).unwrap();
     let path = record.to_str().unwrap();
-    let mut node = Standalone::start_with(&config, 1, None, &["--record", path]);
+    let mut node = StandaloneNode::start_with(&config, 1, None, &["--record", path]);
     let mut client = Client::connect(node.address());
     for (request, status) in [
         ("GET /boards/any?page=2 HTTP/1.1\r\nHost: a\r\n\r\n", 200),
@@ -32,7 +32,7 @@
     }
     node.signal("TERM");
     assert_eq!(node.wait().code(), Some(0));
-    assert_eq!(node.said("traffic recording ended requests=3 dropped=0"), 1);
+    assert_eq!(node.count_log_lines("traffic recording ended requests=3 dropped=0"), 1);
     let text = fs::read_to_string(&record).unwrap();
     let replayed = parse(&text, Replay { speed: 1.0, copies: 1, gaps: false }).unwrap();
     let requests: Vec<_> =
--- a/crates/testbed/src/measure/config.rs
+++ b/crates/testbed/src/measure/config.rs
@@ -21,7 +21,7 @@
 
 use super::Plan;
 use crate::client::Client;
-use crate::program::{Standalone, build_node, temporary};
+use crate::program::{StandaloneNode, build_node, temporary};
 use crate::report::Report;
 use crate::standin::{StandIn, UNIT, Work};
 
@@ -235,7 +235,7 @@
     let local = "127.0.0.1:0".parse().map_err(io::Error::other)?;
     let servers = (0..4).map(|_| StandIn::start(local, Work::default())).collect::<io::Result<Vec<_>>>()?;
     let count = if plan.long { 500 } else { 50 };
-    let mut node = Standalone::start(&text(&servers, false), 1);
+    let mut node = StandaloneNode::start(&text(&servers, false), 1);
     let address = node.address();
     let tally = Rc::new(Tally::default());
     let start = Instant::now();
@@ -248,7 +248,7 @@
             node.replace(&text(&servers, reload % 2 == 0));
             node.signal("HUP");
             let until = Instant::now() + Duration::from_secs(20);
-            while node.said("reload: done") <= reload && Instant::now() < until {
+            while node.count_log_lines("reload: done") <= reload && Instant::now() < until {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
             tokio::time::sleep(PAUSE).await;
@@ -259,7 +259,7 @@
         }
     });
     let took = start.elapsed();
-    let done = node.said("reload: done");
+    let done = node.count_log_lines("reload: done");
     let mut effects: HashMap<String, u32> = HashMap::new();
     for server in &servers {
         let record = server.record.lock().map_err(|_| io::Error::other("a stand-in failed"))?;
--- a/crates/testbed/src/measure/cost.rs
+++ b/crates/testbed/src/measure/cost.rs
@@ -17,7 +17,7 @@
 use pumicehead_load_generator::{Nanos, SECOND};
 
 use super::Plan as Run;
-use crate::program::{Standalone, Tool, build, build_node, cpu_seconds, memory, temporary};
+use crate::program::{StandaloneNode, Tool, build, build_node, cpu_seconds, memory, temporary};
 use crate::report::Report;
 
 /// Load at which costs are compared, in requests per second; one core has capacity for much more.
@@ -118,7 +118,7 @@
     Tool::start("pumicehead-load", &arguments, Some(CORE), 1)
 }
 
-fn node(servers: &[SocketAddr]) -> io::Result<(Standalone, std::path::PathBuf)> {
+fn node(servers: &[SocketAddr]) -> io::Result<(StandaloneNode, std::path::PathBuf)> {
     let mut text = String::from("listener public { address 127.0.0.1:0 }\npool boards {\n");
     for (n, address) in servers.iter().enumerate() {
         let _ = writeln!(text, "server s{n} {{ address {address} }}");
@@ -131,7 +131,7 @@
     );
     let file = temporary(".conf");
     fs::write(&file, text)?;
-    let node = Standalone::start_on(&file, 1, Some(CORE));
+    let node = StandaloneNode::start_on(&file, 1, Some(CORE));
     Ok((node, file))
 }
 
--- a/crates/testbed/src/measure/fastcgi.rs
+++ b/crates/testbed/src/measure/fastcgi.rs
@@ -12,7 +12,7 @@
 
 use super::Plan;
 use crate::parity::{Seen, compare_all, pairings, text};
-use crate::program::{Standalone, build_node};
+use crate::program::{StandaloneNode, build_node};
 use crate::report::Report;
 use crate::scripted_backend::{Act, Protocol, ProtocolClient, ScriptedBackends, ScriptedRequest, served};
 
@@ -78,7 +78,7 @@
         let boards =
             ScriptedBackends::new(Arc::new(|_: &ScriptedRequest| served("rank 1  0:01:02.345  runner\n")));
         let servers: Vec<_> = (0..4).map(|_| boards.start(back)).collect();
-        nodes.push((front, Standalone::start(&text(front, back, &servers, ""), 1)));
+        nodes.push((front, StandaloneNode::start(&text(front, back, &servers, ""), 1)));
     }
     let mut costs: Vec<Cost> = nodes.iter().map(|_| Cost::default()).collect();
     for (front, node) in &nodes {
@@ -131,7 +131,7 @@
 }
 
 /// Loads a node for a span with [`CLIENTS`] connections.
-fn load(front: Protocol, node: &Standalone, span: Duration) -> io::Result<LoadResult> {
+fn load(front: Protocol, node: &StandaloneNode, span: Duration) -> io::Result<LoadResult> {
     let stopped = Arc::new(AtomicBool::new(false));
     let address = node.address();
     let clients: Vec<_> = (0..CLIENTS)
@@ -167,7 +167,7 @@
     let act = || Act::Later(Duration::from_millis(20), Box::new(served("rank 1")));
     let boards = ScriptedBackends::new(Arc::new(move |_: &ScriptedRequest| act())).multiplexing();
     let servers: Vec<_> = (0..4).map(|_| boards.start(Protocol::FastCgi)).collect();
-    let node = Standalone::start(&text(Protocol::FastCgi, Protocol::FastCgi, &servers, ""), 1);
+    let node = StandaloneNode::start(&text(Protocol::FastCgi, Protocol::FastCgi, &servers, ""), 1);
     let mut client = ProtocolClient::connect(node.address(), Protocol::FastCgi)?;
     let _ = client.ask("GET", "/boards/any", "X-Unit: 1\r\n", b"");
     let before = node.peak_memory();
--- a/crates/testbed/src/measure/recorder/cost.rs
+++ b/crates/testbed/src/measure/recorder/cost.rs
@@ -14,7 +14,7 @@
 use super::SERVERS;
 use super::node::{Admin, configuration};
 use crate::measure::Plan;
-use crate::program::{Standalone, memory, temporary};
+use crate::program::{StandaloneNode, memory, temporary};
 use crate::report::Report;
 use crate::standin::{StandIn, Work};
 
@@ -40,7 +40,7 @@
     let addresses: Vec<_> = servers.iter().map(|server| server.address).collect();
     let file = temporary(".conf");
     fs::write(&file, configuration(&addresses, CLASSES, "descriptors 4000; held 20000"))?;
-    let node = Standalone::start_on(&file, 1, Some(0));
+    let node = StandaloneNode::start_on(&file, 1, Some(0));
     let admin = Admin::of(&node);
     let memory_before = memory(node.pid());
     let costs = cost_by_level(plan, &node, admin)?;
@@ -57,7 +57,7 @@
 }
 
 /// Returns the processor time of a request in each round, in microseconds, by level.
-fn cost_by_level(plan: Plan, node: &Standalone, admin: Admin) -> io::Result<[Vec<f64>; LEVELS.len()]> {
+fn cost_by_level(plan: Plan, node: &StandaloneNode, admin: Admin) -> io::Result<[Vec<f64>; LEVELS.len()]> {
     let mut costs: [Vec<f64>; LEVELS.len()] = Default::default();
     // Limits settle and connections are opened.
     request_cost_us(plan, node)?;
@@ -87,7 +87,7 @@
 }
 
 /// Loads the node for [`SPAN`] and returns its processor time for a request, in microseconds.
-fn request_cost_us(plan: Plan, node: &Standalone) -> io::Result<f64> {
+fn request_cost_us(plan: Plan, node: &StandaloneNode) -> io::Result<f64> {
     let schedule = Schedule::new(Shape::Constant(RATE), Arrivals::Poisson, SPAN, plan.seed);
     let requests = RequestPlan::drawn(schedule, Mix::default(), plan.seed);
     let setup = Setup {
--- a/crates/testbed/src/measure/recorder/faults.rs
+++ b/crates/testbed/src/measure/recorder/faults.rs
@@ -12,7 +12,7 @@
 
 use super::SERVERS;
 use super::node::{Admin, configuration};
-use crate::program::Standalone;
+use crate::program::StandaloneNode;
 use crate::report::Report;
 use crate::scripted::{Act, Backend, Client, ok};
 
@@ -145,7 +145,7 @@
         Backend::start(move |_| act())
     };
     let addresses: Vec<_> = (0..SERVERS).map(|n| server(n).address).collect();
-    let node = Standalone::start(&configuration(&addresses, fault.classes, fault.limits), 1);
+    let node = StandaloneNode::start(&configuration(&addresses, fault.classes, fault.limits), 1);
     let admin = Admin::of(&node);
     load(node.address(), CLIENTS + fault.more_clients);
     let start = Instant::now();
--- a/crates/testbed/src/measure/recorder/node.rs
+++ b/crates/testbed/src/measure/recorder/node.rs
@@ -6,7 +6,7 @@
 
 use pumicehead_flight_recorder::recording::Recording;
 
-use crate::program::{Standalone, wait_for};
+use crate::program::{StandaloneNode, wait_for};
 
 /// An admin command is answered within this.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(10);
@@ -32,8 +32,8 @@
 
 impl Admin {
     /// Waits until a node has its admin listener.
-    pub(super) fn of(node: &Standalone) -> Self {
-        wait_for("the admin listener", || node.said(ADMIN_LOG_WORDS.trim_end()) == 1);
+    pub(super) fn of(node: &StandaloneNode) -> Self {
+        wait_for("the admin listener", || node.count_log_lines(ADMIN_LOG_WORDS.trim_end()) == 1);
         let log = node.log.lock().map(|log| log.clone()).unwrap_or_default();
         let found = log.iter().find_map(|line| line.split_once(ADMIN_LOG_WORDS)?.1.parse().ok());
         Self(found.unwrap_or_else(|| node.address()))
--- a/crates/testbed/src/parity/mod.rs
+++ b/crates/testbed/src/parity/mod.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::program::Standalone;
+use crate::program::StandaloneNode;
 use crate::scripted::refusing;
 use crate::scripted_backend::{Act, Protocol, ProtocolClient, Script, ScriptedBackends, ScriptedRequest};
 use scenarios::RequestTemplate;
@@ -90,7 +90,7 @@
     let listening = scenario.servers - scenario.refusing.min(scenario.servers);
     let mut servers: Vec<_> = (0..listening).map(|_| backends.start(back)).collect();
     servers.extend((0..scenario.refusing).map(|_| refusing()));
-    let node = Standalone::start(&text(front, back, &servers, ""), 1);
+    let node = StandaloneNode::start(&text(front, back, &servers, ""), 1);
     let mut client = ProtocolClient::connect(node.address(), front).unwrap();
     let RequestTemplate { method, target, fields, body } = scenario.request;
     let answer = client.ask(method, target, &format!("X-Unit: 1\r\n{fields}"), body);
--- a/crates/testbed/src/program/mod.rs
+++ b/crates/testbed/src/program/mod.rs
@@ -12,7 +12,7 @@
 
 pub use listening::Tool;
 pub use process_stats::{cpu_seconds, memory};
-pub use standalone::Standalone;
+pub use standalone::StandaloneNode;
 
 /// Limit of all waits: far longer than anything takes that does not fail.
 pub const LIMIT: Duration = Duration::from_secs(30);
--- a/crates/testbed/src/program/standalone.rs
+++ b/crates/testbed/src/program/standalone.rs
@@ -12,7 +12,7 @@
 use super::{built, pinned, temporary, wait_for};
 
 /// A running node with a configuration file; it is killed on drop.
-pub struct Standalone {
+pub struct StandaloneNode {
     child: Child,
     /// Path of the configuration file.
     pub file: PathBuf,
@@ -24,7 +24,7 @@
     reader: Option<thread::JoinHandle<()>>,
 }
 
-impl Standalone {
+impl StandaloneNode {
     /// Starts a node with a configuration's text, and waits for its listeners.
     ///
     /// # Panics
@@ -95,7 +95,7 @@
 
     /// Counts the lines of the log with a text.
     #[must_use]
-    pub fn said(&self, text: &str) -> usize {
+    pub fn count_log_lines(&self, text: &str) -> usize {
         self.log
             .lock()
             .expect("the log reader does not panic")
@@ -119,7 +119,9 @@
     /// # Panics
     /// Where neither is logged within [`LIMIT`](super::LIMIT).
     pub fn reload(&self, text: &str) {
-        let reloads = || self.said("reload: done") + self.said("reload: the old configuration stays");
+        let reloads = || {
+            self.count_log_lines("reload: done") + self.count_log_lines("reload: the old configuration stays")
+        };
         let before = reloads();
         self.replace(text);
         self.signal("HUP");
@@ -172,7 +174,7 @@
     }
 }
 
-impl Drop for Standalone {
+impl Drop for StandaloneNode {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
