--- a/crates/node/tests/client_disconnect.rs
+++ b/crates/node/tests/client_disconnect.rs
@@ -72,7 +72,7 @@
 fn disconnect_drops_first_attempt_without_endpoint() {
     for changes in SETTINGS {
         let (backend, discovery) = (Backend::start(|_| ok("done")), Discovery::start());
-        let node = Setup { discovery: discovery.address, changes, ..Setup::of(&[]) }.start();
+        let node = Setup { discovery: discovery.address, replacements: changes, ..Setup::of(&[]) }.start();
         let (_, watch) = discovery.next();
         let clients: Vec<_> =
             (0..BURST).flat_map(|_| Disconnect::ALL).map(|way| way.ask(node.address, "submit")).collect();
@@ -95,7 +95,7 @@
             held.wait();
             ok("done")
         });
-        let node = Setup { changes, ..Setup::of(&[&backend]) }.start();
+        let node = Setup { replacements: changes, ..Setup::of(&[&backend]) }.start();
         let staying: Vec<_> = (0..30)
             .map(|_| {
                 let mut client = node.connect();
@@ -127,7 +127,7 @@
         let endpoint = SlowConnectListener::start();
         let address = endpoint.listener.local_addr().unwrap();
         let known = list(1, true, &[host("s-0", address, "active")]);
-        let mut node = Setup { known, changes, ..Setup::of(&[]) }.start();
+        let mut node = Setup { endpoint_list: known, replacements: changes, ..Setup::of(&[]) }.start();
         let clients = Disconnect::WHOLE.map(|way| way.ask(node.address, "submit"));
         let mut staying = node.connect();
         let marker = request("submit", "marker");
@@ -177,7 +177,7 @@
 
     /// Serves requests until the node has a retry budget, then holds all further ones. Returns how many it has received.
     fn hold_requests(&self, node: &Node, class: &'static str) -> usize {
-        let load = Crowd::start(node, 4, class);
+        let load = LoadClients::start(node, 4, class);
         wait_for("120 requests that earn a retry budget", || self.backend.count() >= 120);
         drop(load);
         self.holding.store(true, Ordering::SeqCst);
@@ -242,7 +242,8 @@
     let case = |class, changes| {
         let (failing, other, discovery) =
             (FailingBackend::start(class), Backend::start(|_| ok("done")), Discovery::start());
-        let setup = Setup { discovery: discovery.address, changes, ..Setup::of(&[&failing.backend]) };
+        let setup =
+            Setup { discovery: discovery.address, replacements: changes, ..Setup::of(&[&failing.backend]) };
         let node = setup.start();
         let (_, watch) = discovery.next();
         let (mut staying, leaving) = start_held_requests(&node, &failing, class)?;
@@ -266,7 +267,8 @@
     let case = |class, changes| {
         let (failing, other, discovery) =
             (FailingBackend::start(class), Backend::start(|_| ok("done")), Discovery::start());
-        let setup = Setup { discovery: discovery.address, changes, ..Setup::of(&[&failing.backend]) };
+        let setup =
+            Setup { discovery: discovery.address, replacements: changes, ..Setup::of(&[&failing.backend]) };
         let node = setup.start();
         let (_, watch) = discovery.next();
         let (mut staying, leaving) = start_held_requests(&node, &failing, class)?;
@@ -294,7 +296,8 @@
     let case = |changes| {
         let (failing, other, discovery) =
             (FailingBackend::start("read"), Backend::start(|_| ok("hedge")), Discovery::start());
-        let setup = Setup { discovery: discovery.address, changes, ..Setup::of(&[&failing.backend]) };
+        let setup =
+            Setup { discovery: discovery.address, replacements: changes, ..Setup::of(&[&failing.backend]) };
         let node = setup.start();
         let (_, watch) = discovery.next();
         let (mut staying, leaving) = start_held_requests(&node, &failing, "read")?;
--- a/crates/node/tests/compatibility.rs
+++ b/crates/node/tests/compatibility.rs
@@ -169,25 +169,25 @@
     let node = start_successor(&folder, &backend);
     // The handover file says that the node is in lame-duck mode, and which backends were listed; the state file says that one
     // of them is disabled.
-    assert_eq!(node.call("PING"), "OK serves what comes, and is emptied\n");
-    assert_eq!(node.figure("node.members_unavailable"), Some(1));
-    assert_eq!(node.call("DETACH s-listed-before"), "OK\n");
-    assert_eq!(node.call("ATTACH s-out-before"), "OK\n");
-    assert!(node.call("DETACH s-never-listed").starts_with("ERR "));
+    assert_eq!(node.admin_command("PING"), "OK serves what comes, and is emptied\n");
+    assert_eq!(node.info_value("node.members_unavailable"), Some(1));
+    assert_eq!(node.admin_command("DETACH s-listed-before"), "OK\n");
+    assert_eq!(node.admin_command("ATTACH s-out-before"), "OK\n");
+    assert!(node.admin_command("DETACH s-never-listed").starts_with("ERR "));
     let state: Value = serde_json::from_str(&fs::read_to_string(folder.file("out")).unwrap()).unwrap();
     assert_eq!(state["servers"]["s-0"]["out"], 1_700_000_000_000_u64);
     assert_eq!(state["servers"]["s-out-before"]["back"]["out"], 1_700_000_000_002_u64);
-    assert_eq!(node.call("ATTACH s-0"), "OK\n");
+    assert_eq!(node.admin_command("ATTACH s-0"), "OK\n");
     // The only endpoint is in slow start and may not take the first request.
     wait_for("service after the backend is enabled", || node.ask(&request("read", "")).status() == 200);
     let before = fs::read_to_string(folder.file("learned")).unwrap();
-    assert_eq!(node.call("REJOIN"), "OK\n");
-    assert_eq!(node.call("PING"), "OK\n");
+    assert_eq!(node.admin_command("REJOIN"), "OK\n");
+    assert_eq!(node.admin_command("PING"), "OK\n");
     let after = fs::read_to_string(folder.file("learned")).unwrap();
     assert_ne!(before, after);
     assert_eq!(fields_of(&after), fields_of(&fixture_text("handover.json")));
-    assert_matches_fixture("platform.info.txt", &without_values(&node.call("INFO")));
-    assert_matches_fixture("platform.metrics.txt", &without_values(&node.call("METRICS")));
+    assert_matches_fixture("platform.info.txt", &without_values(&node.admin_command("INFO")));
+    assert_matches_fixture("platform.metrics.txt", &without_values(&node.admin_command("METRICS")));
 }
 
 #[test]
@@ -195,8 +195,8 @@
     let backend = Backend::start(|_| ok("done"));
     let folder = Folder::new();
     let node = start_successor(&folder, &backend);
-    assert_eq!(node.call("DETACH s-0"), "OK\n");
-    assert_eq!(node.call("LAMEDUCK"), "OK\n");
+    assert_eq!(node.admin_command("DETACH s-0"), "OK\n");
+    assert_eq!(node.admin_command("LAMEDUCK"), "OK\n");
     node.signal("-USR1");
     let recording = format!("pumicehead-{}-{}-1.rec", fixture_text("hash_of_n0.txt").trim(), node.pid());
     wait_for("a recording", || folder.0.join(&recording).exists());
--- a/crates/node/tests/descriptor_reserve.rs
+++ b/crates/node/tests/descriptor_reserve.rs
@@ -122,15 +122,15 @@
     });
     let hosts: Vec<_> = (0..ENDPOINTS).map(|n| host(&format!("s-{n}"), old.address, "active")).collect();
     let setup = Setup {
-        known: list(1, true, &hosts),
-        line: Some(format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")),
+        endpoint_list: list(1, true, &hosts),
+        shell_line: Some(format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")),
         ..Setup::of(&[])
     };
     let discovery = setup.discovery;
     let node = setup.start();
     let before = open_descriptors(&node);
     // Has the node open as many connections to endpoints as it may have.
-    let load = Crowd::start(&node, 100, "submit");
+    let load = LoadClients::start(&node, 100, "submit");
     wait_for("connections to endpoints", || open_descriptors(&node) > before + 150);
     drop(load);
     let connected: Vec<_> = (0..30)
--- a/crates/node/tests/discovery_retry_delay.rs
+++ b/crates/node/tests/discovery_retry_delay.rs
@@ -73,7 +73,7 @@
             let service = TcpListener::bind("127.0.0.1:0").unwrap();
             let _node = Setup {
                 discovery: service.local_addr().unwrap(),
-                changes: &[USUAL_POLL_INTERVAL],
+                replacements: &[USUAL_POLL_INTERVAL],
                 ..Setup::of(&[])
             }
             .start();
@@ -106,7 +106,11 @@
     ];
     let waited = seeds.map(|changes| {
         let service = TcpListener::bind("127.0.0.1:0").unwrap();
-        let setup = Setup { discovery: service.local_addr().unwrap(), changes, ..Setup::of(&[&backend]) };
+        let setup = Setup {
+            discovery: service.local_addr().unwrap(),
+            replacements: changes,
+            ..Setup::of(&[&backend])
+        };
         let _node = setup.start();
         let started = Instant::now();
         next_call(&service);
@@ -121,7 +125,7 @@
 fn discovery_move_after_an_outage_is_made_in_time() {
     let (old, new) = (TcpListener::bind("127.0.0.1:0").unwrap(), TcpListener::bind("127.0.0.1:0").unwrap());
     let before = old.local_addr().unwrap();
-    let node = Setup { discovery: before, changes: &[USUAL_POLL_INTERVAL], ..Setup::of(&[]) }.start();
+    let node = Setup { discovery: before, replacements: &[USUAL_POLL_INTERVAL], ..Setup::of(&[]) }.start();
     for _ in 0..FAILURES {
         Failure::Rejected.fail(next_call(&old));
     }
--- a/crates/node/tests/event_races.rs
+++ b/crates/node/tests/event_races.rs
@@ -31,7 +31,7 @@
     ] {
         let backend = Backend::start(|_| ok("done"));
         let discovery = Discovery::start();
-        let setup = Setup { discovery: discovery.address, changes, ..Setup::of(&[]) };
+        let setup = Setup { discovery: discovery.address, replacements: changes, ..Setup::of(&[]) };
         let node = setup.start();
         let (_, lines) = discovery.next();
         // No endpoint is known: all requests are queued.
@@ -73,8 +73,11 @@
     ] {
         let endpoint = SlowConnectListener::start();
         let address = endpoint.listener.local_addr().unwrap();
-        let setup =
-            Setup { known: list(1, true, &[host("s-0", address, "active")]), changes, ..Setup::of(&[]) };
+        let setup = Setup {
+            endpoint_list: list(1, true, &[host("s-0", address, "active")]),
+            replacements: changes,
+            ..Setup::of(&[])
+        };
         let mut node = setup.start();
         let ways = [Disconnect::Fin, Disconnect::HalfClose, Disconnect::Pipelined];
         let clients = ways.map(|way| way.ask(node.address, "submit"));
@@ -108,7 +111,12 @@
         let discovery = Discovery::start();
         let known = list(1, true, &[host("s-0", address, "active")]);
         let changes = &[LOW_READ_WEIGHT, LONG_CONNECT_TIMEOUT];
-        let setup = Setup { known, changes, discovery: discovery.address, ..Setup::of(&[]) };
+        let setup = Setup {
+            endpoint_list: known,
+            replacements: changes,
+            discovery: discovery.address,
+            ..Setup::of(&[])
+        };
         let mut node = setup.start();
         let (_, lines) = discovery.next();
         let mut client = node.connect();
@@ -159,7 +167,8 @@
             Act::WriteAndClose(String::new())
         });
         let (slow, discovery) = (SlowConnectListener::start(), Discovery::start());
-        let node = Setup { changes, discovery: discovery.address, ..Setup::of(&[&first]) }.start();
+        let node =
+            Setup { replacements: changes, discovery: discovery.address, ..Setup::of(&[&first]) }.start();
         let (_, lines) = discovery.next();
         let mut client = node.connect();
         let put = request("put", "x");
@@ -199,7 +208,7 @@
                 Act::Write(answer("503 Service Unavailable", "X-Unprocessed: 1\r\n", ""))
             })
         });
-        let node = Setup { changes, ..Setup::of(&backends.each_ref()) }.start();
+        let node = Setup { replacements: changes, ..Setup::of(&backends.each_ref()) }.start();
         let text = request("submit", "x");
         let mut client = node.connect();
         client.write(&text);
@@ -225,7 +234,7 @@
         let _ = held.lock().unwrap().recv_timeout(Duration::from_secs(30));
         ok("done")
     });
-    let node = Setup { changes: &[NO_CANCEL], ..Setup::of(&[&backend]) }.start();
+    let node = Setup { replacements: &[NO_CANCEL], ..Setup::of(&[&backend]) }.start();
     let text = request("submit", "x");
     let mut first = node.connect();
     first.write(&text);
@@ -292,7 +301,8 @@
             });
         }
     });
-    let node = Setup { known: list(1, true, &[host("s-0", address, "active")]), ..Setup::of(&[]) }.start();
+    let node =
+        Setup { endpoint_list: list(1, true, &[host("s-0", address, "active")]), ..Setup::of(&[]) }.start();
     let mut client = node.connect();
     client.write(&request("submit", "first"));
     assert_eq!(client.read().expect("a response").body, b"first");
@@ -333,12 +343,12 @@
     });
     let hosts: Vec<_> = (0..40).map(|n| host(&format!("s-{n}"), backend.address, "active")).collect();
     let setup = Setup {
-        aim_ms: 250,
-        changes: &[
+        latency_objective_ms: 250,
+        replacements: &[
             ("\"deadline_ns\":20000000000", "\"deadline_ns\":300000000"),
             ("\"sockets\":256", "\"sockets\":1024"),
         ],
-        known: list(1, true, &hosts),
+        endpoint_list: list(1, true, &hosts),
         ..Setup::of(&[])
     };
     let mut node = setup.start();
@@ -389,7 +399,8 @@
     let longer = &[("\"max_retry_after_ns\":2000000000", "\"max_retry_after_ns\":3000000000")][..];
     for (changes, advice) in [(none, None), (longer, Some("0.750"))] {
         let backend = Backend::start(|_| Act::Hang);
-        let node = Setup { ceilings: r#","most_held":1"#, changes, ..Setup::of(&[&backend]) }.start();
+        let node =
+            Setup { ceilings: r#","most_held":1"#, replacements: changes, ..Setup::of(&[&backend]) }.start();
         let mut first = node.connect();
         first.write(&request("submit", "x"));
         wait_for("the first attempt", || backend.count() == 1);
@@ -419,7 +430,7 @@
             |call: usize| if call.is_multiple_of(2) { Act::WriteAndClose(String::new()) } else { ok("done") };
         Backend::start(move |_| gauge.serve(|_| Duration::ZERO, every_second_fails))
     });
-    let node = Setup { changes: CHANGES, ..Setup::of(&[&one, &other]) }.start();
+    let node = Setup { replacements: CHANGES, ..Setup::of(&[&one, &other]) }.start();
     let ask = |class: &str, method: &str| {
         let text = request(class, "");
         let text = text.replacen(text.split(' ').next().unwrap(), method, 1);
--- a/crates/node/tests/fleet_slow_start.rs
+++ b/crates/node/tests/fleet_slow_start.rs
@@ -180,7 +180,14 @@
                 let known = list(1, true, &entries);
                 let address = discovery.address;
                 let changes = SLOW_START_SETTINGS;
-                Setup { known, discovery: address, position, changes, ..Setup::of(&[]) }.start()
+                Setup {
+                    endpoint_list: known,
+                    discovery: address,
+                    position,
+                    replacements: changes,
+                    ..Setup::of(&[])
+                }
+                .start()
             })
             .collect();
         let watches = nodes.iter().map(|_| discovery.next().1).collect();
--- a/crates/node/tests/introspection.rs
+++ b/crates/node/tests/introspection.rs
@@ -59,7 +59,7 @@
     let node = recorded_node(&[&resets]).start();
     assert_eq!(node.ask(&request("submit", "x")).status(), 502);
     assert_eq!(
-        rejection_reasons(&recording(node.calls())),
+        rejection_reasons(&recording(node.admin_address())),
         [RejectionReason::NoRetry(NoRetryReason::NotIdempotent)]
     );
 
@@ -71,12 +71,12 @@
         "an idempotent request may be retried by its client"
     );
     assert_eq!(
-        rejection_reasons(&recording(node.calls())),
+        rejection_reasons(&recording(node.admin_address())),
         [RejectionReason::NoRetry(NoRetryReason::AttemptsExhausted)]
     );
     wait_for("the retry budget to be spent", || {
         node.ask(&request("read", ""));
-        rejection_reasons(&recording(node.calls()))
+        rejection_reasons(&recording(node.admin_address()))
             .contains(&RejectionReason::NoRetry(NoRetryReason::RetryBudgetSpent))
     });
 
@@ -84,10 +84,10 @@
         thread::sleep(Duration::from_millis(450));
         Act::Write(answer("500 Oh", "", ""))
     });
-    let node = Setup { aim_ms: 400, ..recorded_node(&[&late]) }.start();
+    let node = Setup { latency_objective_ms: 400, ..recorded_node(&[&late]) }.start();
     node.ask(&request("read", ""));
     assert_eq!(
-        rejection_reasons(&recording(node.calls())),
+        rejection_reasons(&recording(node.admin_address())),
         [RejectionReason::NoRetry(NoRetryReason::NoTimeLeft)]
     );
 }
@@ -100,21 +100,21 @@
         thread::sleep(Duration::from_millis(150));
         ok("done")
     });
-    let node = Setup { aim_ms: 300, ..recorded_node(&[&slow]) }.start();
-    let load = Crowd::start(&node, 40, "read");
+    let node = Setup { latency_objective_ms: 300, ..recorded_node(&[&slow]) }.start();
+    let load = LoadClients::start(&node, 40, "read");
     wait_for("a rejection because of the expected wait", || {
-        rejection_reasons(&recording(node.calls())).contains(&RejectionReason::ExpectedWaitTooLong)
+        rejection_reasons(&recording(node.admin_address())).contains(&RejectionReason::ExpectedWaitTooLong)
     });
-    let statuses = load.end();
+    let statuses = load.stop();
     assert!(statuses.contains(&503));
-    let recording = recording(node.calls());
+    let recording = recording(node.admin_address());
     let breakdown = Breakdown::of_recording(&recording, 0, u64::MAX).unwrap();
     assert_eq!(breakdown.requests as usize, statuses.len());
     for (name, parts) in &breakdown.views {
         assert_eq!(parts.iter().map(|part| part.lost).sum::<u64>(), breakdown.lost(), "by {name}");
     }
     // The metrics count the same requests.
-    let text = node.call("METRICS");
+    let text = node.admin_command("METRICS");
     let counted: usize = text
         .lines()
         .filter(|line| line.starts_with("pumicehead_requests_total"))
@@ -139,7 +139,7 @@
     let admin = admin_address(&node);
     // Requests of the highest tier are not rejected because of the queue's length.
     let get = || "GET /high HTTP/1.1\r\nHost: a\r\n\r\n".to_owned();
-    let load = Crowd::asking(node.address(), 12, get);
+    let load = LoadClients::with_requests(node.address(), 12, get);
     wait_for("a queue timeout", || {
         rejection_reasons(&recording(admin)).contains(&RejectionReason::QueueTimeout)
     });
@@ -166,8 +166,13 @@
     assert_eq!(node.ask(&text).status(), 502);
     let file = temporary(".rec");
     let pumicehead = || Command::new(built("pumicehead").unwrap());
-    let output =
-        pumicehead().arg("trace").arg(node.calls().to_string()).arg("--out").arg(&file).output().unwrap();
+    let output = pumicehead()
+        .arg("trace")
+        .arg(node.admin_address().to_string())
+        .arg("--out")
+        .arg(&file)
+        .output()
+        .unwrap();
     assert!(output.status.success(), "{output:?}");
     let output = pumicehead().arg("why").arg(&file).arg(&id).output().unwrap();
     let timeline = String::from_utf8(output.stdout).unwrap();
@@ -203,16 +208,16 @@
         "TRACE all",
         "METRICS x",
     ] {
-        let answer = node.call(invalid);
+        let answer = node.admin_command(invalid);
         assert!(answer.starts_with("ERR ") && answer.lines().count() == 1, "{invalid}: {answer}");
     }
-    assert_eq!(node.call("FILTER warn,discovery=trace"), "OK\n");
-    assert_eq!(node.call("RECORD off"), "OK\n");
+    assert_eq!(node.admin_command("FILTER warn,discovery=trace"), "OK\n");
+    assert_eq!(node.admin_command("RECORD off"), "OK\n");
     node.ask(&request("read", ""));
-    assert!(recording(node.calls()).timelines.is_empty());
-    assert_eq!(node.call("RECORD full"), "OK\n");
+    assert!(recording(node.admin_address()).timelines.is_empty());
+    assert_eq!(node.admin_command("RECORD full"), "OK\n");
     node.ask(&request("read", ""));
-    assert_eq!(recording(node.calls()).timelines.len(), 1);
+    assert_eq!(recording(node.admin_address()).timelines.len(), 1);
 }
 
 /// Guards that SIGUSR1 writes a complete recording, and that two files at most are kept, also where two processes share a
--- a/crates/node/tests/log.rs
+++ b/crates/node/tests/log.rs
@@ -139,14 +139,14 @@
         assert_eq!(threads.len(), 1, "{threads:?}");
     };
     assert_one_thread(&node);
-    let load = Crowd::start(&node, 8, "submit");
+    let load = LoadClients::start(&node, 8, "submit");
     wait_for("load", || {
         assert_one_thread(&node);
         backend.count() > 200
     });
     node.reload(&node.config());
-    assert_eq!(node.call("FILTER trace"), "OK\n");
-    assert!(node.call("METRICS").ends_with("# EOF\n"));
+    assert_eq!(node.admin_command("FILTER trace"), "OK\n");
+    assert!(node.admin_command("METRICS").ends_with("# EOF\n"));
     node.signal("-USR1");
     wait_for("a recording", || {
         assert_one_thread(&node);
@@ -157,7 +157,7 @@
         assert_one_thread(&node);
         backend.count() > before + 200
     });
-    assert!(load.end().contains(&200));
+    assert!(load.stop().contains(&200));
     node.terminate();
     assert_eq!(node.wait().code(), Some(0));
     fs::remove_dir_all(folder).unwrap();
--- a/crates/node/tests/operations.rs
+++ b/crates/node/tests/operations.rs
@@ -30,17 +30,17 @@
     let node = with_admin(&[&backend]).start();
     let silent: Vec<_> = (0..40)
         .map(|n| {
-            let mut caller = node.caller();
+            let mut caller = node.connect_admin();
             if n % 2 == 0 {
                 caller.write_all(b"DETACH s-0").unwrap();
             }
             caller
         })
         .collect();
-    assert_eq!(node.call("PING"), "OK\n");
-    assert_eq!(node.call("PING\r"), "OK\n");
+    assert_eq!(node.admin_command("PING"), "OK\n");
+    assert_eq!(node.admin_command("PING\r"), "OK\n");
     for bad in ["", "ping", "DETACH", "DETACH s-9", "ATTACH s-9", "LAMEDUCK now", &"x".repeat(100_000)] {
-        let answer = node.call(bad);
+        let answer = node.admin_command(bad);
         assert!(
             answer.starts_with("ERR ") && answer.ends_with('\n') && answer.lines().count() == 1,
             "{answer}"
@@ -62,7 +62,7 @@
         assert_eq!(node.ask(&request("read", "")).status(), 200);
     }
     assert_eq!(node.ask(&request("submit", "x")).status(), 502);
-    let figure = |name: &str| node.figure(&format!("node.{name}"));
+    let figure = |name: &str| node.info_value(&format!("node.{name}"));
     assert_eq!(figure("downstream_requests.read.completed"), Some(5));
     assert_eq!(figure("downstream_requests.submit.failed"), Some(1));
     assert_eq!(figure("downstream_requests.submit.completed"), Some(0));
@@ -82,10 +82,10 @@
     let node = with_admin(&[&backend]).start();
     let mut client = node.connect();
     client.write(&request("submit", "x"));
-    wait_for("the attempt", || node.figure("node.upstream_requests") == Some(1));
-    assert_eq!(node.figure("node.pending"), Some(1));
+    wait_for("the attempt", || node.info_value("node.upstream_requests") == Some(1));
+    assert_eq!(node.info_value("node.pending"), Some(1));
     drop(client);
-    wait_for("the end of the request", || node.figure("node.pending") == Some(0));
+    wait_for("the end of the request", || node.info_value("node.pending") == Some(0));
 }
 
 /// Guards that a disabled backend gets no requests, whatever discovery reports, until an operator enables it.
@@ -97,12 +97,12 @@
     let (_, lines) = discovery.next();
     let ask = |count| (0..count).for_each(|_| assert_eq!(node.ask(&request("read", "")).status(), 200));
     // Several clients: for one request at a time a node may use a single backend.
-    let load = Crowd::start(&node, 8, "read");
+    let load = LoadClients::start(&node, 8, "read");
     wait_for("requests at both backends", || one.count() > 0 && other.count() > 0);
     drop(load);
-    assert_eq!(node.call("DETACH s-0"), "OK\n");
-    assert_eq!(node.call("DETACH s-0"), "OK\n", "a repeated command is an error");
-    assert_eq!(node.figure("node.members_unavailable"), Some(1));
+    assert_eq!(node.admin_command("DETACH s-0"), "OK\n");
+    assert_eq!(node.admin_command("DETACH s-0"), "OK\n", "a repeated command is an error");
+    assert_eq!(node.info_value("node.members_unavailable"), Some(1));
     let before = one.count();
     ask(30);
     // Discovery lists it as restarted and active: the admin command has priority.
@@ -112,13 +112,13 @@
     ask(30);
     // It is removed from the list, and added again.
     lines.send(list(3, true, &[b])).unwrap();
-    wait_for("one endpoint", || node.figure("node.members") == Some(1));
+    wait_for("one endpoint", || node.info_value("node.members") == Some(1));
     lines.send(list(4, false, &[a])).unwrap();
-    wait_for("two endpoints", || node.figure("node.members") == Some(2));
+    wait_for("two endpoints", || node.info_value("node.members") == Some(2));
     ask(30);
     assert_eq!(one.count(), before);
-    assert_eq!(node.call("ATTACH s-0"), "OK\n");
-    let load = Crowd::start(&node, 8, "read");
+    assert_eq!(node.admin_command("ATTACH s-0"), "OK\n");
+    let load = LoadClients::start(&node, 8, "read");
     wait_for("requests at the enabled backend", || one.count() > before);
     drop(load);
 }
@@ -127,8 +127,8 @@
 #[test]
 fn requests_are_rejected_when_all_backends_are_disabled() {
     let backend = Backend::start(|_| ok("done"));
-    let node = Setup { aim_ms: 300, ..with_admin(&[&backend]) }.start();
-    assert_eq!(node.call("DETACH s-0"), "OK\n");
+    let node = Setup { latency_objective_ms: 300, ..with_admin(&[&backend]) }.start();
+    assert_eq!(node.admin_command("DETACH s-0"), "OK\n");
     let answer = node.ask(&request("read", ""));
     assert!(matches!(answer.status(), 429 | 503) && answer.header("retry-after").is_some(), "{answer:?}");
     assert_eq!(backend.count(), 0);
@@ -148,7 +148,7 @@
         assert_eq!(client.read().unwrap().header("connection"), None);
     }
     let mut fresh = node.connect();
-    assert_eq!(node.call("LAMEDUCK"), "OK\n");
+    assert_eq!(node.admin_command("LAMEDUCK"), "OK\n");
     assert_eq!(health(), 503);
     active.write(&request("read", ""));
     let answer = active.read().unwrap();
@@ -157,7 +157,7 @@
     // The load balancer in front may go on sending requests for a moment.
     assert_eq!(node.ask(&request("read", "")).status(), 200);
     assert!(node.is_running());
-    assert_eq!(node.call("REJOIN"), "OK\n");
+    assert_eq!(node.admin_command("REJOIN"), "OK\n");
     let mut client = node.connect();
     client.write(&request("read", ""));
     assert_eq!(client.read().unwrap().header("connection"), None);
@@ -178,12 +178,12 @@
     };
     let mut old = start();
     assert_eq!(old.address, address);
-    assert_eq!(old.call("DETACH s-0"), "OK\n");
+    assert_eq!(old.admin_command("DETACH s-0"), "OK\n");
     let before = one.count();
-    let load = Crowd::asking(address, 8, || request("read", ""));
+    let load = LoadClients::with_requests(address, 8, || request("read", ""));
     wait_for("load", || other.count() > 100);
     let new = start();
-    wait_for("the new process to be ready", || new.call("PING") == "OK\n");
+    wait_for("the new process to be ready", || new.admin_command("PING") == "OK\n");
     let idle = Client::connect(address);
     old.terminate();
     assert!(old.wait().success());
@@ -192,16 +192,16 @@
     assert_eq!(one.count(), before, "the new process uses a backend that is disabled");
     // A command to one process takes effect in another that runs at the same time.
     let mut third = start();
-    wait_for("the third process to be ready", || third.call("PING") == "OK\n");
-    assert_eq!(new.call("ATTACH s-0"), "OK\n");
+    wait_for("the third process to be ready", || third.admin_command("PING") == "OK\n");
+    assert_eq!(new.admin_command("ATTACH s-0"), "OK\n");
     wait_for("the backend to be enabled in the third process", || {
-        third.figure("node.members_unavailable") == Some(0)
+        third.info_value("node.members_unavailable") == Some(0)
     });
     wait_for("requests at the enabled backend", || one.count() > before);
     third.terminate();
     assert!(third.wait().success());
     drop(idle);
-    let statuses = load.end();
+    let statuses = load.stop();
     let lost: Vec<_> = statuses.iter().filter(|&&status| status != 200 && status != 503).collect();
     assert!(lost.is_empty() && statuses.iter().filter(|&&status| status == 200).count() > 200, "{lost:?}");
 }
@@ -221,7 +221,7 @@
             folder,
             socket,
             discovery: discovery.address,
-            slow_to_ask: true,
+            slow_polling: true,
             ..Setup::of(&[&one, &other])
         }
         .start()
@@ -230,19 +230,19 @@
     let (_, lines) = discovery.next();
     let third = host("s-2", other.address, "active");
     lines.send(list(2, false, &[third])).unwrap();
-    wait_for("three endpoints", || old.figure("node.members") == Some(3));
-    assert_eq!(old.call("DETACH s-2"), "OK\n");
+    wait_for("three endpoints", || old.info_value("node.members") == Some(3));
+    assert_eq!(old.admin_command("DETACH s-2"), "OK\n");
     let gone = host("s-2", other.address, "left");
     lines.send(list(3, false, &[gone])).unwrap();
-    wait_for("two endpoints", || old.figure("node.members") == Some(2));
+    wait_for("two endpoints", || old.info_value("node.members") == Some(2));
     let new = start();
     let (_, lines) = discovery.next();
     let leaving = host("s-0", one.address, "leaving");
     lines.send(list(4, false, &[leaving])).unwrap();
-    wait_for("the drain", || new.figure("node.members_unavailable") == Some(1));
+    wait_for("the drain", || new.info_value("node.members_unavailable") == Some(1));
     // This backend was never listed for the new process, only for its predecessor.
-    assert_eq!(new.call("ATTACH s-2"), "OK\n");
-    assert!(new.call("ATTACH s-3").starts_with("ERR "));
+    assert_eq!(new.admin_command("ATTACH s-2"), "OK\n");
+    assert!(new.admin_command("ATTACH s-3").starts_with("ERR "));
 }
 
 /// Guards that a process with a damaged state file, or without a folder for the file, still serves requests, and that a
@@ -252,20 +252,20 @@
     let backend = Backend::start(|_| ok("done"));
     let shared_folder = new_folder();
     let first = Setup { folder: Some(shared_folder.clone()), ..Setup::of(&[&backend]) }.start();
-    assert_eq!(first.call("DETACH s-0"), "OK\n");
+    assert_eq!(first.admin_command("DETACH s-0"), "OK\n");
     let files = std::fs::read_dir(&shared_folder).unwrap().map(|entry| entry.unwrap().path());
     let state_file = files.into_iter().find(|path| path.extension().is_some_and(|end| end == "out")).unwrap();
     std::fs::write(&state_file, "{\"v\":1,").unwrap();
     // The running process keeps what it has read before; a new process starts without.
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!(first.figure("node.members_unavailable"), Some(1));
+    assert_eq!(first.info_value("node.members_unavailable"), Some(1));
     let second = Setup { folder: Some(shared_folder.clone()), ..Setup::of(&[&backend]) }.start();
     assert_eq!(second.ask(&request("read", "")).status(), 200);
-    assert_eq!(first.call("ATTACH s-0"), "OK\n");
+    assert_eq!(first.admin_command("ATTACH s-0"), "OK\n");
     // The only backend is in slow start and may not take the first request.
     wait_for("service after the backend is enabled", || first.ask(&request("read", "")).status() == 200);
     std::fs::remove_dir_all(&shared_folder).unwrap();
-    let answer = first.call("DETACH s-0");
+    let answer = first.admin_command("DETACH s-0");
     assert!(answer.starts_with("ERR "), "{answer}");
     wait_for("service after the failed command", || first.ask(&request("read", "")).status() == 200);
 }
@@ -280,15 +280,15 @@
         let socket = Some(socket.try_clone().unwrap());
         Setup { folder: Some(shared_folder.clone()), socket, ..Setup::of(&[&backend]) }.start()
     };
-    let is_lame_duck = |node: &Node| node.call("PING").contains("emptied");
+    let is_lame_duck = |node: &Node| node.admin_command("PING").contains("emptied");
     let mut first = start();
-    wait_for("the first process to be ready", || first.call("PING") == "OK\n");
-    assert_eq!(first.call("LAMEDUCK"), "OK\n");
+    wait_for("the first process to be ready", || first.admin_command("PING") == "OK\n");
+    assert_eq!(first.admin_command("LAMEDUCK"), "OK\n");
     let mut second = start();
     assert!(is_lame_duck(&second));
     first.terminate();
     assert!(first.wait().success());
-    assert_eq!(second.call("REJOIN"), "OK\n");
+    assert_eq!(second.admin_command("REJOIN"), "OK\n");
     let third = start();
     assert!(!is_lame_duck(&third));
     second.terminate();
--- a/crates/node/tests/platform_process.rs
+++ b/crates/node/tests/platform_process.rs
@@ -43,7 +43,7 @@
     let mut node = Setup {
         // Not even root can create a file there.
         folder: Some(PathBuf::from("/proc")),
-        line: Some("ulimit -n 64; exec setsid \"$0\" <&-".into()),
+        shell_line: Some("ulimit -n 64; exec setsid \"$0\" <&-".into()),
         ..Setup::of(&[&backend])
     }
     .start();
@@ -129,8 +129,8 @@
     let probe = ["-f", "-o", "/dev/null", "-e", &format!("trace={system_calls}"), "true"];
     let is_traced = Command::new("strace").args(probe).output().is_ok_and(|done| done.status.success());
     let line = format!("exec strace -D -f -o {} -e trace={system_calls} \"$0\"", trace_file.display());
-    let mut node = Setup { line: is_traced.then_some(line), ..Setup::of(&[&backend]) }.start();
-    let load = Crowd::start(&node, 8, "submit");
+    let mut node = Setup { shell_line: is_traced.then_some(line), ..Setup::of(&[&backend]) }.start();
+    let load = LoadClients::start(&node, 8, "submit");
     wait_for("load", || backend.count() > 200);
     node.reload(&node.config());
     node.signal("-USR1");
@@ -155,7 +155,7 @@
         checks += 1;
         checks > 20
     });
-    assert!(load.end().contains(&200));
+    assert!(load.stop().contains(&200));
     node.terminate();
     assert_eq!(node.wait().code(), Some(0));
     if is_traced {
@@ -184,7 +184,13 @@
 fn a_node_without_endpoints_serves_once_discovery_is_back() {
     let backend = Backend::start(|_| ok("done"));
     let at = refusing();
-    let node = Setup { aim_ms: 300, known: list(1, true, &[]), discovery: at, ..Setup::of(&[]) }.start();
+    let node = Setup {
+        latency_objective_ms: 300,
+        endpoint_list: list(1, true, &[]),
+        discovery: at,
+        ..Setup::of(&[])
+    }
+    .start();
     assert!(is_rejection(node.ask(&request("read", "")).status()));
     let discovery = Discovery::start_at(at);
     let (_, lines) = discovery.next();
@@ -203,7 +209,7 @@
     // Latency below the quantum does not count. At a smaller quantum an endpoint that a busy machine once made slow would be a
     // worse choice than one that refuses connections, and all three attempts of a request could go to the latter.
     let changes = &[("\"quantum_ns\":5000000", "\"quantum_ns\":1000000000")];
-    let node = Setup { known, changes, ..Setup::of(&[]) }.start();
+    let node = Setup { endpoint_list: known, replacements: changes, ..Setup::of(&[]) }.start();
     for class in ["submit", "read"].into_iter().cycle().take(40) {
         let answer = node.ask(&request(class, if class == "read" { "" } else { "x" }));
         assert_eq!(answer.status(), 200, "{answer:?}");
--- a/crates/node/tests/platform_protocol.rs
+++ b/crates/node/tests/platform_protocol.rs
@@ -43,7 +43,7 @@
 /// Guards that a queued request whose time is nearly up is rejected with `Retry-After`, and not by closing the connection.
 #[test]
 fn a_request_without_a_backend_is_rejected_with_retry_after() {
-    let node = Setup { aim_ms: 300, ..Setup::of(&[]) }.start();
+    let node = Setup { latency_objective_ms: 300, ..Setup::of(&[]) }.start();
     let answer = node.ask(&request("read", ""));
     assert!(is_rejection(answer.status()), "{answer:?}");
     assert_eq!(answer.header("retry-after"), Some("0.500"));
@@ -87,7 +87,7 @@
         host("s-dead", refusing(), "active"),
         host("s-good", good.address, "active"),
     ];
-    let node = Setup { known: list(1, true, &hosts), ..Setup::of(&[]) }.start();
+    let node = Setup { endpoint_list: list(1, true, &hosts), ..Setup::of(&[]) }.start();
     for n in 1..=4 {
         assert_eq!(node.ask(&request("submit", "x")).status(), 200);
         assert_eq!(good.count(), n);
@@ -503,7 +503,7 @@
         })
     });
     let node = Setup::of(&backends.each_ref()).start();
-    let _load = Crowd::start(&node, 32, "submit");
+    let _load = LoadClients::start(&node, 32, "submit");
     wait_for("attempts of most clients in flight", || gauge.now() >= 20);
 }
 
@@ -525,7 +525,7 @@
         })
     });
     let node = Setup::of(&backends.each_ref()).start();
-    let _load = Crowd::start(&node, 24, "submit");
+    let _load = LoadClients::start(&node, 24, "submit");
     wait_for("attempts that reduce the limits", || backends.iter().map(Backend::count).sum::<usize>() >= 300);
     one_at_a_time.store(false, std::sync::atomic::Ordering::SeqCst);
     wait_for("attempts of most clients in flight", || gauges.iter().map(Gauge::now).sum::<usize>() >= 18);
@@ -548,8 +548,9 @@
     let entry = |n: usize, b: &Backend| host(&format!("s-{n}"), b.address, "active");
     let far = far.iter().enumerate().map(|(n, b)| entry(n, b).replace("\"site\":\"a\"", "\"site\":\"b\""));
     let hosts: Vec<_> = far.chain([entry(9, &near)]).collect();
-    let node = Setup { known: list(1, true, &hosts), aim_ms: 100, ..Setup::of(&[]) }.start();
-    let _load = Crowd::start(&node, 32, "submit");
+    let node =
+        Setup { endpoint_list: list(1, true, &hosts), latency_objective_ms: 100, ..Setup::of(&[]) }.start();
+    let _load = LoadClients::start(&node, 32, "submit");
     wait_for("attempts in flight at the distant backends", || gauge.now() >= 14);
 }
 
@@ -567,7 +568,7 @@
         })
     });
     let node = Setup::of(&backends.each_ref()).start();
-    let _load = Crowd::start(&node, 48, "read");
+    let _load = LoadClients::start(&node, 48, "read");
     wait_for("many attempts in flight", || gauge.now() >= 20);
 }
 
--- a/crates/node/tests/reloads.rs
+++ b/crates/node/tests/reloads.rs
@@ -14,7 +14,7 @@
 use pumicehead_flight_recorder::event_ring::decode_records;
 use pumicehead_flight_recorder::recording::Recording;
 use pumicehead_testbed::program::{LIMIT, StandaloneNode, wait_for};
-use pumicehead_testbed::scripted::{Act, Backend, Client, Crowd, Message, ok, refusing};
+use pumicehead_testbed::scripted::{Act, Backend, Client, LoadClients, Message, ok, refusing};
 
 /// The text of a pool with these endpoints.
 fn pool(name: &str, servers: &[(&str, SocketAddr)]) -> String {
@@ -458,13 +458,13 @@
         text(&(pools.replace("server e {", &format!("server e {{ weight {weight};"))))
     };
     let node = StandaloneNode::start(&with(&two, 1), 1);
-    let load = Crowd::asking(node.address(), 3, || get("/one/x"));
+    let load = LoadClients::with_requests(node.address(), 3, || get("/one/x"));
     for round in 0..RELOADS {
         let server = if round % 2 == 0 { &three } else { &two };
         node.reload(&with(server, 1 + round));
         thread::sleep(Duration::from_millis(100));
     }
-    let statuses = load.end();
+    let statuses = load.stop();
     assert_eq!(node.count_log_lines("pools: 1 kept, 1 updated, 0 started"), RELOADS as usize);
     assert!(statuses.len() > 100, "{}", statuses.len());
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
--- a/crates/node/tests/restart_readiness.rs
+++ b/crates/node/tests/restart_readiness.rs
@@ -121,7 +121,7 @@
     let (old, new) = (Backend::start(|_| ok("old")), Backend::start(|_| ok("new")));
     let new_list = list(2, true, &[host("s-1", new.address, "active")]);
     let (discovery, _silent) = start_discovery(state, new_list);
-    let setup = |line| Setup { mode, discovery, line, ..Setup::of(&[&old]) };
+    let setup = |line| Setup { mode, discovery, shell_line: line, ..Setup::of(&[&old]) };
     let mut first = setup(None).start();
     let address = first.address;
     let clients: Vec<_> = (0..10)
--- a/crates/node/tests/standalone.rs
+++ b/crates/node/tests/standalone.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicehead_testbed::program::{StandaloneNode, wait_for};
-use pumicehead_testbed::scripted::{Act, Backend, Client, Crowd, Gauge, Message, answer, ok, refusing};
+use pumicehead_testbed::scripted::{Act, Backend, Client, Gauge, LoadClients, Message, answer, ok, refusing};
 
 /// A configuration with two pools and a class of each kind of idempotency; `more` is appended.
 fn text(boards: &[&Backend], archive: &[&Backend], more: &str) -> String {
@@ -346,7 +346,7 @@
     let before = text(&[&server], &[&other], "");
     let after = before.replace("worth 10", "worth 8");
     let mut node = StandaloneNode::start(&before, 1);
-    let load = Crowd::asking(node.address(), 4, || get("/boards/x", ""));
+    let load = LoadClients::with_requests(node.address(), 4, || get("/boards/x", ""));
     for round in 0..100 {
         node.replace(if round % 2 == 0 { &after } else { &before });
         node.signal("HUP");
@@ -354,7 +354,7 @@
     }
     node.reload(&after);
     wait_for("the last file", || node.count_log_lines("class submit: worth 10 -> 8") > 0);
-    let statuses = load.end();
+    let statuses = load.stop();
     // A pool whose loop has just started has low in-flight limits and may reject requests, which clients may retry; no request
     // fails.
     let count = |wanted: u16| statuses.iter().filter(|status| **status == wanted).count();
@@ -380,7 +380,7 @@
     let other = other_backend();
     let text = text(&[], &[&other], "").replace("pool boards {  }", &format!("pool boards {{ {servers} }}"));
     let node = StandaloneNode::start(&text, 1);
-    let load = Crowd::asking(node.address(), 8, || get("/boards/x", ""));
+    let load = LoadClients::with_requests(node.address(), 8, || get("/boards/x", ""));
     wait_for("requests at the steady endpoint", || steady.count() > 300);
     let restarted = Backend::start_at(address, serve(gauges[1].clone()));
     wait_for("a first request after the restart", || restarted.count() > 0);
@@ -391,7 +391,7 @@
     // A warm endpoint would get as many as the steady one.
     assert!(restarted_count * 5 < steady_count, "{restarted_count}, against {steady_count}");
     // While one endpoint was down and the other had a low limit, requests may have been rejected, which clients may retry.
-    let statuses = load.end();
+    let statuses = load.stop();
     assert!(statuses.iter().all(|status| matches!(status, 200 | 503)));
     assert!(statuses.iter().filter(|status| **status == 200).count() * 10 > statuses.len() * 9);
 }
--- a/crates/node/tests/streaming.rs
+++ b/crates/node/tests/streaming.rs
@@ -42,7 +42,7 @@
 fn start_node(addresses: &[SocketAddr]) -> Node {
     let hosts: Vec<_> =
         addresses.iter().enumerate().map(|(n, &at)| host(&format!("s-{n}"), at, "active")).collect();
-    Setup { known: list(1, true, &hosts), ..Setup::of(&[]) }.start()
+    Setup { endpoint_list: list(1, true, &hosts), ..Setup::of(&[]) }.start()
 }
 
 fn connect(node: &Node) -> (BufReader<TcpStream>, TcpStream) {
@@ -195,7 +195,7 @@
     for _ in 0..50 {
         assert_eq!(node.ask(&request("read", "")).status(), 200);
     }
-    let resident = node.resident();
+    let resident = node.resident_bytes();
     assert!(resident < 40 * MIB, "{resident} bytes of resident memory with 30 open responses of 8 MiB");
     let mut got = vec![0; whole.len()];
     for (input, _) in slow.iter_mut().take(3) {
@@ -273,7 +273,7 @@
 fn upload_is_retried_while_only_its_buffered_part_was_sent() {
     let backend = Backend::start(|message| ok(&message.body.len().to_string()));
     let hosts = [host("s-dead", refusing(), "active"), host("s-good", backend.address, "active")];
-    let node = Setup { known: list(1, true, &hosts), ..Setup::of(&[]) }.start();
+    let node = Setup { endpoint_list: list(1, true, &hosts), ..Setup::of(&[]) }.start();
     let whole = body(3 * MIB);
     for _ in 0..4 {
         assert_eq!(node.ask(&request("submit", &whole)).status(), 200);
--- a/crates/node/tests/tenants.rs
+++ b/crates/node/tests/tenants.rs
@@ -13,7 +13,7 @@
 use pumicehead_flight_recorder::timeline_text;
 use pumicehead_policy::decision_event::DecisionEvent;
 use pumicehead_testbed::program::{LIMIT, StandaloneNode, wait_for};
-use pumicehead_testbed::scripted::{Backend, Client, Crowd, ok};
+use pumicehead_testbed::scripted::{Backend, Client, LoadClients, ok};
 
 /// A configuration with one pool and routes with and without tenants. The pool may have several endpoints, so that there is
 /// capacity beside requests that hang. Each request has one attempt: a cancelled one would close its connection.
@@ -95,8 +95,8 @@
     let both = [("acme", 100), ("zeta", 100)];
     let node = StandaloneNode::start(&text(&servers, &both), 1);
     let loads = [
-        Crowd::asking(node.address(), 2, || get("/boards/x", "acme")),
-        Crowd::asking(node.address(), 2, || get("/plain/x", "")),
+        LoadClients::with_requests(node.address(), 2, || get("/boards/x", "acme")),
+        LoadClients::with_requests(node.address(), 2, || get("/plain/x", "")),
     ];
     wait_for("load", || served() > 100);
 
@@ -128,7 +128,7 @@
         assert_eq!(client.read().expect("a response").status(), 200);
     }
     for load in loads {
-        let statuses = load.end();
+        let statuses = load.stop();
         let failed: Vec<_> = statuses.iter().enumerate().filter(|(_, status)| **status != 200).collect();
         assert!(failed.is_empty(), "{failed:?} of {}", statuses.len());
     }
--- a/crates/testbed/src/scripted/load_clients.rs
+++ b/crates/testbed/src/scripted/load_clients.rs
@@ -11,20 +11,20 @@
 /// Pause of a client after a response other than 200.
 const PAUSE_AFTER_ERROR: Duration = Duration::from_millis(20);
 
-/// Clients that repeat requests, one at a time each, until [`Self::end`] or drop.
-pub struct Crowd {
+/// Clients that repeat requests, one at a time each, until [`Self::stop`] or drop.
+pub struct LoadClients {
     stopped: Arc<AtomicBool>,
     clients: Vec<thread::JoinHandle<Vec<u16>>>,
 }
 
-impl Crowd {
+impl LoadClients {
     /// Starts `count` clients that send requests of a class of the platform's protocol.
     pub fn start(node: &Node, count: usize, class: &'static str) -> Self {
-        Self::asking(node.address, count, move || request(class, ""))
+        Self::with_requests(node.address, count, move || request(class, ""))
     }
 
     /// Starts `count` clients whose requests `request` produces.
-    pub fn asking(
+    pub fn with_requests(
         address: SocketAddr,
         count: usize,
         request: impl Fn() -> String + Clone + Send + 'static,
@@ -39,14 +39,14 @@
     }
 
     /// Stops the clients and returns the status codes of all responses.
-    pub fn end(mut self) -> Vec<u16> {
+    pub fn stop(mut self) -> Vec<u16> {
         self.stopped.store(true, Ordering::SeqCst);
         let clients = std::mem::take(&mut self.clients);
         clients.into_iter().flat_map(|client| client.join().expect("a client does not panic")).collect()
     }
 }
 
-impl Drop for Crowd {
+impl Drop for LoadClients {
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::SeqCst);
         self.clients.drain(..).for_each(|client| drop(client.join()));
--- a/crates/testbed/src/scripted/mod.rs
+++ b/crates/testbed/src/scripted/mod.rs
@@ -14,7 +14,7 @@
 pub use backend::{Act, Backend, Gauge, answer, ok};
 pub use client::{Client, request, request_with};
 pub use discovery::{Discovery, host, list, refusing};
-pub use load_clients::Crowd;
+pub use load_clients::LoadClients;
 pub use message::Message;
 pub use node_config::{FleetPosition, Setup};
 pub use node_process::{Node, run_with};
--- a/crates/testbed/src/scripted/node_config.rs
+++ b/crates/testbed/src/scripted/node_config.rs
@@ -17,17 +17,17 @@
 /// How a node is configured and started.
 pub struct Setup {
     /// The endpoint list that the node starts with.
-    pub known: String,
+    pub endpoint_list: String,
     /// Address of the discovery service.
     pub discovery: SocketAddr,
     /// Discovery mode: `subscribe` or another value of `membership_mode`.
     pub mode: &'static str,
     /// Latency objective of all classes, in milliseconds.
-    pub aim_ms: u64,
+    pub latency_objective_ms: u64,
     /// More members of the `ceilings` object, each with a leading comma.
     pub ceilings: &'static str,
     /// The node may take a minute and more before it polls discovery.
-    pub slow_to_ask: bool,
+    pub slow_polling: bool,
     /// Memory limit in MB.
     pub memory_mb: usize,
     /// Folder for the files of the admin listener; `None`: the node has no admin listener.
@@ -35,11 +35,11 @@
     /// A listening socket that is handed over to the node, in place of one that it opens.
     pub socket: Option<TcpListener>,
     /// A shell command line that ends in an `exec` of the node, which is its `$0`.
-    pub line: Option<String>,
+    pub shell_line: Option<String>,
     /// Position of the node where several nodes share the endpoints.
     pub position: Option<FleetPosition>,
     /// Other changes of the configuration: texts, each with its replacement.
-    pub changes: &'static [(&'static str, &'static str)],
+    pub replacements: &'static [(&'static str, &'static str)],
 }
 
 impl Setup {
@@ -48,18 +48,18 @@
         let hosts: Vec<_> =
             backends.iter().enumerate().map(|(n, b)| host(&format!("s-{n}"), b.address, "active")).collect();
         Self {
-            known: list(1, true, &hosts),
+            endpoint_list: list(1, true, &hosts),
             discovery: refusing(),
             mode: "subscribe",
-            aim_ms: 10_000,
+            latency_objective_ms: 10_000,
             ceilings: "",
-            slow_to_ask: false,
+            slow_polling: false,
             memory_mb: 192,
             folder: None,
             socket: None,
-            line: None,
+            shell_line: None,
             position: None,
-            changes: &[],
+            replacements: &[],
         }
     }
 
@@ -75,7 +75,7 @@
 
     /// The text of the configuration.
     pub fn text(&self) -> String {
-        self.changes.iter().fold(self.positioned_text(), |text, (from, to)| {
+        self.replacements.iter().fold(self.positioned_text(), |text, (from, to)| {
             assert!(text.contains(from), "no {from} in {text}");
             text.replace(from, to)
         })
@@ -90,15 +90,15 @@
     }
 
     fn plain_text(&self) -> String {
-        let ask_every = if self.slow_to_ask { 600_000_000_000u64 } else { 200_000_000 };
+        let ask_every = if self.slow_polling { 600_000_000_000u64 } else { 200_000_000 };
         format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0"{},"discovery":"{}","seed":"8c1f30d27a5be964",
             "limits":{{"cores":1.0,"memory_mb":{},"sockets":256}},"known":{},"settings":{}}}"#,
             if self.folder.is_some() { ",\"admin\":\"127.0.0.1:0\"" } else { "" },
             self.discovery,
             self.memory_mb,
-            self.known,
-            settings(self.mode, self.aim_ms, self.ceilings)
+            self.endpoint_list,
+            settings(self.mode, self.latency_objective_ms, self.ceilings)
                 .replace("\"ask_every_ns\":200000000", &format!("\"ask_every_ns\":{ask_every}"))
         )
     }
--- a/crates/testbed/src/scripted/node_process.rs
+++ b/crates/testbed/src/scripted/node_process.rs
@@ -43,7 +43,7 @@
 
 /// The command that starts a node as `setup` says.
 fn node_command(setup: &Setup, discovery: Option<SocketAddr>, config: &Path) -> Command {
-    let shell_line = setup.socket.is_some().then_some(EXEC_WITH_SOCKET).or(setup.line.as_deref());
+    let shell_line = setup.socket.is_some().then_some(EXEC_WITH_SOCKET).or(setup.shell_line.as_deref());
     let mut command = match shell_line {
         None => command(config),
         Some(line) => {
@@ -112,7 +112,7 @@
     }
 
     /// Address of the admin listener.
-    pub fn calls(&self) -> SocketAddr {
+    pub fn admin_address(&self) -> SocketAddr {
         self.admin.expect("the node is started with a folder for its admin listener")
     }
 
@@ -122,22 +122,22 @@
     }
 
     /// Connects to the admin listener.
-    pub fn caller(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.calls()).unwrap();
+    pub fn connect_admin(&self) -> TcpStream {
+        let stream = TcpStream::connect(self.admin_address()).unwrap();
         stream.set_read_timeout(Some(LIMIT)).unwrap();
         stream
     }
 
     /// Sends an admin command and returns the whole answer.
-    pub fn call(&self, line: &str) -> String {
-        let mut caller = self.caller();
+    pub fn admin_command(&self, line: &str) -> String {
+        let mut caller = self.connect_admin();
         caller.write_all(format!("{line}\n").as_bytes()).unwrap();
         std::io::read_to_string(caller).unwrap()
     }
 
     /// Returns a value of the admin command `INFO`; `None` where it has none of that name.
-    pub fn figure(&self, name: &str) -> Option<u64> {
-        let text = self.call("INFO");
+    pub fn info_value(&self, name: &str) -> Option<u64> {
+        let text = self.admin_command("INFO");
         assert!(text.ends_with("\nEND\n"), "{text}");
         let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))?;
         value.split('|').next()?.parse().ok()
@@ -184,7 +184,7 @@
     }
 
     /// Resident memory in bytes.
-    pub fn resident(&self) -> usize {
+    pub fn resident_bytes(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a line");
         let kibibytes: usize = line.trim().trim_end_matches(" kB").parse().unwrap();
