--- a/crates/testbed/src/program/listening.rs
+++ b/crates/testbed/src/program/listening.rs
@@ -6,7 +6,7 @@
 
 use super::{built, pinned};
 
-/// A running program that prints where it listens; it is killed on drop.
+/// A running program that prints the addresses of its listeners; it is killed on drop.
 pub struct Tool {
     child: Child,
     /// Addresses of its listeners, in the order of its output.
@@ -17,7 +17,7 @@
     /// Starts a built program, pinned to `core` where one is given, and waits for its listeners.
     ///
     /// # Errors
-    /// A program that is not built, or that ends before it has them.
+    /// A program that is not built, or that exits before it has printed `listeners` addresses.
     pub fn start(
         name: &str,
         arguments: &[String],
--- a/crates/testbed/src/program/mod.rs
+++ b/crates/testbed/src/program/mod.rs
@@ -14,7 +14,7 @@
 pub use process_stats::{cpu_seconds, memory};
 pub use standalone::StandaloneNode;
 
-/// Limit of all waits: far longer than anything takes that does not fail.
+/// Timeout of all waits, far above the time of any operation that succeeds.
 pub const LIMIT: Duration = Duration::from_secs(30);
 
 /// Interval at which [`wait_for`] evaluates its condition.
@@ -27,12 +27,12 @@
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < LIMIT, "waited in vain: {what}");
+        assert!(start.elapsed() < LIMIT, "timed out after {LIMIT:?} waiting for {what}");
         thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Returns the path of a built program, which lies beside the program that runs or above its tests.
+/// Returns the path of a built program: in the folder of the running executable, or in the parent folder, as for tests.
 ///
 /// # Errors
 /// `NotFound` where it is not built.
@@ -62,10 +62,10 @@
     let Some(cargo) = env::var_os("CARGO") else { return Ok(()) };
     let status =
         Command::new(cargo).args(["build", "--release", "--locked", "--quiet", "-p", package]).status()?;
-    if status.success() { Ok(()) } else { Err(io::Error::other(format!("{package} does not build"))) }
+    if status.success() { Ok(()) } else { Err(io::Error::other(format!("cargo build of {package} failed"))) }
 }
 
-/// Returns a path for a new file in the system's temporary folder, with this ending.
+/// Returns an unused path in the system's temporary folder, with this file name suffix.
 pub fn temporary(ending: &str) -> PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
--- a/crates/testbed/src/program/standalone.rs
+++ b/crates/testbed/src/program/standalone.rs
@@ -1,4 +1,4 @@
-//! A node that runs by a configuration file.
+//! A node process that is configured by a file.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -11,7 +11,7 @@
 use super::process_stats::{cpu_seconds, peak_memory};
 use super::{built, pinned, temporary, wait_for};
 
-/// A running node with a configuration file; it is killed on drop.
+/// A running node that is configured by a file; it is killed on drop.
 pub struct StandaloneNode {
     child: Child,
     /// Path of the configuration file.
@@ -32,7 +32,7 @@
     #[must_use]
     pub fn start(text: &str, listeners: usize) -> Self {
         let file = temporary(".conf");
-        fs::write(&file, text).expect("a temporary file");
+        fs::write(&file, text).expect("temporary file could not be written");
         let mut node = Self::start_file(&file, listeners);
         node.own_file = true;
         node
@@ -62,25 +62,25 @@
     /// Where the node does not start.
     #[must_use]
     pub fn start_with(file: &Path, listeners: usize, core: Option<usize>, more: &[&str]) -> Self {
-        let mut command = pinned(&built("pumicehead").expect("a built node"), core);
+        let mut command = pinned(&built("pumicehead").expect("pumicehead is not built"), core);
         command.arg("run").arg(file).args(more).stderr(Stdio::piped()).env_remove("EDGE_CONFIG");
-        let mut child = command.spawn().expect("the node starts");
+        let mut child = command.spawn().expect("node failed to start");
         let log = Arc::new(Mutex::new(Vec::new()));
         let (lines, input) = (log.clone(), BufReader::new(child.stderr.take().expect("stderr is piped")));
         let reader = thread::spawn(move || {
             for line in input.lines().map_while(Result::ok) {
-                lines.lock().expect("the log reader does not panic").push(line);
+                lines.lock().expect("log reader panicked").push(line);
             }
         });
         let node = Self { child, file: file.into(), log, own_file: false, reader: Some(reader) };
-        wait_for("listeners", || node.addresses().len() >= listeners);
+        wait_for("the node's listeners", || node.addresses().len() >= listeners);
         node
     }
 
-    /// Addresses that it has listened on since its start, in order.
+    /// Addresses of all listeners opened since the start, in order.
     #[must_use]
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        let log = self.log.lock().expect("the log reader does not panic");
+        let log = self.log.lock().expect("log reader panicked");
         log.iter().filter_map(|line| line.split_once(" listens on ")?.1.parse().ok()).collect()
     }
 
@@ -93,15 +93,10 @@
         self.addresses()[0]
     }
 
-    /// Counts the lines of the log with a text.
+    /// Counts the log lines that contain a text.
     #[must_use]
     pub fn count_log_lines(&self, text: &str) -> usize {
-        self.log
-            .lock()
-            .expect("the log reader does not panic")
-            .iter()
-            .filter(|line| line.contains(text))
-            .count()
+        self.log.lock().expect("log reader panicked").iter().filter(|line| line.contains(text)).count()
     }
 
     /// Sends a signal, such as `HUP`.
@@ -125,7 +120,7 @@
         let before = reloads();
         self.replace(text);
         self.signal("HUP");
-        wait_for("a reload", || reloads() > before);
+        wait_for("a reload to finish", || reloads() > before);
     }
 
     /// Replaces the configuration file atomically.
@@ -134,8 +129,8 @@
     /// Where the file can't be written.
     pub fn replace(&self, text: &str) {
         let fresh = temporary(".conf");
-        fs::write(&fresh, text).expect("a temporary file");
-        fs::rename(&fresh, &self.file).expect("a rename");
+        fs::write(&fresh, text).expect("temporary file could not be written");
+        fs::rename(&fresh, &self.file).expect("configuration file could not be replaced");
     }
 
     /// Returns whether the process still runs.
@@ -154,20 +149,20 @@
     /// # Panics
     /// Where it does not exit within [`LIMIT`](super::LIMIT).
     pub fn wait(&mut self) -> ExitStatus {
-        wait_for("the node's end", || !self.is_running());
+        wait_for("node process to exit", || !self.is_running());
         if let Some(reader) = self.reader.take() {
-            reader.join().expect("the log reader does not panic");
+            reader.join().expect("log reader panicked");
         }
-        self.child.wait().expect("a status")
+        self.child.wait().expect("no exit status")
     }
 
-    /// Processor time that it has used, in seconds; 0 where the system does not have it.
+    /// Processor time used, in seconds; see [`cpu_seconds`].
     #[must_use]
     pub fn cpu_seconds(&self) -> f64 {
         cpu_seconds(self.child.id())
     }
 
-    /// The most resident memory that it has had, in bytes; 0 where the system does not have it.
+    /// Peak resident memory, in bytes; 0 where `/proc` does not have it.
     #[must_use]
     pub fn peak_memory(&self) -> u64 {
         peak_memory(self.child.id())
--- a/crates/testbed/src/scripted/backend.rs
+++ b/crates/testbed/src/scripted/backend.rs
@@ -42,7 +42,7 @@
         self.in_progress.load(Ordering::SeqCst)
     }
 
-    /// Processes a request for `duration(call)`, then returns `act(call)`. `call` counts the calls from 0.
+    /// Processes a request for `duration(call)`, then returns `act(call)`, where `call` is the index of the call, from 0.
     pub fn serve(&self, duration: impl Fn(usize) -> Duration, act: impl Fn(usize) -> Act) -> Act {
         let call = self.calls.fetch_add(1, Ordering::SeqCst);
         self.in_progress.fetch_add(1, Ordering::SeqCst);
@@ -65,7 +65,7 @@
 }
 
 impl Backend {
-    /// Starts a backend on a free port of loopback.
+    /// Starts a backend on a free loopback port.
     pub fn start(script: impl Fn(&Message) -> Act + Send + Sync + 'static) -> Self {
         Self::start_at("127.0.0.1:0".parse().unwrap(), script)
     }
--- a/crates/testbed/src/scripted/discovery.rs
+++ b/crates/testbed/src/scripted/discovery.rs
@@ -11,7 +11,7 @@
 use super::Message;
 use crate::program::LIMIT;
 
-/// An empty line is written to an idle watch this often, which finds out whether it is still open.
+/// Interval at which an empty line is written to an idle watch, which detects a closed connection.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An entry of the endpoint list, in the platform's JSON.
@@ -36,12 +36,12 @@
 }
 
 impl Discovery {
-    /// Starts it on a free port of loopback.
+    /// Starts the service on a free loopback port.
     pub fn start() -> Self {
         Self::start_at("127.0.0.1:0".parse().unwrap())
     }
 
-    /// Starts it at an address, such as one of [`refusing`].
+    /// Starts the service at an address, such as one returned by [`refusing`].
     pub fn start_at(at: SocketAddr) -> Self {
         let listener = TcpListener::bind(at).unwrap();
         let address = listener.local_addr().unwrap();
@@ -57,7 +57,7 @@
 
     /// Waits for the next watch.
     pub fn next(&self) -> (String, mpsc::Sender<String>) {
-        self.watches.recv_timeout(LIMIT).expect("a watch")
+        self.watches.recv_timeout(LIMIT).expect("no watch request before the timeout")
     }
 }
 
@@ -82,8 +82,8 @@
     }
 }
 
-/// Returns an address that refuses connections until somebody listens there. It stays bound for as long as the process
-/// runs: the system could give a port that is free again to another listener of a test.
+/// Returns an address that refuses connections until a listener is opened there. It stays bound until the process ends;
+/// otherwise the system could assign the port to another listener of a test.
 pub fn refusing() -> SocketAddr {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     // A later listener at this address sets the option as well.
--- a/crates/testbed/src/scripted/load_clients.rs
+++ b/crates/testbed/src/scripted/load_clients.rs
@@ -23,7 +23,7 @@
         Self::with_requests(node.address, count, move || request(class, ""))
     }
 
-    /// Starts `count` clients whose requests `request` produces.
+    /// Starts `count` clients; `request` produces the text of each request.
     pub fn with_requests(
         address: SocketAddr,
         count: usize,
@@ -42,7 +42,7 @@
     pub fn stop(mut self) -> Vec<u16> {
         self.stopped.store(true, Ordering::SeqCst);
         let clients = std::mem::take(&mut self.clients);
-        clients.into_iter().flat_map(|client| client.join().expect("a client does not panic")).collect()
+        clients.into_iter().flat_map(|client| client.join().expect("client thread panicked")).collect()
     }
 }
 
@@ -58,7 +58,7 @@
     let mut statuses = Vec::new();
     while !stopped.load(Ordering::SeqCst) {
         client.write(&request());
-        let response = client.read().expect("an answer");
+        let response = client.read().expect("connection closed before a response");
         statuses.push(response.status());
         if response.status() != 200 {
             thread::sleep(PAUSE_AFTER_ERROR);
--- a/crates/testbed/src/scripted/node_config.rs
+++ b/crates/testbed/src/scripted/node_config.rs
@@ -26,7 +26,7 @@
     pub latency_objective_ms: u64,
     /// More members of the `ceilings` object, each with a leading comma.
     pub ceilings: &'static str,
-    /// The node may take a minute and more before it polls discovery.
+    /// Sets a discovery poll interval of 10 minutes in place of 200 ms.
     pub slow_polling: bool,
     /// Memory limit in MB.
     pub memory_mb: usize,
@@ -38,12 +38,12 @@
     pub shell_line: Option<String>,
     /// Position of the node where several nodes share the endpoints.
     pub position: Option<FleetPosition>,
-    /// Other changes of the configuration: texts, each with its replacement.
+    /// Replacements made in the text of the configuration, as pairs of old and new text.
     pub replacements: &'static [(&'static str, &'static str)],
 }
 
 impl Setup {
-    /// A node that knows these backends, with a discovery address that refuses connections.
+    /// A node whose endpoint list has these backends, with a discovery address that refuses connections.
     pub fn of(backends: &[&Backend]) -> Self {
         let hosts: Vec<_> =
             backends.iter().enumerate().map(|(n, b)| host(&format!("s-{n}"), b.address, "active")).collect();
@@ -76,12 +76,12 @@
     /// The text of the configuration.
     pub fn text(&self) -> String {
         self.replacements.iter().fold(self.positioned_text(), |text, (from, to)| {
-            assert!(text.contains(from), "no {from} in {text}");
+            assert!(text.contains(from), "replacement text `{from}` not found in {text}");
             text.replace(from, to)
         })
     }
 
-    /// With the index of the node, and a seed of its own, where it is one of several.
+    /// Returns the text with the node's index, the number of nodes and a seed of its own where [`Self::position`] is set.
     fn positioned_text(&self) -> String {
         let text = self.plain_text();
         let Some(FleetPosition { number, nodes }) = self.position else { return text };
--- a/crates/testbed/src/scripted/node_process.rs
+++ b/crates/testbed/src/scripted/node_process.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Runs a node that is expected to exit at once. Returns its exit code and its log.
+/// Runs a node that is expected to exit at once, such as with an invalid configuration. Returns its exit code and its log.
 pub fn run_with(text: &str) -> (Option<i32>, String) {
     let done = command(&config_file(text)).output().unwrap();
     (done.status.code(), String::from_utf8(done.stderr).unwrap())
@@ -101,10 +101,10 @@
         let mut next_address = || {
             let line = first_lines.recv_timeout(LIMIT).unwrap_or_else(|_| {
                 let _ = child.kill();
-                "nothing in time".to_owned()
+                "no log line before the timeout".to_owned()
             });
             let address = line.trim().rsplit(' ').next().and_then(|text| text.parse().ok());
-            address.unwrap_or_else(|| panic!("no address in `{line}`"))
+            address.unwrap_or_else(|| panic!("no listener address in log line `{line}`"))
         };
         let address = next_address();
         let admin = setup.folder.is_some().then(&mut next_address);
@@ -113,7 +113,7 @@
 
     /// Address of the admin listener.
     pub fn admin_address(&self) -> SocketAddr {
-        self.admin.expect("the node is started with a folder for its admin listener")
+        self.admin.expect("no admin listener: the node was started without `folder`")
     }
 
     /// Process id.
@@ -135,7 +135,7 @@
         std::io::read_to_string(caller).unwrap()
     }
 
-    /// Returns a value of the admin command `INFO`; `None` where it has none of that name.
+    /// Returns a value from the answer to the admin command `INFO`; `None` where it has no such name.
     pub fn info_value(&self, name: &str) -> Option<u64> {
         let text = self.admin_command("INFO");
         assert!(text.ends_with("\nEND\n"), "{text}");
@@ -152,7 +152,7 @@
     pub fn ask(&self, request: &str) -> Message {
         let mut client = self.connect();
         client.write(request);
-        client.read().expect("an answer")
+        client.read().expect("connection closed before a response")
     }
 
     /// Sends SIGTERM.
@@ -179,14 +179,17 @@
 
     /// Waits until the process exits.
     pub fn wait(&mut self) -> ExitStatus {
-        wait_for("the node's end", || self.child.try_wait().unwrap().is_some());
+        wait_for("node process to exit", || self.child.try_wait().unwrap().is_some());
         self.child.wait().unwrap()
     }
 
     /// Resident memory in bytes.
     pub fn resident_bytes(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap();
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a line");
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:"))
+            .expect("no VmRSS in /proc/PID/status");
         let kibibytes: usize = line.trim().trim_end_matches(" kB").parse().unwrap();
         kibibytes << 10
     }
--- a/crates/testbed/src/scripted_backend/client.rs
+++ b/crates/testbed/src/scripted_backend/client.rs
@@ -13,7 +13,7 @@
 use crate::program::LIMIT;
 use crate::scripted::Message;
 
-/// Bytes that are read at once.
+/// Bytes read per call.
 const READ_BUFFER: usize = 16 << 10;
 
 /// A response; status 0 is a connection that ended without one.
--- a/crates/testbed/src/scripted_backend/fastcgi.rs
+++ b/crates/testbed/src/scripted_backend/fastcgi.rs
@@ -12,14 +12,14 @@
 
 use super::{Act, ScriptedBackends, write_endlessly};
 
-/// Bytes that are read at once.
+/// Bytes read per call.
 const READ_BUFFER: usize = 16 << 10;
 
 /// A FastCGI connection of a backend.
 struct Connection<'a> {
     backends: &'a ScriptedBackends,
     application: Application,
-    /// Multiplexed requests are answered by threads of their own, which share the stream.
+    /// Multiplexed requests are answered on a thread each, which share the stream.
     writer: Arc<Mutex<TcpStream>>,
     /// Requests that stay without an answer.
     unanswered: u32,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Limits that the tests don't reach, but for the number of requests of a connection that does not multiplex.
+/// Limits above what the tests reach, except the number of requests on a connection without multiplexing, which is 1.
 fn bounds(multiplex: bool) -> Bounds {
     Bounds {
         connections: 100,
@@ -101,7 +101,7 @@
             self.unanswered += 1;
             return Ok(());
         }
-        // The request ends for the state machine; what the script demands is written past it.
+        // Ends the request in the state machine and discards that output; the scripted response is written to the stream directly.
         self.application.end(id, [], 0);
         self.application.output(&mut BytesMut::new(), usize::MAX);
         let request = Request { id, method, act };
@@ -121,11 +121,12 @@
 }
 
 fn write_locked(writer: &Mutex<TcpStream>, bytes: &[u8]) -> io::Result<()> {
-    let mut stream = writer.lock().map_err(|_| io::Error::other("a writer failed"))?;
+    let mut stream =
+        writer.lock().map_err(|_| io::Error::other("writer lock poisoned by a panicked thread"))?;
     stream.write_all(bytes)
 }
 
-/// Writes what the script demands; an error has the connection closed.
+/// Writes the scripted response; the caller closes the connection on an error.
 fn perform(writer: &Mutex<TcpStream>, request: Request) -> io::Result<()> {
     let Request { id, method, act } = request;
     let closed = || Err(io::ErrorKind::ConnectionAborted.into());
--- a/crates/testbed/src/scripted_backend/http.rs
+++ b/crates/testbed/src/scripted_backend/http.rs
@@ -7,7 +7,7 @@
 use crate::scripted::Message;
 use crate::standin::UNIT;
 
-/// Whether a connection carries on after a request.
+/// Whether a connection stays open after a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Connection {
     Keep,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Writes what the script demands. Errors are those of the connection.
+/// Writes the scripted response. Errors are those of the connection.
 fn perform(act: Act, method: &str, mut out: &TcpStream) -> io::Result<Connection> {
     match act {
         Act::Answer(status, headers, body) => {
--- a/crates/testbed/src/scripted_backend/mod.rs
+++ b/crates/testbed/src/scripted_backend/mod.rs
@@ -14,11 +14,11 @@
 
 pub use client::{Answer, ProtocolClient};
 
-/// Bytes of [`ENDLESS_LINE`] that are written at once: a few KB.
+/// Copies of [`ENDLESS_LINE`] per write: a few KB.
 const ENDLESS_LINES_PER_WRITE: usize = 100;
 /// Writes after which endless output ends by itself.
 const ENDLESS_WRITES: usize = 2_000;
-/// A header line, or as much of a body.
+/// Repeated as header lines or as body bytes.
 const ENDLESS_LINE: &[u8] = b"X-More: and more and more and more and more\r\n";
 
 /// The protocol of a connection.
@@ -119,7 +119,7 @@
 /// What backends do with each request.
 pub type Script = Arc<dyn Fn(&ScriptedRequest) -> Act + Send + Sync>;
 
-/// Backends that share a script and a record. They listen until the process ends.
+/// Backends that share a script and a record of requests. They listen until the process ends.
 #[derive(Clone)]
 pub struct ScriptedBackends {
     /// The requests received.
@@ -149,17 +149,17 @@
     /// Where a backend has panicked.
     #[must_use]
     pub fn seen(&self) -> Record {
-        self.record.lock().expect("a backend does not panic").clone()
+        self.record.lock().expect("a backend thread panicked").clone()
     }
 
-    /// Starts a backend on a free port of loopback.
+    /// Starts a backend on a free loopback port.
     ///
     /// # Panics
     /// Where no port is free.
     #[must_use]
     pub fn start(&self, protocol: Protocol) -> SocketAddr {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("its address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("no free loopback port");
+        let address = listener.local_addr().expect("listener has no local address");
         self.serve(listener, protocol);
         address
     }
