--- a/crates/node/tests/parity.rs
+++ b/crates/node/tests/parity.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-use pumicehead_testbed::parity::{compare_all, pairings, script, text};
+use pumicehead_testbed::parity::{compare_all, node_config_text, protocol_pairs, script};
 use pumicehead_testbed::program::{StandaloneNode, wait_for};
 use pumicehead_testbed::scripted::refusing;
 use pumicehead_testbed::scripted_backend::{Act, ProtocolClient, ScriptedBackends, served};
@@ -21,11 +21,11 @@
 /// Guards that a client's disconnect cancels its attempt, and that the request is not retried.
 #[test]
 fn a_client_disconnect_cancels_the_attempt_over_each_protocol() {
-    for (front, back) in pairings() {
+    for (front, back) in protocol_pairs() {
         let boards = ScriptedBackends::new(script(vec![Act::Silent]));
         let servers = [boards.start(back), boards.start(back)];
         let node = StandaloneNode::start(
-            &text(front, back, &servers, "").replace("deadline 1500ms", "deadline 1min"),
+            &node_config_text(front, back, &servers, "").replace("deadline 1500ms", "deadline 1min"),
             1,
         );
         let mut client = ProtocolClient::connect(node.address(), front).unwrap();
@@ -43,13 +43,13 @@
 /// that is held is served.
 #[test]
 fn requests_beyond_the_limit_are_rejected_over_each_protocol() {
-    for (front, back) in pairings() {
+    for (front, back) in protocol_pairs() {
         let boards = ScriptedBackends::new(script(vec![Act::Later(
             Duration::from_millis(400),
             Box::new(served("rank 1")),
         )]));
         let servers = [boards.start(back)];
-        let node = StandaloneNode::start(&text(front, back, &servers, "limits { held 1 }\n"), 1);
+        let node = StandaloneNode::start(&node_config_text(front, back, &servers, "limits { held 1 }\n"), 1);
         let mut first = ProtocolClient::connect(node.address(), front).unwrap();
         first.send("GET", "/boards/x", "X-Unit: 1\r\n", b"").unwrap();
         wait_for("the first request", || boards.seen().lines.len() == 1);
@@ -69,12 +69,13 @@
 /// requests in flight are answered and the exit code is 0.
 #[test]
 fn drains_and_sigterm_answer_requests_in_flight() {
-    for (front, back) in pairings() {
+    for (front, back) in protocol_pairs() {
         let pairing = format!("{front:?} to {back:?}");
         // Without this an endpoint that is new in the file is in slow start, and as the only one it would serve few requests at
         // first.
         let text = |server| {
-            text(front, back, &[server], "").replace("pool boards {", "pool boards { warm-up 0s from 100%\n")
+            node_config_text(front, back, &[server], "")
+                .replace("pool boards {", "pool boards { warm-up 0s from 100%\n")
         };
         let later =
             || vec![Act::Later(Duration::from_millis(600), Box::new(served("rank 1"))), served("rank 2")];
@@ -104,11 +105,11 @@
 /// at first.
 #[test]
 fn an_endpoint_that_accepts_connections_again_slow_starts() {
-    for (front, back) in pairings() {
+    for (front, back) in protocol_pairs() {
         let work = || script(vec![Act::Later(Duration::from_millis(10), Box::new(served("rank 1")))]);
         let (steady, returns) = (ScriptedBackends::new(work()), ScriptedBackends::new(work()));
         let address = refusing();
-        let text = text(front, back, &[steady.start(back), address], "");
+        let text = node_config_text(front, back, &[steady.start(back), address], "");
         let text = text.replace("pool boards {", "pool boards { warm-up 1h from 1%\n");
         let node = StandaloneNode::start(&text, 1);
         let stopped = Arc::new(std::sync::atomic::AtomicBool::new(false));
--- a/crates/testbed/src/measure/fastcgi.rs
+++ b/crates/testbed/src/measure/fastcgi.rs
@@ -11,7 +11,7 @@
 use pumicehead_fastcgi::record::Kind;
 
 use super::Plan;
-use crate::parity::{Seen, compare_all, pairings, text};
+use crate::parity::{ObservedResult, compare_all, node_config_text, protocol_pairs};
 use crate::program::{StandaloneNode, build_node};
 use crate::report::Report;
 use crate::scripted_backend::{Act, Protocol, ProtocolClient, ScriptedBackends, ScriptedRequest, served};
@@ -46,9 +46,9 @@
 fn parity(report: &mut Report) {
     let results = compare_all();
     for scenario in &results {
-        let cell = |seen: &Seen| format!("{} / {} / {}", seen.status, seen.attempts, seen.effects);
+        let cell = |seen: &ObservedResult| format!("{} / {} / {}", seen.status, seen.attempts, seen.effects);
         let mut row = vec![scenario.name.to_owned()];
-        row.extend(scenario.seen.iter().map(cell));
+        row.extend(scenario.observed.iter().map(cell));
         report.row(&row);
     }
     let differences: Vec<_> = results.iter().flat_map(|scenario| &scenario.differences).collect();
@@ -74,11 +74,11 @@
 
 fn costs(plan: Plan, report: &mut Report) -> io::Result<()> {
     let mut nodes = Vec::new();
-    for (front, back) in pairings() {
+    for (front, back) in protocol_pairs() {
         let boards =
             ScriptedBackends::new(Arc::new(|_: &ScriptedRequest| served("rank 1  0:01:02.345  runner\n")));
         let servers: Vec<_> = (0..4).map(|_| boards.start(back)).collect();
-        nodes.push((front, StandaloneNode::start(&text(front, back, &servers, ""), 1)));
+        nodes.push((front, StandaloneNode::start(&node_config_text(front, back, &servers, ""), 1)));
     }
     let mut costs: Vec<Cost> = nodes.iter().map(|_| Cost::default()).collect();
     for (front, node) in &nodes {
@@ -167,7 +167,8 @@
     let act = || Act::Later(Duration::from_millis(20), Box::new(served("rank 1")));
     let boards = ScriptedBackends::new(Arc::new(move |_: &ScriptedRequest| act())).multiplexing();
     let servers: Vec<_> = (0..4).map(|_| boards.start(Protocol::FastCgi)).collect();
-    let node = StandaloneNode::start(&text(Protocol::FastCgi, Protocol::FastCgi, &servers, ""), 1);
+    let node =
+        StandaloneNode::start(&node_config_text(Protocol::FastCgi, Protocol::FastCgi, &servers, ""), 1);
     let mut client = ProtocolClient::connect(node.address(), Protocol::FastCgi)?;
     let _ = client.ask("GET", "/boards/any", "X-Unit: 1\r\n", b"");
     let before = node.peak_memory();
--- a/crates/testbed/src/parity/mod.rs
+++ b/crates/testbed/src/parity/mod.rs
@@ -23,7 +23,7 @@
 
 /// The result of a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ObservedResult {
     /// Status code of the final response.
     pub status: u16,
     /// Body of the final response.
@@ -40,15 +40,15 @@
 pub struct ScenarioResults {
     /// The scenario's name.
     pub name: &'static str,
-    /// One for each of [`pairings`], in their order.
-    pub seen: Vec<Seen>,
+    /// One for each of [`protocol_pairs`], in their order.
+    pub observed: Vec<ObservedResult>,
     /// Results that are not as they must be, with scenario and protocols.
     pub differences: Vec<String>,
 }
 
 /// A node's configuration with the protocols of clients and servers; `more` is appended.
 #[must_use]
-pub fn text(front: Protocol, back: Protocol, servers: &[SocketAddr], more: &str) -> String {
+pub fn node_config_text(front: Protocol, back: Protocol, servers: &[SocketAddr], more: &str) -> String {
     let one = |(n, address): (usize, &SocketAddr)| format!("server s{n} {{ address {address} }}\n");
     let servers: String = servers.iter().enumerate().map(one).collect();
     format!(
@@ -76,7 +76,7 @@
 }
 
 /// All pairs of the protocol of clients and that of servers.
-pub fn pairings() -> impl Iterator<Item = (Protocol, Protocol)> {
+pub fn protocol_pairs() -> impl Iterator<Item = (Protocol, Protocol)> {
     Protocol::ALL.into_iter().flat_map(|front| Protocol::ALL.map(|back| (front, back)))
 }
 
@@ -85,12 +85,12 @@
 /// # Panics
 /// Where no node starts.
 #[must_use]
-pub fn play(scenario: &Scenario, front: Protocol, back: Protocol) -> Seen {
+pub fn run_scenario(scenario: &Scenario, front: Protocol, back: Protocol) -> ObservedResult {
     let backends = ScriptedBackends::new(script(scenario.acts.clone()));
     let listening = scenario.servers - scenario.refusing.min(scenario.servers);
     let mut servers: Vec<_> = (0..listening).map(|_| backends.start(back)).collect();
     servers.extend((0..scenario.refusing).map(|_| refusing()));
-    let node = StandaloneNode::start(&text(front, back, &servers, ""), 1);
+    let node = StandaloneNode::start(&node_config_text(front, back, &servers, ""), 1);
     let mut client = ProtocolClient::connect(node.address(), front).unwrap();
     let RequestTemplate { method, target, fields, body } = scenario.request;
     let answer = client.ask(method, target, &format!("X-Unit: 1\r\n{fields}"), body);
@@ -98,7 +98,7 @@
     thread::sleep(ARRIVAL_TIME);
     let record = backends.seen();
     let header = scenario.header.and_then(|start| answer.fields.iter().find(|line| line.starts_with(start)));
-    Seen {
+    ObservedResult {
         status: answer.status,
         fields: header.into_iter().cloned().collect(),
         body: answer.body,
@@ -110,9 +110,9 @@
 /// Runs a scenario over all pairs of protocols.
 #[must_use]
 pub fn compare(scenario: &Scenario) -> ScenarioResults {
-    let mut results = ScenarioResults { name: scenario.name, seen: Vec::new(), differences: Vec::new() };
-    for (front, back) in pairings() {
-        let seen = play(scenario, front, back);
+    let mut results = ScenarioResults { name: scenario.name, observed: Vec::new(), differences: Vec::new() };
+    for (front, back) in protocol_pairs() {
+        let seen = run_scenario(scenario, front, back);
         let pairing = format!("{} ({front:?} to {back:?})", scenario.name);
         let expected = (scenario.status, scenario.body.as_bytes());
         if (seen.status, &seen.body[..]) != expected || scenario.header.is_some() != (seen.fields.len() == 1)
@@ -121,11 +121,11 @@
         } else if scenario.attempts.is_some_and(|attempts| attempts != seen.attempts) {
             results.differences.push(format!("{pairing}: {} attempts", seen.attempts));
         }
-        let first = results.seen.first().filter(|first| scenario.attempts.is_some() && **first != seen);
+        let first = results.observed.first().filter(|first| scenario.attempts.is_some() && **first != seen);
         if let Some(first) = first {
             results.differences.push(format!("{pairing}: {seen:?}, but {first:?} before"));
         }
-        results.seen.push(seen);
+        results.observed.push(seen);
     }
     results
 }
