--- a/crates/testbed/src/parity/mod.rs
+++ b/crates/testbed/src/parity/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios that must have the same result over HTTP and FastCGI, on either side of a node: the same final response, the same
-//! number of attempts and of effects.
+//! Scenarios that must have the same result over HTTP and FastCGI, for clients and for servers: the same final response, the
+//! same number of attempts and of effects.
 
 mod scenarios;
 
@@ -18,7 +18,7 @@
 
 /// Scenarios that run at the same time; most of their time is spent waiting.
 const CONCURRENT_SCENARIOS: usize = 4;
-/// Time for the last message to a server, such as an abort, to arrive.
+/// Time allowed for the last message to a server, such as an abort, to arrive before the record is read.
 const ARRIVAL_TIME: Duration = Duration::from_millis(20);
 
 /// The result of a scenario.
@@ -28,11 +28,11 @@
     pub status: u16,
     /// Body of the final response.
     pub body: Vec<u8>,
-    /// The header line that the scenario demands, where it is there.
+    /// The header line that the scenario requires, where the response has it.
     pub fields: Vec<String>,
     /// Complete requests that reached servers.
     pub attempts: u32,
-    /// Those of them with an effect.
+    /// Complete requests with an effect.
     pub effects: u32,
 }
 
@@ -42,7 +42,7 @@
     pub name: &'static str,
     /// One for each of [`protocol_pairs`], in their order.
     pub observed: Vec<ObservedResult>,
-    /// Results that are not as they must be, with scenario and protocols.
+    /// Deviations from the expected result or from the first pair's result, with scenario and protocols.
     pub differences: Vec<String>,
 }
 
@@ -66,7 +66,7 @@
     )
 }
 
-/// A script that goes by the number of the request; its last act is repeated.
+/// A script that indexes `acts` by the number of the request; the last one is repeated.
 #[must_use]
 pub fn script(acts: Vec<Act>) -> Script {
     Arc::new(move |request: &ScriptedRequest| {
@@ -75,7 +75,7 @@
     })
 }
 
-/// All pairs of the protocol of clients and that of servers.
+/// All pairs of a client protocol and a server protocol.
 pub fn protocol_pairs() -> impl Iterator<Item = (Protocol, Protocol)> {
     Protocol::ALL.into_iter().flat_map(|front| Protocol::ALL.map(|back| (front, back)))
 }
@@ -148,7 +148,7 @@
             }
         };
         let workers: Vec<_> = (0..CONCURRENT_SCENARIOS).map(|_| scope.spawn(worker)).collect();
-        workers.into_iter().flat_map(|worker| worker.join().expect("a node starts")).collect()
+        workers.into_iter().flat_map(|worker| worker.join().expect("scenario thread panicked")).collect()
     });
     results.sort_by_key(|(index, _)| *index);
     results.into_iter().map(|(_, results)| results).collect()
--- a/crates/testbed/src/parity/scenarios.rs
+++ b/crates/testbed/src/parity/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios, with the result that each must have.
+//! The scenarios, with the expected result of each.
 
 use crate::scripted_backend::{Act, served};
 
@@ -24,7 +24,7 @@
     /// Its name.
     pub name: &'static str,
     pub(super) request: RequestTemplate,
-    /// What servers do with the first request that reaches them, the second, and so on; the last is for all others.
+    /// What the servers do with each request, in the order of arrival at any of them; the last one is repeated.
     pub(super) acts: Vec<Act>,
     /// Number of servers.
     pub(super) servers: usize,
@@ -32,7 +32,7 @@
     pub(super) refusing: usize,
     pub(super) status: u16,
     pub(super) body: &'static str,
-    /// Requests that must reach servers; `None` where the balancer may choose their number.
+    /// Expected number of requests that reach servers; `None` where it is up to the balancer.
     pub(super) attempts: Option<u32>,
     /// The start of a header line that the response must have.
     pub(super) header: Option<&'static str>,
@@ -78,7 +78,7 @@
     served("rank 1")
 }
 
-/// A rejection that says that the request was not executed.
+/// A rejection whose header states that the request was not executed.
 fn unprocessed() -> Act {
     Act::Answer(503, "X-Unprocessed: 1\r\n", "")
 }
@@ -96,19 +96,12 @@
         of("an edit is served", EDIT, vec![ok()], 200, "rank 1", 1),
         of("an error on a submit is final", SUBMIT, vec![error(), ok()], 500, "broken", 1)
             .header("x-why: disk"),
-        of("an error on a read is tried again", READ, vec![error(), ok()], 200, "rank 1", 2),
-        of("an error on an edit is tried again", EDIT, vec![error(), ok()], 200, "rank 1", 2),
+        of("an error on a read is retried", READ, vec![error(), ok()], 200, "rank 1", 2),
+        of("an error on an edit is retried", EDIT, vec![error(), ok()], 200, "rank 1", 2),
+        of("a rejected submit is retried", SUBMIT, vec![unprocessed(), ok()], 200, "rank 1", 2),
+        of("a rejected read is retried", READ, vec![unprocessed(), ok()], 200, "rank 1", 2),
         of(
-            "a submit that was turned away is tried again",
-            SUBMIT,
-            vec![unprocessed(), ok()],
-            200,
-            "rank 1",
-            2,
-        ),
-        of("a read that was turned away is tried again", READ, vec![unprocessed(), ok()], 200, "rank 1", 2),
-        of(
-            "503 alone on a submit is final",
+            "503 without x-unprocessed on a submit is final",
             SUBMIT,
             vec![Act::Answer(503, "", "busy"), ok()],
             503,
@@ -116,22 +109,29 @@
             1,
         ),
         of(
-            "429 alone on a submit is final",
+            "429 without x-unprocessed on a submit is final",
             SUBMIT,
             vec![Act::Answer(429, "", "slow"), ok()],
             429,
             "slow",
             1,
         ),
-        of("a submit to a silent server is sent once", SUBMIT, vec![Act::Silent], 504, "", 1),
-        of("404 is an answer", READ, vec![Act::Answer(404, "", "none")], 404, "none", 1),
-        of("501 is an answer", SUBMIT, vec![Act::Answer(501, "", "no")], 501, "no", 1),
+        of("a submit to an unresponsive server is sent once", SUBMIT, vec![Act::Silent], 504, "", 1),
+        of("404 is forwarded", READ, vec![Act::Answer(404, "", "none")], 404, "none", 1),
+        of("501 is forwarded", SUBMIT, vec![Act::Answer(501, "", "no")], 501, "no", 1),
         of("204 has no body", SUBMIT, vec![Act::Answer(204, "", "")], 204, "", 1),
         of("304 has no body", READ, vec![Act::Answer(304, "ETag: \"7\"\r\n", "")], 304, "", 1)
             .header("etag: \"7\""),
-        of("a redirect passes", READ, vec![Act::Answer(302, "Location: /other\r\n", "")], 302, "", 1)
+        of("a redirect is forwarded", READ, vec![Act::Answer(302, "Location: /other\r\n", "")], 302, "", 1)
             .header("location: /other"),
-        of("an answer by single bytes is whole", SUBMIT, vec![Act::ByBytes("rank 1")], 200, "rank 1", 1),
+        of(
+            "a response sent byte by byte is complete",
+            SUBMIT,
+            vec![Act::ByBytes("rank 1")],
+            200,
+            "rank 1",
+            1,
+        ),
     ]
 }
 
@@ -156,7 +156,7 @@
             0,
         ),
         of(
-            "dots in the path",
+            "dot segments in the path",
             RequestTemplate { target: "/boards/%2e%2e/x", ..READ },
             vec![ok()],
             400,
@@ -172,7 +172,7 @@
             0,
         ),
         of(
-            "too long a body",
+            "body over the limit",
             RequestTemplate { body: &[b'x'; 70 << 10], ..SUBMIT },
             vec![ok()],
             413,
@@ -182,7 +182,7 @@
         Scenario {
             header: Some("content-length: 700"),
             ..of(
-                "HEAD tells a length",
+                "HEAD keeps the content-length",
                 RequestTemplate { method: "HEAD", ..READ },
                 vec![Act::Answer(200, "Content-Length: 700\r\n", "")],
                 200,
@@ -199,32 +199,32 @@
     vec![
         Scenario {
             refusing: 1,
-            ..of("a server that refuses has not run a submit", SUBMIT, vec![ok()], 200, "rank 1", 1)
+            ..of("a refused connection does not fail a submit", SUBMIT, vec![ok()], 200, "rank 1", 1)
         },
         Scenario {
             servers: 0,
             refusing: 1,
             header: Some("retry-after: "),
-            ..of("no server: a refusal", READ, vec![], 503, "", 0)
+            ..of("no reachable server: rejected", READ, vec![], 503, "", 0)
         },
         Scenario {
             attempts: None,
             header: Some("retry-after: "),
-            ..of("turned away by all: a refusal", SUBMIT, vec![unprocessed()], 503, "", 0)
+            ..of("rejected by all servers: rejected", SUBMIT, vec![unprocessed()], 503, "", 0)
         },
     ]
 }
 
-/// Responses that are not complete, on a request that must not be retried and on one that may.
+/// Incomplete or malformed responses, on a request that must not be retried and on one that may.
 fn broken_responses() -> Vec<Scenario> {
     let mut list = Vec::new();
     let broken = [
-        ("closes", Act::Close),
-        ("cuts a body", Act::CutBody),
-        ("cuts a head", Act::CutHead),
-        ("sends no head", Act::Garbage),
-        ("sends a head without end", Act::EndlessHead),
-        ("states too long a body", Act::TooLong),
+        ("closes the connection", Act::Close),
+        ("truncates the body", Act::CutBody),
+        ("truncates the head", Act::CutHead),
+        ("sends a malformed head", Act::Garbage),
+        ("sends an endless head", Act::EndlessHead),
+        ("announces an oversized body", Act::TooLong),
     ];
     for (what, act) in broken {
         let name = |kind: &str| -> &'static str { format!("a server {what} on a {kind}").leak() };
--- a/crates/testbed/src/simulation/config.rs
+++ b/crates/testbed/src/simulation/config.rs
@@ -1,4 +1,4 @@
-//! What is simulated, and the settings of its nodes.
+//! The configuration of a simulation, and the settings of its nodes' decision modules.
 
 use pumicehead_policy::tenant_shares::TenantShares;
 use pumicehead_policy::{Class, Discovery, Idempotency, Nanos, SECOND, Settings, ZoneId};
@@ -7,7 +7,7 @@
 pub(super) const WARMUP_INITIAL_FRACTION: f64 = 0.2;
 /// Time from a server's start until it has its whole capacity.
 pub(super) const WARMUP_DURATION: Nanos = 10 * SECOND;
-/// A cold server crashes under this multiple of what it can do, over [`OVERLOAD_DURATION`].
+/// A cold server crashes when arrivals over [`OVERLOAD_DURATION`] exceed this multiple of its current capacity.
 pub(super) const OVERLOAD_MULTIPLE: f64 = 2.5;
 pub(super) const OVERLOAD_DURATION: Nanos = SECOND;
 
@@ -29,7 +29,7 @@
     pub load: f64,
     /// Whether nodes send each other load reports.
     pub load_reports: bool,
-    /// Planners that all nodes report to; 0 where nodes decide alone.
+    /// Planners that all nodes report to; with 0, nodes decide without planners.
     pub planners: usize,
 }
 
--- a/crates/testbed/src/simulation/counters.rs
+++ b/crates/testbed/src/simulation/counters.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-/// What happened in a simulation so far. The four violations are checked from outside the decision modules.
+/// Counters of a simulation. The four kinds of violation are detected by the simulation, not by the decision modules.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     /// Requests that arrived.
@@ -19,7 +19,7 @@
     pub unanswered: u64,
     /// Violation: requests that are not idempotent and ran more than once.
     pub ran_twice: u64,
-    /// Violation: attempts that reached a server after the grace of its drain.
+    /// Violation: attempts that reached a server after the grace period of its drain.
     pub sent_past_drain: u64,
     /// Violation: cold servers that crashed under overload.
     pub overloaded_cold: u64,
@@ -27,9 +27,9 @@
     pub attempts: u64,
     /// Attempts at servers that are not healthy, by the second in which they were sent.
     pub attempts_at_unhealthy: BTreeMap<u64, u64>,
-    /// Plans that granted a node more of a cold server than it had lent.
+    /// Plans that granted a node a higher rate at a cold server than the rate that it had lent.
     pub grants: u64,
-    /// Bytes between nodes and planners.
+    /// Bytes sent between nodes and planners.
     pub planner_bytes: u64,
     /// Pairs of a node and a server with an attempt, by second.
     pub node_server_pairs: BTreeMap<u64, u64>,
--- a/crates/testbed/src/simulation/event.rs
+++ b/crates/testbed/src/simulation/event.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Something that happens at a time. `node`, `server` and `planner` are indexes.
+/// An event of the simulation. `node`, `server` and `planner` are indexes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ScheduledEvent {
     /// A request arrives at some node.
@@ -46,7 +46,7 @@
     AttemptEnds { job: Job, outcome: OutcomeCode },
     /// A timer of a decision module.
     TimerFires { node: usize, token: u64 },
-    /// A request must have a final answer by now.
+    /// The time by which a request must have a final answer.
     AnswerOverdue { node: usize, id: u32 },
     /// A load report reaches another node.
     LoadReportArrives { to: usize, from: usize, report: usize },
@@ -75,7 +75,7 @@
         self.heap.push(Reverse((at, self.scheduled, event)));
     }
 
-    /// Takes the next event where it is due at or before `until`.
+    /// Removes and returns the next event where it is due at or before `until`.
     pub(super) fn pop_until(&mut self, until: Nanos) -> Option<(Nanos, ScheduledEvent)> {
         self.heap.peek().filter(|Reverse((at, ..))| *at <= until)?;
         self.heap.pop().map(|Reverse((at, _, event))| (at, event))
--- a/crates/testbed/src/simulation/forwarder.rs
+++ b/crates/testbed/src/simulation/forwarder.rs
@@ -1,4 +1,4 @@
-//! A node's side of the planners: what it reports to each, over the real codec, and the advice it takes from their plans.
+//! A node's exchange with the planners: its reports to each, over the real codec, and the advice it derives from their plans.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,13 +13,13 @@
 
 /// Interval between the reports of a node to a planner.
 pub const REPORT_INTERVAL: Nanos = SECOND / 2;
-/// Most bytes of table changes in one message.
+/// Limit of the bytes of table changes in one message.
 pub(super) const MAX_DELTA_BYTES: usize = 64 << 10;
 
 /// Durations of leases and loans.
 pub(super) const TERMS: LeaseTerms = LeaseTerms { lease: 2 * SECOND, loan: 6 * SECOND };
 
-/// A node's side of its planners.
+/// A node's exchange with its planners.
 pub struct Forwarder {
     holder: LeaseHolder,
     /// Results of the attempts at each server's current process.
@@ -77,13 +77,13 @@
         encode_frame(Body::Report(Report { endpoints: changes, ..Report::from(&loans) }))
     }
 
-    /// Begins the exchange anew with a planner that is another process now.
+    /// Restarts the exchange with a planner whose process was replaced.
     pub fn reconnect(&mut self, planner: usize) {
         self.planners[planner] =
             PlannerLink { last_plan_at: self.planners[planner].last_plan_at, ..PlannerLink::default() };
     }
 
-    /// Takes a planner's plan. Returns whether it is valid.
+    /// Processes a planner's plan. Returns whether it is valid.
     pub fn accept_plan(&mut self, planner: usize, bytes: &[u8], now: Nanos) -> bool {
         let mut frames = FrameDecoder::default();
         frames.feed(bytes);
@@ -96,7 +96,7 @@
         plan.endpoints.is_none_or(|changes| link.advice.apply(&TableDelta::from(changes)).is_ok())
     }
 
-    /// Returns the advice of all planners with a plan in force. A server that any of them advises against is avoided.
+    /// Returns the merged advice of all planners with an unexpired plan. A server is avoided where any of them advises so.
     pub fn advice(&self, now: Nanos) -> CapacityAdvice {
         let lease = LeaseTerms::min_local_span(TERMS.lease);
         let (mut avoid, mut draining) = (BTreeSet::new(), BTreeMap::new());
--- a/crates/testbed/src/simulation/mod.rs
+++ b/crates/testbed/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A discrete-event simulation of many nodes: real decision modules, modelled servers, and clients whose arrivals do not
-//! depend on whether they are served. All time is virtual, and the same seed gives the same run.
+//! A discrete-event simulation of many nodes: real decision modules, modelled servers, and open-loop clients, whose arrivals
+//! do not depend on responses. All time is virtual, and the same seed gives the same run.
 
 mod config;
 mod counters;
@@ -49,9 +49,9 @@
     nodes: Vec<Node>,
     /// The servers.
     pub servers: Vec<Server>,
-    /// Load reports that were sent, by number.
+    /// Load reports that were sent, by index.
     load_reports: Vec<Arc<[u8]>>,
-    /// Each node's side of the planners.
+    /// Each node's exchange with the planners.
     forwarders: Vec<Forwarder>,
     planners: Vec<Option<Planner>>,
     /// Messages between nodes and planners that have not arrived, by number.
@@ -59,12 +59,12 @@
     messages_sent: usize,
     /// Pairs of a node and a server with an attempt in the current second.
     pairs: HashSet<(usize, usize)>,
-    /// What happened so far.
+    /// Counters since the start, or since they were last replaced.
     pub counters: Counters,
 }
 
 impl Simulation {
-    /// A simulation at its start: all servers are warm, and all nodes know them.
+    /// A simulation at its start: all servers are warm and in the endpoint list of each node.
     #[must_use]
     pub fn new(config: SimulationConfig) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
@@ -146,7 +146,7 @@
         self.announce(server);
     }
 
-    /// Returns whether any planner runs.
+    /// Returns whether any planner is running.
     #[must_use]
     pub fn has_planners(&self) -> bool {
         self.planners.iter().any(Option::is_some)
@@ -228,7 +228,7 @@
     }
 }
 
-/// A planner with an id that no former process had.
+/// A planner with an id that no earlier process of the run has had.
 fn new_planner(index: usize, now: Nanos) -> Planner {
     Planner::new(PlannerId(now ^ index as u64), now)
 }
--- a/crates/testbed/src/simulation/planner.rs
+++ b/crates/testbed/src/simulation/planner.rs
@@ -14,7 +14,7 @@
 
 use super::forwarder::{MAX_DELTA_BYTES, REPORT_INTERVAL, TERMS};
 
-/// The merged advice is computed this often at most.
+/// Minimum interval between computations of the merged advice.
 const ADVICE_INTERVAL: Nanos = REPORT_INTERVAL / 10;
 
 /// A planner.
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes a node's report. Returns the plan that answers it, framed; `None` for a report that is not valid.
+    /// Processes a node's report. Returns the plan that answers it, framed; `None` where the report is invalid or there is no plan.
     pub fn accept_report(&mut self, from: ForwarderId, bytes: &[u8], now: Nanos) -> Option<Bytes> {
         let mut frames = FrameDecoder::default();
         frames.feed(bytes);
@@ -76,7 +76,7 @@
     }
 }
 
-/// The servers to avoid and those that drain, by what all nodes have observed.
+/// The servers to avoid and those that drain, merged from the observations of all nodes.
 fn merged_advice(health: &mut EndpointHealthView, now: Nanos) -> Table {
     let merged = health.merged(now).into_iter().filter(|(_, server)| server.avoid || server.draining);
     let entry = |(id, server): (EndpointId, EndpointHealth)| {
--- a/crates/testbed/src/simulation/planner_exchange.rs
+++ b/crates/testbed/src/simulation/planner_exchange.rs
@@ -46,7 +46,7 @@
         self.handle(node, Event::CapacityAdvice(advice));
     }
 
-    /// Puts a message on its way and returns its number.
+    /// Stores a message in flight and returns its number.
     fn send_message(&mut self, bytes: Bytes) -> usize {
         self.counters.planner_bytes += bytes.len() as u64;
         self.messages_sent += 1;
--- a/crates/testbed/src/simulation/requests.rs
+++ b/crates/testbed/src/simulation/requests.rs
@@ -13,9 +13,9 @@
 use super::server::{Health, Job, MEAN_SERVICE_S, WARM_RATE};
 use super::{NETWORK_LATENCY, Simulation};
 
-/// A request without a final answer this long after its deadline counts as unanswered.
+/// Time after its deadline at which a request without a final answer counts as unanswered.
 const ANSWER_GRACE: Nanos = SECOND / 50;
-/// Attempts may reach a server for this long after its drain began.
+/// Time after the start of a drain in which attempts may still reach the server.
 const DRAIN_GRACE: Nanos = 2 * SECOND;
 /// Share of the requests that are [`RequestClass::Submit`].
 const SUBMIT_SHARE: f64 = 0.2;
@@ -70,7 +70,7 @@
         self.handle(node, Event::Request(request));
     }
 
-    /// Hands an event to a node's decision module and carries out its actions.
+    /// Passes an event to a node's decision module and executes its actions.
     pub(super) fn handle(&mut self, node: usize, event: Event) {
         let mut actions = Vec::new();
         self.nodes[node].balancer.handle(self.now, event, &mut actions);
@@ -96,7 +96,7 @@
             }
             Action::CancelAttempt { id, attempt } => {
                 let job = Job { node, id: id.0, attempt: attempt.0 };
-                // Scheduled like any other end; the attempt may have ended otherwise by then.
+                // Scheduled like any other end; an end of the attempt that is scheduled for the same time may be processed first.
                 self.schedule_end(self.now, job, AttemptOutcome::Cancelled);
             }
             Action::ArmTimer { at, token } => {
--- a/crates/testbed/src/simulation/server.rs
+++ b/crates/testbed/src/simulation/server.rs
@@ -8,7 +8,7 @@
 
 /// Requests that a server processes at once.
 const CORES: usize = 2;
-/// Requests that a server has at once, queued ones too; more are rejected.
+/// Requests in process and queued at a server; more are rejected.
 const MAX_REQUESTS: usize = 16;
 /// Mean processing time of a request on a warm server, in seconds.
 pub const MEAN_SERVICE_S: f64 = 1.0 / 15.0;
@@ -42,9 +42,9 @@
 pub struct Server {
     /// Its state.
     pub health: Health,
-    /// When its process started; 0 for a process that is warm from the beginning.
+    /// When its process started; 0 for a process that is warm from the start of the simulation.
     pub started_at: Nanos,
-    /// Since when it drains.
+    /// When its drain began.
     pub draining_since: Option<Nanos>,
     /// By job number, in process and queued.
     jobs: BTreeMap<u64, Job>,
