--- a/crates/testbed/src/hollow/counts.rs
+++ b/crates/testbed/src/hollow/counts.rs
@@ -9,7 +9,7 @@
 use pumicehead_membership::wire::{DatagramKind, FrameKind};
 
 /// Kinds of datagrams that are counted, with their names.
-pub const KINDS: [(DatagramKind, &str); 5] = [
+pub const DATAGRAM_KINDS: [(DatagramKind, &str); 5] = [
     (DatagramKind::Gossip, "gossip"),
     (DatagramKind::Ping, "ping"),
     (DatagramKind::IndirectPing, "indirect ping"),
@@ -17,15 +17,15 @@
     (DatagramKind::Nack, "nack"),
 ];
 /// Bytes of the UDP and IPv4 headers of a datagram.
-pub const DATAGRAM_HEADS: u64 = 28;
+pub const DATAGRAM_HEADER_BYTES: u64 = 28;
 /// Bytes of the length before a frame.
-pub const FRAME_HEAD: u64 = 4;
+pub const FRAME_LENGTH_BYTES: u64 = 4;
 /// Steps of an exchange over a stream.
-const STEPS: usize = FrameKind::Reject as usize + 1;
+const FRAME_KINDS: usize = FrameKind::Reject as usize + 1;
 
 /// The fields that datagrams and frames have in common.
 #[derive(Clone, PartialEq, Message)]
-struct Head {
+struct MessageHeader {
     #[prost(fixed64, tag = "4")]
     from: u64,
     #[prost(int32, tag = "6")]
@@ -35,12 +35,12 @@
 /// Messages received from one member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Received {
-    /// Datagrams, in the order of [`KINDS`].
-    pub datagrams: [u64; KINDS.len()],
+    /// Datagrams, in the order of [`DATAGRAM_KINDS`].
+    pub datagrams: [u64; DATAGRAM_KINDS.len()],
     /// Their bytes, without headers.
     pub datagram_bytes: u64,
     /// Frames of streams, by [`FrameKind`].
-    pub frames: [u64; STEPS],
+    pub frames: [u64; FRAME_KINDS],
     /// Their bytes, without lengths.
     pub frame_bytes: u64,
 }
@@ -61,12 +61,12 @@
 
 /// Counts the messages that all hollow nodes of a process receive, by sender.
 #[derive(Debug, Default)]
-pub struct PeerCounts {
+pub struct ReceiveCounters {
     on: AtomicBool,
     by_sender: Mutex<HashMap<u64, Received>>,
 }
 
-impl PeerCounts {
+impl ReceiveCounters {
     /// Starts to count from zero.
     pub fn start(&self) {
         self.lock().clear();
@@ -81,8 +81,8 @@
 
     /// The counts of a member so far.
     #[must_use]
-    pub fn of(&self, name: &str) -> Received {
-        self.lock().get(&sender(name)).copied().unwrap_or_default()
+    pub fn received_from(&self, name: &str) -> Received {
+        self.lock().get(&sender_id(name)).copied().unwrap_or_default()
     }
 
     /// Counts a received datagram.
@@ -110,7 +110,7 @@
             return;
         }
         // Bytes that are no message are not counted.
-        let Ok(head) = Head::decode(bytes) else { return };
+        let Ok(head) = MessageHeader::decode(bytes) else { return };
         let kind = usize::try_from(head.kind).unwrap_or(usize::MAX);
         add(self.lock().entry(head.from).or_default(), kind);
     }
@@ -121,22 +121,22 @@
 }
 
 /// The id of a member in messages.
-pub(super) fn sender(name: &str) -> u64 {
+pub(super) fn sender_id(name: &str) -> u64 {
     MemberId::from_name(name).0
 }
 
 /// What one node has sent since its start.
 #[derive(Debug, Default)]
-pub struct Traffic {
+pub struct SendCounters {
     datagrams: AtomicU64,
     datagram_bytes: AtomicU64,
     frames: AtomicU64,
     frame_bytes: AtomicU64,
 }
 
-/// A snapshot of [`Traffic`].
+/// A snapshot of [`SendCounters`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentCounts {
     /// Datagrams.
     pub datagrams: u64,
     /// Frames over streams.
@@ -145,7 +145,7 @@
     pub bytes: u64,
 }
 
-impl Sent {
+impl SentCounts {
     /// Datagrams and frames.
     #[must_use]
     pub fn messages(&self) -> u64 {
@@ -153,7 +153,7 @@
     }
 
     /// Adds another snapshot.
-    pub fn add(&mut self, other: Sent) {
+    pub fn add(&mut self, other: SentCounts) {
         self.datagrams += other.datagrams;
         self.frames += other.frames;
         self.bytes += other.bytes;
@@ -161,8 +161,8 @@
 
     /// The difference to an earlier snapshot.
     #[must_use]
-    pub fn since(&self, earlier: Sent) -> Sent {
-        Sent {
+    pub fn since(&self, earlier: SentCounts) -> SentCounts {
+        SentCounts {
             datagrams: self.datagrams.saturating_sub(earlier.datagrams),
             frames: self.frames.saturating_sub(earlier.frames),
             bytes: self.bytes.saturating_sub(earlier.bytes),
@@ -170,7 +170,7 @@
     }
 }
 
-impl Traffic {
+impl SendCounters {
     /// Counts a sent datagram.
     pub fn datagram(&self, bytes: usize) {
         self.datagrams.fetch_add(1, Ordering::Relaxed);
@@ -185,10 +185,14 @@
 
     /// The current snapshot.
     #[must_use]
-    pub fn sent(&self) -> Sent {
+    pub fn sent(&self) -> SentCounts {
         let (datagrams, frames) =
             (self.datagrams.load(Ordering::Relaxed), self.frames.load(Ordering::Relaxed));
         let bytes = self.datagram_bytes.load(Ordering::Relaxed) + self.frame_bytes.load(Ordering::Relaxed);
-        Sent { datagrams, frames, bytes: bytes + datagrams * DATAGRAM_HEADS + frames * FRAME_HEAD }
+        SentCounts {
+            datagrams,
+            frames,
+            bytes: bytes + datagrams * DATAGRAM_HEADER_BYTES + frames * FRAME_LENGTH_BYTES,
+        }
     }
 }
--- a/crates/testbed/src/hollow/event_loops.rs
+++ b/crates/testbed/src/hollow/event_loops.rs
@@ -27,11 +27,11 @@
 
     /// Processor time that all of them have used, in seconds; 0 where the system does not tell.
     pub fn cpu_seconds(&self) -> f64 {
-        self.0.iter().map(|one| thread_cpu_seconds(&one.thread_folder)).sum()
+        self.0.iter().map(|event_loop| thread_cpu_seconds(&event_loop.thread_folder)).sum()
     }
 
     /// The one that the node of a number runs on.
-    pub fn of(&self, number: usize) -> &Handle {
+    pub fn handle(&self, number: usize) -> &Handle {
         &self.0[number % self.0.len()].handle
     }
 }
@@ -40,13 +40,13 @@
     fn start() -> io::Result<Self> {
         let runtime = Builder::new_current_thread().enable_all().build()?;
         let (handle, end) = (runtime.handle().clone(), Arc::new(Notify::new()));
-        let (ended, (tell, told)) = (end.clone(), mpsc::channel());
+        let (ended, (sender, receiver)) = (end.clone(), mpsc::channel());
         let thread = thread::Builder::new().spawn(move || {
             let own = fs::read_link("/proc/thread-self").unwrap_or_default();
-            let _ = tell.send(Path::new("/proc").join(own));
+            let _ = sender.send(Path::new("/proc").join(own));
             runtime.block_on(ended.notified());
         })?;
-        let thread_folder = told.recv().map_err(io::Error::other)?;
+        let thread_folder = receiver.recv().map_err(io::Error::other)?;
         Ok(Self { handle, end, thread_folder, thread: Some(thread) })
     }
 }
--- a/crates/testbed/src/hollow/mixed.rs
+++ b/crates/testbed/src/hollow/mixed.rs
@@ -10,9 +10,9 @@
 use pumicehead_membership::MemberState;
 use thiserror::Error;
 
-use super::counts::{PeerCounts, Received, Sent};
+use super::counts::{ReceiveCounters, Received, SentCounts};
 use super::event_loops::EventLoops;
-use super::node::{Clock, HollowNode, HollowSetup};
+use super::node::{Clock, HollowNode, HollowNodeConfig};
 use super::process::RealNode;
 
 /// The fleet's name.
@@ -22,7 +22,7 @@
 /// Threads that all hollow nodes share.
 const THREADS: usize = 2;
 /// Interval at which the state of the hollow nodes is polled.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Hollow nodes that serve as seeds, beside the first real one.
 const HOLLOW_SEEDS: usize = 2;
 
@@ -49,11 +49,11 @@
 
 /// What happened while the member tables converged.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Settled {
+pub struct Convergence {
     /// Time until all were equal; `None` beyond the limit.
     pub after: Option<Duration>,
     /// What the hollow nodes sent meanwhile.
-    pub sent: Sent,
+    pub sent: SentCounts,
     /// The most bytes that all hollow nodes sent in a second.
     pub peak_bytes: u64,
     /// The most bytes that any one of them sent in a second.
@@ -67,7 +67,7 @@
     hollow: Vec<Arc<HollowNode>>,
     loops: EventLoops,
     clock: Clock,
-    peers: Arc<PeerCounts>,
+    peers: Arc<ReceiveCounters>,
     seeds: Vec<SocketAddr>,
     seed: u64,
     starts: u64,
@@ -133,7 +133,7 @@
 
     fn start_hollow(&mut self, name: String) -> io::Result<Arc<HollowNode>> {
         self.starts += 1;
-        let setup = HollowSetup {
+        let setup = HollowNodeConfig {
             name,
             fleet: FLEET.into(),
             zone: ZONE.into(),
@@ -142,7 +142,7 @@
             clock: self.clock,
             peers: self.peers.clone(),
         };
-        self.loops.of(self.starts as usize).block_on(HollowNode::start(setup))
+        self.loops.handle(self.starts as usize).block_on(HollowNode::start(setup))
     }
 
     /// The real nodes.
@@ -171,8 +171,8 @@
 
     /// What all hollow nodes have sent.
     #[must_use]
-    pub fn sent(&self) -> Sent {
-        let mut all = Sent::default();
+    pub fn sent(&self) -> SentCounts {
+        let mut all = SentCounts::default();
         self.hollow.iter().for_each(|node| all.add(node.sent()));
         all
     }
@@ -185,8 +185,8 @@
 
     /// Memory that the views of the hollow nodes take, counted, in bytes.
     #[must_use]
-    pub fn hollow_bytes(&self) -> usize {
-        self.hollow.iter().map(|node| node.view_bytes()).sum()
+    pub fn hollow_table_bytes(&self) -> usize {
+        self.hollow.iter().map(|node| node.table_bytes()).sum()
     }
 
     /// Event loop stalls that hollow nodes detected.
@@ -204,55 +204,55 @@
 
     /// Whether all nodes, the real ones among them, hold the same view with all nodes in it.
     #[must_use]
-    pub fn is_settled(&self) -> bool {
+    pub fn has_converged(&self) -> bool {
         let Some(fingerprint) = self.hollow_view() else { return false };
         let shown = format!("{fingerprint:016x}");
-        self.real
-            .iter()
-            .all(|node| node.view().is_ok_and(|view| view.there == self.len() && view.fingerprint == shown))
+        self.real.iter().all(|node| {
+            node.view().is_ok_and(|view| view.active_members == self.len() && view.fingerprint == shown)
+        })
     }
 
     /// Waits until all tables are equal, and counts what is sent meanwhile.
     #[must_use]
-    pub fn settle(&self, limit: Duration) -> Settled {
-        let mut settled = Settled::default();
-        self.settle_since(Instant::now(), limit, &mut settled);
+    pub fn wait_until_converged(&self, limit: Duration) -> Convergence {
+        let mut settled = Convergence::default();
+        self.wait_until_converged_since(Instant::now(), limit, &mut settled);
         settled
     }
 
-    /// Like [`Self::settle`] with an earlier start time, adding to what was counted since.
-    fn settle_since(&self, start: Instant, limit: Duration, settled: &mut Settled) {
-        let mut second = Second::begin(self);
+    /// Like [`Self::wait_until_converged`] with an earlier start time, adding to what was counted since.
+    fn wait_until_converged_since(&self, start: Instant, limit: Duration, settled: &mut Convergence) {
+        let mut second = SecondCounts::begin(self);
         while start.elapsed() < limit {
             if second.began.elapsed() >= Duration::from_secs(1) {
                 second.end(settled);
-                second = Second::begin(self);
+                second = SecondCounts::begin(self);
             }
-            if self.is_settled() {
+            if self.has_converged() {
                 settled.after = Some(start.elapsed());
                 break;
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
         second.end(settled);
     }
 
     /// Waits until no hollow node has updates to gossip. Returns how long that took; `None` beyond the limit.
     #[must_use]
-    pub fn wait_quiet(&self, limit: Duration) -> Option<Duration> {
+    pub fn wait_for_broadcasts(&self, limit: Duration) -> Option<Duration> {
         let start = Instant::now();
-        while self.hollow.iter().any(|node| node.is_passing_on()) {
+        while self.hollow.iter().any(|node| node.has_pending_broadcasts()) {
             if start.elapsed() >= limit {
                 return None;
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
         Some(start.elapsed())
     }
 
     /// Counts what each node sends over a span, at the hollow nodes that receive it, by name.
     #[must_use]
-    pub fn count(&self, span: Duration) -> HashMap<String, Received> {
+    pub fn count_received(&self, span: Duration) -> HashMap<String, Received> {
         let start = Instant::now();
         self.count_until(span, || start.elapsed() >= span)
     }
@@ -263,13 +263,13 @@
         let start = Instant::now();
         self.peers.start();
         while start.elapsed() < limit && !holds() {
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
         let mut counted = self.peers.stop();
         let real = self.real.iter().map(RealNode::name);
         let names = real.chain(self.hollow.iter().map(|node| node.name()));
         let of = |name: &str| {
-            let received = counted.remove(&super::counts::sender(name)).unwrap_or_default();
+            let received = counted.remove(&super::counts::sender_id(name)).unwrap_or_default();
             (name.to_owned(), received)
         };
         names.map(of).collect()
@@ -277,8 +277,8 @@
 
     /// What has been counted of a node until now.
     #[must_use]
-    pub fn counted(&self, name: &str) -> Received {
-        self.peers.of(name)
+    pub fn received_so_far(&self, name: &str) -> Received {
+        self.peers.received_from(name)
     }
 
     /// Kills the last real node, and waits until all others hold it dead.
@@ -291,27 +291,27 @@
         let start = Instant::now();
         killed.kill();
         let (mut first, mut last_real) = (None, Duration::ZERO);
-        let mut unaware: Vec<_> = self.real.iter().collect();
+        let mut not_detected: Vec<_> = self.real.iter().collect();
         loop {
-            let holds_dead = |node: &&Arc<HollowNode>| node.holds(&name) == Some(MemberState::Dead);
+            let holds_dead = |node: &&Arc<HollowNode>| node.state_of(&name) == Some(MemberState::Dead);
             let hollow = self.hollow.iter().filter(holds_dead).count();
-            let before = unaware.len();
-            unaware.retain(|node| !node.holds_dead(&name).unwrap_or(false));
+            let before = not_detected.len();
+            not_detected.retain(|node| !node.considers_dead(&name).unwrap_or(false));
             let after = start.elapsed();
-            if unaware.len() < before {
+            if not_detected.len() < before {
                 last_real = after;
             }
-            let real = self.real.len() - unaware.len();
+            let real = self.real.len() - not_detected.len();
             if hollow + real > 0 {
                 first = first.or(Some(after));
             }
-            if let (Some(first), true) = (first, hollow == self.hollow.len() && unaware.is_empty()) {
+            if let (Some(first), true) = (first, hollow == self.hollow.len() && not_detected.is_empty()) {
                 return Ok(Detection { first, last: after, last_real });
             }
             if after > limit {
                 return Err(NotDetected { hollow, real });
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -320,12 +320,17 @@
     ///
     /// # Errors
     /// Sockets that can't be had.
-    pub fn restart_hollow(&mut self, many: usize, pause: Duration, limit: Duration) -> io::Result<Settled> {
+    pub fn restart_hollow(
+        &mut self,
+        many: usize,
+        pause: Duration,
+        limit: Duration,
+    ) -> io::Result<Convergence> {
         let from = HOLLOW_SEEDS.min(self.hollow.len());
         let chosen = from..(from + many).min(self.hollow.len());
-        let mut settled = Settled::default();
+        let mut settled = Convergence::default();
         let start = Instant::now();
-        let second = Second::begin(self);
+        let second = SecondCounts::begin(self);
         self.hollow[chosen.clone()].iter().for_each(|node| node.leave());
         thread::sleep(pause);
         second.end(&mut settled);
@@ -333,27 +338,27 @@
             let name = self.hollow[place].name().to_owned();
             self.hollow[place] = self.start_hollow(name)?;
         }
-        self.settle_since(start, limit, &mut settled);
+        self.wait_until_converged_since(start, limit, &mut settled);
         Ok(settled)
     }
 }
 
 /// What is sent in a second, by node.
-struct Second {
+struct SecondCounts {
     began: Instant,
-    nodes: Vec<(Arc<HollowNode>, Sent)>,
+    nodes: Vec<(Arc<HollowNode>, SentCounts)>,
 }
 
-impl Second {
+impl SecondCounts {
     fn begin(fleet: &MixedFleet) -> Self {
         let nodes = fleet.hollow.iter().map(|node| (node.clone(), node.sent())).collect();
         Self { began: Instant::now(), nodes }
     }
 
-    fn end(&self, settled: &mut Settled) {
+    fn end(&self, settled: &mut Convergence) {
         // Bytes of a shorter span are not extrapolated.
         let span = self.began.elapsed().as_secs_f64().max(1.0);
-        let mut all = Sent::default();
+        let mut all = SentCounts::default();
         let mut most = 0;
         for (node, before) in &self.nodes {
             let sent = node.sent().since(*before);
--- a/crates/testbed/src/hollow/node.rs
+++ b/crates/testbed/src/hollow/node.rs
@@ -14,11 +14,11 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-use super::counts::{PeerCounts, Sent, Traffic};
+use super::counts::{ReceiveCounters, SendCounters, SentCounts};
 use super::stream;
 
 /// How often the number of nodes that share a server is computed, as the real node does.
-const SHARING_INTERVAL: Nanos = SECOND;
+const NODE_COUNT_INTERVAL: Nanos = SECOND;
 /// Ports that are tried until one is free for datagrams and streams alike.
 const PORT_TRIES: usize = 32;
 
@@ -52,7 +52,7 @@
 
 /// What a hollow node is started with.
 #[derive(Clone, Debug)]
-pub struct HollowSetup {
+pub struct HollowNodeConfig {
     /// Its name.
     pub name: String,
     /// Its fleet.
@@ -66,7 +66,7 @@
     /// Its clock.
     pub clock: Clock,
     /// Where its peers' messages are counted.
-    pub peers: Arc<PeerCounts>,
+    pub peers: Arc<ReceiveCounters>,
 }
 
 /// A member of a fleet without traffic. It runs until [`HollowNode::kill`] or [`HollowNode::leave`].
@@ -77,10 +77,10 @@
     member: Mutex<Membership>,
     datagrams: UdpSocket,
     /// The machine was handed something outside of the node's own loop.
-    pub(super) touched: Notify,
+    pub(super) wake_up: Notify,
     pub(super) open_streams: AtomicUsize,
-    pub(super) traffic: Traffic,
-    pub(super) peers: Arc<PeerCounts>,
+    pub(super) traffic: SendCounters,
+    pub(super) peers: Arc<ReceiveCounters>,
     /// Stalls of the event loop that the machine detected.
     stalls: AtomicU64,
     tasks: Mutex<JoinSet<()>>,
@@ -95,11 +95,11 @@
     ///
     /// # Errors
     /// No port, or a setup that the machine does not take.
-    pub async fn start(setup: HollowSetup) -> io::Result<Arc<Self>> {
+    pub async fn start(setup: HollowNodeConfig) -> io::Result<Arc<Self>> {
         let (listener, datagrams) = bind().await?;
         let address = listener.local_addr()?;
         let now = setup.clock.now();
-        let card = MemberRecord {
+        let record = MemberRecord {
             name: setup.name.clone(),
             epoch: now / 1_000_000,
             address: address.to_string(),
@@ -108,10 +108,10 @@
             capabilities: vec!["view".into()],
             ..MemberRecord::default()
         };
-        let machine = MembershipConfig {
+        let config = MembershipConfig {
             settings: Settings::default(),
             fleet_name: setup.fleet,
-            record: card,
+            record,
             seeds: setup.seeds,
             address_overrides: Vec::new(),
             initial_node_count: 1,
@@ -121,11 +121,11 @@
             name: setup.name,
             address,
             clock: setup.clock,
-            member: Mutex::new(Membership::new(machine, now).map_err(io::Error::other)?),
+            member: Mutex::new(Membership::new(config, now).map_err(io::Error::other)?),
             datagrams,
-            touched: Notify::new(),
+            wake_up: Notify::new(),
             open_streams: AtomicUsize::new(0),
-            traffic: Traffic::default(),
+            traffic: SendCounters::default(),
             peers: setup.peers,
             stalls: AtomicU64::new(0),
             tasks: Mutex::new(JoinSet::new()),
@@ -149,7 +149,7 @@
 
     /// What it has sent until now.
     #[must_use]
-    pub fn sent(&self) -> Sent {
+    pub fn sent(&self) -> SentCounts {
         self.traffic.sent()
     }
 
@@ -168,19 +168,19 @@
 
     /// Whether it has updates to gossip.
     #[must_use]
-    pub fn is_passing_on(&self) -> bool {
+    pub fn has_pending_broadcasts(&self) -> bool {
         self.member().has_pending_broadcasts()
     }
 
     /// Memory that its view takes, counted, in bytes.
     #[must_use]
-    pub fn view_bytes(&self) -> usize {
+    pub fn table_bytes(&self) -> usize {
         self.member().table().allocated_bytes()
     }
 
     /// What it holds another member for.
     #[must_use]
-    pub fn holds(&self, name: &str) -> Option<MemberState> {
+    pub fn state_of(&self, name: &str) -> Option<MemberState> {
         self.member().table().get(MemberId::from_name(name)).map(|held| held.state)
     }
 
@@ -219,19 +219,19 @@
 
     async fn run(self: Arc<Self>) {
         let mut bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
-        let mut sharing_at = self.now();
+        let mut node_count_at = self.now();
         loop {
-            self.carry_out();
+            self.process_outputs();
             let now = self.now();
-            if now >= sharing_at {
-                sharing_at = now + SHARING_INTERVAL;
+            if now >= node_count_at {
+                node_count_at = now + NODE_COUNT_INTERVAL;
                 let _ = self.member().node_count(now);
             }
-            let next = self.member().next_timer().min(sharing_at);
+            let next = self.member().next_timer().min(node_count_at);
             tokio::select! {
-                came = self.datagrams.recv_from(&mut bytes) => {
+                received = self.datagrams.recv_from(&mut bytes) => {
                     // The error of an earlier datagram that was refused; its missing ack has the same effect.
-                    if let Ok((count, from)) = came {
+                    if let Ok((count, from)) = received {
                         self.peers.datagram(&bytes[..count]);
                         self.member().on_datagram(self.now(), from, &bytes[..count]);
                     }
@@ -243,20 +243,20 @@
                         member.on_timer(now);
                     }
                 }
-                () = self.touched.notified() => {}
+                () = self.wake_up.notified() => {}
             }
         }
     }
 
-    fn carry_out(self: &Arc<Self>) {
+    fn process_outputs(self: &Arc<Self>) {
         let outputs: Vec<_> = self.member().take_outputs().collect();
         for output in outputs {
             match output {
                 Output::Datagram { to, bytes } => self.send(to, &bytes),
                 Output::StreamProbe { seq, to, frame } => {
-                    self.spawn(stream::check(self.clone(), seq, to, frame))
+                    self.spawn(stream::probe(self.clone(), seq, to, frame))
                 }
-                Output::PushPull { to, frame } => self.spawn(stream::compare(self.clone(), to, frame)),
+                Output::PushPull { to, frame } => self.spawn(stream::push_pull(self.clone(), to, frame)),
                 Output::Event(Event::ProcessStalled { .. }) => {
                     self.stalls.fetch_add(1, Ordering::Relaxed);
                 }
--- a/crates/testbed/src/hollow/process.rs
+++ b/crates/testbed/src/hollow/process.rs
@@ -21,7 +21,7 @@
 const GUARD: &str =
     r#""$0" run "$1" </dev/null & echo $!; read _; kill -KILL $! 2>/dev/null; wait; rm -f "$1""#;
 /// Between two looks at a log.
-const POLL: Duration = Duration::from_millis(5);
+const LOG_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Longest wait for an answer to staff.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -34,21 +34,22 @@
     log: Arc<Mutex<Vec<String>>>,
     /// Where other members reach it.
     pub address: SocketAddr,
-    calls: SocketAddr,
+    admin_address: SocketAddr,
 }
 
 /// A node's answer to staff about its view.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
-pub struct View {
+pub struct MemberView {
     /// Of the whole view, in hexadecimal.
     pub fingerprint: String,
     /// Members that are there.
-    pub there: usize,
+    #[serde(rename = "there")]
+    pub active_members: usize,
 }
 
 /// What a node holds a member for.
 #[derive(Deserialize)]
-struct Entry {
+struct MemberEntry {
     state: String,
 }
 
@@ -93,13 +94,14 @@
             }
         });
         let nowhere = ([127, 0, 0, 1], 0).into();
-        let mut node = Self { name: name.into(), guard, pid, file, log, address: nowhere, calls: nowhere };
-        node.address = node.listens(" fleet_address=")?;
-        node.calls = node.listens(" takes admin commands on ")?;
+        let mut node =
+            Self { name: name.into(), guard, pid, file, log, address: nowhere, admin_address: nowhere };
+        node.address = node.wait_for_address(" fleet_address=")?;
+        node.admin_address = node.wait_for_address(" takes admin commands on ")?;
         Ok(node)
     }
 
-    fn listens(&self, words: &str) -> io::Result<SocketAddr> {
+    fn wait_for_address(&self, words: &str) -> io::Result<SocketAddr> {
         let start = Instant::now();
         while start.elapsed() < LIMIT {
             let log = self.log.lock().unwrap_or_else(PoisonError::into_inner).clone();
@@ -107,7 +109,7 @@
             if let Some(address) = told {
                 return Ok(address);
             }
-            thread::sleep(POLL);
+            thread::sleep(LOG_POLL_INTERVAL);
         }
         Err(io::Error::new(io::ErrorKind::TimedOut, format!("{} does not start", self.name)))
     }
@@ -122,21 +124,21 @@
     ///
     /// # Errors
     /// No answer, or one that is no view.
-    pub fn view(&self) -> io::Result<View> {
-        Ok(serde_json::from_str(&self.ask("FLEET members")?)?)
+    pub fn view(&self) -> io::Result<MemberView> {
+        Ok(serde_json::from_str(&self.admin_command("FLEET members")?)?)
     }
 
     /// Whether it holds a member dead, from the admin listener: the log is rate-limited, and too late for this.
     ///
     /// # Errors
     /// No answer, or one that is about no member.
-    pub fn holds_dead(&self, name: &str) -> io::Result<bool> {
-        let entry: Entry = serde_json::from_str(&self.ask(&format!("FLEET why {name}"))?)?;
+    pub fn considers_dead(&self, name: &str) -> io::Result<bool> {
+        let entry: MemberEntry = serde_json::from_str(&self.admin_command(&format!("FLEET why {name}"))?)?;
         Ok(entry.state == MemberState::Dead.as_str())
     }
 
-    fn ask(&self, call: &str) -> io::Result<String> {
-        let mut stream = TcpStream::connect(self.calls)?;
+    fn admin_command(&self, call: &str) -> io::Result<String> {
+        let mut stream = TcpStream::connect(self.admin_address)?;
         stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         stream.write_all(format!("{call}\n").as_bytes())?;
         let mut text = String::new();
--- a/crates/testbed/src/hollow/stream.rs
+++ b/crates/testbed/src/hollow/stream.rs
@@ -16,13 +16,13 @@
 use super::node::HollowNode;
 
 /// Streams from others at once; more wait.
-const MOST_ACCEPTED: usize = 8;
+const MAX_ACCEPTED_STREAMS: usize = 8;
 /// Streams to others at once; more are not opened.
-const MOST_OPENED: usize = 16;
+const MAX_OPENED_STREAMS: usize = 16;
 /// Longest that a comparison of views takes.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest wait for the answer to a check.
-const CHECK_TIMEOUT: Duration = Duration::from_millis(200);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 /// Pause after an accept that failed for lack of descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
@@ -52,7 +52,7 @@
 
 /// Takes streams for as long as the node lives.
 pub(super) async fn accept(node: Arc<HollowNode>, listener: TcpListener) {
-    let permits = Arc::new(Semaphore::new(MOST_ACCEPTED));
+    let permits = Arc::new(Semaphore::new(MAX_ACCEPTED_STREAMS));
     loop {
         let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let Ok((stream, from)) = listener.accept().await else {
@@ -71,9 +71,9 @@
 async fn serve(node: &HollowNode, mut stream: TcpStream, from: SocketAddr) -> io::Result<()> {
     stream.set_nodelay(true)?;
     while let Some(bytes) = read(node, &mut stream).await? {
-        let came = node.member().on_stream_request(node.now(), from, &bytes);
-        node.touched.notify_one();
-        match came {
+        let action = node.member().on_stream_request(node.now(), from, &bytes);
+        node.wake_up.notify_one();
+        match action {
             Ok(StreamAction::Reply(answer)) => write(node, &mut stream, &answer).await?,
             Ok(StreamAction::Close) => return Ok(()),
             Err(rejected) => return write(node, &mut stream, &rejected.reply).await,
@@ -83,32 +83,32 @@
 }
 
 /// A permit for a stream of the node's own, until it is dropped.
-struct Opened(Arc<HollowNode>);
+struct OpenedStream(Arc<HollowNode>);
 
-impl Opened {
+impl OpenedStream {
     fn new(node: &Arc<HollowNode>) -> Option<Self> {
         let opened = Self(node.clone());
         let before = node.open_streams.fetch_add(1, Ordering::Relaxed);
-        (before < MOST_OPENED).then_some(opened)
+        (before < MAX_OPENED_STREAMS).then_some(opened)
     }
 }
 
-impl Drop for Opened {
+impl Drop for OpenedStream {
     fn drop(&mut self) {
         self.0.open_streams.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// Asks a member over a stream whether it is there.
-pub(super) async fn check(node: Arc<HollowNode>, seq: SequenceNumber, to: SocketAddr, frame: Vec<u8>) {
-    let Some(_permit) = Opened::new(&node) else { return };
-    let asked = timeout(2 * CHECK_TIMEOUT, ask(&node, to, &frame));
-    let checked = asked.await.unwrap_or(StreamProbeOutcome::Unreachable);
-    node.member().on_stream_probe(node.now(), seq, checked);
-    node.touched.notify_one();
+pub(super) async fn probe(node: Arc<HollowNode>, seq: SequenceNumber, to: SocketAddr, frame: Vec<u8>) {
+    let Some(_permit) = OpenedStream::new(&node) else { return };
+    let probed = timeout(2 * PROBE_TIMEOUT, exchange_probe(&node, to, &frame));
+    let outcome = probed.await.unwrap_or(StreamProbeOutcome::Unreachable);
+    node.member().on_stream_probe(node.now(), seq, outcome);
+    node.wake_up.notify_one();
 }
 
-async fn ask(node: &HollowNode, to: SocketAddr, frame: &[u8]) -> StreamProbeOutcome {
+async fn exchange_probe(node: &HollowNode, to: SocketAddr, frame: &[u8]) -> StreamProbeOutcome {
     let mut stream = match TcpStream::connect(to).await {
         Ok(stream) => stream,
         Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return StreamProbeOutcome::Refused,
@@ -119,7 +119,7 @@
         write(node, &mut stream, frame).await?;
         read(node, &mut stream).await
     };
-    match timeout(CHECK_TIMEOUT, answered).await {
+    match timeout(PROBE_TIMEOUT, answered).await {
         Ok(Ok(Some(bytes))) => {
             node.member().on_stream_reply(node.now(), to, &bytes);
             StreamProbeOutcome::Answered
@@ -131,22 +131,22 @@
 }
 
 /// Compares views with a member.
-pub(super) async fn compare(node: Arc<HollowNode>, to: SocketAddr, frame: Vec<u8>) {
-    let Some(_permit) = Opened::new(&node) else { return };
+pub(super) async fn push_pull(node: Arc<HollowNode>, to: SocketAddr, frame: Vec<u8>) {
+    let Some(_permit) = OpenedStream::new(&node) else { return };
     // One that fails is tried again with another member.
-    let _ = timeout(EXCHANGE_TIMEOUT, exchange(&node, to, frame)).await;
+    let _ = timeout(EXCHANGE_TIMEOUT, exchange_push_pull(&node, to, frame)).await;
 }
 
-async fn exchange(node: &HollowNode, to: SocketAddr, frame: Vec<u8>) -> io::Result<()> {
+async fn exchange_push_pull(node: &HollowNode, to: SocketAddr, frame: Vec<u8>) -> io::Result<()> {
     let mut stream = TcpStream::connect(to).await?;
     stream.set_nodelay(true)?;
     let mut next = frame;
     loop {
         write(node, &mut stream, &next).await?;
         let Some(bytes) = read(node, &mut stream).await? else { return Ok(()) };
-        let came = node.member().on_stream_reply(node.now(), to, &bytes);
-        node.touched.notify_one();
-        match came {
+        let action = node.member().on_stream_reply(node.now(), to, &bytes);
+        node.wake_up.notify_one();
+        match action {
             StreamAction::Reply(answer) => next = answer,
             StreamAction::Close => return Ok(()),
         }
--- a/crates/testbed/src/measure/capacity/fleet/growth.rs
+++ b/crates/testbed/src/measure/capacity/fleet/growth.rs
@@ -3,8 +3,8 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-use crate::hollow::counts::{DATAGRAM_HEADS, FRAME_HEAD, Received};
-use crate::hollow::mixed::{Detection, MixedFleet, NotDetected, Settled};
+use crate::hollow::counts::{DATAGRAM_HEADER_BYTES, FRAME_LENGTH_BYTES, Received};
+use crate::hollow::mixed::{Convergence, Detection, MixedFleet, NotDetected};
 use crate::hollow::process::RealNode;
 
 /// What is grown.
@@ -50,7 +50,7 @@
     /// Real ones among them.
     pub real: usize,
     /// Until all saw all, after the last was started.
-    pub joined: Settled,
+    pub joined: Convergence,
     /// From then until nothing was left to pass on; figures at rest are of the time after.
     pub quiet: Option<Duration>,
     /// The mean of the hollow nodes.
@@ -67,7 +67,7 @@
     /// Hollow nodes, which were counted.
     pub counted: usize,
     /// What came of it; times from the moment at which they went.
-    pub settled: Settled,
+    pub settled: Convergence,
     /// Processor time that a hollow node took until views were one.
     pub cpu_seconds_a_node: f64,
 }
@@ -116,8 +116,8 @@
     let mut measured = Vec::new();
     for nodes in sizes {
         fleet.add_hollow(nodes.saturating_sub(fleet.len()))?;
-        let joined = fleet.settle(SETTLE_LIMIT);
-        let quiet = fleet.wait_quiet(SETTLE_LIMIT);
+        let joined = fleet.wait_until_converged(SETTLE_LIMIT);
+        let quiet = fleet.wait_for_broadcasts(SETTLE_LIMIT);
         let (hollow_rest, real_rest) = rest(&fleet, span);
         measured.push(Size { nodes, real, joined, quiet, hollow_rest, real_rest });
     }
@@ -131,7 +131,7 @@
     let (sent, cpu) = (fleet.sent(), fleet.hollow_cpu_seconds());
     let real_cpu = || fleet.real().iter().map(RealNode::cpu_seconds).sum::<f64>();
     let (real_cpu_before, start) = (real_cpu(), Instant::now());
-    let counted = fleet.count(span);
+    let counted = fleet.count_received(span);
     let seconds = start.elapsed().as_secs_f64();
     let (sent, cpu) = (fleet.sent().since(sent), fleet.hollow_cpu_seconds() - cpu);
     let real_cpu = real_cpu() - real_cpu_before;
@@ -140,7 +140,7 @@
         messages: sent.messages() as f64 / hollow / seconds,
         bytes: sent.bytes as f64 / hollow / seconds,
         cpu: cpu / hollow / seconds,
-        memory: fleet.hollow_bytes() as f64 / hollow,
+        memory: fleet.hollow_table_bytes() as f64 / hollow,
     };
     let received: Vec<Received> =
         fleet.real().iter().filter_map(|node| counted.get(node.name()).copied()).collect();
@@ -158,7 +158,7 @@
 
 /// Bytes as they are on the link.
 fn bytes(from: &Received) -> u64 {
-    let heads = DATAGRAM_HEADS * from.all_datagrams() + FRAME_HEAD * from.all_frames();
+    let heads = DATAGRAM_HEADER_BYTES * from.all_datagrams() + FRAME_LENGTH_BYTES * from.all_frames();
     from.datagram_bytes + from.frame_bytes + heads
 }
 
--- a/crates/testbed/src/measure/capacity/fleet/parity.rs
+++ b/crates/testbed/src/measure/capacity/fleet/parity.rs
@@ -6,7 +6,7 @@
 
 use pumicehead_membership::wire::FrameKind;
 
-use crate::hollow::counts::{DATAGRAM_HEADS, KINDS, Received};
+use crate::hollow::counts::{DATAGRAM_HEADER_BYTES, DATAGRAM_KINDS, Received};
 use crate::hollow::mixed::MixedFleet;
 use crate::program::LIMIT;
 
@@ -57,11 +57,11 @@
     let (seconds, tolerance) = if full { (57, TOLERANCE_FULL) } else { (10, TOLERANCE) };
     let span = Duration::from_secs(seconds);
     let fleet = MixedFleet::start(real, hollow, seed)?;
-    if fleet.settle(LIMIT).after.is_none() {
+    if fleet.wait_until_converged(LIMIT).after.is_none() {
         return Err(io::Error::new(io::ErrorKind::TimedOut, "a fleet of 20 does not settle"));
     }
-    let _ = fleet.wait_quiet(LIMIT);
-    let counted = fleet.count(span);
+    let _ = fleet.wait_for_broadcasts(LIMIT);
+    let counted = fleet.count_received(span);
     Ok(Parity { real, hollow, span, tolerance, rates: rates(&fleet, &counted, span) })
 }
 
@@ -74,10 +74,10 @@
         (
             "bytes of datagrams, with heads",
             true,
-            Box::new(|from| from.datagram_bytes + DATAGRAM_HEADS * from.all_datagrams()),
+            Box::new(|from| from.datagram_bytes + DATAGRAM_HEADER_BYTES * from.all_datagrams()),
         ),
     ];
-    for (place, (_, name)) in KINDS.iter().enumerate() {
+    for (place, (_, name)) in DATAGRAM_KINDS.iter().enumerate() {
         figures.push((*name, false, Box::new(move |from| from.datagrams[place])));
     }
     for (step, name) in [(FrameKind::Digest, "digests"), (FrameKind::InSync, "answers to digests: same")] {
--- a/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
+++ b/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
@@ -5,7 +5,7 @@
 use pumicehead_membership::simulation::{SentTotals, Simulation, SimulationConfig};
 use pumicehead_membership::{MS, MemberState, Nanos, SECOND};
 
-use crate::hollow::counts::DATAGRAM_HEADS;
+use crate::hollow::counts::DATAGRAM_HEADER_BYTES;
 
 /// Regions, as operators have them.
 const REGIONS: usize = 3;
@@ -95,7 +95,7 @@
 /// Bytes sent by all, with heads of datagrams.
 fn bytes(sim: &Simulation) -> f64 {
     let SentTotals { bytes, datagrams } = sim.sent();
-    (bytes + DATAGRAM_HEADS * datagrams) as f64
+    (bytes + DATAGRAM_HEADER_BYTES * datagrams) as f64
 }
 
 /// Whether one that runs holds another dead.
--- a/crates/testbed/tests/hollow_fleet.rs
+++ b/crates/testbed/tests/hollow_fleet.rs
@@ -5,14 +5,14 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pumicehead_testbed::hollow::counts::{KINDS, Received};
+use pumicehead_testbed::hollow::counts::{DATAGRAM_KINDS, Received};
 use pumicehead_testbed::hollow::mixed::MixedFleet;
 use pumicehead_testbed::program::{LIMIT, wait_for};
 
 const HOLLOW: usize = 20;
 /// Probes of the real node after which counts are compared.
 const PROBES: u64 = 12;
-/// Place of probes, and of their answers, in [`KINDS`].
+/// Place of probes, and of their answers, in [`DATAGRAM_KINDS`].
 const PING: usize = 1;
 const ACK: usize = 3;
 /// Shares of kinds differ by no more than this: rumours of a busy machine's stalls come on top of probes.
@@ -32,9 +32,9 @@
 fn hollow_nodes_are_members_as_a_real_process_is() {
     let fleet = MixedFleet::start(1, HOLLOW, 7).unwrap();
     assert_eq!(fleet.len(), HOLLOW + 1);
-    wait_for("one view", || fleet.is_settled());
+    wait_for("one view", || fleet.has_converged());
     let real = fleet.real()[0].name().to_owned();
-    let enough = || fleet.counted(&real).datagrams[PING] >= PROBES;
+    let enough = || fleet.received_so_far(&real).datagrams[PING] >= PROBES;
     let counted = fleet.count_until(LIMIT, enough);
     let from_real = counted[&real];
     assert!(from_real.datagrams[PING] >= PROBES, "{from_real:?}");
@@ -49,7 +49,7 @@
     }
     for kind in [PING, ACK] {
         let (real, hollow) = (share(&from_real, kind), share(&from_hollow, kind));
-        let name = KINDS[kind].1;
+        let name = DATAGRAM_KINDS[kind].1;
         assert!((real - hollow).abs() <= SHARE, "{name}: {real:.2} and {hollow:.2} of all datagrams");
     }
     let (real, hollow) = (bytes_each(&from_real), bytes_each(&from_hollow));
@@ -61,7 +61,7 @@
 #[test]
 fn a_killed_process_is_found_and_restarts_settle() {
     let mut fleet = MixedFleet::start(2, HOLLOW, 8).unwrap();
-    wait_for("one view", || fleet.is_settled());
+    wait_for("one view", || fleet.has_converged());
     let settled = fleet.restart_hollow(HOLLOW / 2, Duration::from_millis(200), LIMIT).unwrap();
     assert!(settled.after.is_some(), "{settled:?}");
     assert!(settled.sent.datagrams > 0 && settled.peak_node_bytes <= settled.peak_bytes, "{settled:?}");
@@ -69,5 +69,5 @@
     let detection = fleet.kill_real(LIMIT).expect("all hold it dead");
     assert!(detection.first <= detection.last && detection.last_real <= detection.last, "{detection:?}");
     assert!(!Path::new(&format!("/proc/{pid}")).exists(), "process {pid} is still there");
-    wait_for("one view without it", || fleet.is_settled());
+    wait_for("one view without it", || fleet.has_converged());
 }
