--- a/crates/testbed/src/hollow/counts.rs
+++ b/crates/testbed/src/hollow/counts.rs
@@ -1,4 +1,4 @@
-//! Counts the messages of members at their receivers, so that real processes and hollow nodes are counted alike.
+//! Counts membership messages at the receiver, so that those of real processes and of hollow nodes are counted the same way.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -8,7 +8,7 @@
 use pumicehead_membership::MemberId;
 use pumicehead_membership::wire::{DatagramKind, FrameKind};
 
-/// Kinds of datagrams that are counted, with their names.
+/// Kinds of datagrams, indexed as on the wire, with their names.
 pub const DATAGRAM_KINDS: [(DatagramKind, &str); 5] = [
     (DatagramKind::Gossip, "gossip"),
     (DatagramKind::Ping, "ping"),
@@ -18,12 +18,12 @@
 ];
 /// Bytes of the UDP and IPv4 headers of a datagram.
 pub const DATAGRAM_HEADER_BYTES: u64 = 28;
-/// Bytes of the length before a frame.
+/// Bytes of the length prefix of a frame.
 pub const FRAME_LENGTH_BYTES: u64 = 4;
-/// Steps of an exchange over a stream.
+/// Number of kinds of frames.
 const FRAME_KINDS: usize = FrameKind::Reject as usize + 1;
 
-/// The fields that datagrams and frames have in common.
+/// The fields that datagrams and frames share.
 #[derive(Clone, PartialEq, Message)]
 struct MessageHeader {
     #[prost(fixed64, tag = "4")]
@@ -37,22 +37,22 @@
 pub struct Received {
     /// Datagrams, in the order of [`DATAGRAM_KINDS`].
     pub datagrams: [u64; DATAGRAM_KINDS.len()],
-    /// Their bytes, without headers.
+    /// Bytes of datagrams, without UDP and IPv4 headers.
     pub datagram_bytes: u64,
     /// Frames of streams, by [`FrameKind`].
     pub frames: [u64; FRAME_KINDS],
-    /// Their bytes, without lengths.
+    /// Bytes of frames, without length prefixes.
     pub frame_bytes: u64,
 }
 
 impl Received {
-    /// Datagrams of all kinds.
+    /// Number of datagrams of all kinds.
     #[must_use]
     pub fn all_datagrams(&self) -> u64 {
         self.datagrams.iter().sum()
     }
 
-    /// Frames of all steps.
+    /// Number of frames of all kinds.
     #[must_use]
     pub fn all_frames(&self) -> u64 {
         self.frames.iter().sum()
@@ -67,13 +67,13 @@
 }
 
 impl ReceiveCounters {
-    /// Starts to count from zero.
+    /// Resets the counters and starts to count.
     pub fn start(&self) {
         self.lock().clear();
         self.on.store(true, Ordering::Relaxed);
     }
 
-    /// Stops, and returns the counts by the sender's id.
+    /// Stops counting and returns the counts by the sender's id.
     pub fn stop(&self) -> HashMap<u64, Received> {
         self.on.store(false, Ordering::Relaxed);
         std::mem::take(&mut *self.lock())
@@ -109,7 +109,7 @@
         if !self.on.load(Ordering::Relaxed) {
             return;
         }
-        // Bytes that are no message are not counted.
+        // Undecodable messages are not counted.
         let Ok(head) = MessageHeader::decode(bytes) else { return };
         let kind = usize::try_from(head.kind).unwrap_or(usize::MAX);
         add(self.lock().entry(head.from).or_default(), kind);
@@ -125,7 +125,7 @@
     MemberId::from_name(name).0
 }
 
-/// What one node has sent since its start.
+/// Counts what a node has sent since its start.
 #[derive(Debug, Default)]
 pub struct SendCounters {
     datagrams: AtomicU64,
@@ -141,7 +141,7 @@
     pub datagrams: u64,
     /// Frames over streams.
     pub frames: u64,
-    /// Bytes of both, with UDP and IPv4 headers and frame lengths, without TCP headers.
+    /// Bytes of datagrams and frames, with UDP and IPv4 headers and length prefixes, without TCP headers.
     pub bytes: u64,
 }
 
--- a/crates/testbed/src/hollow/event_loops.rs
+++ b/crates/testbed/src/hollow/event_loops.rs
@@ -1,4 +1,4 @@
-//! The threads that hollow nodes run on, each with a runtime of one thread, as the node has it.
+//! The threads that hollow nodes run on, each with a current-thread runtime, like the real node's.
 
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, mpsc};
@@ -11,26 +11,25 @@
 struct EventLoop {
     handle: Handle,
     end: Arc<Notify>,
-    /// Where the system tells of its thread.
+    /// Folder of its thread under `/proc`.
     thread_folder: PathBuf,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Some loops. When they are dropped, all that runs on them ends.
+/// A set of event loops. Dropping it ends all tasks that run on them.
 pub(super) struct EventLoops(Vec<EventLoop>);
 
 impl EventLoops {
-    /// Starts this many event loops.
     pub fn start(count: usize) -> io::Result<Self> {
         (0..count).map(|_| EventLoop::start()).collect::<io::Result<_>>().map(Self)
     }
 
-    /// Processor time that all of them have used, in seconds; 0 where the system does not tell.
+    /// Processor time of all loops, in seconds; 0 where `/proc` does not have it.
     pub fn cpu_seconds(&self) -> f64 {
         self.0.iter().map(|event_loop| thread_cpu_seconds(&event_loop.thread_folder)).sum()
     }
 
-    /// The one that the node of a number runs on.
+    /// The runtime of the node with this number; nodes are assigned round-robin.
     pub fn handle(&self, number: usize) -> &Handle {
         &self.0[number % self.0.len()].handle
     }
@@ -51,7 +50,7 @@
     }
 }
 
-/// Processor time that a thread has used, by its folder under `/proc`, in seconds.
+/// Processor time of a thread, given by its folder under `/proc`, in seconds.
 pub(super) fn thread_cpu_seconds(folder: &Path) -> f64 {
     let schedule = fs::read_to_string(folder.join("schedstat")).unwrap_or_default();
     schedule.split(' ').next().and_then(|nanos| nanos.parse::<f64>().ok()).unwrap_or_default() / 1e9
--- a/crates/testbed/src/hollow/mixed.rs
+++ b/crates/testbed/src/hollow/mixed.rs
@@ -17,52 +17,52 @@
 
 /// The fleet's name.
 const FLEET: &str = "hollow";
-/// The zone of all nodes; zones have no effect on what the machine sends.
+/// The zone of all nodes; zones have no effect on the messages of the state machine.
 const ZONE: &str = "a";
 /// Threads that all hollow nodes share.
 const THREADS: usize = 2;
 /// Interval at which the state of the hollow nodes is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Hollow nodes that serve as seeds, beside the first real one.
+/// Hollow nodes that serve as seeds, in addition to the first real one.
 const HOLLOW_SEEDS: usize = 2;
 
-/// When the others held a killed node dead.
+/// When the other nodes considered a killed node dead, measured from the kill.
 #[derive(Clone, Copy, Debug)]
 pub struct Detection {
-    /// The first, after the kill.
+    /// The first node.
     pub first: Duration,
-    /// The last of them.
+    /// The last node.
     pub last: Duration,
-    /// The last of the real processes.
+    /// The last real process.
     pub last_real: Duration,
 }
 
-/// A killed node that not all others held dead in time.
+/// A killed node that not all others considered dead within the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("not all hold it dead: {hollow} of the hollow and {real} of the real nodes do")]
+#[error("killed node not detected by all: only {hollow} hollow and {real} real nodes consider it dead")]
 pub struct NotDetected {
-    /// Hollow nodes that did.
+    /// Hollow nodes that considered it dead.
     pub hollow: usize,
-    /// Real nodes that did.
+    /// Real nodes that considered it dead.
     pub real: usize,
 }
 
-/// What happened while the member tables converged.
+/// Time and traffic until the member tables converged.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Convergence {
-    /// Time until all were equal; `None` beyond the limit.
+    /// Time until all tables were equal; `None` where the limit was exceeded.
     pub after: Option<Duration>,
-    /// What the hollow nodes sent meanwhile.
+    /// What the hollow nodes sent in that time.
     pub sent: SentCounts,
-    /// The most bytes that all hollow nodes sent in a second.
+    /// The most bytes that all hollow nodes together sent in a second.
     pub peak_bytes: u64,
-    /// The most bytes that any one of them sent in a second.
+    /// The most bytes that any hollow node sent in a second.
     pub peak_node_bytes: u64,
 }
 
-/// A fleet; all of it ends when it is dropped.
+/// A fleet; all nodes are stopped on drop.
 pub struct MixedFleet {
-    /// Dropped first: the real nodes' ends need no hollow ones.
+    /// Dropped first, which does not depend on the hollow nodes.
     real: Vec<RealNode>,
     hollow: Vec<Arc<HollowNode>>,
     loops: EventLoops,
@@ -85,7 +85,7 @@
     /// Starts a fleet of `real` and `hollow` nodes, at least one of each.
     ///
     /// # Errors
-    /// Processes or sockets that can't be had.
+    /// Processes or sockets that can't be created.
     pub fn start(real: usize, hollow: usize, seed: u64) -> io::Result<Self> {
         let loops = EventLoops::start(THREADS)?;
         let first = RealNode::start(&real_name(0), FLEET, ZONE, &[])?;
@@ -110,7 +110,7 @@
     /// Starts more real nodes, one after another.
     ///
     /// # Errors
-    /// One that does not come up.
+    /// A node that fails to start.
     pub fn add_real(&mut self, more: usize) -> io::Result<()> {
         for _ in 0..more {
             let name = real_name(self.real.len());
@@ -169,7 +169,7 @@
         self.len() == 0
     }
 
-    /// What all hollow nodes have sent.
+    /// Messages and bytes sent by all hollow nodes so far.
     #[must_use]
     pub fn sent(&self) -> SentCounts {
         let mut all = SentCounts::default();
@@ -177,32 +177,32 @@
         all
     }
 
-    /// Processor time that the hollow nodes have used, in seconds.
+    /// Processor time of the hollow nodes' event loops, in seconds.
     #[must_use]
     pub fn hollow_cpu_seconds(&self) -> f64 {
         self.loops.cpu_seconds()
     }
 
-    /// Memory that the views of the hollow nodes take, counted, in bytes.
+    /// Bytes allocated for the member tables of all hollow nodes, as the tables count them.
     #[must_use]
     pub fn hollow_table_bytes(&self) -> usize {
         self.hollow.iter().map(|node| node.table_bytes()).sum()
     }
 
-    /// Event loop stalls that hollow nodes detected.
+    /// Number of event loop stalls that the hollow nodes have detected.
     #[must_use]
     pub fn stalls(&self) -> u64 {
         self.hollow.iter().map(|node| node.stalls()).sum()
     }
 
-    /// The view that all hollow nodes share, where it is one and holds all nodes to be there.
+    /// The common fingerprint of the hollow nodes' tables, where all are equal and have every node of the fleet active.
     fn hollow_view(&self) -> Option<u64> {
         let mut views = self.hollow.iter().map(|node| node.view());
         let first = views.next()?;
         (first.1 == self.len() && views.all(|view| view == first)).then_some(first.0)
     }
 
-    /// Whether all nodes, the real ones among them, hold the same view with all nodes in it.
+    /// Whether the tables of all hollow and real nodes are equal and have every node of the fleet active.
     #[must_use]
     pub fn has_converged(&self) -> bool {
         let Some(fingerprint) = self.hollow_view() else { return false };
@@ -212,7 +212,7 @@
         })
     }
 
-    /// Waits until all tables are equal, and counts what is sent meanwhile.
+    /// Waits until [`Self::has_converged`], and counts what hollow nodes send in that time.
     #[must_use]
     pub fn wait_until_converged(&self, limit: Duration) -> Convergence {
         let mut settled = Convergence::default();
@@ -220,7 +220,7 @@
         settled
     }
 
-    /// Like [`Self::wait_until_converged`] with an earlier start time, adding to what was counted since.
+    /// Like [`Self::wait_until_converged`] from an earlier start time; adds to what has been counted since then.
     fn wait_until_converged_since(&self, start: Instant, limit: Duration, settled: &mut Convergence) {
         let mut second = SecondCounts::begin(self);
         while start.elapsed() < limit {
@@ -237,7 +237,7 @@
         second.end(settled);
     }
 
-    /// Waits until no hollow node has updates to gossip. Returns how long that took; `None` beyond the limit.
+    /// Waits until no hollow node has updates to gossip. Returns the time that took; `None` where the limit was exceeded.
     #[must_use]
     pub fn wait_for_broadcasts(&self, limit: Duration) -> Option<Duration> {
         let start = Instant::now();
@@ -250,14 +250,14 @@
         Some(start.elapsed())
     }
 
-    /// Counts what each node sends over a span, at the hollow nodes that receive it, by name.
+    /// Counts for a span what the hollow nodes receive from each node, by the sender's name.
     #[must_use]
     pub fn count_received(&self, span: Duration) -> HashMap<String, Received> {
         let start = Instant::now();
         self.count_until(span, || start.elapsed() >= span)
     }
 
-    /// Counts the same until something holds, or the limit is reached.
+    /// Like [`Self::count_received`], until a condition holds or the limit is reached.
     #[must_use]
     pub fn count_until(&self, limit: Duration, mut holds: impl FnMut() -> bool) -> HashMap<String, Received> {
         let start = Instant::now();
@@ -275,13 +275,13 @@
         names.map(of).collect()
     }
 
-    /// What has been counted of a node until now.
+    /// What the hollow nodes have received from a node since counting started.
     #[must_use]
     pub fn received_so_far(&self, name: &str) -> Received {
         self.peers.received_from(name)
     }
 
-    /// Kills the last real node, and waits until all others hold it dead.
+    /// Kills the last real node, and waits until all others consider it dead.
     ///
     /// # Errors
     /// [`NotDetected`] where some do not within the limit.
@@ -315,11 +315,11 @@
         }
     }
 
-    /// Restarts `many` hollow nodes at once, without the seeds: each announces that it leaves, and starts under the same name
+    /// Restarts `many` hollow nodes at once, none of them a seed: each announces that it leaves, and starts under the same name
     /// after a pause. Waits until all tables are equal again.
     ///
     /// # Errors
-    /// Sockets that can't be had.
+    /// Sockets that can't be created.
     pub fn restart_hollow(
         &mut self,
         many: usize,
@@ -343,7 +343,7 @@
     }
 }
 
-/// What is sent in a second, by node.
+/// Counts what each hollow node sends in a second.
 struct SecondCounts {
     began: Instant,
     nodes: Vec<(Arc<HollowNode>, SentCounts)>,
@@ -356,7 +356,7 @@
     }
 
     fn end(&self, settled: &mut Convergence) {
-        // Bytes of a shorter span are not extrapolated.
+        // Counts of a span under a second are not extrapolated to a second.
         let span = self.began.elapsed().as_secs_f64().max(1.0);
         let mut all = SentCounts::default();
         let mut most = 0;
--- a/crates/testbed/src/hollow/node.rs
+++ b/crates/testbed/src/hollow/node.rs
@@ -1,4 +1,4 @@
-//! One hollow node: sockets and time for a membership machine.
+//! A hollow node: drives a membership state machine with sockets and a clock.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,12 +17,12 @@
 use super::counts::{ReceiveCounters, SendCounters, SentCounts};
 use super::stream;
 
-/// How often the number of nodes that share a server is computed, as the real node does.
+/// Interval at which the number of nodes that share a server is computed, like the real node's.
 const NODE_COUNT_INTERVAL: Nanos = SECOND;
-/// Ports that are tried until one is free for datagrams and streams alike.
+/// Attempts to find a port that is free for both UDP and TCP.
 const PORT_TRIES: usize = 32;
 
-/// The time since 1970, which never jumps; one for all hollow nodes of a process.
+/// Nanoseconds since the Unix epoch, advanced by the monotonic clock. All hollow nodes of a process share one.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -30,27 +30,27 @@
 }
 
 impl Clock {
-    /// Reads the machine's clock.
+    /// Starts at the current time of the system clock.
     #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { start: Instant::now(), start_unix: unix.as_nanos() as Nanos }
     }
 
-    /// The time now.
+    /// The current time.
     #[must_use]
     pub fn now(&self) -> Nanos {
         self.start_unix + self.start.elapsed().as_nanos() as Nanos
     }
 
-    /// The instant of a time; a far one is brought within the runtime's bounds.
+    /// Converts a time to an instant; times in the far future are clamped to the range of the runtime.
     fn instant(&self, at: Nanos) -> Instant {
         let span = at.saturating_sub(self.start_unix).min(u64::from(u32::MAX) * SECOND);
         self.start + Duration::from_nanos(span)
     }
 }
 
-/// What a hollow node is started with.
+/// Configuration of a hollow node.
 #[derive(Clone, Debug)]
 pub struct HollowNodeConfig {
     /// Its name.
@@ -61,11 +61,11 @@
     pub zone: String,
     /// Addresses of the seeds.
     pub seeds: Vec<SocketAddr>,
-    /// For its random numbers.
+    /// Seed of its random numbers.
     pub seed: u64,
     /// Its clock.
     pub clock: Clock,
-    /// Where its peers' messages are counted.
+    /// Counts the messages that it receives, by sender.
     pub peers: Arc<ReceiveCounters>,
 }
 
@@ -76,12 +76,12 @@
     clock: Clock,
     member: Mutex<Membership>,
     datagrams: UdpSocket,
-    /// The machine was handed something outside of the node's own loop.
+    /// Wakes the node's loop after another task has passed an event to the state machine.
     pub(super) wake_up: Notify,
     pub(super) open_streams: AtomicUsize,
     pub(super) traffic: SendCounters,
     pub(super) peers: Arc<ReceiveCounters>,
-    /// Stalls of the event loop that the machine detected.
+    /// Stalls of the event loop that the state machine detected.
     stalls: AtomicU64,
     tasks: Mutex<JoinSet<()>>,
 }
@@ -91,10 +91,10 @@
 }
 
 impl HollowNode {
-    /// Binds on loopback and starts to join by the seeds. Must be called within a runtime.
+    /// Binds on loopback and starts to join through the seeds. Must be called within a runtime.
     ///
     /// # Errors
-    /// No port, or a setup that the machine does not take.
+    /// No free port, or a configuration that the state machine rejects.
     pub async fn start(setup: HollowNodeConfig) -> io::Result<Arc<Self>> {
         let (listener, datagrams) = bind().await?;
         let address = listener.local_addr()?;
@@ -141,25 +141,25 @@
         &self.name
     }
 
-    /// Where it is reached.
+    /// Its membership address.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it has sent until now.
+    /// Messages and bytes sent so far.
     #[must_use]
     pub fn sent(&self) -> SentCounts {
         self.traffic.sent()
     }
 
-    /// Stalls of the event loop that it detected.
+    /// Number of event loop stalls that it has detected.
     #[must_use]
     pub fn stalls(&self) -> u64 {
         self.stalls.load(Ordering::Relaxed)
     }
 
-    /// The fingerprint of its view, and how many members it holds to be there.
+    /// The fingerprint of its member table, and the number of active members in it.
     #[must_use]
     pub fn view(&self) -> (u64, usize) {
         let member = self.member();
@@ -172,16 +172,16 @@
         self.member().has_pending_broadcasts()
     }
 
-    /// Memory that its view takes, counted, in bytes.
+    /// Bytes allocated for its member table, as the table counts them.
     #[must_use]
     pub fn table_bytes(&self) -> usize {
         self.member().table().allocated_bytes()
     }
 
-    /// What it holds another member for.
+    /// The state of another member in its table.
     #[must_use]
     pub fn state_of(&self, name: &str) -> Option<MemberState> {
-        self.member().table().get(MemberId::from_name(name)).map(|held| held.state)
+        self.member().table().get(MemberId::from_name(name)).map(|entry| entry.state)
     }
 
     /// Stops it as a crash does, without a message.
@@ -189,7 +189,7 @@
         lock(&self.tasks).abort_all();
     }
 
-    /// Stops it in order: it announces to some members that it leaves.
+    /// Stops it gracefully: it first sends its leave announcement to some members.
     pub fn leave(&self) {
         self.member().leave(self.clock.now());
         let outputs: Vec<_> = self.member().take_outputs().collect();
@@ -212,7 +212,7 @@
     /// Runs a task that ends with the node.
     pub(super) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let mut tasks = lock(&self.tasks);
-        // Ended ones are let go, or a long life would gather them.
+        // Completed tasks are removed from the set, which would otherwise grow for as long as the node runs.
         while tasks.try_join_next().is_some() {}
         tasks.spawn(task);
     }
@@ -230,7 +230,7 @@
             let next = self.member().next_timer().min(node_count_at);
             tokio::select! {
                 received = self.datagrams.recv_from(&mut bytes) => {
-                    // The error of an earlier datagram that was refused; its missing ack has the same effect.
+                    // An error stems from an earlier datagram that was refused; the missing ack of that datagram has the same effect.
                     if let Ok((count, from)) = received {
                         self.peers.datagram(&bytes[..count]);
                         self.member().on_datagram(self.now(), from, &bytes[..count]);
@@ -266,20 +266,20 @@
     }
 
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
-        // A full buffer loses a datagram, as any link may.
+        // A datagram that does not fit the socket buffer is dropped, like one lost by the network.
         if self.datagrams.try_send_to(bytes, to).is_ok() {
             self.traffic.datagram(bytes.len());
         }
     }
 }
 
-/// Binds one port for streams and datagrams.
+/// Binds the same port for TCP and UDP.
 async fn bind() -> io::Result<(TcpListener, UdpSocket)> {
     for _ in 0..PORT_TRIES {
         let streams = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         match UdpSocket::bind(streams.local_addr()?).await {
             Ok(datagrams) => return Ok((streams, datagrams)),
-            // Another program has this one for datagrams.
+            // The UDP port of this number is in use by another socket.
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => {}
             Err(error) => return Err(error),
         }
--- a/crates/testbed/src/hollow/process.rs
+++ b/crates/testbed/src/hollow/process.rs
@@ -1,5 +1,5 @@
-//! Real nodes as processes. Each runs under a shell that waits on a pipe of this process: when the pipe closes, also because
-//! this process was killed, the shell kills the node and ends.
+//! Real nodes as child processes. Each runs under a shell that waits on a pipe from this process: when the pipe closes, also
+//! because this process was killed, the shell kills the node and exits.
 
 use std::fs;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -17,37 +17,37 @@
 use super::event_loops::thread_cpu_seconds;
 use crate::program::{LIMIT, built, memory, temporary};
 
-/// Starts the node, prints its process id, and ends the node and removes its file at the end of standard input.
+/// Starts the node and prints its process id; at the end of standard input, kills the node and removes its configuration file.
 const GUARD: &str =
     r#""$0" run "$1" </dev/null & echo $!; read _; kill -KILL $! 2>/dev/null; wait; rm -f "$1""#;
-/// Between two looks at a log.
+/// Interval at which the log is polled for an address.
 const LOG_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Longest wait for an answer to staff.
+/// Read timeout of the answer to an admin command.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A real node without traffic; killed when dropped.
+/// A real node without traffic; it is killed on drop.
 pub struct RealNode {
     name: String,
     guard: Child,
     pid: u32,
     file: PathBuf,
     log: Arc<Mutex<Vec<String>>>,
-    /// Where other members reach it.
+    /// Its membership address.
     pub address: SocketAddr,
     admin_address: SocketAddr,
 }
 
-/// A node's answer to staff about its view.
+/// A node's answer to the admin command `FLEET members`.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct MemberView {
-    /// Of the whole view, in hexadecimal.
+    /// Fingerprint of the whole member table, in hexadecimal.
     pub fingerprint: String,
-    /// Members that are there.
+    /// Number of active members.
     #[serde(rename = "there")]
     pub active_members: usize,
 }
 
-/// What a node holds a member for.
+/// A node's answer to the admin command `FLEET why`, as far as it is needed.
 #[derive(Deserialize)]
 struct MemberEntry {
     state: String,
@@ -56,7 +56,7 @@
 fn text(name: &str, fleet: &str, zone: &str, seeds: &[SocketAddr]) -> String {
     let seeds: String = seeds.iter().map(|seed| format!(" {seed}")).collect();
     let seeds = if seeds.is_empty() { seeds } else { format!("seeds{seeds}") };
-    // No request comes, so nothing is ever sent to the server.
+    // The server address is never used, as the node receives no requests.
     format!(
         "node {{ name {name}; zones {zone}; zone {zone} }}\n\
          listener public {{ address 127.0.0.1:0 }}\n\
@@ -69,16 +69,16 @@
 }
 
 impl RealNode {
-    /// Starts one, and waits until it listens.
+    /// Starts a node and waits until its listeners are open.
     ///
     /// # Errors
-    /// A program that is not built, or a node that does not come up.
+    /// A program that is not built, or a node that fails to start.
     pub fn start(name: &str, fleet: &str, zone: &str, seeds: &[SocketAddr]) -> io::Result<Self> {
         let file = temporary(".conf");
         fs::write(&file, text(name, fleet, zone, seeds))?;
         let mut command = Command::new("/bin/sh");
         command.args(["-c", GUARD]).arg(built("pumicehead")?).arg(&file).env_remove("EDGE_CONFIG");
-        // A group of its own: what interrupts this process from a terminal leaves the guard to do its work.
+        // A separate process group: an interrupt from the terminal must not reach the guard, which still has to clean up.
         command.process_group(0).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
         let mut guard = command.spawn()?;
         let output = guard.stdout.take().ok_or(io::ErrorKind::BrokenPipe)?;
@@ -105,13 +105,16 @@
         let start = Instant::now();
         while start.elapsed() < LIMIT {
             let log = self.log.lock().unwrap_or_else(PoisonError::into_inner).clone();
-            let told = log.iter().find_map(|line| line.split_once(words)?.1.trim().parse().ok());
-            if let Some(address) = told {
+            let logged = log.iter().find_map(|line| line.split_once(words)?.1.trim().parse().ok());
+            if let Some(address) = logged {
                 return Ok(address);
             }
             thread::sleep(LOG_POLL_INTERVAL);
         }
-        Err(io::Error::new(io::ErrorKind::TimedOut, format!("{} does not start", self.name)))
+        Err(io::Error::new(
+            io::ErrorKind::TimedOut,
+            format!("{} has not logged `{}` within {LIMIT:?}", self.name, words.trim()),
+        ))
     }
 
     /// Its name.
@@ -123,15 +126,15 @@
     /// Its member table, from the admin listener.
     ///
     /// # Errors
-    /// No answer, or one that is no view.
+    /// No answer, or a malformed one.
     pub fn view(&self) -> io::Result<MemberView> {
         Ok(serde_json::from_str(&self.admin_command("FLEET members")?)?)
     }
 
-    /// Whether it holds a member dead, from the admin listener: the log is rate-limited, and too late for this.
+    /// Whether it considers a member dead, from the admin listener: the log is rate-limited, so its lines may be late or missing.
     ///
     /// # Errors
-    /// No answer, or one that is about no member.
+    /// No answer, or one for an unknown member.
     pub fn considers_dead(&self, name: &str) -> io::Result<bool> {
         let entry: MemberEntry = serde_json::from_str(&self.admin_command(&format!("FLEET why {name}"))?)?;
         Ok(entry.state == MemberState::Dead.as_str())
@@ -146,13 +149,13 @@
         Ok(text)
     }
 
-    /// Its process.
+    /// Process id of the node, not of its guard.
     #[must_use]
     pub fn pid(&self) -> u32 {
         self.pid
     }
 
-    /// Memory that it holds now, in bytes.
+    /// Resident memory, in bytes.
     #[must_use]
     pub fn memory(&self) -> u64 {
         memory(self.pid)
@@ -164,7 +167,7 @@
         all_threads_cpu_seconds(self.pid)
     }
 
-    /// Kills it, without a word to the others.
+    /// Kills the node without a leave message to other members, and waits for its guard to exit.
     pub fn kill(&mut self) {
         drop(self.guard.stdin.take());
         let _ = self.guard.wait();
@@ -178,7 +181,7 @@
     }
 }
 
-/// Processor time that the living threads of a process have used, in seconds; 0 where the system does not tell.
+/// Processor time of all current threads of a process, in seconds; 0 where `/proc` does not have it.
 fn all_threads_cpu_seconds(pid: u32) -> f64 {
     let Ok(threads) = fs::read_dir(format!("/proc/{pid}/task")) else { return 0.0 };
     threads.filter_map(Result::ok).map(|thread| thread_cpu_seconds(&thread.path())).sum()
--- a/crates/testbed/src/hollow/stream.rs
+++ b/crates/testbed/src/hollow/stream.rs
@@ -1,4 +1,4 @@
-//! A hollow node's streams: frames with their length before them, bounded in number and time as the real node's are.
+//! A hollow node's streams: length-prefixed frames, with the same limits on number and time as the real node's.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,15 +15,15 @@
 
 use super::node::HollowNode;
 
-/// Streams from others at once; more wait.
+/// Limit of concurrent streams from other members; further ones wait to be accepted.
 const MAX_ACCEPTED_STREAMS: usize = 8;
-/// Streams to others at once; more are not opened.
+/// Limit of concurrent streams to other members; further ones are not opened.
 const MAX_OPENED_STREAMS: usize = 16;
-/// Longest that a comparison of views takes.
+/// Timeout of a push-pull exchange, and of serving an accepted stream.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest wait for the answer to a check.
+/// Timeout of the reply to a stream probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
-/// Pause after an accept that failed for lack of descriptors.
+/// Pause after a failed accept, such as for lack of descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 async fn read(node: &HollowNode, stream: &mut TcpStream) -> io::Result<Option<Vec<u8>>> {
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// Takes streams for as long as the node lives.
+/// Accepts and serves streams for as long as the node runs.
 pub(super) async fn accept(node: Arc<HollowNode>, listener: TcpListener) {
     let permits = Arc::new(Semaphore::new(MAX_ACCEPTED_STREAMS));
     loop {
@@ -61,7 +61,7 @@
         };
         let server = node.clone();
         node.spawn(async move {
-            // A stream that fails is an exchange that did not take place.
+            // Errors are ignored: a failed stream is an exchange that did not take place.
             let _ = timeout(EXCHANGE_TIMEOUT, serve(&server, stream, from)).await;
             drop(permit);
         });
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-/// A permit for a stream of the node's own, until it is dropped.
+/// A permit for a stream that the node opens; dropping it releases the permit.
 struct OpenedStream(Arc<HollowNode>);
 
 impl OpenedStream {
@@ -99,7 +99,7 @@
     }
 }
 
-/// Asks a member over a stream whether it is there.
+/// Probes a member over a stream and reports the outcome to the state machine.
 pub(super) async fn probe(node: Arc<HollowNode>, seq: SequenceNumber, to: SocketAddr, frame: Vec<u8>) {
     let Some(_permit) = OpenedStream::new(&node) else { return };
     let probed = timeout(2 * PROBE_TIMEOUT, exchange_probe(&node, to, &frame));
@@ -124,16 +124,16 @@
             node.member().on_stream_reply(node.now(), to, &bytes);
             StreamProbeOutcome::Answered
         }
-        // Closed without an answer: nothing behind this address takes connections.
+        // Closed without a reply: no membership listener accepts connections at this address.
         Ok(Ok(None) | Err(_)) => StreamProbeOutcome::Refused,
         Err(_) => StreamProbeOutcome::NoResponse,
     }
 }
 
-/// Compares views with a member.
+/// Runs a push-pull exchange of member tables with a member.
 pub(super) async fn push_pull(node: Arc<HollowNode>, to: SocketAddr, frame: Vec<u8>) {
     let Some(_permit) = OpenedStream::new(&node) else { return };
-    // One that fails is tried again with another member.
+    // A failed exchange is not retried here; the state machine starts the next one with another member.
     let _ = timeout(EXCHANGE_TIMEOUT, exchange_push_pull(&node, to, frame)).await;
 }
 
--- a/crates/testbed/tests/hollow_fleet.rs
+++ b/crates/testbed/tests/hollow_fleet.rs
@@ -32,7 +32,7 @@
 fn hollow_nodes_are_members_as_a_real_process_is() {
     let fleet = MixedFleet::start(1, HOLLOW, 7).unwrap();
     assert_eq!(fleet.len(), HOLLOW + 1);
-    wait_for("one view", || fleet.has_converged());
+    wait_for("equal member tables", || fleet.has_converged());
     let real = fleet.real()[0].name().to_owned();
     let enough = || fleet.received_so_far(&real).datagrams[PING] >= PROBES;
     let counted = fleet.count_until(LIMIT, enough);
@@ -61,7 +61,7 @@
 #[test]
 fn a_killed_process_is_found_and_restarts_settle() {
     let mut fleet = MixedFleet::start(2, HOLLOW, 8).unwrap();
-    wait_for("one view", || fleet.has_converged());
+    wait_for("equal member tables", || fleet.has_converged());
     let settled = fleet.restart_hollow(HOLLOW / 2, Duration::from_millis(200), LIMIT).unwrap();
     assert!(settled.after.is_some(), "{settled:?}");
     assert!(settled.sent.datagrams > 0 && settled.peak_node_bytes <= settled.peak_bytes, "{settled:?}");
@@ -69,5 +69,5 @@
     let detection = fleet.kill_real(LIMIT).expect("all hold it dead");
     assert!(detection.first <= detection.last && detection.last_real <= detection.last, "{detection:?}");
     assert!(!Path::new(&format!("/proc/{pid}")).exists(), "process {pid} is still there");
-    wait_for("one view without it", || fleet.has_converged());
+    wait_for("equal member tables without the killed process", || fleet.has_converged());
 }
