--- a/crates/node/tests/capacity.rs
+++ b/crates/node/tests/capacity.rs
@@ -11,13 +11,13 @@
 use pumicehead_testbed::measure::capacity::sample::sample_all;
 use pumicehead_testbed::measure::capacity::size::Size;
 use pumicehead_testbed::program::{built, temporary};
-use pumicehead_testbed::standin::{StandIn, Work};
+use pumicehead_testbed::standin::{ServiceModel, StandIn};
 
 const SIZE: Size = Size { backends: 4, pools: 2, routes: 20, tenants: 10 };
 
 fn backends() -> Vec<StandIn> {
     let local = "127.0.0.1:0".parse().unwrap();
-    (0..SIZE.backends).map(|_| StandIn::start(local, Work::default()).unwrap()).collect()
+    (0..SIZE.backends).map(|_| StandIn::start(local, ServiceModel::default()).unwrap()).collect()
 }
 
 fn addresses(backends: &[StandIn]) -> Vec<SocketAddr> {
--- a/crates/node/tests/client_disconnect.rs
+++ b/crates/node/tests/client_disconnect.rs
@@ -74,11 +74,13 @@
         let (backend, discovery) = (Backend::start(|_| ok("done")), Discovery::start());
         let node = Setup { discovery: discovery.address, replacements: changes, ..Setup::of(&[]) }.start();
         let (_, watch) = discovery.next();
-        let clients: Vec<_> =
-            (0..BURST).flat_map(|_| Disconnect::ALL).map(|way| way.ask(node.address, "submit")).collect();
-        await_turn(&node);
-        let disconnected: Vec<_> = clients.into_iter().map(DisconnectingClient::leave).collect();
-        await_turn(&node);
+        let clients: Vec<_> = (0..BURST)
+            .flat_map(|_| Disconnect::ALL)
+            .map(|way| way.send_requests(node.address, "submit"))
+            .collect();
+        wait_until_input_processed(&node);
+        let disconnected: Vec<_> = clients.into_iter().map(DisconnectingClient::disconnect).collect();
+        wait_until_input_processed(&node);
         watch.send(list(2, true, &[host("s-0", backend.address, "active")])).unwrap();
         send_probe_requests(&node);
         assert_none_received(&disconnected, &ids_at(&backend), describe(changes));
@@ -103,14 +105,16 @@
                 client
             })
             .collect();
-        await_turn(&node);
+        wait_until_input_processed(&node);
         let in_flight = backend.count();
         assert!(in_flight < staying.len(), "all requests are in flight, none is queued");
-        let clients: Vec<_> =
-            (0..BURST).flat_map(|_| Disconnect::ALL).map(|way| way.ask(node.address, "submit")).collect();
-        await_turn(&node);
-        let disconnected: Vec<_> = clients.into_iter().map(DisconnectingClient::leave).collect();
-        await_turn(&node);
+        let clients: Vec<_> = (0..BURST)
+            .flat_map(|_| Disconnect::ALL)
+            .map(|way| way.send_requests(node.address, "submit"))
+            .collect();
+        wait_until_input_processed(&node);
+        let disconnected: Vec<_> = clients.into_iter().map(DisconnectingClient::disconnect).collect();
+        wait_until_input_processed(&node);
         barrier.open();
         for mut client in staying {
             assert_eq!(client.read().expect("a response").status(), 200);
@@ -128,13 +132,13 @@
         let address = endpoint.listener.local_addr().unwrap();
         let known = list(1, true, &[host("s-0", address, "active")]);
         let mut node = Setup { endpoint_list: known, replacements: changes, ..Setup::of(&[]) }.start();
-        let clients = Disconnect::WHOLE.map(|way| way.ask(node.address, "submit"));
+        let clients = Disconnect::WITH_COMPLETE_REQUEST.map(|way| way.send_requests(node.address, "submit"));
         let mut staying = node.connect();
         let marker = request("submit", "marker");
         staying.write(&marker);
-        await_turn(&node);
-        let disconnected = clients.map(DisconnectingClient::leave);
-        await_turn(&node);
+        wait_until_input_processed(&node);
+        let disconnected = clients.map(DisconnectingClient::disconnect);
+        wait_until_input_processed(&node);
         let received = endpoint.accept_connections();
         assert_eq!(staying.read().expect("a response").body, b"done");
         // Attempts that are still connecting have their connection before the node exits.
@@ -209,8 +213,8 @@
     staying.write(&request(class, body_of(class)));
     wait_for("the first attempt of the client that stays", || failing.backend.count() > before);
     let ways = [Disconnect::Pipelined, Disconnect::Fin, Disconnect::Reset, Disconnect::HalfClose];
-    let leaving = ways.map(|way| way.ask(node.address, class));
-    await_turn(node);
+    let leaving = ways.map(|way| way.send_requests(node.address, class));
+    wait_until_input_processed(node);
     let attempted = ids_at(&failing.backend);
     let leaving: Vec<_> = leaving.into_iter().filter(|client| attempted.contains(&client.ids[0])).collect();
     (!leaving.is_empty()).then_some((staying, leaving))
@@ -249,8 +253,8 @@
         let (mut staying, leaving) = start_held_requests(&node, &failing, class)?;
         let added = [host("s-1", other.address, "active"), host("s-0", failing.backend.address, "leaving")];
         let _watch = update_endpoints(&discovery, watch, 2, &added);
-        let disconnected: Vec<_> = leaving.into_iter().map(DisconnectingClient::leave).collect();
-        await_turn(&node);
+        let disconnected: Vec<_> = leaving.into_iter().map(DisconnectingClient::disconnect).collect();
+        wait_until_input_processed(&node);
         failing.barrier.open();
         assert_eq!(staying.read().expect("a response").status(), 200, "{class}, {}", describe(changes));
         send_probe_requests(&node);
@@ -277,9 +281,9 @@
         let closed = failing.backend.closed();
         failing.barrier.open();
         wait_for("the end of all first attempts", || failing.backend.closed() > closed + leaving.len());
-        await_turn(&node);
-        let disconnected: Vec<_> = leaving.into_iter().map(DisconnectingClient::leave).collect();
-        await_turn(&node);
+        wait_until_input_processed(&node);
+        let disconnected: Vec<_> = leaving.into_iter().map(DisconnectingClient::disconnect).collect();
+        wait_until_input_processed(&node);
         watch.send(list(3, false, &[host("s-1", other.address, "active")])).unwrap();
         assert_eq!(staying.read().expect("a response").status(), 200, "{class}, {}", describe(changes));
         send_probe_requests(&node);
@@ -301,8 +305,8 @@
         let node = setup.start();
         let (_, watch) = discovery.next();
         let (mut staying, leaving) = start_held_requests(&node, &failing, "read")?;
-        let disconnected: Vec<_> = leaving.into_iter().map(DisconnectingClient::leave).collect();
-        await_turn(&node);
+        let disconnected: Vec<_> = leaving.into_iter().map(DisconnectingClient::disconnect).collect();
+        wait_until_input_processed(&node);
         watch.send(list(2, false, &[host("s-1", other.address, "active")])).unwrap();
         // The client that stays is answered by its hedge while its first attempt is still in flight.
         assert_eq!(staying.read().expect("a response").body, b"hedge", "{}", describe(changes));
--- a/crates/node/tests/event_races.rs
+++ b/crates/node/tests/event_races.rs
@@ -35,8 +35,10 @@
         let node = setup.start();
         let (_, lines) = discovery.next();
         // No endpoint is known: all requests are queued.
-        let clients: Vec<_> =
-            (0..10).flat_map(|_| Disconnect::ALL).map(|way| way.ask(node.address, "submit")).collect();
+        let clients: Vec<_> = (0..10)
+            .flat_map(|_| Disconnect::ALL)
+            .map(|way| way.send_requests(node.address, "submit"))
+            .collect();
         let mut staying = node.connect();
         let marker = request("submit", "marker");
         staying.write(&marker);
@@ -45,7 +47,7 @@
             thread::sleep(Duration::from_millis(100));
             node.terminate();
         }
-        let disconnected: Vec<_> = clients.into_iter().map(|client| client.leave()).collect();
+        let disconnected: Vec<_> = clients.into_iter().map(|client| client.disconnect()).collect();
         // From then on no request of these clients may be sent.
         thread::sleep(Duration::from_millis(300));
         lines.send(list(2, true, &[host("s-0", backend.address, "active")])).unwrap();
@@ -80,13 +82,13 @@
         };
         let mut node = setup.start();
         let ways = [Disconnect::Fin, Disconnect::HalfClose, Disconnect::Pipelined];
-        let clients = ways.map(|way| way.ask(node.address, "submit"));
+        let clients = ways.map(|way| way.send_requests(node.address, "submit"));
         let mut staying = node.connect();
         let marker = request("submit", "marker");
         staying.write(&marker);
         // Attempts within the endpoint's limit are connecting by now; requests that are queued are covered by the test above.
         thread::sleep(Duration::from_millis(200));
-        let disconnected = clients.map(|client| client.leave());
+        let disconnected = clients.map(|client| client.disconnect());
         thread::sleep(Duration::from_millis(300));
         let received = endpoint.accept_connections();
         assert_eq!(staying.read().expect("a response").body, b"done");
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -8,7 +8,7 @@
 
 use crate::measure::{ALL, Plan, capacity, chaos};
 use crate::report::Report;
-use crate::standin::{StandIn, Work};
+use crate::standin::{ServiceModel, StandIn};
 use clap::{Parser, Subcommand, ValueEnum};
 
 /// Measurements and stand-ins, all on loopback.
@@ -153,7 +153,7 @@
         if !address.ip().is_loopback() {
             return Err(io::Error::other(format!("{address} is not on loopback")));
         }
-        let work = Work { takes: Duration::from_millis(takes_ms), ..Work::default() };
+        let work = ServiceModel { service_time: Duration::from_millis(takes_ms), ..ServiceModel::default() };
         println!("a stand-in on {}", StandIn::start(address, work)?.address);
     }
     loop {
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -22,7 +22,7 @@
     Http(#[from] hyper::Error),
 }
 
-struct Open {
+struct OpenConnection {
     sender: http1::SendRequest<Full<Bytes>>,
     _driver: JoinSet<hyper::Result<()>>,
 }
@@ -30,7 +30,7 @@
 /// A client of one address.
 pub struct Client {
     address: SocketAddr,
-    open: Option<Open>,
+    open: Option<OpenConnection>,
 }
 
 impl Client {
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// [`ClientError`]: no connection, or a broken one.
-    pub async fn ask(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Bytes>, ClientError> {
+    pub async fn request(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Bytes>, ClientError> {
         let kept = match self.open.take() {
             Some(mut open) => open.sender.ready().await.is_ok().then_some(open),
             None => None,
@@ -63,12 +63,12 @@
         Ok(Response::from_parts(parts, body))
     }
 
-    async fn connect(&self) -> Result<Open, ClientError> {
+    async fn connect(&self) -> Result<OpenConnection, ClientError> {
         let stream = TcpStream::connect(self.address).await?;
         stream.set_nodelay(true)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let mut driver = JoinSet::new();
         driver.spawn_local(connection);
-        Ok(Open { sender, _driver: driver })
+        Ok(OpenConnection { sender, _driver: driver })
     }
 }
--- a/crates/testbed/src/client_disconnect.rs
+++ b/crates/testbed/src/client_disconnect.rs
@@ -50,12 +50,12 @@
     ];
 
     /// Those with a complete request at the time of the disconnect.
-    pub const WHOLE: [Self; 5] =
+    pub const WITH_COMPLETE_REQUEST: [Self; 5] =
         [Self::Fin, Self::Reset, Self::HalfClose, Self::Pipelined, Self::PipelinedBurst];
 
     /// Sends requests of a class on a new connection, which is to disconnect later.
     #[must_use]
-    pub fn ask(self, node: SocketAddr, class: &str) -> DisconnectingClient {
+    pub fn send_requests(self, node: SocketAddr, class: &str) -> DisconnectingClient {
         let (mut client, first) = (Client::connect(node), request(class, body_of(class)));
         let mut ids = vec![id_of(&first)];
         match self {
@@ -107,7 +107,7 @@
     /// # Panics
     /// Where the socket refuses it.
     #[must_use]
-    pub fn leave(self) -> DisconnectedClient {
+    pub fn disconnect(self) -> DisconnectedClient {
         let Self { disconnect, client, ids } = self;
         let open = match disconnect {
             Disconnect::Reset => {
@@ -158,7 +158,7 @@
 ///
 /// # Panics
 /// Where the node does not answer.
-pub fn await_turn(node: &Node) {
+pub fn wait_until_input_processed(node: &Node) {
     for _ in 0..2 {
         assert_eq!(node.ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status(), 200);
     }
--- a/crates/testbed/src/measure/config.rs
+++ b/crates/testbed/src/measure/config.rs
@@ -23,7 +23,7 @@
 use crate::client::Client;
 use crate::program::{StandaloneNode, build_node, temporary};
 use crate::report::Report;
-use crate::standin::{StandIn, UNIT, Work};
+use crate::standin::{ServiceModel, StandIn, UNIT};
 
 /// Routes and included files of the large configuration.
 const ROUTES: usize = 10_000;
@@ -233,7 +233,8 @@
 fn reloads(plan: Plan, report: &mut Report) -> io::Result<()> {
     build_node()?;
     let local = "127.0.0.1:0".parse().map_err(io::Error::other)?;
-    let servers = (0..4).map(|_| StandIn::start(local, Work::default())).collect::<io::Result<Vec<_>>>()?;
+    let servers =
+        (0..4).map(|_| StandIn::start(local, ServiceModel::default())).collect::<io::Result<Vec<_>>>()?;
     let count = if plan.long { 500 } else { 50 };
     let mut node = StandaloneNode::start(&text(&servers, false), 1);
     let address = node.address();
@@ -306,7 +307,7 @@
         let request = Request::builder().method(method).uri(path).header("host", "a").header(UNIT, &unit);
         let Ok(request) = request.body(Full::new(Bytes::from_static(b"time=1:02"))) else { return };
         tally.asked.set(tally.asked.get() + 1);
-        match client.ask(request).await {
+        match client.request(request).await {
             Ok(response) if response.status().is_success() => {
                 // A stand-in's response has the unit of its request.
                 if !String::from_utf8_lossy(response.body()).contains(&unit) {
--- a/crates/testbed/src/measure/recorder/cost.rs
+++ b/crates/testbed/src/measure/recorder/cost.rs
@@ -16,7 +16,7 @@
 use crate::measure::Plan;
 use crate::program::{StandaloneNode, memory, temporary};
 use crate::report::Report;
-use crate::standin::{StandIn, Work};
+use crate::standin::{ServiceModel, StandIn};
 
 /// Load under which the levels are compared, in requests per second.
 const RATE: f64 = 4_000.0;
@@ -34,7 +34,7 @@
                        class submit { aim 600ms; deadline 1200ms; worth 10; repeats unsafe }";
 
 pub(super) fn measure(plan: Plan, report: &mut Report) -> io::Result<()> {
-    let work = Work { takes: Duration::ZERO, answer: 200 };
+    let work = ServiceModel { service_time: Duration::ZERO, response_bytes: 200 };
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let servers = (0..SERVERS).map(|_| StandIn::start(any, work)).collect::<io::Result<Vec<_>>>()?;
     let addresses: Vec<_> = servers.iter().map(|server| server.address).collect();
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -9,7 +9,7 @@
     rows: Vec<Vec<String>>,
     figures: Vec<(&'static str, String)>,
     /// Claims that do not hold.
-    short: Vec<String>,
+    failed_claims: Vec<String>,
 }
 
 impl Report {
@@ -33,14 +33,14 @@
     /// Checks a claim; one that does not hold is listed in the report.
     pub fn claim(&mut self, holds: bool, what: impl Into<String>) {
         if !holds {
-            self.short.push(what.into());
+            self.failed_claims.push(what.into());
         }
     }
 
     /// Returns whether all claims hold.
     #[must_use]
     pub fn is_ok(&self) -> bool {
-        self.short.is_empty()
+        self.failed_claims.is_empty()
     }
 
     /// The report as text.
@@ -61,7 +61,7 @@
             }
             out.push('\n');
         }
-        for claim in &self.short {
+        for claim in &self.failed_claims {
             let _ = writeln!(out, "does not hold: {claim}");
         }
         let verdict = if self.is_ok() { "ok" } else { "short" };
@@ -90,7 +90,7 @@
             "ok": self.is_ok(),
             "figures": figures,
             "table": self.rows,
-            "short": self.short,
+            "short": self.failed_claims,
         })
         .to_string()
     }
--- a/crates/testbed/src/standin.rs
+++ b/crates/testbed/src/standin.rs
@@ -33,16 +33,16 @@
 
 /// How a stand-in processes requests.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct ServiceModel {
     /// Processing time of a request.
-    pub takes: Duration,
+    pub service_time: Duration,
     /// Size of a response, in bytes.
-    pub answer: usize,
+    pub response_bytes: usize,
 }
 
-impl Default for Work {
+impl Default for ServiceModel {
     fn default() -> Self {
-        Self { takes: Duration::from_millis(2), answer: 200 }
+        Self { service_time: Duration::from_millis(2), response_bytes: 200 }
     }
 }
 
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// An address that can't be listened on.
-    pub fn start(address: SocketAddr, work: Work) -> io::Result<Self> {
+    pub fn start(address: SocketAddr, work: ServiceModel) -> io::Result<Self> {
         let record = Arc::new(Mutex::new(Record::default()));
         let (sender, bound) = mpsc::channel();
         let to = record.clone();
@@ -86,7 +86,7 @@
     }
 }
 
-async fn serve(listener: TcpListener, work: Work, record: Arc<Mutex<Record>>) {
+async fn serve(listener: TcpListener, work: ServiceModel, record: Arc<Mutex<Record>>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -104,7 +104,7 @@
 
 async fn answer(
     request: Request<Incoming>,
-    work: Work,
+    work: ServiceModel,
     record: Arc<Mutex<Record>>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (parts, body) = request.into_parts();
@@ -119,11 +119,11 @@
             *record.effects.entry(unit.to_owned()).or_default() += 1;
         }
     }
-    if !work.takes.is_zero() {
-        tokio::time::sleep(work.takes).await;
+    if !work.service_time.is_zero() {
+        tokio::time::sleep(work.service_time).await;
     }
     let mut text = format!("{} {} {unit} {} bytes\n", parts.method, parts.uri, body.to_bytes().len());
-    while text.len() < work.answer {
+    while text.len() < work.response_bytes {
         text.push_str("rank 1  0:01:02.345  runner\n");
     }
     let mut response = Response::new(Full::new(Bytes::from(text)));
