--- a/crates/fastcgi/src/cgi.rs
+++ b/crates/fastcgi/src/cgi.rs
@@ -1,4 +1,4 @@
-//! CGI/1.1 (RFC 3875): variables of a request and back, and the head of an answer.
+//! CGI/1.1 (RFC 3875): conversion between requests and variables, and the head of a response.
 
 use std::borrow::Cow;
 use std::net::IpAddr;
@@ -10,42 +10,46 @@
 
 use crate::pairs::Pair;
 
-/// Longest head of an answer.
-pub const LONGEST_HEAD: usize = 32 << 10;
-/// Most fields of an answer's head.
-pub const MOST_FIELDS: usize = 256;
+/// Maximum length of the head of a response, in bytes.
+pub const MAX_HEAD_BYTES: usize = 32 << 10;
+/// Maximum number of fields in the head of a response.
+pub const MAX_HEAD_FIELDS: usize = 256;
 
-/// A request that can't be put into variables.
+/// Why a request can't be expressed in variables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// PATH_INFO is decoded (RFC 3875 section 4.1.5): an encoded slash or a NUL would be another path there.
-    #[error("the path holds an encoded slash or NUL, which CGI can't tell from others")]
+    /// The path contains an encoded slash or NUL, or an invalid escape. PATH_INFO is decoded (RFC 3875 section 4.1.5),
+    /// so that an encoded slash or NUL would result in a different path there.
+    #[error(
+        "path contains an encoded slash or NUL, or an invalid escape, and can't be expressed in PATH_INFO"
+    )]
     Path,
 }
 
-/// What a gateway knows of a request beside its head.
+/// What a gateway knows about a request besides its head.
 #[derive(Clone, Copy, Debug)]
 pub struct Around<'a> {
-    /// Where the client is.
+    /// Address of the client.
     pub peer: Option<IpAddr>,
-    /// The part of the path that names the application; without a slash at its end, or empty.
+    /// The part of the path that identifies the application (SCRIPT_NAME), without a trailing slash; may be empty.
     pub script: &'a str,
-    /// The folder of the application's files, for SCRIPT_FILENAME; empty where there is none.
+    /// Directory of the application's files (DOCUMENT_ROOT), for SCRIPT_FILENAME; empty if there is none.
     pub root: &'a str,
-    /// The length of the body.
+    /// Length of the body, in bytes.
     pub length: usize,
 }
 
-/// A variable.
+/// Name and value of a variable.
 pub type Variable<'a> = (Cow<'static, str>, Cow<'a, [u8]>);
 
-/// The variables of a request (sections 4.1.1 to 4.1.18).
+/// Returns the variables of a request (sections 4.1.1 to 4.1.18).
 ///
-/// Fields whose names hold `_` are left out: as variables they could not be told from those with `-`, which a gateway
-/// may have checked. So is `Proxy`: HTTP_PROXY is read by many libraries as their own setting.
+/// Header fields with `_` in their names are left out: as variables they could not be distinguished from fields with
+/// `-`, which a gateway may have checked. `Proxy` is left out as well, because many libraries read HTTP_PROXY as their
+/// own proxy setting.
 ///
 /// # Errors
-/// A path that can't be put into PATH_INFO.
+/// If the path can't be expressed in PATH_INFO.
 pub fn variables<'a>(
     method: &'a Method,
     uri: &'a Uri,
@@ -108,11 +112,13 @@
     Ok(list)
 }
 
+/// Returns whether requests with this method usually have no body.
 fn is_bodiless(method: &Method) -> bool {
     matches!(*method, Method::GET | Method::HEAD | Method::OPTIONS | Method::DELETE)
 }
 
-/// A decoded path; `None` where decoding would change what divides it.
+/// Percent-decodes a path. Returns `None` if it contains an encoded slash or NUL, which would change its segments, or
+/// an invalid escape.
 fn decode(path: &str) -> Option<Cow<'_, [u8]>> {
     if !path.contains('%') {
         return Some(Cow::Borrowed(path.as_bytes()));
@@ -133,48 +139,48 @@
     Some(Cow::Owned(out))
 }
 
-/// A request as a front end sent it in variables.
+/// A request that a front end has sent as variables.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FromVariables {
-    /// Its method.
+    /// Method.
     pub method: Method,
-    /// Its target in origin form.
+    /// Target in origin form.
     pub uri: Uri,
-    /// Its fields.
+    /// Header fields.
     pub headers: HeaderMap,
-    /// Where the client is, as the front end says.
+    /// Address of the client according to the front end.
     pub peer: Option<IpAddr>,
-    /// The length that its body must have; `None` where it is not told.
+    /// Length that the body must have, in bytes; `None` if it is not stated.
     pub length: Option<u64>,
 }
 
-/// Variables that are no request.
+/// Why variables are not a valid request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum VariablesError {
-    /// No method, or one that is none.
+    /// The method is missing or malformed.
     #[error("REQUEST_METHOD is missing or malformed")]
     Method,
-    /// No path.
-    #[error("neither REQUEST_URI nor SCRIPT_NAME and PATH_INFO name a path")]
+    /// There is no valid path.
+    #[error("neither REQUEST_URI nor SCRIPT_NAME with PATH_INFO is a valid path")]
     Target,
-    /// A length that is none.
+    /// The length is malformed.
     #[error("CONTENT_LENGTH is malformed")]
     Length,
-    /// A variable that comes twice, whichever counts.
-    #[error("a variable of the request comes twice")]
-    Twice,
+    /// A variable occurs more than once, so that its value is ambiguous.
+    #[error("a variable of the request occurs more than once")]
+    Repeated,
 }
 
-/// Makes a request of variables. HTTP_* become fields, but HTTP_PROXY, which no client may set. What can't be a field
-/// is left out.
+/// Converts variables to a request. HTTP_* variables become header fields, except HTTP_PROXY, which clients must not be
+/// able to set. Variables that are not valid as a field are left out.
 ///
 /// # Errors
-/// What is missing or malformed, and any of the variables read here that comes twice.
+/// If a variable read here is missing, malformed or occurs more than once.
 pub fn request(list: &[Pair]) -> Result<FromVariables, VariablesError> {
     let get = |name: &str| {
         let mut found = list.iter().filter(|(known, _)| known == name.as_bytes()).map(|(_, value)| value);
         match (found.next(), found.next()) {
-            (_, Some(_)) => Err(VariablesError::Twice),
+            (_, Some(_)) => Err(VariablesError::Repeated),
             (value, None) => Ok(value.filter(|value| !value.is_empty())),
         }
     };
@@ -185,7 +191,7 @@
         None => target(get("SCRIPT_NAME")?, get("PATH_INFO")?, get("QUERY_STRING")?),
     };
     let target = std::str::from_utf8(&target).map_err(|_| VariablesError::Target)?;
-    // A front end may hand on an absolute target; its host is in HTTP_HOST as well.
+    // A front end may pass on a target in absolute form; its host is also in HTTP_HOST.
     let uri: Uri = target.parse().map_err(|_| VariablesError::Target)?;
     let path = uri.path_and_query().filter(|path| path.as_str().starts_with('/')).cloned();
     let uri = Uri::from(path.ok_or(VariablesError::Target)?);
@@ -234,7 +240,7 @@
     Ok(FromVariables { method, uri, headers, peer, length })
 }
 
-/// A target of its decoded parts, encoded again where a path must be.
+/// Builds a target from the decoded parts of its path, which are percent-encoded again, and its query.
 fn target(script: Option<&Bytes>, info: Option<&Bytes>, query: Option<&Bytes>) -> Bytes {
     let mut out = BytesMut::new();
     for byte in [script, info].into_iter().flatten().flat_map(|part| part.iter()) {
@@ -251,59 +257,59 @@
     out.freeze()
 }
 
-/// The head of an answer.
+/// Head of a response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnswerHead {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its fields, without `Status`.
+    /// Header fields without `Status`.
     pub headers: HeaderMap,
 }
 
-/// An answer that is none.
+/// Why the head of a response is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum AnswerError {
-    /// No end to its head.
-    #[error("a head of more than {LONGEST_HEAD} bytes")]
+pub enum ResponseHeadError {
+    /// The head is too long.
+    #[error("response head exceeds {MAX_HEAD_BYTES} bytes")]
     HeadTooLong,
-    /// Too many fields.
-    #[error("a head of more than {MOST_FIELDS} fields")]
+    /// The head has too many fields.
+    #[error("response head has more than {MAX_HEAD_FIELDS} fields")]
     TooManyFields,
-    /// A line that is no field.
-    #[error("a line of the head is no field")]
+    /// A line is not a valid field.
+    #[error("response head contains a line that is not a valid field")]
     Field,
-    /// A `Status` that is none, is one of 100 to 199, or comes twice.
-    #[error("a malformed Status")]
+    /// `Status` is malformed, in the range 100 to 199, or occurs more than once.
+    #[error("response head has an invalid or repeated Status")]
     Status,
-    /// None of `Content-Type`, `Location` and `Status` (section 6.2.1).
-    #[error("a head without Content-Type, Location or Status")]
-    Bare,
+    /// The head has none of `Content-Type`, `Location` and `Status` (section 6.2.1).
+    #[error("response head has none of Content-Type, Location and Status")]
+    NoStatus,
 }
 
-/// Reads the head of an answer, however it is split.
+/// Decodes the head of a response from input that may be split anywhere.
 #[derive(Debug, Default)]
 pub struct HeadReader {
     buffer: BytesMut,
-    /// Bytes of the buffer in which there is no end.
+    /// Number of bytes at the start of the buffer that need not be searched for the end of the head again.
     seen: usize,
 }
 
 impl HeadReader {
-    /// Takes a part of an answer; gives the head and what follows it once the head has ended.
+    /// Decodes a part of a response. Returns the head and the bytes after it once the head is complete.
     ///
     /// # Errors
-    /// A head that is none, or too long.
-    pub fn feed(&mut self, part: &[u8]) -> Result<Option<(AnswerHead, Bytes)>, AnswerError> {
+    /// If the head is malformed or exceeds a limit.
+    pub fn feed(&mut self, part: &[u8]) -> Result<Option<(AnswerHead, Bytes)>, ResponseHeadError> {
         self.buffer.extend_from_slice(part);
         let Some((head, body)) = end(&self.buffer, self.seen) else {
-            if self.buffer.len() > LONGEST_HEAD {
-                return Err(AnswerError::HeadTooLong);
+            if self.buffer.len() > MAX_HEAD_BYTES {
+                return Err(ResponseHeadError::HeadTooLong);
             }
             self.seen = self.buffer.len().saturating_sub(3);
             return Ok(None);
         };
-        if head > LONGEST_HEAD {
-            return Err(AnswerError::HeadTooLong);
+        if head > MAX_HEAD_BYTES {
+            return Err(ResponseHeadError::HeadTooLong);
         }
         let mut all = std::mem::take(&mut self.buffer);
         let rest = all.split_off(body).freeze();
@@ -311,16 +317,17 @@
     }
 }
 
-/// Where the head ends and the body begins: behind an empty line, with either kind of newline.
+/// Returns the offsets at which the head ends and the body begins. An empty line separates them; lines end with LF or
+/// CRLF.
 fn end(bytes: &[u8], from: usize) -> Option<(usize, usize)> {
-    // A head may be empty but for its end, which is no head.
+    // The output may start with the empty line; the empty head is rejected later.
     for (start, empty) in [(0, 1), (0, 2)] {
         if bytes.get(start..empty).is_some_and(|line| line == b"\n" || line == b"\r\n") {
             return Some((0, empty));
         }
     }
     let mut at = from;
-    while let Some(newline) = bytes[at..].iter().position(|&b| b == b'\n').map(|place| at + place) {
+    while let Some(newline) = bytes[at..].iter().position(|&b| b == b'\n').map(|offset| at + offset) {
         match &bytes[newline + 1..] {
             [b'\n', ..] => return Some((newline + 1, newline + 2)),
             [b'\r', b'\n', ..] => return Some((newline + 1, newline + 3)),
@@ -330,38 +337,38 @@
     None
 }
 
-fn read_head(head: &[u8]) -> Result<AnswerHead, AnswerError> {
+fn read_head(head: &[u8]) -> Result<AnswerHead, ResponseHeadError> {
     let (mut status, mut headers) = (None, HeaderMap::new());
     for (count, line) in head.split(|&b| b == b'\n').filter(|line| !line.trim_ascii().is_empty()).enumerate()
     {
-        if count == MOST_FIELDS {
-            return Err(AnswerError::TooManyFields);
+        if count == MAX_HEAD_FIELDS {
+            return Err(ResponseHeadError::TooManyFields);
         }
-        let colon = line.iter().position(|&b| b == b':').ok_or(AnswerError::Field)?;
-        let name = HeaderName::from_bytes(&line[..colon]).map_err(|_| AnswerError::Field)?;
+        let colon = line.iter().position(|&b| b == b':').ok_or(ResponseHeadError::Field)?;
+        let name = HeaderName::from_bytes(&line[..colon]).map_err(|_| ResponseHeadError::Field)?;
         let value = line[colon + 1..].trim_ascii();
         if name == "status" {
             let code = value.get(..3).and_then(|code| StatusCode::from_bytes(code).ok());
             let ends = value.get(3).is_none_or(|&b| b == b' ');
             let code = code.filter(|code| ends && status.is_none() && !code.is_informational());
-            status = Some(code.ok_or(AnswerError::Status)?);
+            status = Some(code.ok_or(ResponseHeadError::Status)?);
             continue;
         }
-        let value = HeaderValue::from_bytes(value).map_err(|_| AnswerError::Field)?;
+        let value = HeaderValue::from_bytes(value).map_err(|_| ResponseHeadError::Field)?;
         headers.append(name, value);
     }
     let status = match status {
         Some(status) => status,
-        // Section 6.2.3; a local one (6.2.2) is left to the client as well, which may ask again where a gateway
-        // must not.
+        // A redirect by the client (section 6.2.3). A local redirect (6.2.2) is left to the client as well, because the
+        // client may repeat the request where a gateway must not.
         None if headers.contains_key(header::LOCATION) => StatusCode::FOUND,
         None if headers.contains_key(header::CONTENT_TYPE) => StatusCode::OK,
-        None => return Err(AnswerError::Bare),
+        None => return Err(ResponseHeadError::NoStatus),
     };
     Ok(AnswerHead { status, headers })
 }
 
-/// Writes the head of an answer.
+/// Appends the head of a response to `out`.
 pub fn put_head(out: &mut BytesMut, status: StatusCode, headers: &HeaderMap) {
     let reason = status.canonical_reason().unwrap_or("Status");
     out.extend_from_slice(format!("Status: {} {reason}\r\n", status.as_u16()).as_bytes());
--- a/crates/fastcgi/src/client.rs
+++ b/crates/fastcgi/src/client.rs
@@ -1,88 +1,90 @@
-//! The side of a web server: sends requests on one connection and reads what comes back.
+//! The web server's side: sends requests on one connection and decodes the responses.
 
 use std::collections::BTreeMap;
 
 use bytes::{Bytes, BytesMut};
 use thiserror::Error;
 
-use crate::pairs::{self, Pairs};
+use crate::pairs::{self, PairDecoder};
 use crate::record::{
-    Begin, Decoder, End, Kind, MANAGEMENT, ProtocolStatus, Record, RecordError, Role, put, put_stream,
+    Begin, Decoder, End, Kind, MANAGEMENT_ID, ProtocolStatus, Record, RecordError, Role, put, put_stream,
     put_stream_end,
 };
 
-/// Variables that are asked for (section 4.1).
-const VALUES: [&str; 3] = ["FCGI_MAX_CONNS", "FCGI_MAX_REQS", "FCGI_MPXS_CONNS"];
-/// Most bytes and pairs of the answer to that.
-const MOST_VALUES: (usize, usize) = (4 << 10, 64);
+/// Variables queried from the application (section 4.1).
+const QUERIED_VARIABLES: [&str; 3] = ["FCGI_MAX_CONNS", "FCGI_MAX_REQS", "FCGI_MPXS_CONNS"];
+/// Maximum length of the answer to the query, in bytes.
+const MAX_VALUES_BYTES: usize = 4 << 10;
+/// Maximum number of pairs in the answer to the query.
+const MAX_VALUES_PAIRS: usize = 64;
 
-/// A request on a connection; never 0.
+/// Id of a request on a connection; never 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(u16);
 
 impl RequestId {
-    /// The number on the wire.
+    /// Returns the id's number on the wire.
     #[must_use]
     pub fn number(self) -> u16 {
         self.0
     }
 }
 
-/// What an application says of itself; `None` is what it does not say.
+/// Properties that an application has stated; `None` if it has not stated the property.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Values {
-    /// Most connections that it takes at once.
+    /// Maximum number of concurrent connections to the application.
     pub connections: Option<u32>,
-    /// Most requests that it takes at once.
+    /// Maximum number of concurrent requests to the application.
     pub requests: Option<u32>,
-    /// Whether a connection may carry several requests at once.
+    /// Whether the application accepts several concurrent requests on one connection.
     pub multiplexes: Option<bool>,
 }
 
-/// What has come.
+/// Something received from the application.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The answer to [`Upload::get_values`]; without any, where the application knows no such record.
+    /// The answer to [`Client::get_values`]. All values are `None` if the application does not know that record type.
     Values(Values),
-    /// A part of an answer.
+    /// A part of a response.
     Stdout(RequestId, Bytes),
-    /// The answer's end; the request's is still to come.
+    /// The end of a response. [`Event::Ended`] still follows.
     StdoutEnd(RequestId),
-    /// What an application says of errors; not a part of the answer.
+    /// Error output of the application; not a part of the response.
     Stderr(RequestId, Bytes),
-    /// The request's end.
+    /// The end of a request.
     Ended(RequestId, End),
 }
 
-/// What no application may send. The connection is of no further use.
+/// A protocol violation by the application. The connection can't be used any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ClientError {
-    /// Bytes that are no record.
+    /// Bytes that are not a valid record.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// A record of a request that is not open: after its end, or of none that was sent.
-    #[error("a record of type {kind} for the request {id}, which is not open")]
+    /// A record for a request that is not open: it has ended, or was never sent.
+    #[error("received a record of type {kind} for request {id}, which is not open")]
     NotOpen {
-        /// Its type.
+        /// Type of the record.
         kind: u8,
-        /// Its id.
+        /// Id of the request.
         id: u16,
     },
-    /// A record that only web servers send, or of no known type.
-    #[error("a record of type {0}, which applications don't send")]
+    /// A record of a type that only web servers send, or of an unknown type.
+    #[error("received a record of type {0}, which applications must not send")]
     Unexpected(u8),
-    /// A part of an answer behind its end.
-    #[error("output of the request {0} behind its end")]
-    AfterEnd(u16),
-    /// The end of a request that is too short to be one.
-    #[error("an end of {0} bytes")]
-    ShortEnd(usize),
+    /// A part of a response after its end.
+    #[error("received output of request {0} after the end of its output stream")]
+    AfterStreamEnd(u16),
+    /// The content of `FCGI_END_REQUEST` is too short.
+    #[error("FCGI_END_REQUEST has {0} bytes of content; 8 are required")]
+    EndTooShort(usize),
 }
 
 #[derive(Debug, Default)]
-struct Open {
-    stdout_over: bool,
-    /// Nobody is interested any more; its end is still awaited.
+struct OpenRequest {
+    stdout_ended: bool,
+    /// Events of the request are dropped, except its end, which is still expected.
     aborted: bool,
 }
 
@@ -90,43 +92,44 @@
 #[derive(Debug, Default)]
 pub struct Client {
     decoder: Decoder,
-    open: BTreeMap<u16, Open>,
-    last: u16,
+    open: BTreeMap<u16, OpenRequest>,
+    last_id: u16,
     failed: Option<ClientError>,
 }
 
 impl Client {
-    /// Requests that have not ended, those that were aborted included.
+    /// Returns the number of requests that have not ended, including aborted ones.
     #[must_use]
     pub fn open(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether the other side may close here: no part of a record has come.
+    /// Returns whether no part of a record is buffered, so that the application may close the connection here.
     #[must_use]
-    pub fn is_between(&self) -> bool {
-        self.decoder.is_between()
+    pub fn is_at_record_boundary(&self) -> bool {
+        self.decoder.is_at_record_boundary()
     }
 
-    /// Writes the beginning of a request as of a responder. `None` where all 65,535 ids are open. An id is used again
-    /// only after all others: a late record of its former request would hardly meet it.
+    /// Writes the start of a request to a responder. Returns `None` if all 65,535 ids are open. An id is reused only
+    /// after all others, so that a late record of the request that had it before is unlikely to be mistaken for one of
+    /// the new request.
     pub fn begin(&mut self, out: &mut BytesMut, keep: bool) -> Option<RequestId> {
         if self.open.len() == usize::from(u16::MAX) {
             return None;
         }
         loop {
-            self.last = self.last.checked_add(1).unwrap_or(1);
-            if !self.open.contains_key(&self.last) {
+            self.last_id = self.last_id.checked_add(1).unwrap_or(1);
+            if !self.open.contains_key(&self.last_id) {
                 break;
             }
         }
-        let id = self.last;
-        self.open.insert(id, Open::default());
+        let id = self.last_id;
+        self.open.insert(id, OpenRequest::default());
         put(out, Kind::BeginRequest, id, &Begin { role: Role::Responder, keep }.content());
         Some(RequestId(id))
     }
 
-    /// Writes all of a request's variables, and their end.
+    /// Writes all variables of a request and the end of their stream.
     pub fn params<'a>(
         &self,
         out: &mut BytesMut,
@@ -139,17 +142,17 @@
         put_stream_end(out, Kind::Params, id.0);
     }
 
-    /// Writes a part of a request's body.
+    /// Writes a part of the body of a request.
     pub fn stdin(&self, out: &mut BytesMut, id: RequestId, content: &[u8]) {
         put_stream(out, Kind::Stdin, id.0, content);
     }
 
-    /// Writes the end of a request's body: from here on it may run.
+    /// Writes the end of the body of a request, after which the application may execute it.
     pub fn stdin_end(&self, out: &mut BytesMut, id: RequestId) {
         put_stream_end(out, Kind::Stdin, id.0);
     }
 
-    /// Writes that nobody waits for an answer any more. No more events tell of the request but its end.
+    /// Aborts a request. [`Event::Ended`] is then its only further event.
     pub fn abort(&mut self, out: &mut BytesMut, id: RequestId) {
         if let Some(open) = self.open.get_mut(&id.0).filter(|open| !open.aborted) {
             open.aborted = true;
@@ -157,17 +160,18 @@
         }
     }
 
-    /// Writes the question what the application is able to do.
+    /// Writes a query for the limits of the application.
     pub fn get_values(&self, out: &mut BytesMut) {
         let mut content = BytesMut::new();
-        VALUES.iter().for_each(|name| pairs::put(&mut content, name.as_bytes(), b""));
-        put(out, Kind::GetValues, MANAGEMENT, &content);
+        QUERIED_VARIABLES.iter().for_each(|name| pairs::put(&mut content, name.as_bytes(), b""));
+        put(out, Kind::GetValues, MANAGEMENT_ID, &content);
     }
 
-    /// Takes bytes that have come; what they tell is appended to `events`.
+    /// Decodes received bytes and appends the resulting events to `events`.
     ///
     /// # Errors
-    /// What no application may send; then always the same. Events before it are valid.
+    /// If the application violates the protocol. Every later call then returns the same error. Events appended before
+    /// the error are valid.
     pub fn receive(&mut self, mut input: &[u8], events: &mut Vec<Event>) -> Result<(), ClientError> {
         if let Some(error) = self.failed {
             return Err(error);
@@ -179,36 +183,39 @@
 
     fn receive_all(&mut self, input: &mut &[u8], events: &mut Vec<Event>) -> Result<(), ClientError> {
         while let Some(record) = self.decoder.next(input)? {
-            if record.id == MANAGEMENT {
+            if record.id == MANAGEMENT_ID {
                 match record.kind {
-                    Kind::GetValuesResult => events.push(Event::Values(values(&record.content))),
+                    Kind::GetValuesResult => events.push(Event::Values(decode_values(&record.content))),
                     Kind::UnknownType => events.push(Event::Values(Values::default())),
                     kind => return Err(ClientError::Unexpected(kind.code())),
                 }
                 continue;
             }
-            events.extend(self.of_request(record)?);
+            events.extend(self.on_request_record(record)?);
         }
         Ok(())
     }
 
-    fn of_request(&mut self, Record { kind, id, content }: Record) -> Result<Option<Event>, ClientError> {
+    fn on_request_record(
+        &mut self,
+        Record { kind, id, content }: Record,
+    ) -> Result<Option<Event>, ClientError> {
         if !matches!(kind, Kind::Stdout | Kind::Stderr | Kind::EndRequest) {
             return Err(ClientError::Unexpected(kind.code()));
         }
         let open = self.open.get_mut(&id).ok_or(ClientError::NotOpen { kind: kind.code(), id })?;
         let request = RequestId(id);
         let event = match kind {
-            Kind::Stdout if open.stdout_over => return Err(ClientError::AfterEnd(id)),
+            Kind::Stdout if open.stdout_ended => return Err(ClientError::AfterStreamEnd(id)),
             Kind::Stdout if content.is_empty() => {
-                open.stdout_over = true;
+                open.stdout_ended = true;
                 Event::StdoutEnd(request)
             }
             Kind::Stdout => Event::Stdout(request, content),
             Kind::Stderr if content.is_empty() => return Ok(None),
             Kind::Stderr => Event::Stderr(request, content),
             _ => {
-                let end = End::read(&content).ok_or(ClientError::ShortEnd(content.len()))?;
+                let end = End::read(&content).ok_or(ClientError::EndTooShort(content.len()))?;
                 self.open.remove(&id);
                 return Ok(Some(Event::Ended(request, end)));
             }
@@ -217,27 +224,26 @@
     }
 }
 
-/// Reads what an application says of itself; what can't be read is not said.
-fn values(content: &[u8]) -> Values {
-    let (most_bytes, most_pairs) = MOST_VALUES;
-    let mut list = Pairs::new(most_bytes, most_pairs);
-    let Some(list) = list.feed(content).ok().and_then(|()| list.finish().ok()) else {
+/// Decodes the values that an application states; a value that can't be parsed counts as not stated.
+fn decode_values(content: &[u8]) -> Values {
+    let mut pairs = PairDecoder::new(MAX_VALUES_BYTES, MAX_VALUES_PAIRS);
+    let Some(pairs) = pairs.feed(content).ok().and_then(|()| pairs.finish().ok()) else {
         return Values::default();
     };
     let number = |name: &str| {
-        let (_, value) = list.iter().find(|(known, _)| known == name.as_bytes())?;
+        let (_, value) = pairs.iter().find(|(known, _)| known == name.as_bytes())?;
         std::str::from_utf8(value).ok()?.trim().parse::<u32>().ok()
     };
-    let [connections, requests, multiplexes] = VALUES.map(number);
-    // A bound of 0 would be no application at all: it is not taken at its word.
+    let [connections, requests, multiplexes] = QUERIED_VARIABLES.map(number);
+    // A limit of 0 would mean that the application accepts nothing at all, so it is ignored.
     Values {
-        connections: connections.filter(|&most| most > 0),
-        requests: requests.filter(|&most| most > 0),
+        connections: connections.filter(|&max| max > 0),
+        requests: requests.filter(|&max| max > 0),
         multiplexes: multiplexes.map(|value| value == 1),
     }
 }
 
-/// Whether a request that ended like this surely never ran: it was turned away by the protocol itself.
+/// Returns whether a request with this end was certainly not executed, because the protocol status is a rejection.
 #[must_use]
 pub fn never_ran(end: &End) -> bool {
     !matches!(end.protocol, ProtocolStatus::Complete | ProtocolStatus::Other(_))
--- a/crates/fastcgi/src/pairs.rs
+++ b/crates/fastcgi/src/pairs.rs
@@ -1,4 +1,4 @@
-//! Name-value pairs (section 3.4), also across the borders of records.
+//! Name-value pairs (section 3.4 of the FastCGI specification), which may span several records.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use thiserror::Error;
@@ -6,91 +6,94 @@
 /// A name and a value.
 pub type Pair = (Bytes, Bytes);
 
-/// Pairs that can't be taken.
+/// Why a stream of pairs is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PairsError {
-    /// A pair that claims more than all pairs may have.
-    #[error("a pair of {claimed} bytes, where all may have {most}")]
+    /// The stated length of one pair exceeds the limit for all pairs.
+    #[error("name-value pair of {stated} bytes exceeds the limit of {max} bytes for all pairs")]
     PairTooLong {
-        /// What it claims.
-        claimed: u64,
-        /// The bound.
-        most: usize,
+        /// Stated length of the pair, in bytes.
+        stated: u64,
+        /// Maximum length of all pairs, in bytes.
+        max: usize,
     },
-    /// All together are too long.
-    #[error("pairs of more than {0} bytes")]
+    /// The stream is longer than the limit, in bytes.
+    #[error("name-value pairs exceed {0} bytes")]
     TooLong(usize),
-    /// Too many.
-    #[error("more than {0} pairs")]
+    /// There are more pairs than the limit.
+    #[error("more than {0} name-value pairs")]
     TooMany(usize),
     /// The stream ends inside a pair.
-    #[error("the pairs end inside one")]
-    Cut,
+    #[error("the stream ends inside a name-value pair")]
+    Truncated,
 }
 
-/// Makes pairs of a stream of bytes. Holds at most `most_bytes`, whatever lengths are claimed.
+/// Decodes pairs from a stream of bytes. Buffers at most `max_bytes` bytes, regardless of the lengths that the stream
+/// states.
 #[derive(Debug)]
-pub struct Pairs {
+pub struct PairDecoder {
     buffer: BytesMut,
-    taken: usize,
-    most_bytes: usize,
-    most_pairs: usize,
-    list: Vec<Pair>,
+    received: usize,
+    max_bytes: usize,
+    max_pairs: usize,
+    pairs: Vec<Pair>,
 }
 
-impl Pairs {
-    /// None yet; at most so many bytes and pairs.
+impl PairDecoder {
+    /// Creates a decoder that accepts at most `max_bytes` bytes and `max_pairs` pairs.
     #[must_use]
-    pub fn new(most_bytes: usize, most_pairs: usize) -> Self {
-        Self { buffer: BytesMut::new(), taken: 0, most_bytes, most_pairs, list: Vec::new() }
+    pub fn new(max_bytes: usize, max_pairs: usize) -> Self {
+        Self { buffer: BytesMut::new(), received: 0, max_bytes, max_pairs, pairs: Vec::new() }
     }
 
-    /// Takes the next part of the stream.
+    /// Decodes the next part of the stream.
     ///
     /// # Errors
-    /// A bound that is passed.
+    /// If a limit is exceeded.
     pub fn feed(&mut self, content: &[u8]) -> Result<(), PairsError> {
-        self.taken += content.len();
-        if self.taken > self.most_bytes {
-            return Err(PairsError::TooLong(self.most_bytes));
+        self.received += content.len();
+        if self.received > self.max_bytes {
+            return Err(PairsError::TooLong(self.max_bytes));
         }
         self.buffer.extend_from_slice(content);
-        while let Some((name, value, head)) = lengths(&self.buffer) {
-            let claimed = u64::from(name) + u64::from(value);
-            if claimed > self.most_bytes as u64 {
-                return Err(PairsError::PairTooLong { claimed, most: self.most_bytes });
+        while let Some((name, value, prefix)) = lengths(&self.buffer) {
+            let stated = u64::from(name) + u64::from(value);
+            if stated > self.max_bytes as u64 {
+                return Err(PairsError::PairTooLong { stated, max: self.max_bytes });
             }
             let (name, value) = (name as usize, value as usize);
-            if self.buffer.len() < head + name + value {
+            if self.buffer.len() < prefix + name + value {
                 break;
             }
-            if self.list.len() == self.most_pairs {
-                return Err(PairsError::TooMany(self.most_pairs));
+            if self.pairs.len() == self.max_pairs {
+                return Err(PairsError::TooMany(self.max_pairs));
             }
-            self.buffer.advance(head);
+            self.buffer.advance(prefix);
             let name = self.buffer.split_to(name).freeze();
             let value = self.buffer.split_to(value).freeze();
-            self.list.push((name, value));
+            self.pairs.push((name, value));
         }
         Ok(())
     }
 
-    /// All pairs, at the end of the stream.
+    /// Returns all pairs at the end of the stream.
     ///
     /// # Errors
-    /// A pair that is not whole.
+    /// If the last pair is incomplete.
     pub fn finish(self) -> Result<Vec<Pair>, PairsError> {
-        if self.buffer.is_empty() { Ok(self.list) } else { Err(PairsError::Cut) }
+        if self.buffer.is_empty() { Ok(self.pairs) } else { Err(PairsError::Truncated) }
     }
 }
 
-/// Lengths of name and value and how many bytes tell them; `None` where these have not come yet.
+/// Returns the lengths of name and value, and the number of bytes that encode them; `None` if these bytes are
+/// incomplete.
 fn lengths(bytes: &[u8]) -> Option<(u32, u32, usize)> {
     let (name, first) = length(bytes)?;
     let (value, second) = length(&bytes[first..])?;
     Some((name, value, first + second))
 }
 
+/// Decodes one length and returns it with the number of bytes that encode it: one byte below 128, else four.
 fn length(bytes: &[u8]) -> Option<(u32, usize)> {
     let &first = bytes.first()?;
     if first < 0x80 {
@@ -100,7 +103,7 @@
     Some((u32::from_be_bytes(four) & 0x7fff_ffff, 4))
 }
 
-/// Writes a pair.
+/// Appends a pair to `out`.
 pub fn put(out: &mut BytesMut, name: &[u8], value: &[u8]) {
     for part in [name, value] {
         match u8::try_from(part.len()) {
--- a/crates/fastcgi/src/record.rs
+++ b/crates/fastcgi/src/record.rs
@@ -1,45 +1,46 @@
-//! Records (section 3.3 and 8 of the specification).
+//! Records (sections 3.3 and 8 of the FastCGI specification).
 
 use bytes::{BufMut, Bytes, BytesMut};
 use thiserror::Error;
 
 /// `FCGI_VERSION_1`.
 pub const VERSION: u8 = 1;
-/// Bytes of a record's header.
-pub const HEADER: usize = 8;
-/// Most bytes of a record's content.
-pub const LONGEST_CONTENT: usize = 65_535;
-/// Most content that is written in one record: a reader of several streams is not kept waiting for one.
-pub const CHUNK: usize = 16 << 10;
-/// The id of management records.
-pub const MANAGEMENT: u16 = 0;
+/// Length of a record header, in bytes.
+pub const HEADER_BYTES: usize = 8;
+/// Maximum length of the content of a record, in bytes.
+pub const MAX_CONTENT_BYTES: usize = 65_535;
+/// Maximum length of the content that is written into one record, so that one multiplexed stream does not delay the
+/// others for long.
+pub const MAX_CHUNK_BYTES: usize = 16 << 10;
+/// Request id of management records.
+pub const MANAGEMENT_ID: u16 = 0;
 
-/// A record's type.
+/// Type of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// A web server begins a request.
+    /// The web server begins a request.
     BeginRequest,
-    /// It takes no interest in one any more.
+    /// The web server aborts a request.
     AbortRequest,
-    /// An application has done with one.
+    /// The application has finished a request.
     EndRequest,
     /// Name-value pairs of a request.
     Params,
-    /// Its body.
+    /// Body of a request.
     Stdin,
-    /// Its answer.
+    /// Response to a request.
     Stdout,
-    /// What an application says of errors.
+    /// Error output of the application.
     Stderr,
-    /// A second body, for filters.
+    /// Second body of a request to a filter.
     Data,
-    /// A web server asks for variables.
+    /// The web server queries variables of the application.
     GetValues,
-    /// The variables.
+    /// Values of the queried variables.
     GetValuesResult,
-    /// A management record was of no known type.
+    /// The application does not know the type of a management record.
     UnknownType,
-    /// A type that the specification does not have.
+    /// A type that is not in the specification.
     Other(u8),
 }
 
@@ -58,68 +59,70 @@
         Self::UnknownType,
     ];
 
-    /// By its number.
+    /// Returns the type with this number.
     #[must_use]
-    pub fn of(code: u8) -> Self {
-        let known = usize::from(code).checked_sub(1).and_then(|place| Self::ALL.get(place));
+    pub fn from_code(code: u8) -> Self {
+        let known = usize::from(code).checked_sub(1).and_then(|index| Self::ALL.get(index));
         known.copied().unwrap_or(Self::Other(code))
     }
 
-    /// Its number.
+    /// Returns the type's number on the wire.
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
             Self::Other(code) => code,
-            known => Self::ALL.iter().position(|kind| *kind == known).map_or(0, |place| place as u8 + 1),
+            known => Self::ALL.iter().position(|kind| *kind == known).map_or(0, |index| index as u8 + 1),
         }
     }
 }
 
-/// A whole record.
+/// A complete record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its type.
+    /// Type of the record.
     pub kind: Kind,
-    /// The request it belongs to; [`MANAGEMENT`] is none.
+    /// Id of the request; [`MANAGEMENT_ID`] if the record belongs to none.
     pub id: u16,
-    /// Its content, without padding.
+    /// Content without padding.
     pub content: Bytes,
 }
 
-/// Bytes that are no record.
+/// Why bytes are not a valid record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RecordError {
-    /// Another version: nothing that follows can be read.
-    #[error("a record of version {0}")]
-    Version(u8),
+    /// The record has an unsupported version, so that nothing after it can be decoded.
+    #[error("unsupported FastCGI version {0}")]
+    UnsupportedVersion(u8),
 }
 
-/// Makes records of bytes, however these are split. Holds what has come of one record.
+/// Decodes records from input that may be split anywhere. Buffers the received part of one record.
 #[derive(Debug, Default)]
 pub struct Decoder {
-    header: [u8; HEADER],
+    header: [u8; HEADER_BYTES],
     have: usize,
     content: BytesMut,
-    /// Bytes of padding that have come.
+    /// Number of padding bytes received.
     padding: usize,
     failed: Option<RecordError>,
 }
 
 impl Decoder {
-    /// The next record; what it takes of `input` is removed there. `None` where `input` ends first.
+    /// Decodes the next record and removes the consumed bytes from the front of `input`. Returns `None` if `input` ends
+    /// before the record does.
     ///
     /// # Errors
-    /// Bytes that are no record; then always the same.
+    /// If the bytes are not a valid record. Every later call then returns the same error.
     pub fn next(&mut self, input: &mut &[u8]) -> Result<Option<Record>, RecordError> {
         if let Some(error) = self.failed {
             return Err(error);
         }
-        while self.have < HEADER {
+        while self.have < HEADER_BYTES {
             let Some((&byte, rest)) = input.split_first() else { return Ok(None) };
-            // The first byte tells: what is no FastCGI need not send eight.
+            // The version is checked as soon as the first byte arrives: a peer that does not speak FastCGI may never
+            // send a complete header.
             if self.have == 0 && byte != VERSION {
-                self.failed = Some(RecordError::Version(byte));
-                return Err(RecordError::Version(byte));
+                self.failed = Some(RecordError::UnsupportedVersion(byte));
+                return Err(RecordError::UnsupportedVersion(byte));
             }
             self.header[self.have] = byte;
             self.have += 1;
@@ -129,7 +132,7 @@
         let length = usize::from(u16::from_be_bytes([length_high, length_low]));
         let content = input.len().min(length - self.content.len());
         let (content, rest) = input.split_at(content);
-        // Grows with what has come, not with what is claimed.
+        // The buffer grows with the bytes received, not with the stated length.
         self.content.extend_from_slice(content);
         let skipped = if self.content.len() == length {
             rest.len().min(usize::from(padding) - self.padding)
@@ -144,22 +147,22 @@
         self.have = 0;
         self.padding = 0;
         let content = std::mem::take(&mut self.content).freeze();
-        Ok(Some(Record { kind: Kind::of(kind), id: u16::from_be_bytes([id_high, id_low]), content }))
+        Ok(Some(Record { kind: Kind::from_code(kind), id: u16::from_be_bytes([id_high, id_low]), content }))
     }
 
-    /// Whether no part of a record has come: a connection may end here and nowhere else.
+    /// Returns whether no part of a record is buffered. A connection may end only between two records.
     #[must_use]
-    pub fn is_between(&self) -> bool {
+    pub fn is_at_record_boundary(&self) -> bool {
         self.have == 0
     }
 }
 
-/// Writes a record; `content` has at most [`LONGEST_CONTENT`] bytes, what is longer is cut. Padded to eight bytes, as
-/// section 3.3 recommends.
+/// Appends a record to `out`, padded to a multiple of eight bytes as section 3.3 recommends. `content` is cut to
+/// [`MAX_CONTENT_BYTES`] bytes.
 pub fn put(out: &mut BytesMut, kind: Kind, id: u16, content: &[u8]) {
-    let content = &content[..content.len().min(LONGEST_CONTENT)];
+    let content = &content[..content.len().min(MAX_CONTENT_BYTES)];
     let padding = content.len().wrapping_neg() % 8;
-    out.reserve(HEADER + content.len() + padding);
+    out.reserve(HEADER_BYTES + content.len() + padding);
     out.put_slice(&[VERSION, kind.code()]);
     out.put_u16(id);
     out.put_u16(content.len() as u16);
@@ -168,31 +171,31 @@
     out.put_bytes(0, padding);
 }
 
-/// Writes a part of a stream. Nothing is written for nothing: an empty record would end the stream.
+/// Appends a part of a stream to `out`. Empty content appends no record, because an empty record ends the stream.
 pub fn put_stream(out: &mut BytesMut, kind: Kind, id: u16, content: &[u8]) {
-    content.chunks(CHUNK).for_each(|chunk| put(out, kind, id, chunk));
+    content.chunks(MAX_CHUNK_BYTES).for_each(|chunk| put(out, kind, id, chunk));
 }
 
-/// Ends a stream.
+/// Appends the empty record that ends a stream.
 pub fn put_stream_end(out: &mut BytesMut, kind: Kind, id: u16) {
     put(out, kind, id, &[]);
 }
 
-/// What an application is to be to a request (section 5.1).
+/// Role of the application in a request (section 5.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Answers requests.
+    /// Responds to requests.
     Responder,
-    /// Says whether requests are allowed.
+    /// Decides whether requests are authorized.
     Authorizer,
-    /// Answers with a file that it is sent, changed.
+    /// Responds with a filtered version of a file that the web server sends.
     Filter,
-    /// Not in the specification.
+    /// A role that is not in the specification.
     Other(u16),
 }
 
 impl Role {
-    /// Its number.
+    /// Returns the role's number on the wire.
     #[must_use]
     pub fn code(self) -> u16 {
         match self {
@@ -203,7 +206,7 @@
         }
     }
 
-    fn of(code: u16) -> Self {
+    fn from_code(code: u16) -> Self {
         match code {
             1 => Self::Responder,
             2 => Self::Authorizer,
@@ -213,24 +216,24 @@
     }
 }
 
-/// The content of `FCGI_BEGIN_REQUEST`.
+/// Content of `FCGI_BEGIN_REQUEST`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Begin {
-    /// The role asked for.
+    /// Requested role of the application.
     pub role: Role,
-    /// The connection stays after this request.
+    /// Whether the connection stays open after this request (`FCGI_KEEP_CONN`).
     pub keep: bool,
 }
 
 impl Begin {
-    /// From a record's content; `None` where that is too short.
+    /// Decodes the content of a record; `None` if it is too short.
     #[must_use]
     pub fn read(content: &[u8]) -> Option<Self> {
         let [role_high, role_low, flags, _, _, _, _, _] = *content.first_chunk::<8>()?;
-        Some(Self { role: Role::of(u16::from_be_bytes([role_high, role_low])), keep: flags & 1 == 1 })
+        Some(Self { role: Role::from_code(u16::from_be_bytes([role_high, role_low])), keep: flags & 1 == 1 })
     }
 
-    /// As a record's content.
+    /// Encodes the content of a record.
     #[must_use]
     pub fn content(self) -> [u8; 8] {
         let [high, low] = self.role.code().to_be_bytes();
@@ -238,23 +241,23 @@
     }
 }
 
-/// How a request ended, as far as the protocol is concerned (section 5.5).
+/// Protocol status of a finished request (section 5.5).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolStatus {
-    /// It was carried out.
+    /// The request was completed.
     Complete,
-    /// This connection takes one request at a time.
+    /// Rejected: the connection accepts one request at a time.
     CantMultiplex,
-    /// The application has no room.
+    /// Rejected: the application is overloaded.
     Overloaded,
-    /// It does not have that role.
+    /// Rejected: the application does not support the role.
     UnknownRole,
-    /// Not in the specification.
+    /// A status that is not in the specification.
     Other(u8),
 }
 
 impl ProtocolStatus {
-    /// Its number.
+    /// Returns the status' number on the wire.
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
@@ -266,7 +269,7 @@
         }
     }
 
-    fn of(code: u8) -> Self {
+    fn from_code(code: u8) -> Self {
         match code {
             0 => Self::Complete,
             1 => Self::CantMultiplex,
@@ -277,24 +280,27 @@
     }
 }
 
-/// The content of `FCGI_END_REQUEST`.
+/// Content of `FCGI_END_REQUEST`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct End {
-    /// As of a program's exit; 0 is no failure.
+    /// Application status, like the exit status of a program: 0 is success.
     pub application: u32,
-    /// Of the protocol.
+    /// Protocol status.
     pub protocol: ProtocolStatus,
 }
 
 impl End {
-    /// From a record's content; `None` where that is too short.
+    /// Decodes the content of a record; `None` if it is too short.
     #[must_use]
     pub fn read(content: &[u8]) -> Option<Self> {
         let [a, b, c, d, protocol, _, _, _] = *content.first_chunk::<8>()?;
-        Some(Self { application: u32::from_be_bytes([a, b, c, d]), protocol: ProtocolStatus::of(protocol) })
+        Some(Self {
+            application: u32::from_be_bytes([a, b, c, d]),
+            protocol: ProtocolStatus::from_code(protocol),
+        })
     }
 
-    /// As a record's content.
+    /// Encodes the content of a record.
     #[must_use]
     pub fn content(self) -> [u8; 8] {
         let [a, b, c, d] = self.application.to_be_bytes();
--- a/crates/fastcgi/src/server.rs
+++ b/crates/fastcgi/src/server.rs
@@ -1,118 +1,120 @@
-//! The side of an application: takes requests on one connection, several at once, and answers them.
+//! The application's side: accepts requests on one connection, several of them concurrently, and answers them.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-use crate::pairs::{self, Pair, Pairs, PairsError};
+use crate::pairs::{self, Pair, PairDecoder, PairsError};
 use crate::record::{
-    Begin, CHUNK, Decoder, End, Kind, MANAGEMENT, ProtocolStatus, Record, RecordError, Role, put,
-    put_stream_end,
+    Begin, Decoder, End, Kind, MANAGEMENT_ID, MAX_CHUNK_BYTES, ProtocolStatus, Record, RecordError, Role,
+    put, put_stream_end,
 };
 
-/// Most bytes and pairs of a question for variables.
-const MOST_VALUES: (usize, usize) = (4 << 10, 64);
+/// Maximum length of a query for variables, in bytes.
+const MAX_QUERY_BYTES: usize = 4 << 10;
+/// Maximum number of pairs in a query for variables.
+const MAX_QUERY_PAIRS: usize = 64;
 
-/// Bounds of a connection.
+/// Limits of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Connections that the application takes, as it says when asked.
+    /// Maximum number of connections to the application, stated in answers to `FCGI_GET_VALUES`.
     pub connections: u32,
-    /// Requests at once on this connection; a further one is answered with `FCGI_OVERLOADED`.
+    /// Maximum number of concurrent requests on this connection; further ones are answered with `FCGI_OVERLOADED`.
     pub requests: usize,
-    /// Bytes of a request's variables.
+    /// Maximum length of the variables of a request, in bytes.
     pub params: usize,
-    /// Their number.
+    /// Maximum number of variables of a request.
     pub pairs: usize,
-    /// Bytes of a request's body.
+    /// Maximum length of the body of a request, in bytes.
     pub body: usize,
-    /// Bytes of requests that are still coming, over all of the connection; past it a new one is answered with
+    /// Number of buffered bytes of incomplete requests on this connection above which a new request is answered with
     /// `FCGI_OVERLOADED`.
     pub coming: usize,
-    /// Bytes of answers that wait to be written; past it a new request is answered with `FCGI_OVERLOADED`.
+    /// Number of bytes of responses waiting to be written above which a new request is answered with `FCGI_OVERLOADED`.
     pub waiting: usize,
 }
 
-/// What has come.
+/// Something received from the front end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A request has begun; it must be whole in some time.
+    /// A request has started; the caller limits the time until it is complete.
     Began(u16),
-    /// A whole request.
+    /// A complete request.
     Request {
-        /// Its id.
+        /// Id of the request.
         id: u16,
-        /// Its variables.
+        /// Variables.
         params: Vec<Pair>,
-        /// Its body.
+        /// Body.
         body: Bytes,
     },
-    /// One that can't be taken. It is still to be answered.
+    /// A request that is rejected; it still has to be answered.
     Bad(u16, BadRequest),
-    /// The front end's client has gone. It needs no answer; [`Server::end`] is called all the same.
+    /// The front end has aborted a request. It needs no response, but [`Server::end`] must still be called.
     Aborted(u16),
 }
 
-/// Why a request can't be taken.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BadRequest {
-    /// Its variables.
+    /// The variables are malformed or exceed a limit.
     #[error(transparent)]
     Params(#[from] PairsError),
-    /// Its body.
-    #[error("a body of more than {0} bytes")]
+    /// The body exceeds the limit.
+    #[error("request body exceeds {0} bytes")]
     BodyTooLong(usize),
 }
 
-/// What no front end may send. The connection is of no further use.
+/// A protocol violation by the front end. The connection can't be used any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ServerError {
-    /// Bytes that are no record.
+    /// Bytes that are not a valid record.
     #[error(transparent)]
     Record(#[from] RecordError),
-    /// A request with the id of none, or of one that is open.
-    #[error("a request begins with the id {0}, which is taken or none")]
-    Begin(u16),
-    /// The beginning of a request that is too short to be one.
-    #[error("a beginning of {0} bytes")]
-    ShortBegin(usize),
-    /// A part of a stream behind its end.
-    #[error("a record of type {kind} of the request {id} behind the stream's end")]
-    AfterEnd {
-        /// Its type.
+    /// A request starts with id 0 or an id that is still in use.
+    #[error("FCGI_BEGIN_REQUEST with id {0}, which is in use or reserved")]
+    InvalidRequestId(u16),
+    /// The content of `FCGI_BEGIN_REQUEST` is too short.
+    #[error("FCGI_BEGIN_REQUEST has {0} bytes of content; 8 are required")]
+    BeginTooShort(usize),
+    /// A part of a stream after its end.
+    #[error("received a record of type {kind} for request {id} after the end of its stream")]
+    AfterStreamEnd {
+        /// Type of the record.
         kind: u8,
-        /// Its id.
+        /// Id of the request.
         id: u16,
     },
-    /// So many records that need an answer that these can't be kept.
-    #[error("more questions than answers can wait")]
-    TooManyQuestions,
+    /// The front end sends records that need an immediate reply faster than it reads the replies.
+    #[error("too many replies to management records and rejected requests are waiting to be written")]
+    TooManyReplies,
 }
 
 #[derive(Debug)]
 enum Stage {
-    Params(Pairs),
+    Params(PairDecoder),
     Stdin(Vec<Pair>, BytesMut),
-    /// With the host, or answered and not wholly written.
-    Whole,
-    /// It can't be taken; what still comes of it is dropped.
-    Bad,
+    /// Complete, and passed to the caller.
+    Complete,
+    /// Rejected; further records of the request are dropped.
+    Rejected,
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenRequest {
     stage: Stage,
-    keep: bool,
-    /// Bytes of it that are held.
-    held: usize,
-    stdin_over: bool,
+    keep_connection: bool,
+    /// Number of buffered bytes of the request while it is incomplete.
+    buffered_bytes: usize,
+    stdin_ended: bool,
     aborted: bool,
 }
 
-/// An answer on its way out.
+/// A response that is being written.
 #[derive(Debug)]
-struct Outgoing {
+struct QueuedResponse {
     id: u16,
     parts: VecDeque<Bytes>,
     end: End,
@@ -123,20 +125,20 @@
 pub struct Server {
     bounds: Bounds,
     decoder: Decoder,
-    open: BTreeMap<u16, Open>,
-    /// Short records that answer at once: ends of what is turned away, variables.
+    open: BTreeMap<u16, OpenRequest>,
+    /// Short replies that are written first: ends of rejected requests and answers to management records.
     replies: BytesMut,
-    /// Answers in the order in which their next record is due.
-    outgoing: VecDeque<Outgoing>,
-    coming: usize,
-    waiting: usize,
-    /// A request without FCGI_KEEP_CONN has ended, or is to.
-    last: bool,
+    /// Responses in the order in which their next records are written.
+    responses: VecDeque<QueuedResponse>,
+    incoming_bytes: usize,
+    response_bytes: usize,
+    /// A request without FCGI_KEEP_CONN has been received: the connection is closed after the open requests.
+    closes_when_done: bool,
     failed: Option<ServerError>,
 }
 
 impl Server {
-    /// A new connection.
+    /// Creates the state of a new connection.
     #[must_use]
     pub fn new(bounds: Bounds) -> Self {
         Self {
@@ -144,47 +146,49 @@
             decoder: Decoder::default(),
             open: BTreeMap::new(),
             replies: BytesMut::new(),
-            outgoing: VecDeque::new(),
-            coming: 0,
-            waiting: 0,
-            last: false,
+            responses: VecDeque::new(),
+            incoming_bytes: 0,
+            response_bytes: 0,
+            closes_when_done: false,
             failed: None,
         }
     }
 
-    /// Requests that have no end yet.
+    /// Returns the number of requests that have not been answered.
     #[must_use]
     pub fn open(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether nothing of a request or of a record has come that is not answered and written.
+    /// Returns whether no request is open, no part of a record is buffered, and all output has been taken.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.open.is_empty() && self.decoder.is_between() && !self.has_output()
+        self.open.is_empty() && self.decoder.is_at_record_boundary() && !self.has_output()
     }
 
-    /// Whether the application is to close now: the front end asked for no more than what is answered by now.
+    /// Returns whether the application is to close the connection now: a request without FCGI_KEEP_CONN has been
+    /// received, and all requests have been answered and their output taken.
     #[must_use]
     pub fn is_over(&self) -> bool {
-        self.last && self.open.is_empty() && !self.has_output()
+        self.closes_when_done && self.open.is_empty() && !self.has_output()
     }
 
-    /// Bytes of requests that are still coming and of answers that wait: what this connection holds.
+    /// Returns the number of bytes buffered for incomplete requests, responses and replies.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.coming + self.waiting + self.replies.len()
+    pub fn buffered_bytes(&self) -> usize {
+        self.incoming_bytes + self.response_bytes + self.replies.len()
     }
 
-    /// No further requests are taken; each is answered with `FCGI_OVERLOADED`.
+    /// Rejects further requests with `FCGI_OVERLOADED`.
     pub fn stop(&mut self) {
         self.bounds.requests = 0;
     }
 
-    /// Takes bytes that have come; what they tell is appended to `events`.
+    /// Decodes received bytes and appends the resulting events to `events`.
     ///
     /// # Errors
-    /// What no front end may send; then always the same. Events before it are valid.
+    /// If the front end violates the protocol. Every later call then returns the same error. Events appended before the
+    /// error are valid.
     pub fn receive(&mut self, mut input: &[u8], events: &mut Vec<Event>) -> Result<(), ServerError> {
         if let Some(error) = self.failed {
             return Err(error);
@@ -197,17 +201,18 @@
     fn receive_all(&mut self, input: &mut &[u8], events: &mut Vec<Event>) -> Result<(), ServerError> {
         while let Some(Record { kind, id, content }) = self.decoder.next(input)? {
             if self.replies.len() > self.bounds.params {
-                return Err(ServerError::TooManyQuestions);
+                return Err(ServerError::TooManyReplies);
             }
             match kind {
                 Kind::BeginRequest => self.begin(id, &content, events)?,
-                Kind::GetValues if id == MANAGEMENT => self.values(&content),
-                kind if id == MANAGEMENT => {
+                Kind::GetValues if id == MANAGEMENT_ID => self.answer_get_values(&content),
+                kind if id == MANAGEMENT_ID => {
                     let unknown = [kind.code(), 0, 0, 0, 0, 0, 0, 0];
-                    put(&mut self.replies, Kind::UnknownType, MANAGEMENT, &unknown);
+                    put(&mut self.replies, Kind::UnknownType, MANAGEMENT_ID, &unknown);
                 }
-                // Records of what is not open are ignored (section 3.3): its end may have crossed them.
-                kind if self.open.contains_key(&id) => self.of_request(kind, id, &content, events)?,
+                // Records for requests that are not open are ignored (section 3.3): they may have been sent before the
+                // end of the request was received.
+                kind if self.open.contains_key(&id) => self.on_request_record(kind, id, &content, events)?,
                 _ => {}
             }
         }
@@ -215,20 +220,26 @@
     }
 
     fn begin(&mut self, id: u16, content: &[u8], events: &mut Vec<Event>) -> Result<(), ServerError> {
-        let begin = Begin::read(content).ok_or(ServerError::ShortBegin(content.len()))?;
-        let answered = self.outgoing.iter().any(|out| out.id == id);
-        if id == MANAGEMENT || self.open.contains_key(&id) || answered {
-            return Err(ServerError::Begin(id));
+        let begin = Begin::read(content).ok_or(ServerError::BeginTooShort(content.len()))?;
+        let answered = self.responses.iter().any(|out| out.id == id);
+        if id == MANAGEMENT_ID || self.open.contains_key(&id) || answered {
+            return Err(ServerError::InvalidRequestId(id));
         }
-        self.last |= !begin.keep;
-        let full = self.open.len() >= self.bounds.requests
-            || self.coming > self.bounds.coming
-            || self.waiting > self.bounds.waiting;
+        self.closes_when_done |= !begin.keep;
+        let is_full = self.open.len() >= self.bounds.requests
+            || self.incoming_bytes > self.bounds.coming
+            || self.response_bytes > self.bounds.waiting;
         let status = match begin.role {
-            Role::Responder if full => ProtocolStatus::Overloaded,
+            Role::Responder if is_full => ProtocolStatus::Overloaded,
             Role::Responder => {
-                let stage = Stage::Params(Pairs::new(self.bounds.params, self.bounds.pairs));
-                let open = Open { stage, keep: begin.keep, held: 0, stdin_over: false, aborted: false };
+                let stage = Stage::Params(PairDecoder::new(self.bounds.params, self.bounds.pairs));
+                let open = OpenRequest {
+                    stage,
+                    keep_connection: begin.keep,
+                    buffered_bytes: 0,
+                    stdin_ended: false,
+                    aborted: false,
+                };
                 self.open.insert(id, open);
                 events.push(Event::Began(id));
                 return Ok(());
@@ -240,7 +251,7 @@
         Ok(())
     }
 
-    fn of_request(
+    fn on_request_record(
         &mut self,
         kind: Kind,
         id: u16,
@@ -255,66 +266,66 @@
             }
             return Ok(());
         }
-        let after = Err(ServerError::AfterEnd { kind: kind.code(), id });
-        if open.aborted || matches!(open.stage, Stage::Bad) {
+        let after_end = Err(ServerError::AfterStreamEnd { kind: kind.code(), id });
+        if open.aborted || matches!(open.stage, Stage::Rejected) {
             return Ok(());
         }
         match (kind, &mut open.stage) {
             (Kind::Params, Stage::Params(pairs)) if !content.is_empty() => {
                 if let Err(error) = pairs.feed(content) {
-                    self.bad(id, error.into(), events);
+                    self.reject(id, error.into(), events);
                     return Ok(());
                 }
-                open.held += content.len();
-                self.coming += content.len();
+                open.buffered_bytes += content.len();
+                self.incoming_bytes += content.len();
             }
             (Kind::Params, Stage::Params(_)) => {
-                let Stage::Params(pairs) = std::mem::replace(&mut open.stage, Stage::Bad) else {
+                let Stage::Params(pairs) = std::mem::replace(&mut open.stage, Stage::Rejected) else {
                     return Ok(());
                 };
                 match pairs.finish() {
                     Ok(params) => open.stage = Stage::Stdin(params, BytesMut::new()),
-                    Err(error) => self.bad(id, error.into(), events),
+                    Err(error) => self.reject(id, error.into(), events),
                 }
             }
-            (Kind::Params, _) => return after,
+            (Kind::Params, _) => return after_end,
             (Kind::Stdin, Stage::Stdin(_, body)) if !content.is_empty() => {
                 if body.len() + content.len() > bounds.body {
-                    self.bad(id, BadRequest::BodyTooLong(bounds.body), events);
+                    self.reject(id, BadRequest::BodyTooLong(bounds.body), events);
                     return Ok(());
                 }
                 body.extend_from_slice(content);
-                open.held += content.len();
-                self.coming += content.len();
+                open.buffered_bytes += content.len();
+                self.incoming_bytes += content.len();
             }
             (Kind::Stdin, Stage::Stdin(..)) => {
-                let stage = std::mem::replace(&mut open.stage, Stage::Whole);
+                let stage = std::mem::replace(&mut open.stage, Stage::Complete);
                 if let Stage::Stdin(params, body) = stage {
-                    self.coming -= std::mem::take(&mut open.held);
-                    open.stdin_over = true;
+                    self.incoming_bytes -= std::mem::take(&mut open.buffered_bytes);
+                    open.stdin_ended = true;
                     events.push(Event::Request { id, params, body: body.freeze() });
                 }
             }
-            (Kind::Stdin, Stage::Whole) => return after,
-            // A body before its variables; filters' second bodies; what only applications send.
+            (Kind::Stdin, Stage::Complete) => return after_end,
+            // Ignored: a body before the end of the variables, second bodies for filters, and record types that only
+            // applications send.
             _ => {}
         }
         Ok(())
     }
 
-    fn bad(&mut self, id: u16, why: BadRequest, events: &mut Vec<Event>) {
+    fn reject(&mut self, id: u16, error: BadRequest, events: &mut Vec<Event>) {
         if let Some(open) = self.open.get_mut(&id) {
-            open.stage = Stage::Bad;
-            self.coming -= std::mem::take(&mut open.held);
-            events.push(Event::Bad(id, why));
+            open.stage = Stage::Rejected;
+            self.incoming_bytes -= std::mem::take(&mut open.buffered_bytes);
+            events.push(Event::Bad(id, error));
         }
     }
 
-    /// Answers what an application says of itself when asked (section 4.1): only what was asked for.
-    fn values(&mut self, content: &[u8]) {
-        let (most_bytes, most_pairs) = MOST_VALUES;
-        let mut asked = Pairs::new(most_bytes, most_pairs);
-        let asked = asked.feed(content).ok().and_then(|()| asked.finish().ok()).unwrap_or_default();
+    /// Answers a query for variables (section 4.1) with those that were asked for and are known.
+    fn answer_get_values(&mut self, content: &[u8]) {
+        let mut query = PairDecoder::new(MAX_QUERY_BYTES, MAX_QUERY_PAIRS);
+        let queried = query.feed(content).ok().and_then(|()| query.finish().ok()).unwrap_or_default();
         let Bounds { connections, requests, .. } = self.bounds;
         let known = [
             ("FCGI_MAX_CONNS", connections.to_string()),
@@ -323,57 +334,57 @@
         ];
         let mut answer = BytesMut::new();
         for (name, value) in &known {
-            if asked.iter().any(|(wanted, _)| wanted == name.as_bytes()) {
+            if queried.iter().any(|(queried, _)| queried == name.as_bytes()) {
                 pairs::put(&mut answer, name.as_bytes(), value.as_bytes());
             }
         }
-        put(&mut self.replies, Kind::GetValuesResult, MANAGEMENT, &answer);
+        put(&mut self.replies, Kind::GetValuesResult, MANAGEMENT_ID, &answer);
     }
 
-    /// Answers a request with all of its output, head first, or with none where it was aborted. Told once for each
-    /// request; what is not open is not answered.
+    /// Queues the complete response to a request, starting with its head, and ends the request; an aborted request gets
+    /// no output. Does nothing if the request is not open, so each request is answered once.
     pub fn end(&mut self, id: u16, parts: impl IntoIterator<Item = Bytes>, application: u32) {
         let Some(open) = self.open.remove(&id) else { return };
-        self.coming -= open.held;
-        self.last |= !open.keep;
+        self.incoming_bytes -= open.buffered_bytes;
+        self.closes_when_done |= !open.keep_connection;
         let parts: VecDeque<_> = if open.aborted {
             VecDeque::new()
         } else {
             parts.into_iter().filter(|part| !part.is_empty()).collect()
         };
-        self.waiting += parts.iter().map(Bytes::len).sum::<usize>();
+        self.response_bytes += parts.iter().map(Bytes::len).sum::<usize>();
         let end = End { application, protocol: ProtocolStatus::Complete };
-        self.outgoing.push_back(Outgoing { id, parts, end });
+        self.responses.push_back(QueuedResponse { id, parts, end });
     }
 
-    /// Whether there is anything to write.
+    /// Returns whether there is anything to write.
     #[must_use]
     pub fn has_output(&self) -> bool {
-        !self.replies.is_empty() || !self.outgoing.is_empty()
+        !self.replies.is_empty() || !self.responses.is_empty()
     }
 
-    /// Moves what is to be written next to `out`, until that holds `most` bytes. Answers take turns by records: a long
-    /// one does not keep the others waiting.
-    pub fn output(&mut self, out: &mut BytesMut, most: usize) {
+    /// Moves pending output to `out` until that has at least `target_bytes` bytes. Responses are interleaved record by
+    /// record, so that a long one does not delay the others.
+    pub fn output(&mut self, out: &mut BytesMut, target_bytes: usize) {
         if !self.replies.is_empty() {
             out.extend_from_slice(&self.replies);
             self.replies.clear();
         }
-        while out.len() < most {
-            let Some(mut next) = self.outgoing.pop_front() else { return };
+        while out.len() < target_bytes {
+            let Some(mut next) = self.responses.pop_front() else { return };
             let Some(part) = next.parts.front_mut() else {
                 put_stream_end(out, Kind::Stdout, next.id);
                 put(out, Kind::EndRequest, next.id, &next.end.content());
                 continue;
             };
-            let size = part.len().min(CHUNK);
+            let size = part.len().min(MAX_CHUNK_BYTES);
             put(out, Kind::Stdout, next.id, &part[..size]);
             part.advance(size);
             if part.is_empty() {
                 next.parts.pop_front();
             }
-            self.waiting -= size;
-            self.outgoing.push_back(next);
+            self.response_bytes -= size;
+            self.responses.push_back(next);
         }
     }
 }
--- a/crates/fastcgi/tests/cgi.rs
+++ b/crates/fastcgi/tests/cgi.rs
@@ -1,15 +1,15 @@
-//! Variables and answers as RFC 3875 has them.
+//! CGI variables and response heads according to RFC 3875.
 
 use bytes::Bytes;
 use http::{HeaderMap, Method, StatusCode, Uri};
 use pumicehead_fastcgi::cgi::*;
 
-fn list(pairs: &[(&str, &str)]) -> Vec<(Bytes, Bytes)> {
+fn to_pairs(pairs: &[(&str, &str)]) -> Vec<(Bytes, Bytes)> {
     let bytes = |text: &str| Bytes::copy_from_slice(text.as_bytes());
     pairs.iter().map(|(name, value)| (bytes(name), bytes(value))).collect()
 }
 
-fn of(
+fn variables_of(
     target: &str,
     script: &str,
     headers: &[(&'static str, &str)],
@@ -26,13 +26,16 @@
 }
 
 #[test]
-fn paths_are_divided_and_decoded() {
+fn path_is_decoded_and_split_at_the_script_name() {
     let get = |list: &[(String, String)], name: &str| {
         list.iter().find(|(known, _)| known == name).map(|(_, value)| value.clone())
     };
-    let all =
-        of("/app/runs/any%25?x=%2F", "/app", &[("host", "[::1]:81"), ("cookie", "a=1"), ("cookie", "b=2")])
-            .unwrap();
+    let all = variables_of(
+        "/app/runs/any%25?x=%2F",
+        "/app",
+        &[("host", "[::1]:81"), ("cookie", "a=1"), ("cookie", "b=2")],
+    )
+    .unwrap();
     for (name, value) in [
         ("SCRIPT_NAME", "/app"),
         ("PATH_INFO", "/runs/any%"),
@@ -47,29 +50,29 @@
         assert_eq!(get(&all, name).as_deref(), Some(value), "{name}");
     }
     assert_eq!(get(&all, "CONTENT_LENGTH"), None);
-    // Another path that only begins alike is not the application's.
-    let other = of("/apple", "/app", &[]).unwrap();
+    // A path that merely starts with the same characters does not belong to the application.
+    let other = variables_of("/apple", "/app", &[]).unwrap();
     assert_eq!(
         (get(&other, "SCRIPT_NAME").unwrap(), get(&other, "PATH_INFO").unwrap()),
         (String::new(), "/apple".into())
     );
-    assert_eq!(of("/a%2Fb", "", &[]), Err(RequestError::Path));
-    assert_eq!(of("/a%00b", "", &[]), Err(RequestError::Path));
+    assert_eq!(variables_of("/a%2Fb", "", &[]), Err(RequestError::Path));
+    assert_eq!(variables_of("/a%00b", "", &[]), Err(RequestError::Path));
 }
 
 #[test]
-fn requests_of_front_ends_are_read_or_refused() {
+fn variables_are_converted_to_a_request_or_rejected() {
     let plain = [
         ("REQUEST_METHOD", "GET"),
         ("SCRIPT_NAME", "/a b"),
         ("PATH_INFO", "/\u{e9}%"),
         ("QUERY_STRING", "x"),
     ];
-    let read = request(&list(&plain)).unwrap();
+    let read = request(&to_pairs(&plain)).unwrap();
     assert_eq!(read.uri, "/a%20b/%C3%A9%25?x");
     assert_eq!(read.length, None);
     let with = |more: &[(&str, &str)]| {
-        request(&list(&[&[("REQUEST_METHOD", "POST"), ("REQUEST_URI", "/x")][..], more].concat()))
+        request(&to_pairs(&[&[("REQUEST_METHOD", "POST"), ("REQUEST_URI", "/x")][..], more].concat()))
     };
     assert_eq!(with(&[("HTTP_PROXY", "evil"), ("HTTP_X_OWN", "1")]).unwrap().headers.len(), 1);
     assert_eq!(with(&[("SERVER_NAME", "a.org"), ("SERVER_PORT", "81")]).unwrap().headers["host"], "a.org:81");
@@ -77,35 +80,36 @@
     for bad in ["-1", "+1", "1 2", "x", "99999999999999999999999"] {
         assert_eq!(with(&[("CONTENT_LENGTH", bad)]), Err(VariablesError::Length), "{bad}");
     }
-    assert_eq!(with(&[("REQUEST_URI", "/y")]), Err(VariablesError::Twice));
-    assert_eq!(request(&list(&[("REQUEST_URI", "/")])), Err(VariablesError::Method));
+    assert_eq!(with(&[("REQUEST_URI", "/y")]), Err(VariablesError::Repeated));
+    assert_eq!(request(&to_pairs(&[("REQUEST_URI", "/")])), Err(VariablesError::Method));
     assert_eq!(
-        request(&list(&[("REQUEST_METHOD", "G T"), ("REQUEST_URI", "/")])),
+        request(&to_pairs(&[("REQUEST_METHOD", "G T"), ("REQUEST_URI", "/")])),
         Err(VariablesError::Method)
     );
-    assert_eq!(request(&list(&[("REQUEST_METHOD", "GET")])), Err(VariablesError::Target));
+    assert_eq!(request(&to_pairs(&[("REQUEST_METHOD", "GET")])), Err(VariablesError::Target));
     assert_eq!(
-        request(&list(&[("REQUEST_METHOD", "GET"), ("REQUEST_URI", "x y")])),
+        request(&to_pairs(&[("REQUEST_METHOD", "GET"), ("REQUEST_URI", "x y")])),
         Err(VariablesError::Target)
     );
-    let absolute = request(&list(&[("REQUEST_METHOD", "GET"), ("REQUEST_URI", "http://a.org/x?y")])).unwrap();
+    let absolute =
+        request(&to_pairs(&[("REQUEST_METHOD", "GET"), ("REQUEST_URI", "http://a.org/x?y")])).unwrap();
     assert_eq!(absolute.uri, "/x?y");
 }
 
 #[test]
-fn answers_have_a_head_and_a_status() {
+fn response_heads_need_a_valid_status_and_stay_within_limits() {
     let read = |text: &str| {
         let mut reader = HeadReader::default();
-        // By single bytes: more than ten records.
+        // Fed byte by byte, so that the head spans more than ten records.
         let parts: Vec<_> = text.as_bytes().chunks(1).collect();
-        for (place, part) in parts.iter().enumerate() {
+        for (index, part) in parts.iter().enumerate() {
             match reader.feed(part) {
                 Ok(None) => {}
-                Ok(Some((head, rest))) => return Ok((head, rest.len() + parts.len() - place - 1)),
+                Ok(Some((head, rest))) => return Ok((head, rest.len() + parts.len() - index - 1)),
                 Err(error) => return Err(error),
             }
         }
-        panic!("no end: {text:?}")
+        panic!("the head has no end: {text:?}")
     };
     let status = |text: &str| read(text).map(|(head, _)| head.status.as_u16());
     assert_eq!(status("Content-Type: text/plain\r\n\r\n"), Ok(200));
@@ -124,21 +128,21 @@
         "Status: 200\nStatus: 200\n\n",
         "Status: \n\n",
     ] {
-        assert_eq!(status(bad), Err(AnswerError::Status), "{bad}");
+        assert_eq!(status(bad), Err(ResponseHeadError::Status), "{bad}");
     }
-    assert_eq!(status("X-Other: 1\n\n"), Err(AnswerError::Bare));
-    assert_eq!(status("\r\n"), Err(AnswerError::Bare));
-    assert_eq!(status("no field\n\n"), Err(AnswerError::Field));
-    assert_eq!(status("a b: c\n\n"), Err(AnswerError::Field));
-    let fields: String = (0..=MOST_FIELDS).map(|n| format!("X-{n}: 1\n")).collect();
-    assert_eq!(status(&(fields + "\n")), Err(AnswerError::TooManyFields));
+    assert_eq!(status("X-Other: 1\n\n"), Err(ResponseHeadError::NoStatus));
+    assert_eq!(status("\r\n"), Err(ResponseHeadError::NoStatus));
+    assert_eq!(status("no field\n\n"), Err(ResponseHeadError::Field));
+    assert_eq!(status("a b: c\n\n"), Err(ResponseHeadError::Field));
+    let fields: String = (0..=MAX_HEAD_FIELDS).map(|n| format!("X-{n}: 1\n")).collect();
+    assert_eq!(status(&(fields + "\n")), Err(ResponseHeadError::TooManyFields));
     let mut endless = HeadReader::default();
     let error = (0..1_000).find_map(|_| endless.feed(b"X-More: and more and more and more and more\n").err());
-    assert_eq!(error, Some(AnswerError::HeadTooLong));
+    assert_eq!(error, Some(ResponseHeadError::HeadTooLong));
 }
 
 #[test]
-fn a_head_reads_as_it_is_written() {
+fn written_response_head_is_decoded_unchanged() {
     let mut headers = HeaderMap::new();
     headers.append("content-type", "text/plain".parse().unwrap());
     headers.append("set-cookie", "a=1".parse().unwrap());
--- a/crates/fastcgi/tests/properties.rs
+++ b/crates/fastcgi/tests/properties.rs
@@ -1,11 +1,12 @@
-//! What holds for all bytes: any split gives the same events, nothing panics, and memory keeps its bounds.
+//! Properties for arbitrary bytes: events don't depend on how the input is split, nothing panics, and buffers stay
+//! within their limits.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use pumicehead_fastcgi::cgi::{Around, HeadReader, request, variables};
 use pumicehead_fastcgi::client::{self, Client};
-use pumicehead_fastcgi::pairs::{self, Pairs};
+use pumicehead_fastcgi::pairs::{self, PairDecoder};
 use pumicehead_fastcgi::record::{Begin, Decoder, Kind, Record, Role, put};
 use pumicehead_fastcgi::server::{Bounds, Event, Server, ServerError};
 
@@ -32,31 +33,31 @@
 
 fn wire(records: &[(u8, u16, Vec<u8>)]) -> Vec<u8> {
     let mut out = BytesMut::new();
-    records.iter().for_each(|(kind, id, content)| put(&mut out, Kind::of(*kind), *id, content));
+    records.iter().for_each(|(kind, id, content)| put(&mut out, Kind::from_code(*kind), *id, content));
     out.to_vec()
 }
 
-/// Splits bytes at drawn places.
+/// Splits bytes at generated positions.
 fn split<'a>(bytes: &'a [u8], cuts: &[prop::sample::Index]) -> Vec<&'a [u8]> {
-    let mut places: Vec<_> = cuts.iter().map(|cut| cut.index(bytes.len() + 1)).collect();
-    places.push(bytes.len());
-    places.sort_unstable();
+    let mut positions: Vec<_> = cuts.iter().map(|cut| cut.index(bytes.len() + 1)).collect();
+    positions.push(bytes.len());
+    positions.sort_unstable();
     let mut start = 0;
-    places.into_iter().map(|end| &bytes[std::mem::replace(&mut start, end)..end]).collect()
+    positions.into_iter().map(|end| &bytes[std::mem::replace(&mut start, end)..end]).collect()
 }
 
-fn serve(parts: &[&[u8]]) -> (Vec<Event>, Option<ServerError>, Vec<u8>) {
+fn receive_as_server(parts: &[&[u8]]) -> (Vec<Event>, Option<ServerError>, Vec<u8>) {
     let mut server = Server::new(BOUNDS);
     let mut events = Vec::new();
     let error = parts.iter().find_map(|part| server.receive(part, &mut events).err());
-    let most = BOUNDS.requests * (BOUNDS.params + BOUNDS.body) + BOUNDS.params + 65_536;
-    assert!(server.held() <= most, "{}", server.held());
+    let max = BOUNDS.requests * (BOUNDS.params + BOUNDS.body) + BOUNDS.params + 65_536;
+    assert!(server.buffered_bytes() <= max, "{}", server.buffered_bytes());
     let mut out = BytesMut::new();
     server.output(&mut out, usize::MAX);
     (events, error, out.to_vec())
 }
 
-fn ask(parts: &[&[u8]]) -> (Vec<client::Event>, bool) {
+fn receive_as_client(parts: &[&[u8]]) -> (Vec<client::Event>, bool) {
     let mut client = Client::default();
     let mut out = BytesMut::new();
     for _ in 0..3 {
@@ -71,49 +72,49 @@
     #![proptest_config(ProptestConfig { cases: 1_500, rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_split_gives_the_same_events(
+    fn events_do_not_depend_on_how_input_is_split(
         records in records(),
         cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..20),
     ) {
         let bytes = wire(&records);
         let parts = split(&bytes, &cuts);
-        prop_assert_eq!(serve(&parts), serve(&[&bytes]));
-        prop_assert_eq!(ask(&parts), ask(&[&bytes]));
+        prop_assert_eq!(receive_as_server(&parts), receive_as_server(&[&bytes]));
+        prop_assert_eq!(receive_as_client(&parts), receive_as_client(&[&bytes]));
         let single: Vec<_> = bytes.chunks(1).collect();
-        prop_assert_eq!(serve(&single), serve(&[&bytes]));
-        prop_assert_eq!(ask(&single), ask(&[&bytes]));
+        prop_assert_eq!(receive_as_server(&single), receive_as_server(&[&bytes]));
+        prop_assert_eq!(receive_as_client(&single), receive_as_client(&[&bytes]));
     }
 
     #[test]
-    fn arbitrary_bytes_neither_panic_nor_pass_the_bounds(mut bytes in prop::collection::vec(any::<u8>(), 0..3_000), version in any::<bool>()) {
+    fn arbitrary_bytes_neither_panic_nor_exceed_limits(mut bytes in prop::collection::vec(any::<u8>(), 0..3_000), version in any::<bool>()) {
         if version && !bytes.is_empty() {
             bytes[0] = 1;
         }
-        serve(&[&bytes]);
-        ask(&[&bytes]);
+        receive_as_server(&[&bytes]);
+        receive_as_client(&[&bytes]);
         let mut reader = HeadReader::default();
         let _ = reader.feed(&bytes);
-        let mut list = Pairs::new(500, 20);
+        let mut list = PairDecoder::new(500, 20);
         if list.feed(&bytes).is_ok() && let Ok(list) = list.finish() {
             let _ = request(&list);
         }
     }
 
     #[test]
-    fn records_come_back_as_they_were_written(records in records()) {
+    fn written_records_are_decoded_unchanged(records in records()) {
         let bytes = wire(&records);
         let mut decoder = Decoder::default();
         let mut input = &bytes[..];
         for (kind, id, content) in records {
-            let expected = Record { kind: Kind::of(kind), id, content: Bytes::from(content) };
+            let expected = Record { kind: Kind::from_code(kind), id, content: Bytes::from(content) };
             prop_assert_eq!(decoder.next(&mut input).unwrap(), Some(expected));
-            prop_assert_eq!(Kind::of(kind).code(), kind);
+            prop_assert_eq!(Kind::from_code(kind).code(), kind);
         }
-        prop_assert!(input.is_empty() && decoder.is_between());
+        prop_assert!(input.is_empty() && decoder.is_at_record_boundary());
     }
 
     #[test]
-    fn a_request_comes_through_both_machines(
+    fn request_and_response_pass_through_client_and_server(
         list in prop::collection::vec((prop::collection::vec(any::<u8>(), 0..150), prop::collection::vec(any::<u8>(), 0..150)), 0..6),
         body in prop::collection::vec(any::<u8>(), 0..1_000),
         size in 1usize..64,
@@ -143,23 +144,23 @@
         prop_assert_eq!(client.open(), 0);
     }
 
-    /// Pairs are the same however the stream is divided into records.
+    /// The decoded pairs don't depend on how the stream is split into records.
     #[test]
-    fn pairs_cross_the_borders_of_records(
+    fn pairs_may_span_several_records(
         list in prop::collection::vec((prop::collection::vec(any::<u8>(), 0..200), prop::collection::vec(any::<u8>(), 0..200)), 0..8),
         size in 1usize..50,
     ) {
         let mut out = BytesMut::new();
         list.iter().for_each(|(name, value)| pairs::put(&mut out, name, value));
-        let mut reader = Pairs::new(10_000, 100);
+        let mut reader = PairDecoder::new(10_000, 100);
         out.chunks(size).for_each(|part| reader.feed(part).unwrap());
         let read: Vec<_> = reader.finish().unwrap().into_iter().map(|(n, v)| (n.to_vec(), v.to_vec())).collect();
         prop_assert_eq!(read, list);
     }
 
-    /// What a gateway puts into variables, a front end's reader makes the same request of.
+    /// A request that is converted to variables and back stays the same, without `Proxy` and fields with `_`.
     #[test]
-    fn variables_and_back_is_the_same_request(
+    fn request_is_unchanged_by_conversion_to_variables_and_back(
         path in "(/[a-z0-9.~!$&'()*+,;=:@_-]{0,6}(%[2-7][1-9A-E])?){1,4}",
         query in prop::option::of("[a-z0-9=&%]{0,10}"),
         value in "[ -~]{1,20}",
@@ -187,7 +188,7 @@
 }
 
 #[test]
-fn a_beginning_reads_as_it_is_written() {
+fn begin_request_content_is_decoded_unchanged() {
     for role in [Role::Responder, Role::Authorizer, Role::Filter, Role::Other(9)] {
         let begin = Begin { role, keep: true };
         assert_eq!(Begin::read(&begin.content()), Some(begin));
--- a/crates/fastcgi/tests/wire.rs
+++ b/crates/fastcgi/tests/wire.rs
@@ -1,8 +1,8 @@
-//! Bytes as the specification has them, written out by hand, and what no one may send.
+//! Records written out by hand as the FastCGI specification shows them, and protocol violations of both sides.
 
 use bytes::{Bytes, BytesMut};
 use pumicehead_fastcgi::client::{self, Client, ClientError, Values};
-use pumicehead_fastcgi::pairs::{Pairs, PairsError};
+use pumicehead_fastcgi::pairs::{PairDecoder, PairsError};
 use pumicehead_fastcgi::record::{Decoder, End, Kind, ProtocolStatus, RecordError};
 use pumicehead_fastcgi::server::{BadRequest, Bounds, Event, Server, ServerError};
 
@@ -27,7 +27,7 @@
     bytes
 }
 
-fn all(records: &[Vec<u8>]) -> Vec<u8> {
+fn concat(records: &[Vec<u8>]) -> Vec<u8> {
     records.concat()
 }
 
@@ -48,7 +48,7 @@
     record(BEGIN, id, &[0, role, keep, 0, 0, 0, 0, 0], 0)
 }
 
-/// A request of a responder with one variable and a body, in the records of section B of the specification.
+/// A request to a responder with one variable and a body, in records like those of appendix B of the specification.
 fn request(id: u16, keep: u8, body: &[u8]) -> Vec<u8> {
     let mut records =
         vec![begin(id, 1, keep), record(PARAMS, id, b"\x0b\x0dSERVER_PORT80SERVER_ADDR1", 0).split_off(0)];
@@ -58,7 +58,7 @@
         records.push(record(STDIN, id, body, 1));
     }
     records.push(record(STDIN, id, b"", 0));
-    all(&records)
+    concat(&records)
 }
 
 fn serve(server: &mut Server, bytes: &[u8]) -> Result<Vec<Event>, ServerError> {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_request_is_read_and_answered() {
+fn request_is_decoded_and_answered() {
     let mut server = Server::new(BOUNDS);
     let events = serve(&mut server, &request(1, 0, b"time=1:02")).unwrap();
     let whole = Event::Request {
@@ -87,7 +87,7 @@
     };
     assert_eq!(events, [Event::Began(1), whole]);
     server.end(1, [Bytes::from_static(b"Content-Type: text/html\r\n\r\n<html>\n<head> ...")], 0);
-    let expected = all(&[
+    let expected = concat(&[
         record(STDOUT, 1, b"Content-Type: text/html\r\n\r\n<html>\n<head> ...", 4),
         record(STDOUT, 1, b"", 0),
         record(END, 1, &[0, 0, 0, 0, 0, 0, 0, 0], 0),
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_client_writes_what_the_specification_shows() {
+fn client_writes_requests_and_queries_as_specified() {
     let mut client = Client::default();
     let mut out = BytesMut::new();
     let id = client.begin(&mut out, true).unwrap();
@@ -109,7 +109,7 @@
     let mut params = b"\x0b\x02SERVER_PORT80\x01\x80\x00\x00\x80X".to_vec();
     params.extend(long);
     let padding = (params.len().wrapping_neg() % 8) as u8;
-    let mut expected = all(&[
+    let mut expected = concat(&[
         begin(1, 1, 1),
         record(PARAMS, 1, &params, padding),
         record(PARAMS, 1, b"", 0),
@@ -120,19 +120,19 @@
     assert_eq!(out.to_vec(), expected);
     let mut out = BytesMut::new();
     client.get_values(&mut out);
-    let mut asked =
+    let mut query =
         record(GET_VALUES, 0, b"\x0e\x00FCGI_MAX_CONNS\x0d\x00FCGI_MAX_REQS\x0f\x00FCGI_MPXS_CONNS", 0);
-    asked[6] = (asked.len() - 8).wrapping_neg() as u8 % 8;
-    asked.extend(vec![0; usize::from(asked[6])]);
-    assert_eq!(out.to_vec(), asked);
+    query[6] = (query.len() - 8).wrapping_neg() as u8 % 8;
+    query.extend(vec![0; usize::from(query[6])]);
+    assert_eq!(out.to_vec(), query);
 }
 
 #[test]
-fn an_answer_comes_in_pieces_with_errors_beside_it() {
+fn response_in_parts_is_separated_from_error_output() {
     let mut client = Client::default();
     let id = client.begin(&mut BytesMut::new(), true).unwrap();
     let mut events = Vec::new();
-    let bytes = all(&[
+    let bytes = concat(&[
         record(STDERR, 1, b"config error: missing SI_UID\n", 7),
         record(STDOUT, 1, b"Content-Type: text/html\r\n", 0),
         record(STDOUT, 1, b"\r\nhello", 255),
@@ -156,32 +156,32 @@
 }
 
 #[test]
-fn what_an_application_may_not_send_ends_the_connection() {
-    let fault = |bytes: &[u8]| {
+fn protocol_violations_by_an_application_are_permanent_errors() {
+    let violation = |bytes: &[u8]| {
         let mut client = Client::default();
         client.begin(&mut BytesMut::new(), true).unwrap();
         let error = client.receive(bytes, &mut Vec::new()).unwrap_err();
-        // It stays so, whatever comes next.
+        // Valid records afterwards return the same error.
         assert_eq!(client.receive(&record(STDERR, 1, b"x", 0), &mut Vec::new()), Err(error));
         error
     };
     let end = record(END, 1, &[0; 8], 0);
     let stdout = record(STDOUT, 1, b"x", 0);
-    assert_eq!(fault(&all(&[end.clone(), stdout])), ClientError::NotOpen { kind: STDOUT, id: 1 });
-    assert_eq!(fault(&record(END, 2, &[0; 8], 0)), ClientError::NotOpen { kind: END, id: 2 });
-    assert_eq!(fault(&all(&[end.clone(), end])), ClientError::NotOpen { kind: END, id: 1 });
-    assert_eq!(fault(&record(END, 1, &[0; 7], 0)), ClientError::ShortEnd(7));
-    assert_eq!(fault(&record(STDOUT, 0, b"x", 0)), ClientError::Unexpected(STDOUT));
-    assert_eq!(fault(&record(BEGIN, 1, &[0; 8], 0)), ClientError::Unexpected(BEGIN));
-    assert_eq!(fault(&record(99, 1, b"", 0)), ClientError::Unexpected(99));
-    assert_eq!(fault(&[2, 6, 0, 1]), ClientError::Record(RecordError::Version(2)));
-    assert_eq!(fault(b"HTTP/1.1 200 OK\r\n"), ClientError::Record(RecordError::Version(b'H')));
-    let twice = all(&[record(STDOUT, 1, b"", 0), record(STDOUT, 1, b"more", 0)]);
-    assert_eq!(fault(&twice), ClientError::AfterEnd(1));
+    assert_eq!(violation(&concat(&[end.clone(), stdout])), ClientError::NotOpen { kind: STDOUT, id: 1 });
+    assert_eq!(violation(&record(END, 2, &[0; 8], 0)), ClientError::NotOpen { kind: END, id: 2 });
+    assert_eq!(violation(&concat(&[end.clone(), end])), ClientError::NotOpen { kind: END, id: 1 });
+    assert_eq!(violation(&record(END, 1, &[0; 7], 0)), ClientError::EndTooShort(7));
+    assert_eq!(violation(&record(STDOUT, 0, b"x", 0)), ClientError::Unexpected(STDOUT));
+    assert_eq!(violation(&record(BEGIN, 1, &[0; 8], 0)), ClientError::Unexpected(BEGIN));
+    assert_eq!(violation(&record(99, 1, b"", 0)), ClientError::Unexpected(99));
+    assert_eq!(violation(&[2, 6, 0, 1]), ClientError::Record(RecordError::UnsupportedVersion(2)));
+    assert_eq!(violation(b"HTTP/1.1 200 OK\r\n"), ClientError::Record(RecordError::UnsupportedVersion(b'H')));
+    let twice = concat(&[record(STDOUT, 1, b"", 0), record(STDOUT, 1, b"more", 0)]);
+    assert_eq!(violation(&twice), ClientError::AfterStreamEnd(1));
 }
 
 #[test]
-fn an_aborted_request_is_silent_until_its_end() {
+fn aborted_request_has_no_events_until_its_end() {
     let mut client = Client::default();
     let mut out = BytesMut::new();
     let id = client.begin(&mut BytesMut::new(), true).unwrap();
@@ -189,55 +189,57 @@
     client.abort(&mut out, id);
     assert_eq!(out.to_vec(), record(ABORT, 1, b"", 0));
     let mut events = Vec::new();
-    client.receive(&all(&[record(STDOUT, 1, b"late", 0), record(STDERR, 1, b"x", 0)]), &mut events).unwrap();
+    client
+        .receive(&concat(&[record(STDOUT, 1, b"late", 0), record(STDERR, 1, b"x", 0)]), &mut events)
+        .unwrap();
     assert_eq!((events.len(), client.open()), (0, 1));
     client.receive(&record(END, 1, &[0; 8], 0), &mut events).unwrap();
     assert!(matches!(events[..], [client::Event::Ended(..)]) && client.open() == 0);
-    // The id comes again only after all others.
+    // An id is reused only after all others.
     assert_eq!(client.begin(&mut out, true).unwrap().number(), 2);
 }
 
 #[test]
-fn variables_of_an_application_are_read_as_far_as_they_make_sense() {
-    let told = |content: &[u8]| {
+fn invalid_values_of_an_application_are_ignored() {
+    let values = |content: &[u8]| {
         let mut events = Vec::new();
         Client::default().receive(&record(GET_VALUES_RESULT, 0, content, 0), &mut events).unwrap();
         match events[..] {
-            [client::Event::Values(values)] => values,
+            [client::Event::Values(received)] => received,
             ref other => panic!("{other:?}"),
         }
     };
     assert_eq!(
-        told(b"\x0e\x01FCGI_MAX_CONNS1\x0d\x03FCGI_MAX_REQS100\x0f\x01FCGI_MPXS_CONNS1"),
+        values(b"\x0e\x01FCGI_MAX_CONNS1\x0d\x03FCGI_MAX_REQS100\x0f\x01FCGI_MPXS_CONNS1"),
         Values { connections: Some(1), requests: Some(100), multiplexes: Some(true) }
     );
-    assert_eq!(told(b"\x0f\x01FCGI_MPXS_CONNS0").multiplexes, Some(false));
-    assert_eq!(told(b"\x0d\x01FCGI_MAX_REQS0"), Values::default());
-    assert_eq!(told(b"\x0d\x03FCGI_MAX_REQSabc"), Values::default());
-    assert_eq!(told(b""), Values::default());
-    assert_eq!(told(b"\xff\xff\xff\xff"), Values::default());
+    assert_eq!(values(b"\x0f\x01FCGI_MPXS_CONNS0").multiplexes, Some(false));
+    assert_eq!(values(b"\x0d\x01FCGI_MAX_REQS0"), Values::default());
+    assert_eq!(values(b"\x0d\x03FCGI_MAX_REQSabc"), Values::default());
+    assert_eq!(values(b""), Values::default());
+    assert_eq!(values(b"\xff\xff\xff\xff"), Values::default());
     let mut events = Vec::new();
     Client::default().receive(&record(UNKNOWN_TYPE, 0, &[9, 0, 0, 0, 0, 0, 0, 0], 0), &mut events).unwrap();
     assert_eq!(events, [client::Event::Values(Values::default())]);
 }
 
 #[test]
-fn management_is_answered() {
+fn management_records_are_answered() {
     let mut server = Server::new(BOUNDS);
-    let asked = record(GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS\x05\x00OTHER\x0e\x00FCGI_MAX_CONNS", 0);
-    assert_eq!(serve(&mut server, &asked).unwrap(), []);
+    let query = record(GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS\x05\x00OTHER\x0e\x00FCGI_MAX_CONNS", 0);
+    assert_eq!(serve(&mut server, &query).unwrap(), []);
     let mut expected = record(GET_VALUES_RESULT, 0, b"\x0e\x02FCGI_MAX_CONNS10\x0f\x01FCGI_MPXS_CONNS1", 4);
     expected.iter_mut().filter(|b| **b == 0xee).for_each(|b| *b = 0);
     assert_eq!(output(&mut server), expected);
     serve(&mut server, &record(77, 0, b"odd", 2)).unwrap();
     assert_eq!(output(&mut server), record(UNKNOWN_TYPE, 0, &[77, 0, 0, 0, 0, 0, 0, 0], 0));
-    // Nobody may have a connection remember questions without end.
+    // Unread replies must not accumulate without limit.
     let many = record(77, 0, b"", 0).repeat(1_000);
-    assert_eq!(serve(&mut server, &many), Err(ServerError::TooManyQuestions));
+    assert_eq!(serve(&mut server, &many), Err(ServerError::TooManyReplies));
 }
 
 #[test]
-fn roles_and_requests_that_cant_be_taken_are_turned_away() {
+fn unsupported_roles_and_excess_requests_are_rejected() {
     let mut server = Server::new(BOUNDS);
     let end = |id, status| record(END, id, &[0, 0, 0, 0, status, 0, 0, 0], 0);
     for role in [2, 3, 9] {
@@ -247,39 +249,39 @@
     for id in 1..=4 {
         assert_eq!(serve(&mut server, &begin(id, 1, 1)).unwrap(), [Event::Began(id)]);
     }
-    // The rest of what was turned away is ignored.
+    // The remaining records of a rejected request are ignored.
     assert_eq!(serve(&mut server, &request(5, 1, b"x")).unwrap(), []);
     assert_eq!(output(&mut server), end(5, 2));
-    assert_eq!(serve(&mut server, &begin(4, 1, 1)), Err(ServerError::Begin(4)));
-    assert_eq!(serve(&mut Server::new(BOUNDS), &begin(0, 1, 1)), Err(ServerError::Begin(0)));
+    assert_eq!(serve(&mut server, &begin(4, 1, 1)), Err(ServerError::InvalidRequestId(4)));
+    assert_eq!(serve(&mut Server::new(BOUNDS), &begin(0, 1, 1)), Err(ServerError::InvalidRequestId(0)));
     assert_eq!(
         serve(&mut Server::new(BOUNDS), &record(BEGIN, 1, &[0, 1], 0)),
-        Err(ServerError::ShortBegin(2))
+        Err(ServerError::BeginTooShort(2))
     );
     assert_eq!(
         serve(&mut Server::new(BOUNDS), b"GET / HTTP/1.1\r\n"),
-        Err(ServerError::Record(RecordError::Version(b'G')))
+        Err(ServerError::Record(RecordError::UnsupportedVersion(b'G')))
     );
 }
 
 #[test]
-fn streams_out_of_turn_are_faults_and_strangers_are_ignored() {
+fn records_after_a_stream_end_are_errors_and_unknown_requests_are_ignored() {
     let mut server = Server::new(BOUNDS);
-    let strangers = all(&[
+    let unknown = concat(&[
         record(STDIN, 9, b"x", 0),
         record(PARAMS, 9, b"x", 0),
         record(ABORT, 9, b"", 0),
         record(99, 9, b"", 0),
     ]);
-    assert_eq!(serve(&mut server, &strangers).unwrap(), []);
+    assert_eq!(serve(&mut server, &unknown).unwrap(), []);
     assert!(server.is_idle());
-    let late = all(&[request(1, 1, b""), record(STDIN, 1, b"more", 0)]);
-    assert_eq!(serve(&mut server, &late), Err(ServerError::AfterEnd { kind: STDIN, id: 1 }));
+    let late = concat(&[request(1, 1, b""), record(STDIN, 1, b"more", 0)]);
+    assert_eq!(serve(&mut server, &late), Err(ServerError::AfterStreamEnd { kind: STDIN, id: 1 }));
     let mut server = Server::new(BOUNDS);
-    let late = all(&[begin(1, 1, 1), record(PARAMS, 1, b"", 0), record(PARAMS, 1, b"\x01\x01ab", 0)]);
-    assert_eq!(serve(&mut server, &late), Err(ServerError::AfterEnd { kind: PARAMS, id: 1 }));
+    let late = concat(&[begin(1, 1, 1), record(PARAMS, 1, b"", 0), record(PARAMS, 1, b"\x01\x01ab", 0)]);
+    assert_eq!(serve(&mut server, &late), Err(ServerError::AfterStreamEnd { kind: PARAMS, id: 1 }));
     let mut server = Server::new(BOUNDS);
-    let early = all(&[
+    let early = concat(&[
         begin(1, 1, 1),
         record(STDIN, 1, b"early", 0),
         record(DATA, 1, b"x", 0),
@@ -290,51 +292,53 @@
 }
 
 #[test]
-fn bounds_hold_whatever_is_claimed() {
-    let bad = |records: &[Vec<u8>]| {
+fn limits_hold_for_any_stated_length() {
+    let rejection = |records: &[Vec<u8>]| {
         let mut server = Server::new(BOUNDS);
-        let events = serve(&mut server, &all(records)).unwrap();
-        assert!(server.held() <= BOUNDS.params + BOUNDS.body, "{}", server.held());
+        let events = serve(&mut server, &concat(records)).unwrap();
+        assert!(server.buffered_bytes() <= BOUNDS.params + BOUNDS.body, "{}", server.buffered_bytes());
         match events[..] {
-            [Event::Began(1), Event::Bad(1, why)] => why,
+            [Event::Began(1), Event::Bad(1, error)] => error,
             ref other => panic!("{other:?}"),
         }
     };
-    // 2 GB: told by eight bytes.
-    let claim = record(PARAMS, 1, b"\xff\xff\xff\xff\xff\xff\xff\xffX", 0);
-    let claimed = u64::from(u32::MAX >> 1) * 2;
+    // Eight bytes state two lengths of 2 GiB each.
+    let huge = record(PARAMS, 1, b"\xff\xff\xff\xff\xff\xff\xff\xffX", 0);
+    let stated = u64::from(u32::MAX >> 1) * 2;
     assert_eq!(
-        bad(&[begin(1, 1, 1), claim]),
-        BadRequest::Params(PairsError::PairTooLong { claimed, most: 4_096 })
+        rejection(&[begin(1, 1, 1), huge]),
+        BadRequest::Params(PairsError::PairTooLong { stated, max: 4_096 })
     );
     let many = record(PARAMS, 1, &b"\x01\x00a".repeat(65), 0);
-    assert_eq!(bad(&[begin(1, 1, 1), many]), BadRequest::Params(PairsError::TooMany(64)));
+    assert_eq!(rejection(&[begin(1, 1, 1), many]), BadRequest::Params(PairsError::TooMany(64)));
     let long = record(PARAMS, 1, &[b"\x01\x80\x00\x0f\x00a".to_vec(), vec![b'x'; 5_000]].concat(), 0);
-    assert_eq!(bad(&[begin(1, 1, 1), long]), BadRequest::Params(PairsError::TooLong(4_096)));
+    assert_eq!(rejection(&[begin(1, 1, 1), long]), BadRequest::Params(PairsError::TooLong(4_096)));
     let cut = [begin(1, 1, 1), record(PARAMS, 1, b"\x05\x05ab", 0), record(PARAMS, 1, b"", 0)];
-    assert_eq!(bad(&cut), BadRequest::Params(PairsError::Cut));
+    assert_eq!(rejection(&cut), BadRequest::Params(PairsError::Truncated));
     let body = record(STDIN, 1, &[0; 1_000], 0);
     let all = [begin(1, 1, 1), record(PARAMS, 1, b"", 0), body.clone(), body.clone(), body];
-    assert_eq!(bad(&all), BadRequest::BodyTooLong(1_024));
+    assert_eq!(rejection(&all), BadRequest::BodyTooLong(1_024));
 }
 
 #[test]
-fn an_abort_needs_no_answer_but_an_end() {
+fn aborted_request_is_ended_without_output() {
     let mut server = Server::new(BOUNDS);
-    let events =
-        serve(&mut server, &all(&[request(1, 1, b""), record(ABORT, 1, b"", 0), record(ABORT, 1, b"", 0)]))
-            .unwrap();
+    let events = serve(
+        &mut server,
+        &concat(&[request(1, 1, b""), record(ABORT, 1, b"", 0), record(ABORT, 1, b"", 0)]),
+    )
+    .unwrap();
     assert_eq!(events.iter().filter(|event| **event == Event::Aborted(1)).count(), 1);
     server.end(1, [Bytes::from_static(b"nobody reads this")], 0);
-    assert_eq!(output(&mut server), all(&[record(STDOUT, 1, b"", 0), record(END, 1, &[0; 8], 0)]));
+    assert_eq!(output(&mut server), concat(&[record(STDOUT, 1, b"", 0), record(END, 1, &[0; 8], 0)]));
     assert!(server.is_idle() && !server.is_over());
 }
 
-/// A long answer does not keep the others waiting.
+/// Guards against a long response that delays the others.
 #[test]
-fn answers_take_turns_by_records() {
+fn responses_are_interleaved_by_record() {
     let mut server = Server::new(BOUNDS);
-    serve(&mut server, &all(&[request(1, 1, b""), request(2, 1, b"")])).unwrap();
+    serve(&mut server, &concat(&[request(1, 1, b""), request(2, 1, b"")])).unwrap();
     server.end(1, [Bytes::from(vec![b'a'; 100_000])], 0);
     server.end(2, [Bytes::from_static(b"short")], 0);
     let mut out = BytesMut::new();
@@ -345,21 +349,22 @@
     while let Some(record) = decoder.next(&mut input).unwrap() {
         order.push((record.id, record.kind));
     }
-    let second = order.iter().position(|seen| *seen == (2, Kind::EndRequest)).expect("the short one's end");
+    let second =
+        order.iter().position(|seen| *seen == (2, Kind::EndRequest)).expect("the short response has no end");
     assert!(second <= 4, "{order:?}");
-    assert!(server.has_output() && server.held() > 50_000);
+    assert!(server.has_output() && server.buffered_bytes() > 50_000);
 }
 
 #[test]
-fn padding_and_an_end_inside_a_record_are_seen() {
+fn truncated_records_and_pairs_are_detected() {
     let whole = record(STDOUT, 1, b"abc", 5);
     for cut in 1..whole.len() {
         let mut decoder = Decoder::default();
         assert_eq!(decoder.next(&mut &whole[..cut]), Ok(None), "{cut}");
-        assert!(!decoder.is_between(), "{cut}");
-        assert!(decoder.next(&mut &whole[cut..]).unwrap().is_some() && decoder.is_between());
+        assert!(!decoder.is_at_record_boundary(), "{cut}");
+        assert!(decoder.next(&mut &whole[cut..]).unwrap().is_some() && decoder.is_at_record_boundary());
     }
-    let mut pairs = Pairs::new(100, 10);
+    let mut pairs = PairDecoder::new(100, 10);
     pairs.feed(b"\x80").unwrap();
-    assert_eq!(pairs.finish(), Err(PairsError::Cut));
+    assert_eq!(pairs.finish(), Err(PairsError::Truncated));
 }
