--- a/crates/fastcgi/src/server.rs
+++ b/crates/fastcgi/src/server.rs
@@ -18,29 +18,29 @@
 
 /// Limits of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct Limits {
     /// Maximum number of connections to the application, stated in answers to `FCGI_GET_VALUES`.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Maximum number of concurrent requests on this connection; further ones are answered with `FCGI_OVERLOADED`.
-    pub requests: usize,
+    pub max_requests: usize,
     /// Maximum length of the variables of a request, in bytes.
-    pub params: usize,
+    pub max_params_bytes: usize,
     /// Maximum number of variables of a request.
-    pub pairs: usize,
+    pub max_params: usize,
     /// Maximum length of the body of a request, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Number of buffered bytes of incomplete requests on this connection above which a new request is answered with
     /// `FCGI_OVERLOADED`.
-    pub coming: usize,
+    pub max_incoming_bytes: usize,
     /// Number of bytes of responses waiting to be written above which a new request is answered with `FCGI_OVERLOADED`.
-    pub waiting: usize,
+    pub max_response_bytes: usize,
 }
 
 /// Something received from the front end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A request has started; the caller limits the time until it is complete.
-    Began(u16),
+    Started(u16),
     /// A complete request.
     Request {
         /// Id of the request.
@@ -51,7 +51,7 @@
         body: Bytes,
     },
     /// A request that is rejected; it still has to be answered.
-    Bad(u16, BadRequest),
+    Rejected(u16, BadRequest),
     /// The front end has aborted a request. It needs no response, but [`Server::end`] must still be called.
     Aborted(u16),
 }
@@ -123,7 +123,7 @@
 /// A connection from a front end.
 #[derive(Debug)]
 pub struct Server {
-    bounds: Bounds,
+    limits: Limits,
     decoder: Decoder,
     open: BTreeMap<u16, OpenRequest>,
     /// Short replies that are written first: ends of rejected requests and answers to management records.
@@ -140,9 +140,9 @@
 impl Server {
     /// Creates the state of a new connection.
     #[must_use]
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(limits: Limits) -> Self {
         Self {
-            bounds,
+            limits,
             decoder: Decoder::default(),
             open: BTreeMap::new(),
             replies: BytesMut::new(),
@@ -169,7 +169,7 @@
     /// Returns whether the application is to close the connection now: a request without FCGI_KEEP_CONN has been
     /// received, and all requests have been answered and their output taken.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn should_close(&self) -> bool {
         self.closes_when_done && self.open.is_empty() && !self.has_output()
     }
 
@@ -180,8 +180,8 @@
     }
 
     /// Rejects further requests with `FCGI_OVERLOADED`.
-    pub fn stop(&mut self) {
-        self.bounds.requests = 0;
+    pub fn reject_new_requests(&mut self) {
+        self.limits.max_requests = 0;
     }
 
     /// Decodes received bytes and appends the resulting events to `events`.
@@ -200,7 +200,7 @@
 
     fn receive_all(&mut self, input: &mut &[u8], events: &mut Vec<Event>) -> Result<(), ServerError> {
         while let Some(Record { kind, id, content }) = self.decoder.next(input)? {
-            if self.replies.len() > self.bounds.params {
+            if self.replies.len() > self.limits.max_params_bytes {
                 return Err(ServerError::TooManyReplies);
             }
             match kind {
@@ -226,13 +226,14 @@
             return Err(ServerError::InvalidRequestId(id));
         }
         self.closes_when_done |= !begin.keep;
-        let is_full = self.open.len() >= self.bounds.requests
-            || self.incoming_bytes > self.bounds.coming
-            || self.response_bytes > self.bounds.waiting;
+        let is_full = self.open.len() >= self.limits.max_requests
+            || self.incoming_bytes > self.limits.max_incoming_bytes
+            || self.response_bytes > self.limits.max_response_bytes;
         let status = match begin.role {
             Role::Responder if is_full => ProtocolStatus::Overloaded,
             Role::Responder => {
-                let stage = Stage::Params(PairDecoder::new(self.bounds.params, self.bounds.pairs));
+                let stage =
+                    Stage::Params(PairDecoder::new(self.limits.max_params_bytes, self.limits.max_params));
                 let open = OpenRequest {
                     stage,
                     keep_connection: begin.keep,
@@ -241,7 +242,7 @@
                     aborted: false,
                 };
                 self.open.insert(id, open);
-                events.push(Event::Began(id));
+                events.push(Event::Started(id));
                 return Ok(());
             }
             _ => ProtocolStatus::UnknownRole,
@@ -258,7 +259,7 @@
         content: &[u8],
         events: &mut Vec<Event>,
     ) -> Result<(), ServerError> {
-        let bounds = self.bounds;
+        let limits = self.limits;
         let Some(open) = self.open.get_mut(&id) else { return Ok(()) };
         if kind == Kind::AbortRequest {
             if !std::mem::replace(&mut open.aborted, true) {
@@ -290,8 +291,8 @@
             }
             (Kind::Params, _) => return after_end,
             (Kind::Stdin, Stage::Stdin(_, body)) if !content.is_empty() => {
-                if body.len() + content.len() > bounds.body {
-                    self.reject(id, BadRequest::BodyTooLong(bounds.body), events);
+                if body.len() + content.len() > limits.max_body_bytes {
+                    self.reject(id, BadRequest::BodyTooLong(limits.max_body_bytes), events);
                     return Ok(());
                 }
                 body.extend_from_slice(content);
@@ -318,7 +319,7 @@
         if let Some(open) = self.open.get_mut(&id) {
             open.stage = Stage::Rejected;
             self.incoming_bytes -= std::mem::take(&mut open.buffered_bytes);
-            events.push(Event::Bad(id, error));
+            events.push(Event::Rejected(id, error));
         }
     }
 
@@ -326,11 +327,11 @@
     fn answer_get_values(&mut self, content: &[u8]) {
         let mut query = PairDecoder::new(MAX_QUERY_BYTES, MAX_QUERY_PAIRS);
         let queried = query.feed(content).ok().and_then(|()| query.finish().ok()).unwrap_or_default();
-        let Bounds { connections, requests, .. } = self.bounds;
+        let Limits { max_connections, max_requests, .. } = self.limits;
         let known = [
-            ("FCGI_MAX_CONNS", connections.to_string()),
-            ("FCGI_MAX_REQS", u64::from(connections).saturating_mul(requests as u64).to_string()),
-            ("FCGI_MPXS_CONNS", u8::from(requests > 1).to_string()),
+            ("FCGI_MAX_CONNS", max_connections.to_string()),
+            ("FCGI_MAX_REQS", u64::from(max_connections).saturating_mul(max_requests as u64).to_string()),
+            ("FCGI_MPXS_CONNS", u8::from(max_requests > 1).to_string()),
         ];
         let mut answer = BytesMut::new();
         for (name, value) in &known {
--- a/crates/fastcgi/tests/properties.rs
+++ b/crates/fastcgi/tests/properties.rs
@@ -8,16 +8,16 @@
 use pumicehead_fastcgi::client::{self, Client};
 use pumicehead_fastcgi::pairs::{self, PairDecoder};
 use pumicehead_fastcgi::record::{Begin, Decoder, Kind, Record, Role, put};
-use pumicehead_fastcgi::server::{Bounds, Event, Server, ServerError};
+use pumicehead_fastcgi::server::{Event, Limits, Server, ServerError};
 
-const BOUNDS: Bounds = Bounds {
-    connections: 10,
-    requests: 4,
-    params: 2_048,
-    pairs: 64,
-    body: 1_024,
-    coming: 4_096,
-    waiting: 8_192,
+const LIMITS: Limits = Limits {
+    max_connections: 10,
+    max_requests: 4,
+    max_params_bytes: 2_048,
+    max_params: 64,
+    max_body_bytes: 1_024,
+    max_incoming_bytes: 4_096,
+    max_response_bytes: 8_192,
 };
 
 fn records() -> impl Strategy<Value = Vec<(u8, u16, Vec<u8>)>> {
@@ -47,10 +47,12 @@
 }
 
 fn receive_as_server(parts: &[&[u8]]) -> (Vec<Event>, Option<ServerError>, Vec<u8>) {
-    let mut server = Server::new(BOUNDS);
+    let mut server = Server::new(LIMITS);
     let mut events = Vec::new();
     let error = parts.iter().find_map(|part| server.receive(part, &mut events).err());
-    let max = BOUNDS.requests * (BOUNDS.params + BOUNDS.body) + BOUNDS.params + 65_536;
+    let max = LIMITS.max_requests * (LIMITS.max_params_bytes + LIMITS.max_body_bytes)
+        + LIMITS.max_params_bytes
+        + 65_536;
     assert!(server.buffered_bytes() <= max, "{}", server.buffered_bytes());
     let mut out = BytesMut::new();
     server.output(&mut out, usize::MAX);
@@ -125,12 +127,12 @@
         client.params(&mut out, id, list.iter().map(|(name, value)| (&name[..], &value[..])));
         client.stdin(&mut out, id, &body);
         client.stdin_end(&mut out, id);
-        let mut server = Server::new(BOUNDS);
+        let mut server = Server::new(LIMITS);
         let mut events = Vec::new();
         out.chunks(size).for_each(|part| server.receive(part, &mut events).unwrap());
         let params: Vec<_> = list.iter().map(|(name, value)| (Bytes::from(name.clone()), Bytes::from(value.clone()))).collect();
         let whole = Event::Request { id: 1, params, body: Bytes::from(body.clone()) };
-        prop_assert_eq!(events, vec![Event::Began(1), whole]);
+        prop_assert_eq!(events, vec![Event::Started(1), whole]);
         server.end(1, [Bytes::from(body.clone())], 0);
         let mut back = BytesMut::new();
         server.output(&mut back, usize::MAX);
--- a/crates/fastcgi/tests/wire.rs
+++ b/crates/fastcgi/tests/wire.rs
@@ -4,16 +4,16 @@
 use pumicehead_fastcgi::client::{self, Client, ClientError, Values};
 use pumicehead_fastcgi::pairs::{PairDecoder, PairsError};
 use pumicehead_fastcgi::record::{Decoder, End, Kind, ProtocolStatus, RecordError};
-use pumicehead_fastcgi::server::{BadRequest, Bounds, Event, Server, ServerError};
+use pumicehead_fastcgi::server::{BadRequest, Event, Limits, Server, ServerError};
 
-const BOUNDS: Bounds = Bounds {
-    connections: 10,
-    requests: 4,
-    params: 4_096,
-    pairs: 64,
-    body: 1_024,
-    coming: 8_192,
-    waiting: 65_536,
+const LIMITS: Limits = Limits {
+    max_connections: 10,
+    max_requests: 4,
+    max_params_bytes: 4_096,
+    max_params: 64,
+    max_body_bytes: 1_024,
+    max_incoming_bytes: 8_192,
+    max_response_bytes: 65_536,
 };
 
 /// Section 3.3: version, type, id (two bytes, high first), content length, padding length, reserved.
@@ -78,14 +78,14 @@
 
 #[test]
 fn request_is_decoded_and_answered() {
-    let mut server = Server::new(BOUNDS);
+    let mut server = Server::new(LIMITS);
     let events = serve(&mut server, &request(1, 0, b"time=1:02")).unwrap();
     let whole = Event::Request {
         id: 1,
         params: vec![pair("SERVER_PORT", "80")],
         body: Bytes::from_static(b"time=1:02"),
     };
-    assert_eq!(events, [Event::Began(1), whole]);
+    assert_eq!(events, [Event::Started(1), whole]);
     server.end(1, [Bytes::from_static(b"Content-Type: text/html\r\n\r\n<html>\n<head> ...")], 0);
     let expected = concat(&[
         record(STDOUT, 1, b"Content-Type: text/html\r\n\r\n<html>\n<head> ...", 4),
@@ -94,7 +94,7 @@
     ]);
     let padded: Vec<_> = output(&mut server).iter().map(|&b| if b == 0xee { 0 } else { b }).collect();
     assert_eq!(padded, expected.iter().map(|&b| if b == 0xee { 0 } else { b }).collect::<Vec<_>>());
-    assert!(server.is_over());
+    assert!(server.should_close());
 }
 
 #[test]
@@ -225,7 +225,7 @@
 
 #[test]
 fn management_records_are_answered() {
-    let mut server = Server::new(BOUNDS);
+    let mut server = Server::new(LIMITS);
     let query = record(GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS\x05\x00OTHER\x0e\x00FCGI_MAX_CONNS", 0);
     assert_eq!(serve(&mut server, &query).unwrap(), []);
     let mut expected = record(GET_VALUES_RESULT, 0, b"\x0e\x02FCGI_MAX_CONNS10\x0f\x01FCGI_MPXS_CONNS1", 4);
@@ -240,33 +240,33 @@
 
 #[test]
 fn unsupported_roles_and_excess_requests_are_rejected() {
-    let mut server = Server::new(BOUNDS);
+    let mut server = Server::new(LIMITS);
     let end = |id, status| record(END, id, &[0, 0, 0, 0, status, 0, 0, 0], 0);
     for role in [2, 3, 9] {
         assert_eq!(serve(&mut server, &begin(7, role, 1)).unwrap(), []);
         assert_eq!(output(&mut server), end(7, 3));
     }
     for id in 1..=4 {
-        assert_eq!(serve(&mut server, &begin(id, 1, 1)).unwrap(), [Event::Began(id)]);
+        assert_eq!(serve(&mut server, &begin(id, 1, 1)).unwrap(), [Event::Started(id)]);
     }
     // The remaining records of a rejected request are ignored.
     assert_eq!(serve(&mut server, &request(5, 1, b"x")).unwrap(), []);
     assert_eq!(output(&mut server), end(5, 2));
     assert_eq!(serve(&mut server, &begin(4, 1, 1)), Err(ServerError::InvalidRequestId(4)));
-    assert_eq!(serve(&mut Server::new(BOUNDS), &begin(0, 1, 1)), Err(ServerError::InvalidRequestId(0)));
+    assert_eq!(serve(&mut Server::new(LIMITS), &begin(0, 1, 1)), Err(ServerError::InvalidRequestId(0)));
     assert_eq!(
-        serve(&mut Server::new(BOUNDS), &record(BEGIN, 1, &[0, 1], 0)),
+        serve(&mut Server::new(LIMITS), &record(BEGIN, 1, &[0, 1], 0)),
         Err(ServerError::BeginTooShort(2))
     );
     assert_eq!(
-        serve(&mut Server::new(BOUNDS), b"GET / HTTP/1.1\r\n"),
+        serve(&mut Server::new(LIMITS), b"GET / HTTP/1.1\r\n"),
         Err(ServerError::Record(RecordError::UnsupportedVersion(b'G')))
     );
 }
 
 #[test]
 fn records_after_a_stream_end_are_errors_and_unknown_requests_are_ignored() {
-    let mut server = Server::new(BOUNDS);
+    let mut server = Server::new(LIMITS);
     let unknown = concat(&[
         record(STDIN, 9, b"x", 0),
         record(PARAMS, 9, b"x", 0),
@@ -277,28 +277,32 @@
     assert!(server.is_idle());
     let late = concat(&[request(1, 1, b""), record(STDIN, 1, b"more", 0)]);
     assert_eq!(serve(&mut server, &late), Err(ServerError::AfterStreamEnd { kind: STDIN, id: 1 }));
-    let mut server = Server::new(BOUNDS);
+    let mut server = Server::new(LIMITS);
     let late = concat(&[begin(1, 1, 1), record(PARAMS, 1, b"", 0), record(PARAMS, 1, b"\x01\x01ab", 0)]);
     assert_eq!(serve(&mut server, &late), Err(ServerError::AfterStreamEnd { kind: PARAMS, id: 1 }));
-    let mut server = Server::new(BOUNDS);
+    let mut server = Server::new(LIMITS);
     let early = concat(&[
         begin(1, 1, 1),
         record(STDIN, 1, b"early", 0),
         record(DATA, 1, b"x", 0),
         record(STDOUT, 1, b"x", 0),
     ]);
-    assert_eq!(serve(&mut server, &early).unwrap(), [Event::Began(1)]);
+    assert_eq!(serve(&mut server, &early).unwrap(), [Event::Started(1)]);
     assert_eq!(server.open(), 1);
 }
 
 #[test]
 fn limits_hold_for_any_stated_length() {
     let rejection = |records: &[Vec<u8>]| {
-        let mut server = Server::new(BOUNDS);
+        let mut server = Server::new(LIMITS);
         let events = serve(&mut server, &concat(records)).unwrap();
-        assert!(server.buffered_bytes() <= BOUNDS.params + BOUNDS.body, "{}", server.buffered_bytes());
+        assert!(
+            server.buffered_bytes() <= LIMITS.max_params_bytes + LIMITS.max_body_bytes,
+            "{}",
+            server.buffered_bytes()
+        );
         match events[..] {
-            [Event::Began(1), Event::Bad(1, error)] => error,
+            [Event::Started(1), Event::Rejected(1, error)] => error,
             ref other => panic!("{other:?}"),
         }
     };
@@ -322,7 +326,7 @@
 
 #[test]
 fn aborted_request_is_ended_without_output() {
-    let mut server = Server::new(BOUNDS);
+    let mut server = Server::new(LIMITS);
     let events = serve(
         &mut server,
         &concat(&[request(1, 1, b""), record(ABORT, 1, b"", 0), record(ABORT, 1, b"", 0)]),
@@ -331,13 +335,13 @@
     assert_eq!(events.iter().filter(|event| **event == Event::Aborted(1)).count(), 1);
     server.end(1, [Bytes::from_static(b"nobody reads this")], 0);
     assert_eq!(output(&mut server), concat(&[record(STDOUT, 1, b"", 0), record(END, 1, &[0; 8], 0)]));
-    assert!(server.is_idle() && !server.is_over());
+    assert!(server.is_idle() && !server.should_close());
 }
 
 /// Guards against a long response that delays the others.
 #[test]
 fn responses_are_interleaved_by_record() {
-    let mut server = Server::new(BOUNDS);
+    let mut server = Server::new(LIMITS);
     serve(&mut server, &concat(&[request(1, 1, b""), request(2, 1, b"")])).unwrap();
     server.end(1, [Bytes::from(vec![b'a'; 100_000])], 0);
     server.end(2, [Bytes::from_static(b"short")], 0);
--- a/crates/load-generator/tests/loopback.rs
+++ b/crates/load-generator/tests/loopback.rs
@@ -254,15 +254,15 @@
     );
     assert_eq!(tally.of(End::NoConnection), 20);
     let fastcgi = scripted(|mut stream| {
-        use pumicehead_fastcgi::server::{Bounds, Event, Server};
-        let mut server = Server::new(Bounds {
-            connections: 1,
-            requests: 1,
-            params: 9_000,
-            pairs: 99,
-            body: 9_000,
-            coming: 99_000,
-            waiting: 99_000,
+        use pumicehead_fastcgi::server::{Event, Limits, Server};
+        let mut server = Server::new(Limits {
+            max_connections: 1,
+            max_requests: 1,
+            max_params_bytes: 9_000,
+            max_params: 99,
+            max_body_bytes: 9_000,
+            max_incoming_bytes: 99_000,
+            max_response_bytes: 99_000,
         });
         let mut bytes = vec![0; 4_096];
         while let Ok(count) = stream.read(&mut bytes)
--- a/crates/node/src/net/downstream/fastcgi/session.rs
+++ b/crates/node/src/net/downstream/fastcgi/session.rs
@@ -8,7 +8,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use hyper::Method;
 use pumicehead_fastcgi::pairs::Pair;
-use pumicehead_fastcgi::server::{BadRequest, Bounds, Event, Server};
+use pumicehead_fastcgi::server::{BadRequest, Event, Limits, Server};
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::Instant;
@@ -69,17 +69,17 @@
         client_ip: IpAddr,
         finished: mpsc::UnboundedSender<FinishedRequest>,
     ) -> Self {
-        let mut server = Server::new(Bounds {
-            connections: u32::try_from(listener.budget.limit()).unwrap_or(u32::MAX),
-            requests: MAX_REQUESTS,
-            params: MAX_PARAMS_BYTES,
-            pairs: MAX_PARAMS,
-            body: listener.options.get().max_buffered_body,
-            coming: MAX_INCOMING_BYTES,
-            waiting: MAX_OUTGOING_BYTES,
+        let mut server = Server::new(Limits {
+            max_connections: u32::try_from(listener.budget.limit()).unwrap_or(u32::MAX),
+            max_requests: MAX_REQUESTS,
+            max_params_bytes: MAX_PARAMS_BYTES,
+            max_params: MAX_PARAMS,
+            max_body_bytes: listener.options.get().max_buffered_body,
+            max_incoming_bytes: MAX_INCOMING_BYTES,
+            max_response_bytes: MAX_OUTGOING_BYTES,
         });
         if connection.over_limit {
-            server.stop();
+            server.reject_new_requests();
         }
         Self {
             listener,
@@ -130,7 +130,7 @@
     pub fn is_finished(&self) -> bool {
         let may_close =
             self.listener.draining.get() || self.connection.over_limit && self.connection.has_served();
-        self.output.is_empty() && self.server.is_over() || self.is_idle() && may_close
+        self.output.is_empty() && self.server.should_close() || self.is_idle() && may_close
     }
 
     pub fn on_written(&mut self, count: usize) {
@@ -142,18 +142,18 @@
     pub fn on_input(&mut self, input: &[u8]) -> bool {
         if self.listener.draining.get() {
             // Requests that begin from now on are rejected; those that have begun are answered.
-            self.server.stop();
+            self.server.reject_new_requests();
         }
         let due = Instant::now() + self.listener.options.get().request_timeout;
         let mut events = Vec::new();
         let result = self.server.receive(input, &mut events);
         for event in events {
             match event {
-                Event::Began(id) => {
+                Event::Started(id) => {
                     self.incoming.insert(id, due);
                 }
                 Event::Request { id, params, body } => self.on_request(id, params, body),
-                Event::Bad(id, error) => self.on_bad_request(id, &error),
+                Event::Rejected(id, error) => self.on_bad_request(id, &error),
                 Event::Aborted(id) => self.on_aborted(id),
             }
         }
--- a/crates/testbed/src/scripted_backend/fastcgi.rs
+++ b/crates/testbed/src/scripted_backend/fastcgi.rs
@@ -8,7 +8,7 @@
 use bytes::BytesMut;
 use pumicehead_fastcgi::pairs::Pair;
 use pumicehead_fastcgi::record::{End, Kind, ProtocolStatus, put, put_stream, put_stream_end};
-use pumicehead_fastcgi::server::{Bounds, Event, Server as Application};
+use pumicehead_fastcgi::server::{Event, Limits, Server as Application};
 
 use super::{Act, ScriptedBackends, write_endlessly};
 
@@ -52,15 +52,15 @@
 }
 
 /// Limits that the tests don't reach, but for the number of requests of a connection that does not multiplex.
-fn bounds(multiplex: bool) -> Bounds {
-    Bounds {
-        connections: 100,
-        requests: if multiplex { 200 } else { 1 },
-        params: 64 << 10,
-        pairs: 512,
-        body: 1 << 20,
-        coming: 8 << 20,
-        waiting: 64 << 20,
+fn bounds(multiplex: bool) -> Limits {
+    Limits {
+        max_connections: 100,
+        max_requests: if multiplex { 200 } else { 1 },
+        max_params_bytes: 64 << 10,
+        max_params: 512,
+        max_body_bytes: 1 << 20,
+        max_incoming_bytes: 8 << 20,
+        max_response_bytes: 64 << 20,
     }
 }
 
@@ -78,7 +78,7 @@
                     self.application.end(id, [], 0);
                     self.write_output()?;
                 }
-                Event::Began(_) | Event::Bad(..) => {}
+                Event::Started(_) | Event::Rejected(..) => {}
             }
         }
         Ok(())
