--- a/crates/fastcgi/src/cgi.rs
+++ b/crates/fastcgi/src/cgi.rs
@@ -28,15 +28,15 @@
 
 /// What a gateway knows about a request besides its head.
 #[derive(Clone, Copy, Debug)]
-pub struct Around<'a> {
+pub struct GatewayContext<'a> {
     /// Address of the client.
-    pub peer: Option<IpAddr>,
+    pub client_address: Option<IpAddr>,
     /// The part of the path that identifies the application (SCRIPT_NAME), without a trailing slash; may be empty.
-    pub script: &'a str,
+    pub script_name: &'a str,
     /// Directory of the application's files (DOCUMENT_ROOT), for SCRIPT_FILENAME; empty if there is none.
-    pub root: &'a str,
+    pub document_root: &'a str,
     /// Length of the body, in bytes.
-    pub length: usize,
+    pub body_length: usize,
 }
 
 /// Name and value of a variable.
@@ -54,16 +54,16 @@
     method: &'a Method,
     uri: &'a Uri,
     headers: &'a HeaderMap,
-    around: Around<'a>,
+    context: GatewayContext<'a>,
 ) -> Result<Vec<Variable<'a>>, RequestError> {
     let mut list: Vec<Variable<'a>> = Vec::with_capacity(headers.len() + 16);
     let mut add = |name: &'static str, value: Cow<'a, [u8]>| list.push((Cow::Borrowed(name), value));
     let text = |text: &'a str| Cow::Borrowed(text.as_bytes());
     let path = decode(uri.path()).ok_or(RequestError::Path)?;
-    let script = around.script.as_bytes();
+    let script = context.script_name.as_bytes();
     let under = path.strip_prefix(script).filter(|rest| rest.is_empty() || rest.starts_with(b"/"));
-    let (script, info) = match under {
-        Some(rest) => (around.script, rest.to_vec()),
+    let (script, path_info) = match under {
+        Some(rest) => (context.script_name, rest.to_vec()),
         None => ("", path.into_owned()),
     };
     add("GATEWAY_INTERFACE", text("CGI/1.1"));
@@ -72,11 +72,11 @@
     add("REQUEST_METHOD", text(method.as_str()));
     add("REQUEST_URI", text(uri.path_and_query().map_or("/", |target| target.as_str())));
     add("SCRIPT_NAME", text(script));
-    add("PATH_INFO", Cow::Owned(info));
+    add("PATH_INFO", Cow::Owned(path_info));
     add("QUERY_STRING", text(uri.query().unwrap_or("")));
-    if !around.root.is_empty() {
-        add("DOCUMENT_ROOT", text(around.root));
-        add("SCRIPT_FILENAME", Cow::Owned([around.root.as_bytes(), script.as_bytes()].concat()));
+    if !context.document_root.is_empty() {
+        add("DOCUMENT_ROOT", text(context.document_root));
+        add("SCRIPT_FILENAME", Cow::Owned([context.document_root.as_bytes(), script.as_bytes()].concat()));
     }
     let host = headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
     let (name, port) = match host.rsplit_once(':') {
@@ -85,12 +85,12 @@
     };
     add("SERVER_NAME", text(name));
     add("SERVER_PORT", text(port));
-    if let Some(peer) = around.peer {
+    if let Some(peer) = context.client_address {
         let peer = peer.to_canonical().to_string();
         add("REMOTE_ADDR", Cow::Owned(peer.into_bytes()));
     }
-    if around.length > 0 || headers.contains_key(header::CONTENT_TYPE) || !is_bodiless(method) {
-        add("CONTENT_LENGTH", Cow::Owned(around.length.to_string().into_bytes()));
+    if context.body_length > 0 || headers.contains_key(header::CONTENT_TYPE) || !is_bodiless(method) {
+        add("CONTENT_LENGTH", Cow::Owned(context.body_length.to_string().into_bytes()));
     }
     if let Some(kind) = headers.get(header::CONTENT_TYPE) {
         add("CONTENT_TYPE", Cow::Borrowed(kind.as_bytes()));
@@ -102,10 +102,11 @@
         if name.as_str().contains('_') {
             continue;
         }
-        let joint: &[u8] = if *name == header::COOKIE { b"; " } else { b", " };
+        let separator: &[u8] = if *name == header::COOKIE { b"; " } else { b", " };
         let mut values = headers.get_all(name).iter().map(HeaderValue::as_bytes);
         let first = values.next().unwrap_or_default();
-        let value = values.fold(Cow::Borrowed(first), |all, value| Cow::Owned([&all, joint, value].concat()));
+        let value =
+            values.fold(Cow::Borrowed(first), |all, value| Cow::Owned([&all, separator, value].concat()));
         let variable = format!("HTTP_{}", name.as_str().to_ascii_uppercase().replace('-', "_"));
         list.push((Cow::Owned(variable), value));
     }
@@ -141,7 +142,7 @@
 
 /// A request that a front end has sent as variables.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FromVariables {
+pub struct ParsedRequest {
     /// Method.
     pub method: Method,
     /// Target in origin form.
@@ -149,9 +150,9 @@
     /// Header fields.
     pub headers: HeaderMap,
     /// Address of the client according to the front end.
-    pub peer: Option<IpAddr>,
+    pub client_address: Option<IpAddr>,
     /// Length that the body must have, in bytes; `None` if it is not stated.
-    pub length: Option<u64>,
+    pub body_length: Option<u64>,
 }
 
 /// Why variables are not a valid request.
@@ -176,7 +177,7 @@
 ///
 /// # Errors
 /// If a variable read here is missing, malformed or occurs more than once.
-pub fn request(list: &[Pair]) -> Result<FromVariables, VariablesError> {
+pub fn parse_request(list: &[Pair]) -> Result<ParsedRequest, VariablesError> {
     let get = |name: &str| {
         let mut found = list.iter().filter(|(known, _)| known == name.as_bytes()).map(|(_, value)| value);
         match (found.next(), found.next()) {
@@ -195,7 +196,7 @@
     let uri: Uri = target.parse().map_err(|_| VariablesError::Target)?;
     let path = uri.path_and_query().filter(|path| path.as_str().starts_with('/')).cloned();
     let uri = Uri::from(path.ok_or(VariablesError::Target)?);
-    let length = match get("CONTENT_LENGTH")? {
+    let body_length = match get("CONTENT_LENGTH")? {
         None => None,
         Some(value) => {
             let digits = value.iter().all(u8::is_ascii_digit);
@@ -204,7 +205,7 @@
             Some(number.ok_or(VariablesError::Length)?)
         }
     };
-    let peer = get("REMOTE_ADDR")?.and_then(|value| std::str::from_utf8(value).ok()?.parse().ok());
+    let client_address = get("REMOTE_ADDR")?.and_then(|value| std::str::from_utf8(value).ok()?.parse().ok());
     let mut headers = HeaderMap::new();
     let mut add = |name: &[u8], value: &Bytes| {
         if let (Ok(name), Ok(value)) =
@@ -237,7 +238,7 @@
             headers.insert(header::HOST, host);
         }
     }
-    Ok(FromVariables { method, uri, headers, peer, length })
+    Ok(ParsedRequest { method, uri, headers, client_address, body_length })
 }
 
 /// Builds a target from the decoded parts of its path, which are percent-encoded again, and its query.
@@ -259,7 +260,7 @@
 
 /// Head of a response.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AnswerHead {
+pub struct CgiResponseHead {
     /// Status code.
     pub status: StatusCode,
     /// Header fields without `Status`.
@@ -299,7 +300,7 @@
     ///
     /// # Errors
     /// If the head is malformed or exceeds a limit.
-    pub fn feed(&mut self, part: &[u8]) -> Result<Option<(AnswerHead, Bytes)>, ResponseHeadError> {
+    pub fn feed(&mut self, part: &[u8]) -> Result<Option<(CgiResponseHead, Bytes)>, ResponseHeadError> {
         self.buffer.extend_from_slice(part);
         let Some((head, body)) = end(&self.buffer, self.seen) else {
             if self.buffer.len() > MAX_HEAD_BYTES {
@@ -337,7 +338,7 @@
     None
 }
 
-fn read_head(head: &[u8]) -> Result<AnswerHead, ResponseHeadError> {
+fn read_head(head: &[u8]) -> Result<CgiResponseHead, ResponseHeadError> {
     let (mut status, mut headers) = (None, HeaderMap::new());
     for (count, line) in head.split(|&b| b == b'\n').filter(|line| !line.trim_ascii().is_empty()).enumerate()
     {
@@ -365,7 +366,7 @@
         None if headers.contains_key(header::CONTENT_TYPE) => StatusCode::OK,
         None => return Err(ResponseHeadError::NoStatus),
     };
-    Ok(AnswerHead { status, headers })
+    Ok(CgiResponseHead { status, headers })
 }
 
 /// Appends the head of a response to `out`.
--- a/crates/fastcgi/tests/cgi.rs
+++ b/crates/fastcgi/tests/cgi.rs
@@ -11,7 +11,7 @@
 
 fn variables_of(
     target: &str,
-    script: &str,
+    script_name: &str,
     headers: &[(&'static str, &str)],
 ) -> Result<Vec<(String, String)>, RequestError> {
     let mut map = HeaderMap::new();
@@ -19,8 +19,13 @@
         map.append(*name, value.parse().unwrap());
     }
     let uri: Uri = target.parse().unwrap();
-    let peer = "::ffff:10.0.0.7".parse().ok();
-    let list = variables(&Method::GET, &uri, &map, Around { peer, script, root: "/srv", length: 0 })?;
+    let client_address = "::ffff:10.0.0.7".parse().ok();
+    let list = variables(
+        &Method::GET,
+        &uri,
+        &map,
+        GatewayContext { client_address, script_name, document_root: "/srv", body_length: 0 },
+    )?;
     let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).unwrap();
     Ok(list.iter().map(|(name, value)| (name.to_string(), text(value))).collect())
 }
@@ -68,31 +73,31 @@
         ("PATH_INFO", "/\u{e9}%"),
         ("QUERY_STRING", "x"),
     ];
-    let read = request(&to_pairs(&plain)).unwrap();
+    let read = parse_request(&to_pairs(&plain)).unwrap();
     assert_eq!(read.uri, "/a%20b/%C3%A9%25?x");
-    assert_eq!(read.length, None);
+    assert_eq!(read.body_length, None);
     let with = |more: &[(&str, &str)]| {
-        request(&to_pairs(&[&[("REQUEST_METHOD", "POST"), ("REQUEST_URI", "/x")][..], more].concat()))
+        parse_request(&to_pairs(&[&[("REQUEST_METHOD", "POST"), ("REQUEST_URI", "/x")][..], more].concat()))
     };
     assert_eq!(with(&[("HTTP_PROXY", "evil"), ("HTTP_X_OWN", "1")]).unwrap().headers.len(), 1);
     assert_eq!(with(&[("SERVER_NAME", "a.org"), ("SERVER_PORT", "81")]).unwrap().headers["host"], "a.org:81");
-    assert_eq!(with(&[("CONTENT_LENGTH", "")]).unwrap().length, None);
+    assert_eq!(with(&[("CONTENT_LENGTH", "")]).unwrap().body_length, None);
     for bad in ["-1", "+1", "1 2", "x", "99999999999999999999999"] {
         assert_eq!(with(&[("CONTENT_LENGTH", bad)]), Err(VariablesError::Length), "{bad}");
     }
     assert_eq!(with(&[("REQUEST_URI", "/y")]), Err(VariablesError::Repeated));
-    assert_eq!(request(&to_pairs(&[("REQUEST_URI", "/")])), Err(VariablesError::Method));
+    assert_eq!(parse_request(&to_pairs(&[("REQUEST_URI", "/")])), Err(VariablesError::Method));
     assert_eq!(
-        request(&to_pairs(&[("REQUEST_METHOD", "G T"), ("REQUEST_URI", "/")])),
+        parse_request(&to_pairs(&[("REQUEST_METHOD", "G T"), ("REQUEST_URI", "/")])),
         Err(VariablesError::Method)
     );
-    assert_eq!(request(&to_pairs(&[("REQUEST_METHOD", "GET")])), Err(VariablesError::Target));
+    assert_eq!(parse_request(&to_pairs(&[("REQUEST_METHOD", "GET")])), Err(VariablesError::Target));
     assert_eq!(
-        request(&to_pairs(&[("REQUEST_METHOD", "GET"), ("REQUEST_URI", "x y")])),
+        parse_request(&to_pairs(&[("REQUEST_METHOD", "GET"), ("REQUEST_URI", "x y")])),
         Err(VariablesError::Target)
     );
     let absolute =
-        request(&to_pairs(&[("REQUEST_METHOD", "GET"), ("REQUEST_URI", "http://a.org/x?y")])).unwrap();
+        parse_request(&to_pairs(&[("REQUEST_METHOD", "GET"), ("REQUEST_URI", "http://a.org/x?y")])).unwrap();
     assert_eq!(absolute.uri, "/x?y");
 }
 
--- a/crates/fastcgi/tests/properties.rs
+++ b/crates/fastcgi/tests/properties.rs
@@ -4,7 +4,7 @@
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use pumicehead_fastcgi::cgi::{Around, HeadReader, request, variables};
+use pumicehead_fastcgi::cgi::{GatewayContext, HeadReader, parse_request, variables};
 use pumicehead_fastcgi::client::{self, Client};
 use pumicehead_fastcgi::pairs::{self, PairDecoder};
 use pumicehead_fastcgi::record::{Begin, Decoder, Kind, Record, Role, put};
@@ -98,7 +98,7 @@
         let _ = reader.feed(&bytes);
         let mut list = PairDecoder::new(500, 20);
         if list.feed(&bytes).is_ok() && let Ok(list) = list.finish() {
-            let _ = request(&list);
+            let _ = parse_request(&list);
         }
     }
 
@@ -166,7 +166,7 @@
         path in "(/[a-z0-9.~!$&'()*+,;=:@_-]{0,6}(%[2-7][1-9A-E])?){1,4}",
         query in prop::option::of("[a-z0-9=&%]{0,10}"),
         value in "[ -~]{1,20}",
-        root in prop::sample::select(vec!["", "/srv"]),
+        document_root in prop::sample::select(vec!["", "/srv"]),
     ) {
         prop_assume!(!path.to_uppercase().contains("%2F"));
         let target = query.map_or(path.clone(), |query| format!("{path}?{query}"));
@@ -176,14 +176,14 @@
         for (name, text) in [("host", "a.org:81"), ("x-own", value.trim()), ("content-type", "text/plain"), ("proxy", "evil"), ("x_y", "spoof")] {
             headers.insert(name, text.parse().unwrap());
         }
-        let peer = "10.0.0.7".parse().ok();
-        let list = variables(&method, &uri, &headers, Around { peer, script: "", root, length: 3 }).unwrap();
+        let client_address = "10.0.0.7".parse().ok();
+        let list = variables(&method, &uri, &headers, GatewayContext { client_address, script_name: "", document_root, body_length: 3 }).unwrap();
         prop_assert!(list.iter().all(|(name, _)| name != "HTTP_PROXY" && name != "HTTP_X_Y"));
         let list: Vec<_> = list.into_iter().map(|(n, v)| (Bytes::from(n.into_owned()), Bytes::from(v.into_owned()))).collect();
-        let back = request(&list).unwrap();
+        let back = parse_request(&list).unwrap();
         headers.remove("proxy");
         headers.remove("x_y");
-        prop_assert_eq!((back.method, back.uri, back.peer, back.length), (method, uri, peer, Some(3)));
+        prop_assert_eq!((back.method, back.uri, back.client_address, back.body_length), (method, uri, client_address, Some(3)));
         prop_assert_eq!(back.headers.len(), headers.len());
         prop_assert!(headers.iter().all(|(name, value)| back.headers.get(name) == Some(value)));
     }
--- a/crates/node/src/net/downstream/fastcgi/mod.rs
+++ b/crates/node/src/net/downstream/fastcgi/mod.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Collected};
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Response, StatusCode, Version};
-use pumicehead_fastcgi::cgi::{put_head, request};
+use pumicehead_fastcgi::cgi::{parse_request, put_head};
 use pumicehead_fastcgi::pairs::Pair;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, split};
 use tokio::sync::mpsc;
@@ -81,7 +81,7 @@
         body: Bytes,
         over_limit: bool,
     ) -> Vec<Bytes> {
-        let read = match request(params) {
+        let read = match parse_request(params) {
             Ok(read) => read,
             Err(fault) => {
                 let error = RequestError::AmbiguousTarget(fault.to_string());
@@ -93,9 +93,9 @@
             uri: &read.uri,
             version: Version::HTTP_11,
             headers: read.headers,
-            client_ip: read.peer.unwrap_or(client_ip),
+            client_ip: read.client_address.unwrap_or(client_ip),
         };
-        let is_complete = read.length.is_none_or(|length| length == body.len() as u64);
+        let is_complete = read.body_length.is_none_or(|length| length == body.len() as u64);
         let admitted = self.admission.admit(head);
         let response = match admitted {
             Err(error) => response::error(&error),
--- a/crates/node/src/net/upstream/fastcgi/connector.rs
+++ b/crates/node/src/net/upstream/fastcgi/connector.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use pumicehead_config::model::Address;
-use pumicehead_fastcgi::cgi::{Around, variables};
+use pumicehead_fastcgi::cgi::{GatewayContext, variables};
 use pumicehead_fastcgi::client::Values;
 use pumicehead_policy::AttemptOutcome;
 use tokio::net::{TcpStream, UnixStream};
@@ -154,11 +154,11 @@
     fn params(&self, request: &UpstreamRequest, time_left: Duration) -> Option<Vec<Param>> {
         let mut headers = request.headers.clone();
         headers.insert("x-time-left", format!("{}u", time_left.as_micros()).parse().ok()?);
-        let around = Around {
-            peer: request.client_ip,
-            script: &self.settings.script,
-            root: &self.settings.root,
-            length: request.body.len(),
+        let around = GatewayContext {
+            client_address: request.client_ip,
+            script_name: &self.settings.script,
+            document_root: &self.settings.root,
+            body_length: request.body.len(),
         };
         let list = variables(&request.method, &request.uri, &headers, around).ok()?;
         let owned = |(name, value): (Cow<'static, str>, Cow<'_, [u8]>)| Param {
--- a/crates/node/src/net/upstream/fastcgi/pending_request.rs
+++ b/crates/node/src/net/upstream/fastcgi/pending_request.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::{Method, StatusCode};
-use pumicehead_fastcgi::cgi::{AnswerHead, HeadReader};
+use pumicehead_fastcgi::cgi::{CgiResponseHead, HeadReader};
 use pumicehead_fastcgi::record::End;
 
 use super::connection::FastCgiRequest;
@@ -20,7 +20,7 @@
     /// Number of bytes that the connection has written once this request is written completely.
     written_at: u64,
     head_reader: HeadReader,
-    head: Option<AnswerHead>,
+    head: Option<CgiResponseHead>,
     body: BytesMut,
     is_empty: bool,
     is_malformed: bool,
@@ -87,7 +87,7 @@
         let head = self.head.take().filter(|_| class.forward);
         let Self { request, body, .. } = self;
         let FastCgiRequest { reservation, result, .. } = request;
-        let response = head.map(|AnswerHead { status, mut headers }| {
+        let response = head.map(|CgiResponseHead { status, mut headers }| {
             let length = content_length(&headers).cloned();
             strip_hop_by_hop(&mut headers);
             // For a response without a body, this field states how long the body would be.
