--- a/crates/fastcgi/src/client.rs
+++ b/crates/fastcgi/src/client.rs
@@ -7,8 +7,8 @@
 
 use crate::pairs::{self, PairDecoder};
 use crate::record::{
-    Begin, Decoder, End, Kind, MANAGEMENT_ID, ProtocolStatus, Record, RecordError, Role, put, put_stream,
-    put_stream_end,
+    Begin, End, Kind, MANAGEMENT_ID, ProtocolStatus, Record, RecordDecoder, RecordError, Role, put_record,
+    put_stream, put_stream_end,
 };
 
 /// Variables queried from the application (section 4.1).
@@ -91,7 +91,7 @@
 /// A connection to an application.
 #[derive(Debug, Default)]
 pub struct Client {
-    decoder: Decoder,
+    decoder: RecordDecoder,
     open: BTreeMap<u16, OpenRequest>,
     last_id: u16,
     failed: Option<ClientError>,
@@ -125,7 +125,7 @@
         }
         let id = self.last_id;
         self.open.insert(id, OpenRequest::default());
-        put(out, Kind::BeginRequest, id, &Begin { role: Role::Responder, keep }.content());
+        put_record(out, Kind::BeginRequest, id, &Begin { role: Role::Responder, keep }.encode());
         Some(RequestId(id))
     }
 
@@ -137,7 +137,7 @@
         variables: impl IntoIterator<Item = (&'a [u8], &'a [u8])>,
     ) {
         let mut content = BytesMut::new();
-        variables.into_iter().for_each(|(name, value)| pairs::put(&mut content, name, value));
+        variables.into_iter().for_each(|(name, value)| pairs::put_pair(&mut content, name, value));
         put_stream(out, Kind::Params, id.0, &content);
         put_stream_end(out, Kind::Params, id.0);
     }
@@ -156,15 +156,15 @@
     pub fn abort(&mut self, out: &mut BytesMut, id: RequestId) {
         if let Some(open) = self.open.get_mut(&id.0).filter(|open| !open.aborted) {
             open.aborted = true;
-            put(out, Kind::AbortRequest, id.0, &[]);
+            put_record(out, Kind::AbortRequest, id.0, &[]);
         }
     }
 
     /// Writes a query for the limits of the application.
     pub fn get_values(&self, out: &mut BytesMut) {
         let mut content = BytesMut::new();
-        QUERIED_VARIABLES.iter().for_each(|name| pairs::put(&mut content, name.as_bytes(), b""));
-        put(out, Kind::GetValues, MANAGEMENT_ID, &content);
+        QUERIED_VARIABLES.iter().for_each(|name| pairs::put_pair(&mut content, name.as_bytes(), b""));
+        put_record(out, Kind::GetValues, MANAGEMENT_ID, &content);
     }
 
     /// Decodes received bytes and appends the resulting events to `events`.
@@ -215,7 +215,7 @@
             Kind::Stderr if content.is_empty() => return Ok(None),
             Kind::Stderr => Event::Stderr(request, content),
             _ => {
-                let end = End::read(&content).ok_or(ClientError::EndTooShort(content.len()))?;
+                let end = End::decode(&content).ok_or(ClientError::EndTooShort(content.len()))?;
                 self.open.remove(&id);
                 return Ok(Some(Event::Ended(request, end)));
             }
--- a/crates/fastcgi/src/pairs.rs
+++ b/crates/fastcgi/src/pairs.rs
@@ -104,7 +104,7 @@
 }
 
 /// Appends a pair to `out`.
-pub fn put(out: &mut BytesMut, name: &[u8], value: &[u8]) {
+pub fn put_pair(out: &mut BytesMut, name: &[u8], value: &[u8]) {
     for part in [name, value] {
         match u8::try_from(part.len()) {
             Ok(short) if short < 0x80 => out.put_u8(short),
--- a/crates/fastcgi/src/record.rs
+++ b/crates/fastcgi/src/record.rs
@@ -97,7 +97,7 @@
 
 /// Decodes records from input that may be split anywhere. Buffers the received part of one record.
 #[derive(Debug, Default)]
-pub struct Decoder {
+pub struct RecordDecoder {
     header: [u8; HEADER_BYTES],
     have: usize,
     content: BytesMut,
@@ -106,7 +106,7 @@
     failed: Option<RecordError>,
 }
 
-impl Decoder {
+impl RecordDecoder {
     /// Decodes the next record and removes the consumed bytes from the front of `input`. Returns `None` if `input` ends
     /// before the record does.
     ///
@@ -159,7 +159,7 @@
 
 /// Appends a record to `out`, padded to a multiple of eight bytes as section 3.3 recommends. `content` is cut to
 /// [`MAX_CONTENT_BYTES`] bytes.
-pub fn put(out: &mut BytesMut, kind: Kind, id: u16, content: &[u8]) {
+pub fn put_record(out: &mut BytesMut, kind: Kind, id: u16, content: &[u8]) {
     let content = &content[..content.len().min(MAX_CONTENT_BYTES)];
     let padding = content.len().wrapping_neg() % 8;
     out.reserve(HEADER_BYTES + content.len() + padding);
@@ -173,12 +173,12 @@
 
 /// Appends a part of a stream to `out`. Empty content appends no record, because an empty record ends the stream.
 pub fn put_stream(out: &mut BytesMut, kind: Kind, id: u16, content: &[u8]) {
-    content.chunks(MAX_CHUNK_BYTES).for_each(|chunk| put(out, kind, id, chunk));
+    content.chunks(MAX_CHUNK_BYTES).for_each(|chunk| put_record(out, kind, id, chunk));
 }
 
 /// Appends the empty record that ends a stream.
 pub fn put_stream_end(out: &mut BytesMut, kind: Kind, id: u16) {
-    put(out, kind, id, &[]);
+    put_record(out, kind, id, &[]);
 }
 
 /// Role of the application in a request (section 5.1).
@@ -228,14 +228,14 @@
 impl Begin {
     /// Decodes the content of a record; `None` if it is too short.
     #[must_use]
-    pub fn read(content: &[u8]) -> Option<Self> {
+    pub fn decode(content: &[u8]) -> Option<Self> {
         let [role_high, role_low, flags, _, _, _, _, _] = *content.first_chunk::<8>()?;
         Some(Self { role: Role::from_code(u16::from_be_bytes([role_high, role_low])), keep: flags & 1 == 1 })
     }
 
     /// Encodes the content of a record.
     #[must_use]
-    pub fn content(self) -> [u8; 8] {
+    pub fn encode(self) -> [u8; 8] {
         let [high, low] = self.role.code().to_be_bytes();
         [high, low, u8::from(self.keep), 0, 0, 0, 0, 0]
     }
@@ -292,7 +292,7 @@
 impl End {
     /// Decodes the content of a record; `None` if it is too short.
     #[must_use]
-    pub fn read(content: &[u8]) -> Option<Self> {
+    pub fn decode(content: &[u8]) -> Option<Self> {
         let [a, b, c, d, protocol, _, _, _] = *content.first_chunk::<8>()?;
         Some(Self {
             application: u32::from_be_bytes([a, b, c, d]),
@@ -302,7 +302,7 @@
 
     /// Encodes the content of a record.
     #[must_use]
-    pub fn content(self) -> [u8; 8] {
+    pub fn encode(self) -> [u8; 8] {
         let [a, b, c, d] = self.application.to_be_bytes();
         [a, b, c, d, self.protocol.code(), 0, 0, 0]
     }
--- a/crates/fastcgi/src/server.rs
+++ b/crates/fastcgi/src/server.rs
@@ -7,8 +7,8 @@
 
 use crate::pairs::{self, Pair, PairDecoder, PairsError};
 use crate::record::{
-    Begin, Decoder, End, Kind, MANAGEMENT_ID, MAX_CHUNK_BYTES, ProtocolStatus, Record, RecordError, Role,
-    put, put_stream_end,
+    Begin, End, Kind, MANAGEMENT_ID, MAX_CHUNK_BYTES, ProtocolStatus, Record, RecordDecoder, RecordError,
+    Role, put_record, put_stream_end,
 };
 
 /// Maximum length of a query for variables, in bytes.
@@ -124,7 +124,7 @@
 #[derive(Debug)]
 pub struct Server {
     limits: Limits,
-    decoder: Decoder,
+    decoder: RecordDecoder,
     open: BTreeMap<u16, OpenRequest>,
     /// Short replies that are written first: ends of rejected requests and answers to management records.
     replies: BytesMut,
@@ -143,7 +143,7 @@
     pub fn new(limits: Limits) -> Self {
         Self {
             limits,
-            decoder: Decoder::default(),
+            decoder: RecordDecoder::default(),
             open: BTreeMap::new(),
             replies: BytesMut::new(),
             responses: VecDeque::new(),
@@ -208,7 +208,7 @@
                 Kind::GetValues if id == MANAGEMENT_ID => self.answer_get_values(&content),
                 kind if id == MANAGEMENT_ID => {
                     let unknown = [kind.code(), 0, 0, 0, 0, 0, 0, 0];
-                    put(&mut self.replies, Kind::UnknownType, MANAGEMENT_ID, &unknown);
+                    put_record(&mut self.replies, Kind::UnknownType, MANAGEMENT_ID, &unknown);
                 }
                 // Records for requests that are not open are ignored (section 3.3): they may have been sent before the
                 // end of the request was received.
@@ -220,7 +220,7 @@
     }
 
     fn begin(&mut self, id: u16, content: &[u8], events: &mut Vec<Event>) -> Result<(), ServerError> {
-        let begin = Begin::read(content).ok_or(ServerError::BeginTooShort(content.len()))?;
+        let begin = Begin::decode(content).ok_or(ServerError::BeginTooShort(content.len()))?;
         let answered = self.responses.iter().any(|out| out.id == id);
         if id == MANAGEMENT_ID || self.open.contains_key(&id) || answered {
             return Err(ServerError::InvalidRequestId(id));
@@ -248,7 +248,7 @@
             _ => ProtocolStatus::UnknownRole,
         };
         let end = End { application: 0, protocol: status };
-        put(&mut self.replies, Kind::EndRequest, id, &end.content());
+        put_record(&mut self.replies, Kind::EndRequest, id, &end.encode());
         Ok(())
     }
 
@@ -336,10 +336,10 @@
         let mut answer = BytesMut::new();
         for (name, value) in &known {
             if queried.iter().any(|(queried, _)| queried == name.as_bytes()) {
-                pairs::put(&mut answer, name.as_bytes(), value.as_bytes());
+                pairs::put_pair(&mut answer, name.as_bytes(), value.as_bytes());
             }
         }
-        put(&mut self.replies, Kind::GetValuesResult, MANAGEMENT_ID, &answer);
+        put_record(&mut self.replies, Kind::GetValuesResult, MANAGEMENT_ID, &answer);
     }
 
     /// Queues the complete response to a request, starting with its head, and ends the request; an aborted request gets
@@ -375,11 +375,11 @@
             let Some(mut next) = self.responses.pop_front() else { return };
             let Some(part) = next.parts.front_mut() else {
                 put_stream_end(out, Kind::Stdout, next.id);
-                put(out, Kind::EndRequest, next.id, &next.end.content());
+                put_record(out, Kind::EndRequest, next.id, &next.end.encode());
                 continue;
             };
             let size = part.len().min(MAX_CHUNK_BYTES);
-            put(out, Kind::Stdout, next.id, &part[..size]);
+            put_record(out, Kind::Stdout, next.id, &part[..size]);
             part.advance(size);
             if part.is_empty() {
                 next.parts.pop_front();
--- a/crates/fastcgi/tests/properties.rs
+++ b/crates/fastcgi/tests/properties.rs
@@ -7,7 +7,7 @@
 use pumicehead_fastcgi::cgi::{GatewayContext, HeadReader, parse_request, variables};
 use pumicehead_fastcgi::client::{self, Client};
 use pumicehead_fastcgi::pairs::{self, PairDecoder};
-use pumicehead_fastcgi::record::{Begin, Decoder, Kind, Record, Role, put};
+use pumicehead_fastcgi::record::{Begin, Kind, Record, RecordDecoder, Role, put_record};
 use pumicehead_fastcgi::server::{Event, Limits, Server, ServerError};
 
 const LIMITS: Limits = Limits {
@@ -33,7 +33,7 @@
 
 fn wire(records: &[(u8, u16, Vec<u8>)]) -> Vec<u8> {
     let mut out = BytesMut::new();
-    records.iter().for_each(|(kind, id, content)| put(&mut out, Kind::from_code(*kind), *id, content));
+    records.iter().for_each(|(kind, id, content)| put_record(&mut out, Kind::from_code(*kind), *id, content));
     out.to_vec()
 }
 
@@ -105,7 +105,7 @@
     #[test]
     fn written_records_are_decoded_unchanged(records in records()) {
         let bytes = wire(&records);
-        let mut decoder = Decoder::default();
+        let mut decoder = RecordDecoder::default();
         let mut input = &bytes[..];
         for (kind, id, content) in records {
             let expected = Record { kind: Kind::from_code(kind), id, content: Bytes::from(content) };
@@ -153,7 +153,7 @@
         size in 1usize..50,
     ) {
         let mut out = BytesMut::new();
-        list.iter().for_each(|(name, value)| pairs::put(&mut out, name, value));
+        list.iter().for_each(|(name, value)| pairs::put_pair(&mut out, name, value));
         let mut reader = PairDecoder::new(10_000, 100);
         out.chunks(size).for_each(|part| reader.feed(part).unwrap());
         let read: Vec<_> = reader.finish().unwrap().into_iter().map(|(n, v)| (n.to_vec(), v.to_vec())).collect();
@@ -193,6 +193,6 @@
 fn begin_request_content_is_decoded_unchanged() {
     for role in [Role::Responder, Role::Authorizer, Role::Filter, Role::Other(9)] {
         let begin = Begin { role, keep: true };
-        assert_eq!(Begin::read(&begin.content()), Some(begin));
+        assert_eq!(Begin::decode(&begin.encode()), Some(begin));
     }
 }
--- a/crates/fastcgi/tests/wire.rs
+++ b/crates/fastcgi/tests/wire.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use pumicehead_fastcgi::client::{self, Client, ClientError, Values};
 use pumicehead_fastcgi::pairs::{PairDecoder, PairsError};
-use pumicehead_fastcgi::record::{Decoder, End, Kind, ProtocolStatus, RecordError};
+use pumicehead_fastcgi::record::{End, Kind, ProtocolStatus, RecordDecoder, RecordError};
 use pumicehead_fastcgi::server::{BadRequest, Event, Limits, Server, ServerError};
 
 const LIMITS: Limits = Limits {
@@ -347,7 +347,7 @@
     server.end(2, [Bytes::from_static(b"short")], 0);
     let mut out = BytesMut::new();
     server.output(&mut out, 40_000);
-    let mut decoder = Decoder::default();
+    let mut decoder = RecordDecoder::default();
     let mut input = &out[..];
     let mut order = Vec::new();
     while let Some(record) = decoder.next(&mut input).unwrap() {
@@ -363,7 +363,7 @@
 fn truncated_records_and_pairs_are_detected() {
     let whole = record(STDOUT, 1, b"abc", 5);
     for cut in 1..whole.len() {
-        let mut decoder = Decoder::default();
+        let mut decoder = RecordDecoder::default();
         assert_eq!(decoder.next(&mut &whole[..cut]), Ok(None), "{cut}");
         assert!(!decoder.is_at_record_boundary(), "{cut}");
         assert!(decoder.next(&mut &whole[cut..]).unwrap().is_some() && decoder.is_at_record_boundary());
--- a/crates/node/tests/fastcgi.rs
+++ b/crates/node/tests/fastcgi.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use pumicehead_fastcgi::record::{Begin, End, Kind, ProtocolStatus, Record, Role, put, put_stream};
+use pumicehead_fastcgi::record::{Begin, End, Kind, ProtocolStatus, Record, Role, put_record, put_stream};
 use pumicehead_testbed::program::{Standalone, temporary, wait_for};
 use pumicehead_testbed::scripted_backend::{
     Act, Protocol, ProtocolClient, ScriptedBackends, ScriptedRequest, served,
@@ -42,13 +42,13 @@
 /// The bytes of records with these types, request ids and contents.
 fn records(list: &[(Kind, u16, &[u8])]) -> Vec<u8> {
     let mut out = BytesMut::new();
-    list.iter().for_each(|(kind, id, content)| put(&mut out, *kind, *id, content));
+    list.iter().for_each(|(kind, id, content)| put_record(&mut out, *kind, *id, content));
     out.to_vec()
 }
 
 /// The content of an `FCGI_END_REQUEST` record with an application status.
 fn end_content(application: u32) -> [u8; 8] {
-    End { application, protocol: ProtocolStatus::Complete }.content()
+    End { application, protocol: ProtocolStatus::Complete }.encode()
 }
 
 /// The head of a response with a body of five bytes.
@@ -170,10 +170,10 @@
     for _ in 0..400 {
         put_stream(&mut bytes, Kind::Stderr, 1, &[b'e'; 60_000]);
     }
-    put(&mut bytes, Kind::Stdout, 1, HEAD);
+    put_record(&mut bytes, Kind::Stdout, 1, HEAD);
     put_stream(&mut bytes, Kind::Stderr, 1, b"in between\n");
-    put(&mut bytes, Kind::Stdout, 1, b"12345");
-    put(&mut bytes, Kind::EndRequest, 1, &end_content(0));
+    put_record(&mut bytes, Kind::Stdout, 1, b"12345");
+    put_record(&mut bytes, Kind::EndRequest, 1, &end_content(0));
     let boards = ScriptedBackends::new(script(vec![Act::Raw(bytes.to_vec())]));
     let node = start_node(Protocol::Http, &[boards.start(Protocol::FastCgi)], "");
     let answer =
@@ -292,14 +292,14 @@
 
 /// An `FCGI_BEGIN_REQUEST` record that keeps the connection.
 fn begin(id: u16, role: Role) -> Vec<u8> {
-    records(&[(Kind::BeginRequest, id, &Begin { role, keep: true }.content())])
+    records(&[(Kind::BeginRequest, id, &Begin { role, keep: true }.encode())])
 }
 
 /// The content of `FCGI_PARAMS` records.
 fn params(list: &[(&str, &str)]) -> Vec<u8> {
     let mut out = BytesMut::new();
     list.iter().for_each(|(name, value)| {
-        pumicehead_fastcgi::pairs::put(&mut out, name.as_bytes(), value.as_bytes())
+        pumicehead_fastcgi::pairs::put_pair(&mut out, name.as_bytes(), value.as_bytes())
     });
     out.to_vec()
 }
--- a/crates/node/tests/unit/downstream.rs
+++ b/crates/node/tests/unit/downstream.rs
@@ -6,7 +6,7 @@
 use hyper::{Method, StatusCode, Uri};
 use pumicehead_config::model::Address;
 use pumicehead_fastcgi::pairs;
-use pumicehead_fastcgi::record::{self, Kind, Role, put, put_stream, put_stream_end};
+use pumicehead_fastcgi::record::{self, Kind, Role, put_record, put_stream, put_stream_end};
 use pumicehead_policy::AttemptOutcome;
 use pumicehead_policy::deployment_settings::DeploymentSettings;
 use tokio::runtime::{Builder, LocalOptions};
@@ -167,10 +167,10 @@
 /// Returns a FastCGI request of a web server that keeps its connection open.
 fn fastcgi_request() -> Vec<u8> {
     let (mut out, mut params) = (BytesMut::new(), BytesMut::new());
-    pairs::put(&mut params, b"REQUEST_METHOD", b"GET");
-    pairs::put(&mut params, b"REQUEST_URI", b"/");
+    pairs::put_pair(&mut params, b"REQUEST_METHOD", b"GET");
+    pairs::put_pair(&mut params, b"REQUEST_URI", b"/");
     let begin = record::Begin { role: Role::Responder, keep: true };
-    put(&mut out, Kind::BeginRequest, 1, &begin.content());
+    put_record(&mut out, Kind::BeginRequest, 1, &begin.encode());
     put_stream(&mut out, Kind::Params, 1, &params);
     put_stream_end(&mut out, Kind::Params, 1);
     put_stream_end(&mut out, Kind::Stdin, 1);
--- a/crates/testbed/src/scripted_backend/client.rs
+++ b/crates/testbed/src/scripted_backend/client.rs
@@ -7,7 +7,7 @@
 use hyper::header::{HeaderName, HeaderValue};
 use pumicehead_fastcgi::cgi::HeadReader;
 use pumicehead_fastcgi::client::{Client as StateMachine, Event};
-use pumicehead_fastcgi::record::{Decoder, ProtocolStatus, Record};
+use pumicehead_fastcgi::record::{ProtocolStatus, Record, RecordDecoder};
 
 use super::Protocol;
 use crate::program::LIMIT;
@@ -41,7 +41,7 @@
     stream: TcpStream,
     fastcgi: StateMachine,
     /// Decodes the records that [`Self::records`] returns, past the state machine.
-    decoder: Decoder,
+    decoder: RecordDecoder,
 }
 
 impl ProtocolClient {
@@ -53,7 +53,7 @@
         let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(LIMIT))?;
-        Ok(Self { protocol, stream, fastcgi: StateMachine::default(), decoder: Decoder::default() })
+        Ok(Self { protocol, stream, fastcgi: StateMachine::default(), decoder: RecordDecoder::default() })
     }
 
     /// Sends a request; `headers` are complete lines.
--- a/crates/testbed/src/scripted_backend/fastcgi.rs
+++ b/crates/testbed/src/scripted_backend/fastcgi.rs
@@ -7,7 +7,7 @@
 
 use bytes::BytesMut;
 use pumicehead_fastcgi::pairs::Pair;
-use pumicehead_fastcgi::record::{End, Kind, ProtocolStatus, put, put_stream, put_stream_end};
+use pumicehead_fastcgi::record::{End, Kind, ProtocolStatus, put_record, put_stream, put_stream_end};
 use pumicehead_fastcgi::server::{Event, Limits, Server as Application};
 
 use super::{Act, ScriptedBackends, write_endlessly};
@@ -177,7 +177,7 @@
         0 => ProtocolStatus::Complete,
         code => ProtocolStatus::Other(code),
     };
-    put(&mut out, Kind::EndRequest, id, &End { application, protocol }.content());
+    put_record(&mut out, Kind::EndRequest, id, &End { application, protocol }.encode());
     out
 }
 
