--- a/crates/load-generator/src/compare.rs
+++ b/crates/load-generator/src/compare.rs
@@ -22,24 +22,24 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range {
     /// Minimum.
-    pub least: f64,
+    pub min: f64,
     /// Median.
     pub median: f64,
     /// Maximum.
-    pub most: f64,
+    pub max: f64,
 }
 
 impl Range {
     fn of(mut list: Vec<f64>) -> Self {
         list.sort_by(f64::total_cmp);
-        let at = |place: usize| list.get(place).copied().unwrap_or_default();
+        let at = |index: usize| list.get(index).copied().unwrap_or_default();
         let (middle, last) = (list.len() / 2, list.len().saturating_sub(1));
         let median = if list.len().is_multiple_of(2) {
             at(middle.saturating_sub(1)).midpoint(at(middle))
         } else {
             at(middle)
         };
-        Self { least: at(0), median, most: at(last) }
+        Self { min: at(0), median, max: at(last) }
     }
 }
 
@@ -53,10 +53,10 @@
     /// Values of side B.
     pub b: Range,
     /// Whether the ranges don't overlap, so that the difference exceeds the variation between repeated runs.
-    pub apart: bool,
+    pub is_distinct: bool,
 }
 
-type Figure = (&'static str, fn(&Summary) -> f64);
+type Measure = (&'static str, fn(&Summary) -> f64);
 
 /// Compares two sides.
 ///
@@ -69,7 +69,7 @@
     if let Some(bad) = a.iter().chain(b).find(|run| !run.valid) {
         return Err(CompareError::Invalid(bad.title.clone()));
     }
-    let figures: [Figure; 7] = [
+    let measures: [Measure; 7] = [
         ("served, %", |run| percent(run, run.of_end(End::Served))),
         ("refused, %", |run| percent(run, run.of_end(End::Refused))),
         ("late, %", |run| percent(run, run.classes.first().map_or(0, |class| class.late))),
@@ -78,9 +78,9 @@
         ("p99.9, ms", |run| run.served_us(0.999) as f64 / 1e3),
         ("most, ms", |run| run.served_us(1.0) as f64 / 1e3),
     ];
-    let rows = figures.map(|(name, figure)| {
-        let (a, b) = (Range::of(a.iter().map(figure).collect()), Range::of(b.iter().map(figure).collect()));
-        Row { name, a, b, apart: a.most < b.least || b.most < a.least }
+    let rows = measures.map(|(name, measure)| {
+        let (a, b) = (Range::of(a.iter().map(measure).collect()), Range::of(b.iter().map(measure).collect()));
+        Row { name, a, b, is_distinct: a.max < b.min || b.max < a.min }
     });
     Ok(rows.into())
 }
@@ -96,11 +96,11 @@
         "{:<12}{:>30}{:>30}{:>9}\n",
         "", "A: median (least to most)", "B: median (least to most)", "B / A"
     );
-    let show = |range: &Range| format!("{:.2} ({:.2} to {:.2})", range.median, range.least, range.most);
+    let show = |range: &Range| format!("{:.2} ({:.2} to {:.2})", range.median, range.min, range.max);
     for row in rows {
         let ratio =
             if row.a.median == 0.0 { "-".into() } else { format!("{:.2}", row.b.median / row.a.median) };
-        let noise = if row.apart { "" } else { "  within the noise" };
+        let noise = if row.is_distinct { "" } else { "  within the noise" };
         let _ = writeln!(out, "{:<12}{:>30}{:>30}{ratio:>9}{noise}", row.name, show(&row.a), show(&row.b));
     }
     if runs.0 < 3 || runs.1 < 3 {
--- a/crates/load-generator/src/engine/connection.rs
+++ b/crates/load-generator/src/engine/connection.rs
@@ -19,10 +19,10 @@
 use super::Protocol;
 
 /// Size of the read buffer, in bytes.
-const READ: usize = 16 << 10;
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// A request to be sent.
-pub struct Message {
+pub struct OutgoingRequest {
     pub method: String,
     pub path: String,
     pub fields: Vec<(&'static str, String)>,
@@ -30,17 +30,17 @@
 }
 
 /// The relevant parts of a response.
-pub struct Answer {
+pub struct ReceivedResponse {
     pub status: u16,
     /// Delay after which the server asks for a retry.
     pub retry_after: Option<Duration>,
     /// Whether the connection can be reused.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 /// Why there is no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ExchangeError {
     Broken,
     Malformed,
 }
@@ -48,7 +48,7 @@
 /// An open connection.
 pub enum Connection {
     Http { sender: http1::SendRequest<Full<Bytes>>, _driver: JoinSet<hyper::Result<()>> },
-    FastCgi { stream: TcpStream, machine: Client },
+    FastCgi { stream: TcpStream, state: Client },
 }
 
 impl Connection {
@@ -56,7 +56,7 @@
         let stream = TcpStream::connect(target).await?;
         stream.set_nodelay(true)?;
         if protocol == Protocol::FastCgi {
-            return Ok(Self::FastCgi { stream, machine: Client::default() });
+            return Ok(Self::FastCgi { stream, state: Client::default() });
         }
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
         let mut driver = JoinSet::new();
@@ -74,10 +74,10 @@
         }
     }
 
-    pub async fn ask(&mut self, message: Message) -> Result<Answer, Fault> {
+    pub async fn exchange(&mut self, outgoing: OutgoingRequest) -> Result<ReceivedResponse, ExchangeError> {
         match self {
-            Self::Http { sender, .. } => ask_http(sender, message).await,
-            Self::FastCgi { stream, machine } => ask_fastcgi(stream, machine, message).await,
+            Self::Http { sender, .. } => exchange_http(sender, outgoing).await,
+            Self::FastCgi { stream, state } => exchange_fastcgi(stream, state, outgoing).await,
         }
     }
 }
@@ -87,68 +87,76 @@
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-async fn ask_http(sender: &mut http1::SendRequest<Full<Bytes>>, message: Message) -> Result<Answer, Fault> {
-    sender.ready().await.map_err(|_| Fault::Broken)?;
-    let mut request = Request::builder().method(message.method.as_str()).uri(message.path);
-    for (name, value) in message.fields {
+async fn exchange_http(
+    sender: &mut http1::SendRequest<Full<Bytes>>,
+    outgoing: OutgoingRequest,
+) -> Result<ReceivedResponse, ExchangeError> {
+    sender.ready().await.map_err(|_| ExchangeError::Broken)?;
+    let mut request = Request::builder().method(outgoing.method.as_str()).uri(outgoing.path);
+    for (name, value) in outgoing.fields {
         request = request.header(name, value);
     }
-    let body = Bytes::from(vec![b'x'; message.body]);
-    let request = request.body(Full::new(body)).map_err(|_| Fault::Malformed)?;
-    let fault = |error: hyper::Error| if error.is_parse() { Fault::Malformed } else { Fault::Broken };
-    let response = sender.send_request(request).await.map_err(fault)?;
+    let body = Bytes::from(vec![b'x'; outgoing.body]);
+    let request = request.body(Full::new(body)).map_err(|_| ExchangeError::Malformed)?;
+    let to_exchange_error =
+        |error: hyper::Error| if error.is_parse() { ExchangeError::Malformed } else { ExchangeError::Broken };
+    let response = sender.send_request(request).await.map_err(to_exchange_error)?;
     let (parts, mut body) = response.into_parts();
     while let Some(frame) = body.frame().await {
-        frame.map_err(fault)?;
+        frame.map_err(to_exchange_error)?;
     }
-    let keep = parts.headers.get("connection").is_none_or(|value| value != "close");
-    Ok(Answer {
+    let keep_alive = parts.headers.get("connection").is_none_or(|value| value != "close");
+    Ok(ReceivedResponse {
         status: parts.status.as_u16(),
         retry_after: retry_after(parts.headers.get("retry-after")),
-        keep,
+        keep_alive,
     })
 }
 
-async fn ask_fastcgi(
+async fn exchange_fastcgi(
     stream: &mut TcpStream,
-    machine: &mut Client,
-    message: Message,
-) -> Result<Answer, Fault> {
+    state: &mut Client,
+    outgoing: OutgoingRequest,
+) -> Result<ReceivedResponse, ExchangeError> {
     let mut out = BytesMut::new();
-    let id = machine.begin(&mut out, true).ok_or(Fault::Broken)?;
-    let length = message.body.to_string();
-    let mut list = vec![
-        ("REQUEST_METHOD".to_owned(), message.method),
-        ("REQUEST_URI".to_owned(), message.path),
+    let id = state.begin(&mut out, true).ok_or(ExchangeError::Broken)?;
+    let length = outgoing.body.to_string();
+    let mut variables = vec![
+        ("REQUEST_METHOD".to_owned(), outgoing.method),
+        ("REQUEST_URI".to_owned(), outgoing.path),
         ("CONTENT_LENGTH".to_owned(), length),
     ];
-    let named =
+    let to_variable =
         |(name, value): (&str, String)| (format!("HTTP_{}", name.to_uppercase().replace('-', "_")), value);
-    list.extend(message.fields.into_iter().map(named));
-    machine.params(&mut out, id, list.iter().map(|(name, value)| (name.as_bytes(), value.as_bytes())));
-    machine.stdin(&mut out, id, &vec![b'x'; message.body]);
-    machine.stdin_end(&mut out, id);
-    stream.write_all(&out).await.map_err(|_| Fault::Broken)?;
-    let (mut input, mut events) = (vec![0; READ], Vec::new());
+    variables.extend(outgoing.fields.into_iter().map(to_variable));
+    state.params(&mut out, id, variables.iter().map(|(name, value)| (name.as_bytes(), value.as_bytes())));
+    state.stdin(&mut out, id, &vec![b'x'; outgoing.body]);
+    state.stdin_end(&mut out, id);
+    stream.write_all(&out).await.map_err(|_| ExchangeError::Broken)?;
+    let (mut input, mut events) = (vec![0; READ_BUFFER_BYTES], Vec::new());
     let (mut reader, mut head) = (HeadReader::default(), None);
     loop {
         let count = stream.read(&mut input).await.unwrap_or(0);
         if count == 0 {
-            return Err(Fault::Broken);
+            return Err(ExchangeError::Broken);
         }
-        machine.receive(&input[..count], &mut events).map_err(|_| Fault::Malformed)?;
+        state.receive(&input[..count], &mut events).map_err(|_| ExchangeError::Malformed)?;
         for event in events.drain(..) {
             match event {
                 Event::Stdout(_, part) if head.is_none() => {
-                    head = reader.feed(&part).map_err(|_| Fault::Malformed)?.map(|(head, _)| head);
+                    head = reader.feed(&part).map_err(|_| ExchangeError::Malformed)?.map(|(head, _)| head);
                 }
                 Event::Ended(_, end) if end.protocol == ProtocolStatus::Overloaded => {
-                    return Ok(Answer { status: 503, retry_after: None, keep: true });
+                    return Ok(ReceivedResponse { status: 503, retry_after: None, keep_alive: true });
                 }
                 Event::Ended(..) => {
-                    let head = head.ok_or(Fault::Malformed)?;
+                    let head = head.ok_or(ExchangeError::Malformed)?;
                     let retry_after = retry_after(head.headers.get("retry-after"));
-                    return Ok(Answer { status: head.status.as_u16(), retry_after, keep: true });
+                    return Ok(ReceivedResponse {
+                        status: head.status.as_u16(),
+                        retry_after,
+                        keep_alive: true,
+                    });
                 }
                 _ => {}
             }
--- a/crates/load-generator/src/html.rs
+++ b/crates/load-generator/src/html.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use crate::outcome::{ENDS, End};
-use crate::report::{Summary, show_share};
+use crate::report::{Summary, format_quantile};
 
 const WIDTH: f64 = 860.0;
 const HEIGHT: f64 = 260.0;
@@ -13,7 +13,7 @@
 const RIGHT: f64 = 28.0;
 /// Maximum number of points of a line over time. If there are more seconds, several are combined into one point that
 /// shows the highest of their values.
-const MOST_POINTS: usize = 600;
+const MAX_POINTS: usize = 600;
 
 /// Colours that remain distinguishable in print and for most people with colour vision deficiency.
 const COLOURS: [&str; 6] = ["#0b6e99", "#c8501a", "#2f7d32", "#7a3e9d", "#8a6d00", "#555555"];
@@ -38,10 +38,10 @@
     if !summary.valid {
         out.push_str("<p class=\"bad\">Invalid: the generator did not keep its schedule. These results say nothing about the server.</p>\n");
     }
-    ends_table(summary, &mut out);
+    outcome_table(summary, &mut out);
     out.push_str("<h2>Latency of served requests, from the intended time</h2>\n");
-    shares_plot(summary, &mut out);
-    shares_table(summary, &mut out);
+    percentile_plot(summary, &mut out);
+    percentile_table(summary, &mut out);
     out.push_str("<h2>Requests by second of their intended time</h2>\n");
     seconds_plot(summary, &mut out);
     out.push_str("<h2>Mean and maximum latency by second, ms</h2>\n");
@@ -56,7 +56,7 @@
     out
 }
 
-fn ends_table(summary: &Summary, out: &mut String) {
+fn outcome_table(summary: &Summary, out: &mut String) {
     out.push_str("<table><tr><th>class</th><th>requests</th>");
     ENDS.iter().for_each(|end| {
         let _ = write!(out, "<th>{}</th>", end.name());
@@ -72,11 +72,11 @@
     out.push_str("</table>\n");
 }
 
-fn shares_table(summary: &Summary, out: &mut String) {
+fn percentile_table(summary: &Summary, out: &mut String) {
     out.push_str("<table><tr><th>ms</th>");
     let shares = summary.classes.first().map_or(&[][..], |class| &class.served_us);
     shares.iter().for_each(|(share, _)| {
-        let _ = write!(out, "<th>{}</th>", show_share(*share));
+        let _ = write!(out, "<th>{}</th>", format_quantile(*share));
     });
     out.push_str("</tr>\n");
     for class in &summary.classes {
@@ -91,12 +91,12 @@
 
 struct Plot {
     body: String,
-    most_y: f64,
+    max_y: f64,
 }
 
 impl Plot {
-    fn new(most_y: f64) -> Self {
-        Self { body: String::new(), most_y: if most_y > 0.0 { most_y } else { 1.0 } }
+    fn new(max_y: f64) -> Self {
+        Self { body: String::new(), max_y: if max_y > 0.0 { max_y } else { 1.0 } }
     }
 
     fn x(&self, share: f64) -> f64 {
@@ -104,10 +104,10 @@
     }
 
     fn y(&self, value: f64) -> f64 {
-        (HEIGHT - BOTTOM) - (value / self.most_y).min(1.0) * (HEIGHT - BOTTOM - 24.0)
+        (HEIGHT - BOTTOM) - (value / self.max_y).min(1.0) * (HEIGHT - BOTTOM - 24.0)
     }
 
-    fn line(&mut self, points: &[(f64, f64)], colour: &str, name: &str, place: usize) {
+    fn line(&mut self, points: &[(f64, f64)], colour: &str, name: &str, index: usize) {
         let mut list = String::new();
         points.iter().for_each(|(x, y)| {
             let _ = write!(list, "{:.1},{:.1} ", self.x(*x), self.y(*y));
@@ -116,7 +116,7 @@
             self.body,
             "<polyline points=\"{list}\" fill=\"none\" stroke=\"{colour}\" stroke-width=\"1.8\"/>"
         );
-        let x = LEFT + 10.0 + place as f64 * 130.0;
+        let x = LEFT + 10.0 + index as f64 * 130.0;
         let _ = writeln!(
             self.body,
             "<rect x=\"{x}\" y=\"4\" width=\"12\" height=\"12\" fill=\"{colour}\"/><text x=\"{}\" y=\"14\">{}</text>",
@@ -125,7 +125,7 @@
         );
     }
 
-    fn mark_x(&mut self, share: f64, text: &str) {
+    fn label_x(&mut self, share: f64, text: &str) {
         let x = self.x(share);
         let _ = writeln!(
             self.body,
@@ -137,14 +137,14 @@
     fn finish(self, out: &mut String) {
         let _ = writeln!(out, "<svg width=\"{WIDTH}\" height=\"{HEIGHT}\" role=\"img\">");
         for part in 0..=4 {
-            let value = self.most_y * f64::from(part) / 4.0;
+            let value = self.max_y * f64::from(part) / 4.0;
             let y = self.y(value);
             let _ = writeln!(
                 out,
                 "<line x1=\"{LEFT}\" x2=\"{}\" y1=\"{y:.1}\" y2=\"{y:.1}\" stroke=\"#e2e2e2\"/>",
                 WIDTH - RIGHT
             );
-            let shown = if self.most_y >= 20.0 { format!("{value:.0}") } else { format!("{value:.2}") };
+            let shown = if self.max_y >= 20.0 { format!("{value:.0}") } else { format!("{value:.2}") };
             let _ = writeln!(
                 out,
                 "<text x=\"{}\" y=\"{:.1}\" text-anchor=\"end\">{shown}</text>",
@@ -158,48 +158,48 @@
 }
 
 /// Plots latency by percentile, on an axis that is logarithmic in the share of requests beyond the percentile.
-fn shares_plot(summary: &Summary, out: &mut String) {
-    let most = summary.classes.iter().flat_map(|class| &class.served_us).map(|(_, us)| *us as f64 / 1e3);
-    let mut plot = Plot::new(most.fold(0.0, f64::max));
-    let place = |share: f64| (-(1.0 - share).max(1e-5).log10() / 5.0).clamp(0.0, 1.0);
+fn percentile_plot(summary: &Summary, out: &mut String) {
+    let max = summary.classes.iter().flat_map(|class| &class.served_us).map(|(_, us)| *us as f64 / 1e3);
+    let mut plot = Plot::new(max.fold(0.0, f64::max));
+    let position = |share: f64| (-(1.0 - share).max(1e-5).log10() / 5.0).clamp(0.0, 1.0);
     for (number, class) in summary.classes.iter().enumerate() {
         let points: Vec<_> =
-            class.served_us.iter().map(|(share, us)| (place(*share), *us as f64 / 1e3)).collect();
+            class.served_us.iter().map(|(share, us)| (position(*share), *us as f64 / 1e3)).collect();
         plot.line(&points, COLOURS[number % COLOURS.len()], &class.name, number);
     }
     for (share, text) in
         [(0.5, "p50"), (0.9, "p90"), (0.99, "p99"), (0.999, "p99.9"), (0.9999, "p99.99"), (1.0, "most")]
     {
-        plot.mark_x(place(share), text);
+        plot.label_x(position(share), text);
     }
     plot.finish(out);
 }
 
 /// Returns the points of a line over time, from one value per second.
-fn over_time(values: &[f64]) -> Vec<(f64, f64)> {
-    let step = values.len().div_ceil(MOST_POINTS).max(1);
+fn points_over_time(values: &[f64]) -> Vec<(f64, f64)> {
+    let step = values.len().div_ceil(MAX_POINTS).max(1);
     let last = values.len().saturating_sub(1).max(1) as f64;
     let joined = values.chunks(step).enumerate();
     joined.map(|(n, chunk)| ((n * step) as f64 / last, chunk.iter().copied().fold(0.0, f64::max))).collect()
 }
 
-fn time_marks(plot: &mut Plot, seconds: usize) {
+fn time_axis_labels(plot: &mut Plot, seconds: usize) {
     for part in 0..=4u32 {
         let share = f64::from(part) / 4.0;
         let at = share * seconds.saturating_sub(1) as f64;
         let text = if seconds < 20 { format!("{at:.1} s") } else { format!("{at:.0} s") };
-        plot.mark_x(share, &text);
+        plot.label_x(share, &text);
     }
 }
 
 fn seconds_plot(summary: &Summary, out: &mut String) {
     let seconds = &summary.by_second;
     let sum = |ends: &[End]| -> Vec<f64> {
-        let places: Vec<_> =
+        let indices: Vec<_> =
             ends.iter().filter_map(|end| ENDS.iter().position(|known| known == end)).collect();
         seconds
             .iter()
-            .map(|second| places.iter().map(|&place| second.ends[place]).sum::<u64>() as f64)
+            .map(|second| indices.iter().map(|&index| second.ends[index]).sum::<u64>() as f64)
             .collect()
     };
     let others: Vec<_> =
@@ -214,10 +214,10 @@
     ];
     let most = lines[0].1.iter().copied().fold(0.0, f64::max);
     let mut plot = Plot::new(most);
-    for (place, (name, values)) in lines.iter().enumerate() {
-        plot.line(&over_time(values), COLOURS[(place + 5) % COLOURS.len()], name, place);
+    for (index, (name, values)) in lines.iter().enumerate() {
+        plot.line(&points_over_time(values), COLOURS[(index + 5) % COLOURS.len()], name, index);
     }
-    time_marks(&mut plot, seconds.len());
+    time_axis_labels(&mut plot, seconds.len());
     plot.finish(out);
 }
 
@@ -227,8 +227,8 @@
     let mean = |second: &crate::outcome::Second| second.sum_us as f64 / 1e3 / second.ends[0].max(1) as f64;
     let mean: Vec<f64> = seconds.iter().map(mean).collect();
     let mut plot = Plot::new(most.iter().copied().fold(0.0, f64::max));
-    plot.line(&over_time(&mean), COLOURS[0], "mean", 0);
-    plot.line(&over_time(&most), COLOURS[1], "most", 1);
-    time_marks(&mut plot, seconds.len());
+    plot.line(&points_over_time(&mean), COLOURS[0], "mean", 0);
+    plot.line(&points_over_time(&most), COLOURS[1], "most", 1);
+    time_axis_labels(&mut plot, seconds.len());
     plot.finish(out);
 }
--- a/crates/load-generator/src/slack.rs
+++ b/crates/load-generator/src/idle_time.rs
@@ -11,7 +11,7 @@
 pub const WINDOW: Nanos = 100_000_000;
 /// Minimum idle share of a window. Below it the thread was the bottleneck, or so close to it that queues build up in
 /// the generator.
-pub const LEAST_IDLE: f64 = 0.02;
+pub const MIN_IDLE_SHARE: f64 = 0.02;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
@@ -21,30 +21,30 @@
 
 /// Idle time and number of due requests of one thread, by window since the start of the run.
 #[derive(Clone, Debug, Default)]
-pub struct Slack {
+pub struct IdleTime {
     windows: Vec<Window>,
 }
 
-impl Slack {
-    fn window(&mut self, number: usize) -> &mut Window {
-        if self.windows.len() <= number {
-            self.windows.resize(number + 1, Window::default());
+impl IdleTime {
+    fn window(&mut self, index: usize) -> &mut Window {
+        if self.windows.len() <= index {
+            self.windows.resize(index + 1, Window::default());
         }
-        &mut self.windows[number]
+        &mut self.windows[index]
     }
 
     /// Records that a request was due at `at`.
-    pub fn due(&mut self, at: Nanos) {
+    pub fn record_due(&mut self, at: Nanos) {
         self.window((at / WINDOW) as usize).due += 1;
     }
 
     /// Records that the thread was idle from `from` to `to`.
-    pub fn idle(&mut self, from: Nanos, to: Nanos) {
+    pub fn record_idle(&mut self, from: Nanos, to: Nanos) {
         let mut from = from;
         while from < to {
-            let number = from / WINDOW;
-            let end = to.min((number + 1) * WINDOW);
-            self.window(number as usize).idle += end - from;
+            let index = from / WINDOW;
+            let end = to.min((index + 1) * WINDOW);
+            self.window(index as usize).idle += end - from;
             from = end;
         }
     }
@@ -52,17 +52,17 @@
     /// Returns the number of requests that were due in windows with too little idle time, for a run that ended at
     /// `ended`.
     #[must_use]
-    pub fn breathless(&self, ended: Nanos) -> u64 {
-        let share = |(number, window): (usize, &Window)| {
-            let start = number as Nanos * WINDOW;
+    pub fn saturated_requests(&self, ended: Nanos) -> u64 {
+        let due_if_saturated = |(index, window): (usize, &Window)| {
+            let start = index as Nanos * WINDOW;
             let span = ended.saturating_sub(start).min(WINDOW);
-            let had = window.idle as f64 >= LEAST_IDLE * span as f64;
-            if had { 0 } else { window.due }
+            let was_idle = window.idle as f64 >= MIN_IDLE_SHARE * span as f64;
+            if was_idle { 0 } else { window.due }
         };
-        self.windows.iter().enumerate().map(share).sum()
+        self.windows.iter().enumerate().map(due_if_saturated).sum()
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/slack.rs"]
+#[path = "../tests/unit/idle_time.rs"]
 mod tests;
--- a/crates/load-generator/src/lib.rs
+++ b/crates/load-generator/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod compare;
 pub mod engine;
 pub mod html;
+pub mod idle_time;
 pub mod mix;
 pub mod model;
 pub mod outcome;
@@ -16,7 +17,6 @@
 pub mod report;
 pub mod schedule;
 pub mod shape;
-pub mod slack;
 pub mod standin;
 pub mod trace;
 pub mod virtual_time;
--- a/crates/load-generator/src/main.rs
+++ b/crates/load-generator/src/main.rs
@@ -14,10 +14,10 @@
 use pumicehead_load_generator::compare::{compare, table};
 use pumicehead_load_generator::engine::{Progress, Protocol, Setup, run};
 use pumicehead_load_generator::mix::{Mix, Plan};
-use pumicehead_load_generator::model::{Model, Service, Stalls};
+use pumicehead_load_generator::model::{ServerModel, Service, Stalls};
 use pumicehead_load_generator::report::Summary;
 use pumicehead_load_generator::schedule::{Arrivals, Schedule};
-use pumicehead_load_generator::shape::{Shape, parse_span};
+use pumicehead_load_generator::shape::{Shape, parse_duration};
 use pumicehead_load_generator::trace::{Replay, parse, write_csv};
 use pumicehead_load_generator::{Nanos, SECOND, html, relay, standin};
 use tokio::runtime::Builder;
@@ -54,7 +54,7 @@
         #[arg(long)]
         mix: Option<PathBuf>,
         #[command(flatten)]
-        how: How,
+        options: RunOptions,
     },
     /// Replays recorded traffic: an access log, or a file in the load generator's own format.
     Replay {
@@ -73,7 +73,7 @@
         #[arg(long)]
         mix: Option<PathBuf>,
         #[command(flatten)]
-        how: How,
+        options: RunOptions,
     },
     /// Converts an access log to a trace in the load generator's own format.
     Import {
@@ -128,7 +128,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Spoken {
+enum ProtocolArg {
     /// HTTP/1.1 with the platform's headers.
     Platform,
     /// HTTP/1.1.
@@ -138,13 +138,13 @@
 }
 
 #[derive(Args)]
-struct How {
+struct RunOptions {
     /// Address to send requests to; may be given more than once.
     #[arg(long, required = true)]
     target: Vec<SocketAddr>,
     /// Protocol of the requests.
-    #[arg(long, value_enum, default_value_t = Spoken::Http)]
-    protocol: Spoken,
+    #[arg(long, value_enum, default_value_t = ProtocolArg::Http)]
+    protocol: ProtocolArg,
     /// Number of threads.
     #[arg(long, default_value_t = 1)]
     threads: usize,
@@ -170,28 +170,32 @@
 }
 
 fn main() -> ExitCode {
-    carry_out(Arguments::parse().command).unwrap_or_else(|error| {
+    run_command(Arguments::parse().command).unwrap_or_else(|error| {
         eprintln!("pumicehead-load: {error}");
         ExitCode::from(2)
     })
 }
 
-fn carry_out(command: Command) -> Result<ExitCode, Box<dyn Error>> {
+fn run_command(command: Command) -> Result<ExitCode, Box<dyn Error>> {
     match command {
-        Command::Run { shape, span, even, mix, how } => {
+        Command::Run { shape, span, even, mix, options } => {
             let arrivals = if even { Arrivals::Even } else { Arrivals::Poisson };
-            let (form, span): (Shape, Nanos) = (shape.parse()?, parse_span(&span)?);
-            let plan = Plan::drawn(Schedule::new(form, arrivals, span, how.seed), mix_of(mix)?, how.seed);
-            go(&format!("{shape} for {} s", span as f64 / SECOND as f64), span, &plan, &how)
+            let (parsed_shape, span): (Shape, Nanos) = (shape.parse()?, parse_duration(&span)?);
+            let plan = Plan::drawn(
+                Schedule::new(parsed_shape, arrivals, span, options.seed),
+                load_mix(mix)?,
+                options.seed,
+            );
+            run_plan(&format!("{shape} for {} s", span as f64 / SECOND as f64), span, &plan, &options)
         }
-        Command::Replay { trace, speed, copies, gaps, mix, how } => {
-            let entries = parse(&read(&trace)?, Replay { speed, copies, gaps })?;
+        Command::Replay { trace, speed, copies, gaps, mix, options } => {
+            let entries = parse(&read_file(&trace)?, Replay { speed, copies, gaps })?;
             let span = entries.last().map_or(0, |entry| entry.at);
             let title = format!("{} at {speed}x, {copies} copies", trace.display());
-            go(&title, span, &Plan::recorded(entries, mix_of(mix)?), &how)
+            run_plan(&title, span, &Plan::recorded(entries, load_mix(mix)?), &options)
         }
         Command::Import { log, gaps } => {
-            let entries = parse(&read(&log)?, Replay { speed: 1.0, copies: 1, gaps })?;
+            let entries = parse(&read_file(&log)?, Replay { speed: 1.0, copies: 1, gaps })?;
             let _ = std::io::stdout().write_all(write_csv(&entries).as_bytes());
             Ok(ExitCode::SUCCESS)
         }
@@ -201,95 +205,97 @@
         }
         Command::Compare { a, b } => {
             let load = |files: &[PathBuf]| -> Result<Vec<Summary>, Box<dyn Error>> {
-                files.iter().map(|file| Ok(serde_json::from_str(&read(file)?)?)).collect()
+                files.iter().map(|file| Ok(serde_json::from_str(&read_file(file)?)?)).collect()
             };
             let (a, b) = (load(&a)?, load(&b)?);
             print!("{}", table(&compare(&a, &b)?, (a.len(), b.len())));
             Ok(ExitCode::SUCCESS)
         }
         Command::StandIn { addresses, service, delay, stall, limit, answer } => {
-            let stalls = stall.iter().map(|text| stall_of(text)).collect::<Result<_, _>>()?;
-            let service = service_of(&service)?;
-            let model = Model {
+            let stalls = stall.iter().map(|text| parse_stall(text)).collect::<Result<_, _>>()?;
+            let service = parse_service(&service)?;
+            let model = ServerModel {
                 service,
-                delay: parse_span(&delay)?,
+                delay: parse_duration(&delay)?,
                 stalls: Stalls(stalls),
-                limit: limit.max(1),
+                max_in_service: limit.max(1),
                 seed: 1,
             };
-            on_loopback(&addresses)?;
-            forever(standin::serve_all(&addresses, &model, answer, |bound| println!("a stand-in on {bound}")))
+            check_loopback(&addresses)?;
+            block_on_server(standin::serve_all(&addresses, &model, answer, |bound| {
+                println!("a stand-in on {bound}")
+            }))
         }
         Command::Relay { address, targets } => {
-            on_loopback(&[&[address], &targets[..]].concat())?;
-            forever(relay::serve(address, targets, |bound| println!("a relay on {bound}")))
+            check_loopback(&[&[address], &targets[..]].concat())?;
+            block_on_server(relay::serve(address, targets, |bound| println!("a relay on {bound}")))
         }
     }
 }
 
-fn forever(serve: impl Future<Output = std::io::Result<()>>) -> Result<ExitCode, Box<dyn Error>> {
+fn block_on_server(serve: impl Future<Output = std::io::Result<()>>) -> Result<ExitCode, Box<dyn Error>> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, serve)?;
     Ok(ExitCode::SUCCESS)
 }
 
-fn read(path: &PathBuf) -> Result<String, Box<dyn Error>> {
+fn read_file(path: &PathBuf) -> Result<String, Box<dyn Error>> {
     fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()).into())
 }
 
-fn mix_of(file: Option<PathBuf>) -> Result<Mix, Box<dyn Error>> {
+fn load_mix(file: Option<PathBuf>) -> Result<Mix, Box<dyn Error>> {
     let Some(file) = file else { return Ok(Mix::default()) };
     let mix: Mix =
-        serde_json::from_str(&read(&file)?).map_err(|error| format!("{}: {error}", file.display()))?;
+        serde_json::from_str(&read_file(&file)?).map_err(|error| format!("{}: {error}", file.display()))?;
     mix.check()?;
     Ok(mix)
 }
 
-fn stall_of(text: &str) -> Result<(Nanos, Nanos), Box<dyn Error>> {
+fn parse_stall(text: &str) -> Result<(Nanos, Nanos), Box<dyn Error>> {
     let (at, span) = text.split_once('+').ok_or("a stall has the form `5s+2s`")?;
-    let at = parse_span(at)?;
-    Ok((at, at + parse_span(span)?))
+    let at = parse_duration(at)?;
+    Ok((at, at + parse_duration(span)?))
 }
 
-fn service_of(text: &str) -> Result<Service, Box<dyn Error>> {
+fn parse_service(text: &str) -> Result<Service, Box<dyn Error>> {
     if let Some(mean) = text.strip_prefix("exp:") {
-        return Ok(Service::Exponential(parse_span(mean)?));
+        return Ok(Service::Exponential(parse_duration(mean)?));
     }
     let parts: Vec<_> = text.split(',').collect();
-    let [short, long, share] = parts[..] else { return Ok(Service::Fixed(parse_span(text)?)) };
+    let [short, long, share] = parts[..] else { return Ok(Service::Fixed(parse_duration(text)?)) };
     let share: f64 =
         share.strip_suffix('%').ok_or("the share of long service times has the form `2%`")?.parse()?;
-    Ok(Service::Bimodal { short: parse_span(short)?, long: parse_span(long)?, share: share / 100.0 })
+    Ok(Service::Bimodal { short: parse_duration(short)?, long: parse_duration(long)?, share: share / 100.0 })
 }
 
 /// Returns an error unless all addresses are loopback addresses: stand-ins and relays are only for use on this machine.
-fn on_loopback(addresses: &[SocketAddr]) -> Result<(), Box<dyn Error>> {
+fn check_loopback(addresses: &[SocketAddr]) -> Result<(), Box<dyn Error>> {
     match addresses.iter().find(|address| !address.ip().is_loopback()) {
         Some(address) => Err(format!("{address} is not a loopback address").into()),
         None => Ok(()),
     }
 }
 
-fn go(title: &str, span: Nanos, plan: &Plan, how: &How) -> Result<ExitCode, Box<dyn Error>> {
+fn run_plan(title: &str, span: Nanos, plan: &Plan, options: &RunOptions) -> Result<ExitCode, Box<dyn Error>> {
     let setup = Setup {
-        targets: how.target.clone(),
-        protocol: match how.protocol {
-            Spoken::Platform => Protocol::Platform,
-            Spoken::Http => Protocol::Http,
-            Spoken::Fastcgi => Protocol::FastCgi,
+        targets: options.target.clone(),
+        protocol: match options.protocol {
+            ProtocolArg::Platform => Protocol::Platform,
+            ProtocolArg::Http => Protocol::Http,
+            ProtocolArg::Fastcgi => Protocol::FastCgi,
         },
-        threads: how.threads.clamp(1, 64),
-        connections: how.connections.max(1),
-        closed: how.closed,
-        relaxed: how.relaxed,
-        seed: how.seed,
+        threads: options.threads.clamp(1, 64),
+        connections: options.connections.max(1),
+        closed: options.closed,
+        relaxed: options.relaxed,
+        seed: options.seed,
     };
     let progress = Arc::new(Progress::default());
-    let over = Arc::new(AtomicBool::new(false));
-    let shown = std::io::stderr().is_terminal().then(|| {
-        let (progress, over) = (progress.clone(), over.clone());
+    let finished = Arc::new(AtomicBool::new(false));
+    let progress_printer = std::io::stderr().is_terminal().then(|| {
+        let (progress, finished) = (progress.clone(), finished.clone());
         thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
+            while !finished.load(Ordering::Relaxed) {
                 let get = |count: &std::sync::atomic::AtomicU64| count.load(Ordering::Relaxed);
                 let (due, ended, served) = (get(&progress.due), get(&progress.ended), get(&progress.served));
                 eprint!("\r{due} due, {ended} ended, {served} served, {} open   ", due.saturating_sub(ended));
@@ -299,20 +305,20 @@
         })
     });
     let tally = run(plan, &setup, &progress)?;
-    over.store(true, Ordering::Relaxed);
-    if let Some(shown) = shown {
-        let _ = shown.join();
+    finished.store(true, Ordering::Relaxed);
+    if let Some(printer) = progress_printer {
+        let _ = printer.join();
     }
-    let title = match how.closed {
+    let title = match options.closed {
         Some(clients) => format!("{title}, by {clients} clients that wait (closed loop)"),
         None => title.to_owned(),
     };
     let summary = Summary::of(&title, span, &tally);
     let _ = std::io::stdout().write_all(summary.table().as_bytes());
-    if let Some(file) = &how.json {
+    if let Some(file) = &options.json {
         fs::write(file, serde_json::to_string_pretty(&summary)?)?;
     }
-    if let Some(file) = &how.html {
+    if let Some(file) = &options.html {
         fs::write(file, html::page(&summary))?;
     }
     Ok(if summary.valid { ExitCode::SUCCESS } else { ExitCode::FAILURE })
--- a/crates/load-generator/src/mix.rs
+++ b/crates/load-generator/src/mix.rs
@@ -5,12 +5,12 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::schedule::{Schedule, unit};
+use crate::schedule::{Schedule, random_unit};
 use crate::trace::Entry;
 use crate::{Nanos, SECOND};
 
 /// Maximum number of keys of a class.
-const MOST_KEYS: usize = 10_000_000;
+const MAX_KEYS: usize = 10_000_000;
 
 /// A class of requests. Times are in milliseconds, as in the file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
     /// Longest time that a client waits for a response.
     pub deadline_ms: u64,
     /// Number of keys.
-    #[serde(default = "one")]
+    #[serde(default = "default_keys")]
     pub keys: usize,
     /// Skew of the popularity of keys: the exponent of Zipf's law; with 0 all keys are equally popular.
     #[serde(default)]
@@ -42,7 +42,7 @@
     pub keyed: bool,
 }
 
-fn one() -> usize {
+fn default_keys() -> usize {
     1
 }
 
@@ -62,11 +62,11 @@
     #[serde(default)]
     pub retry: bool,
     /// Minimum and maximum share of its deadline after which a client gives up.
-    #[serde(default = "patience")]
+    #[serde(default = "default_patience")]
     pub patience: (f64, f64),
 }
 
-fn patience() -> (f64, f64) {
+fn default_patience() -> (f64, f64) {
     (0.7, 1.0)
 }
 
@@ -98,7 +98,7 @@
             accounts: Vec::new(),
             sites: Vec::new(),
             retry: false,
-            patience: patience(),
+            patience: default_patience(),
         }
     }
 }
@@ -109,30 +109,32 @@
     /// # Errors
     /// The first invalid value.
     pub fn check(&self) -> Result<(), MixError> {
-        let fault = |text: String| Err(MixError(text));
+        let invalid = |text: String| Err(MixError(text));
         if self.classes.is_empty() {
-            return fault("no classes are configured".into());
+            return invalid("no classes are configured".into());
         }
-        let (least, most) = self.patience;
-        if !(0.0 < least && least <= most && most <= 1.0) {
-            return fault("`patience` must be two shares above 0 and at most 1, the lower one first".into());
+        let (min, max) = self.patience;
+        if !(0.0 < min && min <= max && max <= 1.0) {
+            return invalid(
+                "`patience` must be two shares above 0 and at most 1, the lower one first".into(),
+            );
         }
         for class in &self.classes {
             let name = &class.name;
             if !(class.share.is_finite() && class.share > 0.0) {
-                return fault(format!("{name}: `share` must be above 0"));
+                return invalid(format!("{name}: `share` must be above 0"));
             }
             if class.aim_ms == 0 || class.deadline_ms == 0 {
-                return fault(format!("{name}: `aim_ms` and `deadline_ms` must be above 0"));
+                return invalid(format!("{name}: `aim_ms` and `deadline_ms` must be above 0"));
             }
-            if class.keys == 0 || class.keys > MOST_KEYS || !(0.0..=10.0).contains(&class.zipf) {
-                return fault(format!("{name}: `keys` must be 1 to {MOST_KEYS}, and `zipf` 0 to 10"));
+            if class.keys == 0 || class.keys > MAX_KEYS || !(0.0..=10.0).contains(&class.zipf) {
+                return invalid(format!("{name}: `keys` must be 1 to {MAX_KEYS}, and `zipf` 0 to 10"));
             }
             if class.body.0 > class.body.1 || class.body.1 > 64 << 20 {
-                return fault(format!("{name}: `body` must be a minimum and a maximum of at most 64 MiB"));
+                return invalid(format!("{name}: `body` must be a minimum and a maximum of at most 64 MiB"));
             }
             if class.method.parse::<hyper::Method>().is_err() || !class.path.starts_with('/') {
-                return fault(format!("{name}: `method` is invalid, or `path` does not start with `/`"));
+                return invalid(format!("{name}: `method` is invalid, or `path` does not start with `/`"));
             }
         }
         Ok(())
@@ -141,7 +143,7 @@
 
 /// A request to be sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Planned {
+pub struct PlannedRequest {
     /// Number in the schedule.
     pub number: u64,
     /// Intended time.
@@ -159,7 +161,7 @@
     /// Length of the body, in bytes.
     pub body: usize,
     /// How long the client waits, from the intended time.
-    pub patience: Nanos,
+    pub client_timeout: Nanos,
 }
 
 /// Source of the requests of a run.
@@ -193,7 +195,7 @@
     /// Creates a plan that generates requests of a mix at the times of a schedule.
     #[must_use]
     pub fn drawn(schedule: Schedule, mix: Mix, seed: u64) -> Self {
-        let popularity = mix.classes.iter().map(|class| zipf(class.keys, class.zipf)).collect();
+        let popularity = mix.classes.iter().map(|class| zipf_cumulative(class.keys, class.zipf)).collect();
         // Independent of the schedule's random numbers, so that another mix has the same arrival times.
         let rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6d69_7865_645f_7365);
         Self::Drawn { schedule, mix, rng, popularity, number: 0 }
@@ -217,47 +219,50 @@
 }
 
 impl Iterator for Plan {
-    type Item = Planned;
+    type Item = PlannedRequest;
 
-    fn next(&mut self) -> Option<Planned> {
+    fn next(&mut self) -> Option<PlannedRequest> {
         match self {
             Self::Drawn { schedule, mix, rng, popularity, number } => {
                 let at = schedule.next()?;
-                let all: f64 = mix.classes.iter().map(|class| class.share).sum();
-                let mut drawn = unit(rng) * all;
+                let total_share: f64 = mix.classes.iter().map(|class| class.share).sum();
+                let mut drawn = random_unit(rng) * total_share;
                 let class = mix.classes.iter().position(|class| {
                     drawn -= class.share;
                     drawn < 0.0
                 });
                 let class = class.unwrap_or(mix.classes.len() - 1);
-                let told = &mix.classes[class];
-                let key = rank(&popularity[class], unit(rng));
-                let mut one_of = |count: usize| (count > 0).then(|| (unit(rng) * count as f64) as usize);
+                let settings = &mix.classes[class];
+                let key = sample_rank(&popularity[class], random_unit(rng));
+                let mut one_of =
+                    |count: usize| (count > 0).then(|| (random_unit(rng) * count as f64) as usize);
                 let (account, site) = (one_of(mix.accounts.len()), one_of(mix.sites.len()));
-                let body = told.body.0 + (unit(rng) * (told.body.1 - told.body.0 + 1) as f64) as usize;
-                let (least, most) = mix.patience;
-                let share = least + (most - least) * unit(rng);
+                let body = settings.body.0
+                    + (random_unit(rng) * (settings.body.1 - settings.body.0 + 1) as f64) as usize;
+                let (min, max) = mix.patience;
+                let share = min + (max - min) * random_unit(rng);
                 *number += 1;
-                Some(Planned {
+                Some(PlannedRequest {
                     number: *number - 1,
                     at,
                     class,
-                    path: told.path.replace("{key}", &key.to_string()),
+                    path: settings.path.replace("{key}", &key.to_string()),
                     method: None,
                     account,
                     site,
                     body,
-                    patience: (told.deadline_ms as f64 * 1e6 * share) as Nanos,
+                    client_timeout: (settings.deadline_ms as f64 * 1e6 * share) as Nanos,
                 })
             }
             Self::Recorded { entries, mix, number } => {
                 let entry = entries.pop()?;
-                let start = |class: &Class| class.path.split('{').next().unwrap_or_default().to_owned();
-                let fits =
-                    |class: &Class| class.method == entry.method && entry.path.starts_with(&start(class));
-                let class = mix.classes.iter().position(fits).unwrap_or(0);
+                let path_prefix = |class: &Class| class.path.split('{').next().unwrap_or_default().to_owned();
+                let matches = |class: &Class| {
+                    class.method == entry.method && entry.path.starts_with(&path_prefix(class))
+                };
+                let class = mix.classes.iter().position(matches).unwrap_or(0);
                 *number += 1;
-                Some(Planned {
+                Some(PlannedRequest {
                     number: *number - 1,
                     at: entry.at,
                     class,
@@ -266,7 +271,7 @@
                     account: None,
                     site: None,
                     body: entry.body,
-                    patience: mix.classes[class].deadline_ms * (SECOND / 1_000),
+                    client_timeout: mix.classes[class].deadline_ms * (SECOND / 1_000),
                 })
             }
         }
@@ -274,7 +279,7 @@
 }
 
 /// Returns the cumulative probabilities of keys by rank according to Zipf's law.
-fn zipf(keys: usize, exponent: f64) -> Vec<f64> {
+fn zipf_cumulative(keys: usize, exponent: f64) -> Vec<f64> {
     let mut sum = 0.0;
     let mut sums: Vec<f64> = (1..=keys)
         .map(|rank| {
@@ -286,6 +291,6 @@
     sums
 }
 
-fn rank(sums: &[f64], drawn: f64) -> usize {
-    sums.partition_point(|sum| *sum <= drawn).min(sums.len().saturating_sub(1))
+fn sample_rank(cumulative: &[f64], sampled: f64) -> usize {
+    cumulative.partition_point(|sum| *sum <= sampled).min(cumulative.len().saturating_sub(1))
 }
--- a/crates/load-generator/src/model.rs
+++ b/crates/load-generator/src/model.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::Nanos;
-use crate::schedule::unit;
+use crate::schedule::random_unit;
 
 /// Distribution of the service time of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,13 +29,13 @@
 
 impl Service {
     /// Samples a service time.
-    pub fn draw(&self, rng: &mut Pcg64Mcg) -> Nanos {
-        let drawn = unit(rng);
+    pub fn sample(&self, rng: &mut Pcg64Mcg) -> Nanos {
+        let sampled = random_unit(rng);
         match *self {
             Self::Fixed(span) => span,
-            Self::Exponential(mean) => (-(1.0 - drawn).ln() * mean as f64) as Nanos,
+            Self::Exponential(mean) => (-(1.0 - sampled).ln() * mean as f64) as Nanos,
             Self::Bimodal { short, long, share } => {
-                if drawn < share {
+                if sampled < share {
                     long
                 } else {
                     short
@@ -50,8 +50,8 @@
         match *self {
             Self::Fixed(span) => span,
             Self::Exponential(mean) => (-(1.0 - share).ln() * mean as f64) as Nanos,
-            Self::Bimodal { short, long, share: longs } => {
-                if share > 1.0 - longs {
+            Self::Bimodal { short, long, share: long_share } => {
+                if share > 1.0 - long_share {
                     long
                 } else {
                     short
@@ -68,7 +68,7 @@
 impl Stalls {
     /// Returns when a response that is ready at `ready` is sent.
     #[must_use]
-    pub fn out(&self, ready: Nanos) -> Nanos {
+    pub fn release_time(&self, ready: Nanos) -> Nanos {
         // Stalls may overlap.
         let mut at = ready;
         while let Some((_, end)) = self.0.iter().find(|(start, end)| (*start..*end).contains(&at)) {
@@ -80,7 +80,7 @@
 
 /// Model of a server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Model {
+pub struct ServerModel {
     /// Service time of requests.
     pub service: Service,
     /// Network delay in both directions together.
@@ -88,40 +88,40 @@
     /// When the server stalls.
     pub stalls: Stalls,
     /// Maximum number of requests in service; others wait in order of arrival.
-    pub limit: usize,
+    pub max_in_service: usize,
     /// Seed of the random service times.
     pub seed: u64,
 }
 
 /// State of a running server model.
 #[derive(Clone, Debug)]
-pub struct Running<'a> {
-    model: &'a Model,
+pub struct RunningServer<'a> {
+    model: &'a ServerModel,
     rng: Pcg64Mcg,
-    free: BinaryHeap<Reverse<Nanos>>,
+    busy_until: BinaryHeap<Reverse<Nanos>>,
 }
 
-impl Running<'_> {
+impl RunningServer<'_> {
     /// Returns when the response to a request that arrives at `arrival` is received. Requests must be passed in order
     /// of arrival.
-    pub fn answer(&mut self, arrival: Nanos) -> Nanos {
-        let mut begins = arrival;
-        if self.free.len() >= self.model.limit
-            && let Some(Reverse(earliest)) = self.free.pop()
+    pub fn response_at(&mut self, arrival: Nanos) -> Nanos {
+        let mut start = arrival;
+        if self.busy_until.len() >= self.model.max_in_service
+            && let Some(Reverse(earliest)) = self.busy_until.pop()
         {
-            begins = begins.max(earliest);
+            start = start.max(earliest);
         }
-        let ready = self.model.stalls.out(begins + self.model.service.draw(&mut self.rng));
-        self.free.push(Reverse(ready));
+        let ready = self.model.stalls.release_time(start + self.model.service.sample(&mut self.rng));
+        self.busy_until.push(Reverse(ready));
         ready + self.model.delay
     }
 }
 
-impl Model {
+impl ServerModel {
     /// Returns the initial state.
     #[must_use]
-    pub fn start(&self) -> Running<'_> {
-        Running { model: self, rng: Pcg64Mcg::seed_from_u64(self.seed), free: BinaryHeap::new() }
+    pub fn start(&self) -> RunningServer<'_> {
+        RunningServer { model: self, rng: Pcg64Mcg::seed_from_u64(self.seed), busy_until: BinaryHeap::new() }
     }
 
     /// Returns the quantile of the latency at `share` for requests that arrive evenly over `span`, if no request waits
@@ -131,13 +131,13 @@
     pub fn stalled_quantile(&self, share: f64, span: Nanos) -> Nanos {
         let base = self.service.quantile(share) + self.delay;
         let stalled: Nanos = self.stalls.0.iter().map(|(start, end)| end - start).sum();
-        let calm = 1.0 - stalled as f64 / span as f64;
-        if share <= calm {
+        let unstalled = 1.0 - stalled as f64 / span as f64;
+        if share <= unstalled {
             return base;
         }
         // With stalls of equal length the delays are uniformly distributed between 0 and that length. With unequal ones
         // this is an upper bound, which the longest delays reach.
         let longest = self.stalls.0.iter().map(|(start, end)| end - start).max().unwrap_or(0);
-        base + ((share - calm) / (1.0 - calm) * longest as f64) as Nanos
+        base + ((share - unstalled) / (1.0 - unstalled) * longest as f64) as Nanos
     }
 }
--- a/crates/load-generator/src/outcome.rs
+++ b/crates/load-generator/src/outcome.rs
@@ -6,11 +6,11 @@
 use crate::{Nanos, SECOND};
 
 /// Longest latency that is recorded, in microseconds: one hour. Longer ones count as this.
-const LONGEST_US: u64 = 3_600_000_000;
+const MAX_LATENCY_US: u64 = 3_600_000_000;
 /// Maximum number of seconds with counts of their own; later requests are counted in the last one.
-const MOST_SECONDS: usize = 100_000;
+const MAX_SECONDS: usize = 100_000;
 /// A request that the generator starts more than this after its intended time was late because of the generator.
-pub const LATE: Nanos = 5_000_000;
+pub const LATE_THRESHOLD: Nanos = 5_000_000;
 
 /// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -79,7 +79,7 @@
 
 /// Result of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Story {
+pub struct RequestResult {
     /// Index of the class.
     pub class: usize,
     /// Intended time.
@@ -113,7 +113,7 @@
     /// Name of the class.
     pub name: String,
     /// Target latency; requests served later are late.
-    pub aim: Nanos,
+    pub target_latency: Nanos,
     /// Number of requests by outcome, in the order of [`ENDS`].
     pub ends: [u64; 9],
     /// Number of requests served after the target latency.
@@ -135,25 +135,25 @@
     pub seconds: Vec<Second>,
     /// Lateness of the generator for all due requests, in microseconds.
     pub lateness: Histogram<u64>,
-    /// Number of requests that the generator started more than [`LATE`] after their intended time.
+    /// Number of requests that the generator started more than [`LATE_THRESHOLD`] after their intended time.
     pub sent_late: u64,
-    /// Number of requests that were due while their thread had too little idle time; see [`crate::slack`].
-    pub breathless: u64,
+    /// Number of requests that were due while their thread had too little idle time; see [`crate::idle_time`].
+    pub saturated: u64,
     /// Number of opened connections.
     pub connections: u64,
 }
 
 fn histogram() -> Histogram<u64> {
     // The library accepts these bounds: three significant digits up to one hour.
-    Histogram::new_with_bounds(1, LONGEST_US, 3).unwrap_or_else(|_| unreachable!("fixed bounds"))
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).unwrap_or_else(|_| unreachable!("fixed bounds"))
 }
 
 impl Tally {
     /// Creates empty counts for classes with these names and target latencies.
     pub fn new(classes: impl IntoIterator<Item = (String, Nanos)>) -> Self {
-        let class = |(name, aim)| ClassTally {
+        let class = |(name, target_latency)| ClassTally {
             name,
-            aim,
+            target_latency,
             ends: [0; 9],
             late: 0,
             retried: 0,
@@ -165,30 +165,30 @@
             seconds: Vec::new(),
             lateness: histogram(),
             sent_late: 0,
-            breathless: 0,
+            saturated: 0,
             connections: 0,
         }
     }
 
     /// Counts the result of a request.
-    pub fn count(&mut self, story: &Story) {
-        let Some(class) = self.classes.get_mut(story.class) else { return };
-        let took = story.ended.saturating_sub(story.intended);
-        let us = (took / 1_000).clamp(1, LONGEST_US);
-        let place = ENDS.iter().position(|end| *end == story.end).unwrap_or(0);
-        let late = story.end == End::Served && took > class.aim;
-        class.ends[place] += 1;
+    pub fn count(&mut self, result: &RequestResult) {
+        let Some(class) = self.classes.get_mut(result.class) else { return };
+        let took = result.ended.saturating_sub(result.intended);
+        let us = (took / 1_000).clamp(1, MAX_LATENCY_US);
+        let index = ENDS.iter().position(|end| *end == result.end).unwrap_or(0);
+        let late = result.end == End::Served && took > class.target_latency;
+        class.ends[index] += 1;
         class.late += u64::from(late);
-        class.retried += u64::from(story.retried);
+        class.retried += u64::from(result.retried);
         class.all.saturating_record(us);
-        let second = ((story.intended / SECOND) as usize).min(MOST_SECONDS - 1);
+        let second = ((result.intended / SECOND) as usize).min(MAX_SECONDS - 1);
         if self.seconds.len() <= second {
             self.seconds.resize(second + 1, Second::default());
         }
         let second = &mut self.seconds[second];
-        second.ends[place] += 1;
+        second.ends[index] += 1;
         second.late += u64::from(late);
-        if story.end == End::Served {
+        if result.end == End::Served {
             class.served.saturating_record(us);
             second.sum_us += us;
             second.most_us = second.most_us.max(us);
@@ -196,9 +196,9 @@
     }
 
     /// Records how long after its intended time the generator started a request.
-    pub fn came(&mut self, late: Nanos) {
+    pub fn record_lateness(&mut self, late: Nanos) {
         self.lateness.saturating_record((late / 1_000).max(1));
-        self.sent_late += u64::from(late > LATE);
+        self.sent_late += u64::from(late > LATE_THRESHOLD);
     }
 
     /// Adds the counts of `other`. The result is the same as if everything had been counted here.
@@ -222,15 +222,15 @@
         }
         let _ = self.lateness.add(&other.lateness);
         self.sent_late += other.sent_late;
-        self.breathless += other.breathless;
+        self.saturated += other.saturated;
         self.connections += other.connections;
     }
 
     /// Returns the number of requests with this outcome, over all classes.
     #[must_use]
     pub fn of(&self, end: End) -> u64 {
-        let place = ENDS.iter().position(|known| *known == end).unwrap_or(0);
-        self.classes.iter().map(|class| class.ends[place]).sum()
+        let index = ENDS.iter().position(|known| *known == end).unwrap_or(0);
+        self.classes.iter().map(|class| class.ends[index]).sum()
     }
 
     /// Returns the number of all requests.
@@ -257,7 +257,7 @@
 
     /// Returns the share of requests that were due while the generator had too little idle time.
     #[must_use]
-    pub fn breathless_share(&self) -> f64 {
-        self.breathless as f64 / (self.lateness.len().max(1)) as f64
+    pub fn saturated_share(&self) -> f64 {
+        self.saturated as f64 / (self.lateness.len().max(1)) as f64
     }
 }
--- a/crates/load-generator/src/report.rs
+++ b/crates/load-generator/src/report.rs
@@ -5,12 +5,12 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::engine::MOST_LATE;
+use crate::engine::MAX_LATE_SHARE;
 use crate::outcome::{ENDS, End, Second, Tally};
 use crate::{Nanos, SECOND};
 
 /// Quantiles that are reported.
-const SHARES: [f64; 9] = [0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999, 0.9999, 1.0];
+const QUANTILES: [f64; 9] = [0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999, 0.9999, 1.0];
 
 /// Results of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -55,8 +55,8 @@
     pub all_us: Vec<(f64, u64)>,
 }
 
-fn shares(histogram: &Histogram<u64>) -> Vec<(f64, u64)> {
-    SHARES.iter().map(|&share| (share, histogram.value_at_quantile(share))).collect()
+fn quantiles(histogram: &Histogram<u64>) -> Vec<(f64, u64)> {
+    QUANTILES.iter().map(|&share| (share, histogram.value_at_quantile(share))).collect()
 }
 
 impl Summary {
@@ -69,7 +69,7 @@
             ends: [0; 9],
             late: 0,
             retried: 0,
-            served_us: shares(&tally.served()),
+            served_us: quantiles(&tally.served()),
             all_us: Vec::new(),
         };
         let mut ended = tally.served();
@@ -86,19 +86,19 @@
                 ends: class.ends,
                 late: class.late,
                 retried: class.retried,
-                served_us: shares(&class.served),
-                all_us: shares(&class.all),
+                served_us: quantiles(&class.served),
+                all_us: quantiles(&class.all),
             });
         }
-        all.all_us = shares(&ended);
+        all.all_us = quantiles(&ended);
         classes.insert(0, all);
         let lateness = &tally.lateness;
         Self {
             title: title.into(),
             seconds: span as f64 / SECOND as f64,
-            valid: tally.late_share() <= MOST_LATE && tally.breathless_share() <= MOST_LATE,
+            valid: tally.late_share() <= MAX_LATE_SHARE && tally.saturated_share() <= MAX_LATE_SHARE,
             late_share: tally.late_share(),
-            breathless_share: tally.breathless_share(),
+            breathless_share: tally.saturated_share(),
             lateness_us: (lateness.value_at_quantile(0.5), lateness.value_at_quantile(0.99), lateness.max()),
             connections: tally.connections,
             classes,
@@ -117,8 +117,8 @@
     /// Returns the number of requests with this outcome, over all classes.
     #[must_use]
     pub fn of_end(&self, end: End) -> u64 {
-        let place = ENDS.iter().position(|known| *known == end).unwrap_or(0);
-        self.classes.first().map_or(0, |class| class.ends[place])
+        let index = ENDS.iter().position(|known| *known == end).unwrap_or(0);
+        self.classes.first().map_or(0, |class| class.ends[index])
     }
 
     /// Formats the results as text tables.
@@ -138,8 +138,8 @@
             let _ = writeln!(out, "{:>10}{:>10}", class.late, class.retried);
         }
         let _ = write!(out, "\n{:<16}", "served, ms");
-        SHARES.iter().for_each(|share| {
-            let _ = write!(out, "{:>10}", show_share(*share));
+        QUANTILES.iter().for_each(|share| {
+            let _ = write!(out, "{:>10}", format_quantile(*share));
         });
         out.push('\n');
         for class in &self.classes {
@@ -166,7 +166,7 @@
     }
 }
 
-pub(crate) fn show_share(share: f64) -> String {
+pub(crate) fn format_quantile(share: f64) -> String {
     if share >= 1.0 {
         return "most".into();
     }
--- a/crates/load-generator/src/schedule.rs
+++ b/crates/load-generator/src/schedule.rs
@@ -47,7 +47,7 @@
             // The first arrival is at the middle of the interval in which one request is expected.
             Arrivals::Even if self.count == 0.0 => 0.5,
             Arrivals::Even => 1.0,
-            Arrivals::Poisson => -(1.0 - unit(&mut self.rng)).ln(),
+            Arrivals::Poisson => -(1.0 - random_unit(&mut self.rng)).ln(),
         };
         let at = self.shape.time_of(self.count, self.at, self.end)?;
         self.at = at;
@@ -56,6 +56,6 @@
 }
 
 /// Returns a random number from 0 to below 1.
-pub fn unit(rng: &mut Pcg64Mcg) -> f64 {
+pub fn random_unit(rng: &mut Pcg64Mcg) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/load-generator/src/shape.rs
+++ b/crates/load-generator/src/shape.rs
@@ -10,7 +10,7 @@
 
 /// Maximum rate, in requests per second. It is above what any machine can send, and keeps a typing error from
 /// exhausting memory.
-pub const MOST_RATE: f64 = 10_000_000.0;
+pub const MAX_RATE: f64 = 10_000_000.0;
 
 /// A rate over time. Times and durations are in seconds, rates in requests per second.
 #[derive(Clone, Debug, PartialEq)]
@@ -169,29 +169,29 @@
 
 /// Why a shape, rate or duration can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("`{text}`: {fault}")]
+#[error("`{text}`: {message}")]
 pub struct ShapeError {
     text: String,
-    fault: String,
+    message: String,
 }
 
 /// Parses a rate such as `500`, `500/s` or `6/min` into requests per second.
 ///
 /// # Errors
-/// If the text is not a number, the rate is below 0 or above [`MOST_RATE`], or the unit is unknown.
+/// If the text is not a number, the rate is below 0 or above [`MAX_RATE`], or the unit is unknown.
 pub fn parse_rate(text: &str) -> Result<f64, ShapeError> {
-    let fault = |fault: &str| ShapeError { text: text.into(), fault: fault.into() };
+    let error = |message: &str| ShapeError { text: text.into(), message: message.into() };
     let (number, per) = match text.split_once('/') {
         None => (text, 1.0),
         Some((number, "s")) => (number, 1.0),
         Some((number, "min")) => (number, 60.0),
         Some((number, "h")) => (number, 3_600.0),
-        Some(_) => return Err(fault("a rate has the form `500/s`, `6/min` or `1/h`")),
+        Some(_) => return Err(error("a rate has the form `500/s`, `6/min` or `1/h`")),
     };
-    let number: f64 = number.trim().parse().map_err(|_| fault("not a rate such as `500/s`"))?;
+    let number: f64 = number.trim().parse().map_err(|_| error("not a rate such as `500/s`"))?;
     let rate = number / per;
-    if !(0.0..=MOST_RATE).contains(&rate) {
-        return Err(fault("a rate must be 0 to 10,000,000 per second"));
+    if !(0.0..=MAX_RATE).contains(&rate) {
+        return Err(error("a rate must be 0 to 10,000,000 per second"));
     }
     Ok(rate)
 }
@@ -200,11 +200,11 @@
 ///
 /// # Errors
 /// If the text is not a number with a known unit, or the duration exceeds 366 days.
-pub fn parse_span(text: &str) -> Result<Nanos, ShapeError> {
-    let fault = |fault: &str| ShapeError { text: text.into(), fault: fault.into() };
+pub fn parse_duration(text: &str) -> Result<Nanos, ShapeError> {
+    let error = |message: &str| ShapeError { text: text.into(), message: message.into() };
     let end = text
         .find(|c: char| !c.is_ascii_digit() && c != '.')
-        .ok_or(fault("a duration needs a unit, such as `10s`"))?;
+        .ok_or(error("a duration needs a unit, such as `10s`"))?;
     let (number, unit) = text.split_at(end);
     let unit = match unit {
         "us" => 1e3,
@@ -213,18 +213,18 @@
         "min" => 60e9,
         "h" => 3_600e9,
         "d" => 86_400e9,
-        _ => return Err(fault("units of time are us, ms, s, min, h and d")),
+        _ => return Err(error("units of time are us, ms, s, min, h and d")),
     };
-    let number: f64 = number.parse().map_err(|_| fault("not a duration such as `10s`"))?;
+    let number: f64 = number.parse().map_err(|_| error("not a duration such as `10s`"))?;
     let span = number * unit;
     if span > 366.0 * 86_400e9 {
-        return Err(fault("a duration must not exceed 366 days"));
+        return Err(error("a duration must not exceed 366 days"));
     }
     Ok(span as Nanos)
 }
 
 fn seconds(text: &str) -> Result<f64, ShapeError> {
-    parse_span(text).map(|span| span as f64 / SECOND as f64)
+    parse_duration(text).map(|span| span as f64 / SECOND as f64)
 }
 
 impl FromStr for Shape {
@@ -237,11 +237,11 @@
             let parts = text.split('+').map(|part| part.trim().parse()).collect::<Result<_, _>>()?;
             return Ok(Self::Sum(parts));
         }
-        let fault = |fault: &str| ShapeError { text: text.into(), fault: fault.into() };
+        let error = |message: &str| ShapeError { text: text.into(), message: message.into() };
         let (name, list) = text.split_once(':').unwrap_or((text, ""));
         let list: Vec<_> = list.split(',').map(str::trim).collect();
         let positive =
-            |span: f64| if span > 0.0 { Ok(span) } else { Err(fault("this duration must be above 0")) };
+            |span: f64| if span > 0.0 { Ok(span) } else { Err(error("this duration must be above 0")) };
         Ok(match (name, &list[..]) {
             ("constant", [rate]) => Self::Constant(parse_rate(rate)?),
             ("ramp", [from, to, over]) => {
@@ -263,14 +263,14 @@
             ("diurnal", [mean, swing, period]) => {
                 let swing = swing.strip_suffix('%').and_then(|swing| swing.parse::<f64>().ok());
                 let swing = swing.filter(|swing| (0.0..=100.0).contains(swing));
-                let swing = swing.ok_or_else(|| fault("a swing must be `0%` to `100%`"))? / 100.0;
+                let swing = swing.ok_or_else(|| error("a swing must be `0%` to `100%`"))? / 100.0;
                 Self::Diurnal { mean: parse_rate(mean)?, swing, period: positive(seconds(period)?)? }
             }
             ("constant" | "ramp" | "step" | "burst" | "onoff" | "diurnal", _) => {
-                return Err(fault("wrong number of values for this shape"));
+                return Err(error("wrong number of values for this shape"));
             }
             _ => {
-                return Err(fault(
+                return Err(error(
                     "unknown shape; shapes are constant, ramp, step, burst, onoff and diurnal",
                 ));
             }
--- a/crates/load-generator/src/standin.rs
+++ b/crates/load-generator/src/standin.rs
@@ -21,14 +21,14 @@
 use tokio::time::{Instant, sleep_until};
 
 use crate::Nanos;
-use crate::model::Model;
+use crate::model::ServerModel;
 
 struct Shared {
-    model: Model,
+    model: ServerModel,
     start: Instant,
     rng: std::cell::RefCell<Pcg64Mcg>,
-    places: Semaphore,
-    answer: Bytes,
+    permits: Semaphore,
+    response_body: Bytes,
 }
 
 /// Serves a model on several addresses, each an independent server, until the future is dropped. `bound` is called with
@@ -38,13 +38,13 @@
 /// If a listener can't be bound.
 pub async fn serve_all(
     addresses: &[SocketAddr],
-    model: &Model,
-    answer: usize,
+    model: &ServerModel,
+    response_bytes: usize,
     bound: impl Fn(SocketAddr) + Copy + 'static,
 ) -> io::Result<()> {
     let mut servers = tokio::task::JoinSet::new();
     for &address in addresses {
-        servers.spawn_local(serve(address, model.clone(), answer, bound));
+        servers.spawn_local(serve(address, model.clone(), response_bytes, bound));
     }
     match servers.join_next().await {
         Some(ended) => ended.map_err(io::Error::other)?,
@@ -58,18 +58,18 @@
 /// If the listener can't be bound.
 pub async fn serve(
     address: SocketAddr,
-    model: Model,
-    answer: usize,
+    model: ServerModel,
+    response_bytes: usize,
     bound: impl FnOnce(SocketAddr),
 ) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     bound(listener.local_addr()?);
     let shared = Rc::new(Shared {
         rng: Pcg64Mcg::seed_from_u64(model.seed).into(),
-        places: Semaphore::new(model.limit.min(Semaphore::MAX_PERMITS)),
+        permits: Semaphore::new(model.max_in_service.min(Semaphore::MAX_PERMITS)),
         model,
         start: Instant::now(),
-        answer: Bytes::from(vec![b'r'; answer]),
+        response_body: Bytes::from(vec![b'r'; response_bytes]),
     });
     loop {
         let stream = match listener.accept().await {
@@ -83,27 +83,27 @@
         let _ = stream.set_nodelay(true);
         let shared = shared.clone();
         spawn_local(async move {
-            let service = service_fn(move |request| answer_one(shared.clone(), request));
+            let service = service_fn(move |request| respond(shared.clone(), request));
             // Errors are ignored, because the client counts them.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-async fn answer_one(
+async fn respond(
     shared: Rc<Shared>,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let mut body = request.into_body();
     while let Some(Ok(_)) = body.frame().await {}
-    let Shared { model, start, rng, places, answer } = &*shared;
+    let Shared { model, start, rng, permits, response_body } = &*shared;
     // The semaphore is never closed.
-    let _place = places.acquire().await.ok();
-    let service = model.service.draw(&mut rng.borrow_mut());
+    let _permit = permits.acquire().await.ok();
+    let service = model.service.sample(&mut rng.borrow_mut());
     let ready = start.elapsed().as_nanos() as Nanos + service;
-    let out = model.stalls.out(ready) + model.delay;
+    let out = model.stalls.release_time(ready) + model.delay;
     if out > start.elapsed().as_nanos() as Nanos {
         sleep_until(*start + Duration::from_nanos(out)).await;
     }
-    Ok(Response::new(Full::new(answer.clone())))
+    Ok(Response::new(Full::new(response_body.clone())))
 }
--- a/crates/load-generator/src/trace.rs
+++ b/crates/load-generator/src/trace.rs
@@ -14,14 +14,14 @@
 use crate::{Nanos, SECOND};
 
 /// Maximum length of a line, in bytes.
-const LONGEST_LINE: usize = 64 << 10;
+const MAX_LINE_BYTES: usize = 64 << 10;
 /// Maximum number of requests of a trace, which take about 10 GB of memory.
-const MOST_ENTRIES: usize = 50_000_000;
+const MAX_ENTRIES: usize = 50_000_000;
 /// How far times may go backwards, in seconds: logs are written when requests end. Entries are sorted by time.
-const MOST_BACK: f64 = 60.0;
+const MAX_BACKWARD_S: f64 = 60.0;
 /// Largest jump ahead in time, in seconds. A longer one is either an error in the trace or an intended gap, which has
 /// to be allowed explicitly.
-const MOST_GAP: f64 = 6.0 * 3_600.0;
+const MAX_GAP_S: f64 = 6.0 * 3_600.0;
 
 /// A recorded request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -62,16 +62,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TraceError {
     /// A line is malformed.
-    #[error("line {line}: {fault}")]
+    #[error("line {line}: {message}")]
     Line {
         /// Number of the line.
         line: usize,
         /// Description of the error.
-        fault: &'static str,
+        message: &'static str,
     },
     /// Time goes backwards too far.
     #[error(
-        "line {line}: time is {back} s before the latest earlier line; lines may be out of order by at most {MOST_BACK} s"
+        "line {line}: time is {back} s before the latest earlier line; lines may be out of order by at most {MAX_BACKWARD_S} s"
     )]
     Backwards {
         /// Number of the line.
@@ -88,20 +88,20 @@
         gap: u64,
     },
     /// There are too many requests, counting copies.
-    #[error("trace has more than {MOST_ENTRIES} requests, counting copies")]
+    #[error("trace has more than {MAX_ENTRIES} requests, counting copies")]
     TooMany,
     /// There are no requests.
     #[error("trace contains no requests")]
     Empty,
     /// The speed or the number of copies is out of range.
     #[error("replay speed must be above 0 and at most 1,000, and copies must be 1 to 1,000")]
-    Speed,
+    InvalidReplay,
 }
 
 /// A line of the own format.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Line {
+struct JsonLine {
     at: f64,
     method: String,
     path: String,
@@ -127,52 +127,52 @@
 /// # Errors
 /// If `replay` is out of range, the trace is empty or too long, or a line is malformed or has an implausible time.
 pub fn parse(text: &str, replay: Replay) -> Result<Vec<Entry>, TraceError> {
-    let sound = replay.speed > 0.0 && replay.speed <= 1_000.0 && (1..=1_000).contains(&replay.copies);
-    if !sound {
-        return Err(TraceError::Speed);
+    let is_valid = replay.speed > 0.0 && replay.speed <= 1_000.0 && (1..=1_000).contains(&replay.copies);
+    if !is_valid {
+        return Err(TraceError::InvalidReplay);
     }
     let format = format_of(text);
     let mut list: Vec<(f64, String, String, usize)> = Vec::new();
     let mut latest: Option<f64> = None;
-    for (place, line) in text.lines().enumerate() {
-        let number = place + 1;
-        let fault = |fault| TraceError::Line { line: number, fault };
-        if line.len() > LONGEST_LINE {
-            return Err(fault("longer than 64 KiB"));
+    for (index, line) in text.lines().enumerate() {
+        let number = index + 1;
+        let message = |message| TraceError::Line { line: number, message };
+        if line.len() > MAX_LINE_BYTES {
+            return Err(message("longer than 64 KiB"));
         }
         if line.trim().is_empty() {
             continue;
         }
         let (at, method, path, body) = match format {
-            Format::Log => log_line(line).map_err(fault)?,
-            Format::Csv if place == 0 && line.starts_with("at,") => continue,
-            Format::Csv => csv_line(line).map_err(fault)?,
+            Format::Log => parse_log_line(line).map_err(message)?,
+            Format::Csv if index == 0 && line.starts_with("at,") => continue,
+            Format::Csv => parse_csv_line(line).map_err(message)?,
             Format::Json => {
-                let line: Line = serde_json::from_str(line)
-                    .map_err(|_| fault("not a JSON object with at, method, path and body"))?;
+                let line: JsonLine = serde_json::from_str(line)
+                    .map_err(|_| message("not a JSON object with at, method, path and body"))?;
                 (line.at, line.method, line.path, line.body)
             }
         };
         if !at.is_finite() || at.abs() > 1e12 {
-            return Err(fault("invalid time"));
+            return Err(message("invalid time"));
         }
         if method.is_empty() || method.parse::<hyper::Method>().is_err() {
-            return Err(fault("invalid method"));
+            return Err(message("invalid method"));
         }
         if path.parse::<hyper::Uri>().is_err() || !path.starts_with('/') {
-            return Err(fault("invalid path"));
+            return Err(message("invalid path"));
         }
         if let Some(latest) = latest {
-            if at < latest - MOST_BACK {
+            if at < latest - MAX_BACKWARD_S {
                 return Err(TraceError::Backwards { line: number, back: (latest - at) as u64 });
             }
-            if at > latest + MOST_GAP && !replay.gaps {
+            if at > latest + MAX_GAP_S && !replay.gaps {
                 return Err(TraceError::Gap { line: number, gap: (at - latest) as u64 });
             }
         }
         latest = Some(latest.map_or(at, |latest| latest.max(at)));
         list.push((at, method, path, body));
-        if list.len() * replay.copies as usize > MOST_ENTRIES {
+        if list.len() * replay.copies as usize > MAX_ENTRIES {
             return Err(TraceError::TooMany);
         }
     }
@@ -180,12 +180,12 @@
     let first = list.first().ok_or(TraceError::Empty)?.0;
     // Logs have a resolution of one second. Requests of the same second are spread over it, in order.
     if format == Format::Log {
-        spread(&mut list);
+        spread_equal_times(&mut list);
     }
     let mut entries = Vec::with_capacity(list.len() * replay.copies as usize);
-    for place in 0..list.len() {
-        let (at, method, path, body) = &list[place];
-        let next = list.get(place + 1).map_or(*at, |next| next.0);
+    for index in 0..list.len() {
+        let (at, method, path, body) = &list[index];
+        let next = list.get(index + 1).map_or(*at, |next| next.0);
         for copy in 0..replay.copies {
             let at = at + (next - at) * f64::from(copy) / f64::from(replay.copies);
             let at = ((at - first) / replay.speed * SECOND as f64) as Nanos;
@@ -196,19 +196,19 @@
 }
 
 /// Spreads entries with equal times evenly over one second, keeping their order.
-fn spread(list: &mut [(f64, String, String, usize)]) {
+fn spread_equal_times(list: &mut [(f64, String, String, usize)]) {
     let mut start = 0;
     while start < list.len() {
         let second = list[start].0;
         let same = list[start..].iter().take_while(|entry| entry.0 == second).count();
-        for (place, entry) in list[start..start + same].iter_mut().enumerate() {
-            entry.0 += place as f64 / same as f64;
+        for (index, entry) in list[start..start + same].iter_mut().enumerate() {
+            entry.0 += index as f64 / same as f64;
         }
         start += same;
     }
 }
 
-fn csv_line(line: &str) -> Result<(f64, String, String, usize), &'static str> {
+fn parse_csv_line(line: &str) -> Result<(f64, String, String, usize), &'static str> {
     let parts: Vec<_> = line.trim_end().splitn(4, ',').collect();
     let [at, method, path, body] = parts[..] else { return Err("not `at,method,path,body`") };
     let at = at.trim().parse().map_err(|_| "invalid time")?;
@@ -217,10 +217,10 @@
 }
 
 /// Parses a line of an access log: `host ident user [time] "METHOD path HTTP/x" status bytes ...`.
-fn log_line(line: &str) -> Result<(f64, String, String, usize), &'static str> {
+fn parse_log_line(line: &str) -> Result<(f64, String, String, usize), &'static str> {
     let (_, rest) = line.split_once('[').ok_or("no time between `[` and `]`")?;
     let (time, rest) = rest.split_once(']').ok_or("no time between `[` and `]`")?;
-    let at = log_time(time).ok_or("invalid time; the format is `10/Oct/2000:13:55:36 -0700`")?;
+    let at = parse_log_time(time).ok_or("invalid time; the format is `10/Oct/2000:13:55:36 -0700`")?;
     let (_, rest) = rest.split_once('"').ok_or("no request in quotes")?;
     let (request, _) = rest.split_once('"').ok_or("no request in quotes")?;
     let mut words = request.split(' ');
@@ -232,7 +232,7 @@
 }
 
 /// Parses a time such as `10/Oct/2000:13:55:36 -0700` into Unix seconds.
-fn log_time(text: &str) -> Option<f64> {
+fn parse_log_time(text: &str) -> Option<f64> {
     const MONTHS: [&str; 12] =
         ["Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec"];
     let (clock, zone) = text.split_once(' ')?;
@@ -241,9 +241,9 @@
     let time: Vec<_> = time.split(':').collect();
     let ([day, month, year], [hour, minute, second]) = (&date[..], &time[..]) else { return None };
     let month = MONTHS.iter().position(|name| name == month)? as i64 + 1;
-    let number = |text: &str, least: i64, most: i64| {
+    let number = |text: &str, min: i64, max: i64| {
         let digits = text.bytes().all(|b| b.is_ascii_digit());
-        text.parse::<i64>().ok().filter(|n| digits && (least..=most).contains(n))
+        text.parse::<i64>().ok().filter(|n| digits && (min..=max).contains(n))
     };
     let (day, year) = (number(day, 1, 31)?, number(year, 1970, 9_999)?);
     let (hour, minute, second) = (number(hour, 0, 23)?, number(minute, 0, 59)?, number(second, 0, 60)?);
--- a/crates/load-generator/src/virtual_time.rs
+++ b/crates/load-generator/src/virtual_time.rs
@@ -4,9 +4,9 @@
 use std::collections::BinaryHeap;
 
 use crate::Nanos;
-use crate::mix::Planned;
-use crate::model::Model;
-use crate::outcome::{End, Story, Tally};
+use crate::mix::PlannedRequest;
+use crate::model::ServerModel;
+use crate::outcome::{End, RequestResult, Tally};
 
 /// How requests are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,12 @@
 
 /// Simulates the requests of a plan against a server model and counts the results as a real run does.
 #[must_use]
-pub fn play(plan: &[Planned], mode: Mode, model: &Model, classes: Vec<(String, Nanos)>) -> Tally {
+pub fn simulate(
+    plan: &[PlannedRequest],
+    mode: Mode,
+    model: &ServerModel,
+    classes: Vec<(String, Nanos)>,
+) -> Tally {
     let mut tally = Tally::new(classes);
     match mode {
         Mode::Open { connections } => {
@@ -35,7 +40,7 @@
             let mut busy: BinaryHeap<Reverse<Nanos>> = BinaryHeap::new();
             let mut server = model.start();
             let mut sent = Vec::with_capacity(plan.len());
-            let mut answered = Vec::with_capacity(plan.len());
+            let mut responses = Vec::with_capacity(plan.len());
             for request in plan {
                 let mut at = request.at;
                 while busy.peek().is_some_and(|Reverse(free)| *free <= at) {
@@ -47,20 +52,27 @@
                     at = at.max(free);
                 }
                 sent.push(at);
-                let answer = server.answer(at);
-                busy.push(Reverse(answer));
-                answered.push(answer);
+                let response = server.response_at(at);
+                busy.push(Reverse(response));
+                responses.push(response);
             }
-            for ((request, sent), answer) in plan.iter().zip(sent).zip(answered) {
-                tally.came(0);
-                let gives_up = request.at + request.patience;
+            for ((request, sent), response) in plan.iter().zip(sent).zip(responses) {
+                tally.record_lateness(0);
+                let deadline = request.at + request.client_timeout;
                 let (sent, ended, end) = match () {
-                    () if sent >= gives_up => (None, gives_up, End::NoRoom),
-                    () if answer > gives_up => (Some(sent), gives_up, End::GaveUp),
-                    () => (Some(sent), answer, End::Served),
+                    () if sent >= deadline => (None, deadline, End::NoRoom),
+                    () if response > deadline => (Some(sent), deadline, End::GaveUp),
+                    () => (Some(sent), response, End::Served),
                 };
                 let intended = request.at;
-                tally.count(&Story { class: request.class, intended, sent, ended, end, retried: false });
+                tally.count(&RequestResult {
+                    class: request.class,
+                    intended,
+                    sent,
+                    ended,
+                    end,
+                    retried: false,
+                });
             }
         }
         Mode::Closed { clients } => {
@@ -71,16 +83,16 @@
                 if at > last {
                     continue;
                 }
-                let answer = server.answer(at);
-                tally.count(&Story {
+                let response = server.response_at(at);
+                tally.count(&RequestResult {
                     class: 0,
                     intended: at,
                     sent: Some(at),
-                    ended: answer,
+                    ended: response,
                     end: End::Served,
                     retried: false,
                 });
-                next.push(Reverse(answer));
+                next.push(Reverse(response));
             }
         }
     }
--- a/crates/load-generator/tests/exact.rs
+++ b/crates/load-generator/tests/exact.rs
@@ -2,12 +2,12 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use pumicehead_load_generator::mix::{Mix, Plan, Planned};
-use pumicehead_load_generator::model::{Model, Service, Stalls};
-use pumicehead_load_generator::outcome::{End, Story, Tally};
+use pumicehead_load_generator::mix::{Mix, Plan, PlannedRequest};
+use pumicehead_load_generator::model::{ServerModel, Service, Stalls};
+use pumicehead_load_generator::outcome::{End, RequestResult, Tally};
 use pumicehead_load_generator::schedule::{Arrivals, Schedule};
-use pumicehead_load_generator::shape::{Shape, parse_rate, parse_span};
-use pumicehead_load_generator::virtual_time::{Mode, play};
+use pumicehead_load_generator::shape::{Shape, parse_duration, parse_rate};
+use pumicehead_load_generator::virtual_time::{Mode, simulate};
 use pumicehead_load_generator::{Nanos, SECOND};
 
 const MS: Nanos = 1_000_000;
@@ -16,8 +16,8 @@
     Schedule::new(shape.parse().unwrap(), arrivals, span, seed).collect()
 }
 
-fn plan(times: &[Nanos], patience: Nanos) -> Vec<Planned> {
-    let one = |(number, &at): (usize, &Nanos)| Planned {
+fn plan(times: &[Nanos], client_timeout: Nanos) -> Vec<PlannedRequest> {
+    let one = |(number, &at): (usize, &Nanos)| PlannedRequest {
         number: number as u64,
         at,
         class: 0,
@@ -26,7 +26,7 @@
         account: None,
         site: None,
         body: 0,
-        patience,
+        client_timeout,
     };
     times.iter().enumerate().map(one).collect()
 }
@@ -35,12 +35,18 @@
     vec![("a".into(), 100 * MS)]
 }
 
-fn fixed(service: Nanos, stalls: &[(Nanos, Nanos)], limit: usize) -> Model {
-    Model { service: Service::Fixed(service), delay: 0, stalls: Stalls(stalls.to_vec()), limit, seed: 1 }
+fn fixed(service: Nanos, stalls: &[(Nanos, Nanos)], max_in_service: usize) -> ServerModel {
+    ServerModel {
+        service: Service::Fixed(service),
+        delay: 0,
+        stalls: Stalls(stalls.to_vec()),
+        max_in_service,
+        seed: 1,
+    }
 }
 
 #[test]
-fn even_arrivals_stand_where_the_integral_says() {
+fn even_arrivals_follow_the_integral_of_the_rate() {
     assert_eq!(times("constant:10/s", Arrivals::Even, SECOND, 1).len(), 10);
     let first = times("constant:10/s", Arrivals::Even, SECOND, 1)[0];
     assert!(first.abs_diff(50 * MS) < 1_000, "{first}");
@@ -55,7 +61,7 @@
 }
 
 #[test]
-fn rates_of_nothing_next_to_nothing_and_a_million_are_met() {
+fn zero_tiny_and_very_high_rates_are_met() {
     for arrivals in [Arrivals::Even, Arrivals::Poisson] {
         assert!(times("constant:0", arrivals, 3_600 * SECOND, 1).is_empty());
         assert!(times("step:0,0,1s", arrivals, SECOND, 1).is_empty());
@@ -71,20 +77,20 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_day_and_another_seed_another() {
-    let day = |seed| {
+fn equal_seeds_give_equal_requests_and_different_seeds_different_ones() {
+    let requests = |seed| {
         let schedule =
             Schedule::new("diurnal:200,50%,5s".parse().unwrap(), Arrivals::Poisson, 5 * SECOND, seed);
         Plan::drawn(schedule, Mix::default(), seed).collect::<Vec<_>>()
     };
-    assert_eq!(day(7), day(7));
-    assert_ne!(day(7), day(8));
-    let all = day(7);
+    assert_eq!(requests(7), requests(7));
+    assert_ne!(requests(7), requests(8));
+    let all = requests(7);
     let submits = all.iter().filter(|request| request.class == 1).count() as f64 / all.len() as f64;
     assert!((submits - 0.44).abs() < 0.06, "{submits}");
     assert!(all.iter().all(|request| match request.class {
-        0 => request.body == 0 && (4_200 * MS..=6_000 * MS).contains(&request.patience),
-        _ => (100..=400).contains(&request.body) && (840 * MS..=1_200 * MS).contains(&request.patience),
+        0 => request.body == 0 && (4_200 * MS..=6_000 * MS).contains(&request.client_timeout),
+        _ => (100..=400).contains(&request.body) && (840 * MS..=1_200 * MS).contains(&request.client_timeout),
     }));
     // Zipf's law: the most popular of a thousand keys has far more than a thousandth of the requests.
     let first = all.iter().filter(|request| request.path.ends_with("/0")).count();
@@ -94,11 +100,12 @@
 /// Guards against coordinated omission: a stall of two seconds delays each request that is due in it until its end, so
 /// that the tail of the latencies has a closed form.
 #[test]
-fn a_stall_shows_in_full_in_the_open_loop_and_hides_in_the_closed_one() {
+fn simulated_open_loop_measures_a_stall_that_the_closed_loop_hides() {
     let span = 10 * SECOND;
     let arrivals = times("constant:1000/s", Arrivals::Even, span, 1);
     let model = fixed(MS, &[(4 * SECOND, 6 * SECOND)], usize::MAX);
-    let open = play(&plan(&arrivals, 60 * SECOND), Mode::Open { connections: 100_000 }, &model, classes());
+    let open =
+        simulate(&plan(&arrivals, 60 * SECOND), Mode::Open { connections: 100_000 }, &model, classes());
     assert_eq!((open.requests(), open.of(End::Served)), (10_000, 10_000));
     let served = open.served();
     for share in [0.5, 0.79, 0.85, 0.9, 0.95, 0.99, 0.999] {
@@ -109,7 +116,7 @@
     assert!(served.max() >= 1_999_000);
     // One fifth of the requests were due in the stall.
     assert_eq!(served.count_between(10_000, 10_000_000).div_ceil(100), 20);
-    let closed = play(&plan(&arrivals, 60 * SECOND), Mode::Closed { clients: 10 }, &model, classes());
+    let closed = simulate(&plan(&arrivals, 60 * SECOND), Mode::Closed { clients: 10 }, &model, classes());
     let hidden = closed.served();
     // Each of ten clients met the stall once: among 80,000 responses it does not show at p99.9.
     assert!(hidden.len() > 50_000 && hidden.value_at_quantile(0.999) < 2_000);
@@ -119,48 +126,48 @@
 /// The time that a request waits for a free connection counts as latency, and a request that waits too long is reported
 /// as not sent.
 #[test]
-fn a_bound_on_connections_shows_and_is_named() {
+fn waiting_for_a_connection_counts_as_latency_and_is_reported() {
     let arrivals: Vec<_> = (0..100).map(|n| n * MS).collect();
     let model = fixed(10 * MS, &[], usize::MAX);
-    let tally = play(&plan(&arrivals, SECOND), Mode::Open { connections: 1 }, &model, classes());
+    let tally = simulate(&plan(&arrivals, SECOND), Mode::Open { connections: 1 }, &model, classes());
     // Request n gets its response at 10 (n + 1) ms, after a latency of 10 (n + 1) - n ms.
     let (least, most) = (tally.served().min(), tally.served().max());
     assert!(least.abs_diff(10_000) < 20 && most.abs_diff(901_000) < 1_000, "{least} {most}");
-    let tally = play(&plan(&arrivals, 200 * MS), Mode::Open { connections: 1 }, &model, classes());
+    let tally = simulate(&plan(&arrivals, 200 * MS), Mode::Open { connections: 1 }, &model, classes());
     assert!(tally.of(End::NoRoom) > 50 && tally.of(End::GaveUp) < 3);
     assert_eq!(tally.requests(), 100);
 }
 
 #[test]
-fn a_limit_of_one_is_a_queue_and_late_is_told_from_failed() {
+fn single_server_queue_delays_requests_and_late_differs_from_failed() {
     // Lindley's recursion: with an interval of 10 ms and a service time of 15 ms each request waits 5 ms longer than
     // the one before.
     let arrivals: Vec<_> = (0..20).map(|n| n * 10 * MS).collect();
     let mut server = fixed(15 * MS, &[], 1);
     let answers: Vec<_> = {
         let mut running = server.start();
-        arrivals.iter().map(|&at| running.answer(at) - at).collect()
+        arrivals.iter().map(|&at| running.response_at(at) - at).collect()
     };
     assert!(answers.iter().enumerate().all(|(n, &took)| took == (15 + 5 * n as u64) * MS));
-    let tally = play(&plan(&arrivals, SECOND), Mode::Open { connections: 100 }, &server, classes());
+    let tally = simulate(&plan(&arrivals, SECOND), Mode::Open { connections: 100 }, &server, classes());
     // The latency is above 100 ms for the last two requests.
     assert_eq!((tally.classes[0].late, tally.of(End::Served)), (2, 20));
     server.delay = 2 * SECOND;
-    let tally = play(&plan(&arrivals, SECOND), Mode::Open { connections: 100 }, &server, classes());
+    let tally = simulate(&plan(&arrivals, SECOND), Mode::Open { connections: 100 }, &server, classes());
     assert_eq!(tally.of(End::GaveUp), 20);
     assert!(tally.classes[0].all.min() >= 999_000);
 }
 
 #[test]
-fn service_times_have_their_quantiles() {
+fn sampled_service_times_match_their_quantiles() {
     let exponential = Service::Exponential(10 * MS);
     assert!(exponential.quantile(0.5).abs_diff(6_931_471) < 10);
     let bimodal = Service::Bimodal { short: MS, long: 50 * MS, share: 0.02 };
     assert_eq!((bimodal.quantile(0.97), bimodal.quantile(0.985)), (MS, 50 * MS));
     for service in [exponential, bimodal] {
-        let model = Model { service, ..fixed(0, &[], usize::MAX) };
+        let model = ServerModel { service, ..fixed(0, &[], usize::MAX) };
         let mut running = model.start();
-        let mut took: Vec<_> = (0..100_000u64).map(|n| running.answer(n) - n).collect();
+        let mut took: Vec<_> = (0..100_000u64).map(|n| running.response_at(n) - n).collect();
         took.sort_unstable();
         for share in [0.5, 0.9, 0.97, 0.99] {
             let found = took[(share * took.len() as f64) as usize] as f64;
@@ -175,24 +182,24 @@
 
     /// Merging counts and histograms gives the same result as counting everything in one.
     #[test]
-    fn merged_is_as_counted_in_one(
-        stories in prop::collection::vec((0usize..2, 0u64..20_000_000_000, 0u64..5_000_000_000, 0usize..9, any::<bool>()), 0..200),
-        lanes in 1usize..5,
+    fn merged_tallies_equal_a_single_tally(
+        results in prop::collection::vec((0usize..2, 0u64..20_000_000_000, 0u64..5_000_000_000, 0usize..9, any::<bool>()), 0..200),
+        workers in 1usize..5,
     ) {
         let classes = || vec![("a".to_owned(), 100 * MS), ("b".to_owned(), SECOND)];
         let mut one = Tally::new(classes());
-        let mut parts: Vec<_> = (0..lanes).map(|_| Tally::new(classes())).collect();
-        for (place, &(class, intended, took, end, retried)) in stories.iter().enumerate() {
+        let mut parts: Vec<_> = (0..workers).map(|_| Tally::new(classes())).collect();
+        for (index, &(class, intended, took, end, retried)) in results.iter().enumerate() {
             let end = pumicehead_load_generator::outcome::ENDS[end];
-            let story = Story { class, intended, sent: None, ended: intended + took, end, retried };
-            one.count(&story);
-            one.came(took);
-            parts[place % lanes].count(&story);
-            parts[place % lanes].came(took);
+            let result = RequestResult { class, intended, sent: None, ended: intended + took, end, retried };
+            one.count(&result);
+            one.record_lateness(took);
+            parts[index % workers].count(&result);
+            parts[index % workers].record_lateness(took);
         }
         let mut merged = Tally::new(classes());
         parts.iter().for_each(|part| merged.merge(part));
-        prop_assert_eq!(merged.requests(), stories.len() as u64);
+        prop_assert_eq!(merged.requests(), results.len() as u64);
         prop_assert_eq!(&merged.seconds, &one.seconds);
         prop_assert_eq!(&merged.lateness, &one.lateness);
         for (merged, one) in merged.classes.iter().zip(&one.classes) {
@@ -203,7 +210,7 @@
 
     /// For each shape, `time_of` inverts the integral, and the rate is the slope of the integral.
     #[test]
-    fn shapes_agree_with_their_integrals(t in 0.0f64..30.0, which in 0usize..7) {
+    fn shapes_match_their_integrals(t in 0.0f64..30.0, which in 0usize..7) {
         let shapes = ["constant:40", "ramp:5,80,20s", "step:10,90,7s", "burst:5,60,3s,2s,4s", "onoff:50,2s,3s", "diurnal:40,80%,11s", "constant:3+burst:1,20,5s,1s,1s"];
         let shape: Shape = shapes[which].parse().unwrap();
         let slope = (shape.integral(t + 1e-6) - shape.integral(t)) / 1e-6;
@@ -217,15 +224,15 @@
     }
 
     #[test]
-    fn no_text_panics(text in "\\PC{0,40}") {
+    fn arbitrary_text_does_not_panic_the_parsers(text in "\\PC{0,40}") {
         let _ = text.parse::<Shape>();
         let _ = parse_rate(&text);
-        let _ = parse_span(&text);
+        let _ = parse_duration(&text);
     }
 }
 
 #[test]
-fn shapes_that_are_none_say_why() {
+fn malformed_shapes_are_rejected_with_a_reason() {
     for (text, part) in [
         ("", "unknown shape; shapes are constant, ramp, step, burst, onoff and diurnal"),
         ("constant", "not a rate such as `500/s`"),
@@ -244,7 +251,7 @@
         ("wave:5", "unknown shape; shapes are constant, ramp, step, burst, onoff and diurnal"),
         ("constant:1+nothing", "unknown shape; shapes are constant, ramp, step, burst, onoff and diurnal"),
     ] {
-        let fault = text.parse::<Shape>().unwrap_err().to_string();
-        assert!(fault.contains(part), "{text}: {fault}");
+        let error = text.parse::<Shape>().unwrap_err().to_string();
+        assert!(error.contains(part), "{text}: {error}");
     }
 }
--- a/crates/load-generator/tests/loopback.rs
+++ b/crates/load-generator/tests/loopback.rs
@@ -10,7 +10,7 @@
 
 use pumicehead_load_generator::engine::{Progress, Protocol, Setup, run};
 use pumicehead_load_generator::mix::{Mix, Plan};
-use pumicehead_load_generator::model::{Model, Service, Stalls};
+use pumicehead_load_generator::model::{ServerModel, Service, Stalls};
 use pumicehead_load_generator::outcome::{End, Tally};
 use pumicehead_load_generator::report::Summary;
 use pumicehead_load_generator::schedule::{Arrivals, Schedule};
@@ -21,7 +21,8 @@
 const MS: Nanos = 1_000_000;
 
 fn stand_in(service: Service, stalls: &[(Nanos, Nanos)]) -> SocketAddr {
-    let model = Model { service, delay: 0, stalls: Stalls(stalls.to_vec()), limit: 10_000, seed: 1 };
+    let model =
+        ServerModel { service, delay: 0, stalls: Stalls(stalls.to_vec()), max_in_service: 10_000, seed: 1 };
     let (sender, bound) = mpsc::channel();
     thread::spawn(move || {
         let runtime = Builder::new_current_thread().enable_all().build().unwrap();
@@ -33,7 +34,7 @@
 }
 
 /// Starts a server that calls `act` with each connection.
-fn scripted(act: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
+fn scripted_server(act: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let act = Arc::new(act);
@@ -63,26 +64,26 @@
 }
 
 /// Clients that wait for at most one second and don't retry.
-fn impatient() -> Mix {
+fn one_second_mix() -> Mix {
     let mut mix = Mix { patience: (1.0, 1.0), ..Mix::default() };
     mix.classes.iter_mut().for_each(|class| class.deadline_ms = 1_000);
     mix
 }
 
-fn patient() -> Mix {
-    let mut mix = impatient();
+fn thirty_second_mix() -> Mix {
+    let mut mix = one_second_mix();
     mix.classes.iter_mut().for_each(|class| class.deadline_ms = 30_000);
     mix
 }
 
-fn go(plan: &Plan, setup: &Setup) -> Tally {
+fn run_plan(plan: &Plan, setup: &Setup) -> Tally {
     run(plan, setup, &Arc::new(Progress::default())).unwrap()
 }
 
 #[test]
 fn every_request_is_counted_once() {
     let server = stand_in(Service::Fixed(2 * MS), &[]);
-    let tally = go(&plan("constant:500/s", 2 * SECOND, impatient()), &setup(server));
+    let tally = run_plan(&plan("constant:500/s", 2 * SECOND, one_second_mix()), &setup(server));
     assert_eq!((tally.requests(), tally.of(End::Served)), (1_000, 1_000));
     assert_eq!(tally.seconds.iter().map(|second| second.ends[0]).sum::<u64>(), 1_000);
     assert!(tally.served().min() >= 1_900, "no latency is below the service time");
@@ -98,11 +99,13 @@
 /// Guards against coordinated omission: for a stall of 2 s the open loop measures all requests that were due in it, the
 /// closed loop only those that its clients had open.
 #[test]
-fn a_stall_shows_in_full_and_the_closed_loop_hides_it() {
+fn open_loop_measures_a_stall_that_the_closed_loop_hides() {
     // The stall starts one second after the server.
     let stalls = [(SECOND, 3 * SECOND)];
-    let open =
-        go(&plan("constant:200/s", 4 * SECOND, patient()), &setup(stand_in(Service::Fixed(MS), &stalls)));
+    let open = run_plan(
+        &plan("constant:200/s", 4 * SECOND, thirty_second_mix()),
+        &setup(stand_in(Service::Fixed(MS), &stalls)),
+    );
     assert_eq!(open.of(End::Served), 800);
     let served = open.served();
     assert!(served.max() > 1_700_000, "{}", served.max());
@@ -113,65 +116,67 @@
     assert!((120..=260).contains(&long), "{long}");
     let mut closed = setup(stand_in(Service::Fixed(MS), &stalls));
     closed.closed = Some(4);
-    let hidden = go(&plan("constant:200/s", 4 * SECOND, patient()), &closed);
+    let hidden = run_plan(&plan("constant:200/s", 4 * SECOND, thirty_second_mix()), &closed);
     let waited = hidden.served().count_between(100_000, 100_000_000);
     assert!(waited <= 4, "{waited} of {}", hidden.requests());
 }
 
 #[test]
-fn servers_that_say_nothing_refuse_or_break_off_are_told_apart() {
+fn silent_refusing_and_broken_servers_have_different_outcomes() {
     let few = |mix| plan("constant:50/s", SECOND, mix);
-    let silent = scripted(|mut stream| {
+    let silent = scripted_server(|mut stream| {
         let _ = stream.read_to_end(&mut Vec::new());
     });
-    let tally = go(&few(impatient()), &setup(silent));
+    let tally = run_plan(&few(one_second_mix()), &setup(silent));
     assert_eq!((tally.of(End::GaveUp), tally.requests()), (50, 50));
     assert!(tally.classes[0].all.min() >= 990_000, "each client waited for its deadline");
     let refusing = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    assert_eq!(go(&few(impatient()), &setup(refusing)).of(End::NoConnection), 50);
-    let broken = scripted(|mut stream| {
+    assert_eq!(run_plan(&few(one_second_mix()), &setup(refusing)).of(End::NoConnection), 50);
+    let broken = scripted_server(|mut stream| {
         let _ = stream.read(&mut [0; 4_096]);
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
     });
-    assert_eq!(go(&few(impatient()), &setup(broken)).of(End::Broken), 50);
-    let garbage = scripted(|mut stream| {
+    assert_eq!(run_plan(&few(one_second_mix()), &setup(broken)).of(End::Broken), 50);
+    let garbage = scripted_server(|mut stream| {
         let _ = stream.read(&mut [0; 4_096]);
         let _ = stream.write_all(b"what is this\r\n\r\n");
     });
-    assert_eq!(go(&few(impatient()), &setup(garbage)).of(End::Malformed), 50);
-    let refusals = scripted(|mut stream| {
+    assert_eq!(run_plan(&few(one_second_mix()), &setup(garbage)).of(End::Malformed), 50);
+    let refusals = scripted_server(|mut stream| {
         let _ = stream.read(&mut [0; 4_096]);
         let _ = stream.write_all(
             b"HTTP/1.1 503 X\r\nConnection: close\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n",
         );
     });
-    let tally = go(&few(Mix { retry: true, ..impatient() }), &setup(refusals));
+    let tally = run_plan(&few(Mix { retry: true, ..one_second_mix() }), &setup(refusals));
     assert_eq!(tally.of(End::Refused), 50);
     assert_eq!(tally.classes.iter().map(|class| class.retried).sum::<u64>(), 50);
 }
 
 #[test]
-fn requests_over_the_bound_of_connections_are_named() {
-    let silent = scripted(|mut stream| {
+fn requests_without_a_free_connection_are_reported() {
+    let silent = scripted_server(|mut stream| {
         let _ = stream.read_to_end(&mut Vec::new());
     });
     // Some clients wait far longer than others, so that requests queued behind theirs are never sent.
-    let mix = Mix { patience: (0.1, 1.0), ..impatient() };
+    let mix = Mix { patience: (0.1, 1.0), ..one_second_mix() };
     let tally =
-        go(&plan("constant:50/s", SECOND, mix), &Setup { connections: 1, threads: 1, ..setup(silent) });
+        run_plan(&plan("constant:50/s", SECOND, mix), &Setup { connections: 1, threads: 1, ..setup(silent) });
     let (gave_up, no_room) = (tally.of(End::GaveUp), tally.of(End::NoRoom));
     assert!(gave_up >= 2 && no_room >= 10 && gave_up + no_room == 50, "{gave_up} {no_room}");
     // If every request gets a response, all are sent over one connection.
     let slow = stand_in(Service::Fixed(10 * MS), &[]);
-    let tally =
-        go(&plan("constant:50/s", SECOND, patient()), &Setup { connections: 1, threads: 1, ..setup(slow) });
+    let tally = run_plan(
+        &plan("constant:50/s", SECOND, thirty_second_mix()),
+        &Setup { connections: 1, threads: 1, ..setup(slow) },
+    );
     assert_eq!((tally.of(End::Served), tally.connections), (50, 1));
 }
 
 /// Guards against a run that hangs or misreports requests when the process runs out of file descriptors.
 #[test]
-fn descriptors_that_run_out_are_named() {
-    let silent = scripted(|mut stream| {
+fn requests_without_a_file_descriptor_are_reported() {
+    let silent = scripted_server(|mut stream| {
         let _ = stream.read_to_end(&mut Vec::new());
     });
     let program = env!("CARGO_BIN_EXE_pumicehead-load");
@@ -191,7 +196,7 @@
 /// Guards against trusting the results of a late generator. The process is stopped for half of its run, so that it
 /// can't keep its schedule on any machine.
 #[test]
-fn a_generator_that_stood_still_says_so() {
+fn late_generator_marks_the_run_invalid() {
     let server = stand_in(Service::Fixed(0), &[]).to_string();
     let program = env!("CARGO_BIN_EXE_pumicehead-load");
     let arguments = ["run", "--target", &server, "--shape", "constant:100/s", "--span", "2s", "--even"];
@@ -211,25 +216,25 @@
 /// Guards against trusting the results of a generator that starts all requests in time but has no time to read the
 /// responses. Its thread is given more requests than any machine can send.
 #[test]
-fn a_generator_out_of_breath_says_so() {
+fn saturated_generator_marks_the_run_invalid() {
     let server = stand_in(Service::Fixed(0), &[]);
-    let starved = Setup { threads: 1, connections: 50, ..setup(server) };
+    let overloaded = Setup { threads: 1, connections: 50, ..setup(server) };
     // Far more than one thread can send over sockets.
-    let tally = go(&plan("constant:1000000/s", SECOND / 5, impatient()), &starved);
+    let tally = run_plan(&plan("constant:1000000/s", SECOND / 5, one_second_mix()), &overloaded);
     assert_eq!(tally.requests(), 200_000);
     let summary = Summary::of("too much", SECOND / 5, &tally);
     assert!(summary.breathless_share > 0.9, "{}", summary.breathless_share);
     assert!(!summary.valid && summary.table().contains("INVALID"));
     // A generator with enough idle time is not reported.
-    let tally = go(&plan("constant:50/s", SECOND, patient()), &setup(server));
-    assert_eq!(tally.breathless, 0);
+    let tally = run_plan(&plan("constant:50/s", SECOND, thirty_second_mix()), &setup(server));
+    assert_eq!(tally.saturated, 0);
 }
 
 #[test]
-fn fastcgi_and_the_platforms_form_are_spoken() {
+fn platform_headers_and_fastcgi_are_supported() {
     let (sender, heads) = mpsc::channel();
     let sender = std::sync::Mutex::new(sender);
-    let http = scripted(move |mut stream| {
+    let http = scripted_server(move |mut stream| {
         let mut bytes = vec![0; 4_096];
         while let Ok(count) = stream.read(&mut bytes)
             && count > 0
@@ -238,9 +243,9 @@
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
     });
-    let mix = Mix { accounts: vec!["acme".into()], ..impatient() };
+    let mix = Mix { accounts: vec!["acme".into()], ..one_second_mix() };
     let tally =
-        go(&plan("constant:20/s", SECOND, mix), &Setup { protocol: Protocol::Platform, ..setup(http) });
+        run_plan(&plan("constant:20/s", SECOND, mix), &Setup { protocol: Protocol::Platform, ..setup(http) });
     assert_eq!(tally.of(End::Served), 20);
     let head = heads.recv().unwrap();
     for part in ["x-correlation-id: ", "x-service-class: ", "x-time-left: ", "x-account: acme"] {
@@ -248,12 +253,12 @@
     }
     assert!(head.starts_with("GET /board-read/") || head.starts_with("POST /run-submit/"), "{head}");
     let refusing = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let tally = go(
-        &plan("constant:20/s", SECOND, impatient()),
+    let tally = run_plan(
+        &plan("constant:20/s", SECOND, one_second_mix()),
         &Setup { protocol: Protocol::FastCgi, ..setup(refusing) },
     );
     assert_eq!(tally.of(End::NoConnection), 20);
-    let fastcgi = scripted(|mut stream| {
+    let fastcgi = scripted_server(|mut stream| {
         use pumicehead_fastcgi::server::{Event, Limits, Server};
         let mut server = Server::new(Limits {
             max_connections: 1,
@@ -280,8 +285,8 @@
             let _ = stream.write_all(&out);
         }
     });
-    let tally = go(
-        &plan("constant:20/s", SECOND, impatient()),
+    let tally = run_plan(
+        &plan("constant:20/s", SECOND, one_second_mix()),
         &Setup { protocol: Protocol::FastCgi, ..setup(fastcgi) },
     );
     assert_eq!(tally.of(End::Served), 20);
--- a/crates/load-generator/tests/stored_forms.rs
+++ b/crates/load-generator/tests/stored_forms.rs
@@ -31,11 +31,12 @@
 }
 
 #[test]
-fn older_recorded_days_are_read_as_before() {
+fn older_traces_are_read_as_before() {
     let replay = Replay { speed: 1.0, copies: 1, gaps: false };
-    let days = [("recorded.jsonl", Format::Json), ("recorded.csv", Format::Csv), ("access.log", Format::Log)];
-    for (name, form) in days {
-        assert_eq!(format_of(&stored(name)), form, "{name}");
+    let traces =
+        [("recorded.jsonl", Format::Json), ("recorded.csv", Format::Csv), ("access.log", Format::Log)];
+    for (name, format) in traces {
+        assert_eq!(format_of(&stored(name)), format, "{name}");
         let entries = parse(&stored(name), replay).unwrap();
         assert_stored_text(&format!("{name}.read.csv"), &write_csv(&entries));
     }
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn ends_of_requests_keep_their_names_and_order() {
+fn outcomes_keep_their_names_and_order() {
     let names = ENDS.map(|end| format!("{} {}\n", end.name(), serde_json::to_string(&end).unwrap()));
     assert_stored_text("ends.txt", &names.concat());
 }
--- a/crates/load-generator/tests/traces.rs
+++ b/crates/load-generator/tests/traces.rs
@@ -16,7 +16,7 @@
 "#;
 
 #[test]
-fn logs_are_read_and_seconds_are_spread() {
+fn access_logs_are_parsed_and_spread_within_seconds() {
     let list = parse(LOG, PLAIN).unwrap();
     assert_eq!(times(LOG, PLAIN), [0.0, 0.5, 2.0]);
     assert_eq!((list[1].method.as_str(), list[1].path.as_str()), ("POST", "/runs/7?x=1"));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn our_own_forms_are_read_and_written() {
+fn csv_and_json_traces_are_parsed_and_csv_is_written() {
     let csv = "at,method,path,body\n0.0,GET,/a,0\n\n0.25,POST,/b,120\n";
     let json = "{\"at\":5.0,\"method\":\"GET\",\"path\":\"/a\"}\n{\"at\":5.25,\"method\":\"POST\",\"path\":\"/b\",\"body\":120}\n";
     assert_eq!((format_of(csv), format_of(json), format_of(LOG)), (Format::Csv, Format::Json, Format::Log));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn replays_are_warped_and_multiplied_and_keep_their_gaps() {
+fn replay_applies_speed_copies_and_gaps() {
     let csv = "0,GET,/a,0\n1,GET,/b,0\n4,GET,/c,0\n";
     assert_eq!(times(csv, Replay { speed: 2.0, ..PLAIN }), [0.0, 0.5, 2.0]);
     assert_eq!(times(csv, Replay { speed: 0.5, ..PLAIN }), [0.0, 2.0, 8.0]);
@@ -54,12 +54,12 @@
     for replay in
         [Replay { speed: 0.0, ..PLAIN }, Replay { speed: f64::NAN, ..PLAIN }, Replay { copies: 0, ..PLAIN }]
     {
-        assert_eq!(parse(csv, replay), Err(TraceError::Speed));
+        assert_eq!(parse(csv, replay), Err(TraceError::InvalidReplay));
     }
 }
 
 #[test]
-fn entries_find_their_classes() {
+fn replayed_requests_are_assigned_to_classes() {
     let entries = parse("0,GET,/boards/x,0\n0,POST,/runs/x,9\n1,PUT,/other,0\n", PLAIN).unwrap();
     let plan: Vec<_> = Plan::recorded(entries, Mix::default()).collect();
     let seen: Vec<_> =
@@ -68,9 +68,9 @@
 }
 
 #[test]
-fn broken_traces_name_their_line_and_mistake() {
+fn malformed_traces_are_rejected_with_line_and_reason() {
     let log = |time: &str, request: &str| format!("{LOG}h - - [{time}] {request} 200 1\n");
-    let sound = "10/Oct/2000:13:55:39 -0700";
+    let valid = "10/Oct/2000:13:55:39 -0700";
     let cases = [
         (String::new(), "trace contains no requests"),
         ("\n\n".into(), "trace contains no requests"),
@@ -99,11 +99,11 @@
         (log("10/Oct/2000:25:55:36 -0700", "\"GET / HTTP/1.1\""), "line 4: invalid time"),
         (log("10/Oct/2000:13:55:36", "\"GET / HTTP/1.1\""), "line 4: invalid time"),
         (log("10/Oct/2000:13:55:36 \u{e9}700", "\"GET / HTTP/1.1\""), "line 4: invalid time"),
-        (log(sound, "GET / HTTP/1.1"), "line 4: no request in quotes"),
-        (log(sound, "\"GET /\""), "line 4: request is not `METHOD path HTTP/x`"),
-        (log(sound, "\"GET / x HTTP/1.1\""), "line 4: request is not `METHOD path HTTP/x`"),
-        (log(sound, "\"\\x16\\x03\""), "line 4: request is not `METHOD path HTTP/x`"),
-        (log(sound, "\"GET http HTTP/1.1\""), "line 4: invalid path"),
+        (log(valid, "GET / HTTP/1.1"), "line 4: no request in quotes"),
+        (log(valid, "\"GET /\""), "line 4: request is not `METHOD path HTTP/x`"),
+        (log(valid, "\"GET / x HTTP/1.1\""), "line 4: request is not `METHOD path HTTP/x`"),
+        (log(valid, "\"\\x16\\x03\""), "line 4: request is not `METHOD path HTTP/x`"),
+        (log(valid, "\"GET http HTTP/1.1\""), "line 4: invalid path"),
         (
             log("10/Oct/1999:13:55:36 -0700", "\"GET / HTTP/1.1\""),
             "line 4: time is 31622402 s before the latest earlier line",
@@ -115,8 +115,8 @@
         (format!("0,GET,/{},0\n", "x".repeat(70_000)), "line 1: longer than 64 KiB"),
     ];
     for (text, expected) in cases {
-        let fault = parse(&text, PLAIN).unwrap_err().to_string();
+        let error = parse(&text, PLAIN).unwrap_err().to_string();
         let shown: String = text.chars().rev().take(80).collect::<Vec<_>>().into_iter().rev().collect();
-        assert!(fault.starts_with(expected), "{shown:?}: {fault}");
+        assert!(error.starts_with(expected), "{shown:?}: {error}");
     }
 }
