--- a/crates/load-generator/src/compare.rs
+++ b/crates/load-generator/src/compare.rs
@@ -4,7 +4,7 @@
 
 use thiserror::Error;
 
-use crate::outcome::End;
+use crate::outcome::Outcome;
 use crate::report::Summary;
 
 /// Why runs can't be compared.
@@ -70,8 +70,8 @@
         return Err(CompareError::Invalid(bad.title.clone()));
     }
     let measures: [Measure; 7] = [
-        ("served, %", |run| percent(run, run.of_end(End::Served))),
-        ("refused, %", |run| percent(run, run.of_end(End::Refused))),
+        ("served, %", |run| percent(run, run.count_of(Outcome::Served))),
+        ("refused, %", |run| percent(run, run.count_of(Outcome::Refused))),
         ("late, %", |run| percent(run, run.classes.first().map_or(0, |class| class.late))),
         ("p50, ms", |run| run.served_us(0.5) as f64 / 1e3),
         ("p99, ms", |run| run.served_us(0.99) as f64 / 1e3),
--- a/crates/load-generator/src/engine/mod.rs
+++ b/crates/load-generator/src/engine/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::idle_time::IdleTime;
 use crate::mix::{Plan, PlannedRequest};
-use crate::outcome::{End, RequestResult, Tally};
+use crate::outcome::{Outcome, RequestResult, Tally};
 use crate::{Nanos, SECOND};
 use connection::{Connection, ExchangeError};
 
@@ -230,7 +230,7 @@
     fn record(&self, result: &RequestResult) {
         self.tally.borrow_mut().count(result);
         self.progress.ended.fetch_add(1, Ordering::Relaxed);
-        if result.end == End::Served {
+        if result.outcome == Outcome::Served {
             self.progress.served.fetch_add(1, Ordering::Relaxed);
         }
     }
@@ -273,14 +273,15 @@
     /// end of the last attempt.
     async fn send_with_retry(&self, request: &PlannedRequest, due: Instant) -> RequestResult {
         let deadline = due + Duration::from_nanos(request.client_timeout);
-        let (mut end, sent, retry_after) = self.attempt_once(request, deadline, 0).await;
+        let (mut outcome, sent, retry_after) = self.attempt_once(request, deadline, 0).await;
         let mut retried = false;
-        let retryable = matches!(end, End::Refused | End::Failed | End::Broken | End::NoConnection);
+        let retryable =
+            matches!(outcome, Outcome::Refused | Outcome::Failed | Outcome::Broken | Outcome::NoConnection);
         let retry_at = Instant::now() + retry_after.unwrap_or(DEFAULT_RETRY_DELAY);
         if self.mix.retry && retryable && retry_at < deadline {
             sleep_until(retry_at).await;
             retried = true;
-            end = self.attempt_once(request, deadline, 1).await.0;
+            outcome = self.attempt_once(request, deadline, 1).await.0;
         }
         let ended = Instant::now();
         let (intended, ended) = (self.since_start(due), self.since_start(ended));
@@ -289,7 +290,7 @@
             intended,
             sent: sent.map(|sent| self.since_start(sent)),
             ended,
-            end,
+            outcome,
             retried,
         }
     }
@@ -300,11 +301,11 @@
         request: &PlannedRequest,
         deadline: Instant,
         attempt: u32,
-    ) -> (End, Option<Instant>, Option<Duration>) {
+    ) -> (Outcome, Option<Instant>, Option<Duration>) {
         let Ok(permit) = timeout_at(deadline, self.connection_permits.clone().acquire_owned()).await else {
-            return (End::NoRoom, None, None);
+            return (Outcome::NoRoom, None, None);
         };
-        let Ok(_permit) = permit else { return (End::NoRoom, None, None) };
+        let Ok(_permit) = permit else { return (Outcome::NoRoom, None, None) };
         let reused = loop {
             let Some(connection) = self.idle_connections.borrow_mut().pop_back() else { break None };
             if connection.is_open() {
@@ -323,7 +324,7 @@
                         connection
                     }
                     Ok(Err(error)) => return (connect_failure_outcome(&error), None, None),
-                    Err(_) => return (End::NoConnection, None, None),
+                    Err(_) => return (Outcome::NoConnection, None, None),
                 }
             }
         };
@@ -335,14 +336,15 @@
                 if response.keep_alive {
                     self.idle_connections.borrow_mut().push_back(connection);
                 }
-                (End::of_status(response.status), Some(sent), response.retry_after)
+                (Outcome::of_status(response.status), Some(sent), response.retry_after)
             }
             Ok(Err(error)) => {
-                let end = if error == ExchangeError::Malformed { End::Malformed } else { End::Broken };
-                (end, Some(sent), None)
+                let outcome =
+                    if error == ExchangeError::Malformed { Outcome::Malformed } else { Outcome::Broken };
+                (outcome, Some(sent), None)
             }
             // Dropping the connection closes it, as a client that gives up does.
-            Err(_) => (End::GaveUp, Some(sent), None),
+            Err(_) => (Outcome::GaveUp, Some(sent), None),
         }
     }
 
@@ -379,10 +381,10 @@
 }
 
 /// Returns the outcome for a connection that could not be established.
-fn connect_failure_outcome(error: &io::Error) -> End {
+fn connect_failure_outcome(error: &io::Error) -> Outcome {
     // ENFILE (23) and EMFILE (24): the limit of file descriptors of the system or of the process.
     match error.raw_os_error() {
-        Some(23 | 24) => End::NoDescriptor,
-        _ => End::NoConnection,
+        Some(23 | 24) => Outcome::NoDescriptor,
+        _ => Outcome::NoConnection,
     }
 }
--- a/crates/load-generator/src/html.rs
+++ b/crates/load-generator/src/html.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use crate::outcome::{ENDS, End};
+use crate::outcome::{OUTCOMES, Outcome};
 use crate::report::{Summary, format_quantile};
 
 const WIDTH: f64 = 860.0;
@@ -58,8 +58,8 @@
 
 fn outcome_table(summary: &Summary, out: &mut String) {
     out.push_str("<table><tr><th>class</th><th>requests</th>");
-    ENDS.iter().for_each(|end| {
-        let _ = write!(out, "<th>{}</th>", end.name());
+    OUTCOMES.iter().for_each(|outcome| {
+        let _ = write!(out, "<th>{}</th>", outcome.name());
     });
     out.push_str("<th>late</th></tr>\n");
     for class in &summary.classes {
@@ -194,22 +194,27 @@
 
 fn seconds_plot(summary: &Summary, out: &mut String) {
     let seconds = &summary.by_second;
-    let sum = |ends: &[End]| -> Vec<f64> {
-        let indices: Vec<_> =
-            ends.iter().filter_map(|end| ENDS.iter().position(|known| known == end)).collect();
+    let sum = |outcomes: &[Outcome]| -> Vec<f64> {
+        let indices: Vec<_> = outcomes
+            .iter()
+            .filter_map(|outcome| OUTCOMES.iter().position(|known| known == outcome))
+            .collect();
         seconds
             .iter()
             .map(|second| indices.iter().map(|&index| second.ends[index]).sum::<u64>() as f64)
             .collect()
     };
-    let others: Vec<_> =
-        ENDS.iter().copied().filter(|end| !matches!(end, End::Served | End::Refused)).collect();
+    let others: Vec<_> = OUTCOMES
+        .iter()
+        .copied()
+        .filter(|outcome| !matches!(outcome, Outcome::Served | Outcome::Refused))
+        .collect();
     let late: Vec<f64> = seconds.iter().map(|second| second.late as f64).collect();
     let lines = [
-        ("due", sum(&ENDS)),
-        ("served", sum(&[End::Served])),
+        ("due", sum(&OUTCOMES)),
+        ("served", sum(&[Outcome::Served])),
         ("late", late),
-        ("refused", sum(&[End::Refused])),
+        ("refused", sum(&[Outcome::Refused])),
         ("failed", sum(&others)),
     ];
     let most = lines[0].1.iter().copied().fold(0.0, f64::max);
--- a/crates/load-generator/src/outcome.rs
+++ b/crates/load-generator/src/outcome.rs
@@ -15,7 +15,7 @@
 /// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
+pub enum Outcome {
     /// A response with status 2xx or 3xx.
     Served,
     /// A response with status 429 or 503, after which the request can safely be repeated.
@@ -37,19 +37,19 @@
 }
 
 /// All outcomes, in the order of their columns.
-pub const ENDS: [End; 9] = [
-    End::Served,
-    End::Refused,
-    End::Failed,
-    End::GaveUp,
-    End::NoConnection,
-    End::Broken,
-    End::Malformed,
-    End::NoRoom,
-    End::NoDescriptor,
+pub const OUTCOMES: [Outcome; 9] = [
+    Outcome::Served,
+    Outcome::Refused,
+    Outcome::Failed,
+    Outcome::GaveUp,
+    Outcome::NoConnection,
+    Outcome::Broken,
+    Outcome::Malformed,
+    Outcome::NoRoom,
+    Outcome::NoDescriptor,
 ];
 
-impl End {
+impl Outcome {
     /// Returns the name in tables.
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -89,7 +89,7 @@
     /// When the request ended.
     pub ended: Nanos,
     /// Outcome.
-    pub end: End,
+    pub outcome: Outcome,
     /// Whether the request was retried.
     pub retried: bool,
 }
@@ -97,7 +97,7 @@
 /// Counts of the requests that were intended for one second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Second {
-    /// Number of requests by outcome, in the order of [`ENDS`].
+    /// Number of requests by outcome, in the order of [`OUTCOMES`].
     pub ends: [u64; 9],
     /// Number of requests served after the target latency.
     pub late: u64,
@@ -114,7 +114,7 @@
     pub name: String,
     /// Target latency; requests served later are late.
     pub target_latency: Nanos,
-    /// Number of requests by outcome, in the order of [`ENDS`].
+    /// Number of requests by outcome, in the order of [`OUTCOMES`].
     pub ends: [u64; 9],
     /// Number of requests served after the target latency.
     pub late: u64,
@@ -175,8 +175,8 @@
         let Some(class) = self.classes.get_mut(result.class) else { return };
         let took = result.ended.saturating_sub(result.intended);
         let us = (took / 1_000).clamp(1, MAX_LATENCY_US);
-        let index = ENDS.iter().position(|end| *end == result.end).unwrap_or(0);
-        let late = result.end == End::Served && took > class.target_latency;
+        let index = OUTCOMES.iter().position(|known| *known == result.outcome).unwrap_or(0);
+        let late = result.outcome == Outcome::Served && took > class.target_latency;
         class.ends[index] += 1;
         class.late += u64::from(late);
         class.retried += u64::from(result.retried);
@@ -188,7 +188,7 @@
         let second = &mut self.seconds[second];
         second.ends[index] += 1;
         second.late += u64::from(late);
-        if result.end == End::Served {
+        if result.outcome == Outcome::Served {
             class.served.saturating_record(us);
             second.sum_us += us;
             second.most_us = second.most_us.max(us);
@@ -228,8 +228,8 @@
 
     /// Returns the number of requests with this outcome, over all classes.
     #[must_use]
-    pub fn of(&self, end: End) -> u64 {
-        let index = ENDS.iter().position(|known| *known == end).unwrap_or(0);
+    pub fn count_of(&self, outcome: Outcome) -> u64 {
+        let index = OUTCOMES.iter().position(|known| *known == outcome).unwrap_or(0);
         self.classes.iter().map(|class| class.ends[index]).sum()
     }
 
--- a/crates/load-generator/src/report.rs
+++ b/crates/load-generator/src/report.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::engine::MAX_LATE_SHARE;
-use crate::outcome::{ENDS, End, Second, Tally};
+use crate::outcome::{OUTCOMES, Outcome, Second, Tally};
 use crate::{Nanos, SECOND};
 
 /// Quantiles that are reported.
@@ -43,7 +43,7 @@
     pub name: String,
     /// Number of requests.
     pub requests: u64,
-    /// Number of requests by outcome, in the order of [`ENDS`].
+    /// Number of requests by outcome, in the order of [`OUTCOMES`].
     pub ends: [u64; 9],
     /// Number of requests served after the target latency.
     pub late: u64,
@@ -116,8 +116,8 @@
 
     /// Returns the number of requests with this outcome, over all classes.
     #[must_use]
-    pub fn of_end(&self, end: End) -> u64 {
-        let index = ENDS.iter().position(|known| *known == end).unwrap_or(0);
+    pub fn count_of(&self, outcome: Outcome) -> u64 {
+        let index = OUTCOMES.iter().position(|known| *known == outcome).unwrap_or(0);
         self.classes.first().map_or(0, |class| class.ends[index])
     }
 
@@ -126,8 +126,8 @@
     pub fn table(&self) -> String {
         let mut out = format!("{}\n\n", self.title);
         let _ = write!(out, "{:<16}{:>10}", "class", "requests");
-        ENDS.iter().for_each(|end| {
-            let _ = write!(out, "{:>14}", end.name());
+        OUTCOMES.iter().for_each(|outcome| {
+            let _ = write!(out, "{:>14}", outcome.name());
         });
         let _ = writeln!(out, "{:>10}{:>10}", "late", "retried");
         for class in &self.classes {
--- a/crates/load-generator/src/virtual_time.rs
+++ b/crates/load-generator/src/virtual_time.rs
@@ -6,7 +6,7 @@
 use crate::Nanos;
 use crate::mix::PlannedRequest;
 use crate::model::ServerModel;
-use crate::outcome::{End, RequestResult, Tally};
+use crate::outcome::{Outcome, RequestResult, Tally};
 
 /// How requests are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,10 +59,10 @@
             for ((request, sent), response) in plan.iter().zip(sent).zip(responses) {
                 tally.record_lateness(0);
                 let deadline = request.at + request.client_timeout;
-                let (sent, ended, end) = match () {
-                    () if sent >= deadline => (None, deadline, End::NoRoom),
-                    () if response > deadline => (Some(sent), deadline, End::GaveUp),
-                    () => (Some(sent), response, End::Served),
+                let (sent, ended, outcome) = match () {
+                    () if sent >= deadline => (None, deadline, Outcome::NoRoom),
+                    () if response > deadline => (Some(sent), deadline, Outcome::GaveUp),
+                    () => (Some(sent), response, Outcome::Served),
                 };
                 let intended = request.at;
                 tally.count(&RequestResult {
@@ -70,7 +70,7 @@
                     intended,
                     sent,
                     ended,
-                    end,
+                    outcome,
                     retried: false,
                 });
             }
@@ -89,7 +89,7 @@
                     intended: at,
                     sent: Some(at),
                     ended: response,
-                    end: End::Served,
+                    outcome: Outcome::Served,
                     retried: false,
                 });
                 next.push(Reverse(response));
--- a/crates/load-generator/tests/exact.rs
+++ b/crates/load-generator/tests/exact.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::RngSeed;
 use pumicehead_load_generator::mix::{Mix, Plan, PlannedRequest};
 use pumicehead_load_generator::model::{ServerModel, Service, Stalls};
-use pumicehead_load_generator::outcome::{End, RequestResult, Tally};
+use pumicehead_load_generator::outcome::{Outcome, RequestResult, Tally};
 use pumicehead_load_generator::schedule::{Arrivals, Schedule};
 use pumicehead_load_generator::shape::{Shape, parse_duration, parse_rate};
 use pumicehead_load_generator::virtual_time::{Mode, simulate};
@@ -106,7 +106,7 @@
     let model = fixed(MS, &[(4 * SECOND, 6 * SECOND)], usize::MAX);
     let open =
         simulate(&plan(&arrivals, 60 * SECOND), Mode::Open { connections: 100_000 }, &model, classes());
-    assert_eq!((open.requests(), open.of(End::Served)), (10_000, 10_000));
+    assert_eq!((open.requests(), open.count_of(Outcome::Served)), (10_000, 10_000));
     let served = open.served();
     for share in [0.5, 0.79, 0.85, 0.9, 0.95, 0.99, 0.999] {
         let found = served.value_at_quantile(share) as f64 / 1e6;
@@ -134,7 +134,7 @@
     let (least, most) = (tally.served().min(), tally.served().max());
     assert!(least.abs_diff(10_000) < 20 && most.abs_diff(901_000) < 1_000, "{least} {most}");
     let tally = simulate(&plan(&arrivals, 200 * MS), Mode::Open { connections: 1 }, &model, classes());
-    assert!(tally.of(End::NoRoom) > 50 && tally.of(End::GaveUp) < 3);
+    assert!(tally.count_of(Outcome::NoRoom) > 50 && tally.count_of(Outcome::GaveUp) < 3);
     assert_eq!(tally.requests(), 100);
 }
 
@@ -151,10 +151,10 @@
     assert!(answers.iter().enumerate().all(|(n, &took)| took == (15 + 5 * n as u64) * MS));
     let tally = simulate(&plan(&arrivals, SECOND), Mode::Open { connections: 100 }, &server, classes());
     // The latency is above 100 ms for the last two requests.
-    assert_eq!((tally.classes[0].late, tally.of(End::Served)), (2, 20));
+    assert_eq!((tally.classes[0].late, tally.count_of(Outcome::Served)), (2, 20));
     server.delay = 2 * SECOND;
     let tally = simulate(&plan(&arrivals, SECOND), Mode::Open { connections: 100 }, &server, classes());
-    assert_eq!(tally.of(End::GaveUp), 20);
+    assert_eq!(tally.count_of(Outcome::GaveUp), 20);
     assert!(tally.classes[0].all.min() >= 999_000);
 }
 
@@ -189,9 +189,9 @@
         let classes = || vec![("a".to_owned(), 100 * MS), ("b".to_owned(), SECOND)];
         let mut one = Tally::new(classes());
         let mut parts: Vec<_> = (0..workers).map(|_| Tally::new(classes())).collect();
-        for (index, &(class, intended, took, end, retried)) in results.iter().enumerate() {
-            let end = pumicehead_load_generator::outcome::ENDS[end];
-            let result = RequestResult { class, intended, sent: None, ended: intended + took, end, retried };
+        for (index, &(class, intended, took, outcome, retried)) in results.iter().enumerate() {
+            let outcome = pumicehead_load_generator::outcome::OUTCOMES[outcome];
+            let result = RequestResult { class, intended, sent: None, ended: intended + took, outcome, retried };
             one.count(&result);
             one.record_lateness(took);
             parts[index % workers].count(&result);
--- a/crates/load-generator/tests/loopback.rs
+++ b/crates/load-generator/tests/loopback.rs
@@ -11,7 +11,7 @@
 use pumicehead_load_generator::engine::{Progress, Protocol, Setup, run};
 use pumicehead_load_generator::mix::{Mix, Plan};
 use pumicehead_load_generator::model::{ServerModel, Service, Stalls};
-use pumicehead_load_generator::outcome::{End, Tally};
+use pumicehead_load_generator::outcome::{Outcome, Tally};
 use pumicehead_load_generator::report::Summary;
 use pumicehead_load_generator::schedule::{Arrivals, Schedule};
 use pumicehead_load_generator::{Nanos, SECOND, html, standin};
@@ -84,7 +84,7 @@
 fn every_request_is_counted_once() {
     let server = stand_in(Service::Fixed(2 * MS), &[]);
     let tally = run_plan(&plan("constant:500/s", 2 * SECOND, one_second_mix()), &setup(server));
-    assert_eq!((tally.requests(), tally.of(End::Served)), (1_000, 1_000));
+    assert_eq!((tally.requests(), tally.count_of(Outcome::Served)), (1_000, 1_000));
     assert_eq!(tally.seconds.iter().map(|second| second.ends[0]).sum::<u64>(), 1_000);
     assert!(tally.served().min() >= 1_900, "no latency is below the service time");
     assert!(tally.connections < 200);
@@ -106,7 +106,7 @@
         &plan("constant:200/s", 4 * SECOND, thirty_second_mix()),
         &setup(stand_in(Service::Fixed(MS), &stalls)),
     );
-    assert_eq!(open.of(End::Served), 800);
+    assert_eq!(open.count_of(Outcome::Served), 800);
     let served = open.served();
     assert!(served.max() > 1_700_000, "{}", served.max());
     // Half of all requests were due in the stall, and waited for 1 s on average.
@@ -128,20 +128,20 @@
         let _ = stream.read_to_end(&mut Vec::new());
     });
     let tally = run_plan(&few(one_second_mix()), &setup(silent));
-    assert_eq!((tally.of(End::GaveUp), tally.requests()), (50, 50));
+    assert_eq!((tally.count_of(Outcome::GaveUp), tally.requests()), (50, 50));
     assert!(tally.classes[0].all.min() >= 990_000, "each client waited for its deadline");
     let refusing = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    assert_eq!(run_plan(&few(one_second_mix()), &setup(refusing)).of(End::NoConnection), 50);
+    assert_eq!(run_plan(&few(one_second_mix()), &setup(refusing)).count_of(Outcome::NoConnection), 50);
     let broken = scripted_server(|mut stream| {
         let _ = stream.read(&mut [0; 4_096]);
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
     });
-    assert_eq!(run_plan(&few(one_second_mix()), &setup(broken)).of(End::Broken), 50);
+    assert_eq!(run_plan(&few(one_second_mix()), &setup(broken)).count_of(Outcome::Broken), 50);
     let garbage = scripted_server(|mut stream| {
         let _ = stream.read(&mut [0; 4_096]);
         let _ = stream.write_all(b"what is this\r\n\r\n");
     });
-    assert_eq!(run_plan(&few(one_second_mix()), &setup(garbage)).of(End::Malformed), 50);
+    assert_eq!(run_plan(&few(one_second_mix()), &setup(garbage)).count_of(Outcome::Malformed), 50);
     let refusals = scripted_server(|mut stream| {
         let _ = stream.read(&mut [0; 4_096]);
         let _ = stream.write_all(
@@ -149,7 +149,7 @@
         );
     });
     let tally = run_plan(&few(Mix { retry: true, ..one_second_mix() }), &setup(refusals));
-    assert_eq!(tally.of(End::Refused), 50);
+    assert_eq!(tally.count_of(Outcome::Refused), 50);
     assert_eq!(tally.classes.iter().map(|class| class.retried).sum::<u64>(), 50);
 }
 
@@ -162,7 +162,7 @@
     let mix = Mix { patience: (0.1, 1.0), ..one_second_mix() };
     let tally =
         run_plan(&plan("constant:50/s", SECOND, mix), &Setup { connections: 1, threads: 1, ..setup(silent) });
-    let (gave_up, no_room) = (tally.of(End::GaveUp), tally.of(End::NoRoom));
+    let (gave_up, no_room) = (tally.count_of(Outcome::GaveUp), tally.count_of(Outcome::NoRoom));
     assert!(gave_up >= 2 && no_room >= 10 && gave_up + no_room == 50, "{gave_up} {no_room}");
     // If every request gets a response, all are sent over one connection.
     let slow = stand_in(Service::Fixed(10 * MS), &[]);
@@ -170,7 +170,7 @@
         &plan("constant:50/s", SECOND, thirty_second_mix()),
         &Setup { connections: 1, threads: 1, ..setup(slow) },
     );
-    assert_eq!((tally.of(End::Served), tally.connections), (50, 1));
+    assert_eq!((tally.count_of(Outcome::Served), tally.connections), (50, 1));
 }
 
 /// Guards against a run that hangs or misreports requests when the process runs out of file descriptors.
@@ -189,8 +189,8 @@
     let summary: Summary = serde_json::from_str(&std::fs::read_to_string(&file).unwrap()).unwrap();
     let _ = std::fs::remove_file(file);
     assert_eq!(summary.classes[0].requests, 100);
-    assert!(summary.of_end(End::NoDescriptor) > 20, "{}", String::from_utf8_lossy(&done.stdout));
-    assert!(summary.of_end(End::GaveUp) > 10);
+    assert!(summary.count_of(Outcome::NoDescriptor) > 20, "{}", String::from_utf8_lossy(&done.stdout));
+    assert!(summary.count_of(Outcome::GaveUp) > 10);
 }
 
 /// Guards against trusting the results of a late generator. The process is stopped for half of its run, so that it
@@ -246,7 +246,7 @@
     let mix = Mix { accounts: vec!["acme".into()], ..one_second_mix() };
     let tally =
         run_plan(&plan("constant:20/s", SECOND, mix), &Setup { protocol: Protocol::Platform, ..setup(http) });
-    assert_eq!(tally.of(End::Served), 20);
+    assert_eq!(tally.count_of(Outcome::Served), 20);
     let head = heads.recv().unwrap();
     for part in ["x-correlation-id: ", "x-service-class: ", "x-time-left: ", "x-account: acme"] {
         assert!(head.contains(part), "{part} in {head}");
@@ -257,7 +257,7 @@
         &plan("constant:20/s", SECOND, one_second_mix()),
         &Setup { protocol: Protocol::FastCgi, ..setup(refusing) },
     );
-    assert_eq!(tally.of(End::NoConnection), 20);
+    assert_eq!(tally.count_of(Outcome::NoConnection), 20);
     let fastcgi = scripted_server(|mut stream| {
         use pumicehead_fastcgi::server::{Event, Limits, Server};
         let mut server = Server::new(Limits {
@@ -289,5 +289,5 @@
         &plan("constant:20/s", SECOND, one_second_mix()),
         &Setup { protocol: Protocol::FastCgi, ..setup(fastcgi) },
     );
-    assert_eq!(tally.of(End::Served), 20);
+    assert_eq!(tally.count_of(Outcome::Served), 20);
 }
--- a/crates/load-generator/tests/stored_forms.rs
+++ b/crates/load-generator/tests/stored_forms.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 use pumicehead_load_generator::mix::Mix;
-use pumicehead_load_generator::outcome::ENDS;
+use pumicehead_load_generator::outcome::OUTCOMES;
 use pumicehead_load_generator::report::Summary;
 use pumicehead_load_generator::trace::{Format, Replay, format_of, parse, write_csv};
 
@@ -64,6 +64,7 @@
 
 #[test]
 fn outcomes_keep_their_names_and_order() {
-    let names = ENDS.map(|end| format!("{} {}\n", end.name(), serde_json::to_string(&end).unwrap()));
+    let names =
+        OUTCOMES.map(|outcome| format!("{} {}\n", outcome.name(), serde_json::to_string(&outcome).unwrap()));
     assert_stored_text("ends.txt", &names.concat());
 }
--- a/crates/testbed/src/measure/capacity/load.rs
+++ b/crates/testbed/src/measure/capacity/load.rs
@@ -9,7 +9,7 @@
 
 use pumicehead_load_generator::engine::{Progress, Protocol, Setup, run};
 use pumicehead_load_generator::mix::Plan as Requests;
-use pumicehead_load_generator::outcome::{End, Tally};
+use pumicehead_load_generator::outcome::{Outcome, Tally};
 use pumicehead_load_generator::report::Summary;
 use pumicehead_load_generator::schedule::{Arrivals, Schedule};
 use pumicehead_load_generator::shape::Shape;
@@ -205,11 +205,11 @@
     let span = plan.span.as_nanos() as u64 * rounds.len() as u64;
     let summary = Summary::of("capacity", span, &all);
     let served_within = |share| Duration::from_micros(summary.served_us(share));
-    let (requests, refused) = (all.requests(), summary.of_end(End::Refused));
+    let (requests, refused) = (all.requests(), summary.count_of(Outcome::Refused));
     Latencies {
         requests,
         refused,
-        failed: requests - refused - summary.of_end(End::Served),
+        failed: requests - refused - summary.count_of(Outcome::Served),
         p50: served_within(0.5),
         p99: served_within(0.99),
         longest: served_within(1.0),
--- a/crates/testbed/src/measure/cost.rs
+++ b/crates/testbed/src/measure/cost.rs
@@ -10,7 +10,7 @@
 
 use pumicehead_load_generator::engine::{Progress, Protocol, Setup, run};
 use pumicehead_load_generator::mix::{Mix, Plan};
-use pumicehead_load_generator::outcome::End;
+use pumicehead_load_generator::outcome::Outcome;
 use pumicehead_load_generator::report::Summary;
 use pumicehead_load_generator::schedule::{Arrivals, Schedule};
 use pumicehead_load_generator::shape::Shape;
@@ -162,7 +162,7 @@
 }
 
 fn served(summary: &Summary) -> f64 {
-    100.0 * summary.of_end(End::Served) as f64 / summary.classes[0].requests.max(1) as f64
+    100.0 * summary.count_of(Outcome::Served) as f64 / summary.classes[0].requests.max(1) as f64
 }
 
 fn row(report: &mut Report, name: &str, summary: &Summary, cost: Option<f64>) {
