--- a/crates/load-generator/src/main.rs
+++ b/crates/load-generator/src/main.rs
@@ -181,7 +181,7 @@
         Command::Run { shape, span, even, mix, options } => {
             let arrivals = if even { Arrivals::Even } else { Arrivals::Poisson };
             let (parsed_shape, span): (Shape, Nanos) = (shape.parse()?, parse_duration(&span)?);
-            let plan = Plan::drawn(
+            let plan = Plan::generated(
                 Schedule::new(parsed_shape, arrivals, span, options.seed),
                 load_mix(mix)?,
                 options.seed,
@@ -189,13 +189,13 @@
             run_plan(&format!("{shape} for {} s", span as f64 / SECOND as f64), span, &plan, &options)
         }
         Command::Replay { trace, speed, copies, gaps, mix, options } => {
-            let entries = parse(&read_file(&trace)?, Replay { speed, copies, gaps })?;
+            let entries = parse(&read_file(&trace)?, Replay { speed, copies, allow_gaps: gaps })?;
             let span = entries.last().map_or(0, |entry| entry.at);
             let title = format!("{} at {speed}x, {copies} copies", trace.display());
             run_plan(&title, span, &Plan::recorded(entries, load_mix(mix)?), &options)
         }
         Command::Import { log, gaps } => {
-            let entries = parse(&read_file(&log)?, Replay { speed: 1.0, copies: 1, gaps })?;
+            let entries = parse(&read_file(&log)?, Replay { speed: 1.0, copies: 1, allow_gaps: gaps })?;
             let _ = std::io::stdout().write_all(write_csv(&entries).as_bytes());
             Ok(ExitCode::SUCCESS)
         }
--- a/crates/load-generator/src/mix.rs
+++ b/crates/load-generator/src/mix.rs
@@ -168,7 +168,7 @@
 #[derive(Clone)]
 pub enum Plan {
     /// Requests that are generated.
-    Drawn {
+    Generated {
         /// Intended times.
         schedule: Schedule,
         /// Contents.
@@ -194,11 +194,11 @@
 impl Plan {
     /// Creates a plan that generates requests of a mix at the times of a schedule.
     #[must_use]
-    pub fn drawn(schedule: Schedule, mix: Mix, seed: u64) -> Self {
+    pub fn generated(schedule: Schedule, mix: Mix, seed: u64) -> Self {
         let popularity = mix.classes.iter().map(|class| zipf_cumulative(class.keys, class.zipf)).collect();
         // Independent of the schedule's random numbers, so that another mix has the same arrival times.
         let rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6d69_7865_645f_7365);
-        Self::Drawn { schedule, mix, rng, popularity, number: 0 }
+        Self::Generated { schedule, mix, rng, popularity, number: 0 }
     }
 
     /// Creates a plan that replays recorded requests. Each belongs to the first class whose method and path prefix
@@ -213,7 +213,7 @@
     #[must_use]
     pub fn mix(&self) -> &Mix {
         match self {
-            Self::Drawn { mix, .. } | Self::Recorded { mix, .. } => mix,
+            Self::Generated { mix, .. } | Self::Recorded { mix, .. } => mix,
         }
     }
 }
@@ -223,13 +223,13 @@
 
     fn next(&mut self) -> Option<PlannedRequest> {
         match self {
-            Self::Drawn { schedule, mix, rng, popularity, number } => {
+            Self::Generated { schedule, mix, rng, popularity, number } => {
                 let at = schedule.next()?;
                 let total_share: f64 = mix.classes.iter().map(|class| class.share).sum();
-                let mut drawn = random_unit(rng) * total_share;
+                let mut sampled = random_unit(rng) * total_share;
                 let class = mix.classes.iter().position(|class| {
-                    drawn -= class.share;
-                    drawn < 0.0
+                    sampled -= class.share;
+                    sampled < 0.0
                 });
                 let class = class.unwrap_or(mix.classes.len() - 1);
                 let settings = &mix.classes[class];
--- a/crates/load-generator/src/trace.rs
+++ b/crates/load-generator/src/trace.rs
@@ -55,7 +55,7 @@
     /// Number of times that each request is sent, spread over the time until the next request.
     pub copies: u32,
     /// Whether gaps of several hours are kept; otherwise they are errors.
-    pub gaps: bool,
+    pub allow_gaps: bool,
 }
 
 /// Why a trace can't be read. Lines are numbered from 1.
@@ -166,7 +166,7 @@
             if at < latest - MAX_BACKWARD_S {
                 return Err(TraceError::Backwards { line: number, back: (latest - at) as u64 });
             }
-            if at > latest + MAX_GAP_S && !replay.gaps {
+            if at > latest + MAX_GAP_S && !replay.allow_gaps {
                 return Err(TraceError::Gap { line: number, gap: (at - latest) as u64 });
             }
         }
--- a/crates/load-generator/tests/exact.rs
+++ b/crates/load-generator/tests/exact.rs
@@ -81,7 +81,7 @@
     let requests = |seed| {
         let schedule =
             Schedule::new("diurnal:200,50%,5s".parse().unwrap(), Arrivals::Poisson, 5 * SECOND, seed);
-        Plan::drawn(schedule, Mix::default(), seed).collect::<Vec<_>>()
+        Plan::generated(schedule, Mix::default(), seed).collect::<Vec<_>>()
     };
     assert_eq!(requests(7), requests(7));
     assert_ne!(requests(7), requests(8));
--- a/crates/load-generator/tests/loopback.rs
+++ b/crates/load-generator/tests/loopback.rs
@@ -60,7 +60,7 @@
 }
 
 fn plan(shape: &str, span: Nanos, mix: Mix) -> Plan {
-    Plan::drawn(Schedule::new(shape.parse().unwrap(), Arrivals::Even, span, 1), mix, 1)
+    Plan::generated(Schedule::new(shape.parse().unwrap(), Arrivals::Even, span, 1), mix, 1)
 }
 
 /// Clients that wait for at most one second and don't retry.
--- a/crates/load-generator/tests/stored_forms.rs
+++ b/crates/load-generator/tests/stored_forms.rs
@@ -32,7 +32,7 @@
 
 #[test]
 fn older_traces_are_read_as_before() {
-    let replay = Replay { speed: 1.0, copies: 1, gaps: false };
+    let replay = Replay { speed: 1.0, copies: 1, allow_gaps: false };
     let traces =
         [("recorded.jsonl", Format::Json), ("recorded.csv", Format::Csv), ("access.log", Format::Log)];
     for (name, format) in traces {
--- a/crates/load-generator/tests/traces.rs
+++ b/crates/load-generator/tests/traces.rs
@@ -4,7 +4,7 @@
 use pumicehead_load_generator::mix::{Mix, Plan};
 use pumicehead_load_generator::trace::{Entry, Format, Replay, TraceError, format_of, parse, write_csv};
 
-const PLAIN: Replay = Replay { speed: 1.0, copies: 1, gaps: false };
+const PLAIN: Replay = Replay { speed: 1.0, copies: 1, allow_gaps: false };
 
 fn times(text: &str, replay: Replay) -> Vec<f64> {
     parse(text, replay).unwrap().iter().map(|entry| entry.at as f64 / SECOND as f64).collect()
@@ -47,7 +47,7 @@
     assert_eq!(times(csv, Replay { copies: 2, ..PLAIN }), [0.0, 0.5, 1.0, 2.5, 4.0, 4.0]);
     let day = "0,GET,/a,0\n100000,GET,/b,0\n";
     assert_eq!(parse(day, PLAIN), Err(TraceError::Gap { line: 2, gap: 100_000 }));
-    assert_eq!(times(day, Replay { gaps: true, ..PLAIN }), [0.0, 100_000.0]);
+    assert_eq!(times(day, Replay { allow_gaps: true, ..PLAIN }), [0.0, 100_000.0]);
     // Logs are slightly out of order, because they are written when requests end.
     assert_eq!(times("10,GET,/a,0\n5,GET,/b,0\n", PLAIN), [0.0, 5.0]);
     assert_eq!(parse("100,GET,/a,0\n5,GET,/b,0\n", PLAIN), Err(TraceError::Backwards { line: 2, back: 95 }));
--- a/crates/node/tests/traffic_recording.rs
+++ b/crates/node/tests/traffic_recording.rs
@@ -34,7 +34,7 @@
     assert_eq!(node.wait().code(), Some(0));
     assert_eq!(node.said("traffic recording ended requests=3 dropped=0"), 1);
     let text = fs::read_to_string(&record).unwrap();
-    let replayed = parse(&text, Replay { speed: 1.0, copies: 1, gaps: false }).unwrap();
+    let replayed = parse(&text, Replay { speed: 1.0, copies: 1, allow_gaps: false }).unwrap();
     let requests: Vec<_> =
         replayed.iter().map(|entry| (entry.method.as_str(), entry.path.as_str(), entry.body)).collect();
     assert_eq!(requests, [("GET", "/boards/any?page=2", 0), ("POST", "/runs/7", 3), ("GET", "/nowhere", 0)]);
--- a/crates/testbed/src/measure/capacity/load.rs
+++ b/crates/testbed/src/measure/capacity/load.rs
@@ -185,7 +185,7 @@
 fn ask(targets: Vec<SocketAddr>, size: Size, span: Duration, seed: u64) -> io::Result<Tally> {
     let span = span.as_nanos() as u64;
     let schedule = Schedule::new(Shape::Constant(RATE), Arrivals::Poisson, span, seed);
-    let requests = Requests::drawn(schedule, mix(size), seed);
+    let requests = Requests::generated(schedule, mix(size), seed);
     let setup = Setup {
         targets,
         protocol: Protocol::Http,
--- a/crates/testbed/src/measure/cost.rs
+++ b/crates/testbed/src/measure/cost.rs
@@ -144,7 +144,7 @@
     pid: Option<u32>,
 ) -> io::Result<(Summary, f64)> {
     let schedule = Schedule::new(Shape::Constant(rate), Arrivals::Poisson, span, plan.seed);
-    let drawn = Plan::drawn(schedule, Mix::default(), plan.seed);
+    let drawn = Plan::generated(schedule, Mix::default(), plan.seed);
     let setup = Setup {
         targets: vec![target],
         protocol: Protocol::Http,
--- a/crates/testbed/src/measure/recorder/cost.rs
+++ b/crates/testbed/src/measure/recorder/cost.rs
@@ -89,7 +89,7 @@
 /// Loads the node for [`SPAN`] and returns its processor time for a request, in microseconds.
 fn request_cost_us(plan: Plan, node: &Standalone) -> io::Result<f64> {
     let schedule = Schedule::new(Shape::Constant(RATE), Arrivals::Poisson, SPAN, plan.seed);
-    let requests = RequestPlan::drawn(schedule, Mix::default(), plan.seed);
+    let requests = RequestPlan::generated(schedule, Mix::default(), plan.seed);
     let setup = Setup {
         targets: vec![node.address()],
         protocol: Protocol::Http,
