--- a/crates/config/src/explain.rs
+++ b/crates/config/src/explain.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
-use pumicehead_route::{MatchResult, Mismatch, Query, RequestPath, request_host};
+use pumicehead_route::{MatchResult, Mismatch, RequestPath, RouteQuery, request_host};
 use thiserror::Error;
 
 use crate::model::{Class, Config, Idempotency, KeySource, Pool, PoolEndpoints, Route, TenantSource};
@@ -89,7 +89,7 @@
 pub fn explain(config: &Config, sources: &Sources, request: &Request) -> Result<String, RequestError> {
     let path = parse_path(&request.path)?;
     let Request { method, host, headers, .. } = request;
-    let query = Query { host, path: &path, method, headers };
+    let query = RouteQuery { host, path: &path, method, headers };
     let mut text = String::new();
     let passed_over_end = match config.matcher().find(&query) {
         MatchResult::Route(index) => {
@@ -112,7 +112,7 @@
 }
 
 /// Lists the routes that match host and path, but not the method or a header.
-fn write_passed_over(routes: &[Route], sources: &Sources, query: &Query<'_>, text: &mut String) {
+fn write_passed_over(routes: &[Route], sources: &Sources, query: &RouteQuery<'_>, text: &mut String) {
     let passed_over = routes.iter().filter_map(|route| match route.pattern.mismatch(query)? {
         Mismatch::Host | Mismatch::Path => None,
         Mismatch::Method => Some((route, "its methods are others".to_owned())),
@@ -128,7 +128,7 @@
 struct RouteExplanation<'a> {
     config: &'a Config,
     sources: &'a Sources,
-    query: &'a Query<'a>,
+    query: &'a RouteQuery<'a>,
 }
 
 impl RouteExplanation<'_> {
@@ -209,7 +209,7 @@
 
 /// The key of a request, if it has one.
 #[must_use]
-pub fn key_of(source: &KeySource, query: &Query<'_>) -> Option<Vec<u8>> {
+pub fn key_of(source: &KeySource, query: &RouteQuery<'_>) -> Option<Vec<u8>> {
     match source {
         KeySource::None => None,
         KeySource::Segment(index) => query.path.segment(*index).map(Into::into),
--- a/crates/node/src/standalone/route_admission.rs
+++ b/crates/node/src/standalone/route_admission.rs
@@ -10,7 +10,7 @@
 use pumicehead_config::explain::key_of;
 use pumicehead_config::model::TenantSource;
 use pumicehead_policy::TenantId;
-use pumicehead_route::{MatchResult, Query, RequestPath, request_host};
+use pumicehead_route::{MatchResult, RequestPath, RouteQuery, request_host};
 
 use super::request_table::{RequestTable, RouteTarget};
 use super::traffic_recorder::TrafficRecorder;
@@ -125,7 +125,7 @@
         .map_err(|error| RequestError::AmbiguousTarget(format!("the host is {error}")))?;
     let path = RequestPath::parse(head.uri.path())
         .map_err(|error| RequestError::AmbiguousTarget(error.to_string()))?;
-    let query = Query { host: &host, path: &path, method: head.method, headers: &head.headers };
+    let query = RouteQuery { host: &host, path: &path, method: head.method, headers: &head.headers };
     let route = match table.routes().matcher().find(&query) {
         MatchResult::Route(route) => route,
         MatchResult::MethodNotAllowed(allowed) => return Err(RequestError::MethodNotAllowed(allowed)),
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -129,7 +129,7 @@
 
 /// The parts of a request that routes match.
 #[derive(Clone, Copy, Debug)]
-pub struct Query<'a> {
+pub struct RouteQuery<'a> {
     /// The host, as [`request_host`] returns it; empty if the request has none.
     pub host: &'a str,
     /// The path.
@@ -143,7 +143,7 @@
 impl Route {
     /// The first condition that a request does not meet; `None` if the route matches.
     #[must_use]
-    pub fn mismatch(&self, query: &Query<'_>) -> Option<Mismatch> {
+    pub fn mismatch(&self, query: &RouteQuery<'_>) -> Option<Mismatch> {
         if !self.host.matches(query.host) {
             return Some(Mismatch::Host);
         }
--- a/crates/route/src/matcher/find.rs
+++ b/crates/route/src/matcher/find.rs
@@ -5,12 +5,12 @@
 use super::{ANY_SEGMENT, ANY_VALUE, Bucket, HostRoots, MatchResult, Matcher, NONE, Rule};
 use crate::methods::RequestMethod;
 use crate::names::NameId;
-use crate::{HostPattern, Methods, Query, trimmed_value};
+use crate::{HostPattern, Methods, RouteQuery, trimmed_value};
 
 /// A request and its encoded method.
 struct EncodedRequest<'a> {
     method: RequestMethod,
-    query: &'a Query<'a>,
+    query: &'a RouteQuery<'a>,
 }
 
 /// One step of a traversal that collects leaves.
@@ -29,7 +29,7 @@
 impl Matcher {
     /// Finds the first route that matches a request.
     #[must_use]
-    pub fn find(&self, query: &Query<'_>) -> MatchResult {
+    pub fn find(&self, query: &RouteQuery<'_>) -> MatchResult {
         let request = EncodedRequest { method: RequestMethod::new(query.method), query };
         let mut best = NONE;
         self.for_each_root(query.host, |root| self.find_below(root, 0, &request, &mut best));
--- a/crates/route/tests/matching.rs
+++ b/crates/route/tests/matching.rs
@@ -22,11 +22,11 @@
 
 fn find(matcher: &Matcher, host: &str, path: &str, method: &Method, headers: &HeaderMap) -> MatchResult {
     let path = RequestPath::parse(path).unwrap();
-    matcher.find(&Query { host, path: &path, method, headers })
+    matcher.find(&RouteQuery { host, path: &path, method, headers })
 }
 
 /// The expected result of a match, found by checking every route.
-fn check_every_route(routes: &[Route], query: &Query<'_>) -> MatchResult {
+fn check_every_route(routes: &[Route], query: &RouteQuery<'_>) -> MatchResult {
     let mismatchs: Vec<_> = routes.iter().map(|route| route.mismatch(query)).collect();
     if let Some(index) = mismatchs.iter().position(Option::is_none) {
         return MatchResult::Route(index);
@@ -101,7 +101,7 @@
         let matcher = Matcher::new(routes.clone());
         for (host, path, method, headers) in &queries {
             let path = RequestPath::parse(path).unwrap();
-            let query = Query { host, path: &path, method, headers };
+            let query = RouteQuery { host, path: &path, method, headers };
             prop_assert_eq!(sorted(matcher.find(&query)), sorted(check_every_route(&routes, &query)));
         }
     }
@@ -114,7 +114,7 @@
         let matcher = Matcher::new(routes.clone());
         for (host, path, method, headers) in &queries {
             let path = RequestPath::parse(path).unwrap();
-            if let MatchResult::Route(index) = matcher.find(&Query { host, path: &path, method, headers }) {
+            if let MatchResult::Route(index) = matcher.find(&RouteQuery { host, path: &path, method, headers }) {
                 prop_assert_eq!(matcher.hidden_by(index), Vec::<usize>::new());
             }
         }
--- a/crates/route/tests/unit/differential.rs
+++ b/crates/route/tests/unit/differential.rs
@@ -7,7 +7,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use crate::{HeaderRule, HostPattern, MatchResult, Matcher, Methods, PathPattern, Query, RequestPath, Route};
+use crate::{
+    HeaderRule, HostPattern, MatchResult, Matcher, Methods, PathPattern, RequestPath, Route, RouteQuery,
+};
 
 /// Number of routes of the largest sets.
 const LARGE_SET: usize = 15_000;
@@ -28,9 +30,9 @@
         Self { host: host.into(), path: path.into(), method: Method::GET, headers: HeaderMap::new() }
     }
 
-    fn with_query<T>(&self, run: impl FnOnce(&Query<'_>) -> T) -> T {
+    fn with_query<T>(&self, run: impl FnOnce(&RouteQuery<'_>) -> T) -> T {
         let path = RequestPath::parse(&self.path).unwrap();
-        run(&Query { host: &self.host, path: &path, method: &self.method, headers: &self.headers })
+        run(&RouteQuery { host: &self.host, path: &path, method: &self.method, headers: &self.headers })
     }
 }
 
--- a/crates/route/tests/unit/reference.rs
+++ b/crates/route/tests/unit/reference.rs
@@ -4,7 +4,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::path::Segment;
-use crate::{HeaderRule, HostPattern, MatchResult, Methods, Mismatch, Query, Route, header_values};
+use crate::{HeaderRule, HostPattern, MatchResult, Methods, Mismatch, Route, RouteQuery, header_values};
 
 /// No route; larger than every index.
 const NONE: u32 = u32::MAX;
@@ -98,7 +98,7 @@
 
     /// Finds the first route that matches a request.
     #[must_use]
-    pub fn find(&self, query: &Query<'_>) -> MatchResult {
+    pub fn find(&self, query: &RouteQuery<'_>) -> MatchResult {
         let mut best = NONE;
         self.for_each_trie(query.host, |trie| trie.find(0, 0, query, &self.routes, &mut best));
         if best != NONE {
@@ -221,7 +221,7 @@
         leaf.insert(index, route);
     }
 
-    fn find(&self, at: usize, depth: usize, query: &Query<'_>, routes: &[Route], best: &mut u32) {
+    fn find(&self, at: usize, depth: usize, query: &RouteQuery<'_>, routes: &[Route], best: &mut u32) {
         let node = &self.nodes[at];
         // Skips subtrees without an earlier route than the best so far: otherwise `*` next to literals would
         // double the search at every segment.
@@ -289,7 +289,7 @@
         self.by_header[known].1.entry(first.value.clone()).or_default().push(index);
     }
 
-    fn find(&self, query: &Query<'_>, routes: &[Route], best: &mut u32) {
+    fn find(&self, query: &RouteQuery<'_>, routes: &[Route], best: &mut u32) {
         if self.first_route >= *best {
             return;
         }
--- a/crates/testbed/src/measure/config.rs
+++ b/crates/testbed/src/measure/config.rs
@@ -13,7 +13,7 @@
 use hyper::{HeaderMap, Method, Request};
 use pumicehead_config::check;
 use pumicehead_config::disk::Disk;
-use pumicehead_route::{MatchResult, Matcher, Methods, Query, RequestPath, Route};
+use pumicehead_route::{MatchResult, Matcher, Methods, RequestPath, Route, RouteQuery};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use tokio::runtime::Builder;
@@ -156,23 +156,24 @@
     // In turns, so that noise of the machine meets all sizes alike.
     for _ in 0..ROUNDS * if plan.long { 5 } else { 1 } {
         for (place, (matcher, routes, asked)) in sets.iter().enumerate() {
-            let all = |find: &dyn Fn(&Query<'_>) -> Option<usize>, times: usize| {
+            let all = |find: &dyn Fn(&RouteQuery<'_>) -> Option<usize>, times: usize| {
                 let start = Instant::now();
                 let mut sum = 0;
                 for _ in 0..times {
                     for Asked { host, path } in asked {
                         let Ok(path) = RequestPath::parse(path) else { continue };
-                        let query = Query { host, path: &path, method: &Method::GET, headers: &headers };
+                        let query = RouteQuery { host, path: &path, method: &Method::GET, headers: &headers };
                         sum += black_box(find(&query)).unwrap_or_default();
                     }
                 }
                 (start.elapsed().as_secs_f64() * 1e9 / (times * asked.len()) as f64, sum / times)
             };
-            let compiled = |query: &Query<'_>| match matcher.find(query) {
+            let compiled = |query: &RouteQuery<'_>| match matcher.find(query) {
                 MatchResult::Route(place) => Some(place),
                 MatchResult::MethodNotAllowed(_) | MatchResult::NoMatch => None,
             };
-            let naive = |query: &Query<'_>| routes.iter().position(|route| route.mismatch(query).is_none());
+            let naive =
+                |query: &RouteQuery<'_>| routes.iter().position(|route| route.mismatch(query).is_none());
             let (cost, found) = all(&compiled, 200);
             let (plain_cost, plain_found) = all(&naive, if SIZES[place] > 1_000 { 1 } else { 20 });
             fast[place] = fast[place].min(cost);
