--- a/crates/config/tests/output_compatibility.rs
+++ b/crates/config/tests/output_compatibility.rs
@@ -73,7 +73,7 @@
         text += &format!("{request}\n");
         text += &explain(checked.config.as_ref().unwrap(), &checked.sources, &parsed).unwrap();
     }
-    assert_equals_fixture("explained.txt", &without_directory(&text));
+    assert_equals_fixture("explanations.txt", &without_directory(&text));
 }
 
 #[test]
@@ -83,5 +83,5 @@
         .diagnostics
         .iter()
         .map(|one| serde_json::to_string(&diagnostic::json(&checked.sources, one)).unwrap() + "\n");
-    assert_equals_fixture("messages.jsonl", &without_directory(&lines.collect::<String>()));
+    assert_equals_fixture("diagnostics.jsonl", &without_directory(&lines.collect::<String>()));
 }
