--- a/crates/config/src/check/block_reader.rs
+++ b/crates/config/src/check/block_reader.rs
@@ -14,8 +14,8 @@
     /// Empty for a kind of block without names.
     pub name: String,
     pub spans: EntrySpans,
-    /// Settings in the order of the file. A list takes less memory than a map: a block has few settings, and there may
-    /// be thousands of blocks.
+    /// Settings in the order of the file. A list takes less memory than a map: a block has few settings, and
+    /// there may be thousands of blocks.
     settings: Vec<(&'static str, &'s Statement)>,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl Checker<'_> {
-    /// Reads the head of a block and its settings. `None` where the block or its name is missing or invalid.
+    /// Reads the name and the settings of a block; `None` if the block or its name is missing or invalid.
     pub(super) fn read_block<'s>(
         &mut self,
         kind: &'static str,
@@ -221,8 +221,8 @@
         parse(&word.text).map_err(report).ok()
     }
 
-    /// The values of a setting with a form such as `SPAN from SHARE`: those at the positions of words in capital
-    /// letters. The other words of the form must be present literally.
+    /// The values of a setting with a form such as `SPAN from SHARE`: those at the positions of words in
+    /// capital letters. The other words of the form must be present literally.
     pub(super) fn phrase(
         &mut self,
         block: &BlockReader<'_>,
--- a/crates/config/src/check/class.rs
+++ b/crates/config/src/check/class.rs
@@ -47,8 +47,8 @@
         Some(Class { name: block.name.clone(), settings, spans: block.spans.clone() })
     }
 
-    /// Reads `repeats`. It has no default: `safe` could repeat requests with side effects, and `unsafe` would silently disable
-    /// retries.
+    /// Reads `repeats`. It has no default: `safe` could repeat requests with side effects, and `unsafe` would
+    /// silently disable retries.
     fn idempotency(&mut self, block: &BlockReader<'_>) -> Option<Idempotency> {
         let Some(values) = self.values(block, "repeats").ok()? else {
             self.report_missing(block, "repeats");
--- a/crates/config/src/check/constants.rs
+++ b/crates/config/src/check/constants.rs
@@ -47,9 +47,9 @@
         diagnostics.into_iter().for_each(|diagnostic| self.report(diagnostic));
     }
 
-    /// The names of a cycle of references that begins and ends at a constant. `None` if there is none, if the constant
-    /// only refers to a cycle that it is not part of, and if another constant of the cycle comes first by name: the
-    /// cycle is reported at that one.
+    /// The names of a cycle of references that begins and ends at a constant. `None` if there is none, if the
+    /// constant only refers to a cycle that it is not part of, and if another constant of the cycle comes
+    /// first by name: the cycle is reported at that one.
     fn cycle_from<'c>(&'c self, name: &'c str, constant: &'c Constant<'_>) -> Option<Vec<&'c str>> {
         let mut chain = vec![name];
         let mut words = constant.words;
--- a/crates/config/src/check/cross_checks.rs
+++ b/crates/config/src/check/cross_checks.rs
@@ -1,5 +1,5 @@
-//! Checks that involve several entries: entries that hide or conflict with others, and configurations that can't
-//! serve any requests.
+//! Checks that involve several entries: entries that hide or conflict with others, and configurations that
+//! can't serve any requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,7 +15,8 @@
 use crate::span::Span;
 use crate::units::format_size;
 
-/// All bodies together may take `1 / BODY_MEMORY_DIVISOR` of the memory, so the longest one must fit into that.
+/// All bodies together may take `1 / BODY_MEMORY_DIVISOR` of the memory, so the longest one must fit into
+/// that.
 const BODY_MEMORY_DIVISOR: u64 = 4;
 /// Tolerance for rounding errors in the sum of shares.
 const SHARE_TOLERANCE: f64 = 1e-6;
@@ -47,7 +48,8 @@
         self.check_completeness();
     }
 
-    /// Checks that there is an entry of each required kind. A missing one is reported only if there is no other error.
+    /// Checks that there is an entry of each required kind. A missing one is reported only if there is no
+    /// other error.
     fn check_completeness(&mut self) {
         if self.diagnostics.iter().any(|diagnostic| diagnostic.severity == Severity::Error) {
             return;
@@ -55,7 +57,8 @@
         for kind in ["listener", "pool", "class", "route"] {
             if self.names.get(kind).is_none_or(HashMap::is_empty) {
                 let message = format!("there is no {kind}: the node can't serve any requests");
-                // Only the first missing kind is reported, at the start of the first file: others mostly follow from it.
+                // Only the first missing kind is reported, at the start of the first file: others mostly
+                // follow from it.
                 return self.report(Diagnostic::error("nothing-to-serve", Span::default(), message));
             }
         }
@@ -206,7 +209,8 @@
     }
 }
 
-/// Whether two sockets can't listen at the same time, or a connection to one address reaches the other socket.
+/// Whether two sockets can't listen at the same time, or a connection to one address reaches the other
+/// socket.
 fn overlap(one: SocketAddr, other: SocketAddr) -> bool {
     let is_any = |address: SocketAddr| address.ip().is_unspecified();
     // On most systems a socket on the unspecified IPv6 address accepts IPv4 connections as well.
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -45,14 +45,15 @@
 /// The error for a value whose problem was already reported as a diagnostic.
 struct Reported;
 
-/// Converts statements to a configuration. Every problem is reported as a diagnostic; the result is `None` if an
-/// entry is missing because of an error.
+/// Converts statements to a configuration. Every problem is reported as a diagnostic; the result is `None` if
+/// an entry is missing because of an error.
 pub(crate) fn check(statements: &[Statement], diagnostics: &mut Vec<Diagnostic>) -> Option<Config> {
     let mut checker = Checker { diagnostics, constants: BTreeMap::new(), names: HashMap::new() };
     let blocks = checker.sort_statements(statements);
     checker.check_constants();
     let blocks_of = |kind: &str| blocks.get(kind).map_or(&[][..], Vec::as_slice);
-    // Names are defined first: an entry may be used before its block, and is defined even if its block has an error.
+    // Names are defined first: an entry may be used before its block, and is defined even if its block has an
+    // error.
     let named = ["listener", "pool", "class", "tenant", "route"];
     let [listeners, pools, classes, tenants, routes] =
         named.map(|kind| checker.named_blocks(kind, blocks_of(kind)));
@@ -65,8 +66,8 @@
         .single_block("observe", blocks_of("observe"), Checker::observability)
         .unwrap_or_else(|| Spanned::without_spans(observability::default_observability()));
     let cluster = checker.single_block("fleet", blocks_of("fleet"), Checker::cluster);
-    // The settings of each block are freed as soon as its entry is converted: those of many routes take as much memory
-    // as the routes.
+    // The settings of each block are freed as soon as its entry is converted: those of many routes take as
+    // much memory as the routes.
     let listeners: Vec<_> = listeners.into_iter().map(|block| checker.listener(&block)).collect();
     let pools: Vec<_> = pools.into_iter().map(|block| checker.pool(&block, &node)).collect();
     let classes: Vec<_> = classes.into_iter().map(|block| checker.class(&block)).collect();
--- a/crates/config/src/check/node.rs
+++ b/crates/config/src/check/node.rs
@@ -8,7 +8,8 @@
 use crate::model::{EntrySpans, Node};
 use crate::syntax::Word;
 
-/// Maximum number of zones: the decision module has 16-bit zone numbers, and keeps a mean for each class and zone.
+/// Maximum number of zones: the decision module has 16-bit zone numbers, and keeps a mean for each class and
+/// zone.
 const MAX_ZONES: usize = 256;
 
 /// The node if there is no `node` block.
--- a/crates/config/src/check/values.rs
+++ b/crates/config/src/check/values.rs
@@ -8,7 +8,8 @@
 /// Longest path of a Unix domain socket, in bytes: the limit of Linux without the terminating NUL.
 const MAX_SOCKET_PATH_BYTES: usize = 107;
 
-/// Returns a parser that also checks bounds. `min` and `max` are in the notation of values, as messages show them.
+/// Returns a parser that also checks bounds. `min` and `max` are in the notation of values, as messages show
+/// them.
 pub(super) fn within<T: PartialOrd>(
     parse: impl Fn(&str) -> Result<T, ValueError>,
     min: &str,
--- a/crates/config/src/compact_config.rs
+++ b/crates/config/src/compact_config.rs
@@ -5,8 +5,8 @@
 use crate::model::{Config, EntrySpans, Pool, PoolEndpoints, Tenant};
 use crate::route_table::RouteTable;
 
-/// A configuration with compact routes. Routes, endpoints and tenants, of which there may be thousands, have no
-/// spans; the texts that spans refer to are not kept either.
+/// A configuration with compact routes. Routes, endpoints and tenants, of which there may be thousands, have
+/// no spans; the texts that spans refer to are not kept either.
 #[derive(Debug)]
 pub struct CompactConfig {
     /// Everything except for the routes.
@@ -15,8 +15,8 @@
 }
 
 impl CompactConfig {
-    /// Builds the compact form from a configuration and the table of its routes, which may be shared with the request
-    /// path.
+    /// Builds the compact form from a configuration and the table of its routes, which may be shared with the
+    /// request path.
     #[must_use]
     pub fn new(config: &Config, routes: Arc<RouteTable>) -> Self {
         debug_assert_eq!(
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Sorts diagnostics by span and keeps one for each span and code: a mistake in a constant is reported once, however
-/// often the constant is used.
+/// Sorts diagnostics by span and keeps one for each span and code: a mistake in a constant is reported once,
+/// however often the constant is used.
 pub fn sort_and_dedup(diagnostics: &mut Vec<Diagnostic>) {
     diagnostics.sort_by_key(|diagnostic| diagnostic.span);
     diagnostics
--- a/crates/config/src/diff/effective_settings.rs
+++ b/crates/config/src/diff/effective_settings.rs
@@ -44,8 +44,8 @@
     selected_settings(config, &|_, _| true)
 }
 
-/// The settings of the entries whose kind and name `is_selected` accepts. Entries of kinds with only one entry are
-/// always included.
+/// The settings of the entries whose kind and name `is_selected` accepts. Entries of kinds with only one
+/// entry are always included.
 pub(super) fn selected_settings(
     config: &Config,
     is_selected: &dyn Fn(&'static str, &str) -> bool,
--- a/crates/config/src/diff/mod.rs
+++ b/crates/config/src/diff/mod.rs
@@ -166,8 +166,8 @@
     }
 }
 
-/// Appends the pairs of routes whose order changed and that can match the same request. A route is compared only
-/// with those that moved from after it to before it.
+/// Appends the pairs of routes whose order changed and that can match the same request. A route is compared
+/// only with those that moved from after it to before it.
 fn diff_route_order(old: &Config, new: &Config, changes: &mut Vec<Change>) {
     let old_positions: HashMap<_, _> =
         old.routes.iter().enumerate().map(|(index, route)| (route.name.as_str(), index)).collect();
--- a/crates/config/src/format.rs
+++ b/crates/config/src/format.rs
@@ -1,5 +1,5 @@
-//! The formatter: indents by four spaces per level, with one space between words and at most one empty line in a
-//! row. Comments, quotes and the order of statements are kept.
+//! The formatter: indents by four spaces per level, with one space between words and at most one empty line
+//! in a row. Comments, quotes and the order of statements are kept.
 
 use crate::diagnostic::Diagnostic;
 use crate::span::{FileId, Span};
--- a/crates/config/src/lexer.rs
+++ b/crates/config/src/lexer.rs
@@ -119,8 +119,8 @@
     }
 }
 
-/// The error for a malformed quoted value: an unknown escape, a control character, or no closing quote on its line.
-/// `rest` begins with the opening quote, at `start`.
+/// The error for a malformed quoted value: an unknown escape, a control character, or no closing quote on its
+/// line. `rest` begins with the opening quote, at `start`.
 fn invalid_quote(rest: &str, start: usize, span: impl Fn(usize, usize) -> Span) -> Diagnostic {
     let line_end = rest.find(['\r', '\n']).unwrap_or(rest.len());
     let inside = &rest[1..line_end];
--- a/crates/config/src/load.rs
+++ b/crates/config/src/load.rs
@@ -169,7 +169,8 @@
         true
     }
 
-    /// Reads a file. Reports an error and returns `None` if it can't be read or all files together are too large.
+    /// Reads a file. Reports an error and returns `None` if it can't be read or all files together are too
+    /// large.
     fn read(&mut self, path: &Path, included_at: Option<Span>) -> Option<Vec<u8>> {
         let bytes = match self.files.read(path) {
             Ok(bytes) => bytes,
--- a/crates/config/src/model/policy_settings.rs
+++ b/crates/config/src/model/policy_settings.rs
@@ -20,8 +20,8 @@
 const DRAIN_IDLE_CLOSE: Nanos = SECOND;
 
 impl Config {
-    /// Indices of the classes of the routes to a pool, in the order of the file. The decision module of a pool has
-    /// only these classes.
+    /// Indices of the classes of the routes to a pool, in the order of the file. The decision module of a
+    /// pool has only these classes.
     #[must_use]
     pub fn classes_of(&self, pool: usize) -> Vec<usize> {
         let mut used = vec![false; self.classes.len()];
@@ -38,14 +38,15 @@
         self.tenants.iter().map(move |tenant| (tenant.name.as_str(), policy(tenant)))
     }
 
-    /// The settings of a pool's decision module. Its classes are those of [`classes_of`](Self::classes_of), and the
-    /// ids of tenants are their indices.
+    /// The settings of a pool's decision module. Its classes are those of [`classes_of`](Self::classes_of),
+    /// and the ids of tenants are their indices.
     #[must_use]
     pub fn settings(&self, pool: usize) -> Settings {
         self.settings_with(pool, self.policy_tenants().map(|(_, tenant)| tenant).collect())
     }
 
-    /// Like [`settings`](Self::settings), with tenant ids assigned by the caller, so that all pools can share them.
+    /// Like [`settings`](Self::settings), with tenant ids assigned by the caller, so that all pools can share
+    /// them.
     #[must_use]
     pub fn settings_with(&self, pool: usize, tenants: TenantShares) -> Settings {
         let classes = self.classes_of(pool).into_iter().map(|class| self.classes[class].policy()).collect();
--- a/crates/config/src/model/spans.rs
+++ b/crates/config/src/model/spans.rs
@@ -13,8 +13,8 @@
     pub settings: SettingSpans,
 }
 
-/// Spans of explicit settings, sorted by keyword. A sorted list takes less memory than a map: an entry has few
-/// settings, and there may be thousands of entries.
+/// Spans of explicit settings, sorted by keyword. A sorted list takes less memory than a map: an entry has
+/// few settings, and there may be thousands of entries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingSpans(Vec<(&'static str, Span)>);
 
--- a/crates/config/src/route_table.rs
+++ b/crates/config/src/route_table.rs
@@ -1,7 +1,8 @@
-//! The compact form of the routes of a configuration, which a running node keeps instead of text, spans and trees.
+//! The compact form of the routes of a configuration, which a running node keeps instead of text, spans and
+//! trees.
 //!
-//! Patterns are stored in the matcher, names in one string, and everything else in records of numbers; equal tenants
-//! and keys are stored once. The routes can be restored to diff them with a newer configuration.
+//! Patterns are stored in the matcher, names in one string, and everything else in records of numbers; equal
+//! tenants and keys are stored once. The routes can be restored to diff them with a newer configuration.
 
 use std::collections::HashMap;
 use std::hash::Hash;
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! Converts a configuration to a snapshot of typed resources. Files with the same meaning give equal snapshots.
+//! Converts a configuration to a snapshot of typed resources. Files with the same meaning give equal
+//! snapshots.
 
 use std::sync::Arc;
 
@@ -14,7 +15,8 @@
     /// Builds the snapshot. Lists whose order has no meaning are sorted.
     ///
     /// # Errors
-    /// Configurations that are invalid as a snapshot; one that was read from files has passed stricter checks.
+    /// Configurations that are invalid as a snapshot; one that was read from files has passed stricter
+    /// checks.
     pub fn snapshot(&self) -> Result<Snapshot, ValidationError> {
         Snapshot::build(Converter::new(self).resources())
     }
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,4 +1,5 @@
-//! Parsers and formatters of durations, sizes, shares, rates and numbers. Durations and sizes always need a unit.
+//! Parsers and formatters of durations, sizes, shares, rates and numbers. Durations and sizes always need a
+//! unit.
 
 use pumicehead_policy::Nanos;
 use thiserror::Error;
--- a/crates/config/tests/compact_config.rs
+++ b/crates/config/tests/compact_config.rs
@@ -133,9 +133,9 @@
     let sizes = [1_000, 4_000, 8_000, 15_000].map(bytes_per_route);
     println!("bytes per route with 1,000, 4,000, 8,000 and 15,000 routes: {sizes:?}");
     assert!(sizes.iter().all(|&bytes| bytes <= MAX_BYTES_PER_ROUTE), "{sizes:?}");
-    let (least, most) = (sizes.iter().min().unwrap(), sizes.iter().max().unwrap());
+    let (min, max) = (sizes.iter().min().unwrap(), sizes.iter().max().unwrap());
     // The hash table of names doubles when it grows, so it takes 8 to 16 bytes per name.
-    assert!(most * 2 <= least * 3, "memory must grow linearly with the number of routes: {sizes:?}");
+    assert!(max * 2 <= min * 3, "memory must grow linearly with the number of routes: {sizes:?}");
 }
 
 #[test]
@@ -171,7 +171,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Changes only the order of routes: the restored configuration must give the same differences as the original.
+    /// Changes only the order of routes: the restored configuration must give the same differences as the
+    /// original.
     #[test]
     fn a_restored_configuration_gives_the_same_moves_of_routes(order in Just((0..20).collect::<Vec<usize>>()).prop_shuffle()) {
         let old = config(&large(20));
--- a/crates/config/tests/corpus.rs
+++ b/crates/config/tests/corpus.rs
@@ -66,12 +66,12 @@
     names.sort();
     assert!(names.len() >= 120, "{} files", names.len());
     assert_eq!(names, expected.keys().map(|name| (*name).to_owned()).collect::<Vec<_>>());
-    let mut wrong = Vec::new();
+    let mut mismatches = Vec::new();
     for name in &names {
         let messages = diagnostics_of(name);
         if messages != [expected[name.as_str()]] {
-            wrong.push(format!("{name}: {}", messages.join("\n    ")));
+            mismatches.push(format!("{name}: {}", messages.join("\n    ")));
         }
     }
-    assert!(wrong.is_empty(), "{} files:\n{}", wrong.len(), wrong.join("\n"));
+    assert!(mismatches.is_empty(), "{} files:\n{}", mismatches.len(), mismatches.join("\n"));
 }
--- a/crates/config/tests/loading.rs
+++ b/crates/config/tests/loading.rs
@@ -159,7 +159,7 @@
 
 #[test]
 fn byte_order_mark_and_carriage_returns_are_ignored() {
-    let with_mark_and_returns = format!("\u{feff}{}", VALID.replace('\n', "\r\n"));
+    let with_bom_and_crlf = format!("\u{feff}{}", VALID.replace('\n', "\r\n"));
     let settings = |text: &str| pumicehead_config::diff::effective_settings(&config(text)).without_spans();
-    assert_eq!(settings(&with_mark_and_returns), settings(VALID));
+    assert_eq!(settings(&with_bom_and_crlf), settings(VALID));
 }
--- a/crates/config/tests/meaning.rs
+++ b/crates/config/tests/meaning.rs
@@ -74,14 +74,14 @@
             .collect::<Vec<_>>()
     };
     let (edit, old) = (route("route edit"), route("route old"));
-    // `old` now comes before `edit` and `submit`, but overlaps only with `submit`: `edit` matches only PUT, and `old`
-    // only the safe methods of its class.
+    // `old` now comes before `edit` and `submit`, but overlaps only with `submit`: `edit` matches only PUT,
+    // and `old` only the safe methods of its class.
     let moved = VALID.replace(&format!("{old}\n"), "").replace(edit, &format!("{old}\n{edit}"));
     assert_eq!(lines(&moved), ["route old: now before route submit, and requests fit both (main.conf:16)"]);
     let submit = route("route submit");
-    let apart = submit.replace("route submit", "route away").replace("/runs/**", "/away");
+    let disjoint = submit.replace("route submit", "route away").replace("/runs/**", "/away");
     let with = |before: &str, after: &str| VALID.replace(submit, &format!("{before}{submit}{after}"));
-    let (one, other) = (with(&format!("{apart}\n"), ""), with("", &format!("\n{apart}")));
+    let (one, other) = (with(&format!("{disjoint}\n"), ""), with("", &format!("\n{disjoint}")));
     assert!(diff(&config(&one), &config(&other)).is_empty());
 }
 
--- a/crates/config/tests/output_compatibility.rs
+++ b/crates/config/tests/output_compatibility.rs
@@ -1,6 +1,6 @@
-//! Compatibility of keywords, digests, differences, explanations and JSON diagnostics. The fixtures were written for
-//! version 0.2.0, before its types were renamed, and must stay valid: configuration files keep their keywords, and
-//! nodes of both versions show the same digest for the same configuration.
+//! Compatibility of keywords, digests, differences, explanations and JSON diagnostics. The fixtures were
+//! written for version 0.2.0, before its types were renamed, and must stay valid: configuration files keep
+//! their keywords, and nodes of both versions show the same digest for the same configuration.
 
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/crates/resources/src/class.rs
+++ b/crates/resources/src/class.rs
@@ -9,8 +9,8 @@
 pub enum Idempotency {
     /// Yes: further executions have no effect.
     Idempotent,
-    /// Yes, with the same idempotency key, within `scope` and for `window` after the first attempt that may have
-    /// been executed.
+    /// Yes, with the same idempotency key, within `scope` and for `window` after the first attempt that may
+    /// have been executed.
     IdempotencyKey {
         /// Name of the header with the key, in lower case.
         header: String,
--- a/crates/resources/src/digest.rs
+++ b/crates/resources/src/digest.rs
@@ -1,10 +1,10 @@
 //! A digest of a snapshot that is the same on every machine and in every build.
 //!
-//! Each value is hashed in a fixed encoding: numbers in little-endian order, strings and lists prefixed by their
-//! length, enum variants prefixed by a number. Tables are hashed in the order of names, so the digest does not
-//! depend on the order of changes. It does depend on the order of routes and of zones, which has a meaning.
-//! SipHash with a fixed key detects accidental differences and those caused by faults; it does not protect
-//! against deliberate collisions.
+//! Each value is hashed in a fixed encoding: numbers in little-endian order, strings and lists prefixed by
+//! their length, enum variants prefixed by a number. Tables are hashed in the order of names, so the digest
+//! does not depend on the order of changes. It does depend on the order of routes and of zones, which has a
+//! meaning. SipHash with a fixed key detects accidental differences and those caused by faults; it does not
+//! protect against deliberate collisions.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -23,8 +23,8 @@
 /// Key of the hash. It identifies the encoding: a changed encoding needs another key.
 const KEY: (u64, u64) = (0x7075_6d69_6365_6865, 1);
 
-/// A digest of a snapshot. Equal snapshots have equal digests; two different ones collide with a probability of
-/// at most 2^-64.
+/// A digest of a snapshot. Equal snapshots have equal digests; two different ones collide with a probability
+/// of at most 2^-64.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest(pub u128);
 
--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -3,8 +3,8 @@
 //! A [`Snapshot`] is one state of the configuration: a table for each kind of resource, the order of the
 //! routes, and the settings of the node itself. A [`Delta`] is a list of typed [`Change`]s.
 //! [`Snapshot::apply`] applies a delta as a whole or not at all, and [`Snapshot::difference`] returns the
-//! delta that turns one state into another. [`Snapshot::digest`] is equal for equal states, whatever changes led
-//! to them.
+//! delta that turns one state into another. [`Snapshot::digest`] is equal for equal states, whatever changes
+//! led to them.
 //!
 //! Free of I/O, clocks and randomness.
 
--- a/crates/resources/src/pool.rs
+++ b/crates/resources/src/pool.rs
@@ -62,11 +62,11 @@
     pub warmup_duration: Nanos,
     /// Slow start: fraction of its capacity that an endpoint has when it starts, 0 to 1.
     pub warmup_initial_fraction: f64,
-    /// Slow start: load, as a multiple of its current capacity, under which an endpoint collapses if the load lasts
-    /// for `overload_duration`.
+    /// Slow start: load, as a multiple of its current capacity, under which an endpoint collapses if the load
+    /// lasts for `overload_duration`.
     pub overload_multiple: f64,
-    /// Slow start: time for which an endpoint must be loaded `overload_multiple` times its current capacity until it
-    /// collapses, in nanoseconds.
+    /// Slow start: time for which an endpoint must be loaded `overload_multiple` times its current capacity
+    /// until it collapses, in nanoseconds.
     pub overload_duration: Nanos,
     /// Time after which an attempt to connect has failed, in nanoseconds.
     pub connect_timeout: Nanos,
--- a/crates/resources/src/route_order.rs
+++ b/crates/resources/src/route_order.rs
@@ -35,7 +35,7 @@
 
 /// Returns the names of the longest subsequence with increasing positions; these need no move.
 fn longest_increasing_subsequence<'a>(common: &[(usize, &'a Name)]) -> HashSet<&'a Name> {
-    // For each length, the last entry of the increasing subsequence that ends at the least position.
+    // For each length, the last entry of the increasing subsequence with the smallest final position.
     let mut ends: Vec<usize> = Vec::new();
     let mut previous = vec![None; common.len()];
     for (index, (position, _)) in common.iter().enumerate() {
--- a/crates/resources/src/snapshot.rs
+++ b/crates/resources/src/snapshot.rs
@@ -83,8 +83,8 @@
         })
     }
 
-    /// Inserts a resource into its table, or replaces the one with the same identity. The caller updates the order
-    /// of routes.
+    /// Inserts a resource into its table, or replaces the one with the same identity. The caller updates the
+    /// order of routes.
     pub(crate) fn insert(&mut self, resource: Resource) {
         match resource {
             Resource::Node(node) => self.node = node,
--- a/crates/resources/src/validation.rs
+++ b/crates/resources/src/validation.rs
@@ -1,6 +1,6 @@
-//! Validation of a snapshot: what every node requires of a state, whatever its source. The configuration language
-//! has stricter rules, such as the spelling of names and the range of each value, which are checked when files are
-//! read.
+//! Validation of a snapshot: what every node requires of a state, whatever its source. The configuration
+//! language has stricter rules, such as the spelling of names and the range of each value, which are checked
+//! when files are read.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/resources/tests/changes.rs
+++ b/crates/resources/tests/changes.rs
@@ -121,7 +121,8 @@
     assert_eq!(missing, ApplyError::NotFound(route_id("r7")));
 }
 
-/// Nodes of different versions compare digests: a changed encoding needs another hash key, and another value here.
+/// Nodes of different versions compare digests: a changed encoding needs another hash key, and another value
+/// here.
 #[test]
 fn the_digest_of_a_snapshot_is_stable_between_versions() {
     assert_eq!(snapshot(base()).digest().to_string(), "1c6cfc1bb86d5c17e355b3d5327829eb");
@@ -144,7 +145,8 @@
     Resource::Class(Arc::new(class))
 }
 
-/// Messages use names of settings that differ from those of the fields, and that operators know from older versions.
+/// Messages use names of settings that differ from those of the fields, and that operators know from older
+/// versions.
 #[test]
 fn messages_of_values_out_of_range_keep_the_names_of_settings() {
     let no_header = |class: &mut ClassSettings| {
--- a/crates/resources/tests/properties.rs
+++ b/crates/resources/tests/properties.rs
@@ -56,8 +56,8 @@
         prop_assert!(result.difference(&to).is_empty());
     }
 
-    /// Any order of routes is reached from another with moves only, as many as there are routes outside of the
-    /// longest increasing subsequence.
+    /// Any order of routes is reached from another with moves only, as many as there are routes outside of
+    /// the longest increasing subsequence.
     #[test]
     fn an_order_is_reached_by_the_fewest_moves(order in Just((0..9_usize).collect::<Vec<_>>()).prop_shuffle()) {
         let routes: Vec<_> =
--- a/crates/route/src/host.rs
+++ b/crates/route/src/host.rs
@@ -12,7 +12,8 @@
 /// Why a text is not a host or a host pattern.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HostError {
-    /// A character that is not allowed in a host, an empty label, a malformed port, or a pattern that is empty or has a port.
+    /// It has a character that is not allowed in a host, an empty label or a malformed port, or it is a
+    /// pattern that is empty or has a port.
     #[error("not a host name, an address, or `*.` before a name")]
     Malformed,
     /// Longer than a host name can be.
@@ -96,8 +97,8 @@
     }
 }
 
-/// Returns the host of a `Host` field or an authority (RFC 9110 section 7.2) in lower case, without the port and
-/// without a dot at its end. An empty host stays empty, as RFC 9112 section 3.2 allows it.
+/// Returns the host of a `Host` field or an authority (RFC 9110 section 7.2) in lower case, without the port
+/// and without a dot at its end. An empty host stays empty, as RFC 9112 section 3.2 allows it.
 ///
 /// # Errors
 /// Text that is not a host.
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,13 +1,14 @@
 //! Matches requests to routes. Free of I/O.
 //!
-//! The first route in the order of the file that matches a request is taken. [`Matcher`] finds it without checking
-//! every route: hosts are looked up by name, paths in a trie of segments, and only routes with the same host and
-//! path are checked one by one. The matcher stores the routes completely: [`Matcher::route`] restores one.
-//! [`Route::mismatch`] checks a single route without compiled tables; tests compare the matcher with it.
+//! The first route in the order of the file that matches a request is taken. [`Matcher`] finds it without
+//! checking every route: hosts are looked up by name, paths in a trie of segments, and only routes with the
+//! same host and path are checked one by one. The matcher stores the routes completely: [`Matcher::route`]
+//! restores one. [`Route::mismatch`] checks a single route without compiled tables; tests compare the matcher
+//! with it.
 //!
-//! Paths are compared segment by segment as RFC 3986 section 3.3 divides them. Each segment is percent-decoded
-//! separately, so `%2F` is never a separator. [`RequestPath::parse`] rejects paths that a backend might read
-//! differently from the matcher, such as `..` in any encoding.
+//! Paths are compared segment by segment as RFC 3986 section 3.3 divides them. Each segment is
+//! percent-decoded separately, so `%2F` is never a separator. [`RequestPath::parse`] rejects paths that a
+//! backend might read differently from the matcher, such as `..` in any encoding.
 
 mod host;
 mod matcher;
--- a/crates/route/src/matcher/build.rs
+++ b/crates/route/src/matcher/build.rs
@@ -146,8 +146,8 @@
         }
     }
 
-    /// Numbers the nodes level by level, each level in the order of the parents' final numbers and then of labels:
-    /// the children of a node are adjacent, and are followed by those of the next node.
+    /// Numbers the nodes level by level, each level in the order of the parents' final numbers and then of
+    /// labels: the children of a node are adjacent, and are followed by those of the next node.
     fn number_nodes(&self) -> NumberedNodes {
         let mut levels: Vec<Vec<u32>> = vec![self.roots.iter().map(|(_, draft)| *draft).collect()];
         for (draft, node) in self.nodes.iter().enumerate().filter(|(_, node)| node.depth > 0) {
--- a/crates/route/src/matcher/find.rs
+++ b/crates/route/src/matcher/find.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// The earlier routes that together match every request that this one matches, in order; empty if this route
-    /// can be taken.
+    /// The earlier routes that together match every request that this one matches, in order; empty if this
+    /// route can be taken.
     #[must_use]
     pub fn hidden_by(&self, index: usize) -> Vec<usize> {
         let route = self.route(index);
@@ -82,7 +82,8 @@
         self.for_each_parent_root(host, visit);
     }
 
-    /// Visits the roots of the tries that match all subdomains of a name, including the trie of its subdomains.
+    /// Visits the roots of the tries that match all subdomains of a name, including the trie of its
+    /// subdomains.
     fn for_each_subdomain_root(&self, name: &str, mut visit: impl FnMut(u32)) {
         self.host_roots(name).subdomains.get().into_iter().for_each(&mut visit);
         self.for_each_parent_root(name, visit);
--- a/crates/route/src/matcher/mod.rs
+++ b/crates/route/src/matcher/mod.rs
@@ -1,9 +1,9 @@
 //! The compiled matcher: tables of numbers, built once and never changed.
 //!
-//! Each distinct host, path segment and header value is stored once ([`NameTable`]). Paths form a trie for each host
-//! pattern; all tries share one table of nodes. Nodes are numbered level by level, so that the children of a node
-//! are adjacent and sorted by label: no map and no list of children is stored. A route is a fixed-size record;
-//! [`Matcher::route`] restores it from the tables.
+//! Each distinct host, path segment and header value is stored once ([`NameTable`]). Paths form a trie for
+//! each host pattern; all tries share one table of nodes. Nodes are numbered level by level, so that the
+//! children of a node are adjacent and sorted by label: no map and no list of children is stored. A route is
+//! a fixed-size record; [`Matcher::route`] restores it from the tables.
 
 mod build;
 mod find;
@@ -87,7 +87,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Node {
     parent: u32,
-    /// The first route in this subtree: a search skips subtrees without an earlier route than the best so far.
+    /// The first route in this subtree: a search skips subtrees without an earlier route than the best so
+    /// far.
     first_route: u32,
     children_start: u32,
     /// The leaf of the routes whose path ends here.
@@ -96,21 +97,22 @@
     rest: u32,
 }
 
-/// Routes with the same host and path. Their indices are those in `leaf_routes` from `routes_start` up to the next
-/// leaf's `routes_start`.
+/// Routes with the same host and path. Their indices are those in `leaf_routes` from `routes_start` up to the
+/// next leaf's `routes_start`.
 #[derive(Clone, Copy, Debug)]
 struct Leaf {
     /// The first route of the leaf.
     first_route: u32,
     routes_start: u32,
-    /// Number of routes without header conditions, which come first. Those hidden by earlier ones of the leaf are
-    /// left out, so there are no more of them than methods.
+    /// Number of routes without header conditions, which come first. Those hidden by earlier ones of the leaf
+    /// are left out, so there are no more of them than methods.
     unconditional_count: u32,
     /// The buckets of the other routes are those from here up to the next leaf's `buckets_start`.
     buckets_start: u32,
 }
 
-/// Routes of a leaf with the same first header condition. The buckets of a leaf are sorted by header and value.
+/// Routes of a leaf with the same first header condition. The buckets of a leaf are sorted by header and
+/// value.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     rule: Rule,
@@ -136,7 +138,8 @@
     name: Option<HeaderName>,
 }
 
-/// A route. Its header conditions are those in `rules` from `rules_start` up to the next route's `rules_start`.
+/// A route. Its header conditions are those in `rules` from `rules_start` up to the next route's
+/// `rules_start`.
 #[derive(Clone, Copy, Debug)]
 struct RouteRecord {
     /// The node at which its path ends.
@@ -154,8 +157,9 @@
     methods: Box<[Method]>,
 }
 
-/// Compiled routes. A lookup takes a step for each label of the host and each segment of the path, independent of
-/// the number of routes; only routes with the same host, path and first header condition are checked one by one.
+/// Compiled routes. A lookup takes a step for each label of the host and each segment of the path,
+/// independent of the number of routes; only routes with the same host, path and first header condition are
+/// checked one by one.
 #[derive(Debug)]
 pub struct Matcher {
     names: NameTable,
@@ -206,8 +210,8 @@
         self.len() == 0
     }
 
-    /// Restores a route. It equals the original, except that duplicate methods are removed and methods are sorted:
-    /// common ones in the order of their bits, then the others as they were given.
+    /// Restores a route. It equals the original, except that duplicate methods are removed and methods are
+    /// sorted: common ones in the order of their bits, then the others as they were given.
     ///
     /// # Panics
     /// If there is no such route.
--- a/crates/route/src/methods.rs
+++ b/crates/route/src/methods.rs
@@ -1,4 +1,5 @@
-//! Sets of methods in two bytes: a bit for each common method, and a bit for methods that are listed elsewhere.
+//! Sets of methods in two bytes: a bit for each common method, and a bit for methods that are listed
+//! elsewhere.
 
 use http::Method;
 
--- a/crates/route/src/names.rs
+++ b/crates/route/src/names.rs
@@ -20,8 +20,8 @@
     text: Vec<u8>,
     /// End of each name in `text`; a name begins at the end of the previous one.
     ends: Vec<u32>,
-    /// Hash table of numbers with linear probing; at most half of the slots are used, and their count is a power
-    /// of two.
+    /// Hash table of numbers with linear probing; at most half of the slots are used, and their count is a
+    /// power of two.
     slots: Vec<u32>,
 }
 
--- a/crates/route/src/path.rs
+++ b/crates/route/src/path.rs
@@ -6,7 +6,8 @@
 
 use thiserror::Error;
 
-/// Most segments of a path or a pattern. Real paths have fewer, and the cost of a match grows with each segment.
+/// Most segments of a path or a pattern. Real paths have fewer, and the cost of a match grows with each
+/// segment.
 pub const MAX_SEGMENTS: usize = 64;
 
 /// Why the path of a request is rejected before it is matched.
@@ -62,8 +63,8 @@
         self.segments.get(index).map(AsRef::as_ref).filter(|segment| !segment.is_empty())
     }
 
-    /// Whether a segment contains an encoded slash: if the whole path were decoded at once, it would be another
-    /// path.
+    /// Whether a segment contains an encoded slash: if the whole path were decoded at once, it would be
+    /// another path.
     #[must_use]
     pub fn has_encoded_slash(&self) -> bool {
         self.segments.iter().any(|segment| segment.contains(&b'/'))
@@ -148,8 +149,8 @@
     }
 }
 
-/// The paths that a route matches: `/a/b` exactly, with `*` for any one segment, and with `/**` at the end for any
-/// number of further segments, including none.
+/// The paths that a route matches: `/a/b` exactly, with `*` for any one segment, and with `/**` at the end
+/// for any number of further segments, including none.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PathPattern {
     pub(crate) segments: Vec<Segment>,
@@ -251,7 +252,8 @@
                 Segment::Any => f.write_str("*")?,
                 Segment::Literal(literal) => {
                     for &byte in literal {
-                        // Unreserved characters and sub-delims (RFC 3986 section 2) without `*`, also `:` and `@`.
+                        // Unreserved characters and sub-delims (RFC 3986 section 2) without `*`, also `:` and
+                        // `@`.
                         let is_literal = byte.is_ascii_alphanumeric() || b"-._~!$&'()+,;=:@".contains(&byte);
                         if is_literal {
                             write!(f, "{}", char::from(byte))
--- a/crates/route/tests/matching.rs
+++ b/crates/route/tests/matching.rs
@@ -27,12 +27,12 @@
 
 /// The expected result of a match, found by checking every route.
 fn check_every_route(routes: &[Route], query: &RouteQuery<'_>) -> MatchResult {
-    let mismatchs: Vec<_> = routes.iter().map(|route| route.mismatch(query)).collect();
-    if let Some(index) = mismatchs.iter().position(Option::is_none) {
+    let mismatches: Vec<_> = routes.iter().map(|route| route.mismatch(query)).collect();
+    if let Some(index) = mismatches.iter().position(Option::is_none) {
         return MatchResult::Route(index);
     }
     let mut allowed = Vec::new();
-    for (route, mismatch) in routes.iter().zip(mismatchs) {
+    for (route, mismatch) in routes.iter().zip(mismatches) {
         if let (Some(Mismatch::Method), Methods::Only(list)) = (mismatch, &route.methods) {
             allowed.extend(list.iter().cloned());
         }
--- a/crates/route/tests/unit/differential.rs
+++ b/crates/route/tests/unit/differential.rs
@@ -278,8 +278,8 @@
 /// A route may take 300 bytes in all; its pattern may take half of that.
 const MAX_BYTES_PER_ROUTE: usize = 150;
 
-/// Routes like those of a large site: 15,000 routes of about 400 services and of many customer domains, most with a
-/// path parameter, some with header conditions.
+/// Routes like those of a large site: 15,000 routes of about 400 services and of many customer domains, most
+/// with a path parameter, some with header conditions.
 fn realistic(count: usize) -> Vec<Route> {
     let safe = || Methods::Only(vec![Method::GET, Method::HEAD, Method::OPTIONS]);
     (0..count)
@@ -315,9 +315,9 @@
     let sizes = [1_000, 4_000, 8_000, LARGE_SET].map(bytes_per_route);
     println!("bytes per route with 1,000, 4,000, 8,000 and 15,000 routes: {sizes:?}");
     assert!(sizes.iter().all(|&bytes| bytes <= MAX_BYTES_PER_ROUTE), "{sizes:?}");
-    let (least, most) = (sizes.iter().min().unwrap(), sizes.iter().max().unwrap());
+    let (min, max) = (sizes.iter().min().unwrap(), sizes.iter().max().unwrap());
     // The hash table of names doubles when it grows, so it takes 8 to 16 bytes per name.
-    assert!(most * 2 <= least * 3, "memory must grow linearly with the number of routes: {sizes:?}");
+    assert!(max * 2 <= min * 3, "memory must grow linearly with the number of routes: {sizes:?}");
 }
 
 #[test]
--- a/crates/route/tests/unit/reference.rs
+++ b/crates/route/tests/unit/reference.rs
@@ -1,5 +1,5 @@
-//! The reference matcher, which the compact one replaced: a trie of maps for each host. Only the differential test
-//! uses it, to compare its results with those of the compact matcher.
+//! The reference matcher, which the compact one replaced: a trie of maps for each host. Only the differential
+//! test uses it, to compare its results with those of the compact matcher.
 
 use rustc_hash::FxHashMap;
 
@@ -16,8 +16,8 @@
 #[derive(Debug)]
 struct Leaf {
     first_route: u32,
-    /// Routes without header conditions, in order. Those hidden by earlier ones of the leaf are left out, so there
-    /// are no more of them than methods.
+    /// Routes without header conditions, in order. Those hidden by earlier ones of the leaf are left out, so
+    /// there are no more of them than methods.
     unconditional: Vec<u32>,
     unconditional_methods: Methods,
     /// Routes with header conditions, by name and value of the first condition.
@@ -69,8 +69,9 @@
     }
 }
 
-/// Compiled routes. A lookup takes a step for each label of the host and each segment of the path, independent of
-/// the number of routes; only routes with the same host, path and first header condition are checked one by one.
+/// Compiled routes. A lookup takes a step for each label of the host and each segment of the path,
+/// independent of the number of routes; only routes with the same host, path and first header condition are
+/// checked one by one.
 #[derive(Debug, Default)]
 pub struct Matcher {
     routes: Vec<Route>,
@@ -131,8 +132,8 @@
         }
     }
 
-    /// The earlier routes that together match every request that this one matches, in order; empty if this route
-    /// can be taken.
+    /// The earlier routes that together match every request that this one matches, in order; empty if this
+    /// route can be taken.
     #[must_use]
     pub fn hidden_by(&self, index: usize) -> Vec<usize> {
         let route = &self.routes[index];
