--- a/crates/config/src/check/block_reader.rs
+++ b/crates/config/src/check/block_reader.rs
@@ -2,7 +2,7 @@
 
 use super::names::{invalid_name, is_name};
 use super::schema::{Setting, settings_of};
-use super::{Checker, Reported};
+use super::{AlreadyReported, Checker};
 use crate::diagnostic::Diagnostic;
 use crate::model::EntrySpans;
 use crate::syntax::{Block, Statement, Word};
@@ -139,24 +139,28 @@
         &mut self,
         block: &BlockReader<'_>,
         keyword: &str,
-    ) -> Result<Option<Vec<Word>>, Reported> {
+    ) -> Result<Option<Vec<Word>>, AlreadyReported> {
         let Some(statement) = block.first(keyword) else { return Ok(None) };
         self.values_of(statement).map(Some)
     }
 
     /// The values of a statement, with constants replaced; at least one.
-    pub(super) fn values_of(&mut self, statement: &Statement) -> Result<Vec<Word>, Reported> {
-        let values = self.expand(&statement.words[1..]).ok_or(Reported)?;
+    pub(super) fn values_of(&mut self, statement: &Statement) -> Result<Vec<Word>, AlreadyReported> {
+        let values = self.expand(&statement.words[1..]).ok_or(AlreadyReported)?;
         if values.is_empty() {
             let message = format!("`{}` has no value", statement.name().text);
             self.report(Diagnostic::error("no-value", statement.span(), message));
-            return Err(Reported);
+            return Err(AlreadyReported);
         }
         Ok(values)
     }
 
     /// The value of a setting that takes one value; `Ok(None)` if it is not present.
-    pub(super) fn value(&mut self, block: &BlockReader<'_>, keyword: &str) -> Result<Option<Word>, Reported> {
+    pub(super) fn value(
+        &mut self,
+        block: &BlockReader<'_>,
+        keyword: &str,
+    ) -> Result<Option<Word>, AlreadyReported> {
         let Some(mut values) = self.values(block, keyword)? else { return Ok(None) };
         if let Some(second) = values.get(1) {
             let message = format!("`{keyword}` takes one value");
@@ -166,7 +170,7 @@
                 false => "a statement ends at the end of its line, or with `;`".into(),
             };
             self.report(Diagnostic::error("too-many-values", second.span, message).help(help));
-            return Err(Reported);
+            return Err(AlreadyReported);
         }
         Ok(Some(values.remove(0)))
     }
@@ -223,12 +227,12 @@
 
     /// The values of a setting with a form such as `SPAN from SHARE`: those at the positions of words in
     /// capital letters. The other words of the form must be present literally.
-    pub(super) fn phrase(
+    pub(super) fn values_of_form(
         &mut self,
         block: &BlockReader<'_>,
         keyword: &str,
         form: &str,
-    ) -> Result<Option<Vec<Word>>, Reported> {
+    ) -> Result<Option<Vec<Word>>, AlreadyReported> {
         let Some(values) = self.values(block, keyword)? else { return Ok(None) };
         let parts: Vec<_> = form.split(' ').collect();
         let is_value = |part: &str| part.chars().any(char::is_uppercase);
@@ -237,7 +241,7 @@
             let span = values.iter().fold(values[0].span, |span, word| span.to(word.span));
             let message = format!("`{keyword}` must have the form `{keyword} {form}`");
             self.report(Diagnostic::error("setting-form", span, message));
-            return Err(Reported);
+            return Err(AlreadyReported);
         }
         let values = values.into_iter().zip(parts).filter(|(_, part)| is_value(part));
         Ok(Some(values.map(|(word, _)| word).collect()))
--- a/crates/config/src/check/class.rs
+++ b/crates/config/src/check/class.rs
@@ -4,7 +4,7 @@
 use super::block_reader::BlockReader;
 use super::values::{header_name, within};
 use crate::diagnostic::Diagnostic;
-use crate::keywords::{DEDUP_SCOPES, ORDERS};
+use crate::keywords::{DEDUP_SCOPES, ORDER_VALUES};
 use crate::model::{Class, ClassSettings, Idempotency, Tenant};
 use crate::units::{format_duration, parse_duration, parse_number, parse_rate, parse_share};
 
@@ -35,7 +35,7 @@
         let priority_weight = self.parsed(block, "worth", 1.0, within(parse_number, "0", "1000000"));
         let late_weight = self.parsed(block, "late-worth", 0.0, parse_share);
         let idempotency = self.idempotency(block);
-        let ordered_by_key = self.choice_or(block, "order", "is not an order", &ORDERS, false);
+        let ordered_by_key = self.choice_or(block, "order", "is not an order", &ORDER_VALUES, false);
         let settings = ClassSettings {
             latency_objective: latency_objective?,
             deadline: deadline?,
@@ -69,7 +69,7 @@
     }
 
     fn idempotency_key(&mut self, block: &BlockReader<'_>) -> Option<Idempotency> {
-        let words = self.phrase(block, "repeats", "keyed by HEADER within GROUP for SPAN").ok()??;
+        let words = self.values_of_form(block, "repeats", "keyed by HEADER within GROUP for SPAN").ok()??;
         let header = self.read(&words[0], header_name);
         let scope = self.choice(&words[1], "is not a group of servers", &DEDUP_SCOPES);
         let window = self.read(&words[2], within(parse_duration, "1s", "30d"));
--- a/crates/config/src/check/cluster.rs
+++ b/crates/config/src/check/cluster.rs
@@ -14,14 +14,14 @@
 /// Maximum number of `reach` settings: a node may need one for each other node.
 const MAX_PEER_ADDRESSES: usize = 10_000;
 /// Placeholder for a missing address, which is reported.
-const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
+const MISSING_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
 impl Checker<'_> {
     pub(super) fn cluster(&mut self, block: &BlockReader<'_>) -> Spanned<Cluster> {
         let name = self.cluster_name(block);
         // Port 0 stands for any free port: other members learn the port from this node.
         let bind = |text: &str| text.parse::<SocketAddr>().or_else(|_| socket_address(text));
-        let bind_address = self.required(block, "address", bind).unwrap_or(NO_ADDRESS);
+        let bind_address = self.required(block, "address", bind).unwrap_or(MISSING_ADDRESS);
         let advertise = |text: &str| socket_address(text).map(Some);
         let advertise_address = self.parsed(block, "told-as", None, advertise).flatten();
         if advertise_address.is_none() && bind_address.ip().is_unspecified() && block.has("address") {
--- a/crates/config/src/check/cross_checks.rs
+++ b/crates/config/src/check/cross_checks.rs
@@ -45,12 +45,12 @@
             self.check_routes(&routes, entries.classes, entries.tenants);
             self.warn_of_unused_entries(&routes, entries);
         }
-        self.check_completeness();
+        self.check_required_kinds();
     }
 
     /// Checks that there is an entry of each required kind. A missing one is reported only if there is no
     /// other error.
-    fn check_completeness(&mut self) {
+    fn check_required_kinds(&mut self) {
         if self.diagnostics.iter().any(|diagnostic| diagnostic.severity == Severity::Error) {
             return;
         }
--- a/crates/config/src/check/endpoint.rs
+++ b/crates/config/src/check/endpoint.rs
@@ -82,7 +82,7 @@
             self.report(diagnostic.note(endpoint.name().span, "a server is here"));
             return None;
         }
-        let words = self.phrase(pool, "discovery", "MODE ADDRESS").ok()??;
+        let words = self.values_of_form(pool, "discovery", "MODE ADDRESS").ok()??;
         let mode = self.choice(&words[0], "is not a discovery mode", &DISCOVERY_MODES);
         let address = self.read(&words[1], socket_address);
         Some(PoolEndpoints::Discovered { address: address?, mode: mode? })
--- a/crates/config/src/check/listener.rs
+++ b/crates/config/src/check/listener.rs
@@ -5,7 +5,7 @@
 use super::Checker;
 use super::block_reader::BlockReader;
 use super::values::socket_address;
-use crate::keywords::PROTOCOLS;
+use crate::keywords::PROTOCOL_VALUES;
 use crate::model::{Listener, Protocol};
 
 impl Checker<'_> {
@@ -19,6 +19,6 @@
 
     /// The protocol of a listener or a pool.
     pub(super) fn protocol(&mut self, block: &BlockReader<'_>) -> Option<Protocol> {
-        self.choice_or(block, "protocol", "is not a protocol", &PROTOCOLS, Protocol::Http)
+        self.choice_or(block, "protocol", "is not a protocol", &PROTOCOL_VALUES, Protocol::Http)
     }
 }
--- a/crates/config/src/check/mod.rs
+++ b/crates/config/src/check/mod.rs
@@ -43,13 +43,13 @@
 }
 
 /// The error for a value whose problem was already reported as a diagnostic.
-struct Reported;
+struct AlreadyReported;
 
 /// Converts statements to a configuration. Every problem is reported as a diagnostic; the result is `None` if
 /// an entry is missing because of an error.
 pub(crate) fn check(statements: &[Statement], diagnostics: &mut Vec<Diagnostic>) -> Option<Config> {
     let mut checker = Checker { diagnostics, constants: BTreeMap::new(), names: HashMap::new() };
-    let blocks = checker.sort_statements(statements);
+    let blocks = checker.group_statements(statements);
     checker.check_constants();
     let blocks_of = |kind: &str| blocks.get(kind).map_or(&[][..], Vec::as_slice);
     // Names are defined first: an entry may be used before its block, and is defined even if its block has an
@@ -103,7 +103,7 @@
 
 impl<'a> Checker<'a> {
     /// Defines the constants and returns the blocks by kind.
-    fn sort_statements<'s: 'a>(
+    fn group_statements<'s: 'a>(
         &mut self,
         statements: &'s [Statement],
     ) -> HashMap<&'static str, Vec<&'s Statement>> {
--- a/crates/config/src/check/pool.rs
+++ b/crates/config/src/check/pool.rs
@@ -6,7 +6,7 @@
 use super::block_reader::BlockReader;
 use super::values::{integer, within};
 use crate::diagnostic::Diagnostic;
-use crate::keywords::SWITCH;
+use crate::keywords::ON_OFF_VALUES;
 use crate::model::{Node, Pool, PoolSettings, Protocol};
 use crate::units::{ValueError, parse_duration, parse_number, parse_share};
 
@@ -46,7 +46,8 @@
         let idle_timeout = self.parsed(block, "idle", DEFAULT_IDLE_TIMEOUT, time("100ms", "1h"));
         let max_attempts =
             self.parsed(block, "attempts", DEFAULT_MAX_ATTEMPTS, within(integer::<u32>, "1", "10"));
-        let concurrent_attempts = self.choice_or(block, "hedge", "is neither `on` nor `off`", &SWITCH, true);
+        let concurrent_attempts =
+            self.choice_or(block, "hedge", "is neither `on` nor `off`", &ON_OFF_VALUES, true);
         let cross_zone_cost = self.parsed(block, "crossing-price", DEFAULT_CROSS_ZONE_COST, parse_share);
         let (warmup, overload) = (warmup?, overload?);
         let settings = PoolSettings {
@@ -67,7 +68,7 @@
     }
 
     fn warmup(&mut self, block: &BlockReader<'_>) -> Option<Warmup> {
-        let Some(words) = self.phrase(block, "warm-up", "SPAN from SHARE").ok()? else {
+        let Some(words) = self.values_of_form(block, "warm-up", "SPAN from SHARE").ok()? else {
             return Some(Warmup {
                 duration: DEFAULT_WARMUP_DURATION,
                 initial_fraction: DEFAULT_WARMUP_INITIAL_FRACTION,
@@ -79,7 +80,7 @@
     }
 
     fn overload(&mut self, block: &BlockReader<'_>) -> Option<Overload> {
-        let Some(words) = self.phrase(block, "tips-over", "MULTIPLE within SPAN").ok()? else {
+        let Some(words) = self.values_of_form(block, "tips-over", "MULTIPLE within SPAN").ok()? else {
             return Some(Overload {
                 multiple: DEFAULT_OVERLOAD_MULTIPLE,
                 duration: DEFAULT_OVERLOAD_DURATION,
--- a/crates/config/src/check/route.rs
+++ b/crates/config/src/check/route.rs
@@ -59,15 +59,15 @@
     }
 
     /// The methods of the setting `method`, if it is present.
-    fn methods(&mut self, block: &BlockReader<'_>) -> Result<Option<Vec<Method>>, super::Reported> {
+    fn methods(&mut self, block: &BlockReader<'_>) -> Result<Option<Vec<Method>>, super::AlreadyReported> {
         let Some(words) = self.values(block, "method")? else { return Ok(None) };
         let mut methods = Vec::new();
         for word in &words {
-            let method = self.method(word).ok_or(super::Reported)?;
+            let method = self.method(word).ok_or(super::AlreadyReported)?;
             if methods.contains(&method) {
                 let message = format!("the method {} is listed twice", word.text);
                 self.report(Diagnostic::error("set-twice", word.span, message));
-                return Err(super::Reported);
+                return Err(super::AlreadyReported);
             }
             methods.push(method);
         }
--- a/crates/config/src/diff/effective_settings.rs
+++ b/crates/config/src/diff/effective_settings.rs
@@ -4,7 +4,9 @@
 
 use pumicehead_route::{HeaderRule, Methods};
 
-use crate::keywords::{DEDUP_SCOPES, DISCOVERY_MODES, LOG_FORMS, ORDERS, PROTOCOLS, SWITCH, keyword};
+use crate::keywords::{
+    DEDUP_SCOPES, DISCOVERY_MODES, LOG_FORMS, ON_OFF_VALUES, ORDER_VALUES, PROTOCOL_VALUES, keyword,
+};
 use crate::model::{
     Class, ClassSettings, Cluster, Config, Endpoint, EntrySpans, Idempotency, KeySource, Limits, Listener,
     Node, Observability, Pool, PoolEndpoints, PoolSettings, Route, Spanned, Tenant, TenantSource,
@@ -85,7 +87,7 @@
     fn listener(&mut self, listener: &Listener) {
         let Listener { name, address, protocol, spans } = listener;
         if (self.is_selected)("listener", name) {
-            let protocol = keyword(&PROTOCOLS, protocol).into();
+            let protocol = keyword(&PROTOCOL_VALUES, protocol).into();
             self.add("listener", name, spans, vec![("address", address.to_string()), ("protocol", protocol)]);
         }
     }
@@ -169,7 +171,7 @@
         format!("{} from {}", format_duration(*warmup_duration), format_share(*warmup_initial_fraction));
     let overload = format!("{overload_multiple} within {}", format_duration(*overload_duration));
     let mut settings = vec![
-        ("protocol", keyword(&PROTOCOLS, protocol).into()),
+        ("protocol", keyword(&PROTOCOL_VALUES, protocol).into()),
         ("script", script_name.clone()),
         ("root", document_root.clone()),
         ("warm-up", warmup),
@@ -177,7 +179,7 @@
         ("connect-timeout", format_duration(*connect_timeout)),
         ("idle", format_duration(*idle_timeout)),
         ("attempts", max_attempts.to_string()),
-        ("hedge", keyword(&SWITCH, concurrent_attempts).into()),
+        ("hedge", keyword(&ON_OFF_VALUES, concurrent_attempts).into()),
         ("crossing-price", format_share(*cross_zone_cost)),
     ];
     if let PoolEndpoints::Discovered { address, mode } = endpoints {
@@ -195,7 +197,7 @@
         ("worth", priority_weight.to_string()),
         ("late-worth", format_share(*late_weight)),
         ("repeats", format_idempotency(idempotency)),
-        ("order", keyword(&ORDERS, ordered_by_key).into()),
+        ("order", keyword(&ORDER_VALUES, ordered_by_key).into()),
     ]
 }
 
--- a/crates/config/src/keywords.rs
+++ b/crates/config/src/keywords.rs
@@ -5,15 +5,15 @@
 use crate::model::Protocol;
 
 /// Values of `protocol`.
-pub(crate) const PROTOCOLS: [(&str, Protocol); 2] =
+pub(crate) const PROTOCOL_VALUES: [(&str, Protocol); 2] =
     [("http", Protocol::Http), ("fastcgi", Protocol::FastCgi)];
 /// First words of `discovery`.
 pub(crate) const DISCOVERY_MODES: [(&str, Discovery); 2] =
     [("watch", Discovery::Poll), ("agent", Discovery::Push)];
 /// Values of `hedge`.
-pub(crate) const SWITCH: [(&str, bool); 2] = [("on", true), ("off", false)];
+pub(crate) const ON_OFF_VALUES: [(&str, bool); 2] = [("on", true), ("off", false)];
 /// Values of `order`; true if requests with the same key are ordered.
-pub(crate) const ORDERS: [(&str, bool); 2] = [("key", true), ("none", false)];
+pub(crate) const ORDER_VALUES: [(&str, bool); 2] = [("key", true), ("none", false)];
 /// Values of `log-form`; true if log lines are JSON.
 pub(crate) const LOG_FORMS: [(&str, bool); 2] = [("text", false), ("json", true)];
 /// Groups of endpoints in `repeats keyed by HEADER within GROUP for SPAN`.
