--- a/crates/route/src/matcher/find.rs
+++ b/crates/route/src/matcher/find.rs
@@ -5,12 +5,12 @@
 use super::{ANY_SEGMENT, ANY_VALUE, Bucket, HostRoots, MatchResult, Matcher, NONE, Rule};
 use crate::methods::RequestMethod;
 use crate::names::NameId;
-use crate::{HostPattern, Methods, Query, trimmed_value};
+use crate::{HostPattern, Methods, RouteQuery, trimmed_value};
 
 /// A request and its encoded method.
 struct EncodedRequest<'a> {
     method: RequestMethod,
-    query: &'a Query<'a>,
+    query: &'a RouteQuery<'a>,
 }
 
 /// One step of a traversal that collects leaves.
@@ -29,7 +29,7 @@
 impl Matcher {
     /// Finds the first route that matches a request.
     #[must_use]
-    pub fn find(&self, query: &Query<'_>) -> MatchResult {
+    pub fn find(&self, query: &RouteQuery<'_>) -> MatchResult {
         let request = EncodedRequest { method: RequestMethod::new(query.method), query };
         let mut best = NONE;
         self.for_each_root(query.host, |root| self.find_below(root, 0, &request, &mut best));
@@ -44,8 +44,8 @@
         }
     }
 
-    /// The earlier routes that together match every request that this one matches, in order; empty if this route
-    /// can be taken.
+    /// The earlier routes that together match every request that this one matches, in order; empty if this
+    /// route can be taken.
     #[must_use]
     pub fn hidden_by(&self, index: usize) -> Vec<usize> {
         let route = self.route(index);
@@ -82,7 +82,8 @@
         self.for_each_parent_root(host, visit);
     }
 
-    /// Visits the roots of the tries that match all subdomains of a name, including the trie of its subdomains.
+    /// Visits the roots of the tries that match all subdomains of a name, including the trie of its
+    /// subdomains.
     fn for_each_subdomain_root(&self, name: &str, mut visit: impl FnMut(u32)) {
         self.host_roots(name).subdomains.get().into_iter().for_each(&mut visit);
         self.for_each_parent_root(name, visit);
