--- a/crates/node/tests/endpoint_list_races.rs
+++ b/crates/node/tests/endpoint_list_races.rs
@@ -121,19 +121,19 @@
 #[test]
 fn timer_does_not_end_a_watch_without_data() {
     let backend = Backend::start(|_| ok("done"));
-    let moved = TcpListener::bind("127.0.0.1:0").unwrap();
+    let new_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let setup = Setup { discovery: refusing(), ..Setup::of(&[]) };
     let before = setup.discovery.to_string();
     let node = setup.start();
     // Calls at the old address fail, each followed by a pause of at most 0.1 s.
     thread::sleep(Duration::from_millis(200));
-    node.reload(&node.config().replace(&before, &moved.local_addr().unwrap().to_string()));
-    let (first, mut watched) = accept_watch(&moved);
+    node.reload(&node.config().replace(&before, &new_discovery.local_addr().unwrap().to_string()));
+    let (first, mut watched) = accept_watch(&new_discovery);
     assert!(first.contains("after=0 "), "{first}");
     // Ten times the longest pause, in which no second call may come.
     thread::sleep(Duration::from_secs(1));
-    moved.set_nonblocking(true).unwrap();
-    assert!(moved.accept().is_err(), "a second call");
+    new_discovery.set_nonblocking(true).unwrap();
+    assert!(new_discovery.accept().is_err(), "a second call");
     write_chunk(&mut watched, &(list(9, true, &[host("s-0", backend.address, "active")]) + "\n"));
     wait_for("the list", || node.ask(&request("submit", "x")).status() == 200);
 }
@@ -143,10 +143,10 @@
 #[test]
 fn drain_and_restart_keep_attempts_in_flight() {
     for restart_first in [false, true] {
-        let (release, held) = mpsc::channel::<()>();
-        let held = Mutex::new(held);
+        let (release, released) = mpsc::channel::<()>();
+        let released = Mutex::new(released);
         let old = Backend::start(move |_| {
-            let _ = held.lock().unwrap().recv_timeout(Duration::from_secs(30));
+            let _ = released.lock().unwrap().recv_timeout(Duration::from_secs(30));
             ok("old")
         });
         let new = Backend::start(|_| ok("new"));
--- a/crates/node/tests/event_races.rs
+++ b/crates/node/tests/event_races.rs
@@ -151,10 +151,10 @@
     for (changes, is_written) in
         [(&[SHORT_WINDOW, LONG_CONNECT_TIMEOUT], false), (&[LONG_WINDOW, LONG_CONNECT_TIMEOUT], true)]
     {
-        let (release, held) = mpsc::channel::<()>();
-        let held = Mutex::new(held);
+        let (release, released) = mpsc::channel::<()>();
+        let released = Mutex::new(released);
         let first = Backend::start(move |_| {
-            let _ = held.lock().unwrap().recv_timeout(Duration::from_secs(30));
+            let _ = released.lock().unwrap().recv_timeout(Duration::from_secs(30));
             // The request may have been executed.
             Act::WriteAndClose(String::new())
         });
@@ -187,15 +187,15 @@
 #[test]
 fn no_attempt_follows_after_the_client_disconnects() {
     for changes in [&[LOW_READ_WEIGHT][..], &[LOW_READ_WEIGHT, NO_CANCEL][..]] {
-        let (release, held) = mpsc::channel::<()>();
-        let held = Arc::new(Mutex::new(held));
+        let (release, released) = mpsc::channel::<()>();
+        let released = Arc::new(Mutex::new(released));
         let backends = [(); 2].map(|()| {
-            let held = held.clone();
+            let released = released.clone();
             Backend::start(move |message| {
                 if message.body == b"marker" {
                     return ok("done");
                 }
-                let _ = held.lock().unwrap().recv_timeout(Duration::from_secs(30));
+                let _ = released.lock().unwrap().recv_timeout(Duration::from_secs(30));
                 Act::Write(answer("503 Service Unavailable", "X-Unprocessed: 1\r\n", ""))
             })
         });
@@ -219,10 +219,10 @@
 /// the same id would repeat the effect.
 #[test]
 fn id_of_an_attempt_in_flight_is_rejected_as_duplicate() {
-    let (release, held) = mpsc::channel::<()>();
-    let held = Mutex::new(held);
+    let (release, released) = mpsc::channel::<()>();
+    let released = Mutex::new(released);
     let backend = Backend::start(move |_| {
-        let _ = held.lock().unwrap().recv_timeout(Duration::from_secs(30));
+        let _ = released.lock().unwrap().recv_timeout(Duration::from_secs(30));
         ok("done")
     });
     let node = Setup { changes: &[NO_CANCEL], ..Setup::of(&[&backend]) }.start();
--- a/crates/node/tests/platform_process.rs
+++ b/crates/node/tests/platform_process.rs
@@ -20,16 +20,16 @@
 }
 
 /// Starts a backend that holds a request with the body `slow` until a message on the channel, and answers others at once.
-fn backend_holding_slow_requests(release: mpsc::Receiver<()>) -> Backend {
-    backend_with_shared_release(&Arc::new(Mutex::new(release)))
+fn backend_holding_slow_requests(released: mpsc::Receiver<()>) -> Backend {
+    backend_with_shared_release(&Arc::new(Mutex::new(released)))
 }
 
 /// Like [`backend_holding_slow_requests`], with a channel that several backends share.
-fn backend_with_shared_release(release: &Arc<Mutex<mpsc::Receiver<()>>>) -> Backend {
-    let held = release.clone();
+fn backend_with_shared_release(released: &Arc<Mutex<mpsc::Receiver<()>>>) -> Backend {
+    let released = released.clone();
     Backend::start(move |message| {
         if message.body == b"slow" {
-            let _ = held.lock().unwrap().recv_timeout(LIMIT);
+            let _ = released.lock().unwrap().recv_timeout(LIMIT);
         }
         ok("done")
     })
@@ -214,10 +214,10 @@
 #[test]
 fn sigterm_with_a_reload_drains_in_either_order() {
     for signals in [["-HUP", "-TERM"], ["-TERM", "-HUP"]] {
-        let (release, held) = mpsc::channel::<()>();
+        let (release, released) = mpsc::channel::<()>();
         // Two backends: the in-flight limit of one starts at 1, and whether it has risen by then depends on timing.
-        let held = Arc::new(Mutex::new(held));
-        let backends = [backend_with_shared_release(&held), backend_with_shared_release(&held)];
+        let released = Arc::new(Mutex::new(released));
+        let backends = [backend_with_shared_release(&released), backend_with_shared_release(&released)];
         // The address of discovery refuses connections.
         let mut node = Setup::of(&[&backends[0], &backends[1]]).start();
         assert_eq!(node.ask(&request("submit", "quick")).status(), 200);
@@ -237,8 +237,8 @@
 /// with a failure, others are served, and later ones are not rejected because of it.
 #[test]
 fn a_clock_jump_fails_only_expired_requests() {
-    let (release, held) = mpsc::channel::<()>();
-    let backend = backend_holding_slow_requests(held);
+    let (release, released) = mpsc::channel::<()>();
+    let backend = backend_holding_slow_requests(released);
     let node = Setup::of(&[&backend]).start();
     let mut short = node.connect();
     short.write(&request_with("submit", "slow", "X-Time-Left: 900m\r\n"));
@@ -290,10 +290,10 @@
 /// Guards the drain against further SIGTERMs and a SIGHUP: requests in flight are still answered.
 #[test]
 fn further_signals_do_not_interrupt_the_drain() {
-    let (release, held) = mpsc::channel::<()>();
-    let held = std::sync::Mutex::new(held);
+    let (release, released) = mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let backend = Backend::start(move |_| {
-        let _ = held.lock().unwrap().recv_timeout(Duration::from_secs(30));
+        let _ = released.lock().unwrap().recv_timeout(Duration::from_secs(30));
         ok("done")
     });
     let mut node = Setup::of(&[&backend]).start();
--- a/crates/node/tests/platform_protocol.rs
+++ b/crates/node/tests/platform_protocol.rs
@@ -179,11 +179,11 @@
 /// slow one.
 #[test]
 fn sigterm_finishes_requests_in_flight() {
-    let (release, held) = mpsc::channel::<()>();
-    let held = Arc::new(Mutex::new(held));
+    let (release, released) = mpsc::channel::<()>();
+    let released = Arc::new(Mutex::new(released));
     let script = move |message: &Message| {
         if message.body == b"slow" {
-            let _ = held.lock().unwrap().recv_timeout(Duration::from_secs(30));
+            let _ = released.lock().unwrap().recv_timeout(Duration::from_secs(30));
         }
         ok("done")
     };
@@ -329,10 +329,10 @@
 /// have two responses. Once the first request is over, the id may be used again.
 #[test]
 fn the_id_of_an_open_request_is_rejected_as_duplicate() {
-    let (release, held) = mpsc::channel::<()>();
-    let held = std::sync::Mutex::new(held);
+    let (release, released) = mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let backend = Backend::start(move |_| {
-        let _ = held.lock().unwrap().recv_timeout(Duration::from_secs(30));
+        let _ = released.lock().unwrap().recv_timeout(Duration::from_secs(30));
         ok("done")
     });
     let node = Setup::of(&[&backend]).start();
--- a/crates/node/tests/reloads.rs
+++ b/crates/node/tests/reloads.rs
@@ -224,8 +224,8 @@
     wait_for("the request in flight", || one.count() == 1);
     // The endpoint's in-flight limit is 1: these requests are queued.
     let mut queued: Vec<_> = (0..3).map(|_| send(&node, "/one/held")).collect();
-    let stays = |line: &&str| !line.contains("pool one");
-    let after: String = before.lines().filter(stays).map(|line| format!("{line}\n")).collect();
+    let is_kept = |line: &&str| !line.contains("pool one");
+    let after: String = before.lines().filter(is_kept).map(|line| format!("{line}\n")).collect();
     node.reload(&after);
     assert_eq!(node.said("reload: pool one: removed"), 1, "{after}");
     assert_eq!(ask(&node, "/one/x").status(), 404);
--- a/crates/node/tests/standalone.rs
+++ b/crates/node/tests/standalone.rs
@@ -221,10 +221,10 @@
     }
     assert_eq!(ask(&node, &get("/boards/error", "")).status(), 500);
     assert!(attempts("/boards/error") > 1);
-    let away = ask(&node, &post("/runs/away", "x"));
+    let rejected = ask(&node, &post("/runs/away", "x"));
     assert!(attempts("/runs/away") > 1);
-    assert_eq!(away.status(), 503);
-    let retry_after: u64 = away.header("retry-after").expect("a delay").parse().expect("whole seconds");
+    assert_eq!(rejected.status(), 503);
+    let retry_after: u64 = rejected.header("retry-after").expect("a delay").parse().expect("whole seconds");
     assert!(retry_after >= 1);
 }
 
@@ -261,9 +261,9 @@
         assert_eq!(ask(&node, &get("/boards/x", "")).body, b"boards");
     }
     assert!(node.said("has no unit") > 0 && node.said("did you mean `archive`?") > 0);
-    let moved = before
+    let rerouted = before
         .replace("path /boards/**; class read; pool boards", "path /boards/**; class read; pool archive");
-    node.reload(&moved);
+    node.reload(&rerouted);
     assert!(node.said("reload: route read: pool boards -> archive") == 1);
     assert_eq!(ask(&node, &get("/boards/x", "")).body, b"archive");
     released.store(true, Ordering::SeqCst);
@@ -277,8 +277,8 @@
 fn removed_backends_and_pools_drain() {
     let released = Arc::new(AtomicBool::new(false));
     let server = || holding_backend(&released, "served");
-    let (stays, leaves, pool) = (server(), server(), server());
-    let before = text(&[&stays, &leaves], &[&pool], "");
+    let (kept, removed, in_removed_pool) = (server(), server(), server());
+    let before = text(&[&kept, &removed], &[&in_removed_pool], "");
     let node = Standalone::start(&before, 1);
     let old = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: x.old.example.org\r\n\r\n");
     let mut open: Vec<_> = (0..2)
@@ -290,8 +290,8 @@
         .collect();
     let mut archived = Client::connect(node.address());
     archived.write(&old("/slow"));
-    wait_for("open requests", || stays.count() == 1 && leaves.count() == 1 && pool.count() == 1);
-    let after = text(&[&stays], &[], "").replace("pool archive {  }\n", "");
+    wait_for("open requests", || kept.count() == 1 && removed.count() == 1 && in_removed_pool.count() == 1);
+    let after = text(&[&kept], &[], "").replace("pool archive {  }\n", "");
     let after: String =
         after.lines().filter(|line| !line.starts_with("route old")).map(|line| format!("{line}\n")).collect();
     node.reload(&after);
@@ -303,8 +303,8 @@
     for _ in 0..20 {
         assert_eq!(ask(&node, &get("/boards/x", "")).status(), 200);
     }
-    assert_eq!((leaves.count(), pool.count()), (1, 1));
-    wait_for("closed connections", || leaves.closed() == 1 && pool.closed() == 1);
+    assert_eq!((removed.count(), in_removed_pool.count()), (1, 1));
+    wait_for("closed connections", || removed.closed() == 1 && in_removed_pool.closed() == 1);
 }
 
 /// Guards listeners: a new one serves, a removed one answers its requests in flight, and one whose address is in use keeps the
--- a/crates/node/tests/streaming.rs
+++ b/crates/node/tests/streaming.rs
@@ -77,8 +77,8 @@
 fn response_is_streamed_as_it_arrives() {
     let (release, released) = mpsc::channel::<()>();
     let released = std::sync::Mutex::new(released);
-    let whole = body(3 * MIB);
-    let sent = whole.clone();
+    let expected = body(3 * MIB);
+    let sent = expected.clone();
     let server = raw_server(move |_, _, mut stream| {
         write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", sent.len()).unwrap();
         stream.write_all(&sent.as_bytes()[..100]).unwrap();
@@ -91,11 +91,11 @@
     stream.write_all(request("submit", "x").as_bytes()).unwrap();
     let head = Message::read_head(&mut input).unwrap();
     assert_eq!((head.status(), head.header("content-length")), (200, Some("3145728")));
-    let mut got = vec![0; whole.len()];
-    input.read_exact(&mut got[..100]).unwrap();
+    let mut received = vec![0; expected.len()];
+    input.read_exact(&mut received[..100]).unwrap();
     release.send(()).unwrap();
-    input.read_exact(&mut got[100..]).unwrap();
-    assert!(got == whole.as_bytes());
+    input.read_exact(&mut received[100..]).unwrap();
+    assert!(received == expected.as_bytes());
     // The connection can be used for another request.
     stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
     assert_eq!(Message::read_head(&mut input).unwrap().status(), 200);
@@ -106,17 +106,17 @@
 #[test]
 fn responses_of_every_framing_arrive_complete() {
     for length in [100, 64 << 10, (64 << 10) + 1, 2 * MIB] {
-        let whole = body(length);
-        let chunked: String = whole
+        let expected = body(length);
+        let chunked: String = expected
             .as_bytes()
             .chunks(1_000)
             .map(|chunk| format!("{:x};a=b\r\n{}\r\n", chunk.len(), str::from_utf8(chunk).unwrap()))
             .collect();
         let responses = [
-            answer("200 OK", "", &whole),
+            answer("200 OK", "", &expected),
             format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunked}0\r\nX-After: 1\r\n\r\n"),
-            format!("HTTP/1.1 200 OK\r\nConnection: x, Close\r\n\r\n{whole}"),
-            format!("HTTP/1.1 103 Early Hints\r\n\r\n{}", answer("200 OK", "", &whole)),
+            format!("HTTP/1.1 200 OK\r\nConnection: x, Close\r\n\r\n{expected}"),
+            format!("HTTP/1.1 103 Early Hints\r\n\r\n{}", answer("200 OK", "", &expected)),
         ];
         for response in responses {
             let start: String = response.chars().take(60).collect();
@@ -126,17 +126,17 @@
             stream.write_all(request("submit", "x").as_bytes()).unwrap();
             let head = Message::read_head(&mut input).unwrap();
             assert_eq!(head.status(), 200, "{length} {start}");
-            let got = match head.header("content-length") {
+            let received = match head.header("content-length") {
                 Some(length) => {
-                    let mut got = vec![0; length.parse().unwrap()];
-                    input.read_exact(&mut got).unwrap();
-                    got
+                    let mut received = vec![0; length.parse().unwrap()];
+                    input.read_exact(&mut received).unwrap();
+                    received
                 }
                 None => {
                     read_chunks(&mut input).unwrap_or_else(|| panic!("{length} {start}: incomplete body"))
                 }
             };
-            assert!(got == whole.as_bytes(), "{length} {start}");
+            assert!(received == expected.as_bytes(), "{length} {start}");
         }
     }
 }
@@ -179,8 +179,8 @@
 /// get the whole response once they read.
 #[test]
 fn clients_that_read_nothing_use_bounded_memory() {
-    let whole = body(8 * MIB);
-    let sent = whole.clone();
+    let expected = body(8 * MIB);
+    let sent = expected.clone();
     let backend =
         Backend::start(move |message| if message.first.contains("submit") { ok(&sent) } else { ok("short") });
     let node = Setup::of(&[&backend]).start();
@@ -197,18 +197,18 @@
     }
     let resident = node.resident();
     assert!(resident < 40 * MIB, "{resident} bytes of resident memory with 30 open responses of 8 MiB");
-    let mut got = vec![0; whole.len()];
+    let mut received = vec![0; expected.len()];
     for (input, _) in slow.iter_mut().take(3) {
-        input.read_exact(&mut got).unwrap();
-        assert!(got == whole.as_bytes());
+        input.read_exact(&mut received).unwrap();
+        assert!(received == expected.as_bytes());
     }
 }
 
 /// A client disconnects within a response: its connection to the endpoint is not reused.
 #[test]
 fn disconnect_mid_response_closes_the_upstream_connection() {
-    let whole = body(8 * MIB);
-    let backend = Backend::start(move |_| ok(&whole));
+    let expected = body(8 * MIB);
+    let backend = Backend::start(move |_| ok(&expected));
     let node = Setup::of(&[&backend]).start();
     let (mut input, mut stream) = connect(&node);
     stream.write_all(request("submit", "x").as_bytes()).unwrap();
@@ -221,15 +221,15 @@
 #[test]
 fn upload_is_streamed_completely() {
     for length in [(64 << 10) + 1, MIB, MIB + 1, 5 * MIB] {
-        let whole = body(length);
+        let expected = body(length);
         let backend = Backend::start(|message| ok(&message.body.len().to_string()));
         let node = Setup::of(&[&backend]).start();
-        let answer = node.ask(&request("submit", &whole));
+        let answer = node.ask(&request("submit", &expected));
         assert_eq!((answer.status(), answer.body), (200, length.to_string().into_bytes()));
         let seen = backend.seen.lock().unwrap();
-        assert!(seen.len() == 1 && seen[0].body == whole.as_bytes(), "{length}");
+        assert!(seen.len() == 1 && seen[0].body == expected.as_bytes(), "{length}");
     }
-    let whole = body(300_000);
+    let expected = body(300_000);
     let (sender, received) = mpsc::channel();
     let server = raw_server(move |head, mut input, mut stream| {
         let chunked = head.header("transfer-encoding") == Some("chunked");
@@ -237,14 +237,14 @@
         stream.write_all(answer("200 OK", "", "done").as_bytes()).unwrap();
     });
     let node = start_node(&[server]);
-    let chunks: String = whole
+    let chunks: String = expected
         .as_bytes()
         .chunks(7_000)
         .map(|chunk| format!("{:x}\r\n{}\r\n", chunk.len(), str::from_utf8(chunk).unwrap()))
         .collect();
     let text = upload_head("Transfer-Encoding: chunked\r\n") + &chunks + "0\r\n\r\n";
     assert_eq!(node.ask(&text).status(), 200);
-    assert!(received.recv_timeout(LIMIT).unwrap().unwrap() == whole.as_bytes());
+    assert!(received.recv_timeout(LIMIT).unwrap().unwrap() == expected.as_bytes());
 }
 
 /// An upload of which more than the buffered part was sent is not retried. Its last byte was not written, so it was not
@@ -274,11 +274,11 @@
     let backend = Backend::start(|message| ok(&message.body.len().to_string()));
     let hosts = [host("s-dead", refusing(), "active"), host("s-good", backend.address, "active")];
     let node = Setup { known: list(1, true, &hosts), ..Setup::of(&[]) }.start();
-    let whole = body(3 * MIB);
+    let expected = body(3 * MIB);
     for _ in 0..4 {
-        assert_eq!(node.ask(&request("submit", &whole)).status(), 200);
+        assert_eq!(node.ask(&request("submit", &expected)).status(), 200);
     }
-    assert!(backend.seen.lock().unwrap().iter().all(|message| message.body == whole.as_bytes()));
+    assert!(backend.seen.lock().unwrap().iter().all(|message| message.body == expected.as_bytes()));
 }
 
 /// A slow upload that makes progress is served, and one that stalls times out, before its attempt has started and after.
@@ -356,8 +356,8 @@
 /// A client that reads nothing of a long response is disconnected, and the endpoint's connection closes with it.
 #[test]
 fn client_that_reads_nothing_is_disconnected() {
-    let whole = body(30 * MIB);
-    let backend = Backend::start(move |_| ok(&whole));
+    let expected = body(30 * MIB);
+    let backend = Backend::start(move |_| ok(&expected));
     let node = Setup::of(&[&backend]).start();
     let (mut input, mut stream) = connect(&node);
     stream.write_all(request("submit", "x").as_bytes()).unwrap();
@@ -378,19 +378,19 @@
     let (mut input, mut stream) = connect(&node);
     stream.write_all(request("submit", "x").as_bytes()).unwrap();
     assert_eq!(Message::read_head(&mut input).unwrap().status(), 200);
-    let mut got = Vec::new();
-    let ended = input.read_to_end(&mut got);
-    assert!(got == b"some" && ended.is_ok_and(|count| count == 4));
+    let mut received = Vec::new();
+    let ended = input.read_to_end(&mut received);
+    assert!(received == b"some" && ended.is_ok_and(|count| count == 4));
 }
 
 /// A response that is being streamed at SIGTERM is forwarded to its end, one that its client does not read is dropped when the
 /// process exits, and the exit code is 0.
 #[test]
 fn streams_finish_before_process_exit() {
-    let whole = body(MIB);
+    let expected = body(MIB);
     let (release, released) = mpsc::channel::<()>();
     let released = std::sync::Mutex::new(released);
-    let sent = whole.clone();
+    let sent = expected.clone();
     let server = raw_server(move |head, _, mut stream| {
         let _ = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", sent.len());
         if head.first.contains("read") {
@@ -409,22 +409,22 @@
     let (mut input, mut stream) = connect(&node);
     stream.write_all(request("submit", "x").as_bytes()).unwrap();
     assert_eq!(Message::read_head(&mut input).unwrap().status(), 200);
-    let mut got = vec![0; MIB];
-    input.read_exact(&mut got[..1000]).unwrap();
+    let mut received = vec![0; MIB];
+    input.read_exact(&mut received[..1000]).unwrap();
     node.terminate();
     release.send(()).unwrap();
-    input.read_exact(&mut got[1000..]).unwrap();
-    assert!(got == whole.as_bytes());
+    input.read_exact(&mut received[1000..]).unwrap();
+    assert!(received == expected.as_bytes());
     assert!(node.wait().success());
 }
 
 /// A response that is being streamed continues while the configuration is reloaded.
 #[test]
 fn stream_continues_across_a_reload() {
-    let whole = body(MIB);
+    let expected = body(MIB);
     let (release, released) = mpsc::channel::<()>();
     let released = std::sync::Mutex::new(released);
-    let sent = whole.clone();
+    let sent = expected.clone();
     let server = raw_server(move |_, _, mut stream| {
         write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", sent.len()).unwrap();
         stream.write_all(&sent.as_bytes()[..1000]).unwrap();
@@ -436,8 +436,8 @@
     let (mut input, mut stream) = connect(&node);
     stream.write_all(request("submit", "x").as_bytes()).unwrap();
     assert_eq!(Message::read_head(&mut input).unwrap().status(), 200);
-    let mut got = vec![0; MIB];
-    input.read_exact(&mut got[..1000]).unwrap();
+    let mut received = vec![0; MIB];
+    input.read_exact(&mut received[..1000]).unwrap();
     let discovery = Discovery::start();
     let config = node.config();
     let old_address = config.split("\"discovery\":\"").nth(1).unwrap().split('"').next().unwrap().to_owned();
@@ -445,17 +445,17 @@
     // A watch at the new address shows that the reload is done.
     let _watch = discovery.next();
     release.send(()).unwrap();
-    input.read_exact(&mut got[1000..]).unwrap();
-    assert!(got == whole.as_bytes());
+    input.read_exact(&mut received[1000..]).unwrap();
+    assert!(received == expected.as_bytes());
 }
 
 /// With the memory budget for long responses exhausted, a further one fails at once and short ones are served. Memory is free
 /// again once the open responses end.
 #[test]
 fn long_responses_beyond_the_memory_budget_fail_and_short_ones_pass() {
-    let whole = body(8 * MIB);
+    let expected = body(8 * MIB);
     let backend = Backend::start(
-        move |message| if message.first.contains("submit") { ok(&whole) } else { ok("short") },
+        move |message| if message.first.contains("submit") { ok(&expected) } else { ok("short") },
     );
     let mut setup = Setup::of(&[&backend]);
     setup.memory_mb = 4;
