--- a/crates/node/tests/fleet.rs
+++ b/crates/node/tests/fleet.rs
@@ -116,12 +116,12 @@
     let admin = one.admin.to_string();
     let list = fleet_command(&["members", &admin]);
     assert!(
-        list.code == Some(0) && list.stdout.contains("3 there") && list.stdout.contains("n2"),
+        list.code == Some(0) && list.stdout.contains("3 active members") && list.stdout.contains("n2"),
         "{}",
         list.stdout
     );
     let why = fleet_command(&["why", "n2", &admin]);
-    assert!(why.code == Some(0) && why.stdout.contains("n2 is held alive"), "{}", why.stdout);
+    assert!(why.code == Some(0) && why.stdout.contains("n2: alive for "), "{}", why.stdout);
     let unknown = fleet_command(&["why", "n9", &admin]);
     assert!(
         unknown.code == Some(2) && unknown.stderr.contains("nobody here knows `n9`"),
@@ -200,10 +200,10 @@
     let program = built("pumicehead").unwrap();
     for (from, to, message) in [
         ("name tablero; ", "", "has no `name`"),
-        ("name tablero;", "name \"a b\";", "is no name for a fleet"),
-        ("address 127.0.0.1:0;  }", "address 0.0.0.0:7000 }", "others can't reach"),
+        ("name tablero;", "name \"a b\";", "is not a valid name for a fleet"),
+        ("address 127.0.0.1:0;  }", "address 0.0.0.0:7000 }", "other members can't reach"),
         ("address 127.0.0.1:0;  }", "address 127.0.0.1:0; reach n3 }", "`reach` takes a node's name"),
-        ("address 127.0.0.1:0;  }", "address 127.0.0.1:0; seeds localhost:1 }", "is no address"),
+        ("address 127.0.0.1:0;  }", "address 127.0.0.1:0; seeds localhost:1 }", "is not an address"),
         ("fleet {", "fleet { }\nfleet {", "a second `fleet` block"),
     ] {
         let text = good.replacen(from, to, 1);
