--- a/crates/flight-recorder/src/breakdown.rs
+++ b/crates/flight-recorder/src/breakdown.rs
@@ -11,7 +11,7 @@
 use crate::timestamp;
 
 /// Number of rows of a view that are displayed.
-const SHOWN: usize = 8;
+const MAX_ROWS_SHOWN: usize = 8;
 
 /// A row of a view.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,23 +43,23 @@
     pub views: Vec<(&'static str, Vec<BreakdownRow>)>,
 }
 
-fn view<K: Ord>(
+fn group_losses<K: Ord>(
     rows: &[(Nanos, LossKey, LossTotals)],
-    by: impl Fn(Nanos, &LossKey) -> K,
-    shown: impl Fn(&K) -> String,
+    group_key: impl Fn(Nanos, &LossKey) -> K,
+    label: impl Fn(&K) -> String,
 ) -> Vec<BreakdownRow> {
     let mut sums: BTreeMap<K, LossTotals> = BTreeMap::new();
     for (at, key, loss) in rows {
-        let sum = sums.entry(by(*at, key)).or_default();
+        let sum = sums.entry(group_key(*at, key)).or_default();
         sum.lost = sum.lost.saturating_add(loss.lost);
         sum.requests = sum.requests.saturating_add(loss.requests);
     }
-    let mut parts: Vec<_> = sums
+    let mut rows: Vec<_> = sums
         .iter()
-        .map(|(key, sum)| BreakdownRow { label: shown(key), lost: sum.lost, requests: sum.requests })
+        .map(|(key, sum)| BreakdownRow { label: label(key), lost: sum.lost, requests: sum.requests })
         .collect();
-    parts.sort_by_key(|part| std::cmp::Reverse(part.lost));
-    parts
+    rows.sort_by_key(|row| std::cmp::Reverse(row.lost));
+    rows
 }
 
 impl Breakdown {
@@ -72,7 +72,7 @@
     /// Sums up a ledger.
     #[must_use]
     pub fn of_ledger(header: &RecordingHeader, ledger: &LossLedger, from: Nanos, to: Nanos) -> Self {
-        let (from, to) = ledger.aligned(from, to);
+        let (from, to) = ledger.align_to_slots(from, to);
         let rows: Vec<_> =
             ledger.losses.rows_between(from, to).map(|(at, key, loss)| (at, key, *loss)).collect();
         let mut total = TrafficTotals::default();
@@ -84,11 +84,11 @@
             endpoint => header.endpoint_name(key.0, endpoint),
         };
         let views = vec![
-            ("cause", view(&rows, |_, key| LossCause::from_code(key.cause), LossCause::to_string)),
-            ("server", view(&rows, |_, key| (key.pool, key.endpoint), endpoint_name)),
+            ("cause", group_losses(&rows, |_, key| LossCause::from_code(key.cause), LossCause::to_string)),
+            ("server", group_losses(&rows, |_, key| (key.pool, key.endpoint), endpoint_name)),
             (
                 "class",
-                view(
+                group_losses(
                     &rows,
                     |_, key| (key.pool, key.class),
                     |&(pool, class)| {
@@ -96,7 +96,7 @@
                     },
                 ),
             ),
-            ("moment", view(&rows, |at, _| at, |at| timestamp::format_timestamp(*at, header.start))),
+            ("moment", group_losses(&rows, |at, _| at, |at| timestamp::format_timestamp(*at, header.start))),
         ];
         Self {
             from,
@@ -128,15 +128,15 @@
             self.views.iter().zip(&other.views).filter(|((name, _), _)| *name != "moment")
         {
             let mut all: BTreeMap<&str, (MicroWeight, MicroWeight)> = BTreeMap::new();
-            one.iter().for_each(|part| all.entry(&part.label).or_default().0 = part.lost);
-            two.iter().for_each(|part| all.entry(&part.label).or_default().1 = part.lost);
+            one.iter().for_each(|row| all.entry(&row.label).or_default().0 = row.lost);
+            two.iter().for_each(|row| all.entry(&row.label).or_default().1 = row.lost);
             let mut rows: Vec<_> = all
                 .into_iter()
                 .map(|(what, (one, two))| (what, share(one, self), share(two, other)))
                 .collect();
             rows.sort_by(|a, b| (b.1 - b.2).abs().total_cmp(&(a.1 - a.2).abs()));
             out += &format!("by {name}:\n");
-            for (what, one, two) in rows.iter().take(SHOWN) {
+            for (what, one, two) in rows.iter().take(MAX_ROWS_SHOWN) {
                 out += &format!("  {one:7.2}%  {two:7.2}%  {:+7.2}  {what}\n", two - one);
             }
         }
@@ -163,13 +163,13 @@
             weight(self.lost()),
             share(self.lost())
         )?;
-        for (name, parts) in &self.views {
-            if parts.is_empty() {
+        for (name, rows) in &self.views {
+            if rows.is_empty() {
                 continue;
             }
             writeln!(out, "by {name}:")?;
-            for part in parts.iter().take(SHOWN) {
-                let BreakdownRow { label, lost, requests } = part;
+            for row in rows.iter().take(MAX_ROWS_SHOWN) {
+                let BreakdownRow { label, lost, requests } = row;
                 writeln!(
                     out,
                     "  {:10.1} {:6.2}%  {requests:7} requests  {label}",
@@ -177,8 +177,8 @@
                     share(*lost)
                 )?;
             }
-            let rest = parts.iter().skip(SHOWN);
-            let (lost, count) = rest.fold((0, 0), |(lost, n), part| (lost + part.lost, n + 1));
+            let rest = rows.iter().skip(MAX_ROWS_SHOWN);
+            let (lost, count) = rest.fold((0, 0), |(lost, n), row| (lost + row.lost, n + 1));
             if count > 0 {
                 writeln!(out, "  {:10.1} {:6.2}%  in {count} more", weight(lost), share(lost))?;
             }
--- a/crates/flight-recorder/src/code_tables.rs
+++ b/crates/flight-recorder/src/code_tables.rs
@@ -53,24 +53,24 @@
 
 /// Returns the code of an attempt's outcome.
 #[must_use]
-pub fn outcome_index(outcome: AttemptOutcome) -> usize {
-    OUTCOMES.iter().position(|&known| known == outcome).unwrap_or_default()
+pub fn outcome_code(outcome: AttemptOutcome) -> usize {
+    OUTCOMES.iter().position(|&candidate| candidate == outcome).unwrap_or_default()
 }
 
 /// Returns the outcome of a code.
 #[must_use]
-pub fn outcome_at(code: usize) -> Option<AttemptOutcome> {
+pub fn outcome_from_code(code: usize) -> Option<AttemptOutcome> {
     OUTCOMES.get(code).copied()
 }
 
 /// Returns the stored code of a value, its place in a table.
-pub(crate) fn code_in<T: PartialEq>(all: &[T], value: T) -> u8 {
-    all.iter().position(|known| *known == value).unwrap_or_default() as u8
+pub(crate) fn code_of<T: PartialEq>(table: &[T], value: T) -> u8 {
+    table.iter().position(|candidate| *candidate == value).unwrap_or_default() as u8
 }
 
 /// Returns the value of a stored code.
-pub(crate) fn at<T: Copy>(all: &[T], code: u8) -> Option<T> {
-    all.get(usize::from(code)).copied()
+pub(crate) fn value_at<T: Copy>(table: &[T], code: u8) -> Option<T> {
+    table.get(usize::from(code)).copied()
 }
 
 /// Returns the stored code of a rejection.
@@ -79,7 +79,7 @@
         RejectionReason::ExpectedWaitTooLong => 0,
         RejectionReason::QueueTimeout => 1,
         RejectionReason::KeyOrderTimeout => 2,
-        RejectionReason::NoRetry(reason) => 3 + code_in(&NO_RETRY_REASONS, reason),
+        RejectionReason::NoRetry(reason) => 3 + code_of(&NO_RETRY_REASONS, reason),
     }
 }
 
@@ -89,6 +89,6 @@
         0 => RejectionReason::ExpectedWaitTooLong,
         1 => RejectionReason::QueueTimeout,
         2 => RejectionReason::KeyOrderTimeout,
-        code => RejectionReason::NoRetry(at(&NO_RETRY_REASONS, code - 3)?),
+        code => RejectionReason::NoRetry(value_at(&NO_RETRY_REASONS, code - 3)?),
     })
 }
--- a/crates/flight-recorder/src/event_codec.rs
+++ b/crates/flight-recorder/src/event_codec.rs
@@ -5,10 +5,10 @@
 use pumicehead_policy::{AttemptNo, EndpointId, RequestId};
 
 use crate::bounded_text::BoundedName;
-use crate::code_tables::{ENDPOINT_STATES, OUTCOMES, at, code_in, outcome_index};
+use crate::code_tables::{ENDPOINT_STATES, OUTCOMES, code_of, outcome_code, value_at};
 use crate::decision_codec::{decode_decision, encode_decision};
 use crate::event::{Event, ExhaustedResource, ListenerRejection, RequestOutcome};
-use crate::wire_format::{Reader, put, put_bytes, put_some};
+use crate::wire_format::{Reader, put_bytes, put_optional_varint, put_varint};
 
 /// Stored tags of events. Tags of decisions follow from 32 on.
 mod tag {
@@ -28,9 +28,9 @@
     pub const REQUEST_ADMITTED_UNDER_REVISION: u8 = 12;
 }
 
-fn start(out: &mut Vec<u8>, tag: u8, first: u32) {
+fn put_tag(out: &mut Vec<u8>, tag: u8, first: u32) {
     out.push(tag);
-    put(out, u64::from(first));
+    put_varint(out, u64::from(first));
 }
 
 fn put_name(out: &mut Vec<u8>, name: &BoundedName) {
@@ -64,23 +64,23 @@
         match self {
             Self::RequestAdmitted { id, class, tenant, client_timeout, upload_time, name, revision } => {
                 match revision {
-                    None => start(out, tag::REQUEST_ADMITTED, id.0),
+                    None => put_tag(out, tag::REQUEST_ADMITTED, id.0),
                     Some(revision) => {
-                        start(out, tag::REQUEST_ADMITTED_UNDER_REVISION, id.0);
-                        put(out, *revision);
+                        put_tag(out, tag::REQUEST_ADMITTED_UNDER_REVISION, id.0);
+                        put_varint(out, *revision);
                     }
                 }
-                put(out, u64::from(*class));
-                put_some(out, tenant.map(u64::from));
-                put(out, *client_timeout);
-                put(out, *upload_time);
+                put_varint(out, u64::from(*class));
+                put_optional_varint(out, tenant.map(u64::from));
+                put_varint(out, *client_timeout);
+                put_varint(out, *upload_time);
                 put_name(out, name);
             }
             Self::AttemptStarted { id, attempt, endpoint, timeout } => {
-                start(out, tag::ATTEMPT_STARTED, id.0);
+                put_tag(out, tag::ATTEMPT_STARTED, id.0);
                 out.push(attempt.0);
-                put(out, u64::from(endpoint.0));
-                put_some(out, *timeout);
+                put_varint(out, u64::from(endpoint.0));
+                put_optional_varint(out, *timeout);
             }
             Self::AttemptEnded {
                 id,
@@ -91,21 +91,21 @@
                 connect_time,
                 connection_idle,
             } => {
-                start(out, tag::ATTEMPT_ENDED, id.0);
+                put_tag(out, tag::ATTEMPT_ENDED, id.0);
                 out.push(attempt.0);
-                put(out, u64::from(endpoint.0));
-                out.push(outcome_index(*outcome) as u8);
-                put(out, *duration);
-                put(out, *connect_time);
-                put_some(out, *connection_idle);
+                put_varint(out, u64::from(endpoint.0));
+                out.push(outcome_code(*outcome) as u8);
+                put_varint(out, *duration);
+                put_varint(out, *connect_time);
+                put_optional_varint(out, *connection_idle);
             }
             Self::ResponseStarted { id, attempt } => {
-                start(out, tag::RESPONSE_STARTED, id.0);
+                put_tag(out, tag::RESPONSE_STARTED, id.0);
                 out.push(attempt.0);
             }
             Self::RequestEnded { id, outcome } => {
-                start(out, tag::REQUEST_ENDED, id.0);
-                out.push(code_in(&RequestOutcome::ALL, *outcome));
+                put_tag(out, tag::REQUEST_ENDED, id.0);
+                out.push(code_of(&RequestOutcome::ALL, *outcome));
             }
             _ => {}
         }
@@ -114,27 +114,27 @@
     fn encode_node_event(&self, out: &mut Vec<u8>) {
         match self {
             Self::EndpointStateChanged { endpoint, state } => {
-                start(out, tag::ENDPOINT_STATE_CHANGED, endpoint.0);
-                out.push(code_in(&ENDPOINT_STATES, *state));
+                put_tag(out, tag::ENDPOINT_STATE_CHANGED, endpoint.0);
+                out.push(code_of(&ENDPOINT_STATES, *state));
             }
             Self::CapacityAdvice { endpoints_to_avoid, lease_grants } => {
-                start(out, tag::CAPACITY_ADVICE, *endpoints_to_avoid);
-                put(out, u64::from(*lease_grants));
+                put_tag(out, tag::CAPACITY_ADVICE, *endpoints_to_avoid);
+                put_varint(out, u64::from(*lease_grants));
             }
             Self::RejectedByListener { class, reason } => {
-                start(out, tag::REJECTED_BY_LISTENER, u32::from(*class));
-                out.push(code_in(&ListenerRejection::ALL, *reason));
+                put_tag(out, tag::REJECTED_BY_LISTENER, u32::from(*class));
+                out.push(code_of(&ListenerRejection::ALL, *reason));
             }
             Self::ResourceExhausted(resource) => {
-                start(out, tag::RESOURCE_EXHAUSTED, u32::from(code_in(&ExhaustedResource::ALL, *resource)));
+                put_tag(out, tag::RESOURCE_EXHAUSTED, u32::from(code_of(&ExhaustedResource::ALL, *resource)));
             }
             Self::NodeShareChanged { nodes, node_index } => {
-                start(out, tag::NODE_SHARE_CHANGED, *nodes);
-                put(out, u64::from(*node_index));
+                put_tag(out, tag::NODE_SHARE_CHANGED, *nodes);
+                put_varint(out, u64::from(*node_index));
             }
             Self::MemberStateChanged { name, from, to } => {
-                start(out, tag::MEMBER_STATE_CHANGED, u32::from(*to));
-                put_some(out, from.map(u64::from));
+                put_tag(out, tag::MEMBER_STATE_CHANGED, u32::from(*to));
+                put_optional_varint(out, from.map(u64::from));
                 put_name(out, name);
             }
             _ => {}
@@ -145,7 +145,7 @@
     #[must_use]
     pub fn decode(from: &mut Reader<'_>) -> Option<Self> {
         let tag = from.byte()?;
-        let first = from.small::<u32>()?;
+        let first = from.varint_as::<u32>()?;
         match tag {
             tag::REQUEST_ADMITTED..=tag::REQUEST_ENDED | tag::REQUEST_ADMITTED_UNDER_REVISION => {
                 decode_request_event(tag, RequestId(first), from)
@@ -160,30 +160,32 @@
     Some(match tag {
         tag::REQUEST_ADMITTED | tag::REQUEST_ADMITTED_UNDER_REVISION => Event::RequestAdmitted {
             id,
-            revision: if tag == tag::REQUEST_ADMITTED { None } else { Some(from.number()?) },
-            class: from.small()?,
-            tenant: from.some()?.map(u32::try_from).transpose().ok()?,
-            client_timeout: from.number()?,
-            upload_time: from.number()?,
+            revision: if tag == tag::REQUEST_ADMITTED { None } else { Some(from.varint()?) },
+            class: from.varint_as()?,
+            tenant: from.optional_varint()?.map(u32::try_from).transpose().ok()?,
+            client_timeout: from.varint()?,
+            upload_time: from.varint()?,
             name: read_name(from)?,
         },
         tag::ATTEMPT_STARTED => Event::AttemptStarted {
             id,
             attempt: AttemptNo(from.byte()?),
-            endpoint: EndpointId(from.small()?),
-            timeout: from.some()?,
+            endpoint: EndpointId(from.varint_as()?),
+            timeout: from.optional_varint()?,
         },
         tag::ATTEMPT_ENDED => Event::AttemptEnded {
             id,
             attempt: AttemptNo(from.byte()?),
-            endpoint: EndpointId(from.small()?),
-            outcome: at(&OUTCOMES, from.byte()?)?,
-            duration: from.number()?,
-            connect_time: from.number()?,
-            connection_idle: from.some()?,
+            endpoint: EndpointId(from.varint_as()?),
+            outcome: value_at(&OUTCOMES, from.byte()?)?,
+            duration: from.varint()?,
+            connect_time: from.varint()?,
+            connection_idle: from.optional_varint()?,
         },
         tag::RESPONSE_STARTED => Event::ResponseStarted { id, attempt: AttemptNo(from.byte()?) },
-        tag::REQUEST_ENDED => Event::RequestEnded { id, outcome: at(&RequestOutcome::ALL, from.byte()?)? },
+        tag::REQUEST_ENDED => {
+            Event::RequestEnded { id, outcome: value_at(&RequestOutcome::ALL, from.byte()?)? }
+        }
         _ => return None,
     })
 }
@@ -192,22 +194,22 @@
     Some(match tag {
         tag::ENDPOINT_STATE_CHANGED => Event::EndpointStateChanged {
             endpoint: EndpointId(first),
-            state: at(&ENDPOINT_STATES, from.byte()?)?,
+            state: value_at(&ENDPOINT_STATES, from.byte()?)?,
         },
         tag::CAPACITY_ADVICE => {
-            Event::CapacityAdvice { endpoints_to_avoid: first, lease_grants: from.small()? }
+            Event::CapacityAdvice { endpoints_to_avoid: first, lease_grants: from.varint_as()? }
         }
         tag::REJECTED_BY_LISTENER => Event::RejectedByListener {
             class: u16::try_from(first).ok()?,
-            reason: at(&ListenerRejection::ALL, from.byte()?)?,
+            reason: value_at(&ListenerRejection::ALL, from.byte()?)?,
         },
         tag::RESOURCE_EXHAUSTED => {
-            Event::ResourceExhausted(at(&ExhaustedResource::ALL, u8::try_from(first).ok()?)?)
+            Event::ResourceExhausted(value_at(&ExhaustedResource::ALL, u8::try_from(first).ok()?)?)
         }
-        tag::NODE_SHARE_CHANGED => Event::NodeShareChanged { nodes: first, node_index: from.small()? },
+        tag::NODE_SHARE_CHANGED => Event::NodeShareChanged { nodes: first, node_index: from.varint_as()? },
         tag::MEMBER_STATE_CHANGED => Event::MemberStateChanged {
             to: u8::try_from(first).ok()?,
-            from: from.some()?.map(u8::try_from).transpose().ok()?,
+            from: from.optional_varint()?.map(u8::try_from).transpose().ok()?,
             name: read_name(from)?,
         },
         _ => return None,
--- a/crates/flight-recorder/src/event_ring.rs
+++ b/crates/flight-recorder/src/event_ring.rs
@@ -6,7 +6,7 @@
 use pumicehead_policy::Nanos;
 
 use crate::event::{Event, PoolId};
-use crate::wire_format::{Reader, put};
+use crate::wire_format::{Reader, put_varint};
 
 /// Size of a page in bytes; a page is overwritten as a whole.
 pub const PAGE_BYTES: usize = 4 << 10;
@@ -19,13 +19,13 @@
 #[derive(Debug)]
 pub struct EventRing {
     pages: VecDeque<Vec<u8>>,
-    most: usize,
+    max_pages: usize,
     /// Time of the newest record.
-    last: Nanos,
+    last_at: Nanos,
     /// Number of overwritten records.
-    wrapped: u64,
+    overwritten: u64,
     /// Number of records on each page.
-    counts: VecDeque<u32>,
+    record_counts: VecDeque<u32>,
 }
 
 /// A decoded record.
@@ -45,10 +45,10 @@
     pub fn new(memory: usize) -> Self {
         Self {
             pages: VecDeque::new(),
-            most: (memory / PAGE_BYTES).max(2),
-            last: 0,
-            wrapped: 0,
-            counts: VecDeque::new(),
+            max_pages: (memory / PAGE_BYTES).max(2),
+            last_at: 0,
+            overwritten: 0,
+            record_counts: VecDeque::new(),
         }
     }
 
@@ -58,30 +58,30 @@
             return;
         }
         // Three numbers of at most ten bytes precede the event.
-        let full = self.pages.back().is_none_or(|page| page.len() + event.len() + 30 > PAGE_BYTES);
-        if full {
+        let page_full = self.pages.back().is_none_or(|page| page.len() + event.len() + 30 > PAGE_BYTES);
+        if page_full {
             self.start_page(at);
         }
         let Some(page) = self.pages.back_mut() else { return };
-        append_record(page, &mut self.last, at, pool, event);
-        if let Some(count) = self.counts.back_mut() {
+        append_record(page, &mut self.last_at, at, pool, event);
+        if let Some(count) = self.record_counts.back_mut() {
             *count += 1;
         }
     }
 
     /// Starts a page, in place of the oldest one if the ring is full.
     fn start_page(&mut self, at: Nanos) {
-        let mut page = if self.pages.len() >= self.most {
-            self.wrapped += u64::from(self.counts.pop_front().unwrap_or_default());
+        let mut page = if self.pages.len() >= self.max_pages {
+            self.overwritten += u64::from(self.record_counts.pop_front().unwrap_or_default());
             self.pages.pop_front().unwrap_or_default()
         } else {
             Vec::with_capacity(PAGE_BYTES)
         };
         page.clear();
-        self.last = at / TIME_UNIT * TIME_UNIT;
-        page.extend_from_slice(&self.last.to_le_bytes());
+        self.last_at = at / TIME_UNIT * TIME_UNIT;
+        page.extend_from_slice(&self.last_at.to_le_bytes());
         self.pages.push_back(page);
-        self.counts.push_back(0);
+        self.record_counts.push_back(0);
     }
 
     /// Returns the pages, the oldest first.
@@ -92,7 +92,7 @@
     /// Returns the number of records that were overwritten.
     #[must_use]
     pub fn overwritten_events(&self) -> u64 {
-        self.wrapped
+        self.overwritten
     }
 
     /// Returns the allocated bytes.
@@ -103,12 +103,12 @@
 }
 
 /// Appends a record to a page whose last record, or whose start, is at `last`.
-pub fn append_record(page: &mut Vec<u8>, last: &mut Nanos, at: Nanos, pool: PoolId, event: &[u8]) {
-    let steps = at.saturating_sub(*last) / TIME_UNIT;
-    *last += steps * TIME_UNIT;
-    put(page, event.len() as u64);
-    put(page, steps);
-    put(page, u64::from(pool.0));
+pub fn append_record(page: &mut Vec<u8>, last_at: &mut Nanos, at: Nanos, pool: PoolId, event: &[u8]) {
+    let steps = at.saturating_sub(*last_at) / TIME_UNIT;
+    *last_at += steps * TIME_UNIT;
+    put_varint(page, event.len() as u64);
+    put_varint(page, steps);
+    put_varint(page, u64::from(pool.0));
     page.extend_from_slice(event);
 }
 
@@ -116,23 +116,23 @@
 #[must_use]
 pub fn decode_records(page: &[u8]) -> (Vec<Record>, bool) {
     let mut from = Reader(page);
-    let mut all = Vec::new();
+    let mut records = Vec::new();
     let Some(start) = from.take(8).and_then(|bytes| bytes.try_into().ok()) else {
-        return (all, page.is_empty());
+        return (records, page.is_empty());
     };
     let mut at = Nanos::from_le_bytes(start);
     while !from.is_empty() {
         let mut next = || {
-            let length = from.small::<usize>()?;
-            let (steps, pool) = (from.number()?, PoolId(from.small()?));
+            let length = from.varint_as::<usize>()?;
+            let (steps, pool) = (from.varint()?, PoolId(from.varint_as()?));
             Some((steps, pool, from.take(length)?))
         };
-        let Some((steps, pool, bytes)) = next() else { return (all, false) };
+        let Some((steps, pool, bytes)) = next() else { return (records, false) };
         at = at.saturating_add(steps.saturating_mul(TIME_UNIT));
         // Events of later versions are skipped.
         if let Some(event) = Event::decode(&mut Reader(bytes)) {
-            all.push(Record { at, pool, event });
+            records.push(Record { at, pool, event });
         }
     }
-    (all, true)
+    (records, true)
 }
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -7,7 +7,7 @@
 use crate::bounded_text::escape;
 use crate::event::{Event, RequestOutcome};
 use crate::event_ring::{Record, decode_records};
-use crate::exported_names::Exported;
+use crate::exported_names::ExportedDecision;
 use crate::loss_cause::outcome_text;
 use crate::recording::Recording;
 use crate::request_timeline::RequestTimeline;
@@ -15,7 +15,7 @@
 /// An attempt in both formats.
 struct Attempt {
     number: u8,
-    server: String,
+    endpoint_name: String,
     from: Nanos,
     to: Nanos,
     outcome: Option<AttemptOutcome>,
@@ -26,7 +26,7 @@
     events: Vec<Record>,
     from: Nanos,
     to: Nanos,
-    how: Option<RequestOutcome>,
+    outcome: Option<RequestOutcome>,
     attempts: Vec<Attempt>,
 }
 
@@ -34,33 +34,33 @@
     let (events, _) = decode_records(&timeline.encoded_events);
     let from = events.first().map_or(timeline.ended_at, |record| record.at);
     let mut to = timeline.ended_at.max(from);
-    let (mut how, mut attempts) = (None, Vec::<Attempt>::new());
+    let (mut outcome, mut attempts) = (None, Vec::<Attempt>::new());
     for record in &events {
         match &record.event {
             Event::AttemptStarted { attempt, endpoint, .. } => attempts.push(Attempt {
                 number: attempt.0,
-                server: recording.header.endpoint_name(timeline.pool, endpoint.0),
+                endpoint_name: recording.header.endpoint_name(timeline.pool, endpoint.0),
                 from: record.at,
                 to: timeline.ended_at.max(record.at),
                 outcome: None,
             }),
             Event::AttemptEnded { attempt, outcome, .. } => {
-                for one in attempts.iter_mut().filter(|one| one.number == attempt.0) {
-                    (one.to, one.outcome) = (record.at.max(one.from), Some(*outcome));
+                for started in attempts.iter_mut().filter(|started| started.number == attempt.0) {
+                    (started.to, started.outcome) = (record.at.max(started.from), Some(*outcome));
                 }
             }
             Event::RequestEnded { outcome: ended, .. } => {
-                how.get_or_insert(*ended);
+                outcome.get_or_insert(*ended);
                 to = record.at;
             }
             _ => {}
         }
     }
-    RequestSpan { events, from, to, how, attempts }
+    RequestSpan { events, from, to, outcome, attempts }
 }
 
 /// Returns a span id; the same recording always gives the same ids.
-fn id(timeline: &RequestTimeline, from: Nanos, part: u64) -> u64 {
+fn span_id(timeline: &RequestTimeline, from: Nanos, part: u64) -> u64 {
     pumicehead_policy::hash_ring::mix64(
         timeline.name.hash ^ from.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15),
     )
@@ -81,10 +81,10 @@
         attribute("service.version", &escape(&recording.header.program)),
     ] });
     for timeline in &recording.timelines {
-        let one = request_span(recording, timeline);
-        let trace = format!("{:016x}{:016x}", timeline.name.hash, id(timeline, one.from, u64::MAX));
-        let root = format!("{:016x}", id(timeline, one.from, 0));
-        let failed = !matches!(one.how, Some(RequestOutcome::Served) | None);
+        let span = request_span(recording, timeline);
+        let trace = format!("{:016x}{:016x}", timeline.name.hash, span_id(timeline, span.from, u64::MAX));
+        let root = format!("{:016x}", span_id(timeline, span.from, 0));
+        let failed = !matches!(span.outcome, Some(RequestOutcome::Served) | None);
         let mut attributes = vec![
             attribute("pumicehead.request", &timeline.name.display()),
             attribute("pumicehead.pool", &escape(recording.header.pool_name(timeline.pool))),
@@ -94,33 +94,33 @@
             ),
         ];
         attributes.extend(timeline.cause.map(|cause| attribute("pumicehead.lost", &cause.to_string())));
-        let notes: Vec<_> = one
+        let decisions: Vec<_> = span
             .events
             .iter()
             .filter_map(|record| match &record.event {
-                Event::Decision(note) => Some(json!({
+                Event::Decision(decision) => Some(json!({
                     "timeUnixNano": record.at.to_string(),
-                    "name": format!("{:?}", Exported(note)),
+                    "name": format!("{:?}", ExportedDecision(decision)),
                 })),
                 _ => None,
             })
             .collect();
         let mut spans = vec![json!({
             "traceId": trace, "spanId": root, "name": "request", "kind": 2,
-            "startTimeUnixNano": one.from.to_string(), "endTimeUnixNano": one.to.max(one.from).to_string(),
-            "attributes": attributes, "events": notes, "status": { "code": if failed { 2 } else { 0 } },
+            "startTimeUnixNano": span.from.to_string(), "endTimeUnixNano": span.to.max(span.from).to_string(),
+            "attributes": attributes, "events": decisions, "status": { "code": if failed { 2 } else { 0 } },
         })];
-        for attempt in &one.attempts {
-            let bad = attempt.outcome.is_some_and(|outcome| outcome != AttemptOutcome::Success);
+        for attempt in &span.attempts {
+            let failed = attempt.outcome.is_some_and(|outcome| outcome != AttemptOutcome::Success);
             spans.push(json!({
-                "traceId": trace, "spanId": format!("{:016x}", id(timeline, one.from, u64::from(attempt.number) + 1)),
+                "traceId": trace, "spanId": format!("{:016x}", span_id(timeline, span.from, u64::from(attempt.number) + 1)),
                 "parentSpanId": root, "name": "attempt", "kind": 3,
                 "startTimeUnixNano": attempt.from.to_string(), "endTimeUnixNano": attempt.to.to_string(),
                 "attributes": [
-                    attribute("server.address", &attempt.server),
+                    attribute("server.address", &attempt.endpoint_name),
                     attribute("pumicehead.outcome", attempt.outcome.map_or("still out", outcome_text)),
                 ],
-                "status": { "code": if bad { 2 } else { 0 } },
+                "status": { "code": if failed { 2 } else { 0 } },
             }));
         }
         let line = json!({ "resourceSpans": [{
@@ -142,26 +142,31 @@
         "args": { "name": format!("pumicehead {}", escape(&recording.header.node)) },
     })];
     for (row, timeline) in recording.timelines.iter().enumerate() {
-        let one = request_span(recording, timeline);
+        let span = request_span(recording, timeline);
         let tid = row + 1;
-        let span = |name: &str, from: Nanos, to: Nanos, args: Value| {
+        let complete_event = |name: &str, from: Nanos, to: Nanos, args: Value| {
             json!({
                 "ph": "X", "cat": "pumicehead", "name": name, "pid": 1, "tid": tid,
                 "ts": micros(from), "dur": to.saturating_sub(from) as f64 / 1e3, "args": args,
             })
         };
-        events.push(span(
+        events.push(complete_event(
             recording.header.class_name(timeline.pool, timeline.class),
-            one.from,
-            one.to,
+            span.from,
+            span.to,
             json!({
                 "request": timeline.name.display(),
                 "lost": timeline.cause.map(|cause| cause.to_string()),
             }),
         ));
-        for attempt in &one.attempts {
+        for attempt in &span.attempts {
             let outcome = attempt.outcome.map_or("still out", outcome_text);
-            events.push(span(&attempt.server, attempt.from, attempt.to, json!({ "outcome": outcome })));
+            events.push(complete_event(
+                &attempt.endpoint_name,
+                attempt.from,
+                attempt.to,
+                json!({ "outcome": outcome }),
+            ));
         }
     }
     json!({ "displayTimeUnit": "ms", "traceEvents": events }).to_string()
--- a/crates/flight-recorder/src/exported_names.rs
+++ b/crates/flight-recorder/src/exported_names.rs
@@ -10,53 +10,53 @@
 };
 
 /// Formats a decision event under its exported names.
-pub(crate) struct Exported<'a>(pub &'a DecisionEvent);
+pub(crate) struct ExportedDecision<'a>(pub &'a DecisionEvent);
 
 /// An id of an endpoint under its exported name.
-struct ExportedServer(EndpointId);
+struct ExportedEndpointId(EndpointId);
 
 /// Counts of exclusions under their exported name.
-struct ExportedHurdles(ExclusionReasons);
+struct ExportedExclusions(ExclusionReasons);
 
 /// A name that is written without quotes.
-struct Bare(&'static str);
+struct Unquoted(&'static str);
 
 /// The reason of a final answer under its exported name.
-struct ExportedRule(RejectionReason);
+struct ExportedRejection(RejectionReason);
 
-impl Debug for Bare {
+impl Debug for Unquoted {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         out.write_str(self.0)
     }
 }
 
-impl Debug for ExportedServer {
+impl Debug for ExportedEndpointId {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         out.debug_tuple("ServerId").field(&self.0.0).finish()
     }
 }
 
-impl Debug for ExportedHurdles {
+impl Debug for ExportedExclusions {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         out.debug_tuple("Hurdles").field(&self.0.0).finish()
     }
 }
 
-impl Debug for ExportedRule {
+impl Debug for ExportedRejection {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         match self.0 {
             RejectionReason::ExpectedWaitTooLong => out.write_str("WaitShare"),
             RejectionReason::QueueTimeout => out.write_str("NearlyOut"),
             RejectionReason::KeyOrderTimeout => out.write_str("NoTurn"),
-            RejectionReason::NoRetry(stop) => {
-                out.debug_tuple("NoRetry").field(&Bare(stop_name(stop))).finish()
+            RejectionReason::NoRetry(reason) => {
+                out.debug_tuple("NoRetry").field(&Unquoted(no_retry_name(reason))).finish()
             }
         }
     }
 }
 
-fn stop_name(stop: NoRetryReason) -> &'static str {
-    match stop {
+fn no_retry_name(reason: NoRetryReason) -> &'static str {
+    match reason {
         NoRetryReason::AttemptsExhausted => "Attempts",
         NoRetryReason::NotIdempotent => "Effect",
         NoRetryReason::NoTimeLeft => "Time",
@@ -64,14 +64,14 @@
     }
 }
 
-fn moved_name(why: LimitChangeReason) -> &'static str {
-    match why {
+fn limit_change_name(reason: LimitChangeReason) -> &'static str {
+    match reason {
         LimitChangeReason::ComparedLatency => "Compared",
         LimitChangeReason::Failure => "Failure",
     }
 }
 
-impl Debug for Exported<'_> {
+impl Debug for ExportedDecision<'_> {
     fn fmt(&self, out: &mut Formatter<'_>) -> fmt::Result {
         match self.0 {
             DecisionEvent::Classified { .. }
@@ -107,33 +107,26 @@
         DecisionEvent::Queued { id, queued } => {
             out.debug_struct("Held").field("id", id).field("held", queued).finish()
         }
-        DecisionEvent::EndpointSelected {
-            id,
-            endpoint,
-            score,
-            runner_up,
-            in_flight: used,
-            limit,
-            exclusions,
-        } => out
-            .debug_struct("Picked")
-            .field("id", id)
-            .field("server", &ExportedServer(*endpoint))
-            .field("score", score)
-            .field("next", &runner_up.map(|(server, score)| (ExportedServer(server), score)))
-            .field("out", used)
-            .field("limit", limit)
-            .field("hurdles", &ExportedHurdles(*exclusions))
-            .finish(),
+        DecisionEvent::EndpointSelected { id, endpoint, score, runner_up, in_flight, limit, exclusions } => {
+            out.debug_struct("Picked")
+                .field("id", id)
+                .field("server", &ExportedEndpointId(*endpoint))
+                .field("score", score)
+                .field("next", &runner_up.map(|(endpoint, score)| (ExportedEndpointId(endpoint), score)))
+                .field("out", in_flight)
+                .field("limit", limit)
+                .field("hurdles", &ExportedExclusions(*exclusions))
+                .finish()
+        }
         DecisionEvent::NoEndpointAvailable { id, exclusions } => out
             .debug_struct("NoneFits")
             .field("id", id)
-            .field("hurdles", &ExportedHurdles(*exclusions))
+            .field("hurdles", &ExportedExclusions(*exclusions))
             .finish(),
         DecisionEvent::AnsweredWithoutEndpoint { id, reason, wait_share } => out
             .debug_struct("Over")
             .field("id", id)
-            .field("rule", &ExportedRule(*reason))
+            .field("rule", &ExportedRejection(*reason))
             .field("pressure", wait_share)
             .finish(),
         _ => Ok(()),
@@ -145,21 +138,21 @@
     match event {
         DecisionEvent::LimitChanged { endpoint, from, to, reason } => out
             .debug_struct("Limit")
-            .field("server", &ExportedServer(*endpoint))
+            .field("server", &ExportedEndpointId(*endpoint))
             .field("from", from)
             .field("to", to)
-            .field("why", &Bare(moved_name(*reason)))
+            .field("why", &Unquoted(limit_change_name(*reason)))
             .finish(),
         DecisionEvent::AllLimitsChanged { factor, utilization } => {
             out.debug_struct("Limits").field("factor", factor).field("load", utilization).finish()
         }
         DecisionEvent::Ejected { endpoint, duration } => out
             .debug_struct("Aside")
-            .field("server", &ExportedServer(*endpoint))
+            .field("server", &ExportedEndpointId(*endpoint))
             .field("span", duration)
             .finish(),
         DecisionEvent::Reinstated { endpoint } => {
-            out.debug_struct("Back").field("server", &ExportedServer(*endpoint)).finish()
+            out.debug_struct("Back").field("server", &ExportedEndpointId(*endpoint)).finish()
         }
         DecisionEvent::OutlierRatio { outliers, total, panic_mode } => out
             .debug_struct("Doubt")
--- a/crates/flight-recorder/src/findings/attribution.rs
+++ b/crates/flight-recorder/src/findings/attribution.rs
@@ -6,7 +6,7 @@
 
 use super::pool_stats::PoolStats;
 use super::{Finding, Subject, Symptom};
-use crate::code_tables::outcome_at;
+use crate::code_tables::outcome_from_code;
 use crate::event::PoolId;
 use crate::loss_cause::{LossCause, MicroWeight, RequestPhase};
 use crate::loss_ledger::{EndpointKey, LossKey, LossLedger, NO_ENDPOINT, Row};
@@ -21,7 +21,7 @@
     /// Times that the node ran out of descriptors: for downstream and for upstream connections.
     pub(super) resource_exhaustions: [u64; 2],
     pub(super) pools: BTreeMap<PoolId, PoolStats>,
-    found: BTreeMap<(Subject, Symptom), Cost>,
+    costs: BTreeMap<(Subject, Symptom), Cost>,
 }
 
 #[derive(Clone, Copy, Default)]
@@ -48,7 +48,7 @@
         for (_, key, row) in ledger.traffic.rows_between(from, to) {
             pools.entry(key.pool).or_default().classes.entry(key.class).or_default().add(row);
         }
-        Self { header, resource_exhaustions: ledger.resource_exhaustions, pools, found: BTreeMap::new() }
+        Self { header, resource_exhaustions: ledger.resource_exhaustions, pools, costs: BTreeMap::new() }
     }
 
     /// Returns the findings, the most expensive first.
@@ -60,13 +60,13 @@
             requests: cost.requests,
             text: self.describe(subject, symptom),
         };
-        let mut findings: Vec<_> = self.found.iter().map(finding).collect();
+        let mut findings: Vec<_> = self.costs.iter().map(finding).collect();
         findings.sort_by_key(|one| std::cmp::Reverse((one.lost, one.requests)));
         findings
     }
 
     fn add(&mut self, subject: Subject, symptom: Symptom, lost: MicroWeight, requests: u64) {
-        let cost = self.found.entry((subject, symptom)).or_default();
+        let cost = self.costs.entry((subject, symptom)).or_default();
         cost.lost = cost.lost.saturating_add(lost);
         cost.requests = cost.requests.saturating_add(requests);
     }
@@ -106,7 +106,7 @@
 
     /// Whether an attempt with this outcome was not sent since the node had run out of descriptors.
     fn lacked_descriptor(&self, outcome_code: u8) -> bool {
-        outcome_at(usize::from(outcome_code)) == Some(AttemptOutcome::NotSent)
+        outcome_from_code(usize::from(outcome_code)) == Some(AttemptOutcome::NotSent)
             && self.resource_exhaustions[1] > 0
     }
 
@@ -130,7 +130,7 @@
         if let Some(symptom) = self.endpoint_symptom(key) {
             return (Subject::Endpoint(key.pool, key.endpoint), symptom);
         }
-        let symptom = match outcome_at(usize::from(outcome_code)) {
+        let symptom = match outcome_from_code(usize::from(outcome_code)) {
             Some(AttemptOutcome::Rejected) => Symptom::Overloaded,
             Some(AttemptOutcome::TimedOut) => Symptom::Unresponsive,
             Some(AttemptOutcome::Reset) => Symptom::ConnectionResets,
@@ -185,7 +185,7 @@
             stats.endpoints.iter().filter_map(waste).filter(|waste| waste.wasted_us > 0).collect();
         let wasted: u64 = wastes.iter().map(|waste| waste.wasted_us).sum();
         let used: u64 =
-            stats.endpoints.values().map(|row| row.answered_us.saturating_add(row.unanswered_us)).sum();
+            stats.endpoints.values().map(|row| row.successful_us.saturating_add(row.unsuccessful_us)).sum();
         if (wasted as f64) < MIN_WASTED_SHARE * used as f64 { Vec::new() } else { wastes }
     }
 
--- a/crates/flight-recorder/src/findings/mod.rs
+++ b/crates/flight-recorder/src/findings/mod.rs
@@ -86,7 +86,7 @@
 /// Returns the findings of a time range, the most expensive first.
 #[must_use]
 pub fn find(header: &RecordingHeader, ledger: &LossLedger, from: Nanos, to: Nanos) -> Vec<Finding> {
-    let (from, to) = ledger.aligned(from, to);
+    let (from, to) = ledger.align_to_slots(from, to);
     let mut attribution = Attribution::new(header, ledger, from, to);
     for (_, key, loss) in ledger.losses.rows_between(from, to) {
         attribution.attribute(key, loss.lost, loss.requests);
--- a/crates/flight-recorder/src/findings/pool_stats.rs
+++ b/crates/flight-recorder/src/findings/pool_stats.rs
@@ -5,7 +5,7 @@
 use pumicehead_policy::{AttemptOutcome, Nanos};
 
 use super::Symptom;
-use crate::code_tables::outcome_index;
+use crate::code_tables::outcome_code;
 use crate::loss_ledger::{EndpointTotals, TrafficTotals};
 
 /// An endpoint is an outlier if its share of an outcome exceeds this multiple of the others' share.
@@ -13,19 +13,19 @@
 /// Margin by which an outlier's share exceeds that multiple.
 const OUTLIER_MARGIN: f64 = 0.02;
 /// Greatest probability that an outlier's count occurs by chance.
-const MAX_CHANCE: f64 = 1e-3;
+const MAX_CHANCE_PROBABILITY: f64 = 1e-3;
 /// Failure share of other endpoints that the probability assumes at least.
 const MIN_FAILURE_SHARE: f64 = 0.01;
 /// Fewest responses for a mean.
-const MIN_ANSWERS: u64 = 3;
+const MIN_RESPONSES: u64 = 3;
 /// Latency ratio to other endpoints from which an endpoint is slow.
 const SLOW_RATIO: f64 = 1.5;
 /// Success share above which an endpoint is not unresponsive.
-const MOSTLY_ANSWERED: f64 = 0.5;
+const MIN_RESPONSIVE_SUCCESS_SHARE: f64 = 0.5;
 /// Success share below which a class is starved of responses.
-const STARVED_ANSWER_SHARE: f64 = 0.2;
+const MAX_STARVED_SUCCESS_SHARE: f64 = 0.2;
 /// Success share of other classes from which endpoints are healthy.
-const HEALTHY_ANSWER_SHARE: f64 = 0.8;
+const MIN_HEALTHY_SUCCESS_SHARE: f64 = 0.8;
 
 /// Totals of one pool over the time range.
 #[derive(Default)]
@@ -35,7 +35,7 @@
 }
 
 /// Shares of attempts with certain outcomes, from 0 to 1.
-pub(super) struct FailureShares {
+pub(super) struct OutcomeShares {
     /// At the endpoint.
     pub(super) own: f64,
     /// At all other endpoints of the pool.
@@ -46,40 +46,42 @@
 
 impl PoolStats {
     /// Returns the share of attempts that ended with one of the outcomes, at an endpoint and at all others.
-    pub(super) fn shares(&self, endpoint: u32, outcomes: &[AttemptOutcome]) -> FailureShares {
+    pub(super) fn outcome_shares(&self, endpoint: u32, outcomes: &[AttemptOutcome]) -> OutcomeShares {
         let count = |row: &EndpointTotals| {
-            outcomes.iter().map(|outcome| row.attempts_by_outcome[outcome_index(*outcome)]).sum::<u64>()
+            outcomes.iter().map(|outcome| row.attempts_by_outcome[outcome_code(*outcome)]).sum::<u64>()
         };
         let (mut own, mut others) = ((0, 0), (0, 0));
         for (id, row) in &self.endpoints {
             let sum = if *id == endpoint { &mut own } else { &mut others };
             *sum = (sum.0 + count(row), sum.1 + row.attempts());
         }
-        let share = |(bad, all): (u64, u64)| bad as f64 / (all as f64).max(1.0);
-        FailureShares { own: share(own), others: share(others), own_count: own.0 }
+        let share = |(matching, all): (u64, u64)| matching as f64 / (all as f64).max(1.0);
+        OutcomeShares { own: share(own), others: share(others), own_count: own.0 }
     }
 
     /// Whether an endpoint has these outcomes significantly more often than the others.
     fn is_outlier(&self, endpoint: u32, outcomes: &[AttemptOutcome]) -> bool {
-        let FailureShares { own, others, own_count: count } = self.shares(endpoint, outcomes);
+        let OutcomeShares { own, others, own_count: count } = self.outcome_shares(endpoint, outcomes);
         let attempts = self.endpoints.get(&endpoint).map_or(0, EndpointTotals::attempts);
         // Chernoff bound on the probability of a binomial count of k or more: (e n p / k)^k.
         let expected = attempts as f64 * others.max(MIN_FAILURE_SHARE);
-        let chance = (std::f64::consts::E * expected / count.max(1) as f64).powf(count as f64);
-        count > 0 && own > OUTLIER_RATIO * others + OUTLIER_MARGIN && chance < MAX_CHANCE
+        let chance_probability = (std::f64::consts::E * expected / count.max(1) as f64).powf(count as f64);
+        count > 0
+            && own > OUTLIER_RATIO * others + OUTLIER_MARGIN
+            && chance_probability < MAX_CHANCE_PROBABILITY
     }
 
     /// Returns the ratio of an endpoint's latency to the median of the others.
     pub(super) fn latency_ratio(&self, endpoint: u32) -> f64 {
-        let answered = |row: &EndpointTotals| row.attempts_by_outcome[outcome_index(AttemptOutcome::Success)];
-        let Some(row) = self.endpoints.get(&endpoint).filter(|row| answered(row) >= MIN_ANSWERS) else {
+        let successes = |row: &EndpointTotals| row.attempts_by_outcome[outcome_code(AttemptOutcome::Success)];
+        let Some(row) = self.endpoints.get(&endpoint).filter(|row| successes(row) >= MIN_RESPONSES) else {
             return 1.0;
         };
-        let mean = |row: &EndpointTotals| row.relative_latency_permille as f64 / answered(row).max(1) as f64;
+        let mean = |row: &EndpointTotals| row.relative_latency_permille as f64 / successes(row).max(1) as f64;
         let mut others: Vec<_> = self
             .endpoints
             .iter()
-            .filter(|(id, row)| **id != endpoint && answered(row) > 0)
+            .filter(|(id, row)| **id != endpoint && successes(row) > 0)
             .map(|(_, row)| mean(row))
             .collect();
         others.sort_by(f64::total_cmp);
@@ -97,17 +99,19 @@
             (&[AttemptOutcome::Rejected], Symptom::RejectsRequests),
         ];
         let own = outcomes.into_iter().filter(|(outcomes, _)| self.is_outlier(endpoint, outcomes));
-        let gravest = own.max_by(|(one, _), (other, _)| {
+        let worst = own.max_by(|(one, _), (other, _)| {
             let excess = |outcomes| {
-                let shares = self.shares(endpoint, outcomes);
+                let shares = self.outcome_shares(endpoint, outcomes);
                 shares.own - shares.others
             };
             excess(one).total_cmp(&excess(other))
         });
         let slow = self.latency_ratio(endpoint) >= SLOW_RATIO;
-        match gravest.map(|(_, symptom)| symptom) {
+        match worst.map(|(_, symptom)| symptom) {
             // Cancelled for being late while it still answers most attempts: slow, not unresponsive.
-            Some(Symptom::Unresponsive) if slow && self.answered_share(endpoint) > MOSTLY_ANSWERED => {
+            Some(Symptom::Unresponsive)
+                if slow && self.success_share(endpoint) > MIN_RESPONSIVE_SUCCESS_SHARE =>
+            {
                 Some(Symptom::SlowResponses)
             }
             None if slow => Some(Symptom::SlowResponses),
@@ -116,8 +120,8 @@
     }
 
     /// Returns the share of an endpoint's attempts that succeeded.
-    fn answered_share(&self, endpoint: u32) -> f64 {
-        self.shares(endpoint, &[AttemptOutcome::Success]).own
+    fn success_share(&self, endpoint: u32) -> f64 {
+        self.outcome_shares(endpoint, &[AttemptOutcome::Success]).own
     }
 
     /// Returns the microseconds of concurrency that a faulty endpoint used without benefit.
@@ -126,34 +130,35 @@
             return 0;
         }
         let slow = self.latency_ratio(endpoint);
-        let extra = if slow >= SLOW_RATIO { row.answered_us as f64 * (1.0 - 1.0 / slow) } else { 0.0 };
-        row.unanswered_us.saturating_add(extra as u64)
+        let extra = if slow >= SLOW_RATIO { row.successful_us as f64 * (1.0 - 1.0 / slow) } else { 0.0 };
+        row.unsuccessful_us.saturating_add(extra as u64)
     }
 
     /// Whether a class's objective or deadline is too short for its responses, while other classes are answered.
     pub(super) fn objective_too_short(&self, class: u16, latency_objective: Nanos, deadline: Nanos) -> bool {
-        let Some(flow) = self.classes.get(&class) else { return false };
+        let Some(traffic) = self.classes.get(&class) else { return false };
         // What is earned depends on the objective, whatever the deadline.
-        if flow.answered_attempts >= MIN_ANSWERS
-            && flow.fastest_us_plus_one.saturating_sub(1).saturating_mul(1_000) > latency_objective
+        if traffic.successful_attempts >= MIN_RESPONSES
+            && traffic.min_successful_us_plus_one.saturating_sub(1).saturating_mul(1_000) > latency_objective
         {
             return true;
         }
-        let all = flow.answered_attempts + flow.unanswered_attempts;
+        let all = traffic.successful_attempts + traffic.unsuccessful_attempts;
         let others = self.classes.iter().filter(|(other, _)| **other != class);
-        let (answered, tried, took) = others.fold((0, 0, 0), |(a, t, s), (_, other)| {
+        let (successes, attempts, took) = others.fold((0, 0, 0), |(a, t, s), (_, other)| {
             (
-                a + other.answered_attempts,
-                t + other.answered_attempts + other.unanswered_attempts,
-                s + other.answered_us,
+                a + other.successful_attempts,
+                t + other.successful_attempts + other.unsuccessful_attempts,
+                s + other.successful_us,
             )
         });
-        let starved =
-            all >= MIN_ANSWERS && (flow.answered_attempts as f64) < STARVED_ANSWER_SHARE * all as f64;
-        let others_healthy = tried >= MIN_ANSWERS && answered as f64 >= HEALTHY_ANSWER_SHARE * tried as f64;
+        let starved = all >= MIN_RESPONSES
+            && (traffic.successful_attempts as f64) < MAX_STARVED_SUCCESS_SHARE * all as f64;
+        let others_healthy =
+            attempts >= MIN_RESPONSES && successes as f64 >= MIN_HEALTHY_SUCCESS_SHARE * attempts as f64;
         // The mean latency of other classes is more than this class allows.
         starved
             && others_healthy
-            && took.saturating_mul(1_000) / answered.max(1) > deadline.min(latency_objective) / 2
+            && took.saturating_mul(1_000) / successes.max(1) > deadline.min(latency_objective) / 2
     }
 }
--- a/crates/flight-recorder/src/findings/text.rs
+++ b/crates/flight-recorder/src/findings/text.rs
@@ -17,11 +17,11 @@
             Subject::Endpoint(pool, endpoint) => self.describe_endpoint(pool, endpoint, symptom),
             Subject::Class(pool, class) => self.describe_class(pool, class, symptom),
             Subject::Pool(pool) => {
-                format!("pool {}: {}", self.header.pool_name(pool), symptom.text_of_many())
+                format!("pool {}: {}", self.header.pool_name(pool), symptom.pool_text())
             }
             Subject::Node => self.describe_node(symptom),
             Subject::Clients(pool) => {
-                format!("clients of {}: {}", self.header.pool_name(pool), symptom.text_of_many())
+                format!("clients of {}: {}", self.header.pool_name(pool), symptom.pool_text())
             }
         }
     }
@@ -39,7 +39,7 @@
         let stats = self.pools.get(&pool)?;
         let percent = |share: f64| format!("{:.1}%", 100.0 * share);
         let shares = |outcomes: &[AttemptOutcome]| {
-            let shares = stats.shares(endpoint, outcomes);
+            let shares = stats.outcome_shares(endpoint, outcomes);
             format!("{} of its attempts, {} at the others", percent(shares.own), percent(shares.others))
         };
         Some(match symptom {
@@ -62,7 +62,7 @@
         let (objective, deadline) =
             header.map_or((0, 0), |class| (class.latency_objective_ns, class.deadline_ns));
         let fastest =
-            traffic.map_or(0, |row| row.fastest_us_plus_one.saturating_sub(1).saturating_mul(1_000));
+            traffic.map_or(0, |row| row.min_successful_us_plus_one.saturating_sub(1).saturating_mul(1_000));
         let fastest = if fastest > 0 {
             format!("the fastest took {}", format_duration(fastest))
         } else {
@@ -91,7 +91,7 @@
 
 impl Symptom {
     /// Returns the words for a whole pool or its clients.
-    fn text_of_many(self) -> &'static str {
+    fn pool_text(self) -> &'static str {
         match self {
             Self::Unresponsive => outcome_text(AttemptOutcome::TimedOut),
             Self::ConnectionResets => "connections to all servers break alike",
@@ -119,7 +119,7 @@
             Self::ObjectiveTooShort => "states a time in which its answers can't come",
             Self::DescriptorsExhausted => "has too few descriptors",
             Self::RequestLimitReached => "holds as many requests as it may",
-            other => other.text_of_many(),
+            other => other.pool_text(),
         })
     }
 }
--- a/crates/flight-recorder/src/html_report.rs
+++ b/crates/flight-recorder/src/html_report.rs
@@ -17,14 +17,14 @@
 const MAX_ENDPOINTS: usize = 12;
 /// Number of timelines in the report.
 const MAX_TIMELINES: usize = 10;
-const SIZE: (u32, u32) = (1_000, 260);
+const CHART_SIZE: (u32, u32) = (1_000, 260);
 
 /// Why a chart can't be drawn.
 type ChartError = Box<dyn std::error::Error>;
 
 type Points = Vec<(f64, f64)>;
 /// Attempts of an endpoint in one slot; times in seconds since the start.
-struct Span {
+struct EndpointSlot {
     from: f64,
     to: f64,
     failed_share: f64,
@@ -35,18 +35,19 @@
     at.saturating_sub(start) as f64 / SECOND as f64
 }
 
-fn lines(title: &str, unit: &str, series: &[(String, Points)], end: f64) -> Result<String, ChartError> {
+fn line_chart(title: &str, unit: &str, series: &[(String, Points)], end: f64) -> Result<String, ChartError> {
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, CHART_SIZE).into_drawing_area();
         area.fill(&WHITE)?;
-        let most = series.iter().flat_map(|(_, points)| points).fold(0.0, |most: f64, (_, y)| most.max(*y));
+        let max_y =
+            series.iter().flat_map(|(_, points)| points).fold(0.0, |max_y: f64, (_, y)| max_y.max(*y));
         let mut chart = ChartBuilder::on(&area)
             .caption(title, ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(32)
             .y_label_area_size(56)
-            .build_cartesian_2d(0.0..end.max(1.0), 0.0..(most * 1.05).max(1.0))?;
+            .build_cartesian_2d(0.0..end.max(1.0), 0.0..(max_y * 1.05).max(1.0))?;
         chart
             .configure_mesh()
             .x_desc("seconds since the start")
@@ -71,11 +72,11 @@
 }
 
 /// Draws a row per endpoint, darker with more failed attempts, with a line below it while it was ejected.
-fn bands(rows: &[(String, Vec<Span>)], end: f64) -> Result<String, ChartError> {
+fn endpoint_chart(rows: &[(String, Vec<EndpointSlot>)], end: f64) -> Result<String, ChartError> {
     let mut svg = String::new();
     {
         let height = 48 + 22 * rows.len() as u32;
-        let area = SVGBackend::with_string(&mut svg, (SIZE.0, height)).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, (CHART_SIZE.0, height)).into_drawing_area();
         area.fill(&WHITE)?;
         let count = rows.len() as f64;
         let mut chart = ChartBuilder::on(&area)
@@ -86,14 +87,14 @@
         let name =
             |y: &f64| rows.get((*y - 0.5).round() as usize).map_or(String::new(), |(name, _)| name.clone());
         chart.configure_mesh().disable_mesh().y_labels(0).y_label_formatter(&name).draw()?;
-        for (row, (name, spans)) in rows.iter().enumerate() {
+        for (row, (name, slots)) in rows.iter().enumerate() {
             let low = row as f64;
             let area = chart.plotting_area();
             area.draw(&Text::new(name.clone(), (0.0, low + 0.9), ("sans-serif", 11)))?;
-            for &Span { from, to, failed_share, ejected } in spans {
-                let shade = RED.mix(0.1 + 0.9 * failed_share.clamp(0.0, 1.0));
-                let shade = if failed_share > 0.0 { shade } else { GREEN.mix(0.25) };
-                area.draw(&Rectangle::new([(from, low + 0.25), (to, low + 0.75)], shade.filled()))?;
+            for &EndpointSlot { from, to, failed_share, ejected } in slots {
+                let fill = RED.mix(0.1 + 0.9 * failed_share.clamp(0.0, 1.0));
+                let fill = if failed_share > 0.0 { fill } else { GREEN.mix(0.25) };
+                area.draw(&Rectangle::new([(from, low + 0.25), (to, low + 0.75)], fill.filled()))?;
                 if ejected > 0.0 {
                     area.draw(&Rectangle::new(
                         [(from, low + 0.08), (from + ejected, low + 0.2)],
@@ -107,7 +108,7 @@
     Ok(svg)
 }
 
-fn busiest(ledger: &LossLedger) -> Vec<(PoolId, u32)> {
+fn busiest_endpoints(ledger: &LossLedger) -> Vec<(PoolId, u32)> {
     let mut sums: BTreeMap<(PoolId, u32), u64> = BTreeMap::new();
     for (_, key, row) in
         ledger.endpoints.rows_between(0, Nanos::MAX).filter(|(_, key, _)| key.endpoint != NO_ENDPOINT)
@@ -124,39 +125,39 @@
     let end = seconds(recording.header.at, start);
     let width = ledger.traffic.width() as f64 / SECOND as f64;
     let mut weights: BTreeMap<Nanos, (f64, f64)> = BTreeMap::new();
-    for (at, _, flow) in ledger.traffic.rows_between(0, Nanos::MAX) {
+    for (at, _, traffic) in ledger.traffic.rows_between(0, Nanos::MAX) {
         let sum = weights.entry(at).or_default();
-        *sum = (sum.0 + flow.offered as f64 / 1e6, sum.1 + flow.earned as f64 / 1e6);
+        *sum = (sum.0 + traffic.offered as f64 / 1e6, sum.1 + traffic.earned as f64 / 1e6);
     }
     let line = |of: fn(&(f64, f64)) -> f64| -> Points {
         weights.iter().map(|(at, sums)| (seconds(*at, start), of(sums) / width)).collect()
     };
     let both = [("asked".to_owned(), line(|sums| sums.0)), ("earned".to_owned(), line(|sums| sums.1))];
-    let mut out = lines("Worth a second", "worth", &both, end)?;
+    let mut out = line_chart("Worth a second", "worth", &both, end)?;
     let (mut limits, mut rows) = (Vec::new(), Vec::new());
     let width = ledger.endpoints.width() as f64 / SECOND as f64;
-    for (pool, id) in busiest(ledger) {
+    for (pool, id) in busiest_endpoints(ledger) {
         let name = recording.header.endpoint_name(pool, id);
-        let of = || {
+        let slots = || {
             let own = move |key: &crate::loss_ledger::EndpointKey| (key.pool, key.endpoint) == (pool, id);
             ledger.endpoints.rows_between(0, Nanos::MAX).filter(move |(_, key, _)| own(key))
         };
-        let points = of().filter(|(_, _, row)| row.concurrency_limit > 0.0);
+        let points = slots().filter(|(_, _, row)| row.concurrency_limit > 0.0);
         limits.push((
             name.clone(),
             points.map(|(at, _, row)| (seconds(at, start), f64::from(row.concurrency_limit))).collect(),
         ));
-        let spans = of().map(|(at, _, row)| {
+        let slots = slots().map(|(at, _, row)| {
             let from = seconds(at, start);
             let failed_share = 1.0 - row.attempts_by_outcome[0] as f64 / row.attempts().max(1) as f64;
             let failed_share = if row.attempts() == 0 { 0.0 } else { failed_share };
-            Span { from, to: from + width, failed_share, ejected: row.ejected_us as f64 / 1e6 }
+            EndpointSlot { from, to: from + width, failed_share, ejected: row.ejected_us as f64 / 1e6 }
         });
-        rows.push((name, spans.collect()));
+        rows.push((name, slots.collect()));
     }
-    out += &lines("Limits of the busiest servers", "places", &limits, end)?;
+    out += &line_chart("Limits of the busiest servers", "places", &limits, end)?;
     out += "<p>Servers: green answered, red in part not; black below: set aside.</p>";
-    out += &bands(&rows, end)?;
+    out += &endpoint_chart(&rows, end)?;
     Ok(out)
 }
 
@@ -186,16 +187,16 @@
         out += &charts(recording, ledger)
             .unwrap_or_else(|error| format!("<p>No picture: {}</p>", escape_html(&error.to_string())));
         let breakdown = Breakdown::of_ledger(&recording.header, ledger, 0, Nanos::MAX);
-        out += &format!("<h2>What was lost</h2><pre>{}</pre>", lines_of(&breakdown.to_string()));
+        out += &format!("<h2>What was lost</h2><pre>{}</pre>", escape_lines(&breakdown.to_string()));
     }
     out += "<h2>Some requests</h2>";
     for one in recording.timelines.iter().filter(|timeline| timeline.cause.is_some()).take(MAX_TIMELINES) {
-        out += &format!("<pre>{}</pre>", lines_of(&timeline_text::render(&recording.header, one)));
+        out += &format!("<pre>{}</pre>", escape_lines(&timeline_text::render(&recording.header, one)));
     }
     out + "</html>\n"
 }
 
 /// Escapes text of several lines.
-fn lines_of(text: &str) -> String {
+fn escape_lines(text: &str) -> String {
     text.lines().map(escape_html).collect::<Vec<_>>().join("\n")
 }
--- a/crates/flight-recorder/src/ledger_rows.rs
+++ b/crates/flight-recorder/src/ledger_rows.rs
@@ -3,7 +3,7 @@
 use crate::event::PoolId;
 use crate::loss_cause::MicroWeight;
 use crate::slot_table::{Key, Row};
-use crate::wire_format::{Reader, put, put_f32};
+use crate::wire_format::{Reader, put_f32, put_varint};
 
 /// Key of losses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -26,18 +26,18 @@
         Self { pool: PoolId(u16::MAX), class: u16::MAX, cause: u8::MAX, endpoint: NO_ENDPOINT };
 
     fn write(&self, out: &mut Vec<u8>) {
-        put(out, u64::from(self.pool.0));
-        put(out, u64::from(self.class));
+        put_varint(out, u64::from(self.pool.0));
+        put_varint(out, u64::from(self.class));
         out.push(self.cause);
-        put(out, u64::from(self.endpoint));
+        put_varint(out, u64::from(self.endpoint));
     }
 
     fn read(from: &mut Reader<'_>) -> Option<Self> {
         Some(Self {
-            pool: PoolId(from.small()?),
-            class: from.small()?,
+            pool: PoolId(from.varint_as()?),
+            class: from.varint_as()?,
             cause: from.byte()?,
-            endpoint: from.small()?,
+            endpoint: from.varint_as()?,
         })
     }
 }
@@ -58,12 +58,12 @@
     }
 
     fn write(&self, out: &mut Vec<u8>) {
-        put(out, self.requests);
-        put(out, self.lost);
+        put_varint(out, self.requests);
+        put_varint(out, self.lost);
     }
 
     fn read(from: &mut Reader<'_>) -> Option<Self> {
-        Some(Self { requests: from.number()?, lost: from.number()? })
+        Some(Self { requests: from.varint()?, lost: from.varint()? })
     }
 }
 
@@ -80,12 +80,12 @@
     const OTHER: Self = Self { pool: PoolId(u16::MAX), class: u16::MAX };
 
     fn write(&self, out: &mut Vec<u8>) {
-        put(out, u64::from(self.pool.0));
-        put(out, u64::from(self.class));
+        put_varint(out, u64::from(self.pool.0));
+        put_varint(out, u64::from(self.class));
     }
 
     fn read(from: &mut Reader<'_>) -> Option<Self> {
-        Some(Self { pool: PoolId(from.small()?), class: from.small()? })
+        Some(Self { pool: PoolId(from.varint_as()?), class: from.varint_as()? })
     }
 }
 
@@ -99,15 +99,15 @@
     /// Weight that was earned.
     pub earned: MicroWeight,
     /// Number of successful attempts.
-    pub answered_attempts: u64,
+    pub successful_attempts: u64,
     /// Number of other attempts.
-    pub unanswered_attempts: u64,
+    pub unsuccessful_attempts: u64,
     /// Duration of successful attempts, in microseconds.
-    pub answered_us: u64,
+    pub successful_us: u64,
     /// Shortest of these durations plus one; 0 if there is none.
-    pub fastest_us_plus_one: u64,
+    pub min_successful_us_plus_one: u64,
     /// Unused; part of the file format.
-    pub waited: u64,
+    pub reserved: u64,
 }
 
 impl Row for TrafficTotals {
@@ -115,14 +115,15 @@
         self.requests = self.requests.saturating_add(other.requests);
         self.offered = self.offered.saturating_add(other.offered);
         self.earned = self.earned.saturating_add(other.earned);
-        self.answered_attempts = self.answered_attempts.saturating_add(other.answered_attempts);
-        self.unanswered_attempts = self.unanswered_attempts.saturating_add(other.unanswered_attempts);
-        self.answered_us = self.answered_us.saturating_add(other.answered_us);
-        self.waited = self.waited.saturating_add(other.waited);
-        self.fastest_us_plus_one = match (self.fastest_us_plus_one, other.fastest_us_plus_one) {
-            (0, some) | (some, 0) => some,
-            (one, other) => one.min(other),
-        };
+        self.successful_attempts = self.successful_attempts.saturating_add(other.successful_attempts);
+        self.unsuccessful_attempts = self.unsuccessful_attempts.saturating_add(other.unsuccessful_attempts);
+        self.successful_us = self.successful_us.saturating_add(other.successful_us);
+        self.reserved = self.reserved.saturating_add(other.reserved);
+        self.min_successful_us_plus_one =
+            match (self.min_successful_us_plus_one, other.min_successful_us_plus_one) {
+                (0, some) | (some, 0) => some,
+                (one, other) => one.min(other),
+            };
     }
 
     fn write(&self, out: &mut Vec<u8>) {
@@ -130,36 +131,36 @@
             requests,
             offered,
             earned,
-            answered_attempts,
-            unanswered_attempts,
-            answered_us,
-            fastest_us_plus_one,
-            waited,
+            successful_attempts,
+            unsuccessful_attempts,
+            successful_us,
+            min_successful_us_plus_one,
+            reserved,
         } = *self;
         [
             requests,
             offered,
             earned,
-            answered_attempts,
-            unanswered_attempts,
-            answered_us,
-            fastest_us_plus_one,
-            waited,
+            successful_attempts,
+            unsuccessful_attempts,
+            successful_us,
+            min_successful_us_plus_one,
+            reserved,
         ]
         .iter()
-        .for_each(|n| put(out, *n));
+        .for_each(|n| put_varint(out, *n));
     }
 
     fn read(from: &mut Reader<'_>) -> Option<Self> {
         Some(Self {
-            requests: from.number()?,
-            offered: from.number()?,
-            earned: from.number()?,
-            answered_attempts: from.number()?,
-            unanswered_attempts: from.number()?,
-            answered_us: from.number()?,
-            fastest_us_plus_one: from.number()?,
-            waited: from.number()?,
+            requests: from.varint()?,
+            offered: from.varint()?,
+            earned: from.varint()?,
+            successful_attempts: from.varint()?,
+            unsuccessful_attempts: from.varint()?,
+            successful_us: from.varint()?,
+            min_successful_us_plus_one: from.varint()?,
+            reserved: from.varint()?,
         })
     }
 }
@@ -177,12 +178,12 @@
     const OTHER: Self = Self { pool: PoolId(u16::MAX), endpoint: NO_ENDPOINT };
 
     fn write(&self, out: &mut Vec<u8>) {
-        put(out, u64::from(self.pool.0));
-        put(out, u64::from(self.endpoint));
+        put_varint(out, u64::from(self.pool.0));
+        put_varint(out, u64::from(self.endpoint));
     }
 
     fn read(from: &mut Reader<'_>) -> Option<Self> {
-        Some(Self { pool: PoolId(from.small()?), endpoint: from.small()? })
+        Some(Self { pool: PoolId(from.varint_as()?), endpoint: from.varint_as()? })
     }
 }
 
@@ -194,9 +195,9 @@
     /// Sum of the durations of successful attempts relative to the mean of their class, in thousandths.
     pub relative_latency_permille: u64,
     /// Duration of successful attempts, in microseconds.
-    pub answered_us: u64,
+    pub successful_us: u64,
     /// Duration of failed attempts, in microseconds: concurrency used without benefit.
-    pub unanswered_us: u64,
+    pub unsuccessful_us: u64,
     /// Time spent on getting connections, in microseconds.
     pub connect_us: u64,
     /// Time for which it was ejected by decisions in the slot, in microseconds.
@@ -221,8 +222,8 @@
             .for_each(|(sum, more)| *sum = sum.saturating_add(more));
         self.relative_latency_permille =
             self.relative_latency_permille.saturating_add(other.relative_latency_permille);
-        self.answered_us = self.answered_us.saturating_add(other.answered_us);
-        self.unanswered_us = self.unanswered_us.saturating_add(other.unanswered_us);
+        self.successful_us = self.successful_us.saturating_add(other.successful_us);
+        self.unsuccessful_us = self.unsuccessful_us.saturating_add(other.unsuccessful_us);
         self.connect_us = self.connect_us.saturating_add(other.connect_us);
         self.ejected_us = self.ejected_us.saturating_add(other.ejected_us);
         if other.concurrency_limit > 0.0 {
@@ -234,31 +235,31 @@
         let Self {
             attempts_by_outcome,
             relative_latency_permille,
-            answered_us,
-            unanswered_us,
+            successful_us,
+            unsuccessful_us,
             connect_us,
             ejected_us,
             concurrency_limit,
         } = *self;
         attempts_by_outcome
             .iter()
-            .chain(&[relative_latency_permille, answered_us, unanswered_us, connect_us, ejected_us])
-            .for_each(|n| put(out, *n));
+            .chain(&[relative_latency_permille, successful_us, unsuccessful_us, connect_us, ejected_us])
+            .for_each(|n| put_varint(out, *n));
         put_f32(out, concurrency_limit);
     }
 
     fn read(from: &mut Reader<'_>) -> Option<Self> {
-        let mut ended = [0; 8];
-        for count in &mut ended {
-            *count = from.number()?;
+        let mut attempts_by_outcome = [0; 8];
+        for count in &mut attempts_by_outcome {
+            *count = from.varint()?;
         }
         Some(Self {
-            attempts_by_outcome: ended,
-            relative_latency_permille: from.number()?,
-            answered_us: from.number()?,
-            unanswered_us: from.number()?,
-            connect_us: from.number()?,
-            ejected_us: from.number()?,
+            attempts_by_outcome,
+            relative_latency_permille: from.varint()?,
+            successful_us: from.varint()?,
+            unsuccessful_us: from.varint()?,
+            connect_us: from.varint()?,
+            ejected_us: from.varint()?,
             concurrency_limit: from.f32()?,
         })
     }
--- a/crates/flight-recorder/src/log_rate_limit.rs
+++ b/crates/flight-recorder/src/log_rate_limit.rs
@@ -12,8 +12,8 @@
 pub const MAX_KINDS: usize = 512;
 
 #[derive(Clone, Copy, Debug)]
-struct Kind {
-    since: Nanos,
+struct KindState {
+    interval_start: Nanos,
     count: u32,
     suppressed: u64,
 }
@@ -32,7 +32,7 @@
 /// Counts of messages by kind.
 #[derive(Debug, Default)]
 pub struct LogRateLimiter {
-    kinds: BTreeMap<u64, Kind>,
+    kinds: BTreeMap<u64, KindState>,
     /// Number of kinds with suppressed messages.
     suppressed_kinds: usize,
 }
@@ -42,25 +42,25 @@
     pub fn check(&mut self, kind: u64, now: Nanos) -> (bool, Option<SuppressedMessages>) {
         let kind =
             if self.kinds.len() >= MAX_KINDS && !self.kinds.contains_key(&kind) { u64::MAX } else { kind };
-        let fresh = Kind { since: now, count: 0, suppressed: 0 };
-        let known = self.kinds.entry(kind).or_insert(fresh);
-        let mut before = None;
-        if now >= known.since.saturating_add(INTERVAL) {
-            before = (known.suppressed > 0).then_some(SuppressedMessages {
+        let new_state = KindState { interval_start: now, count: 0, suppressed: 0 };
+        let state = self.kinds.entry(kind).or_insert(new_state);
+        let mut expired = None;
+        if now >= state.interval_start.saturating_add(INTERVAL) {
+            expired = (state.suppressed > 0).then_some(SuppressedMessages {
                 kind,
-                count: known.suppressed,
-                interval: now - known.since,
+                count: state.suppressed,
+                interval: now - state.interval_start,
             });
-            self.suppressed_kinds -= usize::from(known.suppressed > 0);
-            *known = fresh;
+            self.suppressed_kinds -= usize::from(state.suppressed > 0);
+            *state = new_state;
         }
-        known.count = known.count.saturating_add(1);
-        let is_logged = known.count <= MESSAGES_PER_INTERVAL;
+        state.count = state.count.saturating_add(1);
+        let is_logged = state.count <= MESSAGES_PER_INTERVAL;
         if !is_logged {
-            self.suppressed_kinds += usize::from(known.suppressed == 0);
-            known.suppressed += 1;
+            self.suppressed_kinds += usize::from(state.suppressed == 0);
+            state.suppressed += 1;
         }
-        (is_logged, before)
+        (is_logged, expired)
     }
 
     /// Returns what was suppressed in intervals that have ended. To be called regularly, or the last messages of a
@@ -69,15 +69,19 @@
         if self.suppressed_kinds == 0 {
             return Vec::new();
         }
-        let mut all = Vec::new();
-        for (&kind, known) in &mut self.kinds {
-            if known.suppressed > 0 && now >= known.since.saturating_add(INTERVAL) {
-                all.push(SuppressedMessages { kind, count: known.suppressed, interval: now - known.since });
-                *known = Kind { since: now, count: 0, suppressed: 0 };
+        let mut expired = Vec::new();
+        for (&kind, state) in &mut self.kinds {
+            if state.suppressed > 0 && now >= state.interval_start.saturating_add(INTERVAL) {
+                expired.push(SuppressedMessages {
+                    kind,
+                    count: state.suppressed,
+                    interval: now - state.interval_start,
+                });
+                *state = KindState { interval_start: now, count: 0, suppressed: 0 };
             }
         }
-        self.suppressed_kinds -= all.len();
-        all
+        self.suppressed_kinds -= expired.len();
+        expired
     }
 }
 
--- a/crates/flight-recorder/src/loss_cause.rs
+++ b/crates/flight-recorder/src/loss_cause.rs
@@ -5,7 +5,7 @@
 
 use pumicehead_policy::AttemptOutcome;
 
-use crate::code_tables::outcome_at;
+use crate::code_tables::outcome_from_code;
 use crate::event::ListenerRejection;
 
 /// Priority weight in millionths.
@@ -70,10 +70,10 @@
             Self::QueueTooLong => 0,
             Self::QueueTimeout => 1,
             Self::KeyOrderTimeout => 2,
-            Self::AttemptFailed(place) => 10 + place,
-            Self::ObjectiveMissed(place) => 20 + place as u8,
-            Self::DeadlineExceeded(place) => 30 + place as u8,
-            Self::ClientDisconnected(place) => 40 + place as u8,
+            Self::AttemptFailed(outcome) => 10 + outcome,
+            Self::ObjectiveMissed(phase) => 20 + phase as u8,
+            Self::DeadlineExceeded(phase) => 30 + phase as u8,
+            Self::ClientDisconnected(phase) => 40 + phase as u8,
             Self::BodyFailed => 50,
             Self::RejectedByListener(connections) => 60 + u8::from(connections),
             Self::Other => 255,
@@ -83,15 +83,15 @@
     /// Returns the cause of a stored code; [`LossCause::Other`] if it is unknown.
     #[must_use]
     pub fn from_code(code: u8) -> Self {
-        let place = |start: u8| RequestPhase::ALL.get(usize::from(code - start)).copied();
+        let phase = |start: u8| RequestPhase::ALL.get(usize::from(code - start)).copied();
         match code {
             0 => Self::QueueTooLong,
             1 => Self::QueueTimeout,
             2 => Self::KeyOrderTimeout,
             10..=17 => Self::AttemptFailed(code - 10),
-            20..=24 => place(20).map_or(Self::Other, Self::ObjectiveMissed),
-            30..=34 => place(30).map_or(Self::Other, Self::DeadlineExceeded),
-            40..=44 => place(40).map_or(Self::Other, Self::ClientDisconnected),
+            20..=24 => phase(20).map_or(Self::Other, Self::ObjectiveMissed),
+            30..=34 => phase(30).map_or(Self::Other, Self::DeadlineExceeded),
+            40..=44 => phase(40).map_or(Self::Other, Self::ClientDisconnected),
             50 => Self::BodyFailed,
             60 | 61 => Self::RejectedByListener(code == 61),
             _ => Self::Other,
@@ -111,8 +111,8 @@
 
     /// Returns the cause for a rejection by a listener.
     #[must_use]
-    pub fn from_rejection(why: ListenerRejection) -> Self {
-        Self::RejectedByListener(why == ListenerRejection::ConnectionLimit)
+    pub fn from_rejection(reason: ListenerRejection) -> Self {
+        Self::RejectedByListener(reason == ListenerRejection::ConnectionLimit)
     }
 }
 
@@ -134,12 +134,16 @@
             Self::QueueTooLong => write!(out, "refused: the queue was too long for its time"),
             Self::QueueTimeout => write!(out, "refused: held until its time was nearly up"),
             Self::KeyOrderTimeout => write!(out, "refused: its key's turn did not come"),
-            Self::AttemptFailed(at) => {
-                write!(out, "failed: {}", outcome_at(usize::from(*at)).map_or("unknown", outcome_text))
+            Self::AttemptFailed(outcome) => {
+                write!(
+                    out,
+                    "failed: {}",
+                    outcome_from_code(usize::from(*outcome)).map_or("unknown", outcome_text)
+                )
             }
-            Self::ObjectiveMissed(at) => write!(out, "late: {at}"),
-            Self::DeadlineExceeded(at) => write!(out, "no answer in time: {at}"),
-            Self::ClientDisconnected(at) => write!(out, "the client left: {at}"),
+            Self::ObjectiveMissed(phase) => write!(out, "late: {phase}"),
+            Self::DeadlineExceeded(phase) => write!(out, "no answer in time: {phase}"),
+            Self::ClientDisconnected(phase) => write!(out, "the client left: {phase}"),
             Self::BodyFailed => write!(out, "failed: its body was too slow, too long or broke off"),
             Self::RejectedByListener(false) => write!(out, "turned away: the node holds as many as it may"),
             Self::RejectedByListener(true) => write!(out, "turned away: no place for another connection"),
--- a/crates/flight-recorder/src/loss_ledger.rs
+++ b/crates/flight-recorder/src/loss_ledger.rs
@@ -6,7 +6,7 @@
     EndpointKey, EndpointTotals, LossKey, LossTotals, NO_ENDPOINT, TrafficKey, TrafficTotals,
 };
 pub use crate::slot_table::{Key, Row, SlotTable};
-use crate::wire_format::{Reader, put};
+use crate::wire_format::{Reader, put_varint};
 
 /// Tables of losses, traffic and endpoints.
 #[derive(Clone, Debug, PartialEq)]
@@ -22,36 +22,38 @@
 }
 
 /// Greatest size of a row in its table, in bytes.
-const LOSS_ROW: usize = 64;
-const FLOW_ROW: usize = 128;
-const SERVER_ROW: usize = 208;
+const LOSS_ROW_BYTES: usize = 64;
+const TRAFFIC_ROW_BYTES: usize = 128;
+const ENDPOINT_ROW_BYTES: usize = 208;
 
 impl LossLedger {
     /// Creates a ledger of at most `memory` bytes: half for endpoints, a quarter for each other table.
     #[must_use]
     pub fn new(start: Nanos, memory: usize) -> Self {
         Self {
-            losses: SlotTable::new(start, memory / 4 / LOSS_ROW),
-            traffic: SlotTable::new(start, memory / 4 / FLOW_ROW),
-            endpoints: SlotTable::new(start, memory / 2 / SERVER_ROW),
+            losses: SlotTable::new(start, memory / 4 / LOSS_ROW_BYTES),
+            traffic: SlotTable::new(start, memory / 4 / TRAFFIC_ROW_BYTES),
+            endpoints: SlotTable::new(start, memory / 2 / ENDPOINT_ROW_BYTES),
             resource_exhaustions: [0; 2],
         }
     }
 
     /// Returns the size of all rows in bytes.
     #[must_use]
-    pub fn memory(&self) -> usize {
-        self.losses.len() * LOSS_ROW + self.traffic.len() * FLOW_ROW + self.endpoints.len() * SERVER_ROW
+    pub fn memory_used(&self) -> usize {
+        self.losses.len() * LOSS_ROW_BYTES
+            + self.traffic.len() * TRAFFIC_ROW_BYTES
+            + self.endpoints.len() * ENDPOINT_ROW_BYTES
     }
 
     /// Widens a time range to the slots of all tables.
     #[must_use]
-    pub fn aligned(&self, from: Nanos, to: Nanos) -> (Nanos, Nanos) {
+    pub fn align_to_slots(&self, from: Nanos, to: Nanos) -> (Nanos, Nanos) {
         let width = self.losses.width.max(self.traffic.width).max(self.endpoints.width);
         let start = self.losses.start;
-        let steps = |at: Nanos| at.saturating_sub(start) / width;
-        let begin = start.saturating_add(steps(from).saturating_mul(width));
-        let end = start.saturating_add(steps(to.saturating_add(width - 1)).saturating_mul(width));
+        let slots = |at: Nanos| at.saturating_sub(start) / width;
+        let begin = start.saturating_add(slots(from).saturating_mul(width));
+        let end = start.saturating_add(slots(to.saturating_add(width - 1)).saturating_mul(width));
         (begin, if to == Nanos::MAX { to } else { end.max(begin) })
     }
 
@@ -60,7 +62,7 @@
         self.losses.write(out);
         self.traffic.write(out);
         self.endpoints.write(out);
-        self.resource_exhaustions.iter().for_each(|n| put(out, *n));
+        self.resource_exhaustions.iter().for_each(|n| put_varint(out, *n));
     }
 
     /// Reads the stored form.
@@ -69,7 +71,7 @@
             losses: SlotTable::read(from)?,
             traffic: SlotTable::read(from)?,
             endpoints: SlotTable::read(from)?,
-            resource_exhaustions: [from.number()?, from.number()?],
+            resource_exhaustions: [from.varint()?, from.varint()?],
         })
     }
 }
--- a/crates/flight-recorder/src/metrics.rs
+++ b/crates/flight-recorder/src/metrics.rs
@@ -28,7 +28,7 @@
 /// Significant digits of a latency.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-const META: Metadata<'static> = Metadata::new(module_path!(), Level::INFO, Some(module_path!()));
+const METADATA: Metadata<'static> = Metadata::new(module_path!(), Level::INFO, Some(module_path!()));
 
 /// Exemplar of a histogram bucket.
 #[derive(Clone)]
@@ -46,17 +46,17 @@
 }
 
 /// A histogram that is shared between the facade and the renderer.
-struct Shared(Mutex<LatencyHistogram>);
+struct SharedHistogram(Mutex<LatencyHistogram>);
 
-impl Shared {
+impl SharedHistogram {
     /// Adds a latency, and makes the request its bucket's exemplar if the last one is old enough.
     fn add(&self, seconds: f64, name: &BoundedName, at: Nanos) {
         // A panic can't leave the numbers in an invalid state.
-        let mut times = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        times.record(seconds);
+        let mut latencies = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        latencies.record(seconds);
         let bucket =
             BUCKET_BOUNDS_S.iter().position(|bound| seconds <= *bound).unwrap_or(BUCKET_BOUNDS_S.len());
-        let shown = &mut times.exemplars[bucket];
+        let shown = &mut latencies.exemplars[bucket];
         if shown.as_ref().is_none_or(|shown| at >= shown.at.saturating_add(MIN_EXEMPLAR_AGE)) {
             *shown = Some(Exemplar { name: escape(&name.prefix), seconds, at });
         }
@@ -70,7 +70,7 @@
     }
 }
 
-impl HistogramFn for Shared {
+impl HistogramFn for SharedHistogram {
     fn record(&self, value: f64) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).record(value);
     }
@@ -81,26 +81,26 @@
 pub struct Registry {
     counters: Mutex<BTreeMap<Key, Arc<AtomicU64>>>,
     gauges: Mutex<BTreeMap<Key, Arc<AtomicU64>>>,
-    times: Mutex<BTreeMap<Key, Arc<Shared>>>,
+    latencies: Mutex<BTreeMap<Key, Arc<SharedHistogram>>>,
 }
 
-fn of<V>(map: &Mutex<BTreeMap<Key, Arc<V>>>, key: &Key, fresh: impl FnOnce() -> V) -> Arc<V> {
+fn get_or_insert<V>(map: &Mutex<BTreeMap<Key, Arc<V>>>, key: &Key, new_value: impl FnOnce() -> V) -> Arc<V> {
     let mut map = map.lock().unwrap_or_else(PoisonError::into_inner);
-    map.entry(key.clone()).or_insert_with(|| Arc::new(fresh())).clone()
+    map.entry(key.clone()).or_insert_with(|| Arc::new(new_value())).clone()
 }
 
 impl Registry {
-    fn shared(&self, key: &Key) -> Option<Arc<Shared>> {
+    fn shared_histogram(&self, key: &Key) -> Option<Arc<SharedHistogram>> {
         // The bounds are valid: the least is 1, and the greatest is more than twice that.
         let hdr = Hdr::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS).ok()?;
-        Some(of(&self.times, key, || {
-            Shared(Mutex::new(LatencyHistogram { hdr, sum: 0.0, exemplars: Default::default() }))
+        Some(get_or_insert(&self.latencies, key, || {
+            SharedHistogram(Mutex::new(LatencyHistogram { hdr, sum: 0.0, exemplars: Default::default() }))
         }))
     }
 
     /// Renders all series as OpenMetrics text.
     #[must_use]
-    pub fn text(&self) -> String {
+    pub fn render(&self) -> String {
         let mut out = String::new();
         let mut last = String::new();
         let mut family = |out: &mut String, name: &str, kind: &str| {
@@ -120,26 +120,26 @@
             let value = f64::from_bits(value.load(Ordering::Relaxed));
             let _ = writeln!(out, "{}{} {value}", key.name(), labels(key, None));
         }
-        for (key, times) in self.times.lock().unwrap_or_else(PoisonError::into_inner).iter() {
+        for (key, latencies) in self.latencies.lock().unwrap_or_else(PoisonError::into_inner).iter() {
             family(&mut out, key.name(), "histogram");
-            let times = times.0.lock().unwrap_or_else(PoisonError::into_inner);
+            let latencies = latencies.0.lock().unwrap_or_else(PoisonError::into_inner);
             let bounds = BUCKET_BOUNDS_S.iter().map(|bound| (*bound, bound.to_string()));
             let all = bounds.chain([(f64::INFINITY, "+Inf".to_owned())]);
-            for ((bound, shown), exemplar) in all.zip(&times.exemplars) {
-                let below = if bound.is_finite() {
-                    times.hdr.count_between(0, (bound * 1e6) as u64)
+            for ((bound, shown), exemplar) in all.zip(&latencies.exemplars) {
+                let cumulative = if bound.is_finite() {
+                    latencies.hdr.count_between(0, (bound * 1e6) as u64)
                 } else {
-                    times.hdr.len()
+                    latencies.hdr.len()
                 };
-                let _ = write!(out, "{}_bucket{} {below}", key.name(), labels(key, Some(&shown)));
+                let _ = write!(out, "{}_bucket{} {cumulative}", key.name(), labels(key, Some(&shown)));
                 if let Some(Exemplar { name, seconds, at }) = exemplar {
                     let at = *at as f64 / SECOND as f64;
                     let _ = write!(out, " # {{request=\"{name}\"}} {seconds} {at:.3}");
                 }
                 out.push('\n');
             }
-            let _ = writeln!(out, "{}_sum{} {}", key.name(), labels(key, None), times.sum);
-            let _ = writeln!(out, "{}_count{} {}", key.name(), labels(key, None), times.hdr.len());
+            let _ = writeln!(out, "{}_sum{} {}", key.name(), labels(key, None), latencies.sum);
+            let _ = writeln!(out, "{}_count{} {}", key.name(), labels(key, None), latencies.hdr.len());
         }
         out + "# EOF\n"
     }
@@ -159,15 +159,15 @@
     fn describe_histogram(&self, _: KeyName, _: Option<Unit>, _: SharedString) {}
 
     fn register_counter(&self, key: &Key, _: &Metadata<'_>) -> Counter {
-        Counter::from_arc(of(&self.counters, key, AtomicU64::default))
+        Counter::from_arc(get_or_insert(&self.counters, key, AtomicU64::default))
     }
 
     fn register_gauge(&self, key: &Key, _: &Metadata<'_>) -> Gauge {
-        Gauge::from_arc(of(&self.gauges, key, AtomicU64::default))
+        Gauge::from_arc(get_or_insert(&self.gauges, key, AtomicU64::default))
     }
 
     fn register_histogram(&self, key: &Key, _: &Metadata<'_>) -> Histogram {
-        self.shared(key).map_or_else(Histogram::noop, Histogram::from_arc)
+        self.shared_histogram(key).map_or_else(Histogram::noop, Histogram::from_arc)
     }
 }
 
@@ -183,13 +183,13 @@
 }
 
 /// Labels of classes beyond [`MAX_CLASSES`].
-const OTHER: ClassLabels<'_> =
+const OTHER_CLASS: ClassLabels<'_> =
     ClassLabels { id: (u16::MAX, u16::MAX), pool_name: "other", class_name: "other" };
 
 /// Series of one class of a pool.
 struct ClassMetrics {
-    ended: [Counter; 7],
-    times: Option<Arc<Shared>>,
+    requests_by_outcome: [Counter; 7],
+    latencies: Option<Arc<SharedHistogram>>,
 }
 
 /// Metrics of a node.
@@ -207,19 +207,19 @@
 impl RequestMetrics {
     fn class(&mut self, class: ClassLabels<'_>) -> &mut ClassMetrics {
         let full = self.classes.len() >= MAX_CLASSES && !self.classes.contains_key(&class.id);
-        let class = if full { OTHER } else { class };
+        let class = if full { OTHER_CLASS } else { class };
         let registry = &self.registry;
         self.classes.entry(class.id).or_insert_with(|| {
             let labels = vec![
                 Label::new("pool", class.pool_name.to_owned()),
                 Label::new("class", class.class_name.to_owned()),
             ];
-            let ended = OUTCOME_LABELS.map(|how| {
-                let labels = labels.iter().cloned().chain([Label::new("how", how)]).collect::<Vec<_>>();
-                registry.register_counter(&Key::from_parts("pumicehead_requests", labels), &META)
+            let requests_by_outcome = OUTCOME_LABELS.map(|outcome| {
+                let labels = labels.iter().cloned().chain([Label::new("how", outcome)]).collect::<Vec<_>>();
+                registry.register_counter(&Key::from_parts("pumicehead_requests", labels), &METADATA)
             });
-            let times = registry.shared(&Key::from_parts("pumicehead_request_seconds", labels));
-            ClassMetrics { ended, times }
+            let latencies = registry.shared_histogram(&Key::from_parts("pumicehead_request_seconds", labels));
+            ClassMetrics { requests_by_outcome, latencies }
         })
     }
 
@@ -233,10 +233,10 @@
         at: Nanos,
     ) {
         let metrics = self.class(class);
-        metrics.ended[outcome as usize].increment(1);
+        metrics.requests_by_outcome[outcome as usize].increment(1);
         let seconds = duration as f64 / SECOND as f64;
-        if let Some(times) = &metrics.times {
-            times.add(seconds, name, at);
+        if let Some(latencies) = &metrics.latencies {
+            latencies.add(seconds, name, at);
         }
     }
 
@@ -248,30 +248,30 @@
 
     /// Counts an attempt that has ended.
     pub fn attempt_ended(&mut self, outcome: AttemptOutcome) {
-        let place = crate::code_tables::outcome_index(outcome);
+        let code = crate::code_tables::outcome_code(outcome);
         let registry = &self.registry;
-        let counter = self.attempts[place].get_or_insert_with(|| {
+        let counter = self.attempts[code].get_or_insert_with(|| {
             let key =
                 Key::from_parts("pumicehead_attempts", vec![Label::new("outcome", outcome_text(outcome))]);
-            registry.register_counter(&key, &META)
+            registry.register_counter(&key, &METADATA)
         });
         counter.increment(1);
     }
 
     /// Adds to another counter.
     pub fn count(&mut self, name: &'static str, labels: Vec<Label>, more: u64) {
-        self.registry.register_counter(&Key::from_parts(name, labels), &META).increment(more);
+        self.registry.register_counter(&Key::from_parts(name, labels), &METADATA).increment(more);
     }
 
     /// Sets a gauge.
     pub fn gauge(&mut self, name: &'static str, value: f64) {
-        self.registry.register_gauge(&Key::from_name(name), &META).set(value);
+        self.registry.register_gauge(&Key::from_name(name), &METADATA).set(value);
     }
 
     /// Renders all series as OpenMetrics text.
     #[must_use]
-    pub fn text(&self) -> String {
-        self.registry.text()
+    pub fn render(&self) -> String {
+        self.registry.render()
     }
 }
 
--- a/crates/flight-recorder/src/recorder/accounting.rs
+++ b/crates/flight-recorder/src/recorder/accounting.rs
@@ -3,7 +3,7 @@
 use pumicehead_policy::{AttemptOutcome, EndpointId, Nanos, RequestId};
 
 use super::Recorder;
-use crate::code_tables::outcome_index;
+use crate::code_tables::outcome_code;
 use crate::event::{ListenerRejection, PoolId};
 use crate::loss_cause::{LossCause, to_micro_weight};
 use crate::loss_ledger::{EndpointKey, LossKey, NO_ENDPOINT, TrafficKey, TrafficTotals};
@@ -24,7 +24,13 @@
 
 impl Recorder {
     /// Books the end of a request.
-    pub(super) fn book_request(&mut self, at: Nanos, pool: PoolId, class: u16, assessment: &LossAssessment) {
+    pub(super) fn account_request(
+        &mut self,
+        at: Nanos,
+        pool: PoolId,
+        class: u16,
+        assessment: &LossAssessment,
+    ) {
         let traffic = self.ledger.traffic.row_mut(at, TrafficKey { pool, class });
         traffic.requests += 1;
         traffic.offered += assessment.offered;
@@ -38,48 +44,54 @@
     }
 
     /// Books a request that a listener rejected.
-    pub(super) fn book_rejection(&mut self, at: Nanos, pool: PoolId, class: u16, reason: ListenerRejection) {
+    pub(super) fn account_rejection(
+        &mut self,
+        at: Nanos,
+        pool: PoolId,
+        class: u16,
+        reason: ListenerRejection,
+    ) {
         let weight = self.class(pool, class).map_or(0, |class| to_micro_weight(class.priority_weight));
         let cause = Some(LossCause::from_rejection(reason));
         let assessment =
             LossAssessment { offered: weight, earned: 0, cause, endpoint: None, no_retry_reason: None };
-        self.book_request(at, pool, class, &assessment);
+        self.account_request(at, pool, class, &assessment);
         self.metrics.request_rejected(reason);
     }
 
     /// Books the end of an attempt.
-    pub(super) fn book_attempt(&mut self, at: Nanos, pool: PoolId, ended: &EndedAttempt) {
+    pub(super) fn account_attempt(&mut self, at: Nanos, pool: PoolId, ended: &EndedAttempt) {
         let duration_us = ended.duration / 1_000;
         let class = self.open.get(&(pool, ended.id)).map(|open| open.class);
         let relative_latency = class.map_or(0, |class| {
             let traffic = self.ledger.traffic.row_mut(at, TrafficKey { pool, class });
-            book_class_attempt(traffic, ended.outcome, duration_us)
+            account_class_attempt(traffic, ended.outcome, duration_us)
         });
         let row = self.ledger.endpoints.row_mut(at, EndpointKey { pool, endpoint: ended.endpoint.0 });
-        row.attempts_by_outcome[outcome_index(ended.outcome)] += 1;
+        row.attempts_by_outcome[outcome_code(ended.outcome)] += 1;
         row.connect_us += ended.connect_time / 1_000;
         if ended.outcome == AttemptOutcome::Success {
-            row.answered_us += duration_us;
+            row.successful_us += duration_us;
             row.relative_latency_permille += relative_latency;
         } else {
-            row.unanswered_us += duration_us;
+            row.unsuccessful_us += duration_us;
         }
         self.metrics.attempt_ended(ended.outcome);
     }
 }
 
 /// Books an attempt of a class; returns its duration relative to the class's mean, in thousandths, 0 unless it succeeded.
-fn book_class_attempt(traffic: &mut TrafficTotals, outcome: AttemptOutcome, duration_us: u64) -> u64 {
+fn account_class_attempt(traffic: &mut TrafficTotals, outcome: AttemptOutcome, duration_us: u64) -> u64 {
     if outcome != AttemptOutcome::Success {
-        traffic.unanswered_attempts += 1;
+        traffic.unsuccessful_attempts += 1;
         return 0;
     }
-    traffic.answered_attempts += 1;
-    traffic.answered_us += duration_us;
-    traffic.fastest_us_plus_one = match traffic.fastest_us_plus_one {
+    traffic.successful_attempts += 1;
+    traffic.successful_us += duration_us;
+    traffic.min_successful_us_plus_one = match traffic.min_successful_us_plus_one {
         0 => duration_us + 1,
         fastest => fastest.min(duration_us + 1),
     };
-    let mean_us = (traffic.answered_us / traffic.answered_attempts).max(1);
+    let mean_us = (traffic.successful_us / traffic.successful_attempts).max(1);
     (duration_us * 1_000 / mean_us).min(MAX_RELATIVE_LATENCY_PERMILLE)
 }
--- a/crates/flight-recorder/src/recorder/filter.rs
+++ b/crates/flight-recorder/src/recorder/filter.rs
@@ -34,13 +34,13 @@
                     self.limits.clear();
                 }
                 let last = self.limits.entry((pool, *endpoint)).or_insert(*from);
-                let moved = *to > *last * LIMIT_CHANGE_FACTOR
+                let has_changed = *to > *last * LIMIT_CHANGE_FACTOR
                     || *to * LIMIT_CHANGE_FACTOR < *last
                     || self.level == Level::Full;
-                if moved {
+                if has_changed {
                     *last = *to;
                 }
-                moved
+                has_changed
             }
             Event::Decision(DecisionEvent::AllLimitsChanged { factor, .. }) => {
                 self.level == Level::Full
--- a/crates/flight-recorder/src/recorder/mod.rs
+++ b/crates/flight-recorder/src/recorder/mod.rs
@@ -86,13 +86,13 @@
 
     /// Registers a pool and its classes; a known name keeps its id.
     pub fn register_pool(&mut self, name: &str, classes: &[ClassInfo]) -> PoolId {
-        let place = self.header.pools.iter().position(|pool| pool.name == name).unwrap_or_else(|| {
+        let index = self.header.pools.iter().position(|pool| pool.name == name).unwrap_or_else(|| {
             self.header.pools.push(PoolHeader { name: name.into(), ..PoolHeader::default() });
             self.header.pools.len() - 1
         });
-        let pool = &mut self.header.pools[place];
+        let pool = &mut self.header.pools[index];
         pool.classes = classes.iter().map(Into::into).collect();
-        PoolId(place as u16)
+        PoolId(index as u16)
     }
 
     /// Sets the names of tenants, for all pools.
@@ -103,7 +103,7 @@
     /// Sets the name of an endpoint.
     pub fn name_endpoint(&mut self, pool: PoolId, endpoint: EndpointId, name: &str) {
         if let Some(pool) = self.header.pools.get_mut(usize::from(pool.0)) {
-            pool.name_server(endpoint.0, name);
+            pool.set_endpoint_name(endpoint.0, name);
         }
     }
 
@@ -135,7 +135,7 @@
             Event::RequestAdmitted { id, class, tenant, upload_time, name, .. } => {
                 self.open_request(at, (pool, *id), *class, *tenant, *upload_time, name);
             }
-            Event::RejectedByListener { class, reason } => self.book_rejection(at, pool, *class, *reason),
+            Event::RejectedByListener { class, reason } => self.account_rejection(at, pool, *class, *reason),
             Event::ResourceExhausted(what) => {
                 self.ledger.resource_exhaustions
                     [usize::from(*what == ExhaustedResource::UpstreamConnection)] += 1
@@ -152,7 +152,7 @@
                     duration: *duration,
                     connect_time: *connect_time,
                 };
-                self.book_attempt(at, pool, &ended);
+                self.account_attempt(at, pool, &ended);
             }
             _ => {}
         }
@@ -170,7 +170,7 @@
     #[must_use]
     pub fn memory_used(&self) -> usize {
         let samples: usize = self.samples.iter().map(Reservoir::size).sum();
-        self.ring.memory_used() + samples + self.open_bytes + self.ledger.memory()
+        self.ring.memory_used() + samples + self.open_bytes + self.ledger.memory_used()
     }
 
     /// Returns the most bytes that may be in use.
@@ -188,7 +188,7 @@
     /// Returns all metrics in Prometheus' text format.
     #[must_use]
     pub fn metrics_text(&self) -> String {
-        self.metrics.text()
+        self.metrics.render()
     }
 
     /// Returns the metrics, for gauges of the node.
--- a/crates/flight-recorder/src/recorder/open_requests.rs
+++ b/crates/flight-recorder/src/recorder/open_requests.rs
@@ -40,7 +40,7 @@
     /// Its events as a page of [`crate::event_ring`].
     pub(super) page: Vec<u8>,
     /// Time of the last event on the page.
-    last: Nanos,
+    last_event_at: Nanos,
     /// Whether some events did not fit.
     pub(super) truncated: bool,
     end: Option<RequestEnd>,
@@ -63,12 +63,12 @@
             return;
         }
         let known = self.class(key.0, class);
-        let (weight, late, aim) = known
+        let (weight, late_weight, objective) = known
             .map_or((1.0, 0.0, Nanos::MAX), |c| (c.priority_weight, c.late_weight, c.latency_objective_ns));
-        let last = at / TIME_UNIT * TIME_UNIT;
+        let last_event_at = at / TIME_UNIT * TIME_UNIT;
         let mut page = self.spare_buffers.pop().unwrap_or_default();
-        page.extend_from_slice(&last.to_le_bytes());
-        let progress = RequestProgress::new(at, upload_time, weight, late, aim);
+        page.extend_from_slice(&last_event_at.to_le_bytes());
+        let progress = RequestProgress::new(at, upload_time, weight, late_weight, objective);
         let name = name.clone();
         self.open_bytes += OPEN_REQUEST_OVERHEAD + name.prefix.len() + page.len();
         let open = OpenRequest {
@@ -77,7 +77,7 @@
             tenant,
             name,
             page,
-            last,
+            last_event_at,
             truncated: false,
             end: None,
             last_exclusions: None,
@@ -96,13 +96,13 @@
         event: &Event,
         bytes: &[u8],
     ) {
-        let most = self.memory_limit / 8;
+        let max_open_bytes = self.memory_limit / 8;
         let Some(open) = self.open.get_mut(&key) else { return };
         let before = open.page.len();
         if before + bytes.len() + MAX_RECORD_HEADER <= MAX_TIMELINE_BYTES
-            && self.open_bytes + bytes.len() + MAX_RECORD_HEADER <= most
+            && self.open_bytes + bytes.len() + MAX_RECORD_HEADER <= max_open_bytes
         {
-            append_record(&mut open.page, &mut open.last, at, key.0, bytes);
+            append_record(&mut open.page, &mut open.last_event_at, at, key.0, bytes);
             self.open_bytes += open.page.len() - before;
         } else {
             open.truncated = true;
@@ -114,7 +114,7 @@
             let assessment = open.progress.assess(at, *outcome);
             open.end = Some(RequestEnd { assessment, at, outcome: *outcome });
             let class = open.class;
-            self.book_request(at, key.0, class, &assessment);
+            self.account_request(at, key.0, class, &assessment);
         }
         let Some(open) = self.open.get(&key) else { return };
         if open.end.is_some() && open.progress.in_flight() == 0 {
@@ -127,7 +127,7 @@
         let Some(mut open) = self.open.remove(&key) else { return };
         self.open_bytes -= OPEN_REQUEST_OVERHEAD + open.name.prefix.len() + open.page.len();
         let Some(RequestEnd { assessment, at, outcome }) = open.end else { return };
-        let used = open.progress.objective_used(at);
+        let objective_used = open.progress.objective_used(at);
         let duration = at.saturating_sub(open.progress.admitted_at());
         let pool = self.header.pools.get(usize::from(key.0.0));
         let class = pool.and_then(|pool| pool.classes.get(usize::from(open.class)));
@@ -136,8 +136,9 @@
                 ClassLabels { id: (key.0.0, open.class), pool_name: &pool.name, class_name: &class.name };
             self.metrics.request_ended(labels, outcome, duration, &open.name, at);
         }
-        let is_notable =
-            assessment.cause.is_some() || open.progress.attempts_started() > 1 || used > SLOW_OBJECTIVE_SHARE;
+        let is_notable = assessment.cause.is_some()
+            || open.progress.attempts_started() > 1
+            || objective_used > SLOW_OBJECTIVE_SHARE;
         let weight = match outcome {
             RequestOutcome::Served if !is_notable => {
                 let tenant = open.tenant.unwrap_or(u32::MAX);
--- a/crates/flight-recorder/src/recording.rs
+++ b/crates/flight-recorder/src/recording.rs
@@ -16,7 +16,7 @@
 use crate::loss_ledger::LossLedger;
 use crate::request_timeline::{ClassInfo, RequestTimeline};
 use crate::tenant_names::TenantNames;
-use crate::wire_format::{Reader, put, put_bytes, put_some};
+use crate::wire_format::{Reader, put_bytes, put_optional_varint, put_varint};
 
 /// First bytes of a recording.
 pub const MAGIC: &[u8; 8] = b"PHEADREC";
@@ -25,13 +25,13 @@
 /// Size of the largest recording that is read, in bytes.
 pub const MAX_RECORDING_BYTES: usize = 256 << 20;
 /// Greatest number of endpoint names in a pool.
-const NAMED: usize = 20_000;
+const MAX_ENDPOINT_NAMES: usize = 20_000;
 
-const HEAD: u8 = 1;
-const SUMS: u8 = 2;
-const STORY: u8 = 3;
-const PAGE: u8 = 4;
-const END: u8 = 5;
+const FRAME_HEADER: u8 = 1;
+const FRAME_LEDGER: u8 = 2;
+const FRAME_TIMELINE: u8 = 3;
+const FRAME_EVENTS: u8 = 4;
+const FRAME_END: u8 = 5;
 
 /// What a recording is of.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -129,29 +129,29 @@
     /// Returns a tenant's name, or its id.
     #[must_use]
     pub fn tenant_name(&self, pool: PoolId, tenant: u32) -> String {
-        let of_pool = || self.pools.get(usize::from(pool.0))?.tenants.get(tenant as usize);
-        let name = self.tenants.get(tenant).or_else(|| of_pool().map(String::as_str));
+        let in_pool = || self.pools.get(usize::from(pool.0))?.tenants.get(tenant as usize);
+        let name = self.tenants.get(tenant).or_else(|| in_pool().map(String::as_str));
         name.map_or_else(|| tenant.to_string(), crate::bounded_text::escape)
     }
 
     /// Returns an endpoint's name, or its id.
     #[must_use]
-    pub fn endpoint_name(&self, pool: PoolId, server: u32) -> String {
+    pub fn endpoint_name(&self, pool: PoolId, endpoint: u32) -> String {
         let pool = self.pools.get(usize::from(pool.0));
-        let name = pool.and_then(|pool| pool.endpoints.iter().find(|(id, _)| *id == server));
-        name.map_or_else(|| format!("#{server}"), |(_, name)| crate::bounded_text::escape(name))
+        let name = pool.and_then(|pool| pool.endpoints.iter().find(|(id, _)| *id == endpoint));
+        name.map_or_else(|| format!("#{endpoint}"), |(_, name)| crate::bounded_text::escape(name))
     }
 }
 
 impl PoolHeader {
-    pub(crate) fn name_server(&mut self, id: u32, name: &str) {
+    pub(crate) fn set_endpoint_name(&mut self, id: u32, name: &str) {
         if let Some(known) = self.endpoints.iter_mut().find(|(known, _)| *known == id) {
             if known.1 != name {
                 known.1 = name.into();
             }
             return;
         }
-        if self.endpoints.len() >= NAMED {
+        if self.endpoints.len() >= MAX_ENDPOINT_NAMES {
             self.endpoints.remove(0);
         }
         self.endpoints.push((id, name.into()));
@@ -163,16 +163,16 @@
 pub enum RecordingError {
     /// It does not start with [`MAGIC`].
     #[error("not a recording of pumicehead")]
-    Magic,
+    NotARecording,
     /// Its version is not supported.
     #[error("a recording of version {0}; this program reads versions up to {VERSION}")]
-    Version(u16),
+    UnsupportedVersion(u16),
     /// It is larger than [`MAX_RECORDING_BYTES`].
     #[error("{0} bytes, more than {MAX_RECORDING_BYTES}")]
-    TooLong(usize),
+    TooLarge(usize),
     /// Its header is damaged.
     #[error("the recording's head is damaged")]
-    Head,
+    DamagedHeader,
 }
 
 /// Position of damage in a recording.
@@ -208,7 +208,7 @@
     hasher.finalize()
 }
 
-fn frame(out: &mut Vec<u8>, kind: u8, contents: &[u8]) {
+fn write_frame(out: &mut Vec<u8>, kind: u8, contents: &[u8]) {
     out.push(kind);
     out.extend_from_slice(&(contents.len() as u32).to_le_bytes());
     out.extend_from_slice(&frame_checksum(kind, contents).to_le_bytes());
@@ -217,7 +217,7 @@
 
 /// Encodes a recording. Pages come newest first, so that a damaged tail costs the oldest events.
 pub fn write<'a>(
-    head: &RecordingHeader,
+    header: &RecordingHeader,
     ledger: &LossLedger,
     timelines: impl Iterator<Item = &'a RequestTimeline>,
     pages: impl Iterator<Item = &'a [u8]>,
@@ -225,36 +225,38 @@
     let mut out = MAGIC.to_vec();
     out.extend_from_slice(&VERSION.to_le_bytes());
     // Strings and finite numbers always serialize.
-    frame(&mut out, HEAD, &serde_json::to_vec(head).unwrap_or_default());
+    write_frame(&mut out, FRAME_HEADER, &serde_json::to_vec(header).unwrap_or_default());
     let mut contents = Vec::new();
     ledger.write(&mut contents);
-    frame(&mut out, SUMS, &contents);
+    write_frame(&mut out, FRAME_LEDGER, &contents);
     for timeline in timelines {
         contents.clear();
-        put(&mut contents, u64::from(timeline.pool.0));
-        put(&mut contents, u64::from(timeline.class));
-        put(&mut contents, timeline.ended_at);
-        put_some(&mut contents, timeline.cause.map(|cause| u64::from(cause.code())));
+        put_varint(&mut contents, u64::from(timeline.pool.0));
+        put_varint(&mut contents, u64::from(timeline.class));
+        put_varint(&mut contents, timeline.ended_at);
+        put_optional_varint(&mut contents, timeline.cause.map(|cause| u64::from(cause.code())));
         contents.push(u8::from(timeline.truncated));
         put_bytes(&mut contents, timeline.name.prefix.as_bytes());
         contents.extend_from_slice(&timeline.name.hash.to_le_bytes());
         put_bytes(&mut contents, &timeline.encoded_events);
-        frame(&mut out, STORY, &contents);
+        write_frame(&mut out, FRAME_TIMELINE, &contents);
     }
     for page in pages {
-        frame(&mut out, PAGE, page);
+        write_frame(&mut out, FRAME_EVENTS, page);
     }
-    frame(&mut out, END, &[]);
+    write_frame(&mut out, FRAME_END, &[]);
     out
 }
 
-fn timeline(contents: &[u8]) -> Option<RequestTimeline> {
+fn decode_timeline(contents: &[u8]) -> Option<RequestTimeline> {
     let mut from = Reader(contents);
     Some(RequestTimeline {
-        pool: PoolId(from.small()?),
-        class: from.small()?,
-        ended_at: from.number()?,
-        cause: from.some()?.map(|code| u8::try_from(code).map_or(LossCause::Other, LossCause::from_code)),
+        pool: PoolId(from.varint_as()?),
+        class: from.varint_as()?,
+        ended_at: from.varint()?,
+        cause: from
+            .optional_varint()?
+            .map(|code| u8::try_from(code).map_or(LossCause::Other, LossCause::from_code)),
         truncated: from.byte()? != 0,
         name: read_name(&mut from)?,
         encoded_events: from.bytes()?.into(),
@@ -262,7 +264,7 @@
 }
 
 /// Reads the next frame; `None` if it is damaged.
-fn next<'a>(from: &mut Reader<'a>) -> Option<(u8, &'a [u8])> {
+fn read_frame<'a>(from: &mut Reader<'a>) -> Option<(u8, &'a [u8])> {
     let kind = from.byte()?;
     let length = u32::from_le_bytes(from.take(4)?.try_into().ok()?);
     let checksum = u32::from_le_bytes(from.take(4)?.try_into().ok()?);
@@ -277,27 +279,29 @@
     /// [`RecordingError`]. Damage behind the header is not an error but reported in [`Recording::damage`].
     pub fn read(bytes: &[u8]) -> Result<Self, RecordingError> {
         if bytes.len() > MAX_RECORDING_BYTES {
-            return Err(RecordingError::TooLong(bytes.len()));
+            return Err(RecordingError::TooLarge(bytes.len()));
         }
         let mut from = Reader(bytes);
         if from.take(MAGIC.len()) != Some(MAGIC) {
-            return Err(RecordingError::Magic);
+            return Err(RecordingError::NotARecording);
         }
         let version = from.take(2).map_or(0, |two| u16::from_le_bytes([two[0], two[1]]));
         if version == 0 || version > VERSION {
-            return Err(RecordingError::Version(version));
+            return Err(RecordingError::UnsupportedVersion(version));
         }
-        let Some((HEAD, head)) = next(&mut from) else { return Err(RecordingError::Head) };
-        let head = serde_json::from_slice(head).map_err(|_| RecordingError::Head)?;
+        let Some((FRAME_HEADER, contents)) = read_frame(&mut from) else {
+            return Err(RecordingError::DamagedHeader);
+        };
+        let header = serde_json::from_slice(contents).map_err(|_| RecordingError::DamagedHeader)?;
         let mut recording =
-            Self { header: head, ledger: None, timelines: Vec::new(), records: Vec::new(), damage: None };
+            Self { header, ledger: None, timelines: Vec::new(), records: Vec::new(), damage: None };
         loop {
             let at = bytes.len() - from.0.len();
-            match next(&mut from) {
-                Some((END, _)) => break,
-                Some((SUMS, contents)) => recording.ledger = LossLedger::read(&mut Reader(contents)),
-                Some((STORY, contents)) => recording.timelines.extend(timeline(contents)),
-                Some((PAGE, contents)) => recording.records.extend(decode_records(contents).0),
+            match read_frame(&mut from) {
+                Some((FRAME_END, _)) => break,
+                Some((FRAME_LEDGER, contents)) => recording.ledger = LossLedger::read(&mut Reader(contents)),
+                Some((FRAME_TIMELINE, contents)) => recording.timelines.extend(decode_timeline(contents)),
+                Some((FRAME_EVENTS, contents)) => recording.records.extend(decode_records(contents).0),
                 Some(_) => {}
                 None => {
                     recording.damage = Some(Damage { at, of: bytes.len() });
--- a/crates/flight-recorder/src/request_progress.rs
+++ b/crates/flight-recorder/src/request_progress.rs
@@ -3,7 +3,7 @@
 use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
 use pumicehead_policy::{AttemptNo, AttemptOutcome, EndpointId, Nanos};
 
-use crate::code_tables::outcome_index;
+use crate::code_tables::outcome_code;
 use crate::event::{Event, RequestOutcome};
 use crate::loss_cause::{LossCause, MicroWeight, RequestPhase, to_micro_weight};
 
@@ -184,14 +184,14 @@
 
     /// Returns the phase that took the most time so far, and the endpoint at fault.
     fn dominant_phase(&self, at: Nanos) -> (RequestPhase, Option<EndpointId>) {
-        let idle = self.queued_since.map_or(0, |since| at.saturating_sub(since));
+        let current_wait = self.queued_since.map_or(0, |since| at.saturating_sub(since));
         let oldest = self.in_flight.first().map(|one| one.time_at(at));
         let last = self.answered.or(oldest);
         let connect_time = last.map_or(0, |time| time.connect_time);
         let endpoint_time = last.map_or(0, |time| time.duration.saturating_sub(time.connect_time));
         let spans = [
             (self.upload_time, RequestPhase::Upload),
-            (self.queue_time + if self.answered.is_some() { 0 } else { idle }, RequestPhase::Queue),
+            (self.queue_time + if self.answered.is_some() { 0 } else { current_wait }, RequestPhase::Queue),
             (self.failed_time, RequestPhase::EarlierAttempts),
             (connect_time, RequestPhase::Connect),
             (endpoint_time, RequestPhase::Endpoint),
@@ -218,24 +218,25 @@
             RequestOutcome::Served => self.priority_weight,
             _ => 0,
         };
-        let stop = if let Some(RejectionReason::NoRetry(stop)) = self.rejection { Some(stop) } else { None };
+        let no_retry_reason =
+            if let Some(RejectionReason::NoRetry(reason)) = self.rejection { Some(reason) } else { None };
         let assessment = |(cause, endpoint)| LossAssessment {
             offered: self.priority_weight,
             earned,
             cause: Some(cause).filter(|_| earned < self.priority_weight),
             endpoint,
-            no_retry_reason: stop,
+            no_retry_reason,
         };
         let (phase, endpoint) = self.dominant_phase(at);
         let failed = |failure: FailedAttempt| {
-            (LossCause::AttemptFailed(outcome_index(failure.outcome) as u8), Some(failure.endpoint))
+            (LossCause::AttemptFailed(outcome_code(failure.outcome) as u8), Some(failure.endpoint))
         };
         assessment(match (outcome, self.rejection) {
             (RequestOutcome::Served, _) => (LossCause::ObjectiveMissed(phase), endpoint),
             (RequestOutcome::BodyFailed, _) => (LossCause::BodyFailed, None),
             (RequestOutcome::ClientDisconnected, _) => (LossCause::ClientDisconnected(phase), endpoint),
             (RequestOutcome::ServedError, _) => self.last_failure.map_or(
-                (LossCause::AttemptFailed(outcome_index(AttemptOutcome::Error) as u8), endpoint),
+                (LossCause::AttemptFailed(outcome_code(AttemptOutcome::Error) as u8), endpoint),
                 failed,
             ),
             (_, Some(RejectionReason::ExpectedWaitTooLong)) => (LossCause::QueueTooLong, None),
--- a/crates/flight-recorder/src/reservoir.rs
+++ b/crates/flight-recorder/src/reservoir.rs
@@ -13,7 +13,7 @@
 use rand_pcg::Pcg64Mcg;
 
 /// Time after which the chance of an item falls to a third.
-pub const DECAY: Nanos = 300 * SECOND;
+pub const DECAY_TIME_CONSTANT: Nanos = 300 * SECOND;
 
 #[derive(Debug)]
 struct Item<T> {
@@ -47,7 +47,7 @@
 pub struct Reservoir<T> {
     /// Heap with the lowest priority on top.
     items: BinaryHeap<Reverse<Item<T>>>,
-    most: usize,
+    max_size: usize,
     size: usize,
     rng: Pcg64Mcg,
 }
@@ -55,32 +55,32 @@
 impl<T> Reservoir<T> {
     /// Creates a sample of at most `most` bytes.
     #[must_use]
-    pub fn new(most: usize, seed: u64) -> Self {
-        Self { items: BinaryHeap::new(), most, size: 0, rng: Pcg64Mcg::seed_from_u64(seed) }
+    pub fn new(max_size: usize, seed: u64) -> Self {
+        Self { items: BinaryHeap::new(), max_size, size: 0, rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
     /// Draws the priority of an item with a weight; `None` if it would not be kept, so that callers need not make
     /// it.
     pub fn draw(&mut self, weight: f64, at: Nanos, size: usize) -> Option<f64> {
-        if !(weight > 0.0 && weight.is_finite()) || size > self.most {
+        if !(weight > 0.0 && weight.is_finite()) || size > self.max_size {
             return None;
         }
         // Never 0 or 1, whose logarithms are not finite.
         let uniform = ((self.rng.next_u64() >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-        let priority = weight.ln() + at as f64 / DECAY as f64 - (-uniform.ln()).ln();
-        let full = self.size + size > self.most;
-        let stays = !full || self.items.peek().is_none_or(|Reverse(least)| least.priority < priority);
-        stays.then_some(priority)
+        let priority = weight.ln() + at as f64 / DECAY_TIME_CONSTANT as f64 - (-uniform.ln()).ln();
+        let full = self.size + size > self.max_size;
+        let is_kept = !full || self.items.peek().is_none_or(|Reverse(lowest)| lowest.priority < priority);
+        is_kept.then_some(priority)
     }
 
     /// Keeps an item, and drops those with the lowest priority while memory is exceeded.
     pub fn keep(&mut self, priority: f64, size: usize, item: T) {
         self.size += size;
         self.items.push(Reverse(Item { priority, size, item }));
-        while self.size > self.most
-            && let Some(Reverse(least)) = self.items.pop()
+        while self.size > self.max_size
+            && let Some(Reverse(lowest)) = self.items.pop()
         {
-            self.size -= least.size;
+            self.size -= lowest.size;
         }
     }
 
--- a/crates/flight-recorder/src/slot_table.rs
+++ b/crates/flight-recorder/src/slot_table.rs
@@ -7,7 +7,7 @@
 
 use pumicehead_policy::{Nanos, SECOND};
 
-use crate::wire_format::{Reader, put};
+use crate::wire_format::{Reader, put_varint};
 
 /// Totals that can be added.
 pub trait Row: Default + Clone {
@@ -34,15 +34,15 @@
 pub struct SlotTable<K, V> {
     pub(crate) start: Nanos,
     pub(crate) width: Nanos,
-    most: usize,
+    max_rows: usize,
     rows: BTreeMap<(u32, K), V>,
 }
 
 impl<K: Key, V: Row> SlotTable<K, V> {
     /// Creates an empty table that starts at `start` and holds at most `most` rows.
     #[must_use]
-    pub fn new(start: Nanos, most: usize) -> Self {
-        Self { start, width: SECOND, most: most.max(2), rows: BTreeMap::new() }
+    pub fn new(start: Nanos, max_rows: usize) -> Self {
+        Self { start, width: SECOND, max_rows: max_rows.max(2), rows: BTreeMap::new() }
     }
 
     fn slot(&self, at: Nanos) -> u32 {
@@ -52,21 +52,21 @@
     /// Returns the row of a time and a key, to be added to.
     pub fn row_mut(&mut self, at: Nanos, key: K) -> &mut V {
         let mut key = key;
-        while self.rows.len() >= self.most && !self.rows.contains_key(&(self.slot(at), key)) {
+        while self.rows.len() >= self.max_rows && !self.rows.contains_key(&(self.slot(at), key)) {
             if self.rows.keys().next_back().is_some_and(|&(slot, _)| slot > 0) || self.slot(at) > 0 {
-                self.widen();
+                self.double_slot_width();
             } else if key == K::OTHER || self.rows.contains_key(&(0, K::OTHER)) {
                 key = K::OTHER;
                 break;
             } else {
-                self.fold_into_other();
+                self.merge_last_row_into_other();
             }
         }
         self.rows.entry((self.slot(at), key)).or_default()
     }
 
     /// Doubles the width of slots and merges neighbours.
-    fn widen(&mut self) {
+    fn double_slot_width(&mut self) {
         self.width = self.width.saturating_mul(2);
         for ((slot, key), row) in std::mem::take(&mut self.rows) {
             self.rows.entry((slot / 2, key)).or_default().add(&row);
@@ -74,7 +74,7 @@
     }
 
     /// Merges the last row of the first slot into [`Key::OTHER`].
-    fn fold_into_other(&mut self) {
+    fn merge_last_row_into_other(&mut self) {
         if let Some((_, row)) = self.rows.pop_last() {
             self.rows.entry((0, K::OTHER)).or_default().add(&row);
         }
@@ -108,11 +108,11 @@
 
     /// Appends the stored form.
     pub fn write(&self, out: &mut Vec<u8>) {
-        put(out, self.start);
-        put(out, self.width);
-        put(out, self.rows.len() as u64);
+        put_varint(out, self.start);
+        put_varint(out, self.width);
+        put_varint(out, self.rows.len() as u64);
         for ((slot, key), row) in &self.rows {
-            put(out, u64::from(*slot));
+            put_varint(out, u64::from(*slot));
             key.write(out);
             row.write(out);
         }
@@ -120,11 +120,11 @@
 
     /// Reads the stored form.
     pub fn read(from: &mut Reader<'_>) -> Option<Self> {
-        let (start, width, count) = (from.number()?, from.number()?, from.small::<usize>()?);
+        let (start, width, count) = (from.varint()?, from.varint()?, from.varint_as::<usize>()?);
         let mut rows = BTreeMap::new();
         for _ in 0..count {
-            rows.insert((from.small()?, K::read(from)?), V::read(from)?);
+            rows.insert((from.varint_as()?, K::read(from)?), V::read(from)?);
         }
-        (width > 0).then_some(Self { start, width, most: count.max(2), rows })
+        (width > 0).then_some(Self { start, width, max_rows: count.max(2), rows })
     }
 }
--- a/crates/flight-recorder/src/tenant_names.rs
+++ b/crates/flight-recorder/src/tenant_names.rs
@@ -13,8 +13,8 @@
     /// The name of an id.
     #[must_use]
     pub fn get(&self, id: u32) -> Option<&str> {
-        let place = self.0.binary_search_by_key(&id, |(id, _)| *id).ok()?;
-        Some(&self.0[place].1)
+        let index = self.0.binary_search_by_key(&id, |(id, _)| *id).ok()?;
+        Some(&self.0[index].1)
     }
 }
 
--- a/crates/flight-recorder/src/timeline_text.rs
+++ b/crates/flight-recorder/src/timeline_text.rs
@@ -60,7 +60,7 @@
     }
 }
 
-fn ending(outcome: RequestOutcome) -> &'static str {
+fn outcome_sentence(outcome: RequestOutcome) -> &'static str {
     match outcome {
         RequestOutcome::Served => "The client got the server's answer.",
         RequestOutcome::ServedError => "The client got the server's answer, which speaks of a fault.",
@@ -108,7 +108,7 @@
         Event::ResponseStarted { attempt, .. } => {
             format!("The answer of attempt {} began to pass through.", attempt.0 + 1)
         }
-        Event::RequestEnded { outcome, .. } => ending(*outcome).into(),
+        Event::RequestEnded { outcome, .. } => outcome_sentence(*outcome).into(),
         _ => return None,
     })
 }
@@ -182,19 +182,19 @@
 /// Renders a timeline, one line per event, each with the time since admission.
 #[must_use]
 pub fn render(header: &RecordingHeader, timeline: &RequestTimeline) -> String {
-    let (events, whole) = decode_records(&timeline.encoded_events);
-    let begin = events.first().map_or(timeline.ended_at, |record| record.at);
+    let (events, complete) = decode_records(&timeline.encoded_events);
+    let started_at = events.first().map_or(timeline.ended_at, |record| record.at);
     let mut out =
-        format!("request {}, from {}\n", timeline.name.display(), format_timestamp(begin, header.start));
+        format!("request {}, from {}\n", timeline.name.display(), format_timestamp(started_at, header.start));
     let mut ended = false;
     for record in &events {
         if let Some(sentence) = sentence(header, timeline, &record.event) {
-            let since: Nanos = record.at.saturating_sub(begin);
+            let since: Nanos = record.at.saturating_sub(started_at);
             let _ = writeln!(out, "  +{:>10}  {sentence}", format_duration(since));
         }
         ended |= matches!(record.event, Event::RequestEnded { .. });
     }
-    if timeline.truncated || !whole {
+    if timeline.truncated || !complete {
         out += "  (some of its events did not fit and are left out)\n";
     }
     match timeline.cause {
--- a/crates/flight-recorder/src/wire_format.rs
+++ b/crates/flight-recorder/src/wire_format.rs
@@ -2,7 +2,7 @@
 //! if the input is invalid.
 
 /// Appends an integer.
-pub fn put(out: &mut Vec<u8>, mut value: u64) {
+pub fn put_varint(out: &mut Vec<u8>, mut value: u64) {
     while value >= 0x80 {
         out.push(value as u8 | 0x80);
         value >>= 7;
@@ -11,9 +11,9 @@
 }
 
 /// Appends an optional integer.
-pub fn put_some(out: &mut Vec<u8>, value: Option<u64>) {
+pub fn put_optional_varint(out: &mut Vec<u8>, value: Option<u64>) {
     // `None` is 0, other values are stored plus one; `u64::MAX` is not needed.
-    put(out, value.map_or(0, |value| value.saturating_add(1)));
+    put_varint(out, value.map_or(0, |value| value.saturating_add(1)));
 }
 
 /// Appends a float.
@@ -23,7 +23,7 @@
 
 /// Appends bytes with their length.
 pub fn put_bytes(out: &mut Vec<u8>, bytes: &[u8]) {
-    put(out, bytes.len() as u64);
+    put_varint(out, bytes.len() as u64);
     out.extend_from_slice(bytes);
 }
 
@@ -51,7 +51,7 @@
     }
 
     /// Reads an integer.
-    pub fn number(&mut self) -> Option<u64> {
+    pub fn varint(&mut self) -> Option<u64> {
         let mut value = 0;
         for shift in (0..64).step_by(7) {
             let byte = self.byte()?;
@@ -69,13 +69,13 @@
     }
 
     /// Reads an integer into a smaller type.
-    pub fn small<T: TryFrom<u64>>(&mut self) -> Option<T> {
-        T::try_from(self.number()?).ok()
+    pub fn varint_as<T: TryFrom<u64>>(&mut self) -> Option<T> {
+        T::try_from(self.varint()?).ok()
     }
 
     /// Reads an optional integer; the outer `None` is an error.
-    pub fn some(&mut self) -> Option<Option<u64>> {
-        self.number().map(|value| value.checked_sub(1))
+    pub fn optional_varint(&mut self) -> Option<Option<u64>> {
+        self.varint().map(|value| value.checked_sub(1))
     }
 
     /// Reads a float.
@@ -85,7 +85,7 @@
 
     /// Reads bytes with their length.
     pub fn bytes(&mut self) -> Option<&'a [u8]> {
-        let length = self.small::<usize>()?;
+        let length = self.varint_as::<usize>()?;
         self.take(length)
     }
 
--- a/crates/flight-recorder/tests/bounds.rs
+++ b/crates/flight-recorder/tests/bounds.rs
@@ -10,7 +10,7 @@
 use pumicehead_flight_recorder::loss_ledger::{Key, LossKey, LossTotals, Row, SlotTable};
 use pumicehead_flight_recorder::recorder::{Level, MIN_MEMORY};
 use pumicehead_flight_recorder::recording::Recording;
-use pumicehead_flight_recorder::reservoir::{DECAY, Reservoir};
+use pumicehead_flight_recorder::reservoir::{DECAY_TIME_CONSTANT, Reservoir};
 use pumicehead_policy::decision_event::{DecisionEvent, ExclusionReasons, RejectionReason};
 use pumicehead_policy::*;
 
@@ -82,7 +82,7 @@
             prop_assert_eq!(sum, whole.lost(), "by {}", name);
         }
         let accounts = dump.ledger.as_ref().unwrap();
-        let (_, middle) = accounts.aligned(START, START + cut * SECOND);
+        let (_, middle) = accounts.align_to_slots(START, START + cut * SECOND);
         let halves = [(0, middle), (middle, Nanos::MAX)].map(|(a, b)| Breakdown::of_recording(&dump, a, b).unwrap());
         prop_assert_eq!(halves[0].lost() + halves[1].lost(), whole.lost());
         let found = pumicehead_flight_recorder::findings::find(&dump.header, accounts, 0, Nanos::MAX);
@@ -118,7 +118,7 @@
     for seed in 0..200 {
         let mut reservoir = Reservoir::new(1_000, seed);
         for n in 0..200u64 {
-            let at = START + if n % 2 == 0 { 0 } else { 2 * DECAY };
+            let at = START + if n % 2 == 0 { 0 } else { 2 * DECAY_TIME_CONSTANT };
             if let Some(priority) = reservoir.draw(1.0, at, 100) {
                 reservoir.keep(priority, 100, n);
             }
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -45,7 +45,7 @@
         ]
         .map(RejectionReason::NoRetry),
     );
-    let outcomes = (0..8).filter_map(pumicehead_flight_recorder::code_tables::outcome_at);
+    let outcomes = (0..8).filter_map(pumicehead_flight_recorder::code_tables::outcome_from_code);
     let hows = [
         RequestOutcome::Served,
         RequestOutcome::ServedError,
@@ -197,7 +197,9 @@
             Err(error) => {
                 assert!(matches!(
                     error,
-                    RecordingError::Magic | RecordingError::Version(_) | RecordingError::Head
+                    RecordingError::NotARecording
+                        | RecordingError::UnsupportedVersion(_)
+                        | RecordingError::DamagedHeader
                 ))
             }
         }
@@ -216,11 +218,11 @@
 
 #[test]
 fn other_versions_and_other_files_are_rejected() {
-    assert_eq!(Recording::read(b"").unwrap_err(), RecordingError::Magic);
-    assert_eq!(Recording::read(b"GIF89a, and more").unwrap_err(), RecordingError::Magic);
+    assert_eq!(Recording::read(b"").unwrap_err(), RecordingError::NotARecording);
+    assert_eq!(Recording::read(b"GIF89a, and more").unwrap_err(), RecordingError::NotARecording);
     let mut later = small();
     later[8] = 2;
-    assert_eq!(Recording::read(&later).unwrap_err(), RecordingError::Version(2));
+    assert_eq!(Recording::read(&later).unwrap_err(), RecordingError::UnsupportedVersion(2));
     // A head of before some fields were there, then a frame of a kind that came later.
     let head = br#"{"node":"old","start":5,"pools":[{"name":"web"}],"field":"unheard of"}"#;
     let mut file = b"PHEADREC\x01\x00".to_vec();
--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -9,7 +9,7 @@
 use common::*;
 use pumicehead_flight_recorder::bounded_text::BoundedName;
 use pumicehead_flight_recorder::breakdown::Breakdown;
-use pumicehead_flight_recorder::code_tables::outcome_at;
+use pumicehead_flight_recorder::code_tables::outcome_from_code;
 use pumicehead_flight_recorder::event::{
     Event, ExhaustedResource, ListenerRejection, PoolId, RequestOutcome,
 };
@@ -180,7 +180,7 @@
         Event::MemberStateChanged { name: BoundedName::new("n7"), from: Some(0), to: 3 },
         Event::MemberStateChanged { name: BoundedName::new(long), from: None, to: 0 },
     ];
-    let outcomes = (0..8).filter_map(outcome_at);
+    let outcomes = (0..8).filter_map(outcome_from_code);
     all.extend(outcomes.enumerate().map(|(number, outcome)| Event::AttemptEnded {
         id,
         attempt: AttemptNo(number as u8),
--- a/crates/flight-recorder/tests/unit/metrics.rs
+++ b/crates/flight-recorder/tests/unit/metrics.rs
@@ -6,15 +6,15 @@
 
 #[test]
 fn metrics_text_has_counts_and_exemplars() {
-    let mut meters = RequestMetrics::default();
+    let mut metrics = RequestMetrics::default();
     let name = BoundedName::new("a\"b\n");
     for took in [3, 30, 30_000] {
-        meters.request_ended(READ, RequestOutcome::Served, took * 1_000_000, &name, SECOND);
+        metrics.request_ended(READ, RequestOutcome::Served, took * 1_000_000, &name, SECOND);
     }
-    meters.request_ended(READ, RequestOutcome::Rejected, 1_000, &name, SECOND);
-    meters.attempt_ended(AttemptOutcome::Reset);
-    meters.gauge("pumicehead_open", 2.0);
-    let text = meters.text();
+    metrics.request_ended(READ, RequestOutcome::Rejected, 1_000, &name, SECOND);
+    metrics.attempt_ended(AttemptOutcome::Reset);
+    metrics.gauge("pumicehead_open", 2.0);
+    let text = metrics.render();
     for line in [
         "pumicehead_requests_total{pool=\"web\",class=\"read\",how=\"served\"} 3",
         "pumicehead_requests_total{pool=\"web\",class=\"read\",how=\"refused\"} 1",
@@ -30,10 +30,10 @@
 
 #[test]
 fn classes_beyond_the_limit_count_as_other() {
-    let mut meters = RequestMetrics::default();
+    let mut metrics = RequestMetrics::default();
     for class in 0..1_000 {
         let name = format!("c{class}");
-        meters.request_ended(
+        metrics.request_ended(
             ClassLabels { id: (0, class), pool_name: "web", class_name: &name },
             RequestOutcome::Served,
             1_000,
@@ -41,6 +41,6 @@
             0,
         );
     }
-    assert_eq!(meters.classes.len(), MAX_CLASSES + 1);
-    assert!(meters.text().contains("{pool=\"other\",class=\"other\",how=\"served\"} 968"));
+    assert_eq!(metrics.classes.len(), MAX_CLASSES + 1);
+    assert!(metrics.render().contains("{pool=\"other\",class=\"other\",how=\"served\"} 968"));
 }
