--- a/crates/flight-recorder/src/recorder/mod.rs
+++ b/crates/flight-recorder/src/recorder/mod.rs
@@ -96,12 +96,12 @@
     }
 
     /// Sets the names of tenants, for all pools.
-    pub fn name_tenants(&mut self, names: TenantNames) {
+    pub fn set_tenant_names(&mut self, names: TenantNames) {
         self.header.tenants = names;
     }
 
     /// Sets the name of an endpoint.
-    pub fn name_endpoint(&mut self, pool: PoolId, endpoint: EndpointId, name: &str) {
+    pub fn set_endpoint_name(&mut self, pool: PoolId, endpoint: EndpointId, name: &str) {
         if let Some(pool) = self.header.pools.get_mut(usize::from(pool.0)) {
             pool.set_endpoint_name(endpoint.0, name);
         }
--- a/crates/flight-recorder/tests/common/mod.rs
+++ b/crates/flight-recorder/tests/common/mod.rs
@@ -38,7 +38,7 @@
         let mut recorder = Recorder::new("n0", START, memory, 7);
         let pool = recorder.register_pool("web", classes);
         for server in 0..8 {
-            recorder.name_endpoint(pool, EndpointId(server), &format!("s-{server}"));
+            recorder.set_endpoint_name(pool, EndpointId(server), &format!("s-{server}"));
         }
         Self { recorder, pool, now: START, next: 0 }
     }
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -259,7 +259,7 @@
     let names = [(70_000, "late"), (3, "early")].map(|(id, name)| (id, name.into()));
     let mut recorder = Recorder::new("n0", 0, 1 << 20, 1);
     recorder.register_pool("web", &[]);
-    recorder.name_tenants(names.into_iter().collect());
+    recorder.set_tenant_names(names.into_iter().collect());
     let new = Recording::read(&recorder.recording(1, "test")).unwrap().header;
     assert_eq!([3, 70_000, 0].map(|id| new.tenant_name(PoolId(0), id)), ["early", "late", "0"]);
     assert!(new.pools[0].tenants.is_empty());
--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -304,7 +304,7 @@
 fn next_pool(day: &mut Day, name: &str, classes: &[ClassInfo]) {
     day.pool = day.recorder.register_pool(name, classes);
     for server in 0..5 {
-        day.recorder.name_endpoint(day.pool, EndpointId(server), &format!("{name}-{server}"));
+        day.recorder.set_endpoint_name(day.pool, EndpointId(server), &format!("{name}-{server}"));
     }
 }
 
--- a/crates/node/src/introspection/mod.rs
+++ b/crates/node/src/introspection/mod.rs
@@ -113,7 +113,7 @@
     /// Sets the tenant names, which apply to all pools.
     pub fn set_tenant_names(&self, names: impl Iterator<Item = (TenantId, Arc<str>)>) {
         let names = names.map(|(id, name)| (id.0, name)).collect();
-        self.recorder.with(|recorder| recorder.name_tenants(names));
+        self.recorder.with(|recorder| recorder.set_tenant_names(names));
     }
 
     /// Returns a sink for events that belong to no pool.
--- a/crates/node/src/net/recorder_sink.rs
+++ b/crates/node/src/net/recorder_sink.rs
@@ -97,7 +97,7 @@
             return;
         }
         if let Some(name) = name {
-            self.shared.with(|recorder| recorder.name_endpoint(self.pool, info.id, name));
+            self.shared.with(|recorder| recorder.set_endpoint_name(self.pool, info.id, name));
         }
         self.record(&Event::EndpointStateChanged { endpoint: info.id, state: info.state });
     }
