--- a/crates/flight-recorder/src/html_report.rs
+++ b/crates/flight-recorder/src/html_report.rs
@@ -175,7 +175,7 @@
     if let Some(damage) = recording.damage {
         out += &format!(
             "<p>Damaged from byte {} of {} on; shown is what comes before.</p>",
-            damage.at, damage.of
+            damage.offset, damage.file_size
         );
     }
     if let Some(ledger) = &recording.ledger {
--- a/crates/flight-recorder/src/recording.rs
+++ b/crates/flight-recorder/src/recording.rs
@@ -179,9 +179,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Damage {
     /// Offset of the first byte that could not be read.
-    pub at: usize,
+    pub offset: usize,
     /// Size of the file in bytes.
-    pub of: usize,
+    pub file_size: usize,
 }
 
 /// The readable part of a recording.
@@ -296,7 +296,7 @@
         let mut recording =
             Self { header, ledger: None, timelines: Vec::new(), records: Vec::new(), damage: None };
         loop {
-            let at = bytes.len() - from.0.len();
+            let offset = bytes.len() - from.0.len();
             match read_frame(&mut from) {
                 Some((FRAME_END, _)) => break,
                 Some((FRAME_LEDGER, contents)) => recording.ledger = LossLedger::read(&mut Reader(contents)),
@@ -304,7 +304,7 @@
                 Some((FRAME_EVENTS, contents)) => recording.records.extend(decode_records(contents).0),
                 Some(_) => {}
                 None => {
-                    recording.damage = Some(Damage { at, of: bytes.len() });
+                    recording.damage = Some(Damage { offset, file_size: bytes.len() });
                     break;
                 }
             }
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/files.rs
@@ -191,7 +191,7 @@
     for cut in 0..whole.len() {
         match Recording::read(&whole[..cut]) {
             Ok(dump) => {
-                assert!(dump.damage.is_some_and(|damage| damage.at <= cut));
+                assert!(dump.damage.is_some_and(|damage| damage.offset <= cut));
                 assert!(dump.timelines.iter().zip(&all.timelines).all(|(one, other)| one == other));
             }
             Err(error) => {
--- a/crates/node/src/recording_cli.rs
+++ b/crates/node/src/recording_cli.rs
@@ -76,8 +76,10 @@
     let bytes = fs::read(file).map_err(|error| in_file(&error))?;
     let recording = Recording::read(&bytes).map_err(|error| in_file(&error))?;
     if let Some(damage) = recording.damage {
-        let text =
-            format!("damaged from byte {} of {}; only the data before it is used", damage.at, damage.of);
+        let text = format!(
+            "damaged from byte {} of {}; only the data before it is used",
+            damage.offset, damage.file_size
+        );
         print_error(&format!("pumicehead: {}", in_file(&text)));
     }
     Ok(recording)
