--- a/crates/flight-recorder/src/bounded_text.rs
+++ b/crates/flight-recorder/src/bounded_text.rs
@@ -7,7 +7,7 @@
 /// Greatest length of a stored name, in bytes: enough for 32 hexadecimal digits or a UUID.
 pub const MAX_NAME_BYTES: usize = 48;
 
-/// A name from outside: its prefix, and a hash of the whole name to match it by.
+/// An untrusted name: its prefix, and a hash of the whole name for comparison.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BoundedName {
     /// At most [`MAX_NAME_BYTES`] bytes.
@@ -17,19 +17,19 @@
 }
 
 impl BoundedName {
-    /// Stores a name of any length.
+    /// Shortens a name of any length.
     #[must_use]
     pub fn new(text: &str) -> Self {
         Self { prefix: text[..text.floor_char_boundary(MAX_NAME_BYTES)].into(), hash: hash(text) }
     }
 
-    /// Whether it was made from `text`.
+    /// Whether it was created from `text`.
     #[must_use]
     pub fn matches(&self, text: &str) -> bool {
         self.hash == hash(text) && text.starts_with(&*self.prefix)
     }
 
-    /// Returns the escaped prefix, with dots if the name is longer.
+    /// Returns the escaped prefix, followed by `...` if the name is longer.
     #[must_use]
     pub fn display(&self) -> String {
         let cut = if hash(&self.prefix) == self.hash { "" } else { "..." };
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns a hash without a seed.
+/// Returns a hash without a seed, which is the same in every process; recordings store it.
 #[must_use]
 pub fn hash(text: &str) -> u64 {
     let mut hasher = FxHasher::default();
--- a/crates/flight-recorder/src/breakdown.rs
+++ b/crates/flight-recorder/src/breakdown.rs
@@ -1,4 +1,4 @@
-//! Losses of a time range by cause, endpoint, class and time. Every view adds up to the same sum, exactly.
+//! Losses of a time range by cause, endpoint, class and time. All views have exactly the same sum.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,9 +16,9 @@
 /// A row of a view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BreakdownRow {
-    /// What the row is about.
+    /// The cause, endpoint, class or time that the row is about.
     pub label: String,
-    /// Returns the lost weight.
+    /// Lost weight.
     pub lost: MicroWeight,
     /// Number of requests.
     pub requests: u64,
@@ -31,7 +31,7 @@
     pub from: Nanos,
     /// End of the range.
     pub to: Nanos,
-    /// Start of the node.
+    /// Start of the node's process.
     pub start: Nanos,
     /// Number of requests that ended in the range.
     pub requests: u64,
@@ -43,6 +43,7 @@
     pub views: Vec<(&'static str, Vec<BreakdownRow>)>,
 }
 
+/// Sums up losses by a key; the largest loss comes first.
 fn group_losses<K: Ord>(
     rows: &[(Nanos, LossKey, LossTotals)],
     group_key: impl Fn(Nanos, &LossKey) -> K,
--- a/crates/flight-recorder/src/code_tables.rs
+++ b/crates/flight-recorder/src/code_tables.rs
@@ -1,4 +1,4 @@
-//! Stored codes of the enums in a recording: the place of a value in its table.
+//! Stored codes of the enums in a recording: the code of a value is its index in a table.
 //!
 //! Codes are part of the file format. Append to a table; never reorder one.
 
@@ -43,7 +43,7 @@
     AttemptOutcome::NotSent,
 ];
 
-/// Reasons against a retry, by their stored codes.
+/// Reasons for not retrying, by their stored codes.
 pub(crate) const NO_RETRY_REASONS: [NoRetryReason; 4] = [
     NoRetryReason::AttemptsExhausted,
     NoRetryReason::NotIdempotent,
@@ -57,18 +57,18 @@
     OUTCOMES.iter().position(|&candidate| candidate == outcome).unwrap_or_default()
 }
 
-/// Returns the outcome of a code.
+/// Returns the outcome of a code; `None` if the code is unknown.
 #[must_use]
 pub fn outcome_from_code(code: usize) -> Option<AttemptOutcome> {
     OUTCOMES.get(code).copied()
 }
 
-/// Returns the stored code of a value, its place in a table.
+/// Returns the stored code of a value: its index in a table.
 pub(crate) fn code_of<T: PartialEq>(table: &[T], value: T) -> u8 {
     table.iter().position(|candidate| *candidate == value).unwrap_or_default() as u8
 }
 
-/// Returns the value of a stored code.
+/// Returns the value of a stored code; `None` if the table has no such code.
 pub(crate) fn value_at<T: Copy>(table: &[T], code: u8) -> Option<T> {
     table.get(usize::from(code)).copied()
 }
--- a/crates/flight-recorder/src/decision_codec.rs
+++ b/crates/flight-recorder/src/decision_codec.rs
@@ -6,6 +6,7 @@
 use crate::code_tables::{rejection_code, rejection_from_code};
 use crate::wire_format::{Reader, put_f32, put_optional_varint, put_varint};
 
+/// Appends the tag and the first field.
 fn put_tag(out: &mut Vec<u8>, tag: u8, first: u32) {
     out.push(tag);
     put_varint(out, u64::from(first));
--- a/crates/flight-recorder/src/event.rs
+++ b/crates/flight-recorder/src/event.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolId(pub u16);
 
-/// How a request ended, as its client saw it.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// With a successful response of an endpoint.
@@ -40,9 +40,9 @@
 /// A resource that a node ran out of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExhaustedResource {
-    /// Descriptors for connections of clients.
+    /// File descriptors for connections from clients.
     DownstreamConnection,
-    /// Descriptors for connections to endpoints.
+    /// File descriptors for connections to endpoints.
     UpstreamConnection,
 }
 
@@ -57,11 +57,11 @@
         class: u16,
         /// Its tenant, if tenants are configured.
         tenant: Option<u32>,
-        /// How long its client will wait from now on.
+        /// How long its client will wait from admission on.
         client_timeout: Nanos,
         /// How long the client took to send it.
         upload_time: Nanos,
-        /// The request id that its client gave it.
+        /// The request id that its client sent.
         name: BoundedName,
         /// Revision of the configuration at admission; `None` on nodes without revisions and in recordings of
         /// versions that did not record it.
@@ -97,7 +97,7 @@
         /// How long the reused connection had been idle; `None` for a new connection, or if nothing was sent.
         connection_idle: Option<Nanos>,
     },
-    /// The response of an attempt started to stream to the client.
+    /// The proxy started to forward the response of an attempt to the client.
     ResponseStarted {
         /// The request's id.
         id: RequestId,
@@ -113,7 +113,7 @@
     },
     /// Discovery changed the state of an endpoint.
     EndpointStateChanged {
-        /// Which one.
+        /// The endpoint.
         endpoint: EndpointId,
         /// Its new state.
         state: EndpointState,
@@ -143,7 +143,7 @@
     },
     /// The membership state of a node changed: alive 0, stalled 1, suspect 2, dead 3, left 4.
     MemberStateChanged {
-        /// Which one.
+        /// Name of the node.
         name: BoundedName,
         /// State before; `None` for a new member.
         from: Option<u8>,
--- a/crates/flight-recorder/src/event_codec.rs
+++ b/crates/flight-recorder/src/event_codec.rs
@@ -1,6 +1,6 @@
 //! Binary form of an event: a tag, the first number, then the other fields.
 //!
-//! Readers skip events whose tag they don't know, so that later versions may add some.
+//! Readers skip events with an unknown tag, so that later versions can add some.
 
 use pumicehead_policy::{AttemptNo, EndpointId, RequestId};
 
@@ -10,9 +10,9 @@
 use crate::event::{Event, ExhaustedResource, ListenerRejection, RequestOutcome};
 use crate::wire_format::{Reader, put_bytes, put_optional_varint, put_varint};
 
-/// Stored tags of events. Tags of decisions follow from 32 on.
+/// Stored tags of events. Decision events have tags from 32 on.
 mod tag {
-    /// A request without a revision, as in versions before revisions.
+    /// A request without a revision; versions without revisions write all requests so.
     pub const REQUEST_ADMITTED: u8 = 1;
     pub const ATTEMPT_STARTED: u8 = 2;
     pub const ATTEMPT_ENDED: u8 = 3;
@@ -28,6 +28,7 @@
     pub const REQUEST_ADMITTED_UNDER_REVISION: u8 = 12;
 }
 
+/// Appends the tag and the first number.
 fn put_tag(out: &mut Vec<u8>, tag: u8, first: u32) {
     out.push(tag);
     put_varint(out, u64::from(first));
--- a/crates/flight-recorder/src/event_ring.rs
+++ b/crates/flight-recorder/src/event_ring.rs
@@ -1,5 +1,5 @@
-//! The newest events in fixed memory, as pages that can be decoded independently. The oldest page is overwritten first, so
-//! that a reader always finds whole records.
+//! The newest events in fixed memory, as pages that can be decoded independently. The oldest page is overwritten first, as a
+//! whole, so that readers never find partial records.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
 
 /// Size of a page in bytes; a page is overwritten as a whole.
 pub const PAGE_BYTES: usize = 4 << 10;
-/// Size of the largest event that is recorded, in bytes.
+/// Size of the largest event that is recorded, in bytes; larger ones are dropped.
 const MAX_EVENT_BYTES: usize = 512;
 /// Resolution of recorded times, in nanoseconds.
 pub const TIME_UNIT: Nanos = 1_000;
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Appends an encoded event. A time before the last one counts as the last one.
+    /// Appends an encoded event. A time before that of the last event is replaced with that of the last event.
     pub fn push(&mut self, at: Nanos, pool: PoolId, event: &[u8]) {
         if event.len() > MAX_EVENT_BYTES {
             return;
         }
-        // Three numbers of at most ten bytes precede the event.
+        // Three integers of at most ten bytes each precede the event.
         let page_full = self.pages.back().is_none_or(|page| page.len() + event.len() + 30 > PAGE_BYTES);
         if page_full {
             self.start_page(at);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Starts a page, in place of the oldest one if the ring is full.
+    /// Starts a page; if the ring is full, the oldest page is overwritten.
     fn start_page(&mut self, at: Nanos) {
         let mut page = if self.pages.len() >= self.max_pages {
             self.overwritten += u64::from(self.record_counts.pop_front().unwrap_or_default());
@@ -102,7 +102,7 @@
     }
 }
 
-/// Appends a record to a page whose last record, or whose start, is at `last`.
+/// Appends a record to a page whose last record, or whose start if it has none, is at `last_at`.
 pub fn append_record(page: &mut Vec<u8>, last_at: &mut Nanos, at: Nanos, pool: PoolId, event: &[u8]) {
     let steps = at.saturating_sub(*last_at) / TIME_UNIT;
     *last_at += steps * TIME_UNIT;
@@ -112,7 +112,7 @@
     page.extend_from_slice(event);
 }
 
-/// Returns the readable records of a page, and whether that is all of it.
+/// Returns the readable records of a page, and whether the page could be read to its end.
 #[must_use]
 pub fn decode_records(page: &[u8]) -> (Vec<Record>, bool) {
     let mut from = Reader(page);
@@ -129,7 +129,7 @@
         };
         let Some((steps, pool, bytes)) = next() else { return (records, false) };
         at = at.saturating_add(steps.saturating_mul(TIME_UNIT));
-        // Events of later versions are skipped.
+        // Events that this version does not know are skipped.
         if let Some(event) = Event::decode(&mut Reader(bytes)) {
             records.push(Record { at, pool, event });
         }
--- a/crates/flight-recorder/src/export.rs
+++ b/crates/flight-recorder/src/export.rs
@@ -1,4 +1,4 @@
-//! Timelines in formats of other viewers: OTLP/JSON (one `TracesData` per line, as the OpenTelemetry protocol's file
+//! Timelines in formats of other tools: OTLP/JSON (one `TracesData` per line, as the OpenTelemetry protocol's file
 //! exporter writes it) and Chrome's trace events (the "Trace Event Format", JSON object form).
 
 use pumicehead_policy::{AttemptOutcome, Nanos};
@@ -12,7 +12,7 @@
 use crate::recording::Recording;
 use crate::request_timeline::RequestTimeline;
 
-/// An attempt in both formats.
+/// An attempt, as both formats need it.
 struct Attempt {
     number: u8,
     endpoint_name: String,
@@ -21,7 +21,7 @@
     outcome: Option<AttemptOutcome>,
 }
 
-/// A request in both formats.
+/// A request, as both formats need it.
 struct RequestSpan {
     events: Vec<Record>,
     from: Nanos,
@@ -59,7 +59,7 @@
     RequestSpan { events, from, to, outcome, attempts }
 }
 
-/// Returns a span id; the same recording always gives the same ids.
+/// Returns a span id. It is derived from the recording, so that repeated exports have the same ids.
 fn span_id(timeline: &RequestTimeline, from: Nanos, part: u64) -> u64 {
     pumicehead_policy::hash_ring::mix64(
         timeline.name.hash ^ from.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9_7f4a_7c15),
--- a/crates/flight-recorder/src/exported_names.rs
+++ b/crates/flight-recorder/src/exported_names.rs
@@ -1,6 +1,6 @@
 //! The text of a decision event in an exported trace.
 //!
-//! Dashboards match on these names, so they stay as they were first written, whatever the variants are called in code.
+//! Dashboards match on these names, so they must not change when a variant is renamed.
 
 use std::fmt::{self, Debug, Formatter};
 
@@ -12,16 +12,16 @@
 /// Formats a decision event under its exported names.
 pub(crate) struct ExportedDecision<'a>(pub &'a DecisionEvent);
 
-/// An id of an endpoint under its exported name.
+/// An endpoint's id under its exported type name.
 struct ExportedEndpointId(EndpointId);
 
-/// Counts of exclusions under their exported name.
+/// Counts of exclusions under their exported type name.
 struct ExportedExclusions(ExclusionReasons);
 
-/// A name that is written without quotes.
+/// A name whose debug form has no quotes.
 struct Unquoted(&'static str);
 
-/// The reason of a final answer under its exported name.
+/// A reason for answering without an endpoint, under its exported name.
 struct ExportedRejection(RejectionReason);
 
 impl Debug for Unquoted {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Events about one request.
+/// Formats an event about one request.
 fn write_request_event(event: &DecisionEvent, out: &mut Formatter<'_>) -> fmt::Result {
     match event {
         DecisionEvent::Classified { id, tier, priority_weight, objective_deadline } => out
@@ -133,7 +133,7 @@
     }
 }
 
-/// Events about endpoints and their limits.
+/// Formats an event about endpoints and their limits.
 fn write_endpoint_event(event: &DecisionEvent, out: &mut Formatter<'_>) -> fmt::Result {
     match event {
         DecisionEvent::LimitChanged { endpoint, from, to, reason } => out
--- a/crates/flight-recorder/src/findings/attribution.rs
+++ b/crates/flight-recorder/src/findings/attribution.rs
@@ -12,13 +12,13 @@
 use crate::loss_ledger::{EndpointKey, LossKey, LossLedger, NO_ENDPOINT, Row};
 use crate::recording::RecordingHeader;
 
-/// Share of all used concurrency from which wasted concurrency counts as the cause of a queue.
+/// Share of the used concurrency of a pool from which wasted concurrency counts as the cause of a queue.
 const MIN_WASTED_SHARE: f64 = 0.2;
 
-/// Losses attributed so far, with the statistics that the attribution is based on.
+/// Losses that are attributed so far, with the statistics that the attribution is based on.
 pub(super) struct Attribution<'a> {
     pub(super) header: &'a RecordingHeader,
-    /// Times that the node ran out of descriptors: for downstream and for upstream connections.
+    /// Number of times that the node ran out of file descriptors: for downstream and for upstream connections.
     pub(super) resource_exhaustions: [u64; 2],
     pub(super) pools: BTreeMap<PoolId, PoolStats>,
     costs: BTreeMap<(Subject, Symptom), Cost>,
@@ -51,7 +51,7 @@
         Self { header, resource_exhaustions: ledger.resource_exhaustions, pools, costs: BTreeMap::new() }
     }
 
-    /// Returns the findings, the most expensive first.
+    /// Returns the findings, that with the largest loss first.
     pub(super) fn into_findings(self) -> Vec<Finding> {
         let finding = |(&(subject, symptom), cost): (&(Subject, Symptom), &Cost)| Finding {
             subject,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns the fault that a loss itself shows; `None` for a loss for want of capacity.
+    /// Returns the fault that a loss itself shows; `None` if it shows none, which counts as lack of capacity.
     fn fault_of(&self, key: LossKey) -> Option<(Subject, Symptom)> {
         let pool = key.pool;
         let cause = LossCause::from_code(key.cause);
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Whether an attempt with this outcome was not sent since the node had run out of descriptors.
+    /// Whether an attempt with this outcome was not sent because the node had run out of file descriptors.
     fn lacked_descriptor(&self, outcome_code: u8) -> bool {
         outcome_from_code(usize::from(outcome_code)) == Some(AttemptOutcome::NotSent)
             && self.resource_exhaustions[1] > 0
@@ -119,13 +119,13 @@
         stats.is_some_and(|stats| stats.objective_too_short(key.class, objective, deadline))
     }
 
-    /// Returns the symptom of the endpoint that a loss was booked under.
+    /// Returns the symptom of the endpoint that a loss was counted for.
     fn endpoint_symptom(&self, key: LossKey) -> Option<Symptom> {
         let stats = self.pools.get(&key.pool).filter(|_| key.endpoint != NO_ENDPOINT);
         stats.and_then(|stats| stats.symptom(key.endpoint))
     }
 
-    /// Returns the fault behind a failed attempt: the endpoint's own, or else the pool's.
+    /// Returns the fault behind a failed attempt: that of the endpoint if it has a symptom, otherwise that of the pool.
     fn failure_fault(&self, key: LossKey, outcome_code: u8) -> (Subject, Symptom) {
         if let Some(symptom) = self.endpoint_symptom(key) {
             return (Subject::Endpoint(key.pool, key.endpoint), symptom);
@@ -141,7 +141,7 @@
         (Subject::Pool(key.pool), symptom)
     }
 
-    /// Returns the fault in the phase that took the time; `None` where that was waiting for capacity.
+    /// Returns the fault in the phase that took the most time; `None` if there is none, which counts as lack of capacity.
     fn phase_fault(&self, key: LossKey, cause: LossCause) -> Option<(Subject, Symptom)> {
         let endpoint = Subject::Endpoint(key.pool, key.endpoint);
         match cause.phase()? {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Attributes a loss for want of capacity to the endpoints that wasted it, in proportion, or to the pool.
+    /// Attributes a loss for lack of capacity to the endpoints that wasted it, in proportion, or to the pool.
     fn attribute_queue_loss(&mut self, pool: PoolId, lost: MicroWeight, requests: u64) {
         let wastes = self.wastes_behind_queue(pool);
         let total: u64 = wastes.iter().map(|waste| waste.wasted_us).sum();
@@ -174,7 +174,7 @@
         self.add(Subject::Endpoint(pool, largest.endpoint), largest.symptom, rest, requests);
     }
 
-    /// Returns what faulty endpoints wasted; nothing where it is too little to explain a queue.
+    /// Returns what faulty endpoints wasted; nothing if it is less than [`MIN_WASTED_SHARE`] of the pool's used concurrency.
     fn wastes_behind_queue(&self, pool: PoolId) -> Vec<Waste> {
         let Some(stats) = self.pools.get(&pool) else { return Vec::new() };
         let waste = |(&endpoint, row)| {
@@ -189,7 +189,7 @@
         if (wasted as f64) < MIN_WASTED_SHARE * used as f64 { Vec::new() } else { wastes }
     }
 
-    /// Adds faulty endpoints that cost nothing: retries and hedged requests made up for them.
+    /// Adds faulty endpoints that caused no loss because retries and hedged requests made up for their faults.
     pub(super) fn add_faulty_endpoints(&mut self) {
         let mut faulty = Vec::new();
         for (&pool, stats) in &self.pools {
--- a/crates/flight-recorder/src/findings/exported_names.rs
+++ b/crates/flight-recorder/src/findings/exported_names.rs
@@ -1,4 +1,5 @@
-//! Names of subjects and symptoms in the JSON of `pumicehead why`. They don't change with the names in code.
+//! Names of subjects and symptoms in the JSON of `pumicehead why`. They must not change when a variant is
+//! renamed.
 
 use super::{Subject, Symptom};
 use crate::event::PoolId;
--- a/crates/flight-recorder/src/findings/mod.rs
+++ b/crates/flight-recorder/src/findings/mod.rs
@@ -1,8 +1,8 @@
 //! Findings: what lost requests are attributed to, with evidence.
 //!
 //! A loss whose request shows the fault is attributed to the endpoint or class at fault. A loss in the queue is attributed
-//! to the endpoints that wasted concurrency, in proportion, if they wasted a considerable share of it; otherwise to the
-//! pool, whose capacity was exceeded. Parts are integers and add up to the loss.
+//! to the faulty endpoints that wasted concurrency, in proportion, if they wasted a considerable share of it; otherwise to
+//! the pool, whose capacity was exceeded. Parts are integers and add up to the loss.
 
 mod attribution;
 mod exported_names;
@@ -75,11 +75,11 @@
     pub subject: Subject,
     /// What is wrong.
     pub symptom: Symptom,
-    /// Priority weight lost to it.
+    /// Priority weight that was lost to it.
     pub lost: MicroWeight,
-    /// Number of requests that lost to it; a request whose loss is split counts for the largest part.
+    /// Number of requests that lost weight to it; if a loss is split, its requests count for the largest part only.
     pub requests: u64,
-    /// A sentence with the evidence.
+    /// A sentence that describes the finding with its evidence.
     pub text: String,
 }
 
--- a/crates/flight-recorder/src/findings/pool_stats.rs
+++ b/crates/flight-recorder/src/findings/pool_stats.rs
@@ -10,21 +10,21 @@
 
 /// An endpoint is an outlier if its share of an outcome exceeds this multiple of the others' share.
 const OUTLIER_RATIO: f64 = 2.0;
-/// Margin by which an outlier's share exceeds that multiple.
+/// Margin by which the share of an outlier exceeds that multiple.
 const OUTLIER_MARGIN: f64 = 0.02;
 /// Greatest probability that an outlier's count occurs by chance.
 const MAX_CHANCE_PROBABILITY: f64 = 1e-3;
-/// Failure share of other endpoints that the probability assumes at least.
+/// Lower bound of the share of an outcome at other endpoints, for the probability that a count occurs by chance.
 const MIN_FAILURE_SHARE: f64 = 0.01;
-/// Fewest responses for a mean.
+/// Fewest responses that a mean is taken of.
 const MIN_RESPONSES: u64 = 3;
 /// Latency ratio to other endpoints from which an endpoint is slow.
 const SLOW_RATIO: f64 = 1.5;
-/// Success share above which an endpoint is not unresponsive.
+/// Success share above which a slow endpoint does not count as unresponsive.
 const MIN_RESPONSIVE_SUCCESS_SHARE: f64 = 0.5;
-/// Success share below which a class is starved of responses.
+/// Success share below which a class gets too few responses.
 const MAX_STARVED_SUCCESS_SHARE: f64 = 0.2;
-/// Success share of other classes from which endpoints are healthy.
+/// Success share of other classes from which the endpoints count as healthy.
 const MIN_HEALTHY_SUCCESS_SHARE: f64 = 0.8;
 
 /// Totals of one pool over the time range.
@@ -71,7 +71,7 @@
             && chance_probability < MAX_CHANCE_PROBABILITY
     }
 
-    /// Returns the ratio of an endpoint's latency to the median of the others.
+    /// Returns the ratio of an endpoint's mean latency to the median of the others'; 1 if there are too few responses.
     pub(super) fn latency_ratio(&self, endpoint: u32) -> f64 {
         let successes = |row: &EndpointTotals| row.attempts_by_outcome[outcome_code(AttemptOutcome::Success)];
         let Some(row) = self.endpoints.get(&endpoint).filter(|row| successes(row) >= MIN_RESPONSES) else {
@@ -89,7 +89,7 @@
         others.get(others.len() / 2).map_or(1.0, |middle| mean(row) / middle.max(1.0))
     }
 
-    /// Returns the gravest symptom of an endpoint, if it has any.
+    /// Returns the symptom of an endpoint, if it has one: of several, that whose share exceeds the others' share the most.
     pub(super) fn symptom(&self, endpoint: u32) -> Option<Symptom> {
         let outcomes: [(&[AttemptOutcome], Symptom); 5] = [
             (&[AttemptOutcome::TimedOut, AttemptOutcome::Cancelled], Symptom::Unresponsive),
@@ -108,7 +108,7 @@
         });
         let slow = self.latency_ratio(endpoint) >= SLOW_RATIO;
         match worst.map(|(_, symptom)| symptom) {
-            // Cancelled for being late while it still answers most attempts: slow, not unresponsive.
+            // Attempts time out or are cancelled because they take too long, but most get a response: slow, not unresponsive.
             Some(Symptom::Unresponsive)
                 if slow && self.success_share(endpoint) > MIN_RESPONSIVE_SUCCESS_SHARE =>
             {
@@ -124,7 +124,7 @@
         self.outcome_shares(endpoint, &[AttemptOutcome::Success]).own
     }
 
-    /// Returns the microseconds of concurrency that a faulty endpoint used without benefit.
+    /// Returns the concurrency that a faulty endpoint used without a result or beyond the usual latency, in microseconds.
     pub(super) fn wasted_us(&self, endpoint: u32, row: &EndpointTotals) -> u64 {
         if self.symptom(endpoint).is_none() {
             return 0;
@@ -134,10 +134,11 @@
         row.unsuccessful_us.saturating_add(extra as u64)
     }
 
-    /// Whether a class's objective or deadline is too short for its responses, while other classes are answered.
+    /// Whether the latency objective or deadline of a class is too short: its fastest response misses the objective, or it gets
+    /// almost no responses while other classes do.
     pub(super) fn objective_too_short(&self, class: u16, latency_objective: Nanos, deadline: Nanos) -> bool {
         let Some(traffic) = self.classes.get(&class) else { return false };
-        // What is earned depends on the objective, whatever the deadline.
+        // A response after the objective earns less, whatever the deadline.
         if traffic.successful_attempts >= MIN_RESPONSES
             && traffic.min_successful_us_plus_one.saturating_sub(1).saturating_mul(1_000) > latency_objective
         {
@@ -156,7 +157,7 @@
             && (traffic.successful_attempts as f64) < MAX_STARVED_SUCCESS_SHARE * all as f64;
         let others_healthy =
             attempts >= MIN_RESPONSES && successes as f64 >= MIN_HEALTHY_SUCCESS_SHARE * attempts as f64;
-        // The mean latency of other classes is more than this class allows.
+        // The mean latency of other classes is more than half of what this class allows.
         starved
             && others_healthy
             && took.saturating_mul(1_000) / successes.max(1) > deadline.min(latency_objective) / 2
--- a/crates/flight-recorder/src/findings/text.rs
+++ b/crates/flight-recorder/src/findings/text.rs
@@ -1,4 +1,4 @@
-//! Sentences about findings. The words appear in reports that scripts match on.
+//! Sentences about findings. Scripts match on these texts, so they must not change.
 
 use std::fmt;
 
@@ -90,7 +90,7 @@
 }
 
 impl Symptom {
-    /// Returns the words for a whole pool or its clients.
+    /// Returns the text for a whole pool or its clients.
     fn pool_text(self) -> &'static str {
         match self {
             Self::Unresponsive => outcome_text(AttemptOutcome::TimedOut),
--- a/crates/flight-recorder/src/html_report.rs
+++ b/crates/flight-recorder/src/html_report.rs
@@ -13,13 +13,14 @@
 use crate::recording::Recording;
 use crate::timeline_text;
 
-/// Number of endpoints in charts: those with the most attempts.
+/// Greatest number of endpoints in charts: those with the most attempts.
 const MAX_ENDPOINTS: usize = 12;
-/// Number of timelines in the report.
+/// Greatest number of timelines in the report.
 const MAX_TIMELINES: usize = 10;
+/// Width and height of a chart, in pixels.
 const CHART_SIZE: (u32, u32) = (1_000, 260);
 
-/// Why a chart can't be drawn.
+/// Why a chart could not be drawn.
 type ChartError = Box<dyn std::error::Error>;
 
 type Points = Vec<(f64, f64)>;
@@ -71,7 +72,8 @@
     Ok(svg)
 }
 
-/// Draws a row per endpoint, darker with more failed attempts, with a line below it while it was ejected.
+/// Draws a row per endpoint: green in slots without failed attempts, otherwise red, the stronger the more attempts failed,
+/// with a black line below it for the time of ejection.
 fn endpoint_chart(rows: &[(String, Vec<EndpointSlot>)], end: f64) -> Result<String, ChartError> {
     let mut svg = String::new();
     {
@@ -108,6 +110,7 @@
     Ok(svg)
 }
 
+/// Returns the endpoints with the most attempts.
 fn busiest_endpoints(ledger: &LossLedger) -> Vec<(PoolId, u32)> {
     let mut sums: BTreeMap<(PoolId, u32), u64> = BTreeMap::new();
     for (_, key, row) in
@@ -161,7 +164,7 @@
     Ok(out)
 }
 
-/// Renders the report. A chart that can't be drawn is replaced with the error.
+/// Renders the report. If a chart can't be drawn, the error takes the place of all charts.
 #[must_use]
 pub fn write(recording: &Recording) -> String {
     let title = escape_html(&format!("pumicehead {}", recording.header.node));
@@ -174,7 +177,7 @@
     );
     if let Some(damage) = recording.damage {
         out += &format!(
-            "<p>Damaged from byte {} of {} on; shown is what comes before.</p>",
+            "<p>Recording is damaged from byte {} of {}; only the data before it is shown.</p>",
             damage.offset, damage.file_size
         );
     }
@@ -184,8 +187,9 @@
             out += &format!("<li>lost {:.1}: {}</li>", finding.lost as f64 / 1e6, escape_html(&finding.text));
         }
         out += "</ol><h2>The day</h2>";
-        out += &charts(recording, ledger)
-            .unwrap_or_else(|error| format!("<p>No picture: {}</p>", escape_html(&error.to_string())));
+        out += &charts(recording, ledger).unwrap_or_else(|error| {
+            format!("<p>Chart could not be drawn: {}</p>", escape_html(&error.to_string()))
+        });
         let breakdown = Breakdown::of_ledger(&recording.header, ledger, 0, Nanos::MAX);
         out += &format!("<h2>What was lost</h2><pre>{}</pre>", escape_lines(&breakdown.to_string()));
     }
@@ -196,7 +200,7 @@
     out + "</html>\n"
 }
 
-/// Escapes text of several lines.
+/// Escapes text for HTML but keeps its line breaks.
 fn escape_lines(text: &str) -> String {
     text.lines().map(escape_html).collect::<Vec<_>>().join("\n")
 }
--- a/crates/flight-recorder/src/ledger_rows.rs
+++ b/crates/flight-recorder/src/ledger_rows.rs
@@ -18,7 +18,7 @@
     pub endpoint: u32,
 }
 
-/// Stands for no endpoint.
+/// Endpoint id in keys that stands for no endpoint.
 pub const NO_ENDPOINT: u32 = u32::MAX;
 
 impl Key for LossKey {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Totals of requests and attempts, booked when they end.
+/// Totals of requests and attempts, counted when they end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficTotals {
     /// Number of requests.
@@ -100,13 +100,13 @@
     pub earned: MicroWeight,
     /// Number of successful attempts.
     pub successful_attempts: u64,
-    /// Number of other attempts.
+    /// Number of attempts that ended with any other outcome.
     pub unsuccessful_attempts: u64,
     /// Duration of successful attempts, in microseconds.
     pub successful_us: u64,
-    /// Shortest of these durations plus one; 0 if there is none.
+    /// Shortest duration of a successful attempt plus one, in microseconds; 0 if there is none.
     pub min_successful_us_plus_one: u64,
-    /// Unused; part of the file format.
+    /// Unused, but part of the file format.
     pub reserved: u64,
 }
 
@@ -196,11 +196,11 @@
     pub relative_latency_permille: u64,
     /// Duration of successful attempts, in microseconds.
     pub successful_us: u64,
-    /// Duration of failed attempts, in microseconds: concurrency used without benefit.
+    /// Duration of all other attempts, in microseconds: concurrency that was used without a result.
     pub unsuccessful_us: u64,
-    /// Time spent on getting connections, in microseconds.
+    /// Time that attempts spent on getting a connection, in microseconds.
     pub connect_us: u64,
-    /// Time for which it was ejected by decisions in the slot, in microseconds.
+    /// Duration of the ejections that were decided in the slot, in microseconds.
     pub ejected_us: u64,
     /// Last known concurrency limit.
     pub concurrency_limit: f32,
--- a/crates/flight-recorder/src/lib.rs
+++ b/crates/flight-recorder/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! [`recorder::Recorder`] records the events of a node in fixed memory: a ring of the newest events ([`event_ring`]), sampled
 //! timelines of requests ([`reservoir`]) and exact totals of what was offered, earned and lost ([`loss_ledger`]).
-//! [`recording`] is the file format. [`timeline_text`] describes a request, [`breakdown`] sums losses up, [`findings`]
-//! attributes them, and [`export`] and [`html_report`] render recordings for other viewers and for people.
+//! [`recording`] is the file format. [`timeline_text`] describes a request, [`breakdown`] sums up losses, [`findings`]
+//! attributes them, and [`export`] and [`html_report`] render recordings for other tools and as a web page.
 //!
-//! There is no I/O and no clock: events come with their times, in nanoseconds of the node's clock, which counts from the Unix
-//! time of its start and never jumps.
+//! There is no I/O and no clock: events come with their times, in nanoseconds of the node's clock, which starts at the Unix
+//! time of the process start and never jumps.
 
 pub mod bounded_text;
 pub mod breakdown;
--- a/crates/flight-recorder/src/log_rate_limit.rs
+++ b/crates/flight-recorder/src/log_rate_limit.rs
@@ -25,11 +25,11 @@
     pub kind: u64,
     /// Number of messages.
     pub count: u64,
-    /// Time in which they came.
+    /// Time since the start of their interval.
     pub interval: Nanos,
 }
 
-/// Counts of messages by kind.
+/// State of the rate limit by kind.
 #[derive(Debug, Default)]
 pub struct LogRateLimiter {
     kinds: BTreeMap<u64, KindState>,
@@ -63,8 +63,8 @@
         (is_logged, expired)
     }
 
-    /// Returns what was suppressed in intervals that have ended. To be called regularly, or the last messages of a
-    /// kind would not be reported.
+    /// Returns what was suppressed in intervals that have ended. Must be called regularly: otherwise suppressed messages
+    /// would not be reported until the next message of their kind.
     pub fn drain_expired(&mut self, now: Nanos) -> Vec<SuppressedMessages> {
         if self.suppressed_kinds == 0 {
             return Vec::new();
--- a/crates/flight-recorder/src/loss_cause.rs
+++ b/crates/flight-recorder/src/loss_cause.rs
@@ -1,4 +1,4 @@
-//! Causes of lost priority weight, with their stored codes and their words.
+//! Causes of lost priority weight, with their stored codes and their texts.
 //! Weights are integers, in millionths, so that all sums are exact.
 
 use std::fmt;
@@ -42,7 +42,7 @@
 pub enum LossCause {
     /// Rejected: the queue of its tier was too long.
     QueueTooLong,
-    /// Rejected: it was queued until hardly any time was left.
+    /// Rejected: it was queued until almost no time was left.
     QueueTimeout,
     /// Rejected: earlier requests with its ordering key took too long.
     KeyOrderTimeout,
@@ -56,9 +56,9 @@
     ClientDisconnected(RequestPhase),
     /// Its body was too slow, too long or cut off.
     BodyFailed,
-    /// A listener rejected it: for want of connections if true, at the limit of requests otherwise.
+    /// A listener rejected it: at the limit of connections if true, at the limit of concurrent requests otherwise.
     RejectedByListener(bool),
-    /// Any cause without a row of its own.
+    /// Causes of rows that were merged for lack of memory, and unknown causes.
     Other,
 }
 
@@ -152,7 +152,7 @@
     }
 }
 
-/// Returns the words for an attempt's outcome. They are labels of scraped metrics.
+/// Returns the text of an attempt's outcome. It must not change, as metrics have it as the value of a label.
 #[must_use]
 pub fn outcome_text(outcome: AttemptOutcome) -> &'static str {
     match outcome {
--- a/crates/flight-recorder/src/loss_ledger.rs
+++ b/crates/flight-recorder/src/loss_ledger.rs
@@ -1,4 +1,4 @@
-//! What was offered, earned and lost on a node, and what its endpoints did, in bounded memory.
+//! Priority weight that was offered, earned and lost on a node, and the attempts of its endpoints, in bounded memory.
 
 use pumicehead_policy::Nanos;
 
@@ -17,13 +17,15 @@
     pub traffic: SlotTable<TrafficKey, TrafficTotals>,
     /// Attempts by endpoint.
     pub endpoints: SlotTable<EndpointKey, EndpointTotals>,
-    /// Number of times that descriptors ran out: for downstream and for upstream connections.
+    /// Number of times that file descriptors ran out: for downstream and for upstream connections.
     pub resource_exhaustions: [u64; 2],
 }
 
-/// Greatest size of a row in its table, in bytes.
+/// Upper bound of the memory of a row of losses, in bytes.
 const LOSS_ROW_BYTES: usize = 64;
+/// Upper bound of the memory of a row of traffic, in bytes.
 const TRAFFIC_ROW_BYTES: usize = 128;
+/// Upper bound of the memory of a row of endpoints, in bytes.
 const ENDPOINT_ROW_BYTES: usize = 208;
 
 impl LossLedger {
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Returns the size of all rows in bytes.
+    /// Returns an upper bound of the memory of all rows, in bytes.
     #[must_use]
     pub fn memory_used(&self) -> usize {
         self.losses.len() * LOSS_ROW_BYTES
--- a/crates/flight-recorder/src/metrics.rs
+++ b/crates/flight-recorder/src/metrics.rs
@@ -19,13 +19,13 @@
 
 /// Greatest number of classes with series of their own; the rest count as "other".
 pub const MAX_CLASSES: usize = 32;
-/// Upper bounds of histogram buckets, in seconds.
+/// Upper bounds of the finite histogram buckets, in seconds.
 const BUCKET_BOUNDS_S: [f64; 12] = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0];
-/// Greatest latency that a histogram distinguishes, in microseconds.
+/// Greatest latency that a histogram distinguishes, in microseconds; larger ones count as this one.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Least time between changes of a bucket's exemplar, which cost more than counting.
+/// Least time between replacements of a bucket's exemplar, since a replacement costs more than counting.
 const MIN_EXEMPLAR_AGE: Nanos = SECOND;
-/// Significant digits of a latency.
+/// Significant decimal digits of a latency.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
 const METADATA: Metadata<'static> = Metadata::new(module_path!(), Level::INFO, Some(module_path!()));
@@ -45,13 +45,13 @@
     exemplars: [Option<Exemplar>; BUCKET_BOUNDS_S.len() + 1],
 }
 
-/// A histogram that is shared between the facade and the renderer.
+/// A histogram that the `metrics` facade and the registry share.
 struct SharedHistogram(Mutex<LatencyHistogram>);
 
 impl SharedHistogram {
     /// Adds a latency, and makes the request its bucket's exemplar if the last one is old enough.
     fn add(&self, seconds: f64, name: &BoundedName, at: Nanos) {
-        // A panic can't leave the numbers in an invalid state.
+        // A poisoned lock can be ignored: a panic can't leave the numbers in an invalid state.
         let mut latencies = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         latencies.record(seconds);
         let bucket =
@@ -76,7 +76,7 @@
     }
 }
 
-/// All series by key: a recorder of the `metrics` facade.
+/// All metrics by key: a recorder of the `metrics` facade.
 #[derive(Default)]
 pub struct Registry {
     counters: Mutex<BTreeMap<Key, Arc<AtomicU64>>>,
@@ -91,7 +91,7 @@
 
 impl Registry {
     fn shared_histogram(&self, key: &Key) -> Option<Arc<SharedHistogram>> {
-        // The bounds are valid: the least is 1, and the greatest is more than twice that.
+        // The bounds are valid: the lowest value is 1, and the greatest is more than twice that.
         let hdr = Hdr::new_with_max(MAX_LATENCY_US, SIGNIFICANT_DIGITS).ok()?;
         Some(get_or_insert(&self.latencies, key, || {
             SharedHistogram(Mutex::new(LatencyHistogram { hdr, sum: 0.0, exemplars: Default::default() }))
@@ -186,7 +186,7 @@
 const OTHER_CLASS: ClassLabels<'_> =
     ClassLabels { id: (u16::MAX, u16::MAX), pool_name: "other", class_name: "other" };
 
-/// Series of one class of a pool.
+/// Metrics of one class of a pool.
 struct ClassMetrics {
     requests_by_outcome: [Counter; 7],
     latencies: Option<Arc<SharedHistogram>>,
@@ -258,7 +258,7 @@
         counter.increment(1);
     }
 
-    /// Adds to another counter.
+    /// Adds to the counter with a name and labels.
     pub fn count(&mut self, name: &'static str, labels: Vec<Label>, more: u64) {
         self.registry.register_counter(&Key::from_parts(name, labels), &METADATA).increment(more);
     }
--- a/crates/flight-recorder/src/recorder/accounting.rs
+++ b/crates/flight-recorder/src/recorder/accounting.rs
@@ -1,4 +1,4 @@
-//! Bookkeeping of requests and attempts in the ledger and the metrics.
+//! Counts requests and attempts in the ledger and the metrics.
 
 use pumicehead_policy::{AttemptOutcome, EndpointId, Nanos, RequestId};
 
@@ -9,7 +9,7 @@
 use crate::loss_ledger::{EndpointKey, LossKey, NO_ENDPOINT, TrafficKey, TrafficTotals};
 use crate::request_progress::LossAssessment;
 
-/// Greatest relative latency that is booked, in thousandths.
+/// Greatest relative latency of an attempt, in thousandths; larger ones count as this one.
 const MAX_RELATIVE_LATENCY_PERMILLE: u64 = 100_000;
 
 /// An attempt that has ended.
@@ -23,7 +23,7 @@
 }
 
 impl Recorder {
-    /// Books the end of a request.
+    /// Adds a request that has ended to the ledger.
     pub(super) fn account_request(
         &mut self,
         at: Nanos,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Books a request that a listener rejected.
+    /// Adds a request that a listener rejected to the ledger and the metrics.
     pub(super) fn account_rejection(
         &mut self,
         at: Nanos,
@@ -59,7 +59,7 @@
         self.metrics.request_rejected(reason);
     }
 
-    /// Books the end of an attempt.
+    /// Adds an attempt that has ended to the ledger and the metrics.
     pub(super) fn account_attempt(&mut self, at: Nanos, pool: PoolId, ended: &EndedAttempt) {
         let duration_us = ended.duration / 1_000;
         let class = self.open.get(&(pool, ended.id)).map(|open| open.class);
@@ -80,7 +80,8 @@
     }
 }
 
-/// Books an attempt of a class; returns its duration relative to the class's mean, in thousandths, 0 unless it succeeded.
+/// Adds an attempt to the totals of its class. Returns its duration relative to the mean of the class, in thousandths; 0 unless
+/// it succeeded.
 fn account_class_attempt(traffic: &mut TrafficTotals, outcome: AttemptOutcome, duration_us: u64) -> u64 {
     if outcome != AttemptOutcome::Success {
         traffic.unsuccessful_attempts += 1;
--- a/crates/flight-recorder/src/recorder/filter.rs
+++ b/crates/flight-recorder/src/recorder/filter.rs
@@ -13,7 +13,8 @@
 const MAX_REMEMBERED_LIMITS: usize = 20_000;
 
 impl Recorder {
-    /// Whether an event is to be recorded: repetitions are not, unless the level is [`Level::Full`].
+    /// Whether an event is to be recorded: unless the level is [`Level::Full`], repetitions and small changes of limits are
+    /// not. That no endpoint is available is never recorded for a request without a timeline.
     pub(super) fn should_record(&mut self, at: Nanos, pool: PoolId, event: &Event) -> bool {
         match event {
             Event::Decision(DecisionEvent::NoEndpointAvailable { id, exclusions }) => {
--- a/crates/flight-recorder/src/recorder/mod.rs
+++ b/crates/flight-recorder/src/recorder/mod.rs
@@ -1,4 +1,4 @@
-//! The recorder: takes events, samples the timelines of requests and books what was earned and lost.
+//! The recorder: stores events, samples the timelines of requests and sums up the weight that was earned and lost.
 
 mod accounting;
 mod filter;
@@ -22,7 +22,7 @@
 use self::open_requests::OpenRequest;
 use self::sampling::GroupRates;
 
-/// Size of a timeline besides its events, in bytes.
+/// Size of a timeline without its name and events, in bytes.
 const TIMELINE_OVERHEAD: usize = 160;
 /// The least memory of a recorder, in bytes.
 pub const MIN_MEMORY: usize = 64 << 10;
@@ -48,7 +48,7 @@
     /// Samples of notable requests (failed, rejected, retried or slow) and of the rest.
     samples: [Reservoir<Box<RequestTimeline>>; 2],
     ledger: LossLedger,
-    /// Boxed, as the map moves its values when it grows.
+    /// Boxed, since the map moves its values when it grows.
     open: FxHashMap<(PoolId, RequestId), Box<OpenRequest>>,
     open_bytes: usize,
     group_rates: GroupRates,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Registers a pool and its classes; a known name keeps its id.
+    /// Registers a pool and its classes. A pool with the name of a registered one replaces its classes and keeps its id.
     pub fn register_pool(&mut self, name: &str, classes: &[ClassInfo]) -> PoolId {
         let index = self.header.pools.iter().position(|pool| pool.name == name).unwrap_or_else(|| {
             self.header.pools.push(PoolHeader { name: name.into(), ..PoolHeader::default() });
@@ -122,7 +122,7 @@
         self.level
     }
 
-    /// Records an event. Times must not go back.
+    /// Records an event. Its time must not be before that of the last one.
     pub fn record(&mut self, at: Nanos, pool: PoolId, event: &Event) {
         if self.level == Level::Off || !self.should_record(at, pool, event) {
             return;
@@ -173,7 +173,7 @@
         self.ring.memory_used() + samples + self.open_bytes + self.ledger.memory_used()
     }
 
-    /// Returns the most bytes that may be in use.
+    /// Returns the limit of the bytes in use.
     #[must_use]
     pub fn memory_limit(&self) -> usize {
         self.memory_limit
@@ -185,7 +185,7 @@
         &self.ledger
     }
 
-    /// Returns all metrics in Prometheus' text format.
+    /// Returns all metrics as OpenMetrics text, which Prometheus reads.
     #[must_use]
     pub fn metrics_text(&self) -> String {
         self.metrics.render()
@@ -196,7 +196,7 @@
         &mut self.metrics
     }
 
-    /// Returns all contents as a file of [`crate::recording`].
+    /// Returns all contents in the file format of [`crate::recording`].
     #[must_use]
     pub fn recording(&self, at: Nanos, reason: &str) -> Vec<u8> {
         let mut header = self.header.clone();
@@ -206,7 +206,7 @@
         header.untracked_requests = self.untracked_requests;
         let mut timelines: Vec<_> = self.samples.iter().flat_map(Reservoir::iter).collect();
         timelines.sort_by(|(one, _), (other, _)| other.total_cmp(one));
-        // Open requests are often those that an operator asks about.
+        // Open requests are included because operators often look for them.
         let open = self.open.iter().map(|(&(pool, _), open)| RequestTimeline {
             pool,
             class: open.class,
--- a/crates/flight-recorder/src/recorder/open_requests.rs
+++ b/crates/flight-recorder/src/recorder/open_requests.rs
@@ -12,15 +12,15 @@
 use crate::request_progress::{LossAssessment, RequestProgress};
 use crate::request_timeline::RequestTimeline;
 
-/// Greatest size of a timeline's events, in bytes; later events are in the ring alone.
+/// Greatest size of a timeline's events, in bytes; later events are only in the ring.
 const MAX_TIMELINE_BYTES: usize = 1_024;
-/// Size of an open request besides its events, in bytes.
+/// Size of an open request without its name and events, in bytes.
 const OPEN_REQUEST_OVERHEAD: usize = 320;
 /// Bytes that a record may take besides its event.
 const MAX_RECORD_HEADER: usize = 16;
-/// Greatest number of event buffers that are kept for later requests.
+/// Greatest number of event buffers that are kept for reuse.
 const MAX_SPARE_BUFFERS: usize = 64;
-/// Share of the time to its objective from which a request counts as slow.
+/// Share of the time to its objective above which a request counts as slow.
 const SLOW_OBJECTIVE_SHARE: f64 = 0.8;
 
 /// The end of a request.
@@ -31,7 +31,7 @@
     outcome: RequestOutcome,
 }
 
-/// A request whose end, or whose last attempt's end, has not been recorded.
+/// A request that has not ended, or whose attempts have not all ended.
 pub(super) struct OpenRequest {
     progress: RequestProgress,
     pub(super) class: u16,
--- a/crates/flight-recorder/src/recorder/sampling.rs
+++ b/crates/flight-recorder/src/recorder/sampling.rs
@@ -1,4 +1,4 @@
-//! Weights for a sample that represents each group of class and tenant alike, however often its requests come.
+//! Weights for a sample in which each group of pool, class and tenant is represented equally, whatever its request rate.
 
 use pumicehead_policy::{Nanos, SECOND};
 use rustc_hash::FxHashMap;
@@ -7,10 +7,10 @@
 
 /// Greatest number of groups with a rate of their own; the rest share one.
 const MAX_GROUPS: usize = 1_024;
-/// Time constant of a group's rate.
+/// Time constant of the decay of a group's count.
 const GROUP_RATE_WINDOW: Nanos = 60 * SECOND;
 
-/// Requests that count as alike.
+/// The pool, class and tenant of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Group {
     pub(super) pool: PoolId,
--- a/crates/flight-recorder/src/recording.rs
+++ b/crates/flight-recorder/src/recording.rs
@@ -24,16 +24,17 @@
 pub const VERSION: u16 = 1;
 /// Size of the largest recording that is read, in bytes.
 pub const MAX_RECORDING_BYTES: usize = 256 << 20;
-/// Greatest number of endpoint names in a pool.
+/// Greatest number of endpoint names in a pool; beyond it the oldest are dropped.
 const MAX_ENDPOINT_NAMES: usize = 20_000;
 
+// Kinds of frames.
 const FRAME_HEADER: u8 = 1;
 const FRAME_LEDGER: u8 = 2;
 const FRAME_TIMELINE: u8 = 3;
 const FRAME_EVENTS: u8 = 4;
 const FRAME_END: u8 = 5;
 
-/// What a recording is of.
+/// The node, the time and the reason of a recording, and the names that its events refer to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RecordingHeader {
@@ -54,7 +55,7 @@
     /// Number of events that were overwritten in the ring.
     #[serde(rename = "wrapped")]
     pub overwritten_events: u64,
-    /// Number of requests without a timeline for want of memory.
+    /// Number of requests without a timeline for lack of memory.
     #[serde(rename = "untold")]
     pub untracked_requests: u64,
 }
@@ -67,7 +68,8 @@
     pub name: String,
     /// Its classes by their indices.
     pub classes: Vec<ClassHeader>,
-    /// Its tenants by their ids, in recordings of versions that named them for each pool; now [`RecordingHeader::tenants`] has them.
+    /// Names of tenants by their ids, in recordings of versions that stored them for each pool. Later versions store them in
+    /// [`RecordingHeader::tenants`].
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<String>,
     /// Names of endpoints with their ids, in order of discovery.
@@ -113,20 +115,20 @@
         Self { node: node.into(), program: env!("CARGO_PKG_VERSION").into(), start, ..Self::default() }
     }
 
-    /// Returns a pool's name.
+    /// Returns a pool's name, or `other` if the pool is unknown.
     #[must_use]
     pub fn pool_name(&self, pool: PoolId) -> &str {
         self.pools.get(usize::from(pool.0)).map_or("other", |pool| &pool.name)
     }
 
-    /// Returns a class's name.
+    /// Returns a class's name, or `other` if the class is unknown.
     #[must_use]
     pub fn class_name(&self, pool: PoolId, class: u16) -> &str {
         let pool = self.pools.get(usize::from(pool.0));
         pool.and_then(|pool| pool.classes.get(usize::from(class))).map_or("other", |class| &class.name)
     }
 
-    /// Returns a tenant's name, or its id.
+    /// Returns a tenant's escaped name, or its id if there is none.
     #[must_use]
     pub fn tenant_name(&self, pool: PoolId, tenant: u32) -> String {
         let in_pool = || self.pools.get(usize::from(pool.0))?.tenants.get(tenant as usize);
@@ -134,7 +136,7 @@
         name.map_or_else(|| tenant.to_string(), crate::bounded_text::escape)
     }
 
-    /// Returns an endpoint's name, or its id.
+    /// Returns an endpoint's escaped name, or its id if there is none.
     #[must_use]
     pub fn endpoint_name(&self, pool: PoolId, endpoint: u32) -> String {
         let pool = self.pools.get(usize::from(pool.0));
@@ -162,16 +164,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RecordingError {
     /// It does not start with [`MAGIC`].
-    #[error("not a recording of pumicehead")]
+    #[error("not a pumicehead recording")]
     NotARecording,
     /// Its version is not supported.
-    #[error("a recording of version {0}; this program reads versions up to {VERSION}")]
+    #[error("unsupported recording version {0}; this program reads versions up to {VERSION}")]
     UnsupportedVersion(u16),
     /// It is larger than [`MAX_RECORDING_BYTES`].
-    #[error("{0} bytes, more than {MAX_RECORDING_BYTES}")]
+    #[error("recording has {0} bytes; at most {MAX_RECORDING_BYTES} bytes are read")]
     TooLarge(usize),
     /// Its header is damaged.
-    #[error("the recording's head is damaged")]
+    #[error("header of the recording is damaged")]
     DamagedHeader,
 }
 
@@ -215,7 +217,7 @@
     out.extend_from_slice(contents);
 }
 
-/// Encodes a recording. Pages come newest first, so that a damaged tail costs the oldest events.
+/// Encodes a recording. Pages come newest first, so that damage at the end of the file loses the oldest events.
 pub fn write<'a>(
     header: &RecordingHeader,
     ledger: &LossLedger,
@@ -224,7 +226,7 @@
 ) -> Vec<u8> {
     let mut out = MAGIC.to_vec();
     out.extend_from_slice(&VERSION.to_le_bytes());
-    // Strings and finite numbers always serialize.
+    // Serializing strings and finite numbers never fails.
     write_frame(&mut out, FRAME_HEADER, &serde_json::to_vec(header).unwrap_or_default());
     let mut contents = Vec::new();
     ledger.write(&mut contents);
@@ -313,7 +315,7 @@
         Ok(recording)
     }
 
-    /// Returns the timelines of the requests with an id that a client gave, the newest first.
+    /// Returns the timelines of the requests with an id that clients sent, the newest first.
     #[must_use]
     pub fn timelines_of(&self, name: &str) -> Vec<&RequestTimeline> {
         let mut found: Vec<_> =
--- a/crates/flight-recorder/src/request_progress.rs
+++ b/crates/flight-recorder/src/request_progress.rs
@@ -1,4 +1,4 @@
-//! Follows one request through its events and assesses what it lost, and why, at its end.
+//! Tracks one request through its events and, when it ends, determines how much priority weight it lost and why.
 
 use pumicehead_policy::decision_event::{DecisionEvent, NoRetryReason, RejectionReason};
 use pumicehead_policy::{AttemptNo, AttemptOutcome, EndpointId, Nanos};
@@ -7,7 +7,7 @@
 use crate::event::{Event, RequestOutcome};
 use crate::loss_cause::{LossCause, MicroWeight, RequestPhase, to_micro_weight};
 
-/// What a request offered and earned, and why it lost the rest.
+/// The weight that a request offered and earned, and why it lost the rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LossAssessment {
     /// Priority weight of the request.
@@ -16,7 +16,7 @@
     pub earned: MicroWeight,
     /// Cause of the loss, if anything was lost.
     pub cause: Option<LossCause>,
-    /// Endpoint that the loss is booked under, if any.
+    /// Endpoint that the loss is counted for, if any.
     pub endpoint: Option<EndpointId>,
     /// Why there was no retry, if one was considered.
     pub no_retry_reason: Option<NoRetryReason>,
@@ -47,14 +47,14 @@
 }
 
 impl InFlightAttempt {
-    /// The time it has taken by `at`; the time of its connection is not known before its end.
+    /// Returns the time it has taken by `at`; the time for its connection is known only when it ends.
     fn time_at(&self, at: Nanos) -> AttemptTime {
         let duration = at.saturating_sub(self.started_at);
         AttemptTime { endpoint: self.endpoint, duration, connect_time: 0 }
     }
 }
 
-/// Time that an attempt took, and the part of it for its connection.
+/// Time that an attempt took, and the part of it that was spent on getting a connection.
 #[derive(Clone, Copy, Debug)]
 struct AttemptTime {
     endpoint: EndpointId,
@@ -62,7 +62,7 @@
     connect_time: Nanos,
 }
 
-/// Progress of a request, as far as its loss depends on it.
+/// State of a request from which its loss is determined.
 #[derive(Clone, Debug)]
 pub struct RequestProgress {
     admitted_at: Nanos,
@@ -73,19 +73,20 @@
     rejection: Option<RejectionReason>,
     in_flight: Vec<InFlightAttempt>,
     attempts_started: u32,
-    /// Time without an attempt in flight so far, and since when there has been none.
+    /// Total of the past times without an attempt in flight, and the start of the current one.
     queue_time: Nanos,
     queued_since: Option<Nanos>,
-    /// The failed attempt that took longest, and the last one.
+    /// The failed attempt with the longest duration, and the most recent one.
     longest_failure: Option<FailedAttempt>,
     last_failure: Option<FailedAttempt>,
     failed_time: Nanos,
-    /// The attempt that was answered.
+    /// The attempt that got a response for the client.
     answered: Option<AttemptTime>,
 }
 
 impl RequestProgress {
-    /// Starts at admission, with its class's weights and objective until the balancer has classified it.
+    /// Creates the state at admission, with the weights and the objective of its class. The balancer's classification replaces
+    /// the weight and the objective.
     #[must_use]
     pub fn new(at: Nanos, upload_time: Nanos, weight: f64, late_weight: f64, objective: Nanos) -> Self {
         Self {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Updates the progress by an event of the request.
+    /// Updates the state with an event of the request.
     pub fn observe(&mut self, at: Nanos, event: &Event) {
         match event {
             Event::Decision(DecisionEvent::Classified { priority_weight, objective_deadline, .. }) => {
@@ -175,14 +176,14 @@
         self.admitted_at
     }
 
-    /// Returns the share of the time to its objective that had passed at a time.
+    /// Returns how much of the time from admission to its objective had passed at `at`, as a fraction.
     #[must_use]
     pub fn objective_used(&self, at: Nanos) -> f64 {
         let objective = self.objective_deadline.saturating_sub(self.admitted_at).max(1);
         at.saturating_sub(self.admitted_at) as f64 / objective as f64
     }
 
-    /// Returns the phase that took the most time so far, and the endpoint at fault.
+    /// Returns the phase that took the most time by `at`, and the endpoint it was spent on, if any.
     fn dominant_phase(&self, at: Nanos) -> (RequestPhase, Option<EndpointId>) {
         let current_wait = self.queued_since.map_or(0, |since| at.saturating_sub(since));
         let oldest = self.in_flight.first().map(|one| one.time_at(at));
@@ -206,7 +207,7 @@
         (longest, endpoint)
     }
 
-    /// Assesses the request with its final response at `at`.
+    /// Assesses the request, which ended at `at`.
     #[must_use]
     pub fn assess(&self, at: Nanos, outcome: RequestOutcome) -> LossAssessment {
         let late = at > self.objective_deadline;
--- a/crates/flight-recorder/src/reservoir.rs
+++ b/crates/flight-recorder/src/reservoir.rs
@@ -1,9 +1,9 @@
-//! A weighted sample of items in bounded memory that favours new ones: of two items with the same weight, one that is a
-//! [`DECAY`] older is kept a third as often.
+//! A weighted sample of items in bounded memory that favours new ones: an item that is [`DECAY_TIME_CONSTANT`] older counts
+//! with 1/e, about a third, of the weight.
 //!
-//! Each item draws a priority of `ln(weight) + time / DECAY + G` with `G` from the Gumbel distribution, and the highest
-//! stay: sampling without replacement by weight (Efraimidis and Spirakis, 2006, in logarithms) with forward decay
-//! (Cormode et al., 2009). Priorities need no update as time passes.
+//! Each item draws a priority of `ln(weight) + time / DECAY_TIME_CONSTANT + G` with `G` from the Gumbel distribution, and the
+//! items with the highest priorities are kept: sampling without replacement by weight (Efraimidis and Spirakis, 2006, in
+//! logarithms) with forward decay (Cormode et al., 2009). Priorities need no update as time passes.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -12,7 +12,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Time after which the chance of an item falls to a third.
+/// Time in which the effective weight of an item falls to 1/e, about a third.
 pub const DECAY_TIME_CONSTANT: Nanos = 300 * SECOND;
 
 #[derive(Debug)]
@@ -53,19 +53,19 @@
 }
 
 impl<T> Reservoir<T> {
-    /// Creates a sample of at most `most` bytes.
+    /// Creates a sample of at most `max_size` bytes.
     #[must_use]
     pub fn new(max_size: usize, seed: u64) -> Self {
         Self { items: BinaryHeap::new(), max_size, size: 0, rng: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    /// Draws the priority of an item with a weight; `None` if it would not be kept, so that callers need not make
-    /// it.
+    /// Draws the priority of an item with a weight; `None` if it would not be kept, so that callers need not build
+    /// the item.
     pub fn draw(&mut self, weight: f64, at: Nanos, size: usize) -> Option<f64> {
         if !(weight > 0.0 && weight.is_finite()) || size > self.max_size {
             return None;
         }
-        // Never 0 or 1, whose logarithms are not finite.
+        // Never 0 or 1, for which the priority would not be finite.
         let uniform = ((self.rng.next_u64() >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
         let priority = weight.ln() + at as f64 / DECAY_TIME_CONSTANT as f64 - (-uniform.ln()).ln();
         let full = self.size + size > self.max_size;
@@ -73,7 +73,7 @@
         is_kept.then_some(priority)
     }
 
-    /// Keeps an item, and drops those with the lowest priority while memory is exceeded.
+    /// Adds an item, then drops the items with the lowest priorities until the size limit is met.
     pub fn keep(&mut self, priority: f64, size: usize, item: T) {
         self.size += size;
         self.items.push(Reverse(Item { priority, size, item }));
@@ -84,12 +84,12 @@
         }
     }
 
-    /// Returns the items with their priorities, in no order.
+    /// Returns the items with their priorities, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = (f64, &T)> {
         self.items.iter().map(|Reverse(item)| (item.priority, &item.item))
     }
 
-    /// Returns the stated size of all items, in bytes.
+    /// Returns the sum of the sizes that callers stated for the items, in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         self.size
--- a/crates/flight-recorder/src/slot_table.rs
+++ b/crates/flight-recorder/src/slot_table.rs
@@ -21,7 +21,7 @@
 
 /// Key of a row.
 pub trait Key: Ord + Copy {
-    /// Key of all rows that were merged for want of memory.
+    /// Key of the row into which other rows are merged for lack of memory.
     const OTHER: Self;
     /// Appends the stored form.
     fn write(&self, out: &mut Vec<u8>);
@@ -39,7 +39,7 @@
 }
 
 impl<K: Key, V: Row> SlotTable<K, V> {
-    /// Creates an empty table that starts at `start` and holds at most `most` rows.
+    /// Creates an empty table that starts at `start` and holds at most `max_rows` rows, and one more for [`Key::OTHER`].
     #[must_use]
     pub fn new(start: Nanos, max_rows: usize) -> Self {
         Self { start, width: SECOND, max_rows: max_rows.max(2), rows: BTreeMap::new() }
@@ -49,7 +49,8 @@
         u32::try_from(at.saturating_sub(self.start) / self.width).unwrap_or(u32::MAX)
     }
 
-    /// Returns the row of a time and a key, to be added to.
+    /// Returns the row of a time and a key, so that it can be added to. In a full table that may be the row of
+    /// [`Key::OTHER`].
     pub fn row_mut(&mut self, at: Nanos, key: K) -> &mut V {
         let mut key = key;
         while self.rows.len() >= self.max_rows && !self.rows.contains_key(&(self.slot(at), key)) {
@@ -65,7 +66,7 @@
         self.rows.entry((self.slot(at), key)).or_default()
     }
 
-    /// Doubles the width of slots and merges neighbours.
+    /// Doubles the width of slots and merges adjacent ones.
     fn double_slot_width(&mut self) {
         self.width = self.width.saturating_mul(2);
         for ((slot, key), row) in std::mem::take(&mut self.rows) {
--- a/crates/flight-recorder/src/tenant_names.rs
+++ b/crates/flight-recorder/src/tenant_names.rs
@@ -1,16 +1,16 @@
-//! Names of tenants by their ids, held once for all pools.
+//! Names of tenants by their ids, stored once for all pools.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Names in the order of the ids. A clone is another reference to the same names.
+/// Names, sorted by id. Clones share the same allocation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Vec<(u32, String)>", into = "Vec<(u32, String)>")]
 pub struct TenantNames(Arc<[(u32, Arc<str>)]>);
 
 impl TenantNames {
-    /// The name of an id.
+    /// Returns the name of a tenant id.
     #[must_use]
     pub fn get(&self, id: u32) -> Option<&str> {
         let index = self.0.binary_search_by_key(&id, |(id, _)| *id).ok()?;
--- a/crates/flight-recorder/src/timeline_text.rs
+++ b/crates/flight-recorder/src/timeline_text.rs
@@ -1,4 +1,4 @@
-//! Timelines of requests as sentences. The words appear in reports that scripts match on.
+//! Timelines of requests as sentences. Scripts match on these texts, so they must not change.
 
 use std::fmt::Write;
 
@@ -14,7 +14,7 @@
 use crate::request_timeline::RequestTimeline;
 use crate::timestamp::{format_duration, format_timestamp};
 
-/// Shortest time for a connection or an upload that is mentioned, in nanoseconds.
+/// Times for a connection or an upload are mentioned only above this one, in nanoseconds.
 const MIN_SHOWN: Nanos = 1_000_000;
 /// Names of tiers, the highest first.
 const TIER_NAMES: [&str; 4] = ["highest", "high", "medium", "low"];
@@ -45,7 +45,7 @@
     }
 }
 
-/// Returns the words for a rejection.
+/// Returns the text of a rejection.
 #[must_use]
 pub fn rejection_text(rejection: RejectionReason) -> String {
     match rejection {
--- a/crates/flight-recorder/src/timestamp.rs
+++ b/crates/flight-recorder/src/timestamp.rs
@@ -5,7 +5,7 @@
 
 const DAY: u64 = 86_400;
 
-/// A text is not a timestamp.
+/// A text that is not a timestamp.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{0}` is no moment: seconds since the node's start (12.5), or a time of day in UTC (13:05:20)")]
 pub struct TimestampError(String);
@@ -36,7 +36,7 @@
             let time_of_day = nanos((hour * 3_600 + minute * 60) as f64 + second);
             let midnight = start / (DAY * SECOND) * (DAY * SECOND);
             let at = midnight.saturating_add(time_of_day);
-            // The start has nanoseconds, a time of day only seconds.
+            // `start` has nanoseconds, a time of day usually only seconds.
             let earliest = start / SECOND * SECOND;
             Ok(if at < earliest { at.saturating_add(DAY * SECOND) } else { at })
         }
--- a/crates/flight-recorder/src/wire_format.rs
+++ b/crates/flight-recorder/src/wire_format.rs
@@ -12,7 +12,7 @@
 
 /// Appends an optional integer.
 pub fn put_optional_varint(out: &mut Vec<u8>, value: Option<u64>) {
-    // `None` is 0, other values are stored plus one; `u64::MAX` is not needed.
+    // `None` is 0, other values are stored plus one. `u64::MAX` can't be stored, and is not needed.
     put_varint(out, value.map_or(0, |value| value.saturating_add(1)));
 }
 
@@ -27,7 +27,7 @@
     out.extend_from_slice(bytes);
 }
 
-/// Reads from bytes.
+/// Reads values from the front of a byte slice.
 #[derive(Clone, Copy, Debug)]
 pub struct Reader<'a>(pub &'a [u8]);
 
@@ -68,7 +68,7 @@
         None
     }
 
-    /// Reads an integer into a smaller type.
+    /// Reads an integer as another type; `None` if it is out of range.
     pub fn varint_as<T: TryFrom<u64>>(&mut self) -> Option<T> {
         T::try_from(self.varint()?).ok()
     }
