--- a/crates/flight-recorder/tests/common/mod.rs
+++ b/crates/flight-recorder/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Generated days for a recorder.
+//! Generated workloads for a recorder.
 
 #![allow(dead_code)]
 
@@ -11,36 +11,36 @@
 pub const MS: Nanos = 1_000_000;
 pub const START: Nanos = 1_700_000_000 * SECOND;
 
-pub fn class(name: &str, aim: Nanos, worth: f64) -> ClassInfo {
+pub fn class(name: &str, latency_objective: Nanos, priority_weight: f64) -> ClassInfo {
     ClassInfo {
         name: name.into(),
-        latency_objective: aim,
-        deadline: 4 * aim,
-        priority_weight: worth,
+        latency_objective,
+        deadline: 4 * latency_objective,
+        priority_weight,
         late_weight: 0.3,
     }
 }
 
-/// A recorder with a pool of two classes, and the time.
-pub struct Day {
+/// A recorder with a pool of eight endpoints, the current time and the id of the next request. The default pool has two classes.
+pub struct Workload {
     pub recorder: Recorder,
     pub pool: PoolId,
     pub now: Nanos,
-    pub next: u32,
+    pub next_id: u32,
 }
 
-impl Day {
+impl Workload {
     pub fn new(memory: usize) -> Self {
-        Self::of(memory, &[class("read", 100 * MS, 1.0), class("submit", 200 * MS, 10.0)])
+        Self::with_classes(memory, &[class("read", 100 * MS, 1.0), class("submit", 200 * MS, 10.0)])
     }
 
-    pub fn of(memory: usize, classes: &[ClassInfo]) -> Self {
+    pub fn with_classes(memory: usize, classes: &[ClassInfo]) -> Self {
         let mut recorder = Recorder::new("n0", START, memory, 7);
         let pool = recorder.register_pool("web", classes);
-        for server in 0..8 {
-            recorder.set_endpoint_name(pool, EndpointId(server), &format!("s-{server}"));
+        for endpoint in 0..8 {
+            recorder.set_endpoint_name(pool, EndpointId(endpoint), &format!("s-{endpoint}"));
         }
-        Self { recorder, pool, now: START, next: 0 }
+        Self { recorder, pool, now: START, next_id: 0 }
     }
 
     pub fn record(&mut self, event: Event) {
@@ -48,8 +48,8 @@
     }
 
     pub fn admit(&mut self, class: u16, name: &str) -> RequestId {
-        let id = RequestId(self.next);
-        self.next += 1;
+        let id = RequestId(self.next_id);
+        self.next_id += 1;
         let name = BoundedName::new(name);
         self.record(Event::RequestAdmitted {
             id,
@@ -63,45 +63,46 @@
         id
     }
 
-    pub fn start_attempt(&mut self, id: RequestId, attempt: u8, server: u32) {
-        let (attempt, server) = (AttemptNo(attempt), EndpointId(server));
-        self.record(Event::AttemptStarted { id, attempt, endpoint: server, timeout: None });
+    pub fn start_attempt(&mut self, id: RequestId, attempt: u8, endpoint: u32) {
+        let (attempt, endpoint) = (AttemptNo(attempt), EndpointId(endpoint));
+        self.record(Event::AttemptStarted { id, attempt, endpoint, timeout: None });
     }
 
     pub fn end_attempt(
         &mut self,
         id: RequestId,
         attempt: u8,
-        server: u32,
+        endpoint: u32,
         outcome: AttemptOutcome,
-        took: Nanos,
+        duration: Nanos,
     ) {
-        let (attempt, server) = (AttemptNo(attempt), EndpointId(server));
+        let (attempt, endpoint) = (AttemptNo(attempt), EndpointId(endpoint));
         self.record(Event::AttemptEnded {
             id,
             attempt,
-            endpoint: server,
+            endpoint,
             outcome,
-            duration: took,
+            duration,
             connect_time: 0,
             connection_idle: None,
         });
     }
 
-    pub fn end_request(&mut self, id: RequestId, how: RequestOutcome) {
-        self.record(Event::RequestEnded { id, outcome: how });
+    pub fn end_request(&mut self, id: RequestId, outcome: RequestOutcome) {
+        self.record(Event::RequestEnded { id, outcome });
     }
 
-    /// A request with one attempt, which takes so long and ends so; refused or failed where that is not well.
-    pub fn request(&mut self, class: u16, server: u32, outcome: AttemptOutcome, took: Nanos) {
-        let name = format!("r{}", self.next);
+    /// Records a request with one attempt of this outcome and duration. The request is served if the attempt succeeds;
+    /// otherwise it fails without a retry.
+    pub fn request(&mut self, class: u16, endpoint: u32, outcome: AttemptOutcome, duration: Nanos) {
+        let name = format!("r{}", self.next_id);
         let id = self.admit(class, &name);
-        self.start_attempt(id, 0, server);
-        self.now += took;
+        self.start_attempt(id, 0, endpoint);
+        self.now += duration;
         if outcome == AttemptOutcome::Success {
             self.end_request(id, RequestOutcome::Served);
         }
-        self.end_attempt(id, 0, server, outcome, took);
+        self.end_attempt(id, 0, endpoint, outcome, duration);
         if outcome != AttemptOutcome::Success {
             self.record(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
                 id,
@@ -112,15 +113,15 @@
         }
     }
 
-    /// A request that waits and is refused.
-    pub fn rejected_request(&mut self, class: u16, rule: RejectionReason) {
-        let name = format!("r{}", self.next);
+    /// Records a request that is queued for a millisecond and then rejected.
+    pub fn rejected_request(&mut self, class: u16, rejection: RejectionReason) {
+        let name = format!("r{}", self.next_id);
         let id = self.admit(class, &name);
         self.record(Event::Decision(DecisionEvent::Queued { id, queued: 9 }));
         self.now += MS;
         self.record(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
             id,
-            reason: rule,
+            reason: rejection,
             wait_share: 0.5,
         }));
         self.end_request(id, RequestOutcome::Rejected);
--- a/crates/flight-recorder/tests/files.rs
+++ b/crates/flight-recorder/tests/recording_format.rs
@@ -1,4 +1,4 @@
-//! Dumps: whole, damaged, of other versions, and read by others.
+//! The format of recordings: complete, damaged and of other versions, and exports to other formats.
 
 mod common;
 
@@ -17,20 +17,20 @@
 };
 use pumicehead_policy::*;
 
-fn small() -> Vec<u8> {
-    let mut day = Day::new(64 << 10);
-    day.request(0, 1, AttemptOutcome::Success, 20 * MS);
-    day.request(1, 2, AttemptOutcome::Reset, 30 * MS);
-    day.rejected_request(0, RejectionReason::ExpectedWaitTooLong);
-    day.request(0, 3, AttemptOutcome::Success, 150 * MS);
-    day.recorder.recording(day.now, "test")
+fn small_recording() -> Vec<u8> {
+    let mut workload = Workload::new(64 << 10);
+    workload.request(0, 1, AttemptOutcome::Success, 20 * MS);
+    workload.request(1, 2, AttemptOutcome::Reset, 30 * MS);
+    workload.rejected_request(0, RejectionReason::ExpectedWaitTooLong);
+    workload.request(0, 3, AttemptOutcome::Success, 150 * MS);
+    workload.recorder.recording(workload.now, "test")
 }
 
 #[test]
 fn every_event_round_trips() {
-    let (id, server, attempt) = (RequestId(u32::MAX), EndpointId(77), AttemptNo(3));
-    let hurdles = ExclusionReasons([1, 2, 3, 4, 255]);
-    let rules = [
+    let (id, endpoint, attempt) = (RequestId(u32::MAX), EndpointId(77), AttemptNo(3));
+    let exclusions = ExclusionReasons([1, 2, 3, 4, 255]);
+    let rejections = [
         RejectionReason::ExpectedWaitTooLong,
         RejectionReason::QueueTimeout,
         RejectionReason::KeyOrderTimeout,
@@ -45,8 +45,8 @@
         ]
         .map(RejectionReason::NoRetry),
     );
-    let outcomes = (0..8).filter_map(pumicehead_flight_recorder::code_tables::outcome_from_code);
-    let hows = [
+    let attempt_outcomes = (0..8).filter_map(pumicehead_flight_recorder::code_tables::outcome_from_code);
+    let request_outcomes = [
         RequestOutcome::Served,
         RequestOutcome::ServedError,
         RequestOutcome::Rejected,
@@ -74,7 +74,7 @@
             name: BoundedName::default(),
             revision: Some(u64::MAX),
         },
-        Event::AttemptStarted { id, attempt, endpoint: server, timeout: Some(5) },
+        Event::AttemptStarted { id, attempt, endpoint, timeout: Some(5) },
         Event::ResponseStarted { id, attempt },
         Event::CapacityAdvice { endpoints_to_avoid: 3, lease_grants: 4 },
         Event::NodeShareChanged { nodes: 277, node_index: 12 },
@@ -95,64 +95,64 @@
         Event::Decision(DecisionEvent::Queued { id, queued: 7 }),
         Event::Decision(DecisionEvent::EndpointSelected {
             id,
-            endpoint: server,
+            endpoint,
             score: 0.1,
-            runner_up: Some((server, 2.0)),
+            runner_up: Some((endpoint, 2.0)),
             in_flight: 9,
             limit: 1.0,
-            exclusions: hurdles,
+            exclusions,
         }),
         Event::Decision(DecisionEvent::EndpointSelected {
             id,
-            endpoint: server,
+            endpoint,
             score: 0.1,
             runner_up: None,
             in_flight: 9,
             limit: 1.0,
-            exclusions: hurdles,
+            exclusions,
         }),
-        Event::Decision(DecisionEvent::NoEndpointAvailable { id, exclusions: hurdles }),
+        Event::Decision(DecisionEvent::NoEndpointAvailable { id, exclusions }),
         Event::Decision(DecisionEvent::LimitChanged {
-            endpoint: server,
+            endpoint,
             from: 1.0,
             to: 2.0,
             reason: LimitChangeReason::Failure,
         }),
         Event::Decision(DecisionEvent::LimitChanged {
-            endpoint: server,
+            endpoint,
             from: 1.0,
             to: 2.0,
             reason: LimitChangeReason::ComparedLatency,
         }),
         Event::Decision(DecisionEvent::AllLimitsChanged { factor: 0.5, utilization: 2.0 }),
-        Event::Decision(DecisionEvent::Ejected { endpoint: server, duration: 9 }),
-        Event::Decision(DecisionEvent::Reinstated { endpoint: server }),
+        Event::Decision(DecisionEvent::Ejected { endpoint, duration: 9 }),
+        Event::Decision(DecisionEvent::Reinstated { endpoint }),
         Event::Decision(DecisionEvent::OutlierRatio { outliers: 1, total: 2, panic_mode: true }),
         Event::Decision(DecisionEvent::OverloadStarted { queued: 3 }),
         Event::Decision(DecisionEvent::OverloadEnded),
         Event::Decision(DecisionEvent::WatchLost),
         Event::Decision(DecisionEvent::WatchRestored),
     ];
-    all.extend(rules.map(|rule| {
+    all.extend(rejections.map(|rejection| {
         Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
             id,
-            reason: rule,
+            reason: rejection,
             wait_share: f32::INFINITY,
         })
     }));
-    all.extend(outcomes.map(|outcome| Event::AttemptEnded {
+    all.extend(attempt_outcomes.map(|outcome| Event::AttemptEnded {
         id,
         attempt,
-        endpoint: server,
+        endpoint,
         outcome,
         duration: 5,
         connect_time: 2,
         connection_idle: Some(7),
     }));
-    all.extend(hows.map(|how| Event::RequestEnded { id, outcome: how }));
+    all.extend(request_outcomes.map(|outcome| Event::RequestEnded { id, outcome }));
     all.extend(
         [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed]
-            .map(|listed| Event::EndpointStateChanged { endpoint: server, state: listed }),
+            .map(|state| Event::EndpointStateChanged { endpoint, state }),
     );
     for event in all {
         let mut bytes = Vec::new();
@@ -166,33 +166,33 @@
 
 #[test]
 fn a_recording_holds_what_was_recorded() {
-    let dump = Recording::read(&small()).unwrap();
-    assert_eq!((dump.damage, dump.timelines.len()), (None, 4));
-    assert_eq!((dump.header.node.as_str(), dump.header.reason.as_str()), ("n0", "test"));
-    let failed = dump.timelines_of("r1")[0];
-    let text = pumicehead_flight_recorder::timeline_text::render(&dump.header, failed);
+    let recording = Recording::read(&small_recording()).unwrap();
+    assert_eq!((recording.damage, recording.timelines.len()), (None, 4));
+    assert_eq!((recording.header.node.as_str(), recording.header.reason.as_str()), ("n0", "test"));
+    let failed = recording.timelines_of("r1")[0];
+    let text = pumicehead_flight_recorder::timeline_text::render(&recording.header, failed);
     for part in
         ["`submit`", "Attempt 1 to s-2.", "the connection broke after 30.0 ms", "must not take effect twice"]
     {
         assert!(text.contains(part), "{part}\n{text}");
     }
-    assert!(dump.timelines_of("r9").is_empty());
-    let page = pumicehead_flight_recorder::html_report::write(&dump);
-    assert!(page.contains("<svg") && page.contains("The client was told"), "pictures and stories");
-    // The name of SVG itself is the only address in it: nothing is fetched.
+    assert!(recording.timelines_of("r9").is_empty());
+    let page = pumicehead_flight_recorder::html_report::write(&recording);
+    assert!(page.contains("<svg") && page.contains("The client was told"), "charts and timelines");
+    // The XML namespace of SVG is the only URL in the page, so a browser fetches nothing.
     assert_eq!(page.matches("://").count(), page.matches("http://www.w3.org/2000/svg").count());
 }
 
-/// A file that is cut anywhere is read up to there, and one with a bit turned never passes for another.
+/// A file that is truncated at any byte is readable up to there, and one with a damaged byte never yields other contents.
 #[test]
 fn damage_at_any_byte_keeps_what_precedes_it() {
-    let whole = small();
+    let whole = small_recording();
     let all = Recording::read(&whole).unwrap();
     for cut in 0..whole.len() {
         match Recording::read(&whole[..cut]) {
-            Ok(dump) => {
-                assert!(dump.damage.is_some_and(|damage| damage.offset <= cut));
-                assert!(dump.timelines.iter().zip(&all.timelines).all(|(one, other)| one == other));
+            Ok(recording) => {
+                assert!(recording.damage.is_some_and(|damage| damage.offset <= cut));
+                assert!(recording.timelines.iter().zip(&all.timelines).all(|(one, other)| one == other));
             }
             Err(error) => {
                 assert!(matches!(
@@ -205,44 +205,47 @@
         }
     }
     for at in 0..whole.len() {
-        let mut turned = whole.clone();
-        turned[at] ^= 0x41;
-        if let Ok(dump) = Recording::read(&turned) {
-            let same = dump.timelines.iter().all(|story| all.timelines.contains(story))
-                && dump.records.iter().all(|record| all.records.contains(record))
-                && dump.ledger.is_none_or(|accounts| Some(accounts) == all.ledger);
-            assert!(same && dump.damage.is_some(), "{at}");
+        let mut flipped = whole.clone();
+        flipped[at] ^= 0x41;
+        if let Ok(recording) = Recording::read(&flipped) {
+            let same = recording.timelines.iter().all(|timeline| all.timelines.contains(timeline))
+                && recording.records.iter().all(|record| all.records.contains(record))
+                && recording.ledger.is_none_or(|ledger| Some(ledger) == all.ledger);
+            assert!(same && recording.damage.is_some(), "{at}");
         }
     }
 }
 
 #[test]
-fn other_versions_and_other_files_are_rejected() {
+fn unknown_versions_and_other_files_are_rejected() {
     assert_eq!(Recording::read(b"").unwrap_err(), RecordingError::NotARecording);
     assert_eq!(Recording::read(b"GIF89a, and more").unwrap_err(), RecordingError::NotARecording);
-    let mut later = small();
+    let mut later = small_recording();
     later[8] = 2;
     assert_eq!(Recording::read(&later).unwrap_err(), RecordingError::UnsupportedVersion(2));
-    // A head of before some fields were there, then a frame of a kind that came later.
-    let head = br#"{"node":"old","start":5,"pools":[{"name":"web"}],"field":"unheard of"}"#;
+    // The header of an older version, which lacks some fields, with an unknown field, then a frame of an unknown kind.
+    let header = br#"{"node":"old","start":5,"pools":[{"name":"web"}],"field":"unheard of"}"#;
     let mut file = b"PHEADREC\x01\x00".to_vec();
-    for (kind, contents) in [(1, &head[..]), (200, &b"what"[..]), (5, &b""[..])] {
+    for (kind, contents) in [(1, &header[..]), (200, &b"what"[..]), (5, &b""[..])] {
         file.push(kind);
         file.extend_from_slice(&(contents.len() as u32).to_le_bytes());
         file.extend_from_slice(&frame_checksum(kind, contents).to_le_bytes());
         file.extend_from_slice(contents);
     }
-    let dump = Recording::read(&file).unwrap();
-    assert_eq!((dump.header.node.as_str(), dump.damage, dump.ledger.is_none()), ("old", None, true));
+    let recording = Recording::read(&file).unwrap();
+    assert_eq!(
+        (recording.header.node.as_str(), recording.damage, recording.ledger.is_none()),
+        ("old", None, true)
+    );
 }
 
-/// Guards that tenants are named once for all pools, by their ids, and that recordings which name them for each pool, by
-/// their places, are read as before.
+/// Guards that the names of tenants are stored once for all pools, by id, and that older recordings, which store them for
+/// each pool, by index, are still readable.
 #[test]
 fn tenants_have_names_in_new_and_old_recordings() {
-    let file = |head: &[u8]| {
+    let file = |header: &[u8]| {
         let mut file = b"PHEADREC\x01\x00".to_vec();
-        for (kind, contents) in [(1, head), (5, &b""[..])] {
+        for (kind, contents) in [(1, header), (5, &b""[..])] {
             file.push(kind);
             file.extend_from_slice(&(contents.len() as u32).to_le_bytes());
             file.extend_from_slice(&frame_checksum(kind, contents).to_le_bytes());
@@ -267,21 +270,21 @@
 
 proptest! {
     #[test]
-    fn noise_is_rejected_without_a_panic(noise in proptest::collection::vec(any::<u8>(), 0..2_000)) {
-        let mut file = small();
-        let _ = Recording::read(&noise);
-        let at = noise.len() % file.len();
-        file.splice(at.., noise.iter().copied());
-        if let Ok(dump) = Recording::read(&file) {
-            let _ = (otlp(&dump), chrome(&dump), pumicehead_flight_recorder::html_report::write(&dump));
+    fn random_bytes_cause_no_panic(bytes in proptest::collection::vec(any::<u8>(), 0..2_000)) {
+        let mut file = small_recording();
+        let _ = Recording::read(&bytes);
+        let at = bytes.len() % file.len();
+        file.splice(at.., bytes.iter().copied());
+        if let Ok(recording) = Recording::read(&file) {
+            let _ = (otlp(&recording), chrome(&recording), pumicehead_flight_recorder::html_report::write(&recording));
         }
     }
 }
 
 #[test]
 fn exports_follow_the_public_formats() {
-    let dump = Recording::read(&small()).unwrap();
-    let lines = otlp(&dump);
+    let recording = Recording::read(&small_recording()).unwrap();
+    let lines = otlp(&recording);
     assert_eq!(lines.lines().count(), 4);
     for line in lines.lines() {
         let value: serde_json::Value = serde_json::from_str(line).unwrap();
@@ -295,9 +298,9 @@
             assert_eq!((&child["traceId"], &child["parentSpanId"]), (&root["traceId"], &root["spanId"]));
         }
     }
-    let value: serde_json::Value = serde_json::from_str(&chrome(&dump)).unwrap();
+    let value: serde_json::Value = serde_json::from_str(&chrome(&recording)).unwrap();
     let events = value["traceEvents"].as_array().unwrap();
-    let whole = events.iter().filter(|event| event["ph"] == "X");
-    assert_eq!(whole.clone().count(), 7, "four requests, three attempts");
-    assert!(whole.into_iter().all(|event| event["ts"].is_f64() && event["dur"].as_f64().unwrap() >= 0.0));
+    let complete = events.iter().filter(|event| event["ph"] == "X");
+    assert_eq!(complete.clone().count(), 7, "four requests, three attempts");
+    assert!(complete.into_iter().all(|event| event["ts"].is_f64() && event["dur"].as_f64().unwrap() >= 0.0));
 }
--- a/crates/flight-recorder/tests/stored_forms.rs
+++ b/crates/flight-recorder/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! Recordings and their exports as files hold them. The fixtures were written by version 0.2.0, before its types were
-//! renamed, and must stay readable: a name that changes in the code must not change a stored byte.
+//! Recordings and exports in their stored form. The fixtures were written by version 0.2.0, before its types were renamed,
+//! and must stay readable: renaming something in the code must not change a stored byte.
 
 mod common;
 
@@ -24,46 +24,49 @@
 use pumicehead_policy::*;
 
 /// The version that wrote the fixtures.
-const WRITTEN_BY: &str = "0.2.0";
+const FIXTURE_VERSION: &str = "0.2.0";
 
-fn fixture(name: &str) -> PathBuf {
+fn fixture_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-fn stored(name: &str) -> Vec<u8> {
-    fs::read(fixture(name)).unwrap()
+fn read_fixture(name: &str) -> Vec<u8> {
+    fs::read(fixture_path(name)).unwrap()
 }
 
-/// Compares a whole text with a stored one.
+/// Asserts that a text equals a fixture: line by line, so that a failure names the line, then as a whole.
 fn assert_stored_text(name: &str, text: &str) {
-    let expected = String::from_utf8(stored(name)).unwrap();
+    let expected = String::from_utf8(read_fixture(name)).unwrap();
     for (line, (one, other)) in text.lines().zip(expected.lines()).enumerate() {
         assert_eq!(one, other, "{name}, line {}", line + 1);
     }
     assert_eq!(text, expected, "{name}");
 }
 
-/// Compares all bytes of a recording with a stored one; the head names the program's version, which may be a later one.
+/// Asserts that a recording has the magic, the version and the frames of a fixture. Only the program's version in the header
+/// may be a later one.
 fn assert_stored_recording(name: &str, bytes: &[u8]) {
-    let (written, expected) = (frames(bytes), frames(&stored(name)));
-    assert_eq!(bytes[..10], stored(name)[..10], "{name}: magic and version");
+    let (written, expected) = (frames(bytes), frames(&read_fixture(name)));
+    assert_eq!(bytes[..10], read_fixture(name)[..10], "{name}: magic and version");
     assert_eq!(written.len(), expected.len(), "{name}: frames");
     for (number, (one, other)) in written.iter().zip(&expected).enumerate() {
         assert_eq!(one, other, "{name}, frame {number}");
     }
 }
 
-/// The frames behind the magic and the version, each with its kind: one byte, length and checksum in four each, contents.
+/// Returns the kinds and contents of the frames after the magic and the version. A frame is the kind in one byte, the length
+/// and the checksum in four bytes each, and the contents.
 fn frames(bytes: &[u8]) -> Vec<(u8, Vec<u8>)> {
-    const HEAD: u8 = 1;
+    const FRAME_HEADER: u8 = 1;
     let (mut rest, mut all) = (&bytes[10..], Vec::new());
     while let [kind, length @ ..] = rest {
         let length = u32::from_le_bytes(length[..4].try_into().unwrap()) as usize;
         let mut contents = rest[9..9 + length].to_vec();
-        if *kind == HEAD {
-            let now = format!("\"program\":\"{}\"", env!("CARGO_PKG_VERSION"));
-            let then = format!("\"program\":\"{WRITTEN_BY}\"");
-            contents = String::from_utf8(contents).unwrap().replace(&now, &then).into_bytes();
+        if *kind == FRAME_HEADER {
+            let current_version = format!("\"program\":\"{}\"", env!("CARGO_PKG_VERSION"));
+            let fixture_version = format!("\"program\":\"{FIXTURE_VERSION}\"");
+            contents =
+                String::from_utf8(contents).unwrap().replace(&current_version, &fixture_version).into_bytes();
         }
         all.push((*kind, contents));
         rest = &rest[9 + length..];
@@ -72,14 +75,14 @@
 }
 
 const ID: RequestId = RequestId(7);
-const SERVER: EndpointId = EndpointId(3);
+const ENDPOINT: EndpointId = EndpointId(3);
 const ATTEMPT: AttemptNo = AttemptNo(1);
 
-/// Every note, with each value that it may hold of a fixed set.
-fn every_note() -> Vec<DecisionEvent> {
-    let (id, server) = (ID, SERVER);
-    let hurdles = ExclusionReasons([1, 2, 3, 4, 255]);
-    let rules = [
+/// Returns every decision event, with each value of its enum fields.
+fn every_decision_event() -> Vec<DecisionEvent> {
+    let (id, endpoint) = (ID, ENDPOINT);
+    let exclusions = ExclusionReasons([1, 2, 3, 4, 255]);
+    let rejections = [
         RejectionReason::ExpectedWaitTooLong,
         RejectionReason::QueueTimeout,
         RejectionReason::KeyOrderTimeout,
@@ -99,39 +102,34 @@
         DecisionEvent::Queued { id, queued: 7 },
         DecisionEvent::EndpointSelected {
             id,
-            endpoint: server,
+            endpoint,
             score: 0.1,
             runner_up: Some((EndpointId(4), 2.0)),
             in_flight: 9,
             limit: 12.25,
-            exclusions: hurdles,
+            exclusions,
         },
         DecisionEvent::EndpointSelected {
             id,
-            endpoint: server,
+            endpoint,
             score: 0.1,
             runner_up: None,
             in_flight: 0,
             limit: 1.0,
             exclusions: ExclusionReasons::default(),
         },
-        DecisionEvent::NoEndpointAvailable { id, exclusions: hurdles },
+        DecisionEvent::NoEndpointAvailable { id, exclusions },
         DecisionEvent::NoEndpointAvailable { id, exclusions: ExclusionReasons::default() },
         DecisionEvent::LimitChanged {
-            endpoint: server,
+            endpoint,
             from: 1.0,
             to: 2.5,
             reason: LimitChangeReason::ComparedLatency,
         },
-        DecisionEvent::LimitChanged {
-            endpoint: server,
-            from: 2.5,
-            to: 1.0,
-            reason: LimitChangeReason::Failure,
-        },
+        DecisionEvent::LimitChanged { endpoint, from: 2.5, to: 1.0, reason: LimitChangeReason::Failure },
         DecisionEvent::AllLimitsChanged { factor: 0.5, utilization: 2.0 },
-        DecisionEvent::Ejected { endpoint: server, duration: 1_500 * MS },
-        DecisionEvent::Reinstated { endpoint: server },
+        DecisionEvent::Ejected { endpoint, duration: 1_500 * MS },
+        DecisionEvent::Reinstated { endpoint },
         DecisionEvent::OutlierRatio { outliers: 1, total: 8, panic_mode: false },
         DecisionEvent::OutlierRatio { outliers: 7, total: 8, panic_mode: true },
         DecisionEvent::OverloadStarted { queued: 30 },
@@ -139,9 +137,9 @@
         DecisionEvent::WatchLost,
         DecisionEvent::WatchRestored,
     ];
-    all.extend(rules.map(|rule| DecisionEvent::AnsweredWithoutEndpoint {
+    all.extend(rejections.map(|rejection| DecisionEvent::AnsweredWithoutEndpoint {
         id,
-        reason: rule,
+        reason: rejection,
         wait_share: 0.75,
     }));
     all.push(DecisionEvent::AnsweredWithoutEndpoint {
@@ -152,24 +150,24 @@
     all
 }
 
-/// Every event but notes, with each value that it may hold of a fixed set.
-fn every_event() -> Vec<Event> {
-    let (id, server, attempt) = (ID, SERVER, ATTEMPT);
-    let asked = |tenant, sending, name: &str, revision| Event::RequestAdmitted {
+/// Returns every event other than decisions, with each value of its enum fields.
+fn every_event_but_decisions() -> Vec<Event> {
+    let (id, endpoint, attempt) = (ID, ENDPOINT, ATTEMPT);
+    let admitted = |tenant, upload_time, name: &str, revision| Event::RequestAdmitted {
         id,
         class: 1,
         tenant,
         client_timeout: 2 * SECOND,
-        upload_time: sending,
+        upload_time,
         name: BoundedName::new(name),
         revision,
     };
     let long = "a name that is longer than what is kept of names here, by some";
     let mut all = vec![
-        asked(Some(70_000), 2 * MS, "req-7", Some(4)),
-        asked(None, 0, long, None),
-        Event::AttemptStarted { id, attempt, endpoint: server, timeout: Some(80 * MS) },
-        Event::AttemptStarted { id, attempt: AttemptNo(2), endpoint: server, timeout: None },
+        admitted(Some(70_000), 2 * MS, "req-7", Some(4)),
+        admitted(None, 0, long, None),
+        Event::AttemptStarted { id, attempt, endpoint, timeout: Some(80 * MS) },
+        Event::AttemptStarted { id, attempt: AttemptNo(2), endpoint, timeout: None },
         Event::ResponseStarted { id, attempt },
         Event::CapacityAdvice { endpoints_to_avoid: 3, lease_grants: 4 },
         Event::NodeShareChanged { nodes: 277, node_index: 12 },
@@ -180,17 +178,17 @@
         Event::MemberStateChanged { name: BoundedName::new("n7"), from: Some(0), to: 3 },
         Event::MemberStateChanged { name: BoundedName::new(long), from: None, to: 0 },
     ];
-    let outcomes = (0..8).filter_map(outcome_from_code);
-    all.extend(outcomes.enumerate().map(|(number, outcome)| Event::AttemptEnded {
+    let attempt_outcomes = (0..8).filter_map(outcome_from_code);
+    all.extend(attempt_outcomes.enumerate().map(|(number, outcome)| Event::AttemptEnded {
         id,
         attempt: AttemptNo(number as u8),
-        endpoint: server,
+        endpoint,
         outcome,
         duration: 30 * MS,
         connect_time: if number % 2 == 0 { 0 } else { 2 * MS },
         connection_idle: (number % 3 == 0).then_some(7 * SECOND),
     }));
-    let hows = [
+    let request_outcomes = [
         RequestOutcome::Served,
         RequestOutcome::ServedError,
         RequestOutcome::Rejected,
@@ -199,13 +197,13 @@
         RequestOutcome::BodyFailed,
         RequestOutcome::ClientDisconnected,
     ];
-    all.extend(hows.map(|how| Event::RequestEnded { id, outcome: how }));
-    let listed = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
-    all.extend(listed.map(|listed| Event::EndpointStateChanged { endpoint: server, state: listed }));
+    all.extend(request_outcomes.map(|outcome| Event::RequestEnded { id, outcome }));
+    let states = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed];
+    all.extend(states.map(|state| Event::EndpointStateChanged { endpoint, state }));
     all
 }
 
-/// Every cause of a loss.
+/// Returns every cause of a loss.
 fn every_cause() -> Vec<LossCause> {
     let places = [
         RequestPhase::Upload,
@@ -228,7 +226,7 @@
     all
 }
 
-fn story(name: &str, cause: Option<LossCause>, events: &[Event]) -> RequestTimeline {
+fn timeline(name: &str, cause: Option<LossCause>, events: &[Event]) -> RequestTimeline {
     let mut last = START + SECOND;
     let mut page = last.to_le_bytes().to_vec();
     let mut at = last;
@@ -238,7 +236,7 @@
         at += MS;
         append_record(&mut page, &mut last, at, PoolId(0), &bytes);
     }
-    let cut = name.ends_with("cut");
+    let truncated = name.ends_with("cut");
     RequestTimeline {
         pool: PoolId(0),
         class: 1,
@@ -246,23 +244,23 @@
         ended_at: at,
         cause,
         encoded_events: page.into(),
-        truncated: cut,
+        truncated,
     }
 }
 
-/// A recording with every event, every note and every cause in it, put together by hand.
+/// Encodes a recording that has every event and every cause, built without a recorder.
 fn every_event_recording() -> Vec<u8> {
-    let class = |name: &str, worth| ClassHeader {
+    let class = |name: &str, priority_weight| ClassHeader {
         name: name.into(),
         latency_objective_ns: 100 * MS,
         deadline_ns: SECOND,
-        priority_weight: worth,
+        priority_weight,
         late_weight: 0.3,
     };
-    let mut head = RecordingHeader::new("n\"0", START);
-    head.at = START + 60 * SECOND;
-    head.reason = "asked by a call".into();
-    head.pools = vec![
+    let mut header = RecordingHeader::new("n\"0", START);
+    header.at = START + 60 * SECOND;
+    header.reason = "asked by a call".into();
+    header.pools = vec![
         PoolHeader {
             name: "web".into(),
             classes: vec![class("read", 1.0), class("submit", 10.0)],
@@ -276,19 +274,22 @@
             endpoints: Vec::new(),
         },
     ];
-    head.tenants = [(70_000, "late"), (3, "early")].map(|(id, name)| (id, name.into())).into_iter().collect();
-    (head.overwritten_events, head.untracked_requests) = (11, 5);
-    let events: Vec<_> =
-        every_event().into_iter().chain(every_note().into_iter().map(Event::Decision)).collect();
-    let mut stories = vec![
-        story("every-event", Some(LossCause::Other), &events),
-        story("open", None, &events[..3]),
-        story("cut", None, &events[..1]),
+    header.tenants =
+        [(70_000, "late"), (3, "early")].map(|(id, name)| (id, name.into())).into_iter().collect();
+    (header.overwritten_events, header.untracked_requests) = (11, 5);
+    let events: Vec<_> = every_event_but_decisions()
+        .into_iter()
+        .chain(every_decision_event().into_iter().map(Event::Decision))
+        .collect();
+    let mut timelines = vec![
+        timeline("every-event", Some(LossCause::Other), &events),
+        timeline("open", None, &events[..3]),
+        timeline("cut", None, &events[..1]),
     ];
     let some = [events[0].clone(), Event::RequestEnded { id: ID, outcome: RequestOutcome::DeadlineExceeded }];
-    stories.extend(every_cause().into_iter().map(|cause| {
+    timelines.extend(every_cause().into_iter().map(|cause| {
         let name = format!("lost-{}", cause.code());
-        story(&name, Some(cause), &some)
+        timeline(&name, Some(cause), &some)
     }));
     let mut ring = EventRing::new(8 << 10);
     for (number, event) in events.iter().enumerate() {
@@ -297,177 +298,187 @@
         ring.push(START + number as u64 * MS, PoolId((number % 2) as u16), &bytes);
     }
     let pages: Vec<_> = ring.pages().collect();
-    let day = faulty_day();
-    write(&head, day.recorder.ledger(), stories.iter(), pages.into_iter().rev())
+    let workload = faulty_workload();
+    write(&header, workload.recorder.ledger(), timelines.iter(), pages.into_iter().rev())
 }
 
-fn next_pool(day: &mut Day, name: &str, classes: &[ClassInfo]) {
-    day.pool = day.recorder.register_pool(name, classes);
-    for server in 0..5 {
-        day.recorder.set_endpoint_name(day.pool, EndpointId(server), &format!("{name}-{server}"));
+fn add_pool(workload: &mut Workload, name: &str, classes: &[ClassInfo]) {
+    workload.pool = workload.recorder.register_pool(name, classes);
+    for endpoint in 0..5 {
+        workload.recorder.set_endpoint_name(
+            workload.pool,
+            EndpointId(endpoint),
+            &format!("{name}-{endpoint}"),
+        );
     }
 }
 
-/// Rounds over four servers that answer well, each followed by something else.
-fn rounds(day: &mut Day, count: u64, mut other: impl FnMut(&mut Day)) {
+/// Records rounds over four healthy endpoints, each followed by other events.
+fn run_rounds(workload: &mut Workload, count: u64, mut other: impl FnMut(&mut Workload)) {
     for n in 0..count {
-        for server in 0..4 {
-            day.request(0, server, AttemptOutcome::Success, (20 + n % 7) * MS);
+        for endpoint in 0..4 {
+            workload.request(0, endpoint, AttemptOutcome::Success, (20 + n % 7) * MS);
         }
-        other(day);
+        other(workload);
     }
 }
 
-/// A day on which each pool has a fault of its own: every finding there is.
-fn faulty_day() -> Day {
+/// Returns a workload in which each pool has a fault of its own, so that all findings occur.
+fn faulty_workload() -> Workload {
     let usual = [class("read", 100 * MS, 1.0), class("submit", 200 * MS, 10.0)];
-    let mut day = Day::of(192 << 10, &usual);
-    day.recorder.set_level(Level::Full);
-    rounds(&mut day, 5, |_| {});
-    let at_one = [
+    let mut workload = Workload::with_classes(192 << 10, &usual);
+    workload.recorder.set_level(Level::Full);
+    run_rounds(&mut workload, 5, |_| {});
+    let faults = [
         ("silent", AttemptOutcome::TimedOut),
         ("resets", AttemptOutcome::Reset),
         ("errors", AttemptOutcome::Error),
         ("unreachable", AttemptOutcome::ConnectFailed),
         ("full", AttemptOutcome::Rejected),
     ];
-    for (name, outcome) in at_one {
-        next_pool(&mut day, name, &usual);
-        rounds(&mut day, 20, |day| day.request(0, 4, outcome, 150 * MS));
-        next_pool(&mut day, &format!("all-{name}"), &usual);
+    for (name, outcome) in faults {
+        add_pool(&mut workload, name, &usual);
+        run_rounds(&mut workload, 20, |workload| workload.request(0, 4, outcome, 150 * MS));
+        add_pool(&mut workload, &format!("all-{name}"), &usual);
         for n in 0..60 {
-            day.request(0, n % 4, if n % 3 == 0 { outcome } else { AttemptOutcome::Success }, 20 * MS);
+            workload.request(0, n % 4, if n % 3 == 0 { outcome } else { AttemptOutcome::Success }, 20 * MS);
         }
     }
-    next_pool(&mut day, "slow", &usual);
-    rounds(&mut day, 20, |day| day.request(0, 4, AttemptOutcome::Success, 250 * MS));
-    next_pool(&mut day, "slow-to-connect", &usual);
+    add_pool(&mut workload, "slow", &usual);
+    run_rounds(&mut workload, 20, |workload| workload.request(0, 4, AttemptOutcome::Success, 250 * MS));
+    add_pool(&mut workload, "slow-to-connect", &usual);
     for n in 0..60 {
-        day.request(0, n % 4, AttemptOutcome::Success, 80 * MS);
+        workload.request(0, n % 4, AttemptOutcome::Success, 80 * MS);
     }
     for _ in 0..20 {
-        let id = day.admit(0, "dialled");
-        day.start_attempt(id, 0, 4);
-        day.now += 110 * MS;
-        let (attempt, server, outcome) = (AttemptNo(0), EndpointId(4), AttemptOutcome::Success);
-        let (took, dial) = (110 * MS, 100 * MS);
-        day.record(Event::AttemptEnded {
+        let id = workload.admit(0, "dialled");
+        workload.start_attempt(id, 0, 4);
+        workload.now += 110 * MS;
+        let (attempt, endpoint, outcome) = (AttemptNo(0), EndpointId(4), AttemptOutcome::Success);
+        let (duration, connect_time) = (110 * MS, 100 * MS);
+        workload.record(Event::AttemptEnded {
             id,
             attempt,
-            endpoint: server,
+            endpoint,
             outcome,
-            duration: took,
-            connect_time: dial,
+            duration,
+            connect_time,
             connection_idle: None,
         });
-        day.end_request(id, RequestOutcome::Served);
+        workload.end_request(id, RequestOutcome::Served);
     }
-    next_pool(&mut day, "tight", &[class("read", 100 * MS, 1.0), class("hasty", 5 * MS, 10.0)]);
+    add_pool(&mut workload, "tight", &[class("read", 100 * MS, 1.0), class("hasty", 5 * MS, 10.0)]);
     for n in 0..60 {
-        day.request(0, n % 4, AttemptOutcome::Success, 20 * MS);
-        day.request(1, n % 4, AttemptOutcome::TimedOut, 20 * MS);
+        workload.request(0, n % 4, AttemptOutcome::Success, 20 * MS);
+        workload.request(1, n % 4, AttemptOutcome::TimedOut, 20 * MS);
     }
-    next_pool(&mut day, "crowded", &usual);
-    rounds(&mut day, 5, |day| {
-        day.rejected_request(0, RejectionReason::ExpectedWaitTooLong);
-        day.rejected_request(1, RejectionReason::QueueTimeout);
+    add_pool(&mut workload, "crowded", &usual);
+    run_rounds(&mut workload, 5, |workload| {
+        workload.rejected_request(0, RejectionReason::ExpectedWaitTooLong);
+        workload.rejected_request(1, RejectionReason::QueueTimeout);
     });
-    next_pool(&mut day, "turns", &usual);
-    rounds(&mut day, 5, |day| day.rejected_request(1, RejectionReason::KeyOrderTimeout));
-    next_pool(&mut day, "clients", &usual);
-    rounds(&mut day, 5, |day| {
-        for how in [RequestOutcome::ClientDisconnected, RequestOutcome::BodyFailed] {
-            let id = day.admit(1, "impatient");
-            day.now += 10 * MS;
-            day.end_request(id, how);
+    add_pool(&mut workload, "turns", &usual);
+    run_rounds(&mut workload, 5, |workload| workload.rejected_request(1, RejectionReason::KeyOrderTimeout));
+    add_pool(&mut workload, "clients", &usual);
+    run_rounds(&mut workload, 5, |workload| {
+        for outcome in [RequestOutcome::ClientDisconnected, RequestOutcome::BodyFailed] {
+            let id = workload.admit(1, "impatient");
+            workload.now += 10 * MS;
+            workload.end_request(id, outcome);
         }
     });
-    next_pool(&mut day, "other", &usual);
-    rounds(&mut day, 5, |day| {
-        let id = day.admit(1, "called back");
+    add_pool(&mut workload, "other", &usual);
+    run_rounds(&mut workload, 5, |workload| {
+        let id = workload.admit(1, "called back");
         for (attempt, outcome) in [(0, AttemptOutcome::Reset), (1, AttemptOutcome::NotSent)] {
-            day.start_attempt(id, attempt, u32::from(attempt));
-            day.now += 5 * MS;
-            day.end_attempt(id, attempt, u32::from(attempt), outcome, 5 * MS);
+            workload.start_attempt(id, attempt, u32::from(attempt));
+            workload.now += 5 * MS;
+            workload.end_attempt(id, attempt, u32::from(attempt), outcome, 5 * MS);
         }
-        day.record(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
+        workload.record(Event::Decision(DecisionEvent::AnsweredWithoutEndpoint {
             id,
             reason: RejectionReason::NoRetry(NoRetryReason::AttemptsExhausted),
             wait_share: 0.0,
         }));
-        day.end_request(id, RequestOutcome::Failed);
-        let id = day.admit(0, "faulty");
-        day.start_attempt(id, 0, 2);
-        day.now += 20 * MS;
-        day.end_attempt(id, 0, 2, AttemptOutcome::Success, 20 * MS);
-        day.end_request(id, RequestOutcome::ServedError);
-        let id = day.admit(0, "out of time");
-        day.start_attempt(id, 0, 2);
-        day.now += 400 * MS;
-        day.end_request(id, RequestOutcome::DeadlineExceeded);
-        day.end_attempt(id, 0, 2, AttemptOutcome::Cancelled, 400 * MS);
+        workload.end_request(id, RequestOutcome::Failed);
+        let id = workload.admit(0, "faulty");
+        workload.start_attempt(id, 0, 2);
+        workload.now += 20 * MS;
+        workload.end_attempt(id, 0, 2, AttemptOutcome::Success, 20 * MS);
+        workload.end_request(id, RequestOutcome::ServedError);
+        let id = workload.admit(0, "out of time");
+        workload.start_attempt(id, 0, 2);
+        workload.now += 400 * MS;
+        workload.end_request(id, RequestOutcome::DeadlineExceeded);
+        workload.end_attempt(id, 0, 2, AttemptOutcome::Cancelled, 400 * MS);
     });
-    for why in [ListenerRejection::RequestLimit, ListenerRejection::ConnectionLimit] {
-        (0..3).for_each(|_| day.record(Event::RejectedByListener { class: 0, reason: why }));
+    for reason in [ListenerRejection::RequestLimit, ListenerRejection::ConnectionLimit] {
+        (0..3).for_each(|_| workload.record(Event::RejectedByListener { class: 0, reason }));
     }
-    // The node's shortage of descriptors would be put down as the cause of every attempt that was not sent.
-    day.record(Event::ResourceExhausted(ExhaustedResource::DownstreamConnection));
-    day.record(Event::Decision(DecisionEvent::Ejected { endpoint: SERVER, duration: 1_500 * MS }));
-    day.record(Event::Decision(DecisionEvent::LimitChanged {
-        endpoint: SERVER,
+    // Only of descriptors for clients: exhaustion for upstream connections would count as the cause of every attempt that was
+    // not sent.
+    workload.record(Event::ResourceExhausted(ExhaustedResource::DownstreamConnection));
+    workload.record(Event::Decision(DecisionEvent::Ejected { endpoint: ENDPOINT, duration: 1_500 * MS }));
+    workload.record(Event::Decision(DecisionEvent::LimitChanged {
+        endpoint: ENDPOINT,
         from: 1.0,
         to: 2.5,
         reason: LimitChangeReason::ComparedLatency,
     }));
-    let id = day.admit(1, "still open");
-    day.record(Event::Decision(DecisionEvent::Queued { id, queued: 1 }));
-    day
+    let id = workload.admit(1, "still open");
+    workload.record(Event::Decision(DecisionEvent::Queued { id, queued: 1 }));
+    workload
 }
 
-fn read(name: &str) -> Recording {
-    let dump = Recording::read(&stored(name)).unwrap();
-    assert_eq!(dump.damage, None, "{name}");
-    dump
+fn read_recording(name: &str) -> Recording {
+    let recording = Recording::read(&read_fixture(name)).unwrap();
+    assert_eq!(recording.damage, None, "{name}");
+    recording
 }
 
-fn told(dump: &Recording) -> String {
-    let all = dump
+fn render_timelines(recording: &Recording) -> String {
+    let all = recording
         .timelines
         .iter()
-        .map(|story| pumicehead_flight_recorder::timeline_text::render(&dump.header, story));
+        .map(|timeline| pumicehead_flight_recorder::timeline_text::render(&recording.header, timeline));
     all.collect::<Vec<_>>().join("\n")
 }
 
 #[test]
-fn recordings_are_written_as_before() {
+fn encoded_recordings_match_the_fixtures() {
     assert_stored_recording("every_event.rec", &every_event_recording());
-    let day = faulty_day();
-    assert_stored_recording("faulty_day.rec", &day.recorder.recording(day.now, "asked by a signal"));
+    let workload = faulty_workload();
+    assert_stored_recording(
+        "faulty_day.rec",
+        &workload.recorder.recording(workload.now, "asked by a signal"),
+    );
 }
 
 #[test]
-fn an_older_recording_holds_the_same_events() {
-    let dump = read("every_event.rec");
-    let events: Vec<_> =
-        every_event().into_iter().chain(every_note().into_iter().map(Event::Decision)).collect();
-    let read: Vec<_> = dump.records.iter().map(|record| record.event.clone()).collect();
-    assert_eq!(read, events);
-    let causes: Vec<_> = dump.timelines.iter().skip(3).map(|story| story.cause.unwrap()).collect();
+fn an_older_recording_decodes_to_the_same_events() {
+    let recording = read_recording("every_event.rec");
+    let events: Vec<_> = every_event_but_decisions()
+        .into_iter()
+        .chain(every_decision_event().into_iter().map(Event::Decision))
+        .collect();
+    let decoded: Vec<_> = recording.records.iter().map(|record| record.event.clone()).collect();
+    assert_eq!(decoded, events);
+    let causes: Vec<_> = recording.timelines.iter().skip(3).map(|timeline| timeline.cause.unwrap()).collect();
     assert_eq!(causes, every_cause());
 }
 
 #[test]
-fn an_older_recording_is_exported_as_before() {
-    let dump = read("every_event.rec");
-    assert_stored_text("every_event.otlp.jsonl", &otlp(&dump));
-    assert_stored_text("every_event.chrome.json", &chrome(&dump));
+fn exports_of_an_older_recording_match_the_fixtures() {
+    let recording = read_recording("every_event.rec");
+    assert_stored_text("every_event.otlp.jsonl", &otlp(&recording));
+    assert_stored_text("every_event.chrome.json", &chrome(&recording));
 }
 
 #[test]
-fn an_older_recording_is_rendered_in_the_same_sentences() {
-    assert_stored_text("every_event.stories.txt", &told(&read("every_event.rec")));
-    let dump = read("faulty_day.rec");
-    let breakdown = Breakdown::of_recording(&dump, 0, Nanos::MAX).unwrap();
+fn texts_of_an_older_recording_match_the_fixtures() {
+    assert_stored_text("every_event.stories.txt", &render_timelines(&read_recording("every_event.rec")));
+    let recording = read_recording("faulty_day.rec");
+    let breakdown = Breakdown::of_recording(&recording, 0, Nanos::MAX).unwrap();
     assert_stored_text("faulty_day.breakdown.txt", &breakdown.to_string());
 }
 
@@ -476,7 +487,7 @@
     let mut recorder = Recorder::new("n0", START, 1 << 20, 1);
     let pool = recorder.register_pool("web", &[class("read", 100 * MS, 1.0)]);
     let mut at = START;
-    for (number, event) in every_event().into_iter().enumerate() {
+    for (number, event) in every_event_but_decisions().into_iter().enumerate() {
         at += 10 * MS;
         if let Event::RequestEnded { outcome, .. } = event {
             let id = RequestId(100 + number as u32);
--- a/crates/flight-recorder/tests/unit/log_rate_limit.rs
+++ b/crates/flight-recorder/tests/unit/log_rate_limit.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the module of this name.
+//! Unit tests of `log_rate_limit`.
 
 use super::*;
 
@@ -7,7 +7,7 @@
     let mut limiter = LogRateLimiter::default();
     let logged = (0..1_000_000u64).filter(|n| limiter.check(1, n * 1_000).0).count();
     assert_eq!(logged, MESSAGES_PER_INTERVAL as usize);
-    assert_eq!(limiter.check(2, 0), (true, None), "another kind is not held back");
+    assert_eq!(limiter.check(2, 0), (true, None), "other kinds have limits of their own");
     assert_eq!(limiter.drain_expired(INTERVAL - 1), []);
     let suppressed = SuppressedMessages { kind: 1, count: 999_990, interval: INTERVAL };
     assert_eq!(
--- a/crates/flight-recorder/tests/unit/metrics.rs
+++ b/crates/flight-recorder/tests/unit/metrics.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the module of this name.
+//! Unit tests of `metrics`.
 
 use super::*;
 
--- a/crates/flight-recorder/tests/unit/timestamp.rs
+++ b/crates/flight-recorder/tests/unit/timestamp.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the module of this name.
+//! Unit tests of `timestamp`.
 
 use super::*;
 
@@ -9,7 +9,11 @@
     assert_eq!(parse("3s", start), Ok(start + 3 * SECOND));
     assert_eq!(parse("13:05:20", start), Ok(start - 400_000_000 + 10 * SECOND));
     assert_eq!(parse("13:05:10", start), Ok(start - 400_000_000));
-    assert_eq!(parse("01:00:00", start), Ok((20_001 * DAY + 3_600) * SECOND), "the next day");
+    assert_eq!(
+        parse("01:00:00", start),
+        Ok((20_001 * DAY + 3_600) * SECOND),
+        "a time of day before the start is on the next day"
+    );
     for bad in ["", "x", "-1", "1e9", "1:2", "24:00:00", "1:60:00", "1:00:99", "nan", "\u{1b}[2J", "1:2:3:4"]
     {
         assert!(parse(bad, start).is_err(), "{bad}");
