--- a/crates/load-generator/src/compare.rs
+++ b/crates/load-generator/src/compare.rs
@@ -1,4 +1,4 @@
-//! Two sets of runs beside each other, with the noise that repeats show.
+//! Compares two sets of runs, taking into account the variation between repeated runs.
 
 use std::fmt::Write;
 
@@ -7,25 +7,25 @@
 use crate::outcome::End;
 use crate::report::Summary;
 
-/// Runs that can't be compared.
+/// Why runs can't be compared.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CompareError {
-    /// A side without runs.
-    #[error("each side needs a run")]
+    /// A side has no runs.
+    #[error("each side needs at least one run")]
     NoRuns,
-    /// A run that says nothing.
-    #[error("`{0}` is invalid: its generator did not keep its times")]
+    /// A run is invalid.
+    #[error("`{0}` is invalid: the generator did not keep its schedule")]
     Invalid(String),
 }
 
-/// A figure's least, median and most over runs.
+/// Minimum, median and maximum of a measure over several runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range {
-    /// Least.
+    /// Minimum.
     pub least: f64,
     /// Median.
     pub median: f64,
-    /// Most.
+    /// Maximum.
     pub most: f64,
 }
 
@@ -43,16 +43,16 @@
     }
 }
 
-/// A figure of both sides.
+/// A measure of both sides.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// Its name.
+    /// Name of the measure.
     pub name: &'static str,
-    /// Of the one side.
+    /// Values of side A.
     pub a: Range,
-    /// Of the other.
+    /// Values of side B.
     pub b: Range,
-    /// The sides' ranges don't touch: the difference is more than the noise that was seen.
+    /// Whether the ranges don't overlap, so that the difference exceeds the variation between repeated runs.
     pub apart: bool,
 }
 
@@ -61,7 +61,7 @@
 /// Compares two sides.
 ///
 /// # Errors
-/// A side without runs, or an invalid one.
+/// If a side has no runs, or a run is invalid.
 pub fn compare(a: &[Summary], b: &[Summary]) -> Result<Vec<Row>, CompareError> {
     if a.is_empty() || b.is_empty() {
         return Err(CompareError::NoRuns);
@@ -89,7 +89,7 @@
     100.0 * count as f64 / run.classes.first().map_or(1, |class| class.requests.max(1)) as f64
 }
 
-/// As a table; `runs` is how many each side has.
+/// Formats the comparison as a table; `runs` is the number of runs of each side.
 #[must_use]
 pub fn table(rows: &[Row], runs: (usize, usize)) -> String {
     let mut out = format!(
--- a/crates/load-generator/src/engine/connection.rs
+++ b/crates/load-generator/src/engine/connection.rs
@@ -1,4 +1,4 @@
-//! A connection: one request at a time, by either protocol.
+//! A client connection over HTTP/1.1 or FastCGI that carries one request at a time.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,10 +18,10 @@
 
 use super::Protocol;
 
-/// Bytes that are read at once.
+/// Size of the read buffer, in bytes.
 const READ: usize = 16 << 10;
 
-/// A request.
+/// A request to be sent.
 pub struct Message {
     pub method: String,
     pub path: String,
@@ -29,16 +29,16 @@
     pub body: usize,
 }
 
-/// An answer.
+/// The relevant parts of a response.
 pub struct Answer {
     pub status: u16,
-    /// When to come back.
+    /// Delay after which the server asks for a retry.
     pub retry_after: Option<Duration>,
-    /// The connection stays.
+    /// Whether the connection can be reused.
     pub keep: bool,
 }
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     Broken,
@@ -67,7 +67,7 @@
     pub fn is_open(&self) -> bool {
         match self {
             Self::Http { sender, .. } => !sender.is_closed(),
-            // Nothing may come between requests but the end.
+            // Any data between requests is invalid, so a readable stream has ended or is unusable.
             Self::FastCgi { stream, .. } => {
                 matches!(stream.try_read(&mut [0; 1]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
             }
--- a/crates/load-generator/src/engine/mod.rs
+++ b/crates/load-generator/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! Sends requests at their times, on threads of their own, and counts what becomes of them.
+//! Sends requests at their intended times from dedicated threads, and counts the results.
 
 mod connection;
 
@@ -25,14 +25,16 @@
 use crate::{Nanos, SECOND};
 use connection::{Connection, Fault};
 
-/// The runtime's timers tick by the millisecond; the last part of a wait is spent looking at the clock.
+/// The last part of a wait, which is spent polling the clock, because timers of the runtime have a resolution of one
+/// millisecond.
 const TICK: Duration = Duration::from_millis(2);
-/// A run whose generator came late to more than this share of requests, or was out of breath at them, says nothing.
+/// A run is invalid if the generator was late for more than this share of the requests, or had too little idle time
+/// when more than this share was due.
 pub const MOST_LATE: f64 = 0.01;
-/// Pause before a client asks again, where it was not told when.
+/// Delay before a client retries if the server has not stated one.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// What is spoken.
+/// Protocol of the requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
     /// HTTP/1.1 with the platform's headers.
@@ -43,45 +45,47 @@
     FastCgi,
 }
 
-/// How a run is made.
+/// Settings of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Whom to ask; connections are dealt out among them.
+    /// Targets; connections are distributed over them in turn.
     pub targets: Vec<SocketAddr>,
-    /// How.
+    /// Protocol of the requests.
     pub protocol: Protocol,
-    /// Threads.
+    /// Number of threads.
     pub threads: usize,
-    /// Connections at the same time, over all threads.
+    /// Maximum number of concurrent connections of all threads.
     pub connections: usize,
-    /// Clients that ask one request after another, in place of the schedule's times: only to show what that hides.
+    /// Number of closed-loop clients that send one request after another instead of following the schedule. Only used
+    /// to demonstrate the latency that this hides (coordinated omission).
     pub closed: Option<usize>,
-    /// Waits by timers alone: up to 2 ms late, but it leaves the processor to others.
+    /// Waits with timers only: requests are up to 2 ms late, but the processor is left to other processes.
     pub relaxed: bool,
-    /// Part of the names of requests, so that two runs differ.
+    /// Seed; part of the request ids, so that those of two runs differ.
     pub seed: u64,
 }
 
 /// Counts that can be read while a run goes on.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Requests that were due.
+    /// Number of requests that were due.
     pub due: AtomicU64,
-    /// Requests that have ended.
+    /// Number of requests that have ended.
     pub ended: AtomicU64,
-    /// Those that were served.
+    /// Number of requests that were served.
     pub served: AtomicU64,
 }
 
-/// Runs a plan to its end.
+/// Sends all requests of a plan and returns the counted results.
 ///
 /// # Errors
-/// Threads that can't be started.
+/// If a thread or its runtime can't be started, or a thread panics.
 pub fn run(plan: &Plan, setup: &Setup, progress: &Arc<Progress>) -> io::Result<Tally> {
     let classes =
         || plan.mix().classes.iter().map(|class| (class.name.clone(), class.aim_ms * (SECOND / 1_000)));
     let threads = setup.threads.max(1);
-    // All begin at one moment, some time from now, so that starting threads makes nobody late.
+    // All threads start at the same time, slightly in the future, so that the time it takes to start them makes no
+    // request late.
     let start = std::time::Instant::now() + Duration::from_millis(50);
     let lanes: Vec<_> = (0..threads)
         .map(|lane| {
@@ -107,7 +111,7 @@
                 });
                 LocalSet::new().block_on(&runtime, lane.clone().run(plan, threads));
                 let mut tally = lane.tally.borrow().clone();
-                // The closed loop has no times to keep.
+                // A closed loop has no schedule to keep.
                 if lane.setup.closed.is_none() {
                     tally.breathless = held(&slack).breathless(since(start, Instant::now()));
                 }
@@ -117,12 +121,12 @@
         .collect::<io::Result<_>>()?;
     let mut all = Tally::new(classes());
     for lane in lanes {
-        all.merge(&lane.join().map_err(|_| io::Error::other("a thread failed"))??);
+        all.merge(&lane.join().map_err(|_| io::Error::other("a load thread panicked"))??);
     }
     Ok(all)
 }
 
-/// A runtime that notes when its thread sleeps for want of anything to do.
+/// Returns the builder of a runtime that records when its thread is parked because it has nothing to do.
 fn watched(start: Instant, slack: &Arc<Mutex<Slack>>) -> Builder {
     let asleep = Arc::new(AtomicU64::new(0));
     let (since_when, slack) = (asleep.clone(), slack.clone());
@@ -142,17 +146,17 @@
     slack.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A thread's part of a run.
+/// State of one thread of a run.
 struct Lane {
     number: usize,
     start: Instant,
-    /// Only this thread uses it; its runtime's hooks ask for a type that could be shared.
+    /// Used by this thread only; the hooks of the runtime require a type that can be shared.
     slack: Arc<Mutex<Slack>>,
-    /// How often a request's task went on: a turn of the loop in which none did was idle.
+    /// Number of polls of request tasks: an iteration of the event loop without any was idle.
     polls: Cell<u64>,
     places: Arc<Semaphore>,
-    /// Without places of their own: a request takes the one that was used last, so there are never more open than
-    /// were needed at once.
+    /// Idle connections, which hold no permit. A request takes the one that was used last, so that there are never more
+    /// open connections than were needed concurrently.
     idle: RefCell<VecDeque<Connection>>,
     tally: RefCell<Tally>,
     next_target: Cell<usize>,
@@ -180,8 +184,8 @@
             held(&self.slack).due(request.at);
             let lane = self.clone();
             tasks.spawn_local(self.clone().counted(async move {
-                // Where the request's own task begins, not where it is made: a thread that makes them in time but
-                // has no time to run them is late all the same.
+                // Measured when the task of the request starts, not when it is spawned: a thread that spawns tasks in
+                // time but has no time to run them is late as well.
                 let late = Instant::now().saturating_duration_since(due);
                 lane.tally.borrow_mut().came(late.as_nanos() as Nanos);
                 let story = lane.ask(&request, due).await;
@@ -192,7 +196,8 @@
         while tasks.join_next().await.is_some() {}
     }
 
-    /// Clients that wait for their answers, and so never see what they did not ask.
+    /// Runs clients that wait for each response, and therefore don't measure the latency of requests that they would
+    /// have sent in the meantime.
     async fn closed(self: Rc<Self>, plan: impl Iterator<Item = Planned>, clients: usize) {
         let plan: Vec<_> = plan.collect();
         let end = self.start + Duration::from_nanos(plan.last().map_or(0, |request| request.at));
@@ -244,7 +249,7 @@
         }
     }
 
-    /// A request's task, whose steps are counted.
+    /// Runs the task of a request and counts its polls.
     async fn counted(self: Rc<Self>, task: impl Future<Output = ()>) {
         let mut task = pin!(task);
         poll_fn(|context| {
@@ -258,7 +263,8 @@
         since(self.start, instant)
     }
 
-    /// A request's story, with a second try where clients make one. Latency counts from `due` to the last end.
+    /// Sends a request, with one retry if the mix has retries, and returns the result. Latency counts from `due` to the
+    /// end of the last attempt.
     async fn ask(&self, request: &Planned, due: Instant) -> Story {
         let gives_up = due + Duration::from_nanos(request.patience);
         let (mut end, sent, after) = self.try_once(request, gives_up, 0).await;
@@ -275,7 +281,7 @@
         Story { class: request.class, intended, sent: sent.map(|sent| self.at(sent)), ended, end, retried }
     }
 
-    /// One try: its end, when it was sent, and when it may be made again.
+    /// Makes one attempt. Returns its outcome, when it was sent, and the delay before a retry that the server asks for.
     async fn try_once(
         &self,
         request: &Planned,
@@ -322,7 +328,7 @@
                 let end = if fault == Fault::Malformed { End::Malformed } else { End::Broken };
                 (end, Some(sent), None)
             }
-            // Dropped, it closes its connection: the client is gone.
+            // Dropping the connection closes it, as a client that gives up does.
             Err(_) => (End::GaveUp, Some(sent), None),
         }
     }
@@ -353,9 +359,9 @@
     }
 }
 
-/// Why a connection did not come up.
+/// Returns the outcome for a connection that could not be established.
 fn end_of(error: &io::Error) -> End {
-    // EMFILE and ENFILE: the process's own bound, or the system's.
+    // ENFILE (23) and EMFILE (24): the limit of file descriptors of the system or of the process.
     match error.raw_os_error() {
         Some(23 | 24) => End::NoDescriptor,
         _ => End::NoConnection,
--- a/crates/load-generator/src/html.rs
+++ b/crates/load-generator/src/html.rs
@@ -1,4 +1,4 @@
-//! Results as one page that needs nothing else: latencies by share, and what happened by second.
+//! Results as a self-contained HTML page: latency percentiles, and results by second.
 
 use std::fmt::Write;
 
@@ -9,19 +9,20 @@
 const HEIGHT: f64 = 260.0;
 const LEFT: f64 = 64.0;
 const BOTTOM: f64 = 30.0;
-/// Half of the last mark must fit.
+/// Wide enough for the right half of the last axis label.
 const RIGHT: f64 = 28.0;
-/// Most points of a line by second; more are joined, the worst of each standing for all.
+/// Maximum number of points of a line over time. If there are more seconds, several are combined into one point that
+/// shows the highest of their values.
 const MOST_POINTS: usize = 600;
 
-/// Colours that are told apart in print and by most eyes.
+/// Colours that remain distinguishable in print and for most people with colour vision deficiency.
 const COLOURS: [&str; 6] = ["#0b6e99", "#c8501a", "#2f7d32", "#7a3e9d", "#8a6d00", "#555555"];
 
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-/// The page.
+/// Formats the results as an HTML page.
 #[must_use]
 pub fn page(summary: &Summary) -> String {
     let mut out = String::from(
@@ -35,20 +36,20 @@
     );
     let _ = writeln!(out, "<h1>{}</h1>", escape(&summary.title));
     if !summary.valid {
-        out.push_str("<p class=\"bad\">Invalid: the generator did not keep its times. These figures say nothing of the server.</p>\n");
+        out.push_str("<p class=\"bad\">Invalid: the generator did not keep its schedule. These results say nothing about the server.</p>\n");
     }
     ends_table(summary, &mut out);
-    out.push_str("<h2>Latency of what was served, from the intended time</h2>\n");
+    out.push_str("<h2>Latency of served requests, from the intended time</h2>\n");
     shares_plot(summary, &mut out);
     shares_table(summary, &mut out);
     out.push_str("<h2>Requests by second of their intended time</h2>\n");
     seconds_plot(summary, &mut out);
-    out.push_str("<h2>Mean and most latency by second, ms</h2>\n");
+    out.push_str("<h2>Mean and maximum latency by second, ms</h2>\n");
     latency_plot(summary, &mut out);
     let (p50, p99, most) = summary.lateness_us;
     let _ = writeln!(
         out,
-        "<p>The generator came to its requests {p50} &micro;s late at p50, {p99} &micro;s at p99 and {most} &micro;s at most, \
+        "<p>The generator started its requests {p50} &micro;s late at p50, {p99} &micro;s at p99 and {most} &micro;s at most, \
          and opened {} connections.</p>\n</body></html>",
         summary.connections
     );
@@ -156,7 +157,7 @@
     }
 }
 
-/// Latency by share, the shares spaced by how rare what lies beyond them is.
+/// Plots latency by percentile, on an axis that is logarithmic in the share of requests beyond the percentile.
 fn shares_plot(summary: &Summary, out: &mut String) {
     let most = summary.classes.iter().flat_map(|class| &class.served_us).map(|(_, us)| *us as f64 / 1e3);
     let mut plot = Plot::new(most.fold(0.0, f64::max));
@@ -174,7 +175,7 @@
     plot.finish(out);
 }
 
-/// Points of a line over seconds.
+/// Returns the points of a line over time, from one value per second.
 fn over_time(values: &[f64]) -> Vec<(f64, f64)> {
     let step = values.len().div_ceil(MOST_POINTS).max(1);
     let last = values.len().saturating_sub(1).max(1) as f64;
--- a/crates/load-generator/src/lib.rs
+++ b/crates/load-generator/src/lib.rs
@@ -1,10 +1,10 @@
-//! An open-loop load generator. Arrivals are drawn ahead from a seed and never wait for answers; each latency counts
-//! from the intended time of its request, also where it could not be sent then.
+//! An open-loop load generator. Arrival times are generated from a seed and never wait for responses. Each latency
+//! counts from the intended time of its request, even if the request could not be sent at that time.
 //!
-//! Free of I/O and of clocks: [`shape`] and [`schedule`] (when requests come), [`mix`] (what they are), [`trace`]
-//! (recorded days), [`outcome`] (what became of them), [`model`] (servers whose latency can be computed) and [`virtual_time`]
-//! (the generator against a model, exactly). [`engine`] sends, [`standin`] and [`relay`] are to be sent to, [`report`],
-//! [`html`] and [`compare`] show.
+//! Modules without I/O and clocks: [`shape`] and [`schedule`] (arrival times), [`mix`] (contents of requests),
+//! [`trace`] (recorded traffic), [`outcome`] (results of requests), [`model`] (servers whose latency can be computed)
+//! and [`virtual_time`] (an exact simulation of the generator against a model). [`engine`] sends requests, [`standin`]
+//! and [`relay`] are targets for them, and [`report`], [`html`] and [`compare`] present the results.
 
 pub mod compare;
 pub mod engine;
@@ -21,7 +21,7 @@
 pub mod trace;
 pub mod virtual_time;
 
-/// A time since the start of a run, or a span, in nanoseconds.
+/// A time since the start of a run, or a duration, in nanoseconds.
 pub type Nanos = u64;
 /// One second in [`Nanos`].
 pub const SECOND: Nanos = 1_000_000_000;
--- a/crates/load-generator/src/main.rs
+++ b/crates/load-generator/src/main.rs
@@ -1,4 +1,4 @@
-//! The load generator from the command line. Exit codes: 0 the run is valid, 1 it is not, 2 it can't be made.
+//! Command line of the load generator. Exit codes: 0 if the run is valid, 1 if it is invalid, 2 if the command fails.
 
 use std::error::Error;
 use std::io::{IsTerminal, Write};
@@ -23,12 +23,12 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-/// An open-loop load generator: arrivals never wait for answers, and latencies count from the intended time.
+/// An open-loop load generator: arrivals never wait for responses, and latencies count from the intended time.
 #[derive(Parser)]
 #[command(
     name = "pumicehead-load",
     version,
-    after_help = "Exit codes: 0 the run is valid, 1 it is not, 2 it can't be made."
+    after_help = "Exit codes: 0 if the run is valid, 1 if it is invalid, 2 if the command fails."
 )]
 struct Arguments {
     #[command(subcommand)]
@@ -37,88 +37,91 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Draws requests from a shape and a mix, and sends them.
+    /// Generates requests from a shape and a mix, and sends them.
     Run {
-        /// The rate over time: `constant:500/s`, `ramp:100,2000,30s`, `step:100,500,10s`, `burst:200,3000,5s,2s,4s` (base,
-        /// peak, when, edge, hold), `onoff:500,2s,3s`, `diurnal:500,50%,60s`; sums with `+`.
+        /// The rate over time: `constant:500/s`, `ramp:100,2000,30s`, `step:100,500,10s`, `burst:200,3000,5s,2s,4s`
+        /// (base, peak, start, duration of rise and fall, duration of the peak), `onoff:500,2s,3s`,
+        /// `diurnal:500,50%,60s`; sums with `+`.
         #[arg(long, default_value = "constant:100/s")]
         shape: String,
-        /// How long requests come.
+        /// Duration of the run.
         #[arg(long, default_value = "10s")]
         span: String,
-        /// Arrivals at even distances, not as of independent clients.
+        /// Sends requests at even intervals instead of a Poisson process.
         #[arg(long)]
         even: bool,
-        /// What requests are: a JSON file; see `pumicehead-load mix`.
+        /// JSON file that describes the requests; see `pumicehead-load mix`.
         #[arg(long)]
         mix: Option<PathBuf>,
         #[command(flatten)]
         how: How,
     },
-    /// Replays a recorded day: an access log, or a file of our own form.
+    /// Replays recorded traffic: an access log, or a file in the load generator's own format.
     Replay {
-        /// The trace.
+        /// File of the trace.
         trace: PathBuf,
-        /// Time passes so many times as fast.
+        /// Factor by which time passes faster than in the trace.
         #[arg(long, default_value_t = 1.0)]
         speed: f64,
-        /// Each request comes so many times.
+        /// Number of times that each request is sent.
         #[arg(long, default_value_t = 1)]
         copies: u32,
         /// Gaps of more than six hours are meant.
         #[arg(long)]
         gaps: bool,
-        /// Classes: a JSON file.
+        /// JSON file with the classes of the requests.
         #[arg(long)]
         mix: Option<PathBuf>,
         #[command(flatten)]
         how: How,
     },
-    /// Makes a trace of our own form of an access log.
+    /// Converts an access log to a trace in the load generator's own format.
     Import {
-        /// The log.
+        /// File of the access log.
         log: PathBuf,
         /// Gaps of more than six hours are meant.
         #[arg(long)]
         gaps: bool,
     },
-    /// Prints the mix that is used where none is named.
+    /// Prints the default mix.
     Mix,
-    /// Compares runs that were written with `--json`.
+    /// Compares results that were written with `--json`.
     Compare {
-        /// Runs of the one side.
+        /// Result files of side A.
         #[arg(long, required = true, num_args = 1..)]
         a: Vec<PathBuf>,
-        /// Runs of the other.
+        /// Result files of side B.
         #[arg(long, required = true, num_args = 1..)]
         b: Vec<PathBuf>,
     },
-    /// Serves with a known service time until it is ended.
+    /// Runs stand-in servers with a known service time until terminated.
     StandIn {
-        /// Where, on loopback; each is a server of its own.
+        /// Loopback addresses to listen on; each is an independent server.
         #[arg(required = true)]
         addresses: Vec<SocketAddr>,
-        /// `5ms`, `exp:5ms` (exponential around it), or `1ms,50ms,2%` (short, long, share of long ones).
+        /// Service time: `5ms`, `exp:5ms` (exponential with this mean), or `1ms,50ms,2%` (short, long, share of long
+        /// ones).
         #[arg(long, default_value = "5ms")]
         service: String,
-        /// On the way there and back, together.
+        /// Network delay in both directions together.
         #[arg(long, default_value = "0ms")]
         delay: String,
-        /// Stands still from a time after the start, for a span: `5s+2s`. May be given more than once.
+        /// Stall: start, counted from the start of the server, and duration, as in `5s+2s`. May be given more than
+        /// once.
         #[arg(long)]
         stall: Vec<String>,
-        /// Requests that it works on at once.
+        /// Maximum number of requests in service.
         #[arg(long, default_value_t = usize::MAX)]
         limit: usize,
-        /// Bytes of an answer.
+        /// Length of a response body, in bytes.
         #[arg(long, default_value_t = 200)]
         answer: usize,
     },
-    /// Forwards bytes to targets until it is ended: the least that any proxy costs.
+    /// Forwards bytes to the targets until terminated, as a baseline for the minimal cost of a proxy.
     Relay {
-        /// Where, on loopback.
+        /// Loopback address to listen on.
         address: SocketAddr,
-        /// To whom.
+        /// Loopback addresses to forward to, in turn.
         #[arg(required = true)]
         targets: Vec<SocketAddr>,
     },
@@ -136,31 +139,32 @@
 
 #[derive(Args)]
 struct How {
-    /// Whom to ask; more than once for several.
+    /// Address to send requests to; may be given more than once.
     #[arg(long, required = true)]
     target: Vec<SocketAddr>,
-    /// What is spoken.
+    /// Protocol of the requests.
     #[arg(long, value_enum, default_value_t = Spoken::Http)]
     protocol: Spoken,
-    /// Threads.
+    /// Number of threads.
     #[arg(long, default_value_t = 1)]
     threads: usize,
-    /// Connections at the same time.
+    /// Maximum number of concurrent connections.
     #[arg(long, default_value_t = 1_000)]
     connections: usize,
-    /// So many clients that wait for their answers, in place of the schedule: only to show what that hides.
+    /// Number of closed-loop clients that wait for each response instead of following the schedule. Only used to
+    /// demonstrate the latency that this hides.
     #[arg(long)]
     closed: Option<usize>,
-    /// Waits by timers alone, up to 2 ms late, which leaves the processor to others.
+    /// Waits with timers only: requests are up to 2 ms late, but the processor is left to other processes.
     #[arg(long)]
     relaxed: bool,
-    /// For all draws.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Writes the results to a file.
+    /// Writes the results to a JSON file.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Writes a page to a file.
+    /// Writes the results to an HTML file.
     #[arg(long)]
     html: Option<PathBuf>,
 }
@@ -242,7 +246,7 @@
 }
 
 fn stall_of(text: &str) -> Result<(Nanos, Nanos), Box<dyn Error>> {
-    let (at, span) = text.split_once('+').ok_or("a stall is written as `5s+2s`")?;
+    let (at, span) = text.split_once('+').ok_or("a stall has the form `5s+2s`")?;
     let at = parse_span(at)?;
     Ok((at, at + parse_span(span)?))
 }
@@ -253,14 +257,15 @@
     }
     let parts: Vec<_> = text.split(',').collect();
     let [short, long, share] = parts[..] else { return Ok(Service::Fixed(parse_span(text)?)) };
-    let share: f64 = share.strip_suffix('%').ok_or("the share of long ones is written as `2%`")?.parse()?;
+    let share: f64 =
+        share.strip_suffix('%').ok_or("the share of long service times has the form `2%`")?.parse()?;
     Ok(Service::Bimodal { short: parse_span(short)?, long: parse_span(long)?, share: share / 100.0 })
 }
 
-/// Load goes to this machine alone.
+/// Returns an error unless all addresses are loopback addresses: stand-ins and relays are only for use on this machine.
 fn on_loopback(addresses: &[SocketAddr]) -> Result<(), Box<dyn Error>> {
     match addresses.iter().find(|address| !address.ip().is_loopback()) {
-        Some(address) => Err(format!("{address} is not on loopback").into()),
+        Some(address) => Err(format!("{address} is not a loopback address").into()),
         None => Ok(()),
     }
 }
--- a/crates/load-generator/src/mix.rs
+++ b/crates/load-generator/src/mix.rs
@@ -1,4 +1,4 @@
-//! What requests are: classes, keys, sites, body sizes, and how long clients wait.
+//! Contents of requests: classes, keys, sites, body sizes, and how long clients wait.
 
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -9,35 +9,35 @@
 use crate::trace::Entry;
 use crate::{Nanos, SECOND};
 
-/// Most keys of a class.
+/// Maximum number of keys of a class.
 const MOST_KEYS: usize = 10_000_000;
 
-/// A class of requests. Times in milliseconds, as the file has them.
+/// A class of requests. Times are in milliseconds, as in the file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name; the first part of the path on the platform.
+    /// Name; the first segment of the path with the platform's protocol.
     pub name: String,
-    /// Share of requests, against the other classes'.
+    /// Share of the requests, relative to the shares of the other classes.
     pub share: f64,
     /// Method.
     pub method: String,
     /// Path; `{key}` stands for the key.
     pub path: String,
-    /// An answer later than this is late.
+    /// Target latency; a later response is late.
     pub aim_ms: u64,
-    /// How long a client waits at most.
+    /// Longest time that a client waits for a response.
     pub deadline_ms: u64,
-    /// How many keys there are.
+    /// Number of keys.
     #[serde(default = "one")]
     pub keys: usize,
-    /// How much the popular ones are asked more: the exponent of Zipf's law, 0 for all alike.
+    /// Skew of the popularity of keys: the exponent of Zipf's law; with 0 all keys are equally popular.
     #[serde(default)]
     pub zipf: f64,
-    /// Bytes of the body, least and most.
+    /// Minimum and maximum length of the body, in bytes.
     #[serde(default)]
     pub body: (usize, usize),
-    /// An idempotency key goes with it.
+    /// Whether requests have an idempotency key.
     #[serde(default)]
     pub keyed: bool,
 }
@@ -46,22 +46,22 @@
     1
 }
 
-/// What requests are drawn from.
+/// What requests are generated from.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mix {
     /// Classes, at least one.
     pub classes: Vec<Class>,
-    /// Accounts, drawn alike; where there are some, each request names one.
+    /// Accounts, chosen with equal probability. If there are any, each request names one.
     #[serde(default)]
     pub accounts: Vec<String>,
-    /// `Host` of requests, drawn alike.
+    /// Values of `Host`, chosen with equal probability.
     #[serde(default)]
     pub sites: Vec<String>,
-    /// Clients ask once more, under a new id, after a refusal or a failure.
+    /// Whether clients retry once, with a new request id, after a rejection or a failure.
     #[serde(default)]
     pub retry: bool,
-    /// Least and most share of its deadline after which a client gives up.
+    /// Minimum and maximum share of its deadline after which a client gives up.
     #[serde(default = "patience")]
     pub patience: (f64, f64),
 }
@@ -70,13 +70,13 @@
     (0.7, 1.0)
 }
 
-/// A mix that can't be drawn from.
+/// Why a mix is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("mix: {0}")]
 pub struct MixError(String);
 
 impl Default for Mix {
-    /// Reads and submits as the ranking service has them.
+    /// Reads and submits, as in the ranking service.
     fn default() -> Self {
         let class = |name: &str, share, method: &str, path: &str, aim_ms, deadline_ms, body| Class {
             name: name.into(),
@@ -104,35 +104,35 @@
 }
 
 impl Mix {
-    /// Checks that it can be drawn from.
+    /// Validates the mix.
     ///
     /// # Errors
-    /// The first value that can't be.
+    /// The first invalid value.
     pub fn check(&self) -> Result<(), MixError> {
         let fault = |text: String| Err(MixError(text));
         if self.classes.is_empty() {
-            return fault("no classes".into());
+            return fault("no classes are configured".into());
         }
         let (least, most) = self.patience;
         if !(0.0 < least && least <= most && most <= 1.0) {
-            return fault("`patience` is two shares, the least first, over 0 and up to 1".into());
+            return fault("`patience` must be two shares above 0 and at most 1, the lower one first".into());
         }
         for class in &self.classes {
             let name = &class.name;
             if !(class.share.is_finite() && class.share > 0.0) {
-                return fault(format!("{name}: `share` is not over 0"));
+                return fault(format!("{name}: `share` must be above 0"));
             }
             if class.aim_ms == 0 || class.deadline_ms == 0 {
-                return fault(format!("{name}: an aim or a deadline of 0"));
+                return fault(format!("{name}: `aim_ms` and `deadline_ms` must be above 0"));
             }
             if class.keys == 0 || class.keys > MOST_KEYS || !(0.0..=10.0).contains(&class.zipf) {
-                return fault(format!("{name}: `keys` is 1 to {MOST_KEYS}, `zipf` 0 to 10"));
+                return fault(format!("{name}: `keys` must be 1 to {MOST_KEYS}, and `zipf` 0 to 10"));
             }
             if class.body.0 > class.body.1 || class.body.1 > 64 << 20 {
-                return fault(format!("{name}: `body` is least and most, at most 64 MiB"));
+                return fault(format!("{name}: `body` must be a minimum and a maximum of at most 64 MiB"));
             }
             if class.method.parse::<hyper::Method>().is_err() || !class.path.starts_with('/') {
-                return fault(format!("{name}: no method, or a path without `/`"));
+                return fault(format!("{name}: `method` is invalid, or `path` does not start with `/`"));
             }
         }
         Ok(())
@@ -142,72 +142,72 @@
 /// A request to be sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
-    /// Its number in the schedule.
+    /// Number in the schedule.
     pub number: u64,
-    /// Its intended time.
+    /// Intended time.
     pub at: Nanos,
-    /// Its class.
+    /// Index of the class.
     pub class: usize,
-    /// Its target.
+    /// Request target.
     pub path: String,
-    /// Its method, where the trace has one of its own.
+    /// Method, if it comes from a trace; otherwise the class has it.
     pub method: Option<String>,
-    /// Its account, among the mix's.
+    /// Index of the account in the mix.
     pub account: Option<usize>,
-    /// Its site, among the mix's.
+    /// Index of the site in the mix.
     pub site: Option<usize>,
-    /// Bytes of its body.
+    /// Length of the body, in bytes.
     pub body: usize,
-    /// How long its client waits from the intended time.
+    /// How long the client waits, from the intended time.
     pub patience: Nanos,
 }
 
-/// Where requests come from.
+/// Source of the requests of a run.
 #[derive(Clone)]
 pub enum Plan {
-    /// Drawn.
+    /// Requests that are generated.
     Drawn {
-        /// When.
+        /// Intended times.
         schedule: Schedule,
-        /// What.
+        /// Contents.
         mix: Mix,
-        /// For the draws.
+        /// Source of the random choices.
         rng: Pcg64Mcg,
-        /// Zipf's law summed up, by class.
+        /// Cumulative probabilities of the keys, by class.
         popularity: Vec<Vec<f64>>,
-        /// Requests so far.
+        /// Number of requests so far.
         number: u64,
     },
-    /// Recorded: what of it is left, first last.
+    /// Requests of a trace.
     Recorded {
-        /// Entries in reverse.
+        /// Remaining entries in reverse order.
         entries: Vec<Entry>,
-        /// Classes.
+        /// Mix with the classes.
         mix: Mix,
-        /// Requests so far.
+        /// Number of requests so far.
         number: u64,
     },
 }
 
 impl Plan {
-    /// Draws requests of a mix at the times of a schedule.
+    /// Creates a plan that generates requests of a mix at the times of a schedule.
     #[must_use]
     pub fn drawn(schedule: Schedule, mix: Mix, seed: u64) -> Self {
         let popularity = mix.classes.iter().map(|class| zipf(class.keys, class.zipf)).collect();
-        // Apart from the schedule's draws: another mix comes at the same times.
+        // Independent of the schedule's random numbers, so that another mix has the same arrival times.
         let rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6d69_7865_645f_7365);
         Self::Drawn { schedule, mix, rng, popularity, number: 0 }
     }
 
-    /// Plays recorded requests; each is of the first class with its method and the start of its path, or of the
-    /// first class.
+    /// Creates a plan that replays recorded requests. Each belongs to the first class whose method and path prefix
+    /// match it, or to the first class of the mix if there is none.
     #[must_use]
     pub fn recorded(mut entries: Vec<Entry>, mix: Mix) -> Self {
         entries.reverse();
         Self::Recorded { entries, mix, number: 0 }
     }
 
-    /// The mix.
+    /// Returns the mix.
     #[must_use]
     pub fn mix(&self) -> &Mix {
         match self {
@@ -273,7 +273,7 @@
     }
 }
 
-/// Sums of Zipf's law, up to 1.
+/// Returns the cumulative probabilities of keys by rank according to Zipf's law.
 fn zipf(keys: usize, exponent: f64) -> Vec<f64> {
     let mut sum = 0.0;
     let mut sums: Vec<f64> = (1..=keys)
--- a/crates/load-generator/src/model.rs
+++ b/crates/load-generator/src/model.rs
@@ -1,4 +1,4 @@
-//! Servers whose latency can be computed: what a generator must find.
+//! Models of servers whose latency can be computed, to check what the generator measures.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,26 +9,26 @@
 use crate::Nanos;
 use crate::schedule::unit;
 
-/// How long a request is worked on.
+/// Distribution of the service time of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Service {
-    /// Always the same.
+    /// Constant.
     Fixed(Nanos),
-    /// Exponential around a mean.
+    /// Exponential with this mean.
     Exponential(Nanos),
-    /// One or the other.
+    /// One of two values.
     Bimodal {
-        /// Mostly.
+        /// The usual service time.
         short: Nanos,
-        /// Sometimes.
+        /// The occasional long service time.
         long: Nanos,
-        /// Share of the long ones.
+        /// Share of requests with the long service time.
         share: f64,
     },
 }
 
 impl Service {
-    /// Draws one.
+    /// Samples a service time.
     pub fn draw(&self, rng: &mut Pcg64Mcg) -> Nanos {
         let drawn = unit(rng);
         match *self {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The service time that a share of requests stays within.
+    /// Returns the quantile of the service time at `share`.
     #[must_use]
     pub fn quantile(&self, share: f64) -> Nanos {
         match *self {
@@ -61,12 +61,12 @@
     }
 }
 
-/// Times in which a server answers nothing: what would be answered then is, at the end of the stall.
+/// Intervals (start and end) in which a server sends no responses; they are sent at the end of the stall instead.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stalls(pub Vec<(Nanos, Nanos)>);
 
 impl Stalls {
-    /// When something that is ready at a time comes out.
+    /// Returns when a response that is ready at `ready` is sent.
     #[must_use]
     pub fn out(&self, ready: Nanos) -> Nanos {
         // Stalls may overlap.
@@ -78,22 +78,22 @@
     }
 }
 
-/// A server.
+/// Model of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// How long it works on each.
+    /// Service time of requests.
     pub service: Service,
-    /// On the way there and back, together.
+    /// Network delay in both directions together.
     pub delay: Nanos,
-    /// When it stands still.
+    /// When the server stalls.
     pub stalls: Stalls,
-    /// Requests that it works on at once; others wait in order.
+    /// Maximum number of requests in service; others wait in order of arrival.
     pub limit: usize,
-    /// For the draws.
+    /// Seed of the random service times.
     pub seed: u64,
 }
 
-/// A server at work.
+/// State of a running server model.
 #[derive(Clone, Debug)]
 pub struct Running<'a> {
     model: &'a Model,
@@ -102,7 +102,8 @@
 }
 
 impl Running<'_> {
-    /// When a request is answered; they come in order.
+    /// Returns when the response to a request that arrives at `arrival` is received. Requests must be passed in order
+    /// of arrival.
     pub fn answer(&mut self, arrival: Nanos) -> Nanos {
         let mut begins = arrival;
         if self.free.len() >= self.model.limit
@@ -117,14 +118,15 @@
 }
 
 impl Model {
-    /// Begins its work.
+    /// Returns the initial state.
     #[must_use]
     pub fn start(&self) -> Running<'_> {
         Running { model: self, rng: Pcg64Mcg::seed_from_u64(self.seed), free: BinaryHeap::new() }
     }
 
-    /// The latency that a share of requests stays within, where they come evenly over a span, none waits for another
-    /// and service is fixed: a stall of length `s` holds those that would be ready in it for between 0 and `s`, evenly.
+    /// Returns the quantile of the latency at `share` for requests that arrive evenly over `span`, if no request waits
+    /// for another and the service time is fixed. A stall of length `s` delays the responses that would be ready during
+    /// it by between 0 and `s`, uniformly distributed.
     #[must_use]
     pub fn stalled_quantile(&self, share: f64, span: Nanos) -> Nanos {
         let base = self.service.quantile(share) + self.delay;
@@ -133,7 +135,8 @@
         if share <= calm {
             return base;
         }
-        // Over equal stalls the waits fill 0 to the stall's length evenly; over unequal ones the longest count last.
+        // With stalls of equal length the delays are uniformly distributed between 0 and that length. With unequal ones
+        // this is an upper bound, which the longest delays reach.
         let longest = self.stalls.0.iter().map(|(start, end)| end - start).max().unwrap_or(0);
         base + ((share - calm) / (1.0 - calm) * longest as f64) as Nanos
     }
--- a/crates/load-generator/src/outcome.rs
+++ b/crates/load-generator/src/outcome.rs
@@ -1,42 +1,42 @@
-//! What became of requests: counts by class and second, and latencies from the intended time.
+//! Results of requests: counts by class and second, and latencies from the intended time.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
 use crate::{Nanos, SECOND};
 
-/// Longest latency that is told apart, in microseconds: an hour.
+/// Longest latency that is recorded, in microseconds: one hour. Longer ones count as this.
 const LONGEST_US: u64 = 3_600_000_000;
-/// Most seconds that are counted one by one; later ones count to the last.
+/// Maximum number of seconds with counts of their own; later requests are counted in the last one.
 const MOST_SECONDS: usize = 100_000;
-/// A request that was sent so much after its intended time was late by the generator's fault.
+/// A request that the generator starts more than this after its intended time was late because of the generator.
 pub const LATE: Nanos = 5_000_000;
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// Answered with 2xx or 3xx.
+    /// A response with status 2xx or 3xx.
     Served,
-    /// Answered with 429 or 503: harmless to ask again.
+    /// A response with status 429 or 503, after which the request can safely be repeated.
     Refused,
-    /// Answered with any other status.
+    /// A response with any other status.
     Failed,
-    /// No answer in the client's time.
+    /// No response before the client gave up.
     GaveUp,
-    /// The connection was refused or did not come up.
+    /// The connection was refused or could not be established.
     NoConnection,
-    /// The connection broke before the answer was whole.
+    /// The connection broke before the response was complete.
     Broken,
-    /// What came was no answer.
+    /// The received data was not a valid response.
     Malformed,
-    /// There was no connection within the bound in the client's time: never sent.
+    /// No connection within the limit became free before the client gave up; the request was never sent.
     NoRoom,
-    /// The generator had no descriptor left: never sent.
+    /// The generator ran out of file descriptors; the request was never sent.
     NoDescriptor,
 }
 
-/// All ends, in the order of their columns.
+/// All outcomes, in the order of their columns.
 pub const ENDS: [End; 9] = [
     End::Served,
     End::Refused,
@@ -50,7 +50,7 @@
 ];
 
 impl End {
-    /// Its name in tables.
+    /// Returns the name in tables.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Of a status.
+    /// Returns the outcome for a response with this status code.
     #[must_use]
     pub fn of_status(status: u16) -> Self {
         match status {
@@ -77,79 +77,79 @@
     }
 }
 
-/// One request's story.
+/// Result of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Story {
-    /// Its class.
+    /// Index of the class.
     pub class: usize,
-    /// Its intended time.
+    /// Intended time.
     pub intended: Nanos,
-    /// When it was first sent; `None` where it never was.
+    /// When the first attempt was sent; `None` if it was not sent.
     pub sent: Option<Nanos>,
-    /// When it ended.
+    /// When the request ended.
     pub ended: Nanos,
-    /// How.
+    /// Outcome.
     pub end: End,
-    /// It was asked a second time.
+    /// Whether the request was retried.
     pub retried: bool,
 }
 
-/// Counts of a second, by intended time.
+/// Counts of the requests that were intended for one second.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Second {
-    /// Requests by their ends, in the order of [`ENDS`].
+    /// Number of requests by outcome, in the order of [`ENDS`].
     pub ends: [u64; 9],
-    /// Served after the aim.
+    /// Number of requests served after the target latency.
     pub late: u64,
-    /// Sum and most of latencies of what was served, in microseconds.
+    /// Sum of the latencies of served requests, in microseconds.
     pub sum_us: u64,
-    /// The most.
+    /// Maximum latency of a served request, in microseconds.
     pub most_us: u64,
 }
 
 /// Counts of a class.
 #[derive(Clone, Debug)]
 pub struct ClassTally {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Served after this is late.
+    /// Target latency; requests served later are late.
     pub aim: Nanos,
-    /// Requests by their ends, in the order of [`ENDS`].
+    /// Number of requests by outcome, in the order of [`ENDS`].
     pub ends: [u64; 9],
-    /// Served after the aim.
+    /// Number of requests served after the target latency.
     pub late: u64,
-    /// Asked a second time.
+    /// Number of retried requests.
     pub retried: u64,
-    /// Latencies of what was served, in microseconds from the intended time.
+    /// Latencies of served requests, in microseconds from the intended time.
     pub served: Histogram<u64>,
-    /// Latencies of all that ended, however.
+    /// Latencies of all requests, regardless of the outcome.
     pub all: Histogram<u64>,
 }
 
-/// Everything that is counted.
+/// All counts of a run.
 #[derive(Clone, Debug)]
 pub struct Tally {
-    /// By class.
+    /// Counts by class.
     pub classes: Vec<ClassTally>,
-    /// By second.
+    /// Counts by second of the intended time.
     pub seconds: Vec<Second>,
-    /// How late the generator was, in microseconds, over all that was due.
+    /// Lateness of the generator for all due requests, in microseconds.
     pub lateness: Histogram<u64>,
-    /// Requests that it sent more than [`LATE`] after their time, by its own fault.
+    /// Number of requests that the generator started more than [`LATE`] after their intended time.
     pub sent_late: u64,
-    /// Requests that were due while a thread of it had no idle time: see [`crate::slack`].
+    /// Number of requests that were due while their thread had too little idle time; see [`crate::slack`].
     pub breathless: u64,
-    /// Connections that it opened.
+    /// Number of opened connections.
     pub connections: u64,
 }
 
 fn histogram() -> Histogram<u64> {
-    // Three digits up to an hour can't be refused by the library.
+    // The library accepts these bounds: three significant digits up to one hour.
     Histogram::new_with_bounds(1, LONGEST_US, 3).unwrap_or_else(|_| unreachable!("fixed bounds"))
 }
 
 impl Tally {
-    /// Nothing yet, of classes with names and aims.
+    /// Creates empty counts for classes with these names and target latencies.
     pub fn new(classes: impl IntoIterator<Item = (String, Nanos)>) -> Self {
         let class = |(name, aim)| ClassTally {
             name,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Counts a request.
+    /// Counts the result of a request.
     pub fn count(&mut self, story: &Story) {
         let Some(class) = self.classes.get_mut(story.class) else { return };
         let took = story.ended.saturating_sub(story.intended);
@@ -195,19 +195,19 @@
         }
     }
 
-    /// Notes how long after its intended time the generator came to a request.
+    /// Records how long after its intended time the generator started a request.
     pub fn came(&mut self, late: Nanos) {
         self.lateness.saturating_record((late / 1_000).max(1));
         self.sent_late += u64::from(late > LATE);
     }
 
-    /// Adds another's counts: the same as if all had been counted here.
+    /// Adds the counts of `other`. The result is the same as if everything had been counted here.
     pub fn merge(&mut self, other: &Self) {
         for (class, more) in self.classes.iter_mut().zip(&other.classes) {
             class.ends.iter_mut().zip(&more.ends).for_each(|(count, more)| *count += more);
             class.late += more.late;
             class.retried += more.retried;
-            // Both have the same bounds, so nothing can be refused.
+            // Both histograms have the same bounds, so adding can't fail.
             let _ = class.served.add(&more.served);
             let _ = class.all.add(&more.all);
         }
@@ -226,20 +226,20 @@
         self.connections += other.connections;
     }
 
-    /// Requests of an end, over all classes.
+    /// Returns the number of requests with this outcome, over all classes.
     #[must_use]
     pub fn of(&self, end: End) -> u64 {
         let place = ENDS.iter().position(|known| *known == end).unwrap_or(0);
         self.classes.iter().map(|class| class.ends[place]).sum()
     }
 
-    /// All requests.
+    /// Returns the number of all requests.
     #[must_use]
     pub fn requests(&self) -> u64 {
         self.classes.iter().flat_map(|class| class.ends).sum()
     }
 
-    /// Latencies of what was served, over all classes.
+    /// Returns the latencies of served requests, over all classes.
     #[must_use]
     pub fn served(&self) -> Histogram<u64> {
         let mut all = histogram();
@@ -249,12 +249,13 @@
         all
     }
 
-    /// Share of requests to which the generator came late.
+    /// Returns the share of requests that the generator started late.
     #[must_use]
     pub fn late_share(&self) -> f64 {
         self.sent_late as f64 / (self.lateness.len().max(1)) as f64
     }
-    /// Share of requests that were due while the generator had no idle time.
+
+    /// Returns the share of requests that were due while the generator had too little idle time.
     #[must_use]
     pub fn breathless_share(&self) -> f64 {
         self.breathless as f64 / (self.lateness.len().max(1)) as f64
--- a/crates/load-generator/src/relay.rs
+++ b/crates/load-generator/src/relay.rs
@@ -1,4 +1,4 @@
-//! A bare relay that forwards bytes: the least that any proxy costs.
+//! A plain TCP relay that forwards bytes, as a baseline for the minimal cost of a proxy.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// Relays connections to a target, one by one, dealt out among several.
+/// Accepts connections on `address` and relays each to one of `targets`, in turn.
 ///
 /// # Errors
-/// Those of the system.
+/// If the listener can't be bound.
 pub async fn serve(
     address: SocketAddr,
     targets: Vec<SocketAddr>,
--- a/crates/load-generator/src/report.rs
+++ b/crates/load-generator/src/report.rs
@@ -1,4 +1,4 @@
-//! Results: as one JSON object, and as tables for people.
+//! Results of a run, as a JSON object and as text tables.
 
 use std::fmt::Write;
 
@@ -9,49 +9,49 @@
 use crate::outcome::{ENDS, End, Second, Tally};
 use crate::{Nanos, SECOND};
 
-/// Shares that are shown.
+/// Quantiles that are reported.
 const SHARES: [f64; 9] = [0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999, 0.9999, 1.0];
 
-/// A run's results.
+/// Results of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// What was run, for people.
+    /// Description of the run.
     pub title: String,
-    /// Its span, in seconds.
+    /// Duration of the run, in seconds.
     pub seconds: f64,
-    /// Whether the generator kept its times; where not, nothing here says anything of the server.
+    /// Whether the generator kept its schedule; if not, the results say nothing about the server.
     pub valid: bool,
-    /// Share of requests to which the generator came more than 5 ms late.
+    /// Share of requests that the generator started more than 5 ms late.
     pub late_share: f64,
-    /// Share of requests that were due while a thread of the generator had no idle time.
+    /// Share of requests that were due while their thread of the generator had too little idle time.
     #[serde(default)]
     pub breathless_share: f64,
-    /// The generator's own lateness, in microseconds: p50, p99, most.
+    /// Lateness of the generator, in microseconds: p50, p99 and maximum.
     pub lateness_us: (u64, u64, u64),
-    /// Connections that it opened.
+    /// Number of opened connections.
     pub connections: u64,
-    /// All classes together, then each.
+    /// All classes together, followed by each class.
     pub classes: Vec<ClassSummary>,
-    /// By second of the intended time.
+    /// Results by second of the intended time.
     pub by_second: Vec<Second>,
 }
 
-/// A class's results.
+/// Results of a class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassSummary {
-    /// Its name; `all` for all together.
+    /// Name of the class; `all` for all classes together.
     pub name: String,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// By their ends, in the order of [`ENDS`].
+    /// Number of requests by outcome, in the order of [`ENDS`].
     pub ends: [u64; 9],
-    /// Served after the aim.
+    /// Number of requests served after the target latency.
     pub late: u64,
-    /// Asked a second time.
+    /// Number of retried requests.
     pub retried: u64,
-    /// Latencies of what was served: share and microseconds.
+    /// Latencies of served requests: quantile, and latency in microseconds.
     pub served_us: Vec<(f64, u64)>,
-    /// Latencies of all that ended.
+    /// Latencies of all requests, in the same form.
     pub all_us: Vec<(f64, u64)>,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl Summary {
-    /// Of everything that was counted.
+    /// Summarizes the counts of a run.
     #[must_use]
     pub fn of(title: &str, span: Nanos, tally: &Tally) -> Self {
         let mut all = ClassSummary {
@@ -106,21 +106,22 @@
         }
     }
 
-    /// A latency of what was served, in microseconds, over all classes.
+    /// Returns a quantile of the latency of served requests over all classes, in microseconds; 0 if it is not one of
+    /// the reported quantiles.
     #[must_use]
     pub fn served_us(&self, share: f64) -> u64 {
         let all = self.classes.first().map_or(&[][..], |class| &class.served_us);
         all.iter().find(|(known, _)| *known == share).map_or(0, |(_, us)| *us)
     }
 
-    /// Requests of an end.
+    /// Returns the number of requests with this outcome, over all classes.
     #[must_use]
     pub fn of_end(&self, end: End) -> u64 {
         let place = ENDS.iter().position(|known| *known == end).unwrap_or(0);
         self.classes.first().map_or(0, |class| class.ends[place])
     }
 
-    /// As tables.
+    /// Formats the results as text tables.
     #[must_use]
     pub fn table(&self) -> String {
         let mut out = format!("{}\n\n", self.title);
@@ -158,7 +159,7 @@
         );
         if !self.valid {
             out.push_str(
-                "INVALID: the generator did not keep its times; these figures say nothing of the server\n",
+                "INVALID: the generator did not keep its schedule; these results say nothing about the server\n",
             );
         }
         out
--- a/crates/load-generator/src/schedule.rs
+++ b/crates/load-generator/src/schedule.rs
@@ -1,4 +1,4 @@
-//! When requests come: drawn from a seed, the same every time, and never waiting for answers.
+//! Arrival times of requests: generated deterministically from a seed, independent of responses.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -6,29 +6,30 @@
 use crate::shape::Shape;
 use crate::{Nanos, SECOND};
 
-/// How arrivals are placed under a shape.
+/// Distribution of the arrivals for a rate over time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrivals {
-    /// At even distances of the rate.
+    /// Evenly spaced according to the rate.
     Even,
-    /// As of many independent clients: a Poisson process with the shape as its rate.
+    /// A Poisson process with the shape as its rate, as many independent clients produce it.
     Poisson,
 }
 
-/// Intended times in order, as an endless draw that ends with its span.
+/// Iterator over the intended times, in order, up to the end of the schedule.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     shape: Shape,
     arrivals: Arrivals,
     end: f64,
     rng: Pcg64Mcg,
-    /// Requests on average up to the last arrival, and its time.
+    /// Expected number of requests up to the last arrival.
     count: f64,
+    /// Time of the last arrival, in seconds.
     at: f64,
 }
 
 impl Schedule {
-    /// Arrivals from 0 to before `span`.
+    /// Creates a schedule of arrivals from 0 to before `span`.
     #[must_use]
     pub fn new(shape: Shape, arrivals: Arrivals, span: Nanos, seed: u64) -> Self {
         let end = span as f64 / SECOND as f64;
@@ -40,10 +41,10 @@
     type Item = Nanos;
 
     fn next(&mut self) -> Option<Nanos> {
-        // In the time in which one comes on average, the process has rate 1 (time-rescaling): distances are drawn
-        // there and carried over by the integral's inverse.
+        // In units of the expected number of requests the process has rate 1 (time-rescaling theorem). Distances are
+        // sampled there and converted to times by the inverse of the rate's integral.
         self.count += match self.arrivals {
-            // The first one in the middle of its share.
+            // The first arrival is at the middle of the interval in which one request is expected.
             Arrivals::Even if self.count == 0.0 => 0.5,
             Arrivals::Even => 1.0,
             Arrivals::Poisson => -(1.0 - unit(&mut self.rng)).ln(),
@@ -54,7 +55,7 @@
     }
 }
 
-/// A number from 0 to before 1.
+/// Returns a random number from 0 to below 1.
 pub fn unit(rng: &mut Pcg64Mcg) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/load-generator/src/shape.rs
+++ b/crates/load-generator/src/shape.rs
@@ -1,5 +1,5 @@
-//! How many requests come, as a rate over time. Every shape knows the integral of its rate, so that arrivals can be
-//! placed exactly, by inverting it.
+//! The rate of requests over time. Each shape provides the integral of its rate, so that arrival times can be computed
+//! exactly by inverting it.
 
 use std::f64::consts::TAU;
 use std::str::FromStr;
@@ -8,69 +8,70 @@
 
 use crate::{Nanos, SECOND};
 
-/// Highest rate, a second: above what any machine sends, it keeps a slip of the pen from filling memory.
+/// Maximum rate, in requests per second. It is above what any machine can send, and keeps a typing error from
+/// exhausting memory.
 pub const MOST_RATE: f64 = 10_000_000.0;
 
-/// A rate over time; times and spans in seconds, rates a second.
+/// A rate over time. Times and durations are in seconds, rates in requests per second.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Shape {
-    /// Always the same.
+    /// A constant rate.
     Constant(f64),
-    /// Evenly from one to another over a span, then the last.
+    /// Changes linearly from one rate to another, then stays constant.
     Ramp {
-        /// At the start.
+        /// Rate at the start.
         from: f64,
-        /// At the end.
+        /// Rate at the end of the change.
         to: f64,
-        /// How long it takes.
+        /// Duration of the change.
         over: f64,
     },
-    /// One until a time, then another.
+    /// One rate until a point in time, then another.
     Step {
-        /// Until then.
+        /// Rate until then.
         before: f64,
-        /// From then on.
+        /// Rate from then on.
         after: f64,
-        /// When.
+        /// Time of the step.
         at: f64,
     },
-    /// A marathon's burst: a base, an even rise to a peak, a hold, an even fall back.
+    /// A burst, as during a marathon event: a base rate, a linear rise to a peak, a hold, and a linear fall back.
     Burst {
-        /// Before and after.
+        /// Rate before and after the burst.
         base: f64,
-        /// During the hold.
+        /// Rate during the hold.
         peak: f64,
-        /// When the rise begins.
+        /// Start of the rise.
         at: f64,
-        /// How long rise and fall take, each.
+        /// Duration of the rise and of the fall.
         edge: f64,
-        /// How long the peak holds.
+        /// Duration of the hold.
         hold: f64,
     },
-    /// On and off by turns, beginning with on.
+    /// Alternates between on and off, starting with on.
     OnOff {
-        /// While on.
+        /// Rate while on.
         rate: f64,
-        /// How long on.
+        /// Duration of an on period.
         on: f64,
-        /// How long off.
+        /// Duration of an off period.
         off: f64,
     },
-    /// A day's wave around a mean.
+    /// A daily cycle: a sine wave around a mean rate.
     Diurnal {
-        /// The mean.
+        /// Mean rate.
         mean: f64,
-        /// How far the wave goes from it, as a share of it.
+        /// Amplitude, as a share of the mean.
         swing: f64,
-        /// How long a day is.
+        /// Duration of a cycle.
         period: f64,
     },
-    /// All of them together.
+    /// The sum of several shapes.
     Sum(Vec<Shape>),
 }
 
 impl Shape {
-    /// The rate at a time.
+    /// Returns the rate at `t`.
     #[must_use]
     pub fn rate(&self, t: f64) -> f64 {
         match self {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// How many requests come from the start to a time, on average.
+    /// Returns the expected number of requests from the start to `t`.
     #[must_use]
     pub fn integral(&self, t: f64) -> f64 {
         match self {
@@ -137,15 +138,15 @@
         }
     }
 
-    /// The first time at which so many have come, from a time at which fewer had; `None` where they don't come
-    /// within `end`.
+    /// Returns the first time at which the expected number of requests reaches `count`, given a time `from` at which it
+    /// is lower; `None` if that is after `end`.
     #[must_use]
     pub fn time_of(&self, count: f64, from: f64, end: f64) -> Option<f64> {
         if self.integral(end) < count {
             return None;
         }
         let (mut low, mut high) = (from, end);
-        // The next one is mostly near: the bracket grows from there.
+        // The next arrival is usually close, so the search starts with a small bracket that doubles.
         let mut step = (count - self.integral(from)).max(1e-9) / self.rate(from).max(1e-3);
         while low + step < end {
             if self.integral(low + step) >= count {
@@ -166,7 +167,7 @@
     }
 }
 
-/// A shape that is none.
+/// Why a shape, rate or duration can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{text}`: {fault}")]
 pub struct ShapeError {
@@ -174,10 +175,10 @@
     fault: String,
 }
 
-/// A rate such as `500`, `500/s` or `6/min`, a second.
+/// Parses a rate such as `500`, `500/s` or `6/min` into requests per second.
 ///
 /// # Errors
-/// No number, below 0, above [`MOST_RATE`], or another unit.
+/// If the text is not a number, the rate is below 0 or above [`MOST_RATE`], or the unit is unknown.
 pub fn parse_rate(text: &str) -> Result<f64, ShapeError> {
     let fault = |fault: &str| ShapeError { text: text.into(), fault: fault.into() };
     let (number, per) = match text.split_once('/') {
@@ -185,25 +186,25 @@
         Some((number, "s")) => (number, 1.0),
         Some((number, "min")) => (number, 60.0),
         Some((number, "h")) => (number, 3_600.0),
-        Some(_) => return Err(fault("rates are `500/s`, `6/min` or `1/h`")),
+        Some(_) => return Err(fault("a rate has the form `500/s`, `6/min` or `1/h`")),
     };
-    let number: f64 = number.trim().parse().map_err(|_| fault("no rate, such as `500/s`"))?;
+    let number: f64 = number.trim().parse().map_err(|_| fault("not a rate such as `500/s`"))?;
     let rate = number / per;
     if !(0.0..=MOST_RATE).contains(&rate) {
-        return Err(fault("a rate is 0 to 10,000,000 a second"));
+        return Err(fault("a rate must be 0 to 10,000,000 per second"));
     }
     Ok(rate)
 }
 
-/// A span such as `500ms`, `10s`, `5min` or `1h`; a unit is needed.
+/// Parses a duration such as `500ms`, `10s`, `5min` or `1h`; the unit is required.
 ///
 /// # Errors
-/// No number, no unit, or more than a year.
+/// If the text is not a number with a known unit, or the duration exceeds 366 days.
 pub fn parse_span(text: &str) -> Result<Nanos, ShapeError> {
     let fault = |fault: &str| ShapeError { text: text.into(), fault: fault.into() };
     let end = text
         .find(|c: char| !c.is_ascii_digit() && c != '.')
-        .ok_or(fault("a time needs a unit, such as `10s`"))?;
+        .ok_or(fault("a duration needs a unit, such as `10s`"))?;
     let (number, unit) = text.split_at(end);
     let unit = match unit {
         "us" => 1e3,
@@ -214,10 +215,10 @@
         "d" => 86_400e9,
         _ => return Err(fault("units of time are us, ms, s, min, h and d")),
     };
-    let number: f64 = number.parse().map_err(|_| fault("no time, such as `10s`"))?;
+    let number: f64 = number.parse().map_err(|_| fault("not a duration such as `10s`"))?;
     let span = number * unit;
     if span > 366.0 * 86_400e9 {
-        return Err(fault("longer than a year"));
+        return Err(fault("a duration must not exceed 366 days"));
     }
     Ok(span as Nanos)
 }
@@ -229,8 +230,8 @@
 impl FromStr for Shape {
     type Err = ShapeError;
 
-    /// `constant:500/s`, `ramp:100,2000,30s`, `step:100,500,10s`, `burst:200,3000,5s,2s,4s` (base, peak, when, edge, hold),
-    /// `onoff:500,2s,3s`, `diurnal:500,50%,60s`, and sums of them with `+`.
+    /// Parses `constant:500/s`, `ramp:100,2000,30s`, `step:100,500,10s`, `burst:200,3000,5s,2s,4s` (base, peak, at,
+    /// edge, hold), `onoff:500,2s,3s`, `diurnal:500,50%,60s`, and sums of them with `+`.
     fn from_str(text: &str) -> Result<Self, ShapeError> {
         if text.contains('+') {
             let parts = text.split('+').map(|part| part.trim().parse()).collect::<Result<_, _>>()?;
@@ -239,7 +240,8 @@
         let fault = |fault: &str| ShapeError { text: text.into(), fault: fault.into() };
         let (name, list) = text.split_once(':').unwrap_or((text, ""));
         let list: Vec<_> = list.split(',').map(str::trim).collect();
-        let positive = |span: f64| if span > 0.0 { Ok(span) } else { Err(fault("a span of 0")) };
+        let positive =
+            |span: f64| if span > 0.0 { Ok(span) } else { Err(fault("this duration must be above 0")) };
         Ok(match (name, &list[..]) {
             ("constant", [rate]) => Self::Constant(parse_rate(rate)?),
             ("ramp", [from, to, over]) => {
@@ -261,13 +263,17 @@
             ("diurnal", [mean, swing, period]) => {
                 let swing = swing.strip_suffix('%').and_then(|swing| swing.parse::<f64>().ok());
                 let swing = swing.filter(|swing| (0.0..=100.0).contains(swing));
-                let swing = swing.ok_or_else(|| fault("a swing is `0%` to `100%`"))? / 100.0;
+                let swing = swing.ok_or_else(|| fault("a swing must be `0%` to `100%`"))? / 100.0;
                 Self::Diurnal { mean: parse_rate(mean)?, swing, period: positive(seconds(period)?)? }
             }
             ("constant" | "ramp" | "step" | "burst" | "onoff" | "diurnal", _) => {
-                return Err(fault("another number of values than this shape takes"));
+                return Err(fault("wrong number of values for this shape"));
+            }
+            _ => {
+                return Err(fault(
+                    "unknown shape; shapes are constant, ramp, step, burst, onoff and diurnal",
+                ));
             }
-            _ => return Err(fault("shapes are constant, ramp, step, burst, onoff and diurnal")),
         })
     }
 }
--- a/crates/load-generator/src/slack.rs
+++ b/crates/load-generator/src/slack.rs
@@ -1,15 +1,16 @@
-//! How much of its time a thread of the generator had nothing to do.
+//! Idle time of the generator's threads.
 //!
-//! A thread that begins every request in time can still be what is slow: its answers wait to be read, its connections
-//! are held that much longer, and those behind them wait for a place. All of that would pass for the server's time.
-//! What tells the two apart is whether the thread ever stood idle.
+//! A thread that starts every request in time can still be the bottleneck: responses wait to be read, connections stay
+//! occupied longer, and later requests wait for a connection. All of this would be attributed to the server. A thread
+//! that is regularly idle is not the bottleneck.
 
 use crate::Nanos;
 
-/// Time over which it is judged: long beside a burst that the thread works off, short beside a run.
+/// Length of the window in which idle time is measured: long compared to a burst that the thread works off, short
+/// compared to a run.
 pub const WINDOW: Nanos = 100_000_000;
-/// Least idle share of a window. Under it the thread was the bottleneck, or so near to one that queues of its own
-/// build up.
+/// Minimum idle share of a window. Below it the thread was the bottleneck, or so close to it that queues build up in
+/// the generator.
 pub const LEAST_IDLE: f64 = 0.02;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -18,7 +19,7 @@
     due: u64,
 }
 
-/// Idle time and requests of one thread, by window from the start of the run.
+/// Idle time and number of due requests of one thread, by window since the start of the run.
 #[derive(Clone, Debug, Default)]
 pub struct Slack {
     windows: Vec<Window>,
@@ -32,12 +33,12 @@
         &mut self.windows[number]
     }
 
-    /// A request was due at `at`.
+    /// Records that a request was due at `at`.
     pub fn due(&mut self, at: Nanos) {
         self.window((at / WINDOW) as usize).due += 1;
     }
 
-    /// The thread had nothing to do from `from` to `to`.
+    /// Records that the thread was idle from `from` to `to`.
     pub fn idle(&mut self, from: Nanos, to: Nanos) {
         let mut from = from;
         while from < to {
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Requests that were due in a window without idle time, of a run that ended at `ended`.
+    /// Returns the number of requests that were due in windows with too little idle time, for a run that ended at
+    /// `ended`.
     #[must_use]
     pub fn breathless(&self, ended: Nanos) -> u64 {
         let share = |(number, window): (usize, &Window)| {
--- a/crates/load-generator/src/standin.rs
+++ b/crates/load-generator/src/standin.rs
@@ -1,4 +1,4 @@
-//! A server with a known service time, stalls and all, over HTTP/1.1.
+//! A stand-in server over HTTP/1.1 with the service times and stalls of a model.
 
 use std::convert::Infallible;
 use std::io;
@@ -31,10 +31,11 @@
     answer: Bytes,
 }
 
-/// Serves a model on several addresses, each a server of its own, until this is dropped.
+/// Serves a model on several addresses, each an independent server, until the future is dropped. `bound` is called with
+/// each address that a server listens on.
 ///
 /// # Errors
-/// Those of the system.
+/// If a listener can't be bound.
 pub async fn serve_all(
     addresses: &[SocketAddr],
     model: &Model,
@@ -51,10 +52,10 @@
     }
 }
 
-/// Serves a model on an address of loopback until this is dropped; its times count from the start.
+/// Serves a model on one address until the future is dropped. Times of stalls count from the start of the server.
 ///
 /// # Errors
-/// Those of the system.
+/// If the listener can't be bound.
 pub async fn serve(
     address: SocketAddr,
     model: Model,
@@ -73,7 +74,7 @@
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
-            // Descriptors have run out: some connection ends.
+            // Out of file descriptors: waits for a connection to end.
             Err(_) => {
                 tokio::time::sleep(Duration::from_millis(5)).await;
                 continue;
@@ -83,7 +84,7 @@
         let shared = shared.clone();
         spawn_local(async move {
             let service = service_fn(move |request| answer_one(shared.clone(), request));
-            // However it ends, the client counts it.
+            // Errors are ignored, because the client counts them.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
@@ -96,7 +97,7 @@
     let mut body = request.into_body();
     while let Some(Ok(_)) = body.frame().await {}
     let Shared { model, start, rng, places, answer } = &*shared;
-    // Closed only with the server.
+    // The semaphore is never closed.
     let _place = places.acquire().await.ok();
     let service = model.service.draw(&mut rng.borrow_mut());
     let ready = start.elapsed().as_nanos() as Nanos + service;
--- a/crates/load-generator/src/trace.rs
+++ b/crates/load-generator/src/trace.rs
@@ -1,6 +1,7 @@
-//! Recorded days: access logs in the Common and Combined Log Format, and a form of our own as CSV or JSON lines.
+//! Recorded traffic: access logs in the Common or Combined Log Format, and the load generator's own format as CSV or
+//! JSON lines.
 //!
-//! Our own form has a line for each request: seconds since the start, method, path, bytes of the body.
+//! The own format has a line for each request: seconds since the start, method, path, length of the body in bytes.
 //!
 //! ```text
 //! 0.000000,GET,/boards/any,0
@@ -12,89 +13,92 @@
 
 use crate::{Nanos, SECOND};
 
-/// Longest line.
+/// Maximum length of a line, in bytes.
 const LONGEST_LINE: usize = 64 << 10;
-/// Most requests of a trace: some 10 GB of memory.
+/// Maximum number of requests of a trace, which take about 10 GB of memory.
 const MOST_ENTRIES: usize = 50_000_000;
-/// Times may run backwards by so much, as logs are written when requests end; such entries are put in order.
+/// How far times may go backwards, in seconds: logs are written when requests end. Entries are sorted by time.
 const MOST_BACK: f64 = 60.0;
-/// A jump ahead of more is a mistake, or a gap that is meant: it must be asked for.
+/// Largest jump ahead in time, in seconds. A longer one is either an error in the trace or an intended gap, which has
+/// to be allowed explicitly.
 const MOST_GAP: f64 = 6.0 * 3_600.0;
 
 /// A recorded request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Since the first one.
+    /// Time since the first request.
     pub at: Nanos,
     /// Method.
     pub method: String,
     /// Target.
     pub path: String,
-    /// Bytes of its body; logs don't tell.
+    /// Length of the body, in bytes; 0 for access logs, which don't record it.
     pub body: usize,
 }
 
-/// How a trace is written.
+/// Format of a trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
     /// Common or Combined Log Format.
     Log,
-    /// Ours, with commas.
+    /// The own format as CSV.
     Csv,
-    /// Ours, as JSON lines.
+    /// The own format as JSON lines.
     Json,
 }
 
-/// How a trace is played.
+/// How a trace is replayed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Replay {
-    /// Time passes so many times as fast.
+    /// Factor by which time passes faster than in the trace.
     pub speed: f64,
-    /// Each request comes so many times, spread over the time to the next.
+    /// Number of times that each request is sent, spread over the time until the next request.
     pub copies: u32,
-    /// Jumps of hours are kept; otherwise they are mistakes.
+    /// Whether gaps of several hours are kept; otherwise they are errors.
     pub gaps: bool,
 }
 
-/// A trace that can't be read. Lines count from 1.
+/// Why a trace can't be read. Lines are numbered from 1.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TraceError {
-    /// A line of no known form.
+    /// A line is malformed.
     #[error("line {line}: {fault}")]
     Line {
-        /// Which.
+        /// Number of the line.
         line: usize,
-        /// What is wrong.
+        /// Description of the error.
         fault: &'static str,
     },
-    /// Time runs backwards.
-    #[error("line {line}: {back} s before the latest line; logs may be out of order by {MOST_BACK} s")]
+    /// Time goes backwards too far.
+    #[error(
+        "line {line}: time is {back} s before the latest earlier line; lines may be out of order by at most {MOST_BACK} s"
+    )]
     Backwards {
-        /// Which line.
+        /// Number of the line.
         line: usize,
         /// By how much, in whole seconds.
         back: u64,
     },
-    /// Time jumps ahead.
-    #[error("line {line}: {gap} s after the line before; ask for gaps if it is meant")]
+    /// Time jumps ahead too far.
+    #[error("line {line}: time is {gap} s after the latest earlier line; allow gaps if this is intended")]
     Gap {
-        /// Which line.
+        /// Number of the line.
         line: usize,
         /// By how much, in whole seconds.
         gap: u64,
     },
-    /// Too many.
-    #[error("more than {MOST_ENTRIES} requests")]
+    /// There are too many requests, counting copies.
+    #[error("trace has more than {MOST_ENTRIES} requests, counting copies")]
     TooMany,
-    /// None.
-    #[error("no requests")]
+    /// There are no requests.
+    #[error("trace contains no requests")]
     Empty,
-    /// A speed that is none.
-    #[error("a speed is over 0 and at most 1,000, copies are 1 to 1,000")]
+    /// The speed or the number of copies is out of range.
+    #[error("replay speed must be above 0 and at most 1,000, and copies must be 1 to 1,000")]
     Speed,
 }
 
-/// A line of our own form.
+/// A line of the own format.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Line {
@@ -105,7 +109,7 @@
     body: usize,
 }
 
-/// The form of a trace, by its first line that is not empty.
+/// Returns the format of a trace, judged by its first non-empty line.
 #[must_use]
 pub fn format_of(text: &str) -> Format {
     let first = text.lines().find(|line| !line.trim().is_empty()).unwrap_or_default().trim_start();
@@ -118,10 +122,10 @@
     }
 }
 
-/// Reads a trace.
+/// Parses a trace and returns its requests sorted by time.
 ///
 /// # Errors
-/// The first line that can't be read, or whose time makes no sense.
+/// If `replay` is out of range, the trace is empty or too long, or a line is malformed or has an implausible time.
 pub fn parse(text: &str, replay: Replay) -> Result<Vec<Entry>, TraceError> {
     let sound = replay.speed > 0.0 && replay.speed <= 1_000.0 && (1..=1_000).contains(&replay.copies);
     if !sound {
@@ -145,18 +149,18 @@
             Format::Csv => csv_line(line).map_err(fault)?,
             Format::Json => {
                 let line: Line = serde_json::from_str(line)
-                    .map_err(|_| fault("not an object with at, method, path and body"))?;
+                    .map_err(|_| fault("not a JSON object with at, method, path and body"))?;
                 (line.at, line.method, line.path, line.body)
             }
         };
         if !at.is_finite() || at.abs() > 1e12 {
-            return Err(fault("a time that is none"));
+            return Err(fault("invalid time"));
         }
         if method.is_empty() || method.parse::<hyper::Method>().is_err() {
-            return Err(fault("a method that is none"));
+            return Err(fault("invalid method"));
         }
         if path.parse::<hyper::Uri>().is_err() || !path.starts_with('/') {
-            return Err(fault("a path that is none"));
+            return Err(fault("invalid path"));
         }
         if let Some(latest) = latest {
             if at < latest - MOST_BACK {
@@ -174,7 +178,7 @@
     }
     list.sort_by(|one, other| one.0.total_cmp(&other.0));
     let first = list.first().ok_or(TraceError::Empty)?.0;
-    // A log in whole seconds has all of a second at its start: they are spread over it, in order.
+    // Logs have a resolution of one second. Requests of the same second are spread over it, in order.
     if format == Format::Log {
         spread(&mut list);
     }
@@ -191,6 +195,7 @@
     Ok(entries)
 }
 
+/// Spreads entries with equal times evenly over one second, keeping their order.
 fn spread(list: &mut [(f64, String, String, usize)]) {
     let mut start = 0;
     while start < list.len() {
@@ -206,27 +211,27 @@
 fn csv_line(line: &str) -> Result<(f64, String, String, usize), &'static str> {
     let parts: Vec<_> = line.trim_end().splitn(4, ',').collect();
     let [at, method, path, body] = parts[..] else { return Err("not `at,method,path,body`") };
-    let at = at.trim().parse().map_err(|_| "a time that is none")?;
-    let body = body.trim().parse().map_err(|_| "a body that is no number of bytes")?;
+    let at = at.trim().parse().map_err(|_| "invalid time")?;
+    let body = body.trim().parse().map_err(|_| "body is not a number of bytes")?;
     Ok((at, method.trim().into(), path.trim().into(), body))
 }
 
-/// `host ident user [time] "METHOD path HTTP/x" status bytes ...`
+/// Parses a line of an access log: `host ident user [time] "METHOD path HTTP/x" status bytes ...`.
 fn log_line(line: &str) -> Result<(f64, String, String, usize), &'static str> {
-    let (_, rest) = line.split_once('[').ok_or("no time in `[` and `]`")?;
-    let (time, rest) = rest.split_once(']').ok_or("no time in `[` and `]`")?;
-    let at = log_time(time).ok_or("a time that is none, such as `10/Oct/2000:13:55:36 -0700`")?;
+    let (_, rest) = line.split_once('[').ok_or("no time between `[` and `]`")?;
+    let (time, rest) = rest.split_once(']').ok_or("no time between `[` and `]`")?;
+    let at = log_time(time).ok_or("invalid time; the format is `10/Oct/2000:13:55:36 -0700`")?;
     let (_, rest) = rest.split_once('"').ok_or("no request in quotes")?;
     let (request, _) = rest.split_once('"').ok_or("no request in quotes")?;
     let mut words = request.split(' ');
     let (method, path) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
     if !words.next().is_some_and(|version| version.starts_with("HTTP/")) || words.next().is_some() {
-        return Err("a request that is not `METHOD path HTTP/x`");
+        return Err("request is not `METHOD path HTTP/x`");
     }
     Ok((at, method.into(), path.into(), 0))
 }
 
-/// Unix seconds of `10/Oct/2000:13:55:36 -0700`.
+/// Parses a time such as `10/Oct/2000:13:55:36 -0700` into Unix seconds.
 fn log_time(text: &str) -> Option<f64> {
     const MONTHS: [&str; 12] =
         ["Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec"];
@@ -249,13 +254,13 @@
     };
     let zone = zone.get(1..).filter(|zone| zone.len() == 4)?;
     let offset = number(zone.get(..2)?, 0, 14)? * 3_600 + number(zone.get(2..)?, 0, 59)? * 60;
-    // Days of the civil calendar since 1970, counting years from March.
+    // Days since 1970-01-01 in the Gregorian calendar, with years that start in March.
     let (y, m) = if month > 2 { (year, month - 3) } else { (year - 1, month + 9) };
     let days = 365 * y + y / 4 - y / 100 + y / 400 + (153 * m + 2) / 5 + day - 1 - 719_468;
     Some((days * 86_400 + hour * 3_600 + minute * 60 + second - sign * offset) as f64)
 }
 
-/// Writes requests in our own form as CSV.
+/// Formats requests in the own format as CSV.
 #[must_use]
 pub fn write_csv(entries: &[Entry]) -> String {
     use std::fmt::Write;
--- a/crates/load-generator/src/virtual_time.rs
+++ b/crates/load-generator/src/virtual_time.rs
@@ -1,4 +1,4 @@
-//! The generator against a model, in virtual time: exact, and the same every time.
+//! Exact, deterministic simulation of the generator against a server model in virtual time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,25 +11,27 @@
 /// How requests are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// At their times, whatever becomes of others; at most so many at once, others wait for a place.
+    /// Open loop: at the intended times, independent of other requests, as far as connections are free.
     Open {
-        /// Connections.
+        /// Maximum number of concurrent requests; further ones wait for a free connection.
         connections: usize,
     },
-    /// Each of so many clients asks when it has its last answer, and counts from there: only to show what it hides.
+    /// Closed loop: each client sends a request when it has received the previous response, and latency counts from
+    /// then. Only used to demonstrate the latency that this hides (coordinated omission).
     Closed {
-        /// Clients.
+        /// Number of clients.
         clients: usize,
     },
 }
 
-/// Plays requests against a server and counts them as a run would.
+/// Simulates the requests of a plan against a server model and counts the results as a real run does.
 #[must_use]
 pub fn play(plan: &[Planned], mode: Mode, model: &Model, classes: Vec<(String, Nanos)>) -> Tally {
     let mut tally = Tally::new(classes);
     match mode {
         Mode::Open { connections } => {
-            // Sent when due, or when a place is free again: answers are in the order of sending.
+            // A request is sent when it is due or, if no connection is free then, when one becomes free, so the model
+            // gets the requests in order of arrival.
             let mut busy: BinaryHeap<Reverse<Nanos>> = BinaryHeap::new();
             let mut server = model.start();
             let mut sent = Vec::with_capacity(plan.len());
--- a/crates/load-generator/tests/stored_forms.rs
+++ b/crates/load-generator/tests/stored_forms.rs
@@ -1,5 +1,5 @@
-//! Files of the load generator: recorded days, mixes and results. The fixtures were written by version 0.2.0, before its
-//! types were renamed, and must stay readable.
+//! File formats of the load generator: traces, mixes and results. The fixtures were written by version 0.2.0, before
+//! its types were renamed, and must stay readable.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -18,12 +18,12 @@
     fs::read_to_string(fixture(name)).unwrap()
 }
 
-/// Compares a whole text with a stored one.
+/// Asserts that a text is equal to a stored one.
 fn assert_stored_text(name: &str, text: &str) {
     assert_eq!(text, stored(name), "{name}");
 }
 
-/// Standard output of the program, which ends well.
+/// Runs the program, asserts that it succeeds, and returns its standard output.
 fn run(arguments: &[&str]) -> String {
     let done = Command::new(env!("CARGO_BIN_EXE_pumicehead-load")).args(arguments).output().unwrap();
     assert!(done.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&done.stderr));
--- a/crates/load-generator/tests/unit/slack.rs
+++ b/crates/load-generator/tests/unit/slack.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the idle time of the generator's own threads.
+//! Unit tests of the measurement of the idle time of the generator's threads.
 
 use super::*;
 
@@ -11,15 +11,15 @@
     slack.breathless(300 * MS)
 }
 
-/// Guards which windows count: those with less idle time than the bound, and their requests alone.
+/// Only requests in windows with less idle time than the minimum are counted.
 #[test]
 fn requests_in_windows_without_idle_time_count() {
     assert_eq!(busy(&[]), 300);
     assert_eq!(busy(&[(0, 300)]), 0);
     assert_eq!(busy(&[(50, 52), (150, 151), (210, 290)]), 100);
-    // A pause over two borders belongs to three windows.
+    // An idle interval across two window boundaries counts in three windows.
     assert_eq!(busy(&[(97, 203)]), 0);
-    // The run may end within a window.
+    // The last window of a run may be shorter than the others.
     let mut slack = Slack::default();
     slack.due(10 * MS);
     slack.idle(5 * MS, 6 * MS);
