--- a/crates/fastcgi/src/cgi.rs
+++ b/crates/fastcgi/src/cgi.rs
@@ -1,4 +1,4 @@
-//! CGI/1.1 (RFC 3875): variables of a request and back, and the head of an answer.
+//! CGI/1.1 (RFC 3875): conversion between requests and variables, and the head of a response.
 
 use std::borrow::Cow;
 use std::net::IpAddr;
@@ -10,56 +10,60 @@
 
 use crate::pairs::Pair;
 
-/// Longest head of an answer.
-pub const LONGEST_HEAD: usize = 32 << 10;
-/// Most fields of an answer's head.
-pub const MOST_FIELDS: usize = 256;
+/// Maximum length of the head of a response, in bytes.
+pub const MAX_HEAD_BYTES: usize = 32 << 10;
+/// Maximum number of fields in the head of a response.
+pub const MAX_HEAD_FIELDS: usize = 256;
 
-/// A request that can't be put into variables.
+/// Why a request can't be expressed in variables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// PATH_INFO is decoded (RFC 3875 section 4.1.5): an encoded slash or a NUL would be another path there.
-    #[error("the path holds an encoded slash or NUL, which CGI can't tell from others")]
+    /// The path contains an encoded slash or NUL, or an invalid escape. PATH_INFO is decoded (RFC 3875 section 4.1.5),
+    /// so that an encoded slash or NUL would result in a different path there.
+    #[error(
+        "path contains an encoded slash or NUL, or an invalid escape, and can't be expressed in PATH_INFO"
+    )]
     Path,
 }
 
-/// What a gateway knows of a request beside its head.
+/// What a gateway knows about a request besides its head.
 #[derive(Clone, Copy, Debug)]
-pub struct Around<'a> {
-    /// Where the client is.
-    pub peer: Option<IpAddr>,
-    /// The part of the path that names the application; without a slash at its end, or empty.
-    pub script: &'a str,
-    /// The folder of the application's files, for SCRIPT_FILENAME; empty where there is none.
-    pub root: &'a str,
-    /// The length of the body.
-    pub length: usize,
+pub struct GatewayContext<'a> {
+    /// Address of the client.
+    pub client_address: Option<IpAddr>,
+    /// The part of the path that identifies the application (SCRIPT_NAME), without a trailing slash; may be empty.
+    pub script_name: &'a str,
+    /// Directory of the application's files (DOCUMENT_ROOT), for SCRIPT_FILENAME; empty if there is none.
+    pub document_root: &'a str,
+    /// Length of the body, in bytes.
+    pub body_length: usize,
 }
 
-/// A variable.
+/// Name and value of a variable.
 pub type Variable<'a> = (Cow<'static, str>, Cow<'a, [u8]>);
 
-/// The variables of a request (sections 4.1.1 to 4.1.18).
+/// Returns the variables of a request (sections 4.1.1 to 4.1.18).
 ///
-/// Fields whose names hold `_` are left out: as variables they could not be told from those with `-`, which a gateway
-/// may have checked. So is `Proxy`: HTTP_PROXY is read by many libraries as their own setting.
+/// Header fields with `_` in their names are left out: as variables they could not be distinguished from fields with
+/// `-`, which a gateway may have checked. `Proxy` is left out as well, because many libraries read HTTP_PROXY as their
+/// own proxy setting.
 ///
 /// # Errors
-/// A path that can't be put into PATH_INFO.
+/// If the path can't be expressed in PATH_INFO.
 pub fn variables<'a>(
     method: &'a Method,
     uri: &'a Uri,
     headers: &'a HeaderMap,
-    around: Around<'a>,
+    context: GatewayContext<'a>,
 ) -> Result<Vec<Variable<'a>>, RequestError> {
     let mut list: Vec<Variable<'a>> = Vec::with_capacity(headers.len() + 16);
     let mut add = |name: &'static str, value: Cow<'a, [u8]>| list.push((Cow::Borrowed(name), value));
     let text = |text: &'a str| Cow::Borrowed(text.as_bytes());
     let path = decode(uri.path()).ok_or(RequestError::Path)?;
-    let script = around.script.as_bytes();
+    let script = context.script_name.as_bytes();
     let under = path.strip_prefix(script).filter(|rest| rest.is_empty() || rest.starts_with(b"/"));
-    let (script, info) = match under {
-        Some(rest) => (around.script, rest.to_vec()),
+    let (script, path_info) = match under {
+        Some(rest) => (context.script_name, rest.to_vec()),
         None => ("", path.into_owned()),
     };
     add("GATEWAY_INTERFACE", text("CGI/1.1"));
@@ -68,11 +72,11 @@
     add("REQUEST_METHOD", text(method.as_str()));
     add("REQUEST_URI", text(uri.path_and_query().map_or("/", |target| target.as_str())));
     add("SCRIPT_NAME", text(script));
-    add("PATH_INFO", Cow::Owned(info));
+    add("PATH_INFO", Cow::Owned(path_info));
     add("QUERY_STRING", text(uri.query().unwrap_or("")));
-    if !around.root.is_empty() {
-        add("DOCUMENT_ROOT", text(around.root));
-        add("SCRIPT_FILENAME", Cow::Owned([around.root.as_bytes(), script.as_bytes()].concat()));
+    if !context.document_root.is_empty() {
+        add("DOCUMENT_ROOT", text(context.document_root));
+        add("SCRIPT_FILENAME", Cow::Owned([context.document_root.as_bytes(), script.as_bytes()].concat()));
     }
     let host = headers.get(header::HOST).and_then(|host| host.to_str().ok()).unwrap_or("");
     let (name, port) = match host.rsplit_once(':') {
@@ -81,12 +85,12 @@
     };
     add("SERVER_NAME", text(name));
     add("SERVER_PORT", text(port));
-    if let Some(peer) = around.peer {
+    if let Some(peer) = context.client_address {
         let peer = peer.to_canonical().to_string();
         add("REMOTE_ADDR", Cow::Owned(peer.into_bytes()));
     }
-    if around.length > 0 || headers.contains_key(header::CONTENT_TYPE) || !is_bodiless(method) {
-        add("CONTENT_LENGTH", Cow::Owned(around.length.to_string().into_bytes()));
+    if context.body_length > 0 || headers.contains_key(header::CONTENT_TYPE) || !is_bodiless(method) {
+        add("CONTENT_LENGTH", Cow::Owned(context.body_length.to_string().into_bytes()));
     }
     if let Some(kind) = headers.get(header::CONTENT_TYPE) {
         add("CONTENT_TYPE", Cow::Borrowed(kind.as_bytes()));
@@ -98,21 +102,24 @@
         if name.as_str().contains('_') {
             continue;
         }
-        let joint: &[u8] = if *name == header::COOKIE { b"; " } else { b", " };
+        let separator: &[u8] = if *name == header::COOKIE { b"; " } else { b", " };
         let mut values = headers.get_all(name).iter().map(HeaderValue::as_bytes);
         let first = values.next().unwrap_or_default();
-        let value = values.fold(Cow::Borrowed(first), |all, value| Cow::Owned([&all, joint, value].concat()));
+        let value =
+            values.fold(Cow::Borrowed(first), |all, value| Cow::Owned([&all, separator, value].concat()));
         let variable = format!("HTTP_{}", name.as_str().to_ascii_uppercase().replace('-', "_"));
         list.push((Cow::Owned(variable), value));
     }
     Ok(list)
 }
 
+/// Returns whether requests with this method usually have no body.
 fn is_bodiless(method: &Method) -> bool {
     matches!(*method, Method::GET | Method::HEAD | Method::OPTIONS | Method::DELETE)
 }
 
-/// A decoded path; `None` where decoding would change what divides it.
+/// Percent-decodes a path. Returns `None` if it contains an encoded slash or NUL, which would change its segments, or
+/// an invalid escape.
 fn decode(path: &str) -> Option<Cow<'_, [u8]>> {
     if !path.contains('%') {
         return Some(Cow::Borrowed(path.as_bytes()));
@@ -133,48 +140,48 @@
     Some(Cow::Owned(out))
 }
 
-/// A request as a front end sent it in variables.
+/// A request that a front end has sent as variables.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FromVariables {
-    /// Its method.
+pub struct ParsedRequest {
+    /// Method.
     pub method: Method,
-    /// Its target in origin form.
+    /// Target in origin form.
     pub uri: Uri,
-    /// Its fields.
+    /// Header fields.
     pub headers: HeaderMap,
-    /// Where the client is, as the front end says.
-    pub peer: Option<IpAddr>,
-    /// The length that its body must have; `None` where it is not told.
-    pub length: Option<u64>,
+    /// Address of the client according to the front end.
+    pub client_address: Option<IpAddr>,
+    /// Length that the body must have, in bytes; `None` if it is not stated.
+    pub body_length: Option<u64>,
 }
 
-/// Variables that are no request.
+/// Why variables are not a valid request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum VariablesError {
-    /// No method, or one that is none.
+    /// The method is missing or malformed.
     #[error("REQUEST_METHOD is missing or malformed")]
     Method,
-    /// No path.
-    #[error("neither REQUEST_URI nor SCRIPT_NAME and PATH_INFO name a path")]
+    /// There is no valid path.
+    #[error("neither REQUEST_URI nor SCRIPT_NAME with PATH_INFO is a valid path")]
     Target,
-    /// A length that is none.
+    /// The length is malformed.
     #[error("CONTENT_LENGTH is malformed")]
     Length,
-    /// A variable that comes twice, whichever counts.
-    #[error("a variable of the request comes twice")]
-    Twice,
+    /// A variable occurs more than once, so that its value is ambiguous.
+    #[error("a variable of the request occurs more than once")]
+    Repeated,
 }
 
-/// Makes a request of variables. HTTP_* become fields, but HTTP_PROXY, which no client may set. What can't be a field
-/// is left out.
+/// Converts variables to a request. HTTP_* variables become header fields, except HTTP_PROXY, which clients must not be
+/// able to set. Variables that are not valid as a field are left out.
 ///
 /// # Errors
-/// What is missing or malformed, and any of the variables read here that comes twice.
-pub fn request(list: &[Pair]) -> Result<FromVariables, VariablesError> {
+/// If a variable read here is missing, malformed or occurs more than once.
+pub fn parse_request(list: &[Pair]) -> Result<ParsedRequest, VariablesError> {
     let get = |name: &str| {
         let mut found = list.iter().filter(|(known, _)| known == name.as_bytes()).map(|(_, value)| value);
         match (found.next(), found.next()) {
-            (_, Some(_)) => Err(VariablesError::Twice),
+            (_, Some(_)) => Err(VariablesError::Repeated),
             (value, None) => Ok(value.filter(|value| !value.is_empty())),
         }
     };
@@ -185,11 +192,11 @@
         None => target(get("SCRIPT_NAME")?, get("PATH_INFO")?, get("QUERY_STRING")?),
     };
     let target = std::str::from_utf8(&target).map_err(|_| VariablesError::Target)?;
-    // A front end may hand on an absolute target; its host is in HTTP_HOST as well.
+    // A front end may pass on a target in absolute form; its host is also in HTTP_HOST.
     let uri: Uri = target.parse().map_err(|_| VariablesError::Target)?;
     let path = uri.path_and_query().filter(|path| path.as_str().starts_with('/')).cloned();
     let uri = Uri::from(path.ok_or(VariablesError::Target)?);
-    let length = match get("CONTENT_LENGTH")? {
+    let body_length = match get("CONTENT_LENGTH")? {
         None => None,
         Some(value) => {
             let digits = value.iter().all(u8::is_ascii_digit);
@@ -198,7 +205,7 @@
             Some(number.ok_or(VariablesError::Length)?)
         }
     };
-    let peer = get("REMOTE_ADDR")?.and_then(|value| std::str::from_utf8(value).ok()?.parse().ok());
+    let client_address = get("REMOTE_ADDR")?.and_then(|value| std::str::from_utf8(value).ok()?.parse().ok());
     let mut headers = HeaderMap::new();
     let mut add = |name: &[u8], value: &Bytes| {
         if let (Ok(name), Ok(value)) =
@@ -231,10 +238,10 @@
             headers.insert(header::HOST, host);
         }
     }
-    Ok(FromVariables { method, uri, headers, peer, length })
+    Ok(ParsedRequest { method, uri, headers, client_address, body_length })
 }
 
-/// A target of its decoded parts, encoded again where a path must be.
+/// Builds a target from the decoded parts of its path, which are percent-encoded again, and its query.
 fn target(script: Option<&Bytes>, info: Option<&Bytes>, query: Option<&Bytes>) -> Bytes {
     let mut out = BytesMut::new();
     for byte in [script, info].into_iter().flatten().flat_map(|part| part.iter()) {
@@ -251,59 +258,59 @@
     out.freeze()
 }
 
-/// The head of an answer.
+/// Head of a response.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AnswerHead {
-    /// Its status.
+pub struct CgiResponseHead {
+    /// Status code.
     pub status: StatusCode,
-    /// Its fields, without `Status`.
+    /// Header fields without `Status`.
     pub headers: HeaderMap,
 }
 
-/// An answer that is none.
+/// Why the head of a response is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum AnswerError {
-    /// No end to its head.
-    #[error("a head of more than {LONGEST_HEAD} bytes")]
+pub enum ResponseHeadError {
+    /// The head is too long.
+    #[error("response head exceeds {MAX_HEAD_BYTES} bytes")]
     HeadTooLong,
-    /// Too many fields.
-    #[error("a head of more than {MOST_FIELDS} fields")]
+    /// The head has too many fields.
+    #[error("response head has more than {MAX_HEAD_FIELDS} fields")]
     TooManyFields,
-    /// A line that is no field.
-    #[error("a line of the head is no field")]
+    /// A line is not a valid field.
+    #[error("response head contains a line that is not a valid field")]
     Field,
-    /// A `Status` that is none, is one of 100 to 199, or comes twice.
-    #[error("a malformed Status")]
+    /// `Status` is malformed, in the range 100 to 199, or occurs more than once.
+    #[error("response head has an invalid or repeated Status")]
     Status,
-    /// None of `Content-Type`, `Location` and `Status` (section 6.2.1).
-    #[error("a head without Content-Type, Location or Status")]
-    Bare,
+    /// The head has none of `Content-Type`, `Location` and `Status` (section 6.2.1).
+    #[error("response head has none of Content-Type, Location and Status")]
+    NoStatus,
 }
 
-/// Reads the head of an answer, however it is split.
+/// Decodes the head of a response from input that may be split anywhere.
 #[derive(Debug, Default)]
 pub struct HeadReader {
     buffer: BytesMut,
-    /// Bytes of the buffer in which there is no end.
+    /// Number of bytes at the start of the buffer that need not be searched for the end of the head again.
     seen: usize,
 }
 
 impl HeadReader {
-    /// Takes a part of an answer; gives the head and what follows it once the head has ended.
+    /// Decodes a part of a response. Returns the head and the bytes after it once the head is complete.
     ///
     /// # Errors
-    /// A head that is none, or too long.
-    pub fn feed(&mut self, part: &[u8]) -> Result<Option<(AnswerHead, Bytes)>, AnswerError> {
+    /// If the head is malformed or exceeds a limit.
+    pub fn feed(&mut self, part: &[u8]) -> Result<Option<(CgiResponseHead, Bytes)>, ResponseHeadError> {
         self.buffer.extend_from_slice(part);
         let Some((head, body)) = end(&self.buffer, self.seen) else {
-            if self.buffer.len() > LONGEST_HEAD {
-                return Err(AnswerError::HeadTooLong);
+            if self.buffer.len() > MAX_HEAD_BYTES {
+                return Err(ResponseHeadError::HeadTooLong);
             }
             self.seen = self.buffer.len().saturating_sub(3);
             return Ok(None);
         };
-        if head > LONGEST_HEAD {
-            return Err(AnswerError::HeadTooLong);
+        if head > MAX_HEAD_BYTES {
+            return Err(ResponseHeadError::HeadTooLong);
         }
         let mut all = std::mem::take(&mut self.buffer);
         let rest = all.split_off(body).freeze();
@@ -311,16 +318,17 @@
     }
 }
 
-/// Where the head ends and the body begins: behind an empty line, with either kind of newline.
+/// Returns the offsets at which the head ends and the body begins. An empty line separates them; lines end with LF or
+/// CRLF.
 fn end(bytes: &[u8], from: usize) -> Option<(usize, usize)> {
-    // A head may be empty but for its end, which is no head.
+    // The output may start with the empty line; the empty head is rejected later.
     for (start, empty) in [(0, 1), (0, 2)] {
         if bytes.get(start..empty).is_some_and(|line| line == b"\n" || line == b"\r\n") {
             return Some((0, empty));
         }
     }
     let mut at = from;
-    while let Some(newline) = bytes[at..].iter().position(|&b| b == b'\n').map(|place| at + place) {
+    while let Some(newline) = bytes[at..].iter().position(|&b| b == b'\n').map(|offset| at + offset) {
         match &bytes[newline + 1..] {
             [b'\n', ..] => return Some((newline + 1, newline + 2)),
             [b'\r', b'\n', ..] => return Some((newline + 1, newline + 3)),
@@ -330,38 +338,38 @@
     None
 }
 
-fn read_head(head: &[u8]) -> Result<AnswerHead, AnswerError> {
+fn read_head(head: &[u8]) -> Result<CgiResponseHead, ResponseHeadError> {
     let (mut status, mut headers) = (None, HeaderMap::new());
     for (count, line) in head.split(|&b| b == b'\n').filter(|line| !line.trim_ascii().is_empty()).enumerate()
     {
-        if count == MOST_FIELDS {
-            return Err(AnswerError::TooManyFields);
+        if count == MAX_HEAD_FIELDS {
+            return Err(ResponseHeadError::TooManyFields);
         }
-        let colon = line.iter().position(|&b| b == b':').ok_or(AnswerError::Field)?;
-        let name = HeaderName::from_bytes(&line[..colon]).map_err(|_| AnswerError::Field)?;
+        let colon = line.iter().position(|&b| b == b':').ok_or(ResponseHeadError::Field)?;
+        let name = HeaderName::from_bytes(&line[..colon]).map_err(|_| ResponseHeadError::Field)?;
         let value = line[colon + 1..].trim_ascii();
         if name == "status" {
             let code = value.get(..3).and_then(|code| StatusCode::from_bytes(code).ok());
             let ends = value.get(3).is_none_or(|&b| b == b' ');
             let code = code.filter(|code| ends && status.is_none() && !code.is_informational());
-            status = Some(code.ok_or(AnswerError::Status)?);
+            status = Some(code.ok_or(ResponseHeadError::Status)?);
             continue;
         }
-        let value = HeaderValue::from_bytes(value).map_err(|_| AnswerError::Field)?;
+        let value = HeaderValue::from_bytes(value).map_err(|_| ResponseHeadError::Field)?;
         headers.append(name, value);
     }
     let status = match status {
         Some(status) => status,
-        // Section 6.2.3; a local one (6.2.2) is left to the client as well, which may ask again where a gateway
-        // must not.
+        // A redirect by the client (section 6.2.3). A local redirect (6.2.2) is left to the client as well, because the
+        // client may repeat the request where a gateway must not.
         None if headers.contains_key(header::LOCATION) => StatusCode::FOUND,
         None if headers.contains_key(header::CONTENT_TYPE) => StatusCode::OK,
-        None => return Err(AnswerError::Bare),
+        None => return Err(ResponseHeadError::NoStatus),
     };
-    Ok(AnswerHead { status, headers })
+    Ok(CgiResponseHead { status, headers })
 }
 
-/// Writes the head of an answer.
+/// Appends the head of a response to `out`.
 pub fn put_head(out: &mut BytesMut, status: StatusCode, headers: &HeaderMap) {
     let reason = status.canonical_reason().unwrap_or("Status");
     out.extend_from_slice(format!("Status: {} {reason}\r\n", status.as_u16()).as_bytes());
