--- a/crates/route/tests/unit/differential.rs
+++ b/crates/route/tests/unit/differential.rs
@@ -7,7 +7,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use crate::{HeaderRule, HostPattern, MatchResult, Matcher, Methods, PathPattern, Query, RequestPath, Route};
+use crate::{
+    HeaderRule, HostPattern, MatchResult, Matcher, Methods, PathPattern, RequestPath, Route, RouteQuery,
+};
 
 /// Number of routes of the largest sets.
 const LARGE_SET: usize = 15_000;
@@ -28,9 +30,9 @@
         Self { host: host.into(), path: path.into(), method: Method::GET, headers: HeaderMap::new() }
     }
 
-    fn with_query<T>(&self, run: impl FnOnce(&Query<'_>) -> T) -> T {
+    fn with_query<T>(&self, run: impl FnOnce(&RouteQuery<'_>) -> T) -> T {
         let path = RequestPath::parse(&self.path).unwrap();
-        run(&Query { host: &self.host, path: &path, method: &self.method, headers: &self.headers })
+        run(&RouteQuery { host: &self.host, path: &path, method: &self.method, headers: &self.headers })
     }
 }
 
@@ -276,8 +278,8 @@
 /// A route may take 300 bytes in all; its pattern may take half of that.
 const MAX_BYTES_PER_ROUTE: usize = 150;
 
-/// Routes like those of a large site: 15,000 routes of about 400 services and of many customer domains, most with a
-/// path parameter, some with header conditions.
+/// Routes like those of a large site: 15,000 routes of about 400 services and of many customer domains, most
+/// with a path parameter, some with header conditions.
 fn realistic(count: usize) -> Vec<Route> {
     let safe = || Methods::Only(vec![Method::GET, Method::HEAD, Method::OPTIONS]);
     (0..count)
@@ -313,9 +315,9 @@
     let sizes = [1_000, 4_000, 8_000, LARGE_SET].map(bytes_per_route);
     println!("bytes per route with 1,000, 4,000, 8,000 and 15,000 routes: {sizes:?}");
     assert!(sizes.iter().all(|&bytes| bytes <= MAX_BYTES_PER_ROUTE), "{sizes:?}");
-    let (least, most) = (sizes.iter().min().unwrap(), sizes.iter().max().unwrap());
+    let (min, max) = (sizes.iter().min().unwrap(), sizes.iter().max().unwrap());
     // The hash table of names doubles when it grows, so it takes 8 to 16 bytes per name.
-    assert!(most * 2 <= least * 3, "memory must grow linearly with the number of routes: {sizes:?}");
+    assert!(max * 2 <= min * 3, "memory must grow linearly with the number of routes: {sizes:?}");
 }
 
 #[test]
