--- a/crates/load-generator/tests/stored_forms.rs
+++ b/crates/load-generator/tests/format_compatibility.rs
@@ -1,5 +1,5 @@
-//! File formats of the load generator: traces, mixes and results. The fixtures were written by version 0.2.0, before
-//! its types were renamed, and must stay readable.
+//! Compatibility of the load generator's file formats: traces, mixes and results. The fixtures were written by version
+//! 0.2.0, before its types were renamed, and must stay readable.
 
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/crates/simulator-adapter/src/bin/pumicehead-adapter.rs
+++ b/crates/simulator-adapter/src/bin/pumicehead-adapter.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Answers frame by frame until the input ends.
+/// Reads frames and writes a reply to each until the input ends.
 fn run() -> Result<(), WireError> {
     let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
--- a/crates/simulator-adapter/src/decoder.rs
+++ b/crates/simulator-adapter/src/decoder.rs
@@ -16,21 +16,21 @@
 use crate::record_kind::RecordKind;
 use crate::{InstanceId, WireError};
 
-/// Number of endpoint lists that may be stored at a time.
+/// Maximum number of stored endpoint lists.
 const MAX_ENDPOINT_LISTS: u32 = 16;
 
 /// The decoded records of one frame.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// The simulator's clock.
+    /// Time of the simulator's clock.
     pub now: Nanos,
-    /// Number of the batch; the reply repeats it.
+    /// Sequence number of the batch, which the reply repeats.
     pub sequence_number: u32,
     /// Inputs of the instances, in order.
     pub inputs: Vec<(InstanceId, InstanceInput)>,
 }
 
-/// What a record means to one instance.
+/// Input of one instance, decoded from a record.
 #[derive(Debug)]
 pub enum InstanceInput {
     /// The instance starts.
@@ -46,7 +46,7 @@
     Event(Event),
 }
 
-/// Decodes frames; keeps the numbered endpoint lists and the index bounds of each running instance.
+/// Decodes frames. Stores the numbered endpoint lists and the index bounds of each running instance.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     endpoint_lists: FxHashMap<u32, Arc<[EndpointInfo]>>,
@@ -54,10 +54,10 @@
 }
 
 impl FrameDecoder {
-    /// Decodes a whole frame as [`read_frame`](crate::read_frame) left it.
+    /// Decodes a complete frame as read by [`read_frame`](crate::read_frame).
     ///
     /// # Errors
-    /// The first error found; nothing of the batch should be acted upon then.
+    /// The first error found. No part of the batch may be applied then.
     pub fn decode(&mut self, frame: &[u8]) -> Result<Batch, WireError> {
         let (header, mut records) = split_frame(frame)?;
         let mut batch =
@@ -71,7 +71,7 @@
         if records.is_empty() { Ok(batch) } else { Err(WireError::TrailingBytes(records.len())) }
     }
 
-    /// Decodes one record; `None` if it is no input of a running instance.
+    /// Decodes one record. Returns `None` if it is not an input of a running instance.
     fn record(
         &mut self,
         kind: RecordKind,
@@ -94,7 +94,7 @@
         Ok(event.map(|event| (instance, InstanceInput::Event(event))))
     }
 
-    /// Decodes an event of a running instance; `None` if the decision module has no use for it.
+    /// Decodes an event of a running instance. Returns `None` if the decision module does not use it.
     fn event(
         &self,
         kind: RecordKind,
@@ -110,13 +110,13 @@
             RecordKind::TimerFired => Event::TimerFired(TimerToken(fields.u64("token")?)),
             RecordKind::LoadReport => load_report(fields)?,
             RecordKind::ProbeAnswered => return check_probe_answer(fields).map(|()| None),
-            // Not events; `record` has dealt with them.
+            // Not events; `record` has handled them.
             RecordKind::Begin | RecordKind::Killed | RecordKind::EndpointList => return Ok(None),
         };
         Ok(Some(event))
     }
 
-    /// Reads an instance's seed and settings, and keeps the index bounds that the settings give.
+    /// Decodes an instance's seed and settings, and stores the index bounds that result from the settings.
     fn begin(
         &mut self,
         instance: InstanceId,
@@ -139,7 +139,7 @@
         Ok(InstanceInput::Begin { seed, settings: Box::new(settings) })
     }
 
-    /// Stores a numbered endpoint list, to which later updates refer.
+    /// Stores a numbered endpoint list, which later updates refer to.
     fn endpoint_list(&mut self, mut fields: FieldReader<'_>) -> Result<(), WireError> {
         let table = fields.u32("table")?;
         if table >= MAX_ENDPOINT_LISTS {
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of reading the simulator's wire.
+//! Errors of decoding the simulator's protocol.
 
 use std::io;
 
@@ -6,26 +6,26 @@
 
 use pumicehead_policy::SettingsError;
 
-/// Why a frame cannot be read.
+/// Why a frame can't be decoded.
 #[derive(Debug, Error)]
 pub enum WireError {
     /// The stream ended inside a frame.
     #[error("frame: input ended inside a frame")]
     ShortFrame,
-    /// The length in the header exceeds the maximum or differs from the frame's.
-    #[error("frame: length {0} is not plausible")]
+    /// The length in the header exceeds the maximum or differs from the actual length.
+    #[error("frame: length {0} in the header is too large or differs from the actual length")]
     FrameLength(usize),
     /// Bytes are left after the last record.
-    #[error("frame: {0} bytes after its last record")]
+    #[error("frame: {0} bytes after the last record")]
     TrailingBytes(usize),
     /// A record's header or fields reach past the frame.
-    #[error("record {record}: it reaches past the end of the frame")]
+    #[error("record {record}: reaches past the end of the frame")]
     PastFrame {
         /// Index of the record in its frame.
         record: u32,
     },
     /// A field reaches past its record.
-    #[error("record {record} ({name}): field `{field}` reaches past its end")]
+    #[error("record {record} ({name}): field `{field}` reaches past the end of the record")]
     PastRecord {
         /// Index of the record in its frame.
         record: u32,
@@ -43,7 +43,7 @@
         code: u8,
     },
     /// A field's value is out of range.
-    #[error("record {record} ({name}): `{field}` is {value}, which has no meaning")]
+    #[error("record {record} ({name}): `{field}` is {value}, which is not a valid value")]
     InvalidValue {
         /// Index of the record in its frame.
         record: u32,
--- a/crates/simulator-adapter/src/event_records.rs
+++ b/crates/simulator-adapter/src/event_records.rs
@@ -1,4 +1,4 @@
-//! Decodes the records that need nothing but their own fields and an instance's index bounds.
+//! Decoding of the records that depend only on their own fields and an instance's index bounds.
 
 use pumicehead_policy::{
     AttemptEnded, AttemptNo, CellId, ClassId, EndpointId, EndpointInfo, EndpointState, Event, NewRequest,
@@ -10,10 +10,10 @@
 
 /// Length of an entry of an endpoint list, in bytes.
 pub(crate) const ENDPOINT_BYTES: usize = 23;
-/// Flag of a request whose cost hint is set.
+/// Flag of a request that has a cost hint.
 const FLAG_HAS_COST_HINT: u16 = 1;
 
-/// Bounds of the indices that an instance's settings allow.
+/// Exclusive upper bounds of indices according to an instance's settings; `tenants` is 0 if tenants are not configured.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IndexBounds {
     pub(crate) classes: usize,
@@ -21,7 +21,7 @@
     pub(crate) zones: u16,
 }
 
-/// Reads one entry of an endpoint list.
+/// Decodes one entry of an endpoint list.
 pub(crate) fn endpoint(mut entry: FieldReader<'_>) -> Result<EndpointInfo, WireError> {
     let id = EndpointId(entry.u32("backend")?);
     let zone = ZoneId(entry.u16("site")?);
@@ -76,7 +76,7 @@
     let outcome = fields.outcome()?;
     let attempt = AttemptNo(fields.u8("leg")?);
     let duration = fields.u64("took_ns")?;
-    fields.skip_endpoint_report()?;
+    fields.skip_telemetry()?;
     Ok(Event::AttemptEnded(AttemptEnded { id, attempt, endpoint, outcome, duration, final_answer }))
 }
 
@@ -86,10 +86,10 @@
     Ok(Event::LoadReport { from, body: fields.take("body", usize::from(len))?.to_vec() })
 }
 
-/// Checks the answer to a probe. The decision module doesn't probe, so nothing of it is kept.
+/// Validates the answer to a probe. The decision module doesn't probe, so the content is dropped.
 pub(crate) fn check_probe_answer(mut fields: FieldReader<'_>) -> Result<(), WireError> {
     fields.u32("backend")?;
     fields.outcome()?;
     fields.u64("took_ns")?;
-    fields.skip_endpoint_report()
+    fields.skip_telemetry()
 }
--- a/crates/simulator-adapter/src/field_reader.rs
+++ b/crates/simulator-adapter/src/field_reader.rs
@@ -1,14 +1,14 @@
-//! Reads the fields of one record, checked against the record's length.
+//! Reads the fields of one record and checks them against the length of the record.
 
 use pumicehead_policy::AttemptOutcome;
 
 use crate::WireError;
 use crate::record_kind::RecordKind;
 
-/// Length of a value of an endpoint's report, in bytes.
-const REPORT_VALUE_BYTES: usize = 4;
+/// Length of one value in the telemetry of an endpoint, in bytes.
+const TELEMETRY_VALUE_BYTES: usize = 4;
 
-/// The fields of one record that are not read yet. Each method takes the field's name for errors.
+/// The unread fields of one record. Methods that read a field take its name for errors.
 #[derive(Clone, Copy)]
 pub(crate) struct FieldReader<'a> {
     record: u32,
@@ -17,22 +17,22 @@
 }
 
 impl<'a> FieldReader<'a> {
-    /// A reader of the record with number `record` in its frame.
+    /// Returns a reader of the record with index `record` in its frame.
     pub(crate) fn new(record: u32, kind: RecordKind, body: &'a [u8]) -> Self {
         Self { record, kind, unread: body }
     }
 
-    /// A reader of a part of the same record.
+    /// Returns a reader of a part of the same record.
     pub(crate) fn part(&self, bytes: &'a [u8]) -> Self {
         Self { unread: bytes, ..*self }
     }
 
-    /// Number of the record in its frame.
+    /// Returns the index of the record in its frame.
     pub(crate) fn record(&self) -> u32 {
         self.record
     }
 
-    /// Takes the next `len` bytes.
+    /// Reads the next `len` bytes.
     pub(crate) fn take(&mut self, field: &'static str, len: usize) -> Result<&'a [u8], WireError> {
         let past_record = WireError::PastRecord { record: self.record, name: self.kind.wire_name(), field };
         let (taken, unread) = self.unread.split_at_checked(len).ok_or(past_record)?;
@@ -62,7 +62,7 @@
         self.array(field).map(u64::from_le_bytes)
     }
 
-    /// The error of a field whose value is out of range.
+    /// Returns the error for a field with an invalid value.
     pub(crate) fn invalid_value(&self, field: &'static str, value: impl Into<u64>) -> WireError {
         WireError::InvalidValue {
             record: self.record,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Reads how an attempt ended, stored as a status code.
+    /// Reads the outcome of an attempt, which is encoded as a status code.
     pub(crate) fn outcome(&mut self) -> Result<AttemptOutcome, WireError> {
         Ok(match self.u16("code")? {
             200 => AttemptOutcome::Success,
@@ -87,9 +87,9 @@
         })
     }
 
-    /// Skips an endpoint's report on itself: a count, then as many 32-bit values, none of which is used.
-    pub(crate) fn skip_endpoint_report(&mut self) -> Result<(), WireError> {
+    /// Skips the telemetry of an endpoint: a count and as many 32-bit values, which are not used.
+    pub(crate) fn skip_telemetry(&mut self) -> Result<(), WireError> {
         let count = usize::from(self.u8("telemetry")?);
-        self.take("telemetry", count * REPORT_VALUE_BYTES).map(drop)
+        self.take("telemetry", count * TELEMETRY_VALUE_BYTES).map(drop)
     }
 }
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: a header and the bytes of the records behind it.
+//! Frames: a header, followed by records.
 
 use std::io::Read;
 
@@ -8,15 +8,15 @@
 
 /// Length of a frame's header, in bytes.
 const FRAME_HEADER_BYTES: usize = 20;
-/// Length of a record's header, in bytes: its code and the length of its body.
+/// Length of a record's header, in bytes: the code, and the length of the body.
 const RECORD_HEADER_BYTES: usize = 5;
-/// Longest body of a frame that is read; keeps a corrupt length from exhausting memory.
+/// Maximum length of the body of a frame, in bytes; keeps a corrupt length from exhausting memory.
 const MAX_FRAME_BODY_BYTES: usize = 1 << 30;
 
-/// Reads one frame into `frame`, replacing its content. Returns `false` at a clean end of input.
+/// Reads one frame into `frame`, replacing its content. Returns `false` if the input ends before a frame.
 ///
 /// # Errors
-/// Input that ends inside a frame, a length above the maximum, or a failed read.
+/// If the input ends inside a frame, the length exceeds the maximum, or reading fails.
 pub fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, WireError> {
     frame.clear();
     input.by_ref().take(FRAME_HEADER_BYTES as u64).read_to_end(frame)?;
@@ -43,7 +43,7 @@
     pub(crate) sequence_number: u32,
 }
 
-/// Splits a whole frame into its header and the bytes of its records.
+/// Splits a complete frame into its header and the bytes of its records.
 pub(crate) fn split_frame(frame: &[u8]) -> Result<(FrameHeader, &[u8]), WireError> {
     let (header, records) = frame.split_at_checked(FRAME_HEADER_BYTES).ok_or(WireError::ShortFrame)?;
     let body_len = u32_at(header, 0) as usize;
@@ -58,14 +58,14 @@
     Ok((header, records))
 }
 
-/// A record whose fields are not read yet.
+/// A record whose fields have not been decoded.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RawRecord<'a> {
     pub(crate) code: u8,
     pub(crate) body: &'a [u8],
 }
 
-/// Takes the record with number `record` off the front of `records`.
+/// Removes the first record from `records` and returns it; `record` is its index in the frame, for errors.
 pub(crate) fn take_record<'a>(records: &mut &'a [u8], record: u32) -> Result<RawRecord<'a>, WireError> {
     let past_frame = || WireError::PastFrame { record };
     let (header, rest) = records.split_at_checked(RECORD_HEADER_BYTES).ok_or_else(past_frame)?;
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -6,11 +6,11 @@
 
 use crate::{InstanceId, InstanceInput, ReplyEncoder};
 
-/// The running instances, by their number on the wire.
+/// The running instances by number.
 #[derive(Default)]
 pub struct Instances {
     running: FxHashMap<InstanceId, Instance>,
-    /// Kept between events for its allocation; empty in between.
+    /// Buffer that is reused for each event to avoid allocations; empty between events.
     actions: Vec<Action>,
 }
 
@@ -21,8 +21,8 @@
 }
 
 impl Instances {
-    /// Applies one input at `now` and adds the instance's log lines, then its actions, to `reply`.
-    /// Events of an instance that doesn't run are ignored.
+    /// Applies one input at `now` and adds the resulting log lines, followed by the actions, to `reply`. Events of
+    /// instances that are not running are ignored.
     pub fn apply(&mut self, id: InstanceId, input: InstanceInput, now: Nanos, reply: &mut ReplyEncoder) {
         match input {
             InstanceInput::Begin { seed, settings } => {
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,12 +1,12 @@
-//! Adapter between the simulator's binary wire and the decision module. Makes no decisions of its own.
+//! Adapter between the simulator's binary protocol and the decision module. It makes no decisions of its own.
 //!
-//! - [`FrameDecoder`] turns frames into the events of the decision module's instances.
+//! - [`FrameDecoder`] decodes frames into the events of the decision module's instances.
 //! - [`Instances`] hosts the instances.
-//! - [`ReplyEncoder`] turns their actions and log lines into a reply frame.
+//! - [`ReplyEncoder`] encodes their actions and log lines as a reply frame.
 //!
-//! A frame is little-endian without padding: a header, then records of a code, a length and fields.
-//! Every length and index is checked when it is read; whatever does not fit is a [`WireError`] that
-//! names the record and the field.
+//! A frame consists of a header and records, each with a code, a length and fields, little-endian and without padding.
+//! Every length and index is checked when it is read. If it is out of bounds, the result is a [`WireError`], which
+//! names the record and, if one is affected, the field.
 
 mod decoder;
 mod error;
@@ -23,5 +23,5 @@
 pub use instances::Instances;
 pub use reply_encoder::ReplyEncoder;
 
-/// Number of an instance on the wire.
+/// Number that identifies an instance in the protocol.
 pub type InstanceId = u32;
--- a/crates/simulator-adapter/src/record_kind.rs
+++ b/crates/simulator-adapter/src/record_kind.rs
@@ -1,4 +1,4 @@
-//! Kinds of records that the simulator sends: their codes and their names on the wire.
+//! Kinds of records that the simulator sends: their codes and their names in the protocol.
 
 /// Kind of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -17,7 +17,7 @@
 }
 
 impl RecordKind {
-    /// The kind with this code; `None` if there is none.
+    /// Returns the kind with this code; `None` if the code is unknown.
     pub(crate) fn from_code(code: u8) -> Option<Self> {
         Some(match code {
             1 => Self::Begin,
@@ -35,7 +35,7 @@
         })
     }
 
-    /// The name that the wire's description gives the record; errors show it.
+    /// Returns the name of the record in the protocol's specification, which error messages contain.
     pub(crate) fn wire_name(self) -> &'static str {
         match self {
             Self::Begin => "begin",
--- a/crates/simulator-adapter/src/reply_encoder.rs
+++ b/crates/simulator-adapter/src/reply_encoder.rs
@@ -1,4 +1,4 @@
-//! Writes the actions and log lines of the instances as a reply frame.
+//! Encodes the actions and log lines of the instances as a reply frame.
 
 use pumicehead_policy::Action;
 
@@ -19,9 +19,9 @@
 
 /// Length of a record's code, in bytes.
 const CODE_BYTES: usize = 1;
-/// Length of a record's header, in bytes: its code and the length of its body.
+/// Length of a record's header, in bytes: the code, and the length of the body.
 const RECORD_HEADER_BYTES: usize = CODE_BYTES + 4;
-/// Value of a subscription that is switched on.
+/// Value that enables a subscription.
 const SUBSCRIBE_ON: u8 = 1;
 
 /// Collects the records of one reply frame.
@@ -81,7 +81,7 @@
         self.end_record(start);
     }
 
-    /// Adds a line to the log of an instance, cut to what its 16-bit length can hold.
+    /// Adds a line to the log of an instance, truncated to the maximum of its 16-bit length.
     pub fn log(&mut self, instance: InstanceId, line: &str) {
         let end = line.floor_char_boundary(usize::from(u16::MAX));
         let start = self.records.len();
@@ -91,7 +91,7 @@
         self.end_record(start);
     }
 
-    /// Appends the whole frame to `out` and clears this reply.
+    /// Appends the frame to `out` and clears this reply.
     pub fn finish(&mut self, sequence_number: u32, out: &mut Vec<u8>) {
         out.extend_from_slice(&self.record_count.to_le_bytes());
         let len = u32::try_from(self.records.len()).unwrap_or(u32::MAX);
@@ -101,14 +101,14 @@
         self.record_count = 0;
     }
 
-    /// Begins a record; its length is filled in by [`Self::end_record`].
+    /// Starts a record; [`Self::end_record`] fills in its length.
     fn start_record(&mut self, code: u8, instance: InstanceId) {
         self.records.push(code);
         self.put_u32(0);
         self.put_u32(instance);
     }
 
-    /// Ends the record that begins at `start`: counts it and fills in the length of its body.
+    /// Ends the record that starts at `start`: counts it and fills in the length of its body.
     fn end_record(&mut self, start: usize) {
         let body = start + RECORD_HEADER_BYTES;
         let len = u32::try_from(self.records.len() - body).unwrap_or(u32::MAX);
--- a/crates/simulator-adapter/tests/stored_forms.rs
+++ b/crates/simulator-adapter/tests/format_compatibility.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire, record by record. The fixtures were written by version 0.2.0, before its types were renamed, and
-//! must stay readable: the simulator speaks this form and no other.
+//! Compatibility of the simulator's protocol, record by record. The fixtures were written by version 0.2.0, before the
+//! types were renamed, and must stay readable, because the simulator supports no other format.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
-/// Compares a whole text with a stored one.
+/// Asserts that a text is equal to a stored one.
 fn assert_stored_text(name: &str, text: &str) {
     assert_eq!(text, fs::read_to_string(fixture(name)).unwrap(), "{name}");
 }
@@ -21,7 +21,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The frame of a stored file of hexadecimal digits; what is behind `#` on a line is a remark.
+/// Reads a frame from a stored file of hexadecimal digits; the part of a line after `#` is a comment.
 fn stored_frame(name: &str) -> Vec<u8> {
     let text = fs::read_to_string(fixture(name)).unwrap();
     let lines = text.lines().map(|line| line.split('#').next().unwrap_or_default());
@@ -33,7 +33,7 @@
     EndpointInfo { id: EndpointId(id), zone: ZoneId(0), cell: CellId(2), state, weight, started_at }
 }
 
-/// What the records of `records.hex` say, in order.
+/// The events that are encoded in `records.hex`, in order.
 fn events() -> Vec<Event> {
     let list: Arc<[EndpointInfo]> = vec![
         endpoint(0x0312_4a07, EndpointState::Ready, 1.0, 0),
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn records_of_every_kind_are_read_as_before() {
+fn records_of_every_kind_are_decoded_as_before() {
     let batch = FrameDecoder::default().decode(&stored_frame("records.hex")).unwrap();
     assert_eq!((batch.now, batch.sequence_number), (8_410_152_848, 12));
     let (mut begun, mut killed, mut read) = (0, 0, Vec::new());
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn actions_of_every_kind_are_written_as_before() {
+fn actions_of_every_kind_are_encoded_as_before() {
     let (id, endpoint, attempt) = (RequestId(0x5d3a_91c4), EndpointId(0x0312_4a07), AttemptNo(2));
     let actions = [
         ("send", Action::StartAttempt { id, endpoint, timeout: Some(80_000_000), start_before: None }),
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The wire: the byte examples of its description, malformed frames, and every truncation.
+//! Decoding and encoding of the simulator's protocol: the byte examples of its specification, malformed frames, and
+//! truncation at every position.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -44,18 +45,20 @@
     )
 }
 
-const ROSTER: &str = "0b 36000000 00000000 02000000 074a1203 0000 0000 0000 00 0000803f 0000000000000000
+const ENDPOINT_LIST: &str =
+    "0b 36000000 00000000 02000000 074a1203 0000 0000 0000 00 0000803f 0000000000000000
     f211902c 0000 0000 0000 00 0000c03f 009d966b01000000";
-const CHANGE: &str = "02 0d000000 03000000 00000000 29000000 02";
+const ENDPOINTS_UPDATED: &str = "02 0d000000 03000000 00000000 29000000 02";
 const REQUEST: &str =
     "03 28000000 03000000 c4913a5d 001bb70000000000 00000000 640ad2557c3bf091 90dbb60302000000 0000 0100";
-const ENDED: &str = "05 21000000 03000000 c4913a5d 01 074a1203 c800 00 a0491a0100000000 02 0000684100004040";
-const TIMER: &str = "07 0c000000 03000000 4d00000000000000";
-const CLIENT_GONE: &str = "06 08000000 03000000 192b6f0e";
+const ATTEMPT_ENDED: &str =
+    "05 21000000 03000000 c4913a5d 01 074a1203 c800 00 a0491a0100000000 02 0000684100004040";
+const TIMER_FIRED: &str = "07 0c000000 03000000 4d00000000000000";
+const CLIENT_DISCONNECTED: &str = "06 08000000 03000000 192b6f0e";
 
 fn documented_records() -> (u32, Vec<u8>) {
     let mut records = begin(3, &settings());
-    for text in [ROSTER, CHANGE, REQUEST, ENDED, TIMER, CLIENT_GONE] {
+    for text in [ENDPOINT_LIST, ENDPOINTS_UPDATED, REQUEST, ATTEMPT_ENDED, TIMER_FIRED, CLIENT_DISCONNECTED] {
         records.extend(hex(text));
     }
     (7, records)
@@ -132,7 +135,7 @@
 fn truncated_frames_are_errors() {
     let (count, records) = documented_records();
     for len in 0..records.len() {
-        // The frame is cut and says so: its records no longer fit.
+        // The header states the truncated length, so that the records reach past the end of the frame.
         assert!(FrameDecoder::default().decode(&frame(count, &records[..len])).is_err(), "cut at {len}");
     }
     let full = frame(count, &records);
@@ -167,20 +170,24 @@
     let with = |record: &str| [begin(3, &settings()), hex(record)].concat();
     let class = REQUEST.replace(" 0000 0100", " 0900 0100");
     assert!(error(with(&class), 2).contains("`qos` is 9"));
-    assert!(error(with(CHANGE), 2).contains("`table` is 0"));
-    let zone = [begin(3, &settings()), hex(&ROSTER.replace("074a1203 0000", "074a1203 0800")), hex(CHANGE)];
+    assert!(error(with(ENDPOINTS_UPDATED), 2).contains("`table` is 0"));
+    let zone = [
+        begin(3, &settings()),
+        hex(&ENDPOINT_LIST.replace("074a1203 0000", "074a1203 0800")),
+        hex(ENDPOINTS_UPDATED),
+    ];
     assert!(error(zone.concat(), 3).contains("`site` is 8"));
 }
 
 #[test]
 fn records_without_effect_are_skipped() {
     let mut decoder = FrameDecoder::default();
-    // Events of an instance that was killed in the same batch, and a list number used twice.
+    // The batch contains an event of an instance that it has killed before, and replaces an endpoint list.
     let records = [
         begin(3, &settings()),
-        hex(ROSTER),
+        hex(ENDPOINT_LIST),
         hex("0b 08000000 00000000 00000000"),
-        hex(CHANGE),
+        hex(ENDPOINTS_UPDATED),
         hex("0a 04000000 03000000"),
         hex(REQUEST),
     ];
@@ -190,7 +197,7 @@
         matches!(&batch.inputs[1].1, InstanceInput::Event(Event::EndpointsUpdated(EndpointUpdate::Restored(l))) if l.is_empty())
     );
     assert!(matches!(batch.inputs[2].1, InstanceInput::Killed));
-    let nan = ENDED.replace("00006841", "0000c07f");
+    let nan = ATTEMPT_ENDED.replace("00006841", "0000c07f");
     let batch = decoder.decode(&frame(2, &[begin(3, &settings()), hex(&nan)].concat())).unwrap();
     assert_eq!(batch.inputs.len(), 2);
 }
@@ -214,7 +221,7 @@
     let (code, out, error) = run_adapter(&[frame(0, &[]), frame(count, &records)].concat());
     assert_eq!((code, error.as_str()), (Some(0), ""));
     assert_eq!(&out[..12], hex("00000000 00000000 0c000000"));
-    // The request is sent on to one of the two servers.
+    // The request is forwarded to one of the two endpoints.
     let body = &out[24..];
     assert!(body.windows(9).any(|w| w == hex("01 14000000 03000000")), "{body:?}");
 }
