--- a/crates/flight-recorder/src/breakdown.rs
+++ b/crates/flight-recorder/src/breakdown.rs
@@ -116,7 +116,7 @@
         self.offered.saturating_sub(self.earned)
     }
 
-    /// Renders two breakdowns side by side, as shares of the weight offered in each.
+    /// Renders two breakdowns side by side, as shares of the weight offered in each. The view by time is left out.
     #[must_use]
     pub fn compare(&self, other: &Self) -> String {
         let share = |lost: MicroWeight, of: &Self| 100.0 * lost as f64 / (of.offered as f64).max(1.0);
--- a/crates/flight-recorder/src/findings/attribution.rs
+++ b/crates/flight-recorder/src/findings/attribution.rs
@@ -51,7 +51,7 @@
         Self { header, resource_exhaustions: ledger.resource_exhaustions, pools, costs: BTreeMap::new() }
     }
 
-    /// Returns the findings, that with the largest loss first.
+    /// Returns the findings, the largest loss first.
     pub(super) fn into_findings(self) -> Vec<Finding> {
         let finding = |(&(subject, symptom), cost): (&(Subject, Symptom), &Cost)| Finding {
             subject,
--- a/crates/flight-recorder/src/findings/mod.rs
+++ b/crates/flight-recorder/src/findings/mod.rs
@@ -83,7 +83,7 @@
     pub text: String,
 }
 
-/// Returns the findings of a time range, the most expensive first.
+/// Returns the findings of a time range, the largest loss first.
 #[must_use]
 pub fn find(header: &RecordingHeader, ledger: &LossLedger, from: Nanos, to: Nanos) -> Vec<Finding> {
     let (from, to) = ledger.align_to_slots(from, to);
--- a/crates/flight-recorder/src/findings/pool_stats.rs
+++ b/crates/flight-recorder/src/findings/pool_stats.rs
@@ -89,7 +89,8 @@
         others.get(others.len() / 2).map_or(1.0, |middle| mean(row) / middle.max(1.0))
     }
 
-    /// Returns the symptom of an endpoint, if it has one: of several, that whose share exceeds the others' share the most.
+    /// Returns the symptom of an endpoint, if it has one. If it is an outlier in several outcomes, the one whose share exceeds
+    /// that of the other endpoints the most counts.
     pub(super) fn symptom(&self, endpoint: u32) -> Option<Symptom> {
         let outcomes: [(&[AttemptOutcome], Symptom); 5] = [
             (&[AttemptOutcome::TimedOut, AttemptOutcome::Cancelled], Symptom::Unresponsive),
@@ -108,7 +109,7 @@
         });
         let slow = self.latency_ratio(endpoint) >= SLOW_RATIO;
         match worst.map(|(_, symptom)| symptom) {
-            // Attempts time out or are cancelled because they take too long, but most get a response: slow, not unresponsive.
+            // Attempts time out or are cancelled because they take too long, but most are answered: slow, not unresponsive.
             Some(Symptom::Unresponsive)
                 if slow && self.success_share(endpoint) > MIN_RESPONSIVE_SUCCESS_SHARE =>
             {
--- a/crates/flight-recorder/src/html_report.rs
+++ b/crates/flight-recorder/src/html_report.rs
@@ -194,8 +194,9 @@
         out += &format!("<h2>What was lost</h2><pre>{}</pre>", escape_lines(&breakdown.to_string()));
     }
     out += "<h2>Some requests</h2>";
-    for one in recording.timelines.iter().filter(|timeline| timeline.cause.is_some()).take(MAX_TIMELINES) {
-        out += &format!("<pre>{}</pre>", escape_lines(&timeline_text::render(&recording.header, one)));
+    for timeline in recording.timelines.iter().filter(|timeline| timeline.cause.is_some()).take(MAX_TIMELINES)
+    {
+        out += &format!("<pre>{}</pre>", escape_lines(&timeline_text::render(&recording.header, timeline)));
     }
     out + "</html>\n"
 }
--- a/crates/flight-recorder/src/metrics.rs
+++ b/crates/flight-recorder/src/metrics.rs
@@ -196,7 +196,7 @@
 #[derive(Default)]
 pub struct RequestMetrics {
     registry: Registry,
-    /// By pool and class; those beyond the limit are under [`OTHER`].
+    /// By pool and class; those beyond the limit are under [`OTHER_CLASS`].
     classes: BTreeMap<(u16, u16), ClassMetrics>,
     attempts: [Option<Counter>; 8],
 }
--- a/crates/flight-recorder/tests/bounded_memory.rs
+++ b/crates/flight-recorder/tests/bounded_memory.rs
@@ -78,8 +78,8 @@
         }
         let recording = Recording::read(&workload.recorder.recording(workload.now, "test")).unwrap();
         let whole = Breakdown::of_recording(&recording, 0, Nanos::MAX).unwrap();
-        for (name, parts) in &whole.views {
-            let sum: u64 = parts.iter().map(|part| part.lost).sum();
+        for (name, rows) in &whole.views {
+            let sum: u64 = rows.iter().map(|row| row.lost).sum();
             prop_assert_eq!(sum, whole.lost(), "by {}", name);
         }
         let ledger = recording.ledger.as_ref().unwrap();
@@ -185,7 +185,8 @@
     );
 }
 
-/// A request with 100,000 attempts and as many events without an available endpoint takes no more memory than a timeline may.
+/// A request with 100,000 attempts, and as many decisions that no endpoint is available, takes no more memory than a timeline
+/// may.
 #[test]
 fn a_timeline_is_truncated_at_its_limit() {
     let mut workload = Workload::new(MIN_MEMORY);
--- a/crates/flight-recorder/tests/common/mod.rs
+++ b/crates/flight-recorder/tests/common/mod.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// A recorder with a pool of eight endpoints, the current time and the id of the next request. The default pool has two classes.
+/// A recorder with a pool of eight endpoints, the current time and the id of the next request.
 pub struct Workload {
     pub recorder: Recorder,
     pub pool: PoolId,
@@ -30,6 +30,7 @@
 }
 
 impl Workload {
+    /// Creates a workload with two classes.
     pub fn new(memory: usize) -> Self {
         Self::with_classes(memory, &[class("read", 100 * MS, 1.0), class("submit", 200 * MS, 10.0)])
     }
--- a/crates/flight-recorder/tests/format_compatibility.rs
+++ b/crates/flight-recorder/tests/format_compatibility.rs
@@ -205,7 +205,7 @@
 
 /// Returns every cause of a loss.
 fn every_cause() -> Vec<LossCause> {
-    let places = [
+    let phases = [
         RequestPhase::Upload,
         RequestPhase::Queue,
         RequestPhase::EarlierAttempts,
@@ -214,9 +214,9 @@
     ];
     let mut all = vec![LossCause::QueueTooLong, LossCause::QueueTimeout, LossCause::KeyOrderTimeout];
     all.extend((0..8).map(LossCause::AttemptFailed));
-    all.extend(places.map(LossCause::ObjectiveMissed));
-    all.extend(places.map(LossCause::DeadlineExceeded));
-    all.extend(places.map(LossCause::ClientDisconnected));
+    all.extend(phases.map(LossCause::ObjectiveMissed));
+    all.extend(phases.map(LossCause::DeadlineExceeded));
+    all.extend(phases.map(LossCause::ClientDisconnected));
     all.extend([
         LossCause::BodyFailed,
         LossCause::RejectedByListener(false),
@@ -227,14 +227,14 @@
 }
 
 fn timeline(name: &str, cause: Option<LossCause>, events: &[Event]) -> RequestTimeline {
-    let mut last = START + SECOND;
-    let mut page = last.to_le_bytes().to_vec();
-    let mut at = last;
+    let mut last_at = START + SECOND;
+    let mut page = last_at.to_le_bytes().to_vec();
+    let mut at = last_at;
     for event in events {
         let mut bytes = Vec::new();
         event.encode(&mut bytes);
         at += MS;
-        append_record(&mut page, &mut last, at, PoolId(0), &bytes);
+        append_record(&mut page, &mut last_at, at, PoolId(0), &bytes);
     }
     let truncated = name.ends_with("cut");
     RequestTimeline {
@@ -286,10 +286,11 @@
         timeline("open", None, &events[..3]),
         timeline("cut", None, &events[..1]),
     ];
-    let some = [events[0].clone(), Event::RequestEnded { id: ID, outcome: RequestOutcome::DeadlineExceeded }];
+    let minimal =
+        [events[0].clone(), Event::RequestEnded { id: ID, outcome: RequestOutcome::DeadlineExceeded }];
     timelines.extend(every_cause().into_iter().map(|cause| {
         let name = format!("lost-{}", cause.code());
-        timeline(&name, Some(cause), &some)
+        timeline(&name, Some(cause), &minimal)
     }));
     let mut ring = EventRing::new(8 << 10);
     for (number, event) in events.iter().enumerate() {
@@ -415,8 +416,8 @@
     for reason in [ListenerRejection::RequestLimit, ListenerRejection::ConnectionLimit] {
         (0..3).for_each(|_| workload.record(Event::RejectedByListener { class: 0, reason }));
     }
-    // Only of descriptors for clients: exhaustion for upstream connections would count as the cause of every attempt that was
-    // not sent.
+    // Only descriptors for connections from clients run out: for upstream connections, that would be found as the cause of
+    // every attempt that was not sent.
     workload.record(Event::ResourceExhausted(ExhaustedResource::DownstreamConnection));
     workload.record(Event::Decision(DecisionEvent::Ejected { endpoint: ENDPOINT, duration: 1_500 * MS }));
     workload.record(Event::Decision(DecisionEvent::LimitChanged {
@@ -492,7 +493,7 @@
         if let Event::RequestEnded { outcome, .. } = event {
             let id = RequestId(100 + number as u32);
             let name = BoundedName::new(&format!("r{number}"));
-            let (tenant, left, revision) = (None, SECOND, None);
+            let (tenant, client_timeout, revision) = (None, SECOND, None);
             recorder.record(
                 at,
                 pool,
@@ -500,7 +501,7 @@
                     id,
                     class: 0,
                     tenant,
-                    client_timeout: left,
+                    client_timeout,
                     upload_time: 0,
                     name,
                     revision,
