--- a/crates/chaos/src/check/membership.rs
+++ b/crates/chaos/src/check/membership.rs
@@ -68,8 +68,8 @@
                 self.violation(found.at, text)
             })
             .collect();
-        let calm = (scenario.calm_s[1] * SECOND as f64) as Nanos;
-        if calm >= CONVERGENCE_LIMIT + POLL_DELAY {
+        let fault_free_at_end = (scenario.fault_free_s[1] * SECOND as f64) as Nanos;
+        if fault_free_at_end >= CONVERGENCE_LIMIT + POLL_DELAY {
             violations.extend(self.late_convergence(&membership));
         }
         violations
--- a/crates/chaos/src/check/resources.rs
+++ b/crates/chaos/src/check/resources.rs
@@ -36,10 +36,10 @@
     fn check_node(&self, scenario: &Scenario, history: &History, node: usize) -> Option<Violation> {
         let usages = usages(history, node);
         let start = usages.first().map_or(0, |first| first.at);
-        let calm_end = start + (scenario.calm_s[0] * SECOND as f64) as Nanos;
-        let calm = || usages.iter().take_while(|usage| usage.at <= calm_end);
-        let descriptors_before = calm().map(|usage| usage.descriptors).max().unwrap_or(0);
-        let memory_before_kib = calm().map(|usage| usage.memory_kib).max().unwrap_or(0);
+        let baseline_end = start + (scenario.fault_free_s[0] * SECOND as f64) as Nanos;
+        let baseline = || usages.iter().take_while(|usage| usage.at <= baseline_end);
+        let descriptors_before = baseline().map(|usage| usage.descriptors).max().unwrap_or(0);
+        let memory_before_kib = baseline().map(|usage| usage.memory_kib).max().unwrap_or(0);
         let &Usage { at, descriptors, memory_kib } = usages.last()?;
         if descriptors <= descriptors_before + MAX_MORE_DESCRIPTORS
             && memory_kib <= memory_before_kib + MAX_MORE_MEMORY_KIB
--- a/crates/chaos/src/check/service.rs
+++ b/crates/chaos/src/check/service.rs
@@ -75,9 +75,13 @@
         let mut summary = Self::default();
         summary.count_requests(history);
         let seconds = summary.by_second.len();
-        let (calm, faults_end) = (scenario.calm_s[0] as usize, scenario.faults_end_s().ceil() as usize);
-        summary.served_share =
-            [summary.share(0, calm), summary.share(calm, faults_end), summary.share(faults_end, seconds)];
+        let (faults_start, faults_end) =
+            (scenario.fault_free_s[0] as usize, scenario.faults_end_s().ceil() as usize);
+        summary.served_share = [
+            summary.share(0, faults_start),
+            summary.share(faults_start, faults_end),
+            summary.share(faults_end, seconds),
+        ];
         summary.worst_share = [1, 5, 10].map(|width| summary.smallest_share(width));
         summary.recovered_s = summary.recovery_s(faults_end);
         summary.membership = membership_summary(scenario, history);
--- a/crates/chaos/src/fault_effects.rs
+++ b/crates/chaos/src/fault_effects.rs
@@ -11,7 +11,7 @@
 pub fn load_factor(scenario: &Scenario, at_s: f64) -> f64 {
     let bursts = scenario.faults.iter().filter_map(|fault| match fault.kind {
         FaultKind::LoadBurst { factor } => {
-            let start_s = scenario.calm_s[0] + fault.start_s;
+            let start_s = scenario.fault_free_s[0] + fault.start_s;
             (start_s..start_s + fault.duration_s).contains(&at_s).then_some(factor)
         }
         _ => None,
--- a/crates/chaos/src/fault_schedule.rs
+++ b/crates/chaos/src/fault_schedule.rs
@@ -88,7 +88,7 @@
 pub fn schedule(scenario: &Scenario) -> Vec<ScheduledAction> {
     let mut schedule = Schedule::default();
     for (index, fault) in scenario.faults.iter().enumerate() {
-        let start = nanos(scenario.calm_s[0] + fault.start_s);
+        let start = nanos(scenario.fault_free_s[0] + fault.start_s);
         let end = start + nanos(fault.duration_s);
         schedule.add(start, FaultAction::BeginFault(index));
         schedule.add_fault(index, fault, start, end);
--- a/crates/chaos/src/scenario/mod.rs
+++ b/crates/chaos/src/scenario/mod.rs
@@ -28,8 +28,9 @@
     pub fleet: Fleet,
     /// The requests.
     pub load: Load,
-    /// Time without a fault before the first one and after the last one, in seconds.
-    pub calm_s: [f64; 2],
+    /// Fault-free time before the first fault and after the last one, in seconds.
+    #[serde(rename = "calm_s")]
+    pub fault_free_s: [f64; 2],
     /// The faults.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
@@ -139,12 +140,12 @@
     #[must_use]
     pub fn faults_end_s(&self) -> f64 {
         let ends = self.faults.iter().map(|fault| fault.start_s + fault.duration_s);
-        self.calm_s[0] + ends.fold(0.0, f64::max)
+        self.fault_free_s[0] + ends.fold(0.0, f64::max)
     }
 
     /// Returns the duration of the load, in seconds.
     #[must_use]
     pub fn duration_s(&self) -> f64 {
-        self.faults_end_s() + self.calm_s[1]
+        self.faults_end_s() + self.fault_free_s[1]
     }
 }
--- a/crates/chaos/src/scenario/validation.rs
+++ b/crates/chaos/src/scenario/validation.rs
@@ -52,8 +52,8 @@
         self.validate_fleet()?;
         check_range("load.submits", self.load.submit_share, 0.0, 1.0)?;
         check_range("load.patience_ms", self.load.deadline_ms as f64, 100.0, 60_000.0)?;
-        check_range("calm_s", self.calm_s[0], 1.0, MAX_DURATION_S)?;
-        check_range("calm_s", self.calm_s[1], 1.0, MAX_DURATION_S)?;
+        check_range("calm_s", self.fault_free_s[0], 1.0, MAX_DURATION_S)?;
+        check_range("calm_s", self.fault_free_s[1], 1.0, MAX_DURATION_S)?;
         check_range("the whole run, in seconds", self.duration_s(), 1.0, MAX_DURATION_S)?;
         check_range("the number of faults", self.faults.len() as f64, 0.0, MAX_FAULTS as f64)?;
         self.fleet.links.validate().map_err(|source| ScenarioError::FleetLinks { source })?;
--- a/crates/chaos/src/scenario_generator.rs
+++ b/crates/chaos/src/scenario_generator.rs
@@ -41,7 +41,7 @@
                 submit_share: default_submit_share(),
                 deadline_ms: default_deadline_ms(),
             },
-            calm_s: [4.0, 8.0],
+            fault_free_s: [4.0, 8.0],
             faults,
         }
     }
