--- a/crates/chaos/src/check/completion.rs
+++ b/crates/chaos/src/check/completion.rs
@@ -1,4 +1,4 @@
-//! Every request is answered.
+//! Checks that every request gets one response, in time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,12 +9,12 @@
 use crate::scenario::Scenario;
 use crate::{MS, Nanos, SECOND};
 
-/// How long after its deadline a response may arrive: clients and nodes share one machine.
+/// Time after its deadline within which a response may arrive: clients and nodes share one machine.
 const RESPONSE_GRACE: Nanos = 500 * MS;
-/// How long before a request a fault of its connection may have ended.
+/// Time after the end of a fault for which the fault may still affect new requests.
 const FAULT_AFTERMATH: Nanos = SECOND;
 
-/// Each request has one end, in time, unless its node is exempt; and a successful response is the one made for it.
+/// Each request ends once and in time, unless its node is exempt, and a successful response belongs to its request.
 pub struct EveryRequestAnswered;
 
 impl Checker for EveryRequestAnswered {
@@ -23,22 +23,24 @@
     }
 
     fn check(&self, _: &Scenario, history: &History) -> Vec<Violation> {
-        let mut violations = self.second_ends(history);
+        let mut violations = self.duplicate_ends(history);
         let requests = client_requests(history);
-        let misled = requests_at_misbehaving_endpoints(history);
+        let exempt_ids = requests_at_misbehaving_endpoints(history);
         let nodes: BTreeSet<_> = requests.iter().map(|request| request.node).collect();
         let exemptions: BTreeMap<_, _> =
             nodes.into_iter().map(|node| (node, node_exemptions(history, node, true))).collect();
         for request in requests {
             let ClientRequest { id, node, started, .. } = request;
             let Some(end) = request.end else {
-                violations.push(self.violation(started, format!("request {id:x} at node {node} has no end")));
+                violations
+                    .push(self.violation(started, format!("request {id:x} at node {node} never ended")));
                 continue;
             };
             let wrong = ClientOutcome::Answered { status: 200, matches_request: false };
-            if end.outcome == wrong && !misled.contains(&id) {
-                violations
-                    .push(self.violation(end.at, format!("request {id:x} got an answer made for another")));
+            if end.outcome == wrong && !exempt_ids.contains(&id) {
+                violations.push(
+                    self.violation(end.at, format!("request {id:x} got the response to another request")),
+                );
             }
             violations.extend(self.late_or_failed(&request, end, &exemptions[&node]));
         }
@@ -47,17 +49,19 @@
 }
 
 impl EveryRequestAnswered {
-    fn second_ends(&self, history: &History) -> Vec<Violation> {
+    /// Returns a violation for each end of a request after the first one.
+    fn duplicate_ends(&self, history: &History) -> Vec<Violation> {
         let mut ended = BTreeSet::new();
-        let second_end = |event: &crate::history::Event| match event.kind {
+        let duplicate_end = |event: &crate::history::Event| match event.kind {
             EventKind::RequestEnded { id, .. } if !ended.insert(id) => {
                 Some(self.violation(event.at, format!("request {id:x} ended twice")))
             }
             _ => None,
         };
-        history.events.iter().filter_map(second_end).collect()
+        history.events.iter().filter_map(duplicate_end).collect()
     }
 
+    /// Returns a violation if a request ended late or without a response, and its node was not exempt meanwhile.
     fn late_or_failed(
         &self,
         request: &ClientRequest,
@@ -65,12 +69,12 @@
         exemptions: &[TimeSpan],
     ) -> Option<Violation> {
         let due = request.deadline + RESPONSE_GRACE;
-        let violated = match end.outcome {
+        let is_violation = match end.outcome {
             ClientOutcome::Answered { .. } => end.at > due,
             ClientOutcome::ConnectionBroken | ClientOutcome::ConnectFailed | ClientOutcome::TimedOut => true,
         };
         let from = request.started.saturating_sub(FAULT_AFTERMATH);
-        if !violated || is_exempt(exemptions, TimeSpan { from, to: end.at.max(due) }) {
+        if !is_violation || is_exempt(exemptions, TimeSpan { from, to: end.at.max(due) }) {
             return None;
         }
         let took_ms = (end.at - request.started) / MS;
--- a/crates/chaos/src/check/crashes.rs
+++ b/crates/chaos/src/check/crashes.rs
@@ -1,10 +1,10 @@
-//! No process of the proxy exits by itself.
+//! Checks that no node crashes.
 
 use super::{Checker, Violation};
 use crate::history::{Event, EventKind, History};
 use crate::scenario::Scenario;
 
-/// No node exits unless the run ends it, and each one starts again.
+/// No node exits unless the run stops it, and each stopped node starts again.
 pub struct NoCrashes;
 
 impl Checker for NoCrashes {
@@ -15,7 +15,7 @@
     fn check(&self, _: &Scenario, history: &History) -> Vec<Violation> {
         let crash = |event: &Event| match &event.kind {
             EventKind::NodeCrashed { node, text } => {
-                Some(self.violation(event.at, format!("node {node} ended: {text}")))
+                Some(self.violation(event.at, format!("node {node} crashed: {text}")))
             }
             _ => None,
         };
--- a/crates/chaos/src/check/drains.rs
+++ b/crates/chaos/src/check/drains.rs
@@ -1,4 +1,4 @@
-//! Draining endpoints get no new requests.
+//! Checks that draining endpoints get no new requests.
 
 use std::collections::BTreeMap;
 
@@ -8,19 +8,19 @@
 use crate::scenario::Scenario;
 use crate::{MS, Nanos, SECOND};
 
-/// How long after a node learned that an endpoint drains it may still send requests there.
+/// Time after a node learned that an endpoint drains, within which it may still send requests there.
 const DRAIN_GRACE: Nanos = 2 * SECOND;
-/// How long a request may be on its way over a link without a fault.
+/// Longest transit of a request over a link without a fault, apart from the link's configured latency.
 const MAX_TRANSIT: Nanos = 250 * MS;
-/// How long before a request a fault of the node may have ended.
+/// Time after the end of a fault for which the node remains exempt.
 const FAULT_AFTERMATH: Nanos = SECOND;
-/// Multiple of a link's mean jitter that a request may be delayed.
+/// Multiple of a link's mean jitter that is allowed as transit time: jitter is exponentially distributed and has no maximum.
 const JITTER_MULTIPLE: f64 = 8.0;
 
-/// A node sends no request to an endpoint 2 s after it learned that the endpoint drains.
+/// A node sends no request to an endpoint later than [`DRAIN_GRACE`] after it learned that the endpoint drains.
 pub struct DrainsRespected;
 
-/// A span in which a node knew that an endpoint drains.
+/// A time span in which a node knew that an endpoint drains.
 struct Drain {
     node: usize,
     endpoint: usize,
@@ -39,17 +39,17 @@
         for event in &history.events {
             let EventKind::RequestExecuted { id, endpoint, via, .. } = &event.kind else { continue };
             let Some(node) = node_in_via(via) else { continue };
-            let violated = drains.iter().find(|drain| {
+            let violated_drain = drains.iter().find(|drain| {
                 drain.node == node
                     && drain.endpoint == *endpoint
                     && event.at > drain.span.from + grace
                     && event.at < drain.span.to
             });
-            let Some(drain) = violated else { continue };
+            let Some(drain) = violated_drain else { continue };
             let recent = TimeSpan { from: event.at.saturating_sub(FAULT_AFTERMATH), to: event.at };
             if !is_exempt(&node_exemptions(history, node, false), recent) {
                 let text = format!(
-                    "node {node} sent {id:x} to server {endpoint} {} ms after it was told that it leaves",
+                    "node {node} sent request {id:x} to server {endpoint} {} ms after discovery listed it as draining",
                     (event.at - drain.span.from) / MS
                 );
                 violations.push(self.violation(event.at, text));
@@ -59,7 +59,7 @@
     }
 }
 
-/// Returns how long a request may be on its way. Its time of sending is not in the history.
+/// Returns the longest transit of a request from a node to an endpoint. The history has no time of its sending.
 fn max_transit(scenario: &Scenario) -> Nanos {
     let links = &scenario.fleet.links;
     let max_latency_ms = links.latency_ms + JITTER_MULTIPLE * links.jitter_ms;
@@ -71,7 +71,7 @@
     via.rsplit(' ').next()?.strip_prefix('n')?.parse().ok()
 }
 
-/// Returns all spans in which a node knew that an endpoint drains.
+/// Returns all time spans in which a node knew that an endpoint drains.
 fn drains(history: &History) -> Vec<Drain> {
     let mut draining_since = BTreeMap::new();
     let mut drains = Vec::new();
--- a/crates/chaos/src/check/execution.rs
+++ b/crates/chaos/src/check/execution.rs
@@ -1,4 +1,4 @@
-//! Requests that are not idempotent are executed at most once.
+//! Checks that requests that are not idempotent are executed at most once.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 use crate::history::{ClientOutcome, EventKind, History, RequestClass};
 use crate::scenario::Scenario;
 
-/// A submit is executed at most once, and not at all where its client was told that it may be repeated. Requests at
-/// misbehaving endpoints are exempt: a node that is told that nothing was executed may retry.
+/// A submit is executed at most once, and not at all if its client got a response that allows a retry. Requests at misbehaving
+/// endpoints are exempt: a node may retry a request that an endpoint reports as not executed.
 pub struct AtMostOnceExecution;
 
 /// Where a submit was executed.
@@ -28,22 +28,22 @@
             .filter(|request| request.class == RequestClass::Submit)
             .map(|request| (request.id, request))
             .collect();
-        let misled = requests_at_misbehaving_endpoints(history);
+        let exempt_ids = requests_at_misbehaving_endpoints(history);
         let mut executions: BTreeMap<u64, Execution> = BTreeMap::new();
         let mut violations = Vec::new();
         for event in &history.events {
             let EventKind::RequestExecuted { id, endpoint, incarnation, .. } = event.kind else { continue };
-            let Some(submit) = submits.get(&id).filter(|_| !misled.contains(&id)) else { continue };
+            let Some(submit) = submits.get(&id).filter(|_| !exempt_ids.contains(&id)) else { continue };
             if let Some(first) = executions.insert(id, Execution { endpoint, incarnation }) {
                 let text = format!(
-                    "submit {id:x} took effect at server {} (start {}) and at server {endpoint} (start {incarnation})",
+                    "submit {id:x} was executed at server {} (incarnation {}) and at server {endpoint} (incarnation {incarnation})",
                     first.endpoint, first.incarnation
                 );
                 violations.push(self.violation(event.at, text));
             }
             if submit.outcome().is_some_and(ClientOutcome::is_rejected) {
                 let text = format!(
-                    "submit {id:x} was refused as harmless to repeat, and took effect at server {endpoint}"
+                    "submit {id:x} was rejected as safe to retry, but was executed at server {endpoint}"
                 );
                 violations.push(self.violation(event.at, text));
             }
--- a/crates/chaos/src/check/exemptions.rs
+++ b/crates/chaos/src/check/exemptions.rs
@@ -1,29 +1,27 @@
-//! What is exempt from rules: nodes while a fault affects them, and requests at endpoints that misbehave.
+//! Exemptions from rules: nodes while a fault affects them, and requests at misbehaving endpoints.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::history::{EventKind, History, ProcessState};
 use crate::{MS, Nanos};
 
-/// How long a request may be at an endpoint whose behavior changes meanwhile.
+/// Longest time that a request spends at an endpoint; its behavior may change meanwhile.
 const MAX_TIME_AT_ENDPOINT: Nanos = 500 * MS;
 
-/// A span of time, with both ends.
+/// A time span that includes both ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct TimeSpan {
-    /// Its start.
     pub from: Nanos,
-    /// Its end; `Nanos::MAX` if it has none.
+    /// `Nanos::MAX` if the span has no end.
     pub to: Nanos,
 }
 
 impl TimeSpan {
-    /// Returns whether a time is in the span.
     pub fn contains(&self, at: Nanos) -> bool {
         (self.from..=self.to).contains(&at)
     }
 
-    /// Returns whether both spans have a time in common.
+    /// Returns whether the spans have at least one instant in common.
     pub fn overlaps(&self, other: Self) -> bool {
         self.from <= other.to && other.from <= self.to
     }
@@ -37,7 +35,7 @@
     let mut down_since: Option<Nanos> = Some(0);
     for event in &history.events {
         match &event.kind {
-            EventKind::NodeState { node: of, state } if *of == node => match state {
+            EventKind::NodeState { node: event_node, state } if *event_node == node => match state {
                 ProcessState::Running | ProcessState::Resumed => {
                     spans.extend(down_since.take().map(|from| TimeSpan { from, to: event.at }));
                 }
@@ -67,12 +65,13 @@
     exemptions.iter().any(|exemption| exemption.overlaps(span))
 }
 
+/// A time span in which an endpoint misbehaves.
 struct MisbehaviorSpan {
     endpoint: usize,
     span: TimeSpan,
 }
 
-/// Returns the ids of requests that an endpoint had while it misbehaved: what was reported of them may be wrong.
+/// Returns the ids of requests that were at an endpoint while it misbehaved: their responses may be wrong.
 pub(super) fn requests_at_misbehaving_endpoints(history: &History) -> BTreeSet<u64> {
     let spans = misbehavior_spans(history);
     let executed = history.events.iter().filter_map(|event| match event.kind {
--- a/crates/chaos/src/check/harness_lag.rs
+++ b/crates/chaos/src/check/harness_lag.rs
@@ -1,4 +1,4 @@
-//! The run itself is in time; otherwise it says nothing about the proxy.
+//! Checks that the event loop of the run itself is not late: otherwise its results say nothing about the proxy.
 
 use super::{Checker, Violation};
 use crate::history::{EventKind, History};
@@ -7,13 +7,13 @@
 
 /// Name of the checker whose violations make a run void.
 pub const HARNESS_LAG_CHECKER: &str = "lag";
-/// Largest lateness of the run's own event loop; a run with more is void.
+/// Largest allowed lateness of the run's own event loop; a run with more is void.
 pub const MAX_HARNESS_LAG: Nanos = 250 * MS;
 
-/// The run's own links and clients were never late.
+/// The run's own links and clients are never later than [`MAX_HARNESS_LAG`].
 pub struct HarnessOnTime;
 
-/// The lateness of the run up to a time.
+/// A sample of the run's largest lateness since the sample before.
 struct Lag {
     at: Nanos,
     max_us: u64,
@@ -43,7 +43,7 @@
     }
 
     fn check(&self, _: &Scenario, history: &History) -> Vec<Violation> {
-        let text = |lag: &Lag| format!("VOID: the storm's own relay was {} ms late", lag.max_us / 1_000);
+        let text = |lag: &Lag| format!("VOID: the event loop of the run was {} ms late", lag.max_us / 1_000);
         lags(history)
             .filter(|lag| lag.max_us * 1_000 > MAX_HARNESS_LAG)
             .map(|lag| self.violation(lag.at, text(&lag)))
--- a/crates/chaos/src/check/membership.rs
+++ b/crates/chaos/src/check/membership.rs
@@ -1,4 +1,4 @@
-//! Nodes that run and can be reached are not considered dead, and the views of all nodes converge.
+//! Checks that nodes that run and can be reached are not considered dead, and that the views of all nodes converge.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,26 +8,27 @@
 use crate::scenario::Scenario;
 use crate::{Nanos, SECOND};
 
-/// Time after the last fault within which views converge. Runs with a shorter calm at the end are not checked.
+/// Time after the last fault within which views must converge. Convergence is not checked in runs whose fault-free time at
+/// the end is shorter than this and [`POLL_DELAY`] together.
 pub const CONVERGENCE_LIMIT: Nanos = FAULT_AFTERMATH;
-/// How long after a change of a view the run may read it.
+/// Longest time between a change of a view and the poll that reads it.
 const POLL_DELAY: Nanos = SECOND;
 
-/// How the nodes' views of their membership changed.
+/// Summary of failure detection and convergence in the nodes' membership views.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MembershipSummary {
-    /// Seconds from the first kill until the first other node considers the killed dead, and until all do.
+    /// Seconds from the first kill until the first other node considers all killed nodes dead, and until all others do.
     #[serde(rename = "found_s")]
     pub detected_s: Option<(f64, f64)>,
-    /// Seconds from the end of the last fault until all views are equal for good, with all running nodes alive.
+    /// Seconds from the end of the last fault until all views are equal and stay so, with all running nodes alive in them.
     #[serde(rename = "settled_s")]
     pub converged_s: Option<f64>,
-    /// How often a node was newly considered dead that ran and that no fault affected.
+    /// How often a node was newly considered dead although it ran and no fault affected it or the observer.
     #[serde(rename = "wronged")]
     pub false_positives: u64,
 }
 
-/// Summarizes the views of a run; `None` without membership.
+/// Summarizes the membership views of a run; `None` without membership.
 #[must_use]
 pub fn membership_summary(scenario: &Scenario, history: &History) -> Option<MembershipSummary> {
     if !scenario.fleet.membership {
@@ -62,7 +63,7 @@
             .into_iter()
             .map(|found| {
                 let text = format!(
-                    "node {} holds node {} dead, which runs and no fault concerns",
+                    "node {} considers node {} dead, which runs and is not affected by a fault",
                     found.observer, found.subject
                 );
                 self.violation(found.at, text)
@@ -79,11 +80,13 @@
 impl MembershipConverges {
     fn late_convergence(&self, membership: &MembershipHistory) -> Option<Violation> {
         let faults_end = membership.faults_end();
-        let late = match membership.converged_since() {
+        let text = match membership.converged_since() {
             Some(at) if at <= faults_end + CONVERGENCE_LIMIT + POLL_DELAY => return None,
-            Some(at) => format!("only {} s later", (at - faults_end) / SECOND),
-            None => "not".to_owned(),
+            Some(at) => {
+                format!("views converged only {} s after the last fault", (at - faults_end) / SECOND)
+            }
+            None => "views did not converge after the last fault".to_owned(),
         };
-        Some(self.violation(faults_end, format!("views have settled {late} after the last fault")))
+        Some(self.violation(faults_end, text))
     }
 }
--- a/crates/chaos/src/check/membership_history.rs
+++ b/crates/chaos/src/check/membership_history.rs
@@ -1,4 +1,4 @@
-//! Nodes and their views of the membership over a run.
+//! States of nodes and their membership views over the course of a run.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use crate::scenario::Scenario;
 use crate::{Nanos, SECOND};
 
-/// How long after its end a fault may show in views.
+/// Time after the end of a fault for which it may still show in views.
 pub(super) const FAULT_AFTERMATH: Nanos = 10 * SECOND;
 
-/// A node that another one wrongly considers dead.
+/// A node that another node wrongly considers dead.
 pub(super) struct FalsePositive {
     /// When it was newly considered dead.
     pub at: Nanos,
@@ -21,7 +21,7 @@
     pub subject: usize,
 }
 
-/// How long a failure took to be detected.
+/// Times from a failure to its detection.
 pub(super) struct DetectionTimes {
     /// Until the first node detected it.
     pub first: Nanos,
@@ -29,12 +29,13 @@
     pub last: Nanos,
 }
 
-/// A change of a process, to running or not.
+/// A change of whether a process runs.
 struct RunChange {
     at: Nanos,
     runs: bool,
 }
 
+/// The latest view of a node.
 struct View<'a> {
     fingerprint: &'a str,
     members: &'a BTreeMap<usize, MemberState>,
@@ -48,7 +49,7 @@
 }
 
 impl<'a> MembershipHistory<'a> {
-    /// Reads a history.
+    /// Collects process changes and fault spans from a history.
     pub fn new(scenario: &Scenario, history: &'a History) -> Self {
         let nodes = 0..scenario.fleet.nodes;
         Self {
@@ -58,14 +59,15 @@
         }
     }
 
-    /// Returns when the last fault ended; 0 without one.
+    /// Returns when the last fault ended; 0 if no fault ended.
     pub fn faults_end(&self) -> Nanos {
         let ended =
             |event: &&crate::history::Event| matches!(event.kind, EventKind::Fault { begins: false, .. });
         self.history.events.iter().filter(ended).map(|event| event.at).max().unwrap_or_default()
     }
 
-    /// Returns whether a node runs and no fault affects it, for some time up to `at`.
+    /// Returns whether a node ran throughout the last [`FAULT_AFTERMATH`] before `at`, and no fault affects it or may still show
+    /// at `at`.
     fn is_unaffected(&self, node: usize, at: Nanos) -> bool {
         let recent = TimeSpan { from: at.saturating_sub(FAULT_AFTERMATH), to: at };
         runs_throughout(&self.run_changes[node], recent)
@@ -95,7 +97,7 @@
         found
     }
 
-    /// Returns since when all views are converged until the end; `None` if they are not.
+    /// Returns since when all views have been converged without a break until the end; `None` if they are not at the end.
     pub fn converged_since(&self) -> Option<Nanos> {
         let mut views: BTreeMap<usize, View> = BTreeMap::new();
         let mut running: BTreeMap<usize, bool> = BTreeMap::new();
@@ -119,13 +121,16 @@
         since
     }
 
-    /// Returns how long it took until the other nodes considered the nodes of the first kill dead; `None` if not all did.
+    /// Returns how long the other nodes took to consider all nodes of the first kill dead; `None` without a kill, or if not all
+    /// of them did.
     pub fn detection_times(&self, scenario: &Scenario) -> Option<DetectionTimes> {
         let is_kill = |fault: &Fault| matches!(fault.kind, FaultKind::Kill { .. });
         let index = scenario.faults.iter().position(is_kill)?;
         let killed = scenario.faults[index].kind.nodes();
         let killed_at = self.history.events.iter().find_map(|event| match event.kind {
-            EventKind::Fault { index: of, begins: true, .. } if of == index => Some(event.at),
+            EventKind::Fault { index: event_index, begins: true, .. } if event_index == index => {
+                Some(event.at)
+            }
             _ => None,
         })?;
         let mut detected: BTreeMap<usize, Nanos> = BTreeMap::new();
@@ -143,7 +148,7 @@
     }
 }
 
-/// Returns whether the views of all running nodes are equal, with all of these alive in them.
+/// Returns whether the views of all running nodes are equal, with all running nodes alive in them.
 fn are_converged(running: &BTreeMap<usize, bool>, views: &BTreeMap<usize, View>) -> bool {
     let live: Vec<_> = running.iter().filter(|(_, runs)| **runs).map(|(node, _)| *node).collect();
     let first = live.first().and_then(|node| views.get(node)).map(|view| view.fingerprint);
@@ -155,9 +160,10 @@
     })
 }
 
+/// Returns all changes of whether a node runs, from "not running" at time 0 on.
 fn run_changes(history: &History, node: usize) -> Vec<RunChange> {
     let change = |event: &crate::history::Event| match event.kind {
-        EventKind::NodeState { node: of, state } if of == node => {
+        EventKind::NodeState { node: event_node, state } if event_node == node => {
             Some(RunChange { at: event.at, runs: state.is_running() })
         }
         _ => None,
@@ -168,13 +174,12 @@
 }
 
 fn runs_throughout(changes: &[RunChange], span: TimeSpan) -> bool {
-    let place = changes.partition_point(|change| change.at <= span.from);
-    let ran_at_start = changes[..place].last().is_some_and(|change| change.runs);
-    ran_at_start
-        && changes[place..].iter().take_while(|change| change.at <= span.to).all(|change| change.runs)
+    let next = changes.partition_point(|change| change.at <= span.from);
+    let ran_at_start = changes[..next].last().is_some_and(|change| change.runs);
+    ran_at_start && changes[next..].iter().take_while(|change| change.at <= span.to).all(|change| change.runs)
 }
 
-/// Returns whether a fault may change a node's view, or what others see of the node.
+/// Returns whether a fault may change a node's view, or how others see the node.
 fn affects_membership(fault: &Fault, node: usize) -> bool {
     let contains = |side: &LinkSide| matches!(side, LinkSide::Nodes(nodes) if nodes.contains(&node));
     match &fault.kind {
@@ -187,7 +192,7 @@
     }
 }
 
-/// Returns the spans in which a fault affects a node or may still show.
+/// Returns the spans in which a fault affects a node's membership, each extended by [`FAULT_AFTERMATH`].
 fn fault_spans(scenario: &Scenario, history: &History, node: usize) -> Vec<TimeSpan> {
     let mut active = BTreeMap::new();
     let mut spans = Vec::new();
--- a/crates/chaos/src/check/mod.rs
+++ b/crates/chaos/src/check/mod.rs
@@ -1,4 +1,4 @@
-//! Checkers: each reads a history and reports violations of one rule. They know nothing of the proxy but the rules.
+//! Checkers: each reads a history and reports violations of one rule. They depend on the rules alone, not on the proxy's code.
 
 mod completion;
 mod crashes;
@@ -39,19 +39,19 @@
     pub checker: String,
     /// Nanoseconds since the start of the run.
     pub at: Nanos,
-    /// What was violated, in words.
+    /// Human-readable description.
     pub text: String,
 }
 
 /// A checker of one rule.
 pub trait Checker {
-    /// Returns its name, as violations hold it.
+    /// Returns the checker's name, which its violations carry.
     fn name(&self) -> &'static str;
 
     /// Returns all violations of the rule.
     fn check(&self, scenario: &Scenario, history: &History) -> Vec<Violation>;
 
-    /// Returns a violation with the name of this checker.
+    /// Creates a violation with the name of this checker.
     fn violation(&self, at: Nanos, text: String) -> Violation {
         Violation { checker: self.name().into(), at, text }
     }
--- a/crates/chaos/src/check/recordings.rs
+++ b/crates/chaos/src/check/recordings.rs
@@ -1,10 +1,10 @@
-//! Recordings of nodes can be read.
+//! Checks that recordings of nodes can be read.
 
 use super::{Checker, Violation};
 use crate::history::{EventKind, History, ReadFailure};
 use crate::scenario::Scenario;
 
-/// A recording that no fault changed can be read, and a changed one does not crash the reader.
+/// A recording that no fault damaged can be read, and a damaged one does not crash the reader.
 pub struct RecordingsReadable;
 
 impl Checker for RecordingsReadable {
@@ -17,8 +17,8 @@
         for event in &history.events {
             let EventKind::RecordingRead { node, file, damaged, failure } = &event.kind else { continue };
             let problem = match failure {
-                Some(ReadFailure::ReaderCrashed) => "breaks its reader",
-                Some(ReadFailure::Rejected) if !damaged => "can't be read, and nobody harmed it",
+                Some(ReadFailure::ReaderCrashed) => "crashes the reader",
+                Some(ReadFailure::Rejected) if !damaged => "can't be read, although no fault damaged it",
                 _ => continue,
             };
             violations.push(self.violation(event.at, format!("recording {file} of node {node} {problem}")));
--- a/crates/chaos/src/check/requests.rs
+++ b/crates/chaos/src/check/requests.rs
@@ -1,4 +1,4 @@
-//! Requests as their clients saw them.
+//! Requests from the view of their clients.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,20 @@
 /// The end of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestEnd {
-    /// When it ended.
     pub at: Nanos,
-    /// How it ended.
     pub outcome: ClientOutcome,
 }
 
-/// A request as its client saw it.
+/// A request from the view of its client.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClientRequest {
-    /// Its id.
     pub id: u64,
-    /// Its class.
     pub class: RequestClass,
     /// The node that it was sent to.
     pub node: usize,
-    /// When it was sent.
     pub started: Nanos,
-    /// When its deadline is.
     pub deadline: Nanos,
-    /// Its first end, if it has any.
+    /// The first end; `None` if the history has none.
     pub end: Option<RequestEnd>,
 }
 
--- a/crates/chaos/src/check/resources.rs
+++ b/crates/chaos/src/check/resources.rs
@@ -1,19 +1,20 @@
-//! Nodes release descriptors and memory that they needed under faults.
+//! Checks that nodes release the descriptors and memory that they used during faults.
 
 use super::{Checker, Violation};
 use crate::history::{EventKind, History};
 use crate::scenario::Scenario;
 use crate::{Nanos, SECOND};
 
-/// Descriptors that a node may hold at the end in addition: idle connections that the pool keeps for a while.
+/// Descriptors that a node may hold at the end beyond its maximum before the first fault: idle connections stay pooled for a
+/// while.
 const MAX_MORE_DESCRIPTORS: u64 = 64;
-/// Memory that a node may hold at the end in addition, in KiB.
+/// Memory that a node may hold at the end beyond its maximum before the first fault, in KiB.
 const MAX_MORE_MEMORY_KIB: u64 = 24 << 10;
 
-/// What nodes hold at the end is about what they held before the first fault.
+/// Each node holds at the end about as many descriptors and as much memory as before the first fault.
 pub struct ResourcesReleased;
 
-/// Resources of a node at a time.
+/// A sample of a node's resources.
 #[derive(Clone, Copy)]
 struct Usage {
     at: Nanos,
@@ -47,7 +48,7 @@
             return None;
         }
         let text = format!(
-            "node {node} holds {descriptors} descriptors and {memory_kib} KiB at the end, at most {descriptors_before} and {memory_before_kib} in the calm"
+            "node {node} holds {descriptors} descriptors and {memory_kib} KiB at the end, but at most {descriptors_before} and {memory_before_kib} KiB before the first fault"
         );
         Some(self.violation(at, text))
     }
@@ -55,7 +56,7 @@
 
 fn usages(history: &History, node: usize) -> Vec<Usage> {
     let usage = |event: &crate::history::Event| match event.kind {
-        EventKind::ResourceUsage { node: of, descriptors, memory_kib } if of == node => {
+        EventKind::ResourceUsage { node: event_node, descriptors, memory_kib } if event_node == node => {
             Some(Usage { at: event.at, descriptors, memory_kib })
         }
         _ => None,
--- a/crates/chaos/src/check/service.rs
+++ b/crates/chaos/src/check/service.rs
@@ -1,4 +1,4 @@
-//! Summary of the service that clients got.
+//! Summary of how well clients were served.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,20 +8,20 @@
 use crate::history::{ClientOutcome, EventKind, History, RequestClass};
 use crate::scenario::Scenario;
 
-/// Service has recovered when it stays at this share of the service before the first fault.
+/// Service has recovered once it stays at or above this share of the service before the first fault.
 const RECOVERED_SHARE: f64 = 0.95;
-/// Worth of a submit; a read's is 1.
-const SUBMIT_WORTH: f64 = 10.0;
-/// Seconds over which recovery is judged: a single one has few requests.
+/// Weight of a submit; the weight of a read is 1. Nodes are configured with the same weights.
+const SUBMIT_WEIGHT: f64 = 10.0;
+/// Window in which recovery is evaluated, in seconds: a single second has too few requests.
 const RECOVERY_WINDOW_S: usize = 2;
 
 /// Service in one second, by the time at which requests were sent. Stored as `[requested, served]`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct SecondOfService {
-    /// Worth of all requests.
+    /// Total weight of all requests.
     pub requested: f64,
-    /// Worth of the successful ones.
+    /// Total weight of the successful ones.
     pub served: f64,
 }
 
@@ -37,7 +37,8 @@
     }
 }
 
-/// Summary of the service of a run. Shares are of the requests' worth, between 0 and 1; a submit is worth ten reads.
+/// Summary of the service of a run. Shares are of the total weight of requests, between 0 and 1; a submit weighs as much as
+/// ten reads.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSummary {
     /// Number of requests.
@@ -49,9 +50,9 @@
     /// Smallest share served over 1 s, 5 s and 10 s.
     #[serde(rename = "worst")]
     pub worst_share: [f64; 3],
-    /// Seconds from the end of the last fault until service has recovered for good; `None` if it has not.
+    /// Seconds from the end of the last fault until service has recovered and stays so; `None` if it has not.
     pub recovered_s: Option<f64>,
-    /// Number of requests with a response that allows to repeat them.
+    /// Number of requests with a response that allows a retry.
     #[serde(rename = "refused")]
     pub rejected: u64,
     /// Number of requests with any other response that is not a success.
@@ -61,15 +62,15 @@
     /// Largest lateness of the run itself, in microseconds.
     #[serde(rename = "lag_us")]
     pub harness_lag_us: u64,
-    /// How the nodes' views of their membership changed; `None` without membership.
+    /// Failure detection and convergence of the membership views; `None` without membership.
     #[serde(default, rename = "views")]
     pub membership: Option<MembershipSummary>,
-    /// Service by second since the first request.
+    /// Service in each second since the first request.
     pub by_second: Vec<SecondOfService>,
 }
 
 impl ServiceSummary {
-    /// Summarizes a run.
+    /// Summarizes the requests and views of a run.
     #[must_use]
     pub fn new(scenario: &Scenario, history: &History) -> Self {
         let mut summary = Self::default();
@@ -96,8 +97,8 @@
             .find(|event| matches!(event.kind, EventKind::RequestStarted { .. }))
             .map_or(0, |event| event.at);
         for request in client_requests(history) {
-            let worth = match request.class {
-                RequestClass::Submit => SUBMIT_WORTH,
+            let weight = match request.class {
+                RequestClass::Submit => SUBMIT_WEIGHT,
                 RequestClass::Read => 1.0,
             };
             let second = ((request.started - start.min(request.started)) / SECOND) as usize;
@@ -105,9 +106,9 @@
                 self.by_second.resize(second + 1, SecondOfService::default());
             }
             self.requests += 1;
-            self.by_second[second].requested += worth;
+            self.by_second[second].requested += weight;
             match request.outcome() {
-                Some(outcome) if outcome.is_success() => self.by_second[second].served += worth,
+                Some(outcome) if outcome.is_success() => self.by_second[second].served += weight,
                 Some(outcome) if outcome.is_rejected() => self.rejected += 1,
                 Some(ClientOutcome::Answered { .. }) => self.failed += 1,
                 _ => self.unanswered += 1,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Returns the share served from one second to another; 1 if there were no requests.
+    /// Returns the share served from second `from` up to second `to`, which is excluded; 1 without requests.
     fn share(&self, from: usize, to: usize) -> f64 {
         let last = self.by_second.len();
         let seconds = &self.by_second[from.min(last)..to.min(last)];
@@ -126,11 +127,13 @@
         seconds.iter().map(|second| second.served).sum::<f64>() / requested
     }
 
+    /// Returns the smallest share served over any `width` consecutive seconds.
     fn smallest_share(&self, width: usize) -> f64 {
         let starts = 0..=self.by_second.len().saturating_sub(width);
         starts.map(|from| self.share(from, from + width)).fold(1.0, f64::min)
     }
 
+    /// Returns the seconds from `faults_end` until service has recovered and stays so; `None` if it has not.
     fn recovery_s(&self, faults_end: usize) -> Option<f64> {
         let seconds = self.by_second.len();
         let required = RECOVERED_SHARE * self.served_share[0];
--- a/crates/chaos/src/check/slow_start.rs
+++ b/crates/chaos/src/check/slow_start.rs
@@ -1,4 +1,4 @@
-//! Endpoints that have just started are not overloaded.
+//! Checks that endpoints in slow start are not overloaded.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,16 @@
 use crate::scenario::Scenario;
 use crate::{MS, Nanos, SECOND};
 
-/// A cold endpoint is overloaded by this multiple of its capacity over [`OVERLOAD_SPAN`]; nodes are configured with it.
+/// An endpoint in slow start is overloaded by this multiple of its capacity over [`OVERLOAD_SPAN`]; nodes are configured with
+/// the same limit.
 pub const OVERLOAD_MULTIPLE: f64 = 4.0;
-/// See [`OVERLOAD_MULTIPLE`].
+/// Time span to which [`OVERLOAD_MULTIPLE`] applies.
 pub const OVERLOAD_SPAN: Nanos = 1_500 * MS;
 
-/// All nodes together send a cold endpoint less than the multiple of its capacity at its age.
+/// All nodes together send an endpoint in slow start at most [`OVERLOAD_MULTIPLE`] times its capacity at that age.
 pub struct SlowStartRespected;
 
-/// One start of an endpoint.
+/// An incarnation of an endpoint.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EndpointStart {
     endpoint: usize,
@@ -46,20 +47,20 @@
         let warm_up = (slow_start.duration_s * SECOND as f64) as Nanos;
         let requests_per_s = scenario.fleet.concurrency as f64 / (scenario.fleet.service_time_ms / 1e3);
         let arrivals: Vec<_> = arrivals(history, start).take_while(|at| *at < started + warm_up).collect();
-        for (place, &first) in arrivals.iter().enumerate() {
+        for (index, &first) in arrivals.iter().enumerate() {
             let end = first + OVERLOAD_SPAN;
-            let count = arrivals[place..].iter().take_while(|at| **at < end).count();
+            let count = arrivals[index..].iter().take_while(|at| **at < end).count();
             let age = first - started.min(first);
-            let warmth = age as f64 / warm_up as f64;
-            let share = slow_start.initial_share + (1.0 - slow_start.initial_share) * warmth;
+            let warm_up_share = age as f64 / warm_up as f64;
+            let share = slow_start.initial_share + (1.0 - slow_start.initial_share) * warm_up_share;
             let limit = OVERLOAD_MULTIPLE * requests_per_s * share * OVERLOAD_SPAN as f64 / SECOND as f64;
             if count as f64 > limit {
                 let text = format!(
-                    "server {} (start {}), {:.1} s old, was sent {count} within {} ms; {limit:.0} tip it over",
+                    "server {} (incarnation {}) got {count} requests within {} ms, {:.1} s after its start; more than {limit:.0} overload it",
                     start.endpoint,
                     start.incarnation,
-                    age as f64 / SECOND as f64,
-                    OVERLOAD_SPAN / MS
+                    OVERLOAD_SPAN / MS,
+                    age as f64 / SECOND as f64
                 );
                 return Some(self.violation(first, text));
             }
@@ -68,7 +69,7 @@
     }
 }
 
-/// Returns all starts of endpoints but the first ones, with their times.
+/// Returns when each endpoint was restarted; first starts are left out.
 fn restarts(history: &History) -> BTreeMap<EndpointStart, Nanos> {
     let restart = |event: &crate::history::Event| match event.kind {
         EventKind::EndpointState { endpoint, incarnation, state: ProcessState::Running }
@@ -81,7 +82,7 @@
     history.events.iter().filter_map(restart).collect()
 }
 
-/// Returns when requests arrived at an endpoint.
+/// Returns when requests arrived at an incarnation of an endpoint.
 fn arrivals(history: &History, start: EndpointStart) -> impl Iterator<Item = Nanos> {
     history.events.iter().filter_map(move |event| match event.kind {
         EventKind::RequestExecuted { endpoint, incarnation, .. } => {
--- a/crates/chaos/src/cli/commands.rs
+++ b/crates/chaos/src/cli/commands.rs
@@ -23,18 +23,18 @@
 
 /// Name of the proxy program.
 const NODE_PROGRAM: &str = "pumicehead";
-/// File of a kept run with the explanations of its recordings.
+/// File in the directory of a kept run, with the proxy's explanations of its recordings.
 const EXPLANATIONS_FILE: &str = "why.txt";
 
-/// Executes a command; the exit code says whether all rules were kept.
+/// Executes a command. The exit code is a failure if a checked run violates a rule.
 pub(super) fn execute(command: Command) -> Result<ExitCode, CliError> {
     match command {
         Command::Run(args) => run(args),
         Command::List => list(),
-        Command::Check { folder } => check(&folder),
+        Command::Check { directory } => check(&directory),
         Command::Hunt(args) => hunt(&args),
         Command::Shrink(args) => shrink(args),
-        Command::Report { folder, out } => write_report(&folder, &out),
+        Command::Report { directory, out } => write_report(&directory, &out),
         Command::LinkOverhead { json } => print_link_overhead(json),
         Command::Endpoint(args) => block_on(run_endpoint(args)),
         Command::Discovery { nodes } => block_on(run_discovery(nodes)),
@@ -49,7 +49,7 @@
     }
 }
 
-/// Returns the proxy program of the command line, or the one beside this program.
+/// Returns the proxy program given on the command line, or by default the one beside this program.
 pub(super) fn node_program(argument: Option<PathBuf>) -> io::Result<PathBuf> {
     argument.map_or_else(|| built_program(NODE_PROGRAM), Ok)
 }
@@ -113,7 +113,7 @@
         println!("{}", serde_json::to_string(&overhead)?);
     } else {
         let (direct_us, via_link_us) = (overhead.direct_us, overhead.via_link_us);
-        println!("a round trip takes {direct_us:.1} us, {via_link_us:.1} us through a link");
+        println!("round trip: {direct_us:.1} us direct, {via_link_us:.1} us through an emulated link");
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/chaos/src/cli/error.rs
+++ b/crates/chaos/src/cli/error.rs
@@ -19,11 +19,11 @@
     ReadFile {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// Why it can't be read.
         source: io::Error,
     },
-    /// There is no scenario of this name.
-    #[error("{name} is no standing scenario and no file: {source}")]
+    /// There is no built-in scenario of this name, and no such file can be read.
+    #[error("`{name}` is neither a built-in scenario nor a readable file: {source}")]
     UnknownScenario {
         /// The name.
         name: String,
@@ -57,12 +57,12 @@
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// All runs of a scenario were void.
-    #[error("this machine is too busy for a storm")]
+    #[error("this machine is too busy: every run of the scenario was void")]
     MachineTooBusy,
     /// The scenario to shrink does not fail.
-    #[error("no rule was broken in {runs} plays: there is nothing to shrink")]
+    #[error("no rule was violated in {runs} runs: there is nothing to shrink")]
     NothingToShrink {
-        /// Runs that did not fail.
+        /// Number of runs, none of which failed.
         runs: u32,
     },
 }
--- a/crates/chaos/src/cli/mod.rs
+++ b/crates/chaos/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line of `pumicehead-chaos`. `pumicehead-storm`, its former name, takes the same.
+//! The command line of `pumicehead-chaos`. `pumicehead-storm`, the program's former name, has the same commands.
 
 mod commands;
 mod error;
@@ -42,7 +42,8 @@
     /// Checks the history of a kept run
     Check {
         /// Directory of the run
-        folder: PathBuf,
+        #[arg(value_name = "FOLDER")]
+        directory: PathBuf,
     },
     /// Generates scenarios and runs them; keeps those that violate a rule, and the one that served least
     Hunt(HuntArgs),
@@ -51,7 +52,8 @@
     /// Writes a kept run as an HTML page
     Report {
         /// Directory of the run
-        folder: PathBuf,
+        #[arg(value_name = "FOLDER")]
+        directory: PathBuf,
         /// Path of the page
         #[arg(long, default_value = "storm.html")]
         out: PathBuf,
@@ -81,7 +83,7 @@
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
         arguments: Vec<String>,
     },
-    /// Part of a run: ends processes that the run leaves
+    /// Part of a run: kills processes that the run leaves behind
     #[command(name = "keeper", hide = true)]
     Supervisor,
 }
@@ -90,7 +92,7 @@
 struct RunArgs {
     /// Name of a built-in scenario, path of a file, or `drawn`
     scenario: String,
-    /// Seed in place of the scenario's own
+    /// Seed that replaces the scenario's own
     #[arg(long)]
     seed: Option<u64>,
     /// Keeps history, logs, configurations and recordings in this directory
@@ -99,7 +101,7 @@
     /// The proxy program; the one beside this program by default
     #[arg(long)]
     node: Option<PathBuf>,
-    /// Prints one JSON object in place of the table
+    /// Prints one JSON object instead of the table
     #[arg(long)]
     json: bool,
 }
@@ -109,7 +111,7 @@
     /// Duration, in seconds
     #[arg(long, default_value_t = 600)]
     seconds: u64,
-    /// Seed of the first scenario; each further one has the next seed
+    /// Seed of the first scenario; each further scenario uses the next seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Number of nodes
@@ -118,7 +120,7 @@
     /// Number of endpoints
     #[arg(long = "servers", value_name = "SERVERS", default_value_t = 4)]
     endpoints: usize,
-    /// Directory for what is kept
+    /// Directory for the kept runs
     #[arg(long, default_value = "storms")]
     keep: PathBuf,
 }
@@ -130,10 +132,10 @@
     /// The proxy program; the one beside this program by default
     #[arg(long)]
     node: Option<PathBuf>,
-    /// Runs of each candidate; it fails if one of them does
-    #[arg(long, default_value_t = 3)]
-    plays: u32,
-    /// Tries no new candidate after this time, in seconds
+    /// Runs of each candidate; the candidate fails if any of them does
+    #[arg(long = "plays", value_name = "PLAYS", default_value_t = 3)]
+    runs: u32,
+    /// Starts no new candidate after this time, in seconds
     #[arg(long, default_value_t = 1_200)]
     seconds: u64,
 }
@@ -141,7 +143,7 @@
 /// Parses the arguments and runs the command. Exit codes: 1 if a rule is violated, 2 if the command fails.
 pub fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    // It fails only where a subscriber is installed already, which then stays.
+    // Fails only if a subscriber is already installed, which then stays in use.
     let _ = tracing_subscriber::fmt().with_max_level(arguments.log).with_writer(io::stderr).try_init();
     commands::execute(arguments.command).unwrap_or_else(|error| {
         eprintln!("pumicehead-chaos: {error}");
--- a/crates/chaos/src/cli/output.rs
+++ b/crates/chaos/src/cli/output.rs
@@ -59,7 +59,7 @@
         if let Some(membership) = &summary.membership {
             write_membership(out, membership)?;
         }
-        writeln!(out, "storm's lag    {:.1} ms at most", summary.harness_lag_us as f64 / 1e3)
+        writeln!(out, "harness lag    {:.1} ms at most", summary.harness_lag_us as f64 / 1e3)
     }
 
     fn write_violations(&self, out: &mut impl Write) -> io::Result<()> {
@@ -78,8 +78,11 @@
     let detected =
         membership.detected_s.map_or("no".into(), |(first, last)| format!("{first:.1} to {last:.1} s"));
     let converged = membership.converged_s.map_or("no".into(), |after| format!("{after:.1} s"));
-    let wronged = membership.false_positives;
-    writeln!(out, "views          found {detected}   settled {converged}   wronged {wronged}")
+    let false_positives = membership.false_positives;
+    writeln!(
+        out,
+        "views          detected {detected}   converged {converged}   false positives {false_positives}"
+    )
 }
 
 fn percent(share: f64) -> String {
--- a/crates/chaos/src/cli/scenario_source.rs
+++ b/crates/chaos/src/cli/scenario_source.rs
@@ -1,4 +1,4 @@
-//! Where commands get scenarios and kept runs from.
+//! Reads scenarios and kept runs for commands, and writes kept runs.
 
 use std::fs;
 use std::io;
@@ -11,10 +11,11 @@
 
 /// Name of a generated scenario on the command line.
 const GENERATED_SCENARIO: &str = "drawn";
-/// Size of the fleet of a generated scenario.
+/// Number of nodes of a generated scenario.
 const GENERATED_NODES: usize = 5;
+/// Number of endpoints of a generated scenario.
 const GENERATED_ENDPOINTS: usize = 4;
-/// Seed of a generated scenario without one on the command line.
+/// Seed of a generated scenario if the command line has none.
 const DEFAULT_SEED: u64 = 1;
 
 const SCENARIO_FILE: &str = "scenario.toml";
@@ -34,11 +35,9 @@
     Scenario::parse(&text).map_err(|source| CliError::ScenarioFile { name: name.to_owned(), source })
 }
 
-/// A run that was kept.
+/// A run that was kept in a directory.
 pub(super) struct KeptRun {
-    /// Its scenario.
     pub scenario: Scenario,
-    /// Its history.
     pub history: History,
 }
 
@@ -55,7 +54,7 @@
     }
 }
 
-/// Writes scenario and history of a run into its directory.
+/// Writes the scenario and the history of a run into its directory.
 pub(super) fn keep_run(directory: &Path, scenario: &Scenario, history: &History) -> Result<(), CliError> {
     fs::write(directory.join(SCENARIO_FILE), toml::to_string(scenario)?)?;
     let file = fs::File::create(directory.join(HISTORY_FILE))?;
--- a/crates/chaos/src/cli/shrink_command.rs
+++ b/crates/chaos/src/cli/shrink_command.rs
@@ -16,11 +16,11 @@
 use crate::scenario::Scenario;
 use crate::shrink::Shrinker;
 
-/// Shrinks a scenario and prints what is left of it.
+/// Shrinks a scenario and prints the smallest one that still fails.
 pub(super) fn shrink(args: ShrinkArgs) -> Result<ExitCode, CliError> {
     let scenario = find_scenario(&args.file.display().to_string(), None)?;
     let setup = RunSetup { node_program: node_program(args.node)?, record_at_end: false };
-    let trial = Trial { setup, work_dir: temporary_dir("shrink")?, runs: args.plays.max(1) };
+    let trial = Trial { setup, work_dir: temporary_dir("shrink")?, runs: args.runs.max(1) };
     let start = Instant::now();
     if !trial.fails(&scenario)? {
         trial.remove()?;
@@ -42,7 +42,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// How a candidate is tried.
+/// Setup for the runs of a candidate.
 struct Trial {
     setup: RunSetup,
     work_dir: PathBuf,
@@ -50,7 +50,7 @@
 }
 
 impl Trial {
-    /// Returns whether one of the runs of a scenario violates a rule.
+    /// Returns whether any of the runs of a scenario violates a rule.
     fn fails(&self, scenario: &Scenario) -> Result<bool, CliError> {
         for _ in 0..self.runs {
             if !self.setup.run(scenario, &self.work_dir)?.violations.is_empty() {
--- a/crates/chaos/src/cli/single_run.rs
+++ b/crates/chaos/src/cli/single_run.rs
@@ -8,18 +8,17 @@
 use crate::run::{RunOptions, run_scenario};
 use crate::scenario::Scenario;
 
-/// Runs of a scenario until one is not void.
+/// Largest number of void runs in a row before the machine counts as too busy.
 const MAX_VOID_RUNS: usize = 5;
 
 /// Result of a run.
 pub(super) struct RunResult {
-    /// Service of the run.
     pub summary: ServiceSummary,
     /// Violations of all rules.
     pub violations: Vec<Violation>,
 }
 
-/// What scenarios are run with.
+/// Options for all runs of a command.
 pub(super) struct RunSetup {
     /// The proxy program.
     pub node_program: PathBuf,
@@ -28,7 +27,7 @@
 }
 
 impl RunSetup {
-    /// Runs a scenario in a directory, again while the run is void, and keeps it there.
+    /// Runs a scenario in a directory, repeats it while the run is void, and keeps the run there.
     pub fn run(&self, scenario: &Scenario, directory: &Path) -> Result<RunResult, CliError> {
         let options = RunOptions {
             node_program: self.node_program.clone(),
--- a/crates/chaos/src/report/charts.rs
+++ b/crates/chaos/src/report/charts.rs
@@ -24,14 +24,14 @@
 const STOPPING_COLOR: RGBColor = RGBColor(240, 220, 80);
 const FAULT_COLOR: RGBColor = RGBColor(120, 160, 220);
 
-/// Draws the share of successful requests by the second in which they were sent, for each class.
+/// Draws the share of successful requests by the second in which they were sent, with a line per class.
 pub(super) fn service_chart(history: &History, duration_s: f64) -> Result<String, ChartError> {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, (WIDTH, SERVICE_HEIGHT)).into_drawing_area();
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
-            .caption("served, by second asked (%)", ("sans-serif", 16))
+            .caption("requests served (%), by second sent", ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(40)
@@ -56,7 +56,7 @@
     Ok(svg)
 }
 
-/// Returns points of time in seconds and share in percent, for seconds with requests.
+/// Returns points of time in seconds and served share in percent, for all seconds in which requests were sent.
 fn served_percent_by_second(history: &History, class: RequestClass, duration_s: f64) -> Vec<(f64, f64)> {
     #[derive(Clone, Default)]
     struct Second {
@@ -76,7 +76,7 @@
         .collect()
 }
 
-/// Draws a row for each node, endpoint and fault, with bars while it is not in its usual state.
+/// Draws a row for each node, endpoint and fault, with bars while a process does not run or a fault is active.
 pub(super) fn state_chart(
     scenario: &Scenario,
     history: &History,
@@ -108,7 +108,7 @@
         }
         area.present()?;
     }
-    Ok(format!("{svg}<p>grey: down; orange: stands still; yellow: ends in order; blue: the fault</p>"))
+    Ok(format!("{svg}<p>grey: down; orange: paused; yellow: stopping; blue: fault active</p>"))
 }
 
 fn row_labels(scenario: &Scenario) -> Vec<String> {
@@ -122,7 +122,7 @@
 struct StateBar {
     row: usize,
     from: Nanos,
-    /// `Nanos::MAX` if it lasts until the end.
+    /// `Nanos::MAX` if the bar lasts until the end.
     to: Nanos,
     color: RGBColor,
 }
--- a/crates/chaos/src/report/mod.rs
+++ b/crates/chaos/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! A run as an HTML page: service by second and class, states of processes and faults, and violations.
+//! Renders a run as an HTML page: service by second and class, states of processes and faults, and violations.
 
 mod charts;
 
@@ -11,20 +11,20 @@
 
 /// Largest number of violations in a page.
 const MAX_VIOLATIONS: usize = 500;
-/// Start of the page.
-const HEAD: &str = "<!doctype html><meta charset=\"utf-8\"><title>storm</title><style>body{font:14px sans-serif;margin:2em;max-width:980px}\
+/// Head of the page.
+const HEAD: &str = "<!doctype html><meta charset=\"utf-8\"><title>chaos run</title><style>body{font:14px sans-serif;margin:2em;max-width:980px}\
                     td,th{padding:2px 10px;text-align:left}.bad{color:#b00020}</style>";
 
 /// A chart could not be drawn.
 #[derive(Debug, thiserror::Error)]
-#[error("the plot: {source}")]
+#[error("can't draw a chart: {source}")]
 pub struct ChartError {
-    /// Why.
+    /// Why it could not be drawn.
     #[from]
     source: DrawingAreaErrorKind<std::io::Error>,
 }
 
-/// Returns the page. `explanations` is what the proxy program says of the nodes' recordings; it may be empty.
+/// Returns the page. `explanations` is the proxy program's output for the nodes' recordings; it may be empty.
 ///
 /// # Errors
 /// A chart that can't be drawn.
@@ -43,7 +43,8 @@
     page += &charts::state_chart(scenario, history, duration_s)?;
     page += &violation_table(violations);
     if !explanations.is_empty() {
-        page += &format!("<h2>Why, by the nodes' recordings</h2><pre>{}</pre>", escape(explanations));
+        page +=
+            &format!("<h2>Explanations from the nodes' recordings</h2><pre>{}</pre>", escape(explanations));
     }
     Ok(page)
 }
@@ -51,7 +52,7 @@
 fn title(scenario: &Scenario, summary: &ServiceSummary, violations: usize) -> String {
     let verdict = match violations {
         0 => "all rules kept</p>".to_owned(),
-        count => format!("<b class=\"bad\">{count} finds</b></p>"),
+        count => format!("<b class=\"bad\">{count} violations</b></p>"),
     };
     let (name, seed, requests) = (escape(&scenario.name), scenario.seed, summary.requests);
     format!("<h1>{name}</h1><p>seed {seed}, {requests} requests; {verdict}")
@@ -69,13 +70,13 @@
 }
 
 fn violation_table(violations: &[Violation]) -> String {
-    let mut table = String::from("<h2>Found</h2><table>");
+    let mut table = String::from("<h2>Violations</h2><table>");
     for violation in violations.iter().take(MAX_VIOLATIONS) {
         let at_s = violation.at as f64 / SECOND as f64;
         let (checker, text) = (escape(&violation.checker), escape(&violation.text));
         table += &format!("<tr><td>{at_s:.3} s<td>{checker}<td>{text}");
     }
-    table += if violations.is_empty() { "</table><p>nothing</p>" } else { "</table>" };
+    table += if violations.is_empty() { "</table><p>none</p>" } else { "</table>" };
     table
 }
 
--- a/crates/chaos/src/scenario/error.rs
+++ b/crates/chaos/src/scenario/error.rs
@@ -9,7 +9,7 @@
     #[error("{0}")]
     Parse(#[from] toml::de::Error),
     /// A number is out of its range.
-    #[error("`{name}` is {value}, not from {min} to {max}")]
+    #[error("`{name}` is {value}; the allowed range is {min} to {max}")]
     OutOfRange {
         /// Name of the number.
         name: &'static str,
@@ -21,15 +21,15 @@
         max: f64,
     },
     /// The conditions of links without a fault are not possible.
-    #[error("fault 0: fleet.links: {source}")]
+    #[error("fleet.links: {source}")]
     FleetLinks {
-        /// What is wrong with them.
+        /// Which condition is not possible.
         source: LinkConditionsError,
     },
     /// A fault is not possible.
     #[error("fault {number}: {source}")]
     Fault {
-        /// Position of the fault, from 1 on.
+        /// Position of the fault, counted from 1.
         number: usize,
         /// What is wrong with it.
         source: FaultError,
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FaultError {
     /// A number is out of its range.
-    #[error("`{name}` is {value}, not from {min} to {max}")]
+    #[error("`{name}` is {value}; the allowed range is {min} to {max}")]
     OutOfRange {
         /// Keyword of the number.
         name: &'static str,
@@ -52,7 +52,7 @@
         max: f64,
     },
     /// A node or endpoint does not exist.
-    #[error("there is no {target} {number}: they count from 0 to {last}")]
+    #[error("there is no {target} {number}: the numbers are 0 to {last}")]
     UnknownTarget {
         /// Keyword of the kind of target.
         target: &'static str,
@@ -67,11 +67,11 @@
         /// Keyword of the kind of target.
         target: &'static str,
     },
-    /// No connections go between these sides.
+    /// No connections are opened from the first of these sides to the second.
     #[error("connections go from clients to nodes, from nodes to servers or discovery, and between members")]
     NoSuchLink,
     /// A partition without membership, or of fewer than two groups.
-    #[error("a partition is of two groups of members at the least")]
+    #[error("a partition needs a fleet with members and at least two groups")]
     Partition,
     /// The conditions of a link are not possible.
     #[error(transparent)]
--- a/crates/chaos/src/scenario/mod.rs
+++ b/crates/chaos/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios: a fleet, its load, and faults with their times. Read from a TOML file or generated from a seed; the keywords of
-//! the files are in the serde attributes.
+//! Scenarios: a fleet, its load, and faults with their times. A scenario is read from a TOML file or generated from a seed; the
+//! serde attributes hold the keywords of the files.
 
 mod error;
 mod validation;
@@ -15,7 +15,7 @@
 use crate::fault_kind::Fault;
 use crate::link::LinkConditions;
 
-/// A scenario of a run.
+/// A scenario that can be run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -45,13 +45,13 @@
     /// Number of endpoints.
     #[serde(rename = "servers")]
     pub endpoints: usize,
-    /// Requests that an endpoint executes at the same time; more wait there.
+    /// Requests that an endpoint executes at the same time; further ones are queued there.
     #[serde(default = "default_concurrency", rename = "places")]
     pub concurrency: usize,
     /// Mean service time of a request, in milliseconds: half of it is constant, the rest exponentially distributed.
     #[serde(default = "default_service_time_ms", rename = "takes_ms")]
     pub service_time_ms: f64,
-    /// Warm-up of an endpoint that has been started again.
+    /// Warm-up of a restarted endpoint.
     #[serde(default, rename = "cold")]
     pub slow_start: SlowStart,
     /// Conditions of all links without a fault.
@@ -62,7 +62,7 @@
     pub membership: bool,
 }
 
-/// Warm-up of an endpoint: its concurrency grows linearly from a share of the full one. Stored as `[seconds, share]`.
+/// Warm-up of an endpoint: its concurrency grows linearly, from a share of the full concurrency. Stored as `[seconds, share]`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct SlowStart {
@@ -129,7 +129,7 @@
     /// Reads a scenario from TOML and validates it.
     ///
     /// # Errors
-    /// Text that is not a scenario, or one that [`Scenario::validate`] does not accept.
+    /// Text that is not a scenario, or a scenario that [`Scenario::validate`] rejects.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let scenario: Self = toml::from_str(text)?;
         scenario.validate()?;
--- a/crates/chaos/src/scenario/validation.rs
+++ b/crates/chaos/src/scenario/validation.rs
@@ -1,9 +1,9 @@
-//! Bounds of scenarios.
+//! Validation of scenarios.
 
 use super::{FaultError, Scenario, ScenarioError};
 use crate::fault_kind::{Fault, FaultKind, LinkSide};
 
-/// Largest number of nodes: two cores can run that many processes with their links.
+/// Largest number of nodes: two CPU cores can run that many processes with their links.
 pub const MAX_NODES: usize = 50;
 /// Largest number of endpoints.
 pub const MAX_ENDPOINTS: usize = 50;
@@ -22,7 +22,7 @@
 const MAX_BURST_FACTOR: f64 = 20.0;
 
 fn check_range(name: &'static str, value: f64, min: f64, max: f64) -> Result<(), ScenarioError> {
-    // A NaN is in no range.
+    // A NaN is in no range, so it is rejected.
     if (min..=max).contains(&value) {
         Ok(())
     } else {
@@ -34,7 +34,7 @@
     if (min..=max).contains(&value) { Ok(()) } else { Err(FaultError::OutOfRange { name, value, min, max }) }
 }
 
-/// Checks that a list is not empty and has only numbers under `count`.
+/// Checks that a list is not empty and contains only numbers under `count`.
 fn check_targets(target: &'static str, numbers: &[usize], count: usize) -> Result<(), FaultError> {
     match numbers.iter().find(|number| **number >= count) {
         Some(&number) => Err(FaultError::UnknownTarget { target, number, last: count - 1 }),
@@ -91,7 +91,7 @@
             | FaultKind::DiskFull { nodes }
             | FaultKind::WriteRecording { nodes } => self.check_nodes(nodes),
             FaultKind::CrashLoop { nodes, interval_s } => {
-                // A process needs some time to start: a shorter interval would keep it down.
+                // A process needs time to start: with a shorter interval it would never be up.
                 check_fault_range("every_s", *interval_s, 0.2, 60.0)?;
                 self.check_nodes(nodes)
             }
@@ -105,7 +105,7 @@
                 Ok(reverse.validate()?)
             }
             FaultKind::EndpointSlow { endpoints, factor } => {
-                // A factor under 1 would speed the endpoint up.
+                // A factor under 1 would make the endpoint faster.
                 check_fault_range("factor", *factor, 1.0, 1_000.0)?;
                 self.check_endpoints(endpoints)
             }
--- a/crates/chaos/tests/scenario_files.rs
+++ b/crates/chaos/tests/scenario_files.rs
@@ -1,4 +1,4 @@
-//! Scenario files: what is written is read again, and what can't be run is rejected.
+//! Scenario files: a written scenario is read back unchanged, and scenarios that can't be run are rejected.
 
 use pumicehead_chaos::scenario::Scenario;
 
@@ -23,7 +23,7 @@
 "#;
 
 #[test]
-fn scenarios_are_read_as_written() {
+fn a_written_scenario_is_read_back_unchanged() {
     let scenario = Scenario::parse(VALID).unwrap();
     assert_eq!((scenario.faults_end_s(), scenario.duration_s()), (8.0, 13.0));
     assert_eq!(scenario.faults[1].kind.nodes(), [0]);
@@ -40,10 +40,10 @@
     }
 }
 
-/// Guards bounds: each wrong value has one message that names it.
+/// The error message for each wrong value must name the value.
 #[test]
 fn scenarios_that_cannot_be_run_are_rejected_with_a_reason() {
-    for (from, to, says) in [
+    for (from, to, reason) in [
         ("nodes = 3", "nodes = 51", "fleet.nodes"),
         ("nodes = 3", "nodes = 0", "fleet.nodes"),
         ("rate = 60", "rate = 6000", "load.rate"),
@@ -59,6 +59,6 @@
     ] {
         let text = VALID.replacen(from, to, 1);
         let error = Scenario::parse(&text).expect_err(to).to_string();
-        assert!(error.contains(says), "{to}: {error}");
+        assert!(error.contains(reason), "{to}: {error}");
     }
 }
--- a/crates/chaos/tests/scenario_runs.rs
+++ b/crates/chaos/tests/scenario_runs.rs
@@ -1,4 +1,4 @@
-//! Runs of scenarios over processes of the proxy, and what they leave behind. They check rules and recovery, never times.
+//! Runs of scenarios with processes of the proxy. The tests check rules, recovery and that no process is left, but no times.
 
 use std::fs;
 use std::path::Path;
@@ -7,7 +7,7 @@
 
 use pumicehead_testbed::program::{temporary, wait_for};
 
-/// Runs of a scenario until one is not void: the machine may be too busy for the run itself.
+/// Largest number of void runs of a scenario: a run is void if the machine is too busy for the run itself.
 const MAX_VOID_RUNS: usize = 5;
 
 fn chaos() -> Command {
@@ -18,7 +18,8 @@
     violations.iter().any(|violation| violation["checker"] == "lag")
 }
 
-/// Runs a built-in scenario until it is not void: all rules are kept, and service recovers. Returns the result.
+/// Runs a built-in scenario until a run is not void, and asserts that it violates no rule and that service recovers. Returns
+/// the result.
 fn assert_rules_are_kept(name: &str) -> serde_json::Value {
     for _ in 0..MAX_VOID_RUNS {
         let done = chaos().args(["run", name, "--json"]).output().unwrap();
@@ -37,11 +38,12 @@
     panic!("{name}: this machine is too busy for the run");
 }
 
-/// Guards the rules, and that a paused node does not reject requests that an endpoint has capacity for.
+/// A node that is resumed after a pause must not take the time for a failure of endpoints, and reject requests for which
+/// endpoints have capacity.
 #[test]
 fn rules_are_kept_while_a_node_is_paused() {
     let result = assert_rules_are_kept("stall-one");
-    // A busy machine may cost a few; a node that blames endpoints for its own pause rejects over a hundred.
+    // On a busy machine a few may be rejected; a node that takes its own pause for endpoint failures rejects over a hundred.
     assert!(result["refused"].as_u64().unwrap() <= 10, "{result}");
 }
 
@@ -106,7 +108,7 @@
     assert_rules_are_kept("members-asymmetric");
 }
 
-/// Starts a run in a directory and waits until its nodes run.
+/// Starts a run in a directory and waits until its nodes are running.
 fn start_run(work_dir: &Path) -> Child {
     let child = chaos()
         .args(["run", "crash-under-load", "--json", "--keep"])
@@ -124,7 +126,7 @@
     assert!(Command::new("sh").args(["-c", &command]).status().unwrap().success());
 }
 
-/// Counts processes whose command line names a file in a directory: those that a run started, and not the run itself.
+/// Counts processes whose command line names a file in a directory: the nodes of a run, but not the run itself.
 fn processes_of(work_dir: &Path) -> usize {
     let prefix = format!("{}/", work_dir.display());
     let command_lines =
@@ -132,12 +134,13 @@
     command_lines.filter(|line| String::from_utf8_lossy(line).contains(&prefix)).count()
 }
 
-/// Guards against verdicts of a machine that was too busy: a run that got no processor for a second reports that it is void.
+/// A run on an overloaded machine says nothing about the proxy: a run that got no CPU time for a second must report itself as
+/// void.
 #[test]
 fn a_run_that_was_paused_itself_is_void() {
     let work_dir = temporary(".storm");
     let child = start_run(&work_dir);
-    // The load has begun once all nodes have their files.
+    // The load begins soon after the nodes have their files.
     wait_for("load", || fs::read_dir(&work_dir).is_ok_and(|files| files.count() >= 8));
     std::thread::sleep(Duration::from_secs(2));
     send_signal(&child, "STOP");
@@ -151,7 +154,7 @@
     let _ = fs::remove_dir_all(&work_dir);
 }
 
-/// Guards an interrupt from the terminal: one line, no process left, and no verdict.
+/// After an interrupt from the terminal a run must report it, print no result and leave no process.
 #[test]
 fn an_interrupted_run_ends_its_processes() {
     let work_dir = temporary(".storm");
@@ -167,7 +170,7 @@
     let _ = fs::remove_dir_all(&work_dir);
 }
 
-/// Guards that nothing is left even if the run itself is killed.
+/// Even if the run itself is killed by SIGKILL, all its processes must end.
 #[test]
 fn a_killed_run_leaves_no_process() {
     let work_dir = temporary(".storm");
@@ -178,8 +181,8 @@
     let _ = fs::remove_dir_all(&work_dir);
 }
 
-/// Guards shrinking on processes: the program here does not start if it finds a recording, so that a kill after a recording
-/// fails; the pause beside that has no part in it.
+/// The node program of this test does not start if it finds a recording. A kill after a recording therefore fails, and
+/// shrinking must keep these two faults and remove the unrelated pause.
 #[test]
 fn a_failing_scenario_shrinks_to_its_cause() {
     let (file, program) = (temporary(".toml"), temporary(".sh"));
@@ -206,7 +209,7 @@
     let _ = (fs::remove_file(file), fs::remove_file(program));
 }
 
-/// Guards bad input: one line that names the problem, and nothing is started.
+/// For invalid input the program must print one line that names the problem.
 #[test]
 fn scenarios_that_cannot_be_run_are_rejected_in_one_line() {
     let file = temporary(".toml");
@@ -215,9 +218,10 @@
         "name = \"x\"\nfleet = { nodes = 99, servers = 1 }\nload = { rate = 1 }\ncalm_s = [1, 1]\n",
     )
     .unwrap();
-    for (argument, reason) in
-        [(file.to_str().unwrap(), "fleet.nodes"), ("no-such", "no standing scenario and no file")]
-    {
+    for (argument, reason) in [
+        (file.to_str().unwrap(), "fleet.nodes"),
+        ("no-such", "neither a built-in scenario nor a readable file"),
+    ] {
         let done = chaos().args(["run", argument]).output().unwrap();
         let errors = String::from_utf8(done.stderr).unwrap();
         assert!(
--- a/crates/chaos/tests/stored_forms.rs
+++ b/crates/chaos/tests/stored_forms.rs
@@ -1,4 +1,5 @@
-//! Files, messages and command lines keep the forms that earlier versions wrote and took: full text, both ways.
+//! Files, messages and command lines stay compatible with earlier versions, both when read and when written. Printed results
+//! are compared in full.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -14,25 +15,25 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Seeds of the drawn scenarios in `drawn.toml`.
-const DRAWN_SEEDS: std::ops::RangeInclusive<u64> = 1..=60;
+/// Seeds of the generated scenarios in `drawn.toml`.
+const GENERATED_SEEDS: std::ops::RangeInclusive<u64> = 1..=60;
 
 fn fixture(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name)
 }
 
 fn fixture_text(name: &str) -> String {
-    fs::read_to_string(fixture(name)).expect("a fixture is there")
+    fs::read_to_string(fixture(name)).expect("the fixture can be read")
 }
 
-/// Reads JSON and writes it again: the text is the same.
-fn assert_json_is_kept<T: Serialize + DeserializeOwned>(text: &str) {
+/// Asserts that JSON that is read and written again is the same text.
+fn assert_json_round_trips<T: Serialize + DeserializeOwned>(text: &str) {
     let value: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{text}: {error}"));
     assert_eq!(serde_json::to_string(&value).expect("it was read"), text);
 }
 
-/// What the program prints on standard output for these arguments.
-fn printed(arguments: &[&str]) -> String {
+/// Returns what the program prints to standard output for these arguments.
+fn stdout_of(arguments: &[&str]) -> String {
     let done = Command::new(env!("CARGO_BIN_EXE_pumicehead-chaos"))
         .args(arguments)
         .output()
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_history_event_without_liars_is_read() {
+fn a_fault_event_without_misbehaving_endpoints_is_read() {
     let line = r#"{"at":1,"what":"fault","number":0,"text":"x","begins":true,"nodes":[],"clients":false}"#;
     let history = History::read(line.as_bytes()).expect("a history");
     let mut written = Vec::new();
@@ -59,15 +60,15 @@
     assert_eq!(String::from_utf8(written).expect("UTF-8"), expected);
 }
 
-/// Guards the written form alone: `History::read` does not take the node numbers that are keys of a view's map.
+/// Covers only the written form: `History::read` does not accept the node numbers that are keys of a view's map.
 #[test]
 fn views_are_written_with_node_numbers_as_keys() {
-    let view = |at, node, fingerprint: &str, holds: [MemberState; 3]| Event {
+    let view = |at, node, fingerprint: &str, members: [MemberState; 3]| Event {
         at,
         kind: EventKind::MembershipView {
             node,
             fingerprint: fingerprint.into(),
-            members: holds.into_iter().enumerate().collect(),
+            members: members.into_iter().enumerate().collect(),
         },
     };
     let history = History::from_events(vec![
@@ -87,65 +88,68 @@
     assert_eq!(toml::to_string(&scenario).expect("it was read"), text);
 }
 
-/// Guards the order of random draws as well: a seed that was found before still means the same scenario.
+/// The order of random draws must not change: seeds that earlier runs reported must still generate the same scenarios.
 #[test]
-fn seeds_draw_the_scenarios_that_they_drew_before() {
-    let drawn: String = DRAWN_SEEDS
+fn seeds_generate_the_same_scenarios_as_before() {
+    let generated: String = GENERATED_SEEDS
         .map(|seed| toml::to_string(&Scenario::generate(seed, 5, 4)).expect("a scenario is TOML"))
         .collect();
-    assert_eq!(drawn, fixture_text("drawn.toml"));
+    assert_eq!(generated, fixture_text("drawn.toml"));
 }
 
 #[test]
 fn results_keep_their_json() {
-    assert_json_is_kept::<ServiceSummary>(concat!(
+    assert_json_round_trips::<ServiceSummary>(concat!(
         r#"{"asked":4,"served":[1.0,0.5,0.25],"worst":[0.1,0.2,0.3],"recovered_s":2.0,"refused":1,"failed":2,"#,
         r#""unanswered":3,"lag_us":900,"views":{"found_s":[1.5,2.5],"settled_s":3.5,"wronged":1},"#,
         r#""by_second":[[11.0,10.0],[1.0,0.0]]}"#
     ));
-    assert_json_is_kept::<ServiceSummary>(concat!(
+    assert_json_round_trips::<ServiceSummary>(concat!(
         r#"{"asked":0,"served":[1.0,1.0,1.0],"worst":[1.0,1.0,1.0],"recovered_s":null,"refused":0,"failed":0,"#,
         r#""unanswered":0,"lag_us":0,"views":null,"by_second":[]}"#
     ));
-    assert_json_is_kept::<MembershipSummary>(r#"{"found_s":null,"settled_s":null,"wronged":0}"#);
-    assert_json_is_kept::<Violation>(
-        r#"{"checker":"none lost","at":5,"text":"request 9 at node 0 has no end"}"#,
+    assert_json_round_trips::<MembershipSummary>(r#"{"found_s":null,"settled_s":null,"wronged":0}"#);
+    assert_json_round_trips::<Violation>(
+        r#"{"checker":"none lost","at":5,"text":"request 9 at node 0 never ended"}"#,
     );
-    assert_json_is_kept::<LinkOverhead>(r#"{"direct_us":20.5,"through_us":60.25}"#);
+    assert_json_round_trips::<LinkOverhead>(r#"{"direct_us":20.5,"through_us":60.25}"#);
 }
 
 #[test]
 fn messages_to_and_from_stand_ins_keep_their_json() {
-    assert_json_is_kept::<EndpointBehavior>(r#"{"slow":1.0,"lie":null}"#);
+    assert_json_round_trips::<EndpointBehavior>(r#"{"slow":1.0,"lie":null}"#);
     for lie in ["denies", "swaps", "garbles"] {
-        assert_json_is_kept::<EndpointBehavior>(&format!(r#"{{"slow":5.0,"lie":"{lie}"}}"#));
+        assert_json_round_trips::<EndpointBehavior>(&format!(r#"{{"slow":5.0,"lie":"{lie}"}}"#));
     }
     for listed in ["active", "leaving"] {
-        assert_json_is_kept::<DiscoveryChange>(&format!(
+        assert_json_round_trips::<DiscoveryChange>(&format!(
             r#"{{"server":1,"listed":"{listed}","dials":["127.0.0.1:80"],"born_ms":5}}"#
         ));
     }
-    assert_json_is_kept::<ListenAddresses>(r#"{"listens":["127.0.0.1:80","127.0.0.1:81"]}"#);
+    assert_json_round_trips::<ListenAddresses>(r#"{"listens":["127.0.0.1:80","127.0.0.1:81"]}"#);
 }
 
 #[test]
-fn a_kept_run_is_checked_as_before() {
-    let folder = fixture("run");
-    assert_eq!(printed(&["check", folder.to_str().expect("UTF-8")]), fixture_text("check.txt"));
+fn a_kept_run_is_checked_with_the_expected_output() {
+    let directory = fixture("run");
+    assert_eq!(stdout_of(&["check", directory.to_str().expect("UTF-8")]), fixture_text("check.txt"));
 }
 
 #[test]
-fn a_kept_run_is_reported_as_before() {
-    let (folder, page) = (fixture("run"), temporary(".html"));
+fn a_kept_run_is_rendered_as_the_expected_page() {
+    let (directory, page) = (fixture("run"), temporary(".html"));
     let path = page.to_str().expect("UTF-8");
-    assert_eq!(printed(&["report", folder.to_str().expect("UTF-8"), "--out", path]), format!("{path}\n"));
+    assert_eq!(
+        stdout_of(&["report", directory.to_str().expect("UTF-8"), "--out", path]),
+        format!("{path}\n")
+    );
     assert_eq!(fs::read_to_string(&page).expect("the page is written"), fixture_text("report.html"));
     let _ = fs::remove_file(page);
 }
 
 #[test]
 fn builtin_scenarios_are_listed_as_before() {
-    assert_eq!(printed(&["list"]), fixture_text("list.txt"));
+    assert_eq!(stdout_of(&["list"]), fixture_text("list.txt"));
 }
 
 #[test]
@@ -153,7 +157,7 @@
     let file = temporary(".toml");
     let text = "name = \"tiny\"\nfleet = { nodes = 1, servers = 1 }\nload = { rate = 5 }\ncalm_s = [1, 1]\n";
     fs::write(&file, text).expect("a scenario");
-    let json = printed(&["run", file.to_str().expect("UTF-8"), "--json", "--seed", "3"]);
+    let json = stdout_of(&["run", file.to_str().expect("UTF-8"), "--json", "--seed", "3"]);
     assert!(json.starts_with(r#"{"scenario":"tiny","seed":3,"asked":"#), "{json}");
     let fields = [
         "scenario",
@@ -170,15 +174,15 @@
         "by_second",
         "finds",
     ];
-    let places: Vec<_> = fields.map(|field| json.find(&format!("\"{field}\":"))).into();
-    assert!(places.iter().all(Option::is_some) && places.is_sorted(), "{json}");
+    let positions: Vec<_> = fields.map(|field| json.find(&format!("\"{field}\":"))).into();
+    assert!(positions.iter().all(Option::is_some) && positions.is_sorted(), "{json}");
     let parsed: serde_json::Value = serde_json::from_str(&json).expect("JSON");
     assert_eq!(parsed.as_object().expect("an object").len(), fields.len(), "{json}");
     let _ = fs::remove_file(file);
 }
 
 #[test]
-fn commands_take_the_flags_that_they_took() {
+fn commands_keep_their_flags_and_defaults() {
     let commands: [(&str, &[&str]); 11] = [
         ("run", &["<SCENARIO>", "--seed", "--keep", "--node", "--json", "--log"]),
         ("list", &["--log"]),
@@ -193,7 +197,7 @@
         ("keeper", &[]),
     ];
     for (command, flags) in commands {
-        let help = printed(&[command, "--help"]);
+        let help = stdout_of(&[command, "--help"]);
         assert!(help.contains(&format!("Usage: pumicehead-chaos {command}")), "{help}");
         for flag in flags {
             assert!(help.contains(flag), "{command} {flag}: {help}");
@@ -210,14 +214,14 @@
         ("report", "[default: storm.html]"),
         ("list", "[default: WARN]"),
     ] {
-        let help = printed(&[command, "--help"]);
+        let help = stdout_of(&[command, "--help"]);
         assert!(help.contains(default), "{command} {default}: {help}");
     }
 }
 
 #[test]
-fn outcomes_keep_the_words_that_violations_hold() {
-    let words = [
+fn outcomes_keep_their_text_in_violations() {
+    let texts = [
         (
             ClientOutcome::Answered { status: 504, matches_request: true },
             "Answered { status: 504, own: true }",
@@ -226,7 +230,7 @@
         (ClientOutcome::ConnectFailed, "NoConnection"),
         (ClientOutcome::TimedOut, "Silent"),
     ];
-    for (outcome, text) in words {
+    for (outcome, text) in texts {
         assert_eq!(outcome.to_string(), text);
     }
 }
