--- a/crates/chaos/src/builtin_scenarios.rs
+++ b/crates/chaos/src/builtin_scenarios.rs
@@ -3,7 +3,7 @@
 /// A scenario that is built into the program.
 #[derive(Clone, Copy, Debug)]
 pub struct BuiltinScenario {
-    /// Name on the command line, the same as in the text.
+    /// Name on the command line; equal to the `name` in the text.
     pub name: &'static str,
     /// The scenario in TOML.
     pub text: &'static str,
--- a/crates/chaos/src/clock.rs
+++ b/crates/chaos/src/clock.rs
@@ -1,10 +1,10 @@
-//! The monotonic clock of the machine: the same in all processes, so that their events can be ordered.
+//! The monotonic clock of the machine. All processes share it, so that their events can be ordered.
 
 use rustix::time::{ClockId, clock_gettime};
 
 use crate::{Nanos, SECOND};
 
-/// Returns the current time.
+/// Returns the current time of `CLOCK_MONOTONIC`.
 #[must_use]
 pub fn now() -> Nanos {
     let time = clock_gettime(ClockId::Monotonic);
--- a/crates/chaos/src/fault_description.rs
+++ b/crates/chaos/src/fault_description.rs
@@ -1,9 +1,9 @@
-//! Descriptions of faults in words, as histories, logs and reports hold them.
+//! Human-readable descriptions of faults for histories, logs and reports.
 
 use crate::fault_kind::{Fault, FaultKind, FileFault, LinkSide, Misbehavior};
 
 impl Fault {
-    /// Describes the fault in words.
+    /// Returns a human-readable description of the fault.
     #[must_use]
     pub fn describe(&self) -> String {
         match &self.kind {
--- a/crates/chaos/src/fault_effects.rs
+++ b/crates/chaos/src/fault_effects.rs
@@ -1,4 +1,4 @@
-//! What the faults that are active at the same time make of links, endpoints and load. No I/O.
+//! Combined effects of all active faults on links, endpoints and load. Does no I/O.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 use crate::link::{ConnectPolicy, LinkConditions, LinkEnd, LinkPath, LinkState};
 use crate::scenario::Scenario;
 
-/// Returns the factor on the request rate at a time in seconds after the start of the load.
+/// Returns the factor on the request rate, `at_s` seconds after the start of the load. Factors of concurrent bursts multiply.
 #[must_use]
 pub fn load_factor(scenario: &Scenario, at_s: f64) -> f64 {
     let bursts = scenario.faults.iter().filter_map(|fault| match fault.kind {
@@ -25,7 +25,7 @@
     /// Factor on the service time.
     #[serde(rename = "slow")]
     pub slowdown: f64,
-    /// How it responds wrongly, if it does.
+    /// Kind of wrong responses, if it sends any.
     #[serde(rename = "lie")]
     pub misbehavior: Option<Misbehavior>,
 }
@@ -36,7 +36,7 @@
     }
 }
 
-/// Returns how an endpoint responds under the active faults: slowdowns multiply, the last misbehavior prevails.
+/// Returns how an endpoint responds under the active faults: slowdowns multiply, the last misbehavior applies.
 #[must_use]
 pub fn endpoint_behavior(active_faults: &[&Fault], endpoint: usize) -> EndpointBehavior {
     let mut behavior = EndpointBehavior::default();
@@ -54,7 +54,7 @@
     behavior
 }
 
-/// Returns the state of a link under the active faults: conditions combine, the strictest connect policy prevails.
+/// Returns the state of a link under the active faults: conditions combine, the strictest connect policy applies.
 #[must_use]
 pub fn link_state(usual: &LinkConditions, active_faults: &[&Fault], path: LinkPath) -> LinkState {
     let mut state =
@@ -75,14 +75,14 @@
             _ => {}
         }
     }
-    // A handshake needs both directions.
+    // A TCP handshake needs both directions.
     if state.forward.partitioned || state.reverse.partitioned {
         state.connect_policy = ConnectPolicy::Blackhole;
     }
     state
 }
 
-/// Returns whether a partition separates both ends.
+/// Returns whether both ends are nodes in different groups of a partition.
 fn is_partitioned(groups: &[Vec<usize>], path: LinkPath) -> bool {
     let (LinkEnd::Node(from), LinkEnd::Node(to)) = (path.from, path.to) else { return false };
     let group_of = |node: usize| groups.iter().position(|group| group.contains(&node));
--- a/crates/chaos/src/fault_kind.rs
+++ b/crates/chaos/src/fault_kind.rs
@@ -4,16 +4,16 @@
 
 use crate::link::{ConnectPolicy, LinkConditions};
 
-/// A fault with its time.
+/// A fault with its start and duration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// Start, in seconds after the calm at the beginning.
+    /// Start, in seconds after the fault-free time at the beginning.
     #[serde(rename = "at_s")]
     pub start_s: f64,
     /// Duration, in seconds.
     #[serde(default, rename = "for_s")]
     pub duration_s: f64,
-    /// What goes wrong.
+    /// Kind of the fault, with its targets.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
@@ -37,22 +37,22 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FileFault {
-    /// They stay as written.
+    /// They are left unchanged.
     #[default]
     #[serde(rename = "kept")]
     Intact,
-    /// They are removed, as if another machine took over.
+    /// They are removed, as if the node restarted on another machine.
     #[serde(rename = "gone")]
     Removed,
     /// Each is truncated at a random byte.
     #[serde(rename = "cut")]
     Truncated,
-    /// Some random bytes of each are changed.
+    /// Some random bytes of each are overwritten.
     #[serde(rename = "flipped")]
     BytesFlipped,
 }
 
-/// How an endpoint responds wrongly.
+/// Kind of wrong responses of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Misbehavior {
@@ -67,7 +67,7 @@
     MalformedResponse,
 }
 
-/// What goes wrong.
+/// Kind of a fault, with its targets and parameters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "kind", deny_unknown_fields)]
 pub enum FaultKind {
@@ -85,7 +85,7 @@
         /// The nodes.
         nodes: Vec<usize>,
     },
-    /// Nodes are killed and started again, over and over, until the end of the fault.
+    /// Nodes are killed and restarted repeatedly until the end of the fault.
     #[serde(rename = "loop")]
     CrashLoop {
         /// The nodes.
@@ -100,28 +100,28 @@
         /// The nodes.
         nodes: Vec<usize>,
     },
-    /// Nodes are paused for a part of each 100 ms.
+    /// Nodes are paused for a share of every 100 ms.
     #[serde(rename = "slow")]
     Throttle {
         /// The nodes.
         nodes: Vec<usize>,
-        /// The part of the time that they are paused, between 0 and 1.
+        /// Share of the time that they are paused, between 0 and 1.
         #[serde(rename = "share")]
         paused_share: f64,
     },
-    /// No file of these nodes can grow, as on a full disk. They are asked for a recording at the start and at the end.
+    /// No file of these nodes can grow, as on a full disk. They are asked to write a recording at the start and the end.
     #[serde(rename = "full")]
     DiskFull {
         /// The nodes.
         nodes: Vec<usize>,
     },
-    /// Nodes are asked for a recording at the start of the fault.
+    /// Nodes are asked to write a recording at the start of the fault.
     #[serde(rename = "record")]
     WriteRecording {
         /// The nodes.
         nodes: Vec<usize>,
     },
-    /// Links between two sides have other conditions.
+    /// The conditions of links between two sides change.
     Link {
         /// The side that opens connections.
         from: LinkSide,
@@ -136,12 +136,12 @@
         /// Conditions from the accepting side to the opening one.
         #[serde(default, rename = "back")]
         reverse: LinkConditions,
-        /// Whether open connections are reset at the end, as by a device that lost its connection table.
+        /// Whether open connections are reset at the end, as by a middlebox that lost its connection table.
         #[serde(default, rename = "forgets")]
         reset_at_end: bool,
     },
-    /// Nodes of different groups can't reach each other; a node in no group reaches all. Several partitions at once may form
-    /// a relation that is not transitive.
+    /// Nodes of different groups can't reach each other; a node in no group reaches all. Several partitions at once can make
+    /// reachability non-transitive.
     Partition {
         /// The groups.
         groups: Vec<Vec<usize>>,
@@ -153,14 +153,14 @@
         #[serde(rename = "servers")]
         endpoints: Vec<usize>,
     },
-    /// Endpoints are killed and started again, cold, at the end of the fault; discovery lists the new start.
+    /// Endpoints are killed, and restarted at the end of the fault. Each then warms up, and discovery lists its new start time.
     #[serde(rename = "server_kill")]
     EndpointKill {
         /// The endpoints.
         #[serde(rename = "servers")]
         endpoints: Vec<usize>,
     },
-    /// Endpoints take longer for each request.
+    /// Service times of endpoints are longer.
     #[serde(rename = "server_slow")]
     EndpointSlow {
         /// The endpoints.
@@ -175,11 +175,11 @@
         /// The endpoints.
         #[serde(rename = "servers")]
         endpoints: Vec<usize>,
-        /// How they respond.
+        /// Kind of the responses.
         #[serde(rename = "lie")]
         misbehavior: Misbehavior,
     },
-    /// Endpoints are listed as draining until the end of the fault.
+    /// Discovery lists endpoints as draining until the end of the fault.
     #[serde(rename = "drain")]
     EndpointDrain {
         /// The endpoints.
@@ -195,7 +195,9 @@
 }
 
 impl FaultKind {
-    /// Returns the nodes whose processes or links the fault affects. A link fault has nodes on one side at least.
+    /// Returns the nodes whose processes or links the fault affects. A link fault has nodes on at least one side; if both
+    /// sides are nodes, those that open connections are returned. Empty for all other kinds,
+    /// partitions and full disks included.
     #[must_use]
     pub fn nodes(&self) -> &[usize] {
         match self {
--- a/crates/chaos/src/fault_schedule.rs
+++ b/crates/chaos/src/fault_schedule.rs
@@ -1,10 +1,10 @@
-//! The actions that inject and end a scenario's faults, in the order of time. No I/O.
+//! The actions that inject and end a scenario's faults, ordered by time. Does no I/O.
 
 use crate::fault_kind::{Fault, FaultKind, FileFault};
 use crate::scenario::Scenario;
 use crate::{Nanos, SECOND};
 
-/// Period of the pauses of a throttled process.
+/// A throttled process is paused once per period.
 const THROTTLE_PERIOD: Nanos = SECOND / 10;
 
 /// A signal to a process.
@@ -20,12 +20,12 @@
     Terminate,
 }
 
-/// One action on the fleet. Faults are named by their index in the scenario.
+/// One action on the fleet. Faults are identified by their index in the scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultAction {
-    /// Notes in the history that a fault begins.
+    /// Records in the history that a fault begins.
     BeginFault(usize),
-    /// Notes in the history that a fault has ended; it comes after all other actions of the fault.
+    /// Records in the history that a fault has ended, after all other actions of the fault.
     EndFault(usize),
     /// Sends a signal to a node.
     SignalNode {
@@ -34,7 +34,7 @@
         /// The signal.
         signal: ProcessSignal,
     },
-    /// Starts a node unless it runs.
+    /// Starts a node unless it is running.
     StartNode(usize),
     /// Sends a signal to an endpoint.
     SignalEndpoint {
@@ -43,34 +43,34 @@
         /// The signal.
         signal: ProcessSignal,
     },
-    /// Starts an endpoint unless it runs; discovery lists the new start.
+    /// Starts an endpoint unless it is running; discovery lists its new start time.
     StartEndpoint(usize),
-    /// Has discovery list an endpoint as draining, or as active again.
+    /// Makes discovery list an endpoint as draining, or as active again.
     SetDraining {
         /// The endpoint.
         endpoint: usize,
-        /// Whether it drains.
+        /// Whether it is listed as draining.
         draining: bool,
     },
-    /// Changes the files of a node that is down.
+    /// Damages or removes the files of a node that is down.
     DamageFiles {
         /// The node.
         node: usize,
-        /// What happens to them.
+        /// Kind of the damage.
         file_fault: FileFault,
     },
-    /// Lets no file of a node grow, or lets them grow again.
+    /// Prevents all files of a node from growing, or allows it again.
     SetDiskFull {
         /// The node.
         node: usize,
         /// Whether its disk is full.
         full: bool,
     },
-    /// Asks a node for a recording.
+    /// Asks a node to write a recording.
     WriteRecording(usize),
-    /// Begins a fault in the behavior of endpoints, or ends it.
+    /// Begins a fault in the behavior of endpoints, or ends it if it is active.
     ToggleBehaviorFault(usize),
-    /// Begins a fault of links, or ends it.
+    /// Begins a fault of links, or ends it if it is active.
     ToggleLinkFault(usize),
 }
 
@@ -79,7 +79,7 @@
 pub struct ScheduledAction {
     /// Time since the start of the load.
     pub at: Nanos,
-    /// What is done.
+    /// The action.
     pub action: FaultAction,
 }
 
@@ -162,7 +162,7 @@
                 self.add(end, FaultAction::ToggleBehaviorFault(index));
             }
             FaultKind::EndpointDrain { endpoints } => self.add_drain(endpoints, start, end),
-            // Clients draw their requests ahead, with the bursts.
+            // Clients generate all their requests in advance, bursts included.
             FaultKind::LoadBurst { .. } => {}
         }
     }
@@ -177,9 +177,9 @@
 
     fn add_rolling_restart(&mut self, nodes: &[usize], start: Nanos, end: Nanos) {
         let step = (end - start) / nodes.len().max(1) as Nanos;
-        for (&node, place) in nodes.iter().zip(0..) {
-            self.signal_nodes(start + place * step, &[node], ProcessSignal::Terminate);
-            self.add(start + (place + 1) * step, FaultAction::StartNode(node));
+        for (&node, position) in nodes.iter().zip(0..) {
+            self.signal_nodes(start + position * step, &[node], ProcessSignal::Terminate);
+            self.add(start + (position + 1) * step, FaultAction::StartNode(node));
         }
     }
 
--- a/crates/chaos/src/history/event.rs
+++ b/crates/chaos/src/history/event.rs
@@ -1,4 +1,4 @@
-//! Events of a history. The stored names are in the serde attributes.
+//! Events of a history. The serde attributes hold the stored names.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,17 @@
 use super::{ClientOutcome, ListedHealth, MemberState, ProcessState, ReadFailure, RequestClass};
 use crate::Nanos;
 
-/// An event with its time.
+/// An event with its timestamp.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Event {
     /// Nanoseconds since the start of the run.
     pub at: Nanos,
-    /// What happened.
+    /// Kind of the event, with its data.
     #[serde(flatten)]
     pub kind: EventKind,
 }
 
-/// What happened. Nodes and endpoints are numbered from 0 on.
+/// Kind of an event. Nodes and endpoints are numbered from 0.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum EventKind {
@@ -30,11 +30,11 @@
         class: RequestClass,
         /// The node that it was sent to.
         node: usize,
-        /// The request's deadline, in milliseconds from now.
+        /// The request's deadline, in milliseconds after the event.
         #[serde(rename = "patience_ms")]
         deadline_ms: u64,
     },
-    /// A request ended for its client.
+    /// A request ended from the view of its client.
     #[serde(rename = "ended")]
     RequestEnded {
         /// Id of the request.
@@ -43,7 +43,7 @@
         #[serde(flatten)]
         outcome: ClientOutcome,
     },
-    /// An endpoint received a whole request and executes it.
+    /// An endpoint received a complete request and executes it.
     #[serde(rename = "effect")]
     RequestExecuted {
         /// Id of the request.
@@ -64,7 +64,7 @@
         #[serde(rename = "server")]
         endpoint: usize,
     },
-    /// Discovery wrote a change to a node's watch.
+    /// Discovery sent a node an endpoint's health, in a list or a watch.
     #[serde(rename = "told")]
     DiscoveryUpdate {
         /// The node.
@@ -72,7 +72,7 @@
         /// The endpoint.
         #[serde(rename = "server")]
         endpoint: usize,
-        /// Its health in the list from now on.
+        /// The endpoint's health in the list.
         #[serde(rename = "listed")]
         health: ListedHealth,
     },
@@ -139,7 +139,7 @@
         #[serde(rename = "failed")]
         failure: Option<ReadFailure>,
     },
-    /// A node's process exited without a signal of the run, or did not start again.
+    /// A node's process exited although the run had not stopped it, or did not start again.
     #[serde(rename = "crashed")]
     NodeCrashed {
         /// The node.
--- a/crates/chaos/src/history/mod.rs
+++ b/crates/chaos/src/history/mod.rs
@@ -1,4 +1,4 @@
-//! The history of a run: events on one clock, stored as one JSON object a line and read by the checkers.
+//! The history of a run: events on one clock, stored as one JSON object per line and read by the checkers.
 
 mod event;
 mod states;
@@ -17,14 +17,14 @@
     /// A line is not an event.
     #[error("line {line}: {source}")]
     Line {
-        /// Number of the line, from 1 on.
+        /// Number of the line, counted from 1.
         line: usize,
         /// What is wrong with it.
         source: serde_json::Error,
     },
 }
 
-/// The events of a run, in the order of time.
+/// The events of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
     /// The events, ascending by time.
@@ -39,10 +39,10 @@
         Self { events }
     }
 
-    /// Writes one JSON object a line.
+    /// Writes one JSON object per line.
     ///
     /// # Errors
-    /// Those of the writer.
+    /// Errors of the writer.
     pub fn write(&self, writer: &mut impl Write) -> io::Result<()> {
         for event in &self.events {
             serde_json::to_writer(&mut *writer, event)?;
@@ -51,7 +51,7 @@
         writer.flush()
     }
 
-    /// Reads what [`History::write`] wrote.
+    /// Reads the format that [`History::write`] writes.
     ///
     /// # Errors
     /// A line that is not an event, with its number, or an error of the reader.
--- a/crates/chaos/src/history/states.rs
+++ b/crates/chaos/src/history/states.rs
@@ -1,4 +1,4 @@
-//! States and outcomes that events of a history carry. The stored names are in the serde attributes.
+//! States and outcomes in the events of a history. The serde attributes hold the stored names.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 pub enum RequestClass {
     /// Idempotent: may be executed any number of times.
     Read,
-    /// Not idempotent: may be executed once at the most.
+    /// Not idempotent: may be executed at most once.
     Submit,
 }
 
@@ -18,40 +18,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "end")]
 pub enum ClientOutcome {
-    /// A whole response came.
+    /// A complete response arrived.
     Answered {
         /// HTTP status.
         status: u16,
-        /// Whether the body is the one made for this request; true for every status other than 200.
+        /// Whether the body belongs to this request; true for every status other than 200.
         #[serde(rename = "own")]
         matches_request: bool,
     },
-    /// The connection ended or broke before a whole response.
+    /// The connection ended or broke before the response was complete.
     #[serde(rename = "broken")]
     ConnectionBroken,
     /// No connection could be opened.
     #[serde(rename = "no_connection")]
     ConnectFailed,
-    /// No response came before the client's timeout, which is some time after the deadline.
+    /// No response arrived before the client's timeout, which is later than the deadline.
     #[serde(rename = "silent")]
     TimedOut,
 }
 
 impl ClientOutcome {
-    /// Returns whether the client got the response to its own request.
+    /// Returns whether the client got a successful response that belongs to its request.
     #[must_use]
     pub fn is_success(self) -> bool {
         matches!(self, Self::Answered { status: 200, matches_request: true })
     }
 
-    /// Returns whether the status says that the request was not executed and may be repeated.
+    /// Returns whether the status says that the request was not executed and may be retried.
     #[must_use]
     pub fn is_rejected(self) -> bool {
         matches!(self, Self::Answered { status: 429 | 503, .. })
     }
 }
 
-/// Formats the outcome as the texts of violations hold it.
+/// Formats the outcome for the texts of violations, which keep the names of earlier versions.
 impl fmt::Display for ClientOutcome {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -69,14 +69,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedHealth {
-    /// Takes requests.
+    /// Accepts new requests.
     Active,
-    /// Wants no new requests.
+    /// Accepts no new requests.
     #[serde(rename = "leaving")]
     Draining,
 }
 
-/// State of a member in another member's view. Nodes answer with the same names.
+/// State of a member in another member's view, with the names that the nodes' admin command returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProcessState {
-    /// Started, and it listens.
+    /// Started and listening.
     #[serde(rename = "up")]
     Running,
     /// Killed, or exited.
--- a/crates/chaos/src/lib.rs
+++ b/crates/chaos/src/lib.rs
@@ -1,8 +1,8 @@
-//! Fault injection on a fleet of real processes: the proxy is started several times over on loopback, faults are injected into
-//! its processes, files and links, and checkers read the history of what clients and endpoints saw.
+//! Fault injection on a fleet of real processes: several nodes of the proxy run on loopback, faults are injected into their
+//! processes, files and links, and checkers verify the history of what clients and endpoints observed.
 //!
 //! Scenarios, schedules, link directions and checkers do no I/O and take times and random numbers as arguments. The proxy
-//! has no code for any of it.
+//! itself contains no code for fault injection.
 
 pub mod builtin_scenarios;
 pub mod check;
--- a/crates/chaos/src/link/direction.rs
+++ b/crates/chaos/src/link/direction.rs
@@ -1,4 +1,4 @@
-//! When bytes arrive that are sent over one direction of a link: a state machine without I/O.
+//! Computes when bytes that are sent over one direction of a link arrive: a state machine without I/O.
 
 use rand::Rng;
 
@@ -7,21 +7,21 @@
 
 /// Retransmission timeout of a lost stream segment: the minimum of common TCP implementations.
 const RETRANSMISSION_TIMEOUT: Nanos = 200 * MS;
-/// Largest number of losses of one segment; the timeout doubles with each.
+/// Largest number of losses of one segment; the timeout doubles with each loss.
 const MAX_RETRANSMISSIONS: u32 = 5;
 
-/// One direction of a link, with what is in flight on it.
+/// State of one direction of a link.
 #[derive(Clone, Debug, Default)]
 pub struct LinkDirection {
-    /// Arrival of the last stream segment: none overtakes it.
+    /// Arrival of the last stream segment; no later segment arrives before it.
     last_arrival: Nanos,
-    /// When the bandwidth is free again.
+    /// When all bytes sent so far have been transmitted at the link's bandwidth.
     busy_until: Nanos,
 }
 
 impl LinkDirection {
-    /// Returns when a stream segment arrives that is sent now. `None` while the link is partitioned: the caller asks again
-    /// once it is not.
+    /// Returns when a stream segment that is sent at `now` arrives. `None` while the link is partitioned: the caller calls this
+    /// again once the partition has healed.
     pub fn segment_arrival(
         &mut self,
         now: Nanos,
@@ -43,7 +43,7 @@
         Some(self.last_arrival)
     }
 
-    /// Returns when the copies of a datagram arrive that is sent now: none, one or two.
+    /// Returns when the copies of a datagram that is sent at `now` arrive: none, one or two.
     pub fn datagram_arrivals(
         &mut self,
         now: Nanos,
@@ -57,7 +57,7 @@
         let departure = self.departure(now, bytes, conditions);
         let mut arrival = departure + latency(conditions, rng);
         if rng.random::<f64>() < conditions.reorder {
-            // Three times the latency and a millisecond: behind what is sent next.
+            // Three times the latency plus a millisecond: after datagrams that are sent next.
             arrival += 2 * (arrival - departure) + MS;
         }
         let mut arrivals = vec![arrival];
@@ -67,7 +67,7 @@
         arrivals
     }
 
-    /// Returns when the last byte leaves, at the bandwidth of the link.
+    /// Returns when the last byte has been transmitted at the bandwidth of the link.
     fn departure(&mut self, now: Nanos, bytes: usize, conditions: &LinkConditions) -> Nanos {
         if conditions.bytes_per_s == 0 {
             return now;
--- a/crates/chaos/src/link/lateness.rs
+++ b/crates/chaos/src/link/lateness.rs
@@ -1,16 +1,16 @@
-//! How late the event loop of the run itself is.
+//! Lateness of the run's own event loop.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::{Nanos, clock};
 
-/// Largest lateness since it was last taken. Clones share the value.
+/// Largest lateness since the last call of [`Self::take`]. Clones share the value.
 #[derive(Clone, Debug, Default)]
 pub struct LatenessGauge(Arc<AtomicU64>);
 
 impl LatenessGauge {
-    /// Records that something that was due at `due` is done now.
+    /// Records that something that was due at `due` happens now.
     pub fn record(&self, due: Nanos) {
         let late_us = clock::now().saturating_sub(due) / 1_000;
         self.0.fetch_max(late_us, Ordering::Relaxed);
--- a/crates/chaos/src/link/mod.rs
+++ b/crates/chaos/src/link/mod.rs
@@ -1,6 +1,6 @@
 //! Link emulation: latency, jitter, loss, bandwidth and partitions between clients, nodes, endpoints and discovery.
 //!
-//! [`LinkDirection`] decides when bytes arrive and does no I/O; [`tcp`] and [`udp`] carry bytes over loopback accordingly.
+//! [`LinkDirection`] decides when bytes arrive and does no I/O; [`tcp`] and [`udp`] carry bytes over loopback at these times.
 
 mod direction;
 mod lateness;
@@ -22,7 +22,7 @@
 
 use crate::task::AbortOnDrop;
 
-/// Largest latency and jitter, in milliseconds: longer than any deadline, so that more would be a partition.
+/// Largest latency and jitter, in milliseconds: as long as the longest deadline, so that more would be a partition.
 pub const MAX_LATENCY_MS: f64 = 60_000.0;
 
 /// What happens to new connections.
@@ -35,13 +35,13 @@
     Accept,
     /// They are refused, and open ones are reset.
     Refuse,
-    /// The kernel accepts them and nobody reads them; open ones stay open.
+    /// The kernel accepts them but nothing is read from them; open ones stay open.
     #[serde(rename = "silent")]
     Blackhole,
 }
 
 impl ConnectPolicy {
-    /// Returns the policy that prevails when several faults affect a link.
+    /// Returns the stricter of two policies, which applies when several faults affect a link.
     #[must_use]
     pub fn stricter(self, other: Self) -> Self {
         let strictness = |policy: Self| match policy {
@@ -62,17 +62,17 @@
     pub latency_ms: f64,
     /// Mean of the exponentially distributed part of the latency, in milliseconds.
     pub jitter_ms: f64,
-    /// Share of datagrams that are lost, and of stream segments that arrive only after a retransmission.
+    /// Share of datagrams that are lost, and of stream segments that need a retransmission.
     pub loss: f64,
     /// Share of datagrams that arrive twice.
     #[serde(rename = "duplicates")]
     pub duplication: f64,
-    /// Share of datagrams that later ones overtake.
+    /// Share of datagrams that are delayed so that later ones arrive first.
     pub reorder: f64,
     /// Bandwidth in bytes per second; 0 is unlimited.
     #[serde(rename = "rate")]
     pub bytes_per_s: u64,
-    /// Nothing arrives, and neither side gets an error.
+    /// Whether nothing arrives, without an error for either side.
     #[serde(rename = "cut")]
     pub partitioned: bool,
 }
@@ -81,10 +81,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LinkConditionsError {
     /// A share is out of its range.
-    #[error("`{0}` is a share: from 0 to 1, and loss under 1")]
+    #[error("`{0}` is out of range: shares are 0 to 1, and loss is under 1")]
     Share(&'static str),
     /// A latency is out of its range.
-    #[error("`{0}` is from 0 to {MAX_LATENCY_MS} ms")]
+    #[error("`{0}` is out of range: it is 0 to {MAX_LATENCY_MS} ms")]
     Latency(&'static str),
 }
 
@@ -92,11 +92,11 @@
     /// Checks that all values are in their ranges.
     ///
     /// # Errors
-    /// The keyword of the first value that is not.
+    /// The keyword of the first value that is out of its range.
     pub fn validate(&self) -> Result<(), LinkConditionsError> {
         let shares = [("loss", self.loss), ("duplicates", self.duplication), ("reorder", self.reorder)];
         for (keyword, share) in shares {
-            // A stream over a link that loses everything would never arrive: that is a partition.
+            // With a loss of 1 no stream segment would ever arrive: that is a partition.
             if !(0.0..=1.0).contains(&share) || (keyword == "loss" && share >= 1.0) {
                 return Err(LinkConditionsError::Share(keyword));
             }
@@ -109,8 +109,8 @@
         Ok(())
     }
 
-    /// Combines conditions that hold at the same time: latencies add up, losses are independent, the lower bandwidth and any
-    /// partition prevail.
+    /// Combines conditions that apply at the same time: latencies and jitters add up, loss, duplication and reordering are
+    /// independent, and the lower bandwidth and any partition apply.
     #[must_use]
     pub fn combine(&self, other: &Self) -> Self {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
@@ -129,16 +129,16 @@
     }
 }
 
-/// What a link is opened with.
+/// Options for opening a link.
 #[derive(Clone, Debug)]
 pub struct LinkOptions {
-    /// Where connections and datagrams go on to. It changes when the process there is started again.
+    /// Address to which connections and datagrams are forwarded. It changes when the process there is restarted.
     pub target: Rc<RefCell<SocketAddr>>,
-    /// State of the link at first.
+    /// Initial state of the link.
     pub state: LinkState,
     /// Seed of the link's random numbers.
     pub seed: u64,
-    /// Where the link records how late it is itself.
+    /// Where the link records its own lateness.
     pub lateness: LatenessGauge,
 }
 
@@ -147,7 +147,7 @@
 pub struct LinkSettings {
     /// State of the link.
     pub state: LinkState,
-    /// How often the link's connections were reset; an increase resets all that are open.
+    /// How often the link's connections were reset. A change resets all open connections.
     pub reset_count: u32,
 }
 
@@ -172,7 +172,7 @@
         self.settings.borrow().reset_count
     }
 
-    /// Changes the settings; nothing happens where they are the same.
+    /// Changes the settings; does nothing if they are the same.
     pub fn update(&self, settings: LinkSettings) {
         if *self.settings.borrow() != settings {
             self.settings.send_replace(settings);
--- a/crates/chaos/src/link/pump.rs
+++ b/crates/chaos/src/link/pump.rs
@@ -1,4 +1,4 @@
-//! Carries the bytes of one direction of a connection, at the times that [`LinkDirection`] gives.
+//! Carries the bytes of one direction of a connection and delivers them at the times that [`LinkDirection`] computes.
 
 use std::collections::VecDeque;
 use std::io;
@@ -12,24 +12,25 @@
 use super::{LatenessGauge, LinkConditions, LinkDirection, LinkSettings, LinkState};
 use crate::{Nanos, clock};
 
-/// Bytes that are read at once.
+/// Size of the buffer for one read, in bytes.
 const READ_BYTES: usize = 16 << 10;
-/// Segments in flight in a direction; a sender waits beyond, as behind a full TCP window.
+/// Largest number of segments in flight in a direction. Beyond it nothing is read, so that the sender waits, as for a full
+/// TCP window.
 const MAX_SEGMENTS_IN_FLIGHT: usize = 64;
 
-/// Bytes in flight.
+/// Bytes in flight: the result of one read.
 struct Segment {
     /// When it arrives; `None` while the link is partitioned.
     due: Option<Nanos>,
-    /// The bytes; none at the end of the stream.
+    /// The bytes; empty at the end of the stream.
     bytes: Vec<u8>,
 }
 
-/// What a direction of a connection goes by.
+/// Options of one direction of a connection.
 pub(super) struct PumpOptions {
     /// Settings of the link.
     pub settings: watch::Receiver<LinkSettings>,
-    /// Which conditions of the link hold for this direction.
+    /// Selects the conditions of this direction from the state of the link.
     pub conditions: fn(&LinkState) -> &LinkConditions,
     /// Random numbers of this direction.
     pub rng: StdRng,
@@ -67,7 +68,7 @@
             let next_due = self.in_flight.front().and_then(|segment| segment.due);
             tokio::select! {
                 biased;
-                // What is in flight when a link is partitioned arrives once it is not.
+                // Segments that are in flight when the link is partitioned arrive once the partition has healed.
                 () = wait_until(next_due), if !partitioned => {
                     if self.deliver_next().await? {
                         return Ok(());
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Schedules segments that a partition held back; returns whether the link is partitioned.
+    /// Schedules segments that a partition held back, if it has healed; returns whether the link is partitioned.
     fn schedule_held_segments(&mut self) -> bool {
         let settings = self.options.settings.borrow_and_update();
         let conditions = (self.options.conditions)(&settings.state);
@@ -100,6 +101,7 @@
         conditions.partitioned
     }
 
+    /// Puts bytes in flight; no bytes mean the end of the stream.
     fn send(&mut self, bytes: &[u8]) {
         self.reader_ended = bytes.is_empty();
         let settings = self.options.settings.borrow();
@@ -122,7 +124,7 @@
     }
 }
 
-/// Waits until a time; forever where there is none.
+/// Waits until a time; forever if there is none.
 async fn wait_until(due: Option<Nanos>) {
     let Some(due) = due else { return std::future::pending().await };
     let left = Duration::from_nanos(due.saturating_sub(clock::now()));
--- a/crates/chaos/src/link/state.rs
+++ b/crates/chaos/src/link/state.rs
@@ -1,4 +1,4 @@
-//! State of a link between two ends, and who is at its ends.
+//! State and ends of a link.
 
 use super::{ConnectPolicy, LinkConditions};
 
--- a/crates/chaos/src/link/tcp.rs
+++ b/crates/chaos/src/link/tcp.rs
@@ -1,5 +1,5 @@
-//! Emulated links for TCP connections: a listener on loopback for each, which opens a connection to the target for each one
-//! that it accepts.
+//! Emulated links for TCP connections. Each link has a listener on loopback, and opens a connection to its target for each
+//! connection that it accepts.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,12 +18,12 @@
 use crate::clock;
 use crate::task::AbortOnDrop;
 
-/// Timeout of a connection to the target.
+/// Timeout for opening a connection to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after an accept that failed for want of descriptors.
+/// Pause after a failed accept or bind: while descriptors are exhausted, the next one would fail at once.
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 
-/// Opens a link on a free port of loopback. It needs a `LocalSet`.
+/// Opens a link on a free port of loopback. Must be called within a `LocalSet`.
 ///
 /// # Errors
 /// A listener that can't be opened.
@@ -31,10 +31,10 @@
     open_on(TcpListener::bind("127.0.0.1:0").await?, options)
 }
 
-/// Opens a link on a listener.
+/// Opens a link on an existing listener. Must be called within a `LocalSet`.
 ///
 /// # Errors
-/// A listener that has no address.
+/// A listener whose address can't be read.
 pub fn open_on(listener: TcpListener, options: LinkOptions) -> io::Result<Link> {
     let address = listener.local_addr()?;
     let settings = LinkSettings { state: options.state.clone(), reset_count: 0 };
@@ -86,7 +86,7 @@
     }
 }
 
-/// What one connection goes by.
+/// Options of one accepted connection.
 struct Connection {
     target: SocketAddr,
     settings: watch::Receiver<LinkSettings>,
@@ -95,7 +95,7 @@
 }
 
 impl Connection {
-    /// Takes what holds now for the connection of this number.
+    /// Captures the link's current target. `number`, the count of accepted connections, selects the connection's random seed.
     fn new(options: &LinkOptions, settings: &watch::Receiver<LinkSettings>, number: u64) -> Self {
         Self {
             target: *options.target.borrow(),
@@ -106,7 +106,7 @@
     }
 }
 
-/// Carries one connection until its end, or until the link resets it.
+/// Carries one connection until it ends or the link resets it.
 async fn carry(near: TcpStream, connection: Connection) {
     let Connection { target, mut settings, rng, lateness } = connection;
     let resets_before = settings.borrow_and_update().reset_count;
@@ -173,7 +173,7 @@
     Ok(())
 }
 
-/// Makes the close of a socket send RST in place of FIN.
+/// Makes closing a socket send RST instead of FIN.
 fn reset_on_close(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/chaos/src/link/udp.rs
+++ b/crates/chaos/src/link/udp.rs
@@ -1,4 +1,4 @@
-//! Emulated links for datagrams, for protocols between nodes.
+//! Emulated links for UDP datagrams, as protocols between nodes use them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,20 +22,20 @@
 
 /// Size of the largest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Datagrams in flight in a direction; more are dropped, as by a full queue.
+/// Largest number of datagrams in flight in a direction; further ones are dropped, as by a full queue.
 const MAX_DATAGRAMS_IN_FLIGHT: usize = 1_024;
-/// Senders that a link tells apart: each has a socket for its replies. Datagrams of further ones are dropped.
+/// Largest number of senders per link: each has a separate socket for its replies. Datagrams of further senders are dropped.
 const MAX_SENDERS: usize = 64;
 /// Attempts to find a port that is free for TCP and UDP.
 const MAX_PORT_ATTEMPTS: usize = 64;
 
-/// Where a datagram goes, and by which socket.
+/// Destination of a datagram, and the socket that sends it.
 struct Route {
     socket: Rc<UdpSocket>,
     destination: SocketAddr,
 }
 
-/// One direction of a link. Datagrams in flight are dropped with it.
+/// One direction of a link. Dropping it drops the datagrams in flight.
 struct DatagramDirection {
     direction: RefCell<LinkDirection>,
     rng: RefCell<StdRng>,
@@ -55,9 +55,9 @@
         }
     }
 
-    /// Sends a datagram on, after the latency of the link and as often as the link delivers it.
+    /// Forwards each copy of a datagram that the link delivers, after the link's latency.
     fn send(&self, bytes: &[u8], conditions: &LinkConditions, policy: ConnectPolicy, route: &Route) {
-        // There is no error for a datagram that is refused.
+        // UDP senders get no error: refused datagrams are dropped.
         if policy != ConnectPolicy::Accept {
             return;
         }
@@ -87,7 +87,7 @@
     }
 }
 
-/// Opens a link for datagrams on a free port of loopback; replies go back to the sender. It needs a `LocalSet`.
+/// Opens a link for datagrams on a free port of loopback; replies go back to the sender. Must be called within a `LocalSet`.
 ///
 /// # Errors
 /// A socket that can't be opened.
@@ -104,7 +104,7 @@
     pub udp: Link,
 }
 
-/// Opens a link for connections and one for datagrams at the same address.
+/// Opens a link for connections and one for datagrams at the same address. Must be called within a `LocalSet`.
 ///
 /// # Errors
 /// Sockets that can't be opened.
@@ -141,7 +141,7 @@
         let (count, sender) = tokio::select! {
             received = near.recv_from(&mut buffer) => match received {
                 Ok(received) => received,
-                // An ICMP error about an earlier datagram.
+                // Caused by an ICMP error about an earlier datagram.
                 Err(_) => continue,
             },
             () = wait_until_closed(&mut closed) => return,
--- a/crates/chaos/src/link_overhead.rs
+++ b/crates/chaos/src/link_overhead.rs
@@ -1,4 +1,4 @@
-//! Measures what an emulated link adds to a round trip, beside a connection without one.
+//! Measures how much an emulated link adds to the round-trip time of a direct connection.
 
 use std::cell::RefCell;
 use std::io;
@@ -15,9 +15,9 @@
 use crate::link::{LatenessGauge, LinkOptions, LinkState, tcp};
 use crate::task::AbortOnDrop;
 
-/// Rounds of each, in turn; the medians count.
+/// Rounds over each path, direct and via the link in turn; the medians are reported.
 const ROUNDS: usize = 9;
-/// Round trips in a round.
+/// Round trips per round.
 const ROUND_TRIPS: u32 = 500;
 /// Bytes in each direction of a round trip: a small request with its header.
 const MESSAGE_BYTES: usize = 400;
@@ -32,10 +32,10 @@
     pub via_link_us: f64,
 }
 
-/// Measures the overhead.
+/// Measures round trips over loopback, directly and via an emulated link.
 ///
 /// # Errors
-/// Sockets that can't be opened.
+/// A socket that can't be opened, or a connection that breaks.
 pub fn measure() -> io::Result<LinkOverhead> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
@@ -61,7 +61,7 @@
     values[values.len() / 2]
 }
 
-/// A server that sends back what it reads, until it is dropped.
+/// An echo server that runs until it is dropped.
 struct EchoServer {
     address: SocketAddr,
     _task: AbortOnDrop,
--- a/crates/chaos/src/main.rs
+++ b/crates/chaos/src/main.rs
@@ -1,4 +1,4 @@
-//! Fault injection on processes, from the command line.
+//! The `pumicehead-chaos` program.
 
 fn main() -> std::process::ExitCode {
     pumicehead_chaos::cli::main()
--- a/crates/chaos/src/run/clients.rs
+++ b/crates/chaos/src/run/clients.rs
@@ -1,4 +1,5 @@
-//! Clients: those of each node send requests as many independent users would, and record how each one ended.
+//! Clients of each node: they send requests at random times that do not depend on responses, as many independent users
+//! would, and record how each request ended.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -23,14 +24,14 @@
 use crate::stand_ins::REQUEST_ID_HEADER;
 use crate::task::AbortOnDrop;
 
-/// Time that clients wait beyond the deadline, so that a late response is told from none.
+/// Time that clients wait beyond the deadline, so that a late response can be distinguished from none.
 const TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
-/// Clients close connections that were idle for longer; nodes keep idle connections longer than that.
+/// Clients do not reuse connections that were idle for longer; nodes keep idle connections open longer than that.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(5);
-/// Step, in seconds, at which a pause in the load is looked at again.
+/// Step, in seconds, by which generation advances while the request rate is 0.
 const PAUSE_STEP_S: f64 = 0.1;
 
-/// A request at its time.
+/// A request with the time at which it is sent.
 struct ScheduledRequest {
     /// Time since the start of the load.
     at: Duration,
@@ -52,7 +53,7 @@
 
 type ConnectionPool = Rc<RefCell<Vec<PooledConnection>>>;
 
-/// Generates the requests of a node's clients: the same for a seed, whatever the nodes do.
+/// Generates the requests of a node's clients. They depend on the scenario and its seed alone, not on how nodes respond.
 fn generate_requests(scenario: &Scenario, node: usize) -> Vec<ScheduledRequest> {
     let seed = scenario.seed.wrapping_mul(1_000_003).wrapping_add(node as u64);
     let mut rng = StdRng::seed_from_u64(seed);
@@ -72,7 +73,7 @@
     }
 }
 
-/// Starts the clients of all nodes, with an address for each. The tasks end after the last request.
+/// Starts the clients of all nodes; `addresses` has one address per node. The tasks end after the last request.
 pub(crate) fn start(
     scenario: &Scenario,
     addresses: &[SocketAddr],
@@ -122,7 +123,8 @@
         self.log.record(EventKind::RequestEnded { id, outcome });
     }
 
-    /// Sends a request. The node may close an idle connection at the same time without reading it: then it is sent again.
+    /// Sends a request. If the node closes a reused idle connection at the same time, without having read the request, the
+    /// request is sent again over another connection.
     async fn send(&self, request: &ScheduledRequest) -> ClientOutcome {
         loop {
             let pooled = self.pool.borrow_mut().pop();
--- a/crates/chaos/src/run/error.rs
+++ b/crates/chaos/src/run/error.rs
@@ -12,8 +12,8 @@
     /// A message to a stand-in could not be encoded.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A node did not start to listen in time.
-    #[error("node {node} does not start: see {}", work_dir.display())]
+    /// A node did not listen in time, or exited before.
+    #[error("node {node} did not start; its log is in {}", work_dir.display())]
     NodeDidNotStart {
         /// The node.
         node: usize,
--- a/crates/chaos/src/run/event_log.rs
+++ b/crates/chaos/src/run/event_log.rs
@@ -1,4 +1,4 @@
-//! Events of a run as they happen.
+//! Collects the events of a run.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,12 +16,12 @@
 }
 
 impl EventLog {
-    /// Starts a log now.
+    /// Creates a log whose times count from now.
     pub fn starting_now() -> Self {
         Self { events: Rc::default(), start: clock::now() }
     }
 
-    /// Adds an event of now.
+    /// Adds an event with the current time.
     pub fn record(&self, kind: EventKind) {
         self.record_at(clock::now(), kind);
     }
@@ -30,7 +30,7 @@
         self.events.borrow_mut().push(Event { at: at.saturating_sub(self.start), kind });
     }
 
-    /// Adds events that a stand-in writes, until its output ends. Lines of another form are skipped.
+    /// Adds the events that a stand-in writes, until its output ends. Skips lines that can't be decoded.
     pub async fn collect(self, mut lines: UnboundedReceiver<String>) {
         while let Some(line) = lines.recv().await {
             if let Ok(event) = serde_json::from_str::<Event>(&line) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Takes all events.
+    /// Removes all events from the log and returns them.
     pub fn take_events(&self) -> Vec<Event> {
         self.events.take()
     }
--- a/crates/chaos/src/run/fleet.rs
+++ b/crates/chaos/src/run/fleet.rs
@@ -23,12 +23,12 @@
 use crate::stand_ins::DiscoveryChange;
 use crate::supervisor::Supervisor;
 
-/// Time for nodes to get their first endpoint list before the load starts.
+/// Time given to nodes to get their first endpoint list before the load starts.
 const FIRST_LIST_TIME: Duration = Duration::from_millis(300);
-/// Limit for nodes to write recordings.
+/// Time limit for nodes to write recordings.
 const RECORDING_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The processes of a run, with their links. Dropping it ends them all, the supervisor first.
+/// The processes of a run, with their links. Dropping it kills all of them, first through the supervisor.
 pub(super) struct Fleet<'a> {
     pub(super) scenario: &'a Scenario,
     options: &'a RunOptions,
@@ -36,7 +36,7 @@
     pub(super) log: EventLog,
     pub(super) nodes: Vec<Option<ManagedProcess>>,
     pub(super) endpoints: Vec<Option<ManagedProcess>>,
-    /// How often each endpoint was started before.
+    /// Number of restarts of each endpoint.
     pub(super) incarnations: Vec<u32>,
     discovery: ManagedProcess,
     pub(super) links: FleetLinks,
@@ -92,7 +92,7 @@
         Ok(fleet)
     }
 
-    /// Returns where clients reach each node.
+    /// Returns the address at which clients reach each node.
     pub fn client_addresses(&self) -> Vec<SocketAddr> {
         let nodes = (0..self.scenario.fleet.nodes).map(LinkEnd::Node);
         nodes.map(|to| self.links.address(LinkPath { from: LinkEnd::Clients, to })).collect()
@@ -124,7 +124,7 @@
         self.list_endpoint(endpoint, ListedHealth::Active)
     }
 
-    /// Has discovery list an endpoint.
+    /// Makes discovery list an endpoint with this health.
     pub(super) fn list_endpoint(&mut self, endpoint: usize, health: ListedHealth) -> Result<(), RunError> {
         let to = LinkEnd::Endpoint(endpoint);
         let nodes = (0..self.scenario.fleet.nodes).map(LinkEnd::Node);
@@ -150,7 +150,7 @@
         Ok(())
     }
 
-    /// Records the run's lateness, the nodes' resources and views, and unexpected exits.
+    /// Records the run's lateness, the nodes' resources and unexpected exits, and polls the nodes' views.
     pub fn sample(&mut self) {
         self.log.record(EventKind::HarnessLag { max_us: self.lateness.take() });
         if self.scenario.fleet.membership {
@@ -162,14 +162,14 @@
                 warn!(node, status = %text, "node exited unexpectedly");
                 self.log.record(EventKind::NodeCrashed { node, text });
                 self.log.record(EventKind::NodeState { node, state: ProcessState::Down });
-            } else if let Some(held) = process.resources() {
-                let (descriptors, memory_kib) = (held.descriptors, held.memory_kib);
+            } else if let Some(resources) = process.resources() {
+                let (descriptors, memory_kib) = (resources.descriptors, resources.memory_kib);
                 self.log.record(EventKind::ResourceUsage { node, descriptors, memory_kib });
             }
         }
     }
 
-    /// Asks all running nodes for recordings, and waits until they are written.
+    /// Asks all running nodes to write recordings, and waits for them for at most [`RECORDING_TIMEOUT`].
     pub async fn write_recordings(&mut self) -> Result<(), RunError> {
         let before = self.files.recordings(self.nodes.len())?;
         let mut requested = 0;
@@ -183,11 +183,11 @@
             }
             Ok(())
         };
-        // A node that writes none logs why.
+        // A timeout is no error: a node that writes no recording logs the reason.
         timeout(RECORDING_TIMEOUT, written).await.unwrap_or(Ok(()))
     }
 
-    /// Stops all nodes in order; those that do not exit are killed.
+    /// Stops all nodes with SIGTERM; those that do not exit in time are killed.
     pub async fn stop_nodes(&mut self) {
         self.membership.stop();
         for (node, process) in self.nodes.iter_mut().enumerate() {
@@ -208,7 +208,7 @@
     }
 }
 
-/// Sends a signal to a process unless it is stopped; returns its state afterwards.
+/// Sends a signal to a process unless it was already stopped; returns its new state.
 pub(super) fn signal_process(
     process: &mut Option<ManagedProcess>,
     signal: ProcessSignal,
--- a/crates/chaos/src/run/fleet_actions.rs
+++ b/crates/chaos/src/run/fleet_actions.rs
@@ -1,4 +1,4 @@
-//! Performs the actions of faults on a fleet.
+//! Performs the scheduled actions of faults on a fleet.
 
 use rustix::process::Signal;
 use tracing::{info, warn};
@@ -85,7 +85,7 @@
             self.log.record(EventKind::NodeState { node, state: ProcessState::Down });
         }
         if let Err(error) = self.start_node(node).await {
-            warn!(node, %error, "node does not start again");
+            warn!(node, %error, "node did not restart");
             self.nodes[node] = None;
             self.log.record(EventKind::NodeCrashed { node, text: error.to_string() });
         }
@@ -100,7 +100,7 @@
         self.start_endpoint(endpoint).await
     }
 
-    /// Sends an endpoint how it responds under the active faults.
+    /// Sends an endpoint its behavior under the active faults.
     pub(super) fn send_behavior(&mut self, endpoint: usize) -> Result<(), RunError> {
         let faults = &self.scenario.faults;
         let active: Vec<_> = self.active_behavior_faults.iter().map(|index| &faults[*index]).collect();
--- a/crates/chaos/src/run/fleet_links.rs
+++ b/crates/chaos/src/run/fleet_links.rs
@@ -1,5 +1,5 @@
-//! The emulated links of a fleet: from clients to nodes, and from each node to discovery, to each endpoint and, with membership, to
-//! each other node.
+//! The emulated links of a fleet: from clients to each node, and from each node to discovery, to each endpoint and, with
+//! membership, to each other node.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,10 +13,10 @@
 use crate::link::{LatenessGauge, Link, LinkEnd, LinkOptions, LinkPath, LinkSettings, tcp, udp};
 use crate::scenario::Scenario;
 
-/// The target of links to a process that has not started yet: nothing listens on the discard port of loopback.
+/// The target of links to a process that has not started yet: the discard port of loopback, where nothing listens.
 const NO_TARGET: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
 
-/// The link of one path: one for TCP and, between members, one for UDP at the same address.
+/// The links of one path: one for TCP and, between members, one for UDP at the same address.
 struct FleetLink {
     address: SocketAddr,
     target: Rc<RefCell<SocketAddr>>,
@@ -31,7 +31,7 @@
 }
 
 impl FleetLinks {
-    /// Opens all links. Discovery has an address for each node.
+    /// Opens all links. `discovery` has one address per node.
     pub async fn open(
         scenario: &Scenario,
         discovery: &[SocketAddr],
@@ -54,14 +54,14 @@
         Ok(Self { links, active_faults: Vec::new() })
     }
 
-    /// Returns where a link listens, if there is one on this path.
+    /// Returns the address of the link on this path; `None` if there is no such link.
     pub fn find_address(&self, path: LinkPath) -> Option<SocketAddr> {
         self.links.get(&path).map(|link| link.address)
     }
 
-    /// Returns where a link listens.
+    /// Returns the address of the link on this path, which must exist.
     pub fn address(&self, path: LinkPath) -> SocketAddr {
-        self.find_address(path).expect("paths of this kind all have a link")
+        self.find_address(path).expect("a link is open for every path of this kind")
     }
 
     /// Points all links to an endpoint at its new process.
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Begins a link fault, or ends it if it is active, and sets all links accordingly.
+    /// Begins a link fault, or ends it if it is active, and updates all links.
     pub fn toggle_fault(&mut self, scenario: &Scenario, index: usize) {
         let begins = toggle(&mut self.active_faults, index);
         let fault = &scenario.faults[index];
@@ -117,7 +117,7 @@
     }
 }
 
-/// Returns all paths, in the order of their seeds.
+/// Returns all paths. Their order determines the random seeds of their links.
 fn paths(scenario: &Scenario) -> Vec<LinkPath> {
     let fleet = &scenario.fleet;
     let mut paths = Vec::new();
--- a/crates/chaos/src/run/membership_poll.rs
+++ b/crates/chaos/src/run/membership_poll.rs
@@ -1,4 +1,4 @@
-//! Polls the nodes' views of their membership over their admin listeners.
+//! Polls the nodes' membership views over their admin listeners.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,19 +16,19 @@
 use super::event_log::EventLog;
 use crate::history::{EventKind, MemberState};
 
-/// Timeout of a query: a node that takes longer is paused or gone.
+/// Timeout of a query: a node that takes longer is paused or down.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 /// The admin command that returns a node's view as JSON.
 const VIEW_COMMAND: &[u8] = b"FLEET members\n";
 
-/// A node's view.
+/// A node's membership view.
 #[derive(Clone, PartialEq)]
 struct View {
     fingerprint: String,
     members: BTreeMap<usize, MemberState>,
 }
 
-/// A start of a node.
+/// Polling state of one process of a node.
 #[derive(Default)]
 struct PolledNode {
     admin: Option<SocketAddr>,
@@ -39,13 +39,13 @@
 /// Polls the views of all nodes and records their changes.
 pub(super) struct MembershipPoll {
     nodes: Vec<Rc<PolledNode>>,
-    /// Nodes are being stopped: their views change because of that.
+    /// Set when the run stops its nodes: view changes are no longer recorded, as the stops cause them.
     stopped: Rc<Cell<bool>>,
     queries: JoinSet<()>,
 }
 
 impl MembershipPoll {
-    /// Polls no node until it has started.
+    /// Creates a poll that skips each node until it has started.
     pub fn new(nodes: usize) -> Self {
         Self {
             nodes: (0..nodes).map(|_| Rc::default()).collect(),
@@ -54,17 +54,17 @@
         }
     }
 
-    /// Polls a node at the admin listener of its new process.
+    /// Uses the admin listener of a node's new process from now on.
     pub fn node_started(&mut self, node: usize, admin: SocketAddr) {
         self.nodes[node] = Rc::new(PolledNode { admin: Some(admin), ..PolledNode::default() });
     }
 
-    /// Records no more changes.
+    /// Stops recording changes.
     pub fn stop(&self) {
         self.stopped.set(true);
     }
 
-    /// Queries all nodes that have no query under way.
+    /// Queries all nodes that have no query in progress.
     pub fn poll(&mut self, log: &EventLog) {
         while self.queries.try_join_next().is_some() {}
         for (node, polled) in self.nodes.iter().enumerate() {
@@ -95,7 +95,7 @@
     }
 }
 
-/// The answer to [`VIEW_COMMAND`].
+/// The response to [`VIEW_COMMAND`].
 #[derive(Deserialize)]
 struct ViewResponse {
     fingerprint: String,
@@ -109,8 +109,8 @@
 }
 
 impl MemberResponse {
-    /// Returns the node's number and state; `None` if it is no node of the run.
-    fn numbered(self) -> Option<(usize, MemberState)> {
+    /// Returns the node's number and state; `None` if the name is not one of a node of the run.
+    fn into_numbered(self) -> Option<(usize, MemberState)> {
         Some((self.name.strip_prefix('n')?.parse().ok()?, self.state))
     }
 }
@@ -121,6 +121,6 @@
     let mut text = String::new();
     stream.read_to_string(&mut text).await?;
     let ViewResponse { fingerprint, members } = serde_json::from_str(&text)?;
-    let members = members.into_iter().filter_map(MemberResponse::numbered).collect();
+    let members = members.into_iter().filter_map(MemberResponse::into_numbered).collect();
     Ok(View { fingerprint, members })
 }
--- a/crates/chaos/src/run/mod.rs
+++ b/crates/chaos/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario: starts the fleet, sends its load, injects its faults and collects the history.
+//! Runs a scenario: starts the fleet, generates the load, injects the faults and collects the history.
 
 mod clients;
 mod error;
@@ -34,21 +34,21 @@
 
 /// Interval at which resources, exits, views and the run's own lateness are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval at which the run checks that its event loop is in time.
+/// Interval at which the run measures the lateness of its event loop.
 const LAG_PROBE_INTERVAL: Duration = Duration::from_millis(20);
-/// Limit for a process to start or to exit in order.
+/// Time limit for a process to start, or to exit after SIGTERM.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for the last events to arrive from other processes.
+/// Time given to the last events of other processes to arrive.
 const EVENT_DRAIN_TIME: Duration = Duration::from_millis(500);
-/// Time from the start of the fleet to the start of the load.
+/// Delay between the start of the fleet and the start of the load.
 const LOAD_START_DELAY: Duration = Duration::from_millis(50);
 
-/// What a scenario is run with.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
     /// The proxy program.
     pub node_program: PathBuf,
-    /// This program, whose other commands are the stand-ins and the supervisor.
+    /// This program, which has hidden commands for the stand-ins and the supervisor.
     pub chaos_program: PathBuf,
     /// Directory for configurations, logs, files and recordings of nodes.
     pub work_dir: PathBuf,
@@ -59,8 +59,8 @@
 /// Runs a scenario to its end.
 ///
 /// # Errors
-/// A fleet that does not start, a process that can't be started, or an interrupt from the terminal. Everything that was started
-/// is ended in any case.
+/// A fleet that does not start, a file, socket or process that fails, or an interrupt from the terminal. All processes are
+/// ended in any case.
 pub fn run_scenario(scenario: &Scenario, options: &RunOptions) -> Result<History, RunError> {
     std::fs::create_dir_all(&options.work_dir)?;
     let runtime = Builder::new_current_thread().enable_all().build()?;
@@ -81,7 +81,7 @@
     let mut fleet = Fleet::start(scenario, options, log.clone(), lateness.clone()).await?;
     let start = Instant::now() + LOAD_START_DELAY;
     let mut clients = clients::start(scenario, &fleet.client_addresses(), start, &log);
-    // Lateness during the start of the fleet does not count.
+    // Lateness during the start of the fleet is discarded.
     let _ = lateness.take();
     let lag_probe = AbortOnDrop::new(spawn_local(probe_lag(lateness)));
     inject_faults(&mut fleet, scenario, start).await?;
@@ -99,7 +99,7 @@
     Ok(History::from_events(log.take_events()))
 }
 
-/// Records how late the event loop is: links and clients, which share it, are as late.
+/// Records the lateness of the event loop, which delays links and clients as well, as they share it.
 async fn probe_lag(lateness: LatenessGauge) {
     loop {
         let due = clock::now() + LAG_PROBE_INTERVAL.as_nanos() as Nanos;
@@ -130,18 +130,19 @@
     }
 }
 
-/// Returns the path of a built program: beside this one, or above its tests.
+/// Returns the path of a built program: in the directory of this program, or in its parent, as tests are
+/// built into a subdirectory.
 ///
 /// # Errors
-/// The program is not there.
+/// The program does not exist.
 pub fn built_program(name: &str) -> io::Result<PathBuf> {
     pumicehead_testbed::program::built(name)
 }
 
-/// Creates an empty directory among the system's temporary ones.
+/// Creates an empty directory in the system's temporary directory, in place of an earlier one of the same name.
 ///
 /// # Errors
-/// A directory that can't be created.
+/// A directory that can't be created, or an earlier one that can't be removed.
 pub fn temporary_dir(name: &str) -> io::Result<PathBuf> {
     let path = std::env::temp_dir().join(format!("pumicehead-chaos-{}-{name}", std::process::id()));
     if path.exists() {
--- a/crates/chaos/src/run/node_config.rs
+++ b/crates/chaos/src/run/node_config.rs
@@ -1,13 +1,13 @@
-//! Configuration files of nodes.
+//! Generates the configuration files of nodes.
 
 use super::fleet::Fleet;
 use crate::link::{LinkEnd, LinkPath};
 
-/// Number of nodes that the others join the group through.
+/// Number of nodes that serve as seeds for joining the group.
 const SEED_NODES: usize = 2;
 
 impl Fleet<'_> {
-    /// Returns a node's configuration, as an operator would write it.
+    /// Returns a node's configuration in the configuration language of operators.
     pub(super) fn node_config(&self, node: usize) -> String {
         let discovery_path = LinkPath { from: LinkEnd::Node(node), to: LinkEnd::Discovery };
         let discovery = self.links.address(discovery_path);
@@ -32,7 +32,7 @@
         )
     }
 
-    /// Returns the block of a member, with the address at which it reaches each other one; empty without membership.
+    /// Returns the `fleet` block, with the address at which the node reaches each other member; empty without membership.
     fn membership_config(&self, node: usize) -> String {
         if !self.scenario.fleet.membership {
             return String::new();
--- a/crates/chaos/src/run/node_files.rs
+++ b/crates/chaos/src/run/node_files.rs
@@ -1,4 +1,4 @@
-//! Files that nodes write, each into a directory of its own: damaged by faults, and read again at the end.
+//! Files that nodes write, each node into its own directory. Faults damage them, and recordings are read at the end.
 
 #[cfg(test)]
 mod tests;
@@ -15,15 +15,15 @@
 use crate::fault_kind::FileFault;
 use crate::history::{EventKind, ReadFailure};
 
-/// Largest number of bytes of a file that are changed.
+/// Largest number of bytes of a file that a fault overwrites.
 const MAX_FLIPPED_BYTES: usize = 8;
 /// Exit codes of the proxy program when it reports what is wrong with a recording.
 const REJECTION_EXIT_CODES: [i32; 2] = [1, 2];
 /// Extension of recordings.
 const RECORDING_EXTENSION: &str = "rec";
-/// File with what the proxy program says of all recordings.
+/// File with the proxy program's explanations of all recordings.
 const EXPLANATIONS_FILE: &str = "why.txt";
-/// Keeps the random numbers for files apart from others of the same seed.
+/// Makes the random numbers for files independent of others from the same seed.
 const SEED_SALT: u64 = 0xF11E_5EED;
 
 /// A recording of a node.
@@ -43,7 +43,7 @@
 }
 
 impl NodeFiles {
-    /// Creates nothing: nodes get their directories when they start.
+    /// Creates no directories: each is created when its node starts.
     pub fn new(work_dir: &Path, seed: u64) -> Self {
         Self {
             work_dir: work_dir.to_owned(),
@@ -62,7 +62,7 @@
         self.work_dir.join(format!("n{node}"))
     }
 
-    /// Damages all files of a node that is down.
+    /// Damages or removes all files of a node that is down.
     pub fn damage(&mut self, node: usize, file_fault: FileFault) -> io::Result<()> {
         for path in files_in(&self.node_dir(node))? {
             match file_fault {
@@ -90,8 +90,8 @@
     fn flip_bytes(&mut self, path: &Path) -> io::Result<()> {
         let mut bytes = fs::read(path)?;
         for _ in 0..MAX_FLIPPED_BYTES.min(bytes.len()) {
-            let place = self.rng.random_range(0..bytes.len());
-            bytes[place] ^= self.rng.random_range(1..=255u8);
+            let index = self.rng.random_range(0..bytes.len());
+            bytes[index] ^= self.rng.random_range(1..=255u8);
         }
         fs::write(path, bytes)
     }
@@ -108,7 +108,7 @@
         Ok(recordings)
     }
 
-    /// Reads all recordings with the proxy program, whose explanations go into a file of the work directory.
+    /// Reads all recordings with the proxy program, and writes its explanations to a file in the work directory.
     pub fn read_recordings(&self, nodes: usize, node_program: &Path) -> io::Result<Vec<EventKind>> {
         let mut explanations = fs::File::create(self.work_dir.join(EXPLANATIONS_FILE))?;
         let mut events = Vec::new();
@@ -131,7 +131,8 @@
     }
 }
 
-/// Returns the files of a directory in a fixed order, by which random numbers are drawn.
+/// Returns the files of a directory, sorted, so that each gets the same random numbers in every run; none if there is no
+/// such directory.
 fn files_in(directory: &Path) -> io::Result<Vec<PathBuf>> {
     if !directory.exists() {
         return Ok(Vec::new());
--- a/crates/chaos/src/run/node_files/tests.rs
+++ b/crates/chaos/src/run/node_files/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::run::temporary_dir;
 
-/// Guards what becomes of files: the same for a seed, gone where that is asked, and no other node's.
+/// Damage must be reproducible for a seed, must be marked except for removed files, and must not affect other nodes.
 #[test]
-fn files_are_damaged_as_the_fault_says() {
+fn file_faults_damage_only_the_files_of_their_node() {
     let work_dir = temporary_dir("files").unwrap();
     let damage = |file_fault: FileFault| {
         for node in 0..2 {
--- a/crates/chaos/src/run/node_process.rs
+++ b/crates/chaos/src/run/node_process.rs
@@ -1,4 +1,4 @@
-//! Starts processes of nodes.
+//! Starts the processes of nodes.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -12,16 +12,19 @@
 use super::{PROCESS_TIMEOUT, RunError, RunOptions};
 use crate::supervisor::Supervisor;
 
-/// Runs a node with SIGXFSZ ignored: a file that can't grow is an error to the node then, as on a full disk, and no signal.
+/// Runs a node with SIGXFSZ ignored, so that a write beyond the file size limit returns an error, as on a full disk, instead of
+/// raising the signal.
 const NODE_SCRIPT: &str = "trap '' XFSZ; exec \"$0\" run \"$1\"";
 
-/// Words of the node's log before the address of each of its listeners, in this version and in earlier ones: a run may
-/// be played with another build of the node.
-const MEMBERSHIP_LISTENER_WORDS: [&str; 2] = [" fleet_address=", " speaks on "];
-const CLIENT_LISTENER_WORDS: [&str; 1] = [" listens on "];
-const ADMIN_LISTENER_WORDS: [&str; 2] = [" takes admin commands on ", " takes calls on "];
+/// Text in the node's log before the address of its membership listener, in this version and in earlier ones: a run may use
+/// another build of the node.
+const MEMBERSHIP_ADDRESS_PREFIXES: [&str; 2] = [" fleet_address=", " speaks on "];
+/// Text before the address of the client listener.
+const CLIENT_ADDRESS_PREFIXES: [&str; 1] = [" listens on "];
+/// Text before the address of the admin listener, in this version and in earlier ones.
+const ADMIN_ADDRESS_PREFIXES: [&str; 2] = [" takes admin commands on ", " takes calls on "];
 
-/// Where a node listens.
+/// Addresses on which a node listens.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NodeAddresses {
     /// For clients.
@@ -32,11 +35,9 @@
     pub membership: Option<SocketAddr>,
 }
 
-/// A node that listens.
+/// A started node that listens.
 pub(super) struct StartedNode {
-    /// Its process.
     pub process: ManagedProcess,
-    /// Where it listens.
     pub addresses: NodeAddresses,
 }
 
@@ -62,20 +63,21 @@
     }
 }
 
-/// Reads a node's addresses from its log; `None` if it ends before. The admin listener is the last that a node opens.
+/// Reads a node's addresses from its log; `None` if the log ends first. The admin listener is the last one that a node opens.
 async fn read_addresses(mut lines: UnboundedReceiver<String>) -> Option<NodeAddresses> {
     let (mut membership, mut clients) = (None, None);
     while let Some(line) = lines.recv().await {
-        membership = membership.or(address_after(&line, &MEMBERSHIP_LISTENER_WORDS));
-        clients = clients.or(address_after(&line, &CLIENT_LISTENER_WORDS));
-        if let (Some(clients), Some(admin)) = (clients, address_after(&line, &ADMIN_LISTENER_WORDS)) {
+        membership = membership.or(address_after(&line, &MEMBERSHIP_ADDRESS_PREFIXES));
+        clients = clients.or(address_after(&line, &CLIENT_ADDRESS_PREFIXES));
+        if let (Some(clients), Some(admin)) = (clients, address_after(&line, &ADMIN_ADDRESS_PREFIXES)) {
             return Some(NodeAddresses { clients, admin, membership });
         }
     }
     None
 }
 
-fn address_after(line: &str, words: &[&str]) -> Option<SocketAddr> {
-    let (_, address) = words.iter().find_map(|words| line.split_once(words))?;
+/// Returns the address that follows one of the prefixes.
+fn address_after(line: &str, prefixes: &[&str]) -> Option<SocketAddr> {
+    let (_, address) = prefixes.iter().find_map(|prefix| line.split_once(prefix))?;
     address.trim().parse().ok()
 }
--- a/crates/chaos/src/run/process.rs
+++ b/crates/chaos/src/run/process.rs
@@ -1,4 +1,4 @@
-//! Processes that a run starts. They are ended by their process ids, also when the run fails.
+//! Processes that a run starts. They are killed by their process ids, also when the run fails.
 
 use std::fs;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -13,7 +13,7 @@
 use super::RunOptions;
 use crate::supervisor::{START_TOKEN, Supervisor, send_signal};
 
-/// Interval at which a stopping process is checked for its exit.
+/// Interval at which a stopping process is checked for an exit.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Resources that a process holds.
@@ -29,18 +29,18 @@
 pub(super) struct ManagedProcess {
     child: Child,
     input: Option<ChildStdin>,
-    /// SIGTERM or SIGKILL was sent: its exit is expected.
+    /// SIGTERM or SIGKILL was sent, or the exit is expected for another reason.
     stop_requested: bool,
-    /// It has been waited for: its process id may be another's by now.
+    /// The process has been waited for: its process id may have been reused.
     exited: bool,
 }
 
 impl ManagedProcess {
-    /// Starts a program. It executes only once the supervisor watches it, so that no process can outlive the run.
+    /// Starts a program. It is executed only once the supervisor watches it, so that no process can outlive the run.
     pub fn start(options: &RunOptions, program: &Command, supervisor: &mut Supervisor) -> io::Result<Self> {
         let mut command = Command::new(&options.chaos_program);
         command.arg("begin").arg(program.get_program()).args(program.get_args()).env_remove("EDGE_CONFIG");
-        // A process group of its own: an interrupt from the terminal reaches the run alone, which ends this process.
+        // A separate process group: an interrupt from the terminal reaches only the run, which then ends this process.
         command.process_group(0).stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
         let mut child = command.spawn()?;
         let input = child.stdin.take();
@@ -59,7 +59,7 @@
         read_lines(self.child.stdout.take(), None)
     }
 
-    /// Reads the lines of standard error, and copies them to a file.
+    /// Reads the lines of standard error and copies them to a file.
     pub fn stderr_lines(&mut self, copy: fs::File) -> io::Result<UnboundedReceiver<String>> {
         read_lines(self.child.stderr.take(), Some(copy))
     }
@@ -71,17 +71,17 @@
         input.flush()
     }
 
-    /// Returns whether the run has stopped the process.
+    /// Returns whether the process was stopped by the run, or its exit is expected or was already reported.
     pub fn is_stop_requested(&self) -> bool {
         self.stop_requested
     }
 
-    /// Makes the process's exit expected.
+    /// Marks the exit of the process as expected.
     pub fn expect_exit(&mut self) {
         self.stop_requested = true;
     }
 
-    /// Sends a signal.
+    /// Sends a signal. After SIGKILL or SIGTERM the exit of the process is expected.
     pub fn send(&mut self, signal: Signal) -> io::Result<()> {
         self.check_not_exited()?;
         send_signal(self.child.id(), signal)?;
@@ -89,7 +89,7 @@
         Ok(())
     }
 
-    /// Lets none of its files grow, or lets them grow again.
+    /// Sets the file size limit of the process to 0, so that none of its files can grow, or restores it.
     pub fn set_disk_full(&self, full: bool) -> io::Result<()> {
         self.check_not_exited()?;
         let pid = Pid::from_raw(i32::try_from(self.child.id()).map_err(io::Error::other)?);
@@ -103,12 +103,12 @@
         if self.exited { Err(io::ErrorKind::NotFound.into()) } else { Ok(()) }
     }
 
-    /// Waits for the exit; a process that does not exit within the limit is killed.
+    /// Resumes the process if it is paused, and waits for its exit. A process that does not exit within the limit is killed.
     pub async fn wait_for_exit(&mut self, limit: Duration) {
         if self.exited {
             return;
         }
-        // A paused process does not handle SIGTERM.
+        // A paused process handles SIGTERM only once it is resumed.
         let _ = send_signal(self.child.id(), Signal::CONT);
         let exit = async {
             while !matches!(self.child.try_wait(), Ok(Some(_)) | Err(_)) {
@@ -122,7 +122,7 @@
         self.exited = true;
     }
 
-    /// Returns the exit status, once, if the process exited and the run had not stopped it.
+    /// Returns the exit status, only once, if the process exited although the run had not stopped it.
     pub fn take_unexpected_exit(&mut self) -> Option<String> {
         if self.stop_requested || self.exited {
             return None;
@@ -133,7 +133,7 @@
         Some(status.to_string())
     }
 
-    /// Returns the resources that the process holds; `None` if it is gone.
+    /// Returns the resources that the process holds; `None` if it has exited.
     pub fn resources(&self) -> Option<ProcessResources> {
         let pid = self.child.id();
         let descriptors = fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count() as u64;
@@ -151,7 +151,7 @@
     }
 }
 
-/// Reads lines on a thread, which ends with the output.
+/// Reads lines on a separate thread, which ends with the output.
 fn read_lines(
     output: Option<impl Read + Send + 'static>,
     mut copy: Option<fs::File>,
@@ -163,7 +163,7 @@
             if let Some(copy) = &mut copy {
                 let _ = writeln!(copy, "{line}");
             }
-            // The copy goes on when nobody receives the lines.
+            // A closed channel is ignored: the lines must still be copied.
             let _ = sender.send(line);
         }
     })?;
--- a/crates/chaos/src/run/stand_in_process.rs
+++ b/crates/chaos/src/run/stand_in_process.rs
@@ -1,4 +1,4 @@
-//! Starts processes of stand-ins.
+//! Starts the processes of stand-ins.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,17 +12,16 @@
 use crate::stand_ins::ListenAddresses;
 use crate::supervisor::Supervisor;
 
-/// A stand-in that listens.
+/// A started stand-in that listens.
 pub(super) struct StartedStandIn {
-    /// Its process.
     pub process: ManagedProcess,
-    /// Where it listens.
+    /// Addresses on which it listens.
     pub addresses: Vec<SocketAddr>,
-    /// The events that it writes.
+    /// Lines with the events that it writes.
     pub events: UnboundedReceiver<String>,
 }
 
-/// Starts a stand-in, which is this program with other arguments, and waits until it listens.
+/// Starts a stand-in, which is this program with another command, and waits until it listens.
 pub(super) async fn start_stand_in(
     options: &RunOptions,
     arguments: &[&str],
--- a/crates/chaos/src/scenario_generator.rs
+++ b/crates/chaos/src/scenario_generator.rs
@@ -1,4 +1,4 @@
-//! Random scenarios. The order of draws is part of the interface: a seed always means the same scenario.
+//! Generates random scenarios. The order of random draws is part of the interface: a seed always gives the same scenario.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -47,13 +47,13 @@
     }
 }
 
-/// Chooses at least one and at most half of `count` numbers, in ascending order.
+/// Chooses at least one and at most half of the numbers under `count`, in ascending order.
 fn random_subset(rng: &mut StdRng, count: usize) -> Vec<usize> {
     let size = rng.random_range(1..=(count / 2).max(1));
     let mut numbers: Vec<_> = (0..count).collect();
-    for place in 0..size {
-        let other = rng.random_range(place..count);
-        numbers.swap(place, other);
+    for index in 0..size {
+        let other = rng.random_range(index..count);
+        numbers.swap(index, other);
     }
     numbers.truncate(size);
     numbers.sort_unstable();
@@ -103,7 +103,7 @@
     }
 }
 
-/// Returns a random time under `max_s`, rounded to tenths of a second.
+/// Returns a random time from 0 to `max_s`, rounded to tenths of a second.
 fn random_tenths_s(rng: &mut StdRng, max_s: f64) -> f64 {
     (rng.random_range(0.0..max_s) * 10.0).round() / 10.0
 }
--- a/crates/chaos/src/shrink.rs
+++ b/crates/chaos/src/shrink.rs
@@ -1,37 +1,37 @@
-//! Shrinks a failing scenario: faults are dropped, then weakened, while the failure still shows. Runs are not deterministic, so
-//! the caller runs each candidate several times; this decides what to try next and does no I/O.
+//! Shrinks a failing scenario: faults are removed, then weakened, while the scenario still fails. Runs are not deterministic,
+//! so the caller runs each candidate several times; this module only selects the next candidate and does no I/O.
 
 use crate::fault_kind::{Fault, FaultKind};
 use crate::link::LinkConditions;
 use crate::scenario::Scenario;
 
-/// Shortest duration of a fault, in seconds: a shorter one falls between two samples of the run.
+/// Shortest duration of a fault, in seconds: a shorter one could fall between two samples of the run.
 const MIN_FAULT_DURATION_S: f64 = 0.5;
-/// Latencies under this many milliseconds are dropped in place of halved.
+/// Latencies under this many milliseconds are set to 0 instead of halved.
 const MIN_LATENCY_MS: f64 = 1.0;
-/// Losses under this share are dropped in place of halved.
+/// Loss shares under this value are set to 0 instead of halved.
 const MIN_LOSS: f64 = 0.01;
-/// Factors of load bursts are not weakened to less than this.
+/// Factors of load bursts are not reduced to this value or less.
 const MIN_BURST_FACTOR: f64 = 1.1;
 
-/// The search for the smallest scenario that still fails.
+/// Greedy search for the smallest scenario that still fails.
 #[derive(Clone, Debug)]
 pub struct Shrinker {
     smallest: Scenario,
-    /// Candidates that are smaller than the smallest one so far and not tried yet; the last one is tried next.
+    /// Candidates not tried yet, each smaller than `smallest`; the last one is tried next.
     candidates: Vec<Scenario>,
     tried: usize,
 }
 
 impl Shrinker {
-    /// Starts with a scenario that fails.
+    /// Starts the search at a scenario that fails.
     #[must_use]
     pub fn new(failing: Scenario) -> Self {
         let candidates = smaller_scenarios(&failing);
         Self { smallest: failing, candidates, tried: 0 }
     }
 
-    /// Returns the scenario to run next; `None` if there is no smaller one.
+    /// Returns the scenario to run next; `None` if no candidate is left.
     pub fn next_candidate(&mut self) -> Option<Scenario> {
         let candidate = self.candidates.last().cloned();
         self.tried += usize::from(candidate.is_some());
@@ -53,14 +53,14 @@
         &self.smallest
     }
 
-    /// Returns the number of candidates so far.
+    /// Returns the number of candidates returned so far.
     #[must_use]
     pub fn tried(&self) -> usize {
         self.tried
     }
 }
 
-/// Returns smaller scenarios; those without one of the faults come last, and are tried first.
+/// Returns smaller scenarios. Those with a fault removed come last, so that they are tried first.
 fn smaller_scenarios(scenario: &Scenario) -> Vec<Scenario> {
     let mut smaller = Vec::new();
     for (index, fault) in scenario.faults.iter().enumerate() {
@@ -81,7 +81,7 @@
     smaller
 }
 
-/// Returns weaker forms of a fault, the least changed first.
+/// Returns weaker forms of a fault: with half the duration, then with a weaker kind.
 fn weaker_faults(fault: &Fault) -> Vec<Fault> {
     let mut weaker = Vec::new();
     if fault.duration_s / 2.0 >= MIN_FAULT_DURATION_S {
@@ -94,7 +94,8 @@
     weaker
 }
 
-/// Weakens a fault; returns whether that was possible.
+/// Weakens a fault by halving its targets, its conditions or its factor, or by removing a group; returns whether that was
+/// possible.
 fn weaken(kind: &mut FaultKind) -> bool {
     match kind {
         FaultKind::Kill { nodes: targets, .. }
@@ -124,12 +125,12 @@
 
 fn weaken_conditions(conditions: &mut LinkConditions) -> bool {
     let before = conditions.clone();
-    conditions.latency_ms = halve_or_drop(conditions.latency_ms, MIN_LATENCY_MS);
-    conditions.loss = halve_or_drop(conditions.loss, MIN_LOSS);
+    conditions.latency_ms = halve_or_zero(conditions.latency_ms, MIN_LATENCY_MS);
+    conditions.loss = halve_or_zero(conditions.loss, MIN_LOSS);
     *conditions != before
 }
 
-fn halve_or_drop(value: f64, min: f64) -> f64 {
+fn halve_or_zero(value: f64, min: f64) -> f64 {
     if value < min { 0.0 } else { value / 2.0 }
 }
 
--- a/crates/chaos/src/stand_ins/discovery.rs
+++ b/crates/chaos/src/stand_ins/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery with the platform's protocol: lists of endpoints, and watches of their changes.
+//! Discovery stand-in with the platform's protocol: lists of endpoints, and watches for changes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -16,30 +16,31 @@
 use super::messages::{DiscoveryChange, announce, emit, read_messages};
 use crate::history::{EventKind, ListedHealth};
 
-/// Time between two empty lines of a watch without changes.
+/// Interval between the empty lines of a watch without changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Which endpoints a line of a list has.
+/// Which endpoints a line contains.
 #[derive(Clone, Copy)]
 enum ListScope {
-    /// All of them.
+    /// All endpoints.
     Snapshot,
-    /// Those that changed after a version.
+    /// The endpoints that changed after this version.
     ChangedAfter(u64),
 }
 
+/// The last change of an endpoint, with the version of the list that has it.
 struct VersionedChange {
     version: u64,
     change: DiscoveryChange,
 }
 
-/// A line of a list, and the health of the endpoints in it.
+/// A line of JSON for a node, and the health of each endpoint in it.
 struct ListLine {
     json: String,
     listed: Vec<(usize, ListedHealth)>,
 }
 
-/// The list of endpoints.
+/// The versioned list of endpoints.
 #[derive(Default)]
 struct EndpointDirectory {
     version: u64,
@@ -55,13 +56,13 @@
         version
     }
 
-    /// Returns the line of a node, with the addresses at which that node reaches the endpoints.
+    /// Returns a line for a node, with the addresses at which that node reaches the endpoints.
     fn line(&self, node: usize, scope: ListScope) -> ListLine {
         let is_in_scope = |entry: &&VersionedChange| match scope {
             ListScope::Snapshot => true,
             ListScope::ChangedAfter(version) => entry.version > version,
         };
-        let whole = matches!(scope, ListScope::Snapshot);
+        let is_snapshot = matches!(scope, ListScope::Snapshot);
         let (mut hosts, mut listed) = (Vec::new(), Vec::new());
         for VersionedChange { change, .. } in self.endpoints.values().filter(is_in_scope) {
             let Some(address) = change.addresses.get(node) else { continue };
@@ -75,12 +76,13 @@
             ));
             listed.push((change.endpoint, change.health));
         }
-        let json = format!(r#"{{"seq":{},"whole":{whole},"hosts":[{}]}}"#, self.version, hosts.join(","));
+        let json =
+            format!(r#"{{"seq":{},"whole":{is_snapshot},"hosts":[{}]}}"#, self.version, hosts.join(","));
         ListLine { json, listed }
     }
 }
 
-/// Runs discovery for some nodes, each with an address of its own, until standard input closes. It needs a `LocalSet`.
+/// Runs discovery until standard input closes, with a separate listener for each node. Must be called within a `LocalSet`.
 ///
 /// # Errors
 /// A listener that can't be opened.
@@ -139,7 +141,7 @@
     Some(())
 }
 
-/// Writes a chunk for each change, and empty lines between.
+/// Writes a chunk for each new version, and empty lines in between as heartbeats.
 async fn serve_watch(
     mut stream: TcpStream,
     node: usize,
--- a/crates/chaos/src/stand_ins/endpoint.rs
+++ b/crates/chaos/src/stand_ins/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that executes a limited number of requests at the same time, and has to warm up.
+//! Endpoint stand-in with limited concurrency and a warm-up after its start.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -28,13 +28,13 @@
 use crate::task::AbortOnDrop;
 use crate::{Nanos, SECOND, clock};
 
-/// Requests that may wait at an endpoint, as a multiple of its concurrency; further ones are rejected.
+/// Length of an endpoint's queue, as a multiple of its current concurrency; further requests are rejected.
 const MAX_WAITING_PER_SLOT: usize = 4;
-/// How often a waiting request looks for a free slot: the concurrency grows during warm-up.
+/// Interval at which a waiting request checks for a free slot: during warm-up the concurrency grows without a notification.
 const SLOT_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause after an accept that failed for want of descriptors.
+/// Pause after a failed accept: while descriptors are exhausted, the next one would fail at once.
 const ACCEPT_RETRY: Duration = Duration::from_millis(10);
-/// The header of a response to a request that was not executed.
+/// Header of responses that report a request as not executed.
 const UNPROCESSED_HEADER: &str = "x-unprocessed";
 
 type HttpResponse = Response<Full<Bytes>>;
@@ -45,19 +45,19 @@
     /// Number of the endpoint
     #[arg(long)]
     pub number: usize,
-    /// How often it was started before
+    /// Number of earlier starts
     #[arg(long = "epoch")]
     pub incarnation: u32,
-    /// Requests that it executes at the same time
+    /// Requests that the endpoint executes at the same time
     #[arg(long = "places")]
     pub concurrency: usize,
     /// Mean service time in milliseconds
     #[arg(long = "takes-ms")]
     pub service_time_ms: f64,
-    /// Seconds until it is warm; 0 if it is from the start
+    /// Duration of the warm-up in seconds; 0 for none
     #[arg(long = "cold-s")]
     pub warm_up_s: f64,
-    /// Share of its concurrency at the start
+    /// Share of the concurrency at the start of the warm-up
     #[arg(long = "cold-from")]
     pub initial_share: f64,
 }
@@ -66,7 +66,7 @@
 enum Reply {
     /// Sends a response.
     Response(HttpResponse),
-    /// Closes the connection without one; the next connection gets a malformed response.
+    /// Closes the connection without a response; new connections get a malformed one.
     Close,
 }
 
@@ -98,7 +98,7 @@
         self.behavior.borrow().misbehavior
     }
 
-    /// Returns the concurrency at the endpoint's age.
+    /// Returns the concurrency at the current point of the warm-up.
     fn current_concurrency(&self) -> usize {
         let EndpointArgs { concurrency, warm_up_s, initial_share, .. } = self.args;
         let age_s = (clock::now() - self.started) as f64 / SECOND as f64;
@@ -111,7 +111,7 @@
         self.executing.get() >= self.current_concurrency()
     }
 
-    /// Executes a request, or rejects it when too many wait.
+    /// Executes a request, or rejects it if the queue is full.
     async fn execute(self: Rc<Self>, id: u64, via: String) -> Reply {
         let EndpointArgs { number: endpoint, incarnation, .. } = self.args;
         if self.is_full() && self.waiting.get() >= MAX_WAITING_PER_SLOT * self.current_concurrency() {
@@ -151,12 +151,12 @@
     }
 }
 
-/// The response to a request that was executed: its id.
+/// Returns the response to an executed request; the body is the request's id.
 fn success(id: u64) -> HttpResponse {
     Response::new(Full::new(Bytes::from(format!("{id:x}\n"))))
 }
 
-/// The response to a request that was not executed.
+/// Returns the response that reports a request as not executed.
 fn not_executed() -> HttpResponse {
     let mut response = Response::new(Full::default());
     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -170,7 +170,7 @@
     response
 }
 
-/// Runs an endpoint until the process is ended. It needs a `LocalSet`.
+/// Runs an endpoint until the process is killed. Must be called within a `LocalSet`.
 ///
 /// # Errors
 /// A listener that can't be opened.
@@ -212,7 +212,7 @@
     let id = u64::from_str_radix(header(&head.headers, REQUEST_ID_HEADER), 16).ok();
     let (Some(id), Ok(_)) = (id, body.collect().await) else { return Ok(bad_request()) };
     let via = header(&head.headers, "via").to_owned();
-    // Detached from the connection: when that breaks, the execution goes on.
+    // A separate task, so that the execution continues if the connection breaks.
     match spawn_local(endpoint.execute(id, via)).await {
         Ok(Reply::Response(response)) => Ok(response),
         Ok(Reply::Close) | Err(_) => Err(io::ErrorKind::BrokenPipe.into()),
--- a/crates/chaos/src/stand_ins/http_head.rs
+++ b/crates/chaos/src/stand_ins/http_head.rs
@@ -1,14 +1,15 @@
-//! Reads heads of HTTP requests without a parser of the whole protocol.
+//! Reads the heads of HTTP requests without a full HTTP parser.
 
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
 /// Size of the largest head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Bytes that are read at once.
+/// Size of the buffer for one read, in bytes.
 const READ_BYTES: usize = 1024;
 
-/// Reads a request up to the end of its head, and whatever comes with it. Returns `None` if the connection ends before.
+/// Reads a request up to the end of its head, and any bytes that arrive with that. Returns `None` if the connection ends first
+/// or the head is too large.
 pub(super) async fn read_head(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.windows(4).any(|end| end == b"\r\n\r\n") {
--- a/crates/chaos/src/stand_ins/malformed.rs
+++ b/crates/chaos/src/stand_ins/malformed.rs
@@ -1,4 +1,4 @@
-//! Malformed responses of an endpoint.
+//! Malformed responses of the endpoint stand-in.
 
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -8,7 +8,8 @@
 use super::messages::{REQUEST_ID_HEADER, emit};
 use crate::history::EventKind;
 
-/// What comes in place of a response: bytes that are not HTTP, a body shorter than its length, and two lengths.
+/// Malformed responses: bytes that are not HTTP, a body shorter than its `Content-Length`, and two different
+/// `Content-Length` fields.
 const MALFORMED_RESPONSES: [&[u8]; 3] = [
     b"\x16\x03\x01 what is this\r\n\r\n",
     b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\nhalf",
--- a/crates/chaos/src/stand_ins/messages.rs
+++ b/crates/chaos/src/stand_ins/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between a run and its stand-ins.
+//! Messages between a run and its stand-ins, one JSON object per line.
 
 use std::io::{self, BufRead, Write};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 /// The header with the id of a request, in hexadecimal digits.
 pub const REQUEST_ID_HEADER: &str = "x-storm";
 
-/// The first message of a stand-in: where it listens.
+/// The first message of a stand-in: the addresses on which it listens.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ListenAddresses {
     /// The addresses; discovery has one for each node.
@@ -34,12 +34,12 @@
     /// The address at which each node reaches it.
     #[serde(rename = "dials")]
     pub addresses: Vec<SocketAddr>,
-    /// When it was started last, in milliseconds since 1970; 0 is long ago.
+    /// Start of the endpoint's process, as a Unix time in milliseconds; 0 for its first start, so that it counts as warm.
     #[serde(rename = "born_ms")]
     pub started_unix_ms: u64,
 }
 
-/// Writes the addresses of this process to standard output.
+/// Writes the addresses on which this process listens to standard output.
 pub(super) fn announce(addresses: Vec<SocketAddr>) {
     println!("{}", serde_json::to_string(&ListenAddresses { addresses }).unwrap_or_default());
 }
@@ -47,11 +47,11 @@
 /// Writes an event to standard output, with the current time.
 pub(super) fn emit(kind: EventKind) {
     let line = serde_json::to_string(&Event { at: clock::now(), kind }).unwrap_or_default();
-    // A closed output means that the run has ended, and this process is about to be ended.
+    // Standard output is closed once the run has ended; this process is then about to be killed.
     let _ = writeln!(io::stdout().lock(), "{line}");
 }
 
-/// Reads messages from standard input on a thread; lines of another form are skipped.
+/// Reads messages from standard input on a separate thread. Skips lines that can't be decoded.
 pub(super) fn read_messages<T: DeserializeOwned + Send + 'static>() -> UnboundedReceiver<T> {
     let (sender, receiver) = unbounded_channel();
     thread::spawn(move || {
--- a/crates/chaos/src/stand_ins/mod.rs
+++ b/crates/chaos/src/stand_ins/mod.rs
@@ -1,5 +1,5 @@
-//! Processes that stand in for endpoints and discovery. They write events to standard output, one JSON object a line, and take
-//! messages on standard input.
+//! Processes that stand in for endpoints and discovery. They write events to standard output, one JSON object per line, and
+//! read messages from standard input.
 
 mod discovery;
 mod endpoint;
--- a/crates/chaos/src/supervisor.rs
+++ b/crates/chaos/src/supervisor.rs
@@ -1,7 +1,7 @@
-//! Ends the processes of a run that ended without doing so itself, even by SIGKILL.
+//! Kills the processes that a run left behind, even if the run itself was ended by SIGKILL.
 //!
-//! The supervisor is a process of its own. It learns of each process that the run starts, and kills what is left once its
-//! input closes. A process id that was reused meanwhile is recognized by the start time of its process.
+//! The supervisor is a separate process. The run reports each process that it starts; once the supervisor's standard input
+//! closes, it kills those that still run. It compares start times, so that a process that reuses an id is not killed.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -13,14 +13,15 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// What a new process reads before it executes its program: by then the supervisor watches it.
+/// Token that a new process waits for before it executes its program: the run sends it once the supervisor watches the
+/// process.
 pub const START_TOKEN: &[u8] = b"!";
 
 /// Index of the start time among the fields of `/proc/PID/stat` after the state.
 const STAT_START_TIME_AFTER_STATE: usize = 18;
 
 /// Waits for [`START_TOKEN`] on standard input, then replaces this process by a program. Returns without an error if the input
-/// closes before.
+/// closes first or has other bytes.
 ///
 /// # Errors
 /// A program that can't be executed.
@@ -35,15 +36,16 @@
     Err(Command::new(program).args(arguments).exec())
 }
 
-/// The connection of a run to its supervisor. Dropping it has the supervisor end what is left, and waits for that.
+/// The connection of a run to its supervisor. Dropping it makes the supervisor kill the processes that are left, and waits
+/// until it has exited.
 pub struct Supervisor {
     child: Child,
     input: Option<ChildStdin>,
 }
 
 impl Supervisor {
-    /// Starts a supervisor from this program. It has a process group of its own, so that an interrupt from the terminal does
-    /// not end it.
+    /// Starts a supervisor: this program with another command. It has its own process group, so that an interrupt from the
+    /// terminal does not end it.
     ///
     /// # Errors
     /// A process that can't be started.
@@ -54,10 +56,10 @@
         Ok(Self { child, input })
     }
 
-    /// Has a process ended together with the run, unless it has exited by then.
+    /// Registers a process, to be killed at the end of the run if it still runs then.
     ///
     /// # Errors
-    /// The supervisor is gone: no further process should be started.
+    /// The pipe to the supervisor is closed: no further process should be started.
     pub fn watch(&mut self, pid: u32) -> io::Result<()> {
         let start_time = start_time(pid).unwrap_or_default();
         let input = self.input.as_mut().ok_or(io::ErrorKind::BrokenPipe)?;
@@ -73,7 +75,7 @@
     }
 }
 
-/// Runs the supervisor: reads processes until the input closes, then kills those that are left.
+/// Runs the supervisor: reads process ids and start times until the input closes, then kills the processes that still run.
 ///
 /// # Errors
 /// An input that can't be read.
@@ -94,10 +96,10 @@
     Ok(())
 }
 
-/// Returns when a process was started, in clock ticks since boot; `None` if it is gone.
+/// Returns when a process was started, in clock ticks since boot; `None` if it does not exist or is a zombie.
 fn start_time(pid: u32) -> Option<u64> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The second field is the program's name in brackets, which may hold spaces and brackets.
+    // The second field is the program's name in parentheses, which may itself contain spaces and parentheses.
     let mut fields = stat.rsplit(") ").next()?.split(' ');
     let state = fields.next()?;
     if state == "Z" {
@@ -109,7 +111,7 @@
 /// Sends a signal to a process.
 ///
 /// # Errors
-/// Those of the system.
+/// The error of `kill`, or of a process id that is out of range.
 pub fn send_signal(pid: u32, signal: Signal) -> io::Result<()> {
     let pid =
         Pid::from_raw(i32::try_from(pid).map_err(io::Error::other)?).ok_or(io::ErrorKind::InvalidInput)?;
--- a/crates/chaos/src/task.rs
+++ b/crates/chaos/src/task.rs
@@ -1,4 +1,4 @@
-//! Ownership of tasks.
+//! Tasks that live no longer than their owner.
 
 use tokio::task::JoinHandle;
 
@@ -7,7 +7,6 @@
 pub(crate) struct AbortOnDrop(JoinHandle<()>);
 
 impl AbortOnDrop {
-    /// Takes the ownership of a task.
     pub fn new(task: JoinHandle<()>) -> Self {
         Self(task)
     }
