--- a/crates/chaos/tests/checkers.rs
+++ b/crates/chaos/tests/checkers.rs
@@ -1,4 +1,4 @@
-//! Each checker finds a planted violation of its rule, and nothing in the same history without it.
+//! Each checker finds an injected violation of its rule, and no violation in the same history without it.
 
 use pumicehead_chaos::check::{ServiceSummary, find_violations};
 use pumicehead_chaos::history::{
@@ -7,8 +7,8 @@
 use pumicehead_chaos::scenario::Scenario;
 use pumicehead_chaos::{MS, Nanos, SECOND};
 
-/// A time after the faults of the history.
-const LATE: Nanos = 8 * SECOND;
+/// A time after all faults of the history.
+const AFTER_FAULTS: Nanos = 8 * SECOND;
 
 fn scenario() -> Scenario {
     Scenario::parse(
@@ -38,7 +38,7 @@
     Event { at, kind: EventKind::DiscoveryUpdate { node: 0, endpoint, health } }
 }
 
-/// Two nodes and two endpoints run.
+/// Two nodes and two endpoints start.
 fn starts() -> impl Iterator<Item = Event> {
     let state = ProcessState::Running;
     (0..2)
@@ -51,7 +51,7 @@
         .map(|kind| Event { at: 0, kind })
 }
 
-/// Node 1 is paused from 2 s to 6 s and fails a client meanwhile.
+/// Node 1 is paused from 2 s to 6 s, and a request of a client times out meanwhile.
 fn pause_of_node_1() -> Vec<Event> {
     let change = |at, state, begins| {
         let fault = EventKind::Fault {
@@ -72,7 +72,8 @@
     events
 }
 
-/// A request of each class succeeds, node 1 is paused, and endpoint 1 drains from 3 s on and is started again, cold, at 7 s.
+/// Requests of both classes succeed, node 1 is paused, and endpoint 1 drains from 3 s on and is restarted, with warm-up, at
+/// 7 s.
 fn good_history() -> Vec<Event> {
     let mut events: Vec<_> = starts().collect();
     events.extend([
@@ -101,9 +102,9 @@
     events
 }
 
-/// The checkers that find a violation once these events are added.
-fn checkers_that_find(planted: Vec<Event>) -> Vec<String> {
-    let history = History::from_events(good_history().into_iter().chain(planted).collect());
+/// Returns the checkers that find a violation once these events are added.
+fn checkers_that_find(injected: Vec<Event>) -> Vec<String> {
+    let history = History::from_events(good_history().into_iter().chain(injected).collect());
     let violations = find_violations(&scenario(), &history).into_iter();
     let mut checkers: Vec<_> = violations.map(|violation| violation.checker).collect();
     checkers.dedup();
@@ -118,15 +119,18 @@
 }
 
 #[test]
-fn requests_without_one_timely_own_response_are_found() {
-    let request = || started(LATE, 9, RequestClass::Read, 0);
+fn requests_without_exactly_one_timely_response_of_their_own_are_found() {
+    let request = || started(AFTER_FAULTS, 9, RequestClass::Read, 0);
     assert_eq!(checkers_that_find(vec![request()]), ["none lost"]);
-    assert_eq!(checkers_that_find(vec![request(), ended(LATE + 2 * SECOND, 9, 504)]), ["none lost"]);
-    let broken = ended_with(LATE + MS, 9, ClientOutcome::ConnectionBroken);
+    assert_eq!(checkers_that_find(vec![request(), ended(AFTER_FAULTS + 2 * SECOND, 9, 504)]), ["none lost"]);
+    let broken = ended_with(AFTER_FAULTS + MS, 9, ClientOutcome::ConnectionBroken);
     assert_eq!(checkers_that_find(vec![request(), broken]), ["none lost"]);
     let wrong_body = ClientOutcome::Answered { status: 200, matches_request: false };
-    assert_eq!(checkers_that_find(vec![request(), ended_with(LATE + MS, 9, wrong_body)]), ["none lost"]);
-    assert_eq!(checkers_that_find(vec![ended(LATE, 1, 200)]), ["none lost"]);
+    assert_eq!(
+        checkers_that_find(vec![request(), ended_with(AFTER_FAULTS + MS, 9, wrong_body)]),
+        ["none lost"]
+    );
+    assert_eq!(checkers_that_find(vec![ended(AFTER_FAULTS, 1, 200)]), ["none lost"]);
 }
 
 #[test]
@@ -137,16 +141,16 @@
 #[test]
 fn a_submit_that_is_executed_and_rejected_is_found() {
     let rejected = vec![
-        started(LATE, 9, RequestClass::Submit, 0),
-        executed(LATE + MS, 9, 0, 0),
-        ended(LATE + 2 * MS, 9, 503),
+        started(AFTER_FAULTS, 9, RequestClass::Submit, 0),
+        executed(AFTER_FAULTS + MS, 9, 0, 0),
+        ended(AFTER_FAULTS + 2 * MS, 9, 503),
     ];
     assert_eq!(checkers_that_find(rejected), ["effects once"]);
 }
 
-/// Guards the grace: 2 s after the node learned of the drain a request may still be on its way.
+/// Until 2 s after the node learned of the drain it may still send requests, and these may still be in transit.
 #[test]
-fn requests_to_a_draining_endpoint_are_found_after_the_grace() {
+fn requests_to_a_draining_endpoint_are_found_after_the_grace_period() {
     let sent_after = |delay: Nanos| {
         let at = 3 * SECOND + delay;
         vec![started(at, 9, RequestClass::Submit, 0), executed(at + MS, 9, 1, 0), ended(at + 9 * MS, 9, 200)]
@@ -155,43 +159,44 @@
     assert_eq!(checkers_that_find(sent_after(2 * SECOND)), NONE);
 }
 
-/// Guards the limit: a fifth of 400 requests per second at first; four times that over 1.5 s are 480.
+/// The capacity is 400 requests per second, a fifth of it at the start of the warm-up. Four times that over 1.5 s are 480
+/// requests, which is the limit.
 #[test]
-fn an_overload_of_a_cold_endpoint_is_found() {
-    let flood = |count: u64| -> Vec<Event> {
+fn an_overload_of_an_endpoint_in_slow_start_is_found() {
+    let requests_after_restart = |count: u64| -> Vec<Event> {
         let at_endpoint = (0..count).map(|n| executed(7 * SECOND + n * 2 * MS, 100 + n, 1, 1));
         let at_client = (0..count).flat_map(|n| {
             [started(7 * SECOND, 100 + n, RequestClass::Read, 0), ended(8 * SECOND, 100 + n, 200)]
         });
         at_endpoint.chain(at_client).collect()
     };
-    assert_eq!(checkers_that_find(flood(700)), ["cold servers"]);
-    assert_eq!(checkers_that_find(flood(400)), NONE);
+    assert_eq!(checkers_that_find(requests_after_restart(700)), ["cold servers"]);
+    assert_eq!(checkers_that_find(requests_after_restart(400)), NONE);
 }
 
 #[test]
 fn recordings_that_cannot_be_read_are_found_unless_damaged() {
     let recording = |damaged, failure| {
         let file = "a.rec".into();
-        vec![Event { at: LATE, kind: EventKind::RecordingRead { node: 0, file, damaged, failure } }]
+        vec![Event { at: AFTER_FAULTS, kind: EventKind::RecordingRead { node: 0, file, damaged, failure } }]
     };
     assert_eq!(checkers_that_find(recording(false, Some(ReadFailure::Rejected))), ["recordings"]);
     assert_eq!(checkers_that_find(recording(true, Some(ReadFailure::ReaderCrashed))), ["recordings"]);
-    let fine = [recording(true, Some(ReadFailure::Rejected)), recording(false, None)].concat();
-    assert_eq!(checkers_that_find(fine), NONE);
+    let allowed = [recording(true, Some(ReadFailure::Rejected)), recording(false, None)].concat();
+    assert_eq!(checkers_that_find(allowed), NONE);
 }
 
 #[test]
-fn crashes_held_resources_and_lag_are_found() {
+fn crashes_unreleased_resources_and_lag_are_found() {
     let crashed = EventKind::NodeCrashed { node: 0, text: "signal 11".into() };
-    assert_eq!(checkers_that_find(vec![Event { at: LATE, kind: crashed }]), ["crashes"]);
-    let held = EventKind::ResourceUsage { node: 0, descriptors: 300, memory_kib: 9_000 };
-    assert_eq!(checkers_that_find(vec![Event { at: 10 * SECOND, kind: held }]), ["resources"]);
+    assert_eq!(checkers_that_find(vec![Event { at: AFTER_FAULTS, kind: crashed }]), ["crashes"]);
+    let unreleased = EventKind::ResourceUsage { node: 0, descriptors: 300, memory_kib: 9_000 };
+    assert_eq!(checkers_that_find(vec![Event { at: 10 * SECOND, kind: unreleased }]), ["resources"]);
     let lag = EventKind::HarnessLag { max_us: 600_000 };
-    assert_eq!(checkers_that_find(vec![Event { at: LATE, kind: lag }]), ["lag"]);
+    assert_eq!(checkers_that_find(vec![Event { at: AFTER_FAULTS, kind: lag }]), ["lag"]);
 }
 
-/// Guards exemptions: a pause exempts the paused node, no other one, and not for long after.
+/// A pause exempts the paused node, but no other node, and only until shortly after its end.
 #[test]
 fn a_pause_exempts_only_the_paused_node() {
     let timed_out = |at: Nanos, node: usize| {
@@ -203,7 +208,7 @@
 }
 
 #[test]
-fn a_misbehaving_endpoint_exempts_only_the_requests_that_it_had_meanwhile() {
+fn misbehavior_exempts_only_requests_at_the_endpoint_meanwhile() {
     let misbehavior = |at, begins| Event {
         at,
         kind: EventKind::Fault {
@@ -231,7 +236,7 @@
 }
 
 #[test]
-fn histories_are_read_as_written() {
+fn a_written_history_is_read_back_unchanged() {
     let history = History::from_events(good_history());
     let mut bytes = Vec::new();
     history.write(&mut bytes).unwrap();
@@ -240,9 +245,10 @@
     assert!(error.starts_with("line 1: "), "{error}");
 }
 
-/// Guards that service is counted by worth: all of 11 before the fault, half of 20 while node 1 is paused.
+/// A submit weighs 10 and a read 1: before the fault a total weight of 11 is served completely; while node 1 is paused, 10 of
+/// 20 are served.
 #[test]
-fn the_summary_counts_service_by_worth() {
+fn the_summary_counts_service_by_weight() {
     let summary = ServiceSummary::new(&scenario(), &History::from_events(good_history()));
     assert_eq!((summary.requests, summary.rejected, summary.unanswered), (4, 0, 1));
     assert_eq!((summary.served_share[0], summary.served_share[1]), (1.0, 0.5));
--- a/crates/chaos/tests/fault_effects.rs
+++ b/crates/chaos/tests/fault_effects.rs
@@ -1,4 +1,4 @@
-//! What several faults at the same time make of endpoints and links.
+//! Combined effects of several active faults on endpoints and links.
 
 use pumicehead_chaos::fault_effects::{EndpointBehavior, endpoint_behavior, link_state};
 use pumicehead_chaos::fault_kind::{Fault, FaultKind, LinkSide, Misbehavior};
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn slowdowns_multiply_and_the_last_misbehavior_prevails() {
+fn slowdowns_multiply_and_the_last_misbehavior_applies() {
     let slow = fault(FaultKind::EndpointSlow { endpoints: vec![0, 1], factor: 3.0 });
     let wrong =
         fault(FaultKind::EndpointMisbehave { endpoints: vec![1], misbehavior: Misbehavior::WrongResponse });
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_partition_separates_its_groups_and_no_other_node() {
+fn a_partition_separates_its_groups_but_no_other_node() {
     let partition = fault(FaultKind::Partition { groups: vec![vec![0, 1], vec![2]] });
     let policy = |from, to| {
         let path = LinkPath { from: LinkEnd::Node(from), to: LinkEnd::Node(to) };
--- a/crates/chaos/tests/fault_schedule.rs
+++ b/crates/chaos/tests/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! The actions that inject and end the faults of a scenario.
+//! The schedule of actions that inject and end the faults of a scenario.
 
 use pumicehead_chaos::fault_schedule::{FaultAction, ProcessSignal, ScheduledAction, schedule};
 use pumicehead_chaos::scenario::Scenario;
@@ -6,8 +6,8 @@
 const NODES: usize = 6;
 const ENDPOINTS: usize = 5;
 
-/// Place of the last of these actions.
-fn last(actions: &[ScheduledAction], wanted: &[FaultAction]) -> Option<usize> {
+/// Returns the index of the last of these actions.
+fn last_index(actions: &[ScheduledAction], wanted: &[FaultAction]) -> Option<usize> {
     actions.iter().rposition(|scheduled| wanted.contains(&scheduled.action))
 }
 
@@ -15,8 +15,8 @@
     actions.iter().filter(|scheduled| is_wanted(scheduled.action)).count()
 }
 
-/// Guards that each fault is undone, whatever is generated: paused processes are resumed, stopped ones are started, draining
-/// endpoints are listed as active, and faults of links and behavior end.
+/// Every fault of a generated scenario must be undone: paused processes are resumed, stopped ones are restarted, disks are no
+/// longer full, draining endpoints are listed as active, behavior faults end, and the end of each fault is recorded.
 #[test]
 fn every_fault_is_undone_at_its_end() {
     for seed in 0..500 {
@@ -37,20 +37,21 @@
 
 fn assert_node_faults_are_undone(actions: &[ScheduledAction], node: usize, seed: u64) {
     let signaled = |signal| FaultAction::SignalNode { node, signal };
-    let paused = last(actions, &[signaled(ProcessSignal::Pause)]);
-    assert!(paused <= last(actions, &[signaled(ProcessSignal::Resume)]), "seed {seed}");
-    let full = last(actions, &[FaultAction::SetDiskFull { node, full: true }]);
-    assert!(full <= last(actions, &[FaultAction::SetDiskFull { node, full: false }]), "seed {seed}");
-    let stopped = last(actions, &[signaled(ProcessSignal::Kill), signaled(ProcessSignal::Terminate)]);
-    assert!(stopped <= last(actions, &[FaultAction::StartNode(node)]), "seed {seed}");
+    let paused = last_index(actions, &[signaled(ProcessSignal::Pause)]);
+    assert!(paused <= last_index(actions, &[signaled(ProcessSignal::Resume)]), "seed {seed}");
+    let full = last_index(actions, &[FaultAction::SetDiskFull { node, full: true }]);
+    assert!(full <= last_index(actions, &[FaultAction::SetDiskFull { node, full: false }]), "seed {seed}");
+    let stopped = last_index(actions, &[signaled(ProcessSignal::Kill), signaled(ProcessSignal::Terminate)]);
+    assert!(stopped <= last_index(actions, &[FaultAction::StartNode(node)]), "seed {seed}");
 }
 
 fn assert_endpoint_faults_are_undone(actions: &[ScheduledAction], endpoint: usize, seed: u64) {
-    let draining = last(actions, &[FaultAction::SetDraining { endpoint, draining: true }]);
-    let active = last(actions, &[FaultAction::SetDraining { endpoint, draining: false }]);
+    let draining = last_index(actions, &[FaultAction::SetDraining { endpoint, draining: true }]);
+    let active = last_index(actions, &[FaultAction::SetDraining { endpoint, draining: false }]);
     assert!(draining <= active, "seed {seed}");
-    let killed = last(actions, &[FaultAction::SignalEndpoint { endpoint, signal: ProcessSignal::Kill }]);
-    assert!(killed <= last(actions, &[FaultAction::StartEndpoint(endpoint)]), "seed {seed}");
+    let killed =
+        last_index(actions, &[FaultAction::SignalEndpoint { endpoint, signal: ProcessSignal::Kill }]);
+    assert!(killed <= last_index(actions, &[FaultAction::StartEndpoint(endpoint)]), "seed {seed}");
     let toggles = count(actions, |action| matches!(action, FaultAction::ToggleBehaviorFault(_)));
     assert!(toggles.is_multiple_of(2), "seed {seed}");
 }
--- a/crates/chaos/tests/former_names.rs
+++ b/crates/chaos/tests/former_names.rs
@@ -1,8 +1,8 @@
-//! Names that operators typed before a rename still work.
+//! The former name of the program still works.
 
 use std::process::Command;
 
-/// What a program prints for `--help`, with the name it calls itself by.
+/// Returns what a program prints for `--help`, which includes the name of the program.
 fn help_of(program: &str) -> String {
     let done = Command::new(program).arg("--help").output().expect("the program starts");
     assert!(done.status.success());
@@ -10,8 +10,8 @@
 }
 
 #[test]
-fn the_program_answers_to_its_former_name() {
-    let today = help_of(env!("CARGO_BIN_EXE_pumicehead-chaos"));
-    assert!(today.contains("Usage: pumicehead-chaos"), "{today}");
-    assert_eq!(help_of(env!("CARGO_BIN_EXE_pumicehead-storm")), today);
+fn the_former_name_runs_the_same_program() {
+    let help = help_of(env!("CARGO_BIN_EXE_pumicehead-chaos"));
+    assert!(help.contains("Usage: pumicehead-chaos"), "{help}");
+    assert_eq!(help_of(env!("CARGO_BIN_EXE_pumicehead-storm")), help);
 }
--- a/crates/chaos/tests/link_direction.rs
+++ b/crates/chaos/tests/link_direction.rs
@@ -1,4 +1,4 @@
-//! When bytes arrive over one direction of a link.
+//! Arrival times of bytes over one direction of a link.
 
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -54,12 +54,12 @@
     assert_eq!(
         direction.segment_arrival(5 * SECOND, 0, &on, &mut rng),
         Some(5 * SECOND),
-        "unused bandwidth is not saved up"
+        "unused bandwidth does not accumulate"
     );
 }
 
 #[test]
-fn impossible_conditions_are_rejected() {
+fn conditions_out_of_range_are_rejected() {
     assert!(LinkConditions::default().validate().is_ok());
     for bad in [
         LinkConditions { loss: 1.0, ..Default::default() },
--- a/crates/chaos/tests/membership_checker.rs
+++ b/crates/chaos/tests/membership_checker.rs
@@ -1,4 +1,4 @@
-//! The checker of membership views, on the history of three members of which node 2 is killed at 10 s and comes back at 20 s.
+//! The checker of membership views, on a history of three members: node 2 is killed at 10 s and is up again at 20 s.
 
 use pumicehead_chaos::check::{MembershipSummary, find_violations, membership_summary};
 use pumicehead_chaos::history::{Event, EventKind, History, MemberState, ProcessState};
@@ -50,15 +50,15 @@
     events
 }
 
-struct Checked {
+struct CheckResult {
     violations: usize,
     summary: MembershipSummary,
 }
 
-fn check_with(planted: Vec<Event>) -> Checked {
-    let history = History::from_events(good_history().into_iter().chain(planted).collect());
+fn check_with(injected: Vec<Event>) -> CheckResult {
+    let history = History::from_events(good_history().into_iter().chain(injected).collect());
     let violations = find_violations(&scenario(), &history);
-    Checked {
+    CheckResult {
         violations: violations.iter().filter(|violation| violation.checker == "views").count(),
         summary: membership_summary(&scenario(), &history).unwrap(),
     }
@@ -66,7 +66,7 @@
 
 #[test]
 fn detection_and_convergence_are_measured_from_the_fault() {
-    let Checked { violations, summary } = check_with(Vec::new());
+    let CheckResult { violations, summary } = check_with(Vec::new());
     assert_eq!(
         (violations, summary.detected_s, summary.converged_s, summary.false_positives),
         (0, Some((2.0, 3.0)), Some(2.0), 0)
@@ -83,8 +83,8 @@
 
 #[test]
 fn a_node_may_be_considered_dead_soon_after_its_restart() {
-    let planted = vec![view(24, 0, "x", NODE_2_DEAD), view(25, 0, "c", ALL_ALIVE)];
-    assert_eq!(check_with(planted).summary.false_positives, 0);
+    let injected = vec![view(24, 0, "x", NODE_2_DEAD), view(25, 0, "c", ALL_ALIVE)];
+    assert_eq!(check_with(injected).summary.false_positives, 0);
 }
 
 #[test]
--- a/crates/chaos/tests/shrinking.rs
+++ b/crates/chaos/tests/shrinking.rs
@@ -3,7 +3,8 @@
 use pumicehead_chaos::scenario::Scenario;
 use pumicehead_chaos::shrink::Shrinker;
 
-/// Guards that shrinking ends, never grows, and finds the one fault that a failure needs, whatever else was generated.
+/// Shrinking must end, try only valid scenarios, and find the one fault that the failure needs, shortened as far as it still
+/// fails.
 #[test]
 fn shrinking_leaves_only_the_fault_that_the_failure_needs() {
     for seed in 0..200 {
--- a/crates/chaos/tests/tcp_link.rs
+++ b/crates/chaos/tests/tcp_link.rs
@@ -16,16 +16,18 @@
 use tokio::time::{Instant, sleep, timeout};
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time after which nothing arrives any more.
-const SILENCE: Duration = Duration::from_millis(300);
+/// Time without a reply after which none is expected.
+const NO_REPLY_TIME: Duration = Duration::from_millis(300);
 const CONNECT_RETRY: Duration = Duration::from_millis(10);
 
 fn block_on<T>(test: impl Future<Output = T>) -> T {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
-    LocalSet::new().block_on(&runtime, async { timeout(TEST_TIMEOUT, test).await.expect("in time") })
+    LocalSet::new().block_on(&runtime, async {
+        timeout(TEST_TIMEOUT, test).await.expect("the test ends within its timeout")
+    })
 }
 
-/// Opens a link to a server that sends back what it reads.
+/// Opens a link to an echo server.
 async fn open_link_to_echo(state: LinkState) -> Link {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address: SocketAddr = listener.local_addr().unwrap();
@@ -48,7 +50,7 @@
     Ok(reply)
 }
 
-/// Connects, again until the link accepts.
+/// Tries to connect until the link accepts the connection.
 async fn connect_until_accepted(address: SocketAddr) -> TcpStream {
     loop {
         match TcpStream::connect(address).await {
@@ -68,27 +70,27 @@
         let message: Vec<u8> = (0..200_000u32).map(|n| (n % 251) as u8).collect();
         let start = Instant::now();
         assert_eq!(round_trip(&mut stream, &message).await.unwrap(), message);
-        assert!(start.elapsed() >= Duration::from_millis(40), "both directions have the latency");
+        assert!(start.elapsed() >= Duration::from_millis(40), "the latency applies to both directions");
         stream.shutdown().await.unwrap();
         assert_eq!(stream.read(&mut [0; 8]).await.unwrap(), 0);
     });
 }
 
 #[test]
-fn a_partition_is_silent_and_loses_nothing_once_it_heals() {
+fn a_partition_holds_bytes_back_until_it_heals() {
     block_on(async {
         let link = open_link_to_echo(LinkState::default()).await;
         let mut stream = TcpStream::connect(link.address()).await.unwrap();
         assert_eq!(round_trip(&mut stream, b"one").await.unwrap(), b"one");
-        // In the reverse direction alone: requests arrive, responses do not, and the connection stays open.
+        // A partition in the reverse direction only: requests arrive, responses do not, and the connection stays open.
         let reverse = LinkConditions { partitioned: true, ..Default::default() };
         let state = LinkState { connect_policy: ConnectPolicy::Blackhole, reverse, ..LinkState::default() };
         link.update(LinkSettings { state, reset_count: 0 });
-        let waited = timeout(SILENCE, round_trip(&mut stream, b"two")).await;
+        let waited = timeout(NO_REPLY_TIME, round_trip(&mut stream, b"two")).await;
         assert!(waited.is_err(), "{waited:?}");
         let mut late = TcpStream::connect(link.address()).await.expect("the kernel accepts it");
-        assert!(timeout(SILENCE, round_trip(&mut late, b"x")).await.is_err());
-        // Healed: what was held arrives on both connections.
+        assert!(timeout(NO_REPLY_TIME, round_trip(&mut late, b"x")).await.is_err());
+        // Healed: bytes that were held back arrive on both connections.
         link.update(LinkSettings::default());
         let mut reply = [0; 3];
         stream.read_exact(&mut reply).await.unwrap();
--- a/crates/chaos/tests/udp_link.rs
+++ b/crates/chaos/tests/udp_link.rs
@@ -16,7 +16,7 @@
 /// Time after which a datagram counts as lost.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Opens a link to a server that sends back each datagram.
+/// Opens a link to an echo server for datagrams.
 async fn open_link_to_echo() -> Link {
     let echo = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let target = Rc::new(RefCell::new(echo.local_addr().unwrap()));
@@ -30,7 +30,7 @@
     udp::open(LinkOptions { target, state, seed: 5, lateness }).await.unwrap()
 }
 
-/// Sends numbers, each after the reply to the last one or its loss; returns the numbers that came back.
+/// Sends numbers, each after the reply to the last one or its timeout; returns the numbers of all replies.
 async fn replies(socket: &UdpSocket, address: SocketAddr, count: u32) -> Vec<u32> {
     let mut replies = Vec::new();
     for number in 0..count {
@@ -48,10 +48,10 @@
     replies
 }
 
-/// Guards datagrams over sockets: all arrive without a fault, each sender gets its own replies, none arrives over a partition,
-/// and with loss about as many as configured.
+/// Without a fault all datagrams arrive and each sender gets its own replies; with a partition none arrives; with loss about
+/// the configured share arrives.
 #[test]
-fn datagrams_arrive_as_the_link_conditions_say() {
+fn udp_links_apply_partitions_and_loss_to_datagrams() {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let link = open_link_to_echo().await;
