--- a/crates/load-generator/src/mix.rs
+++ b/crates/load-generator/src/mix.rs
@@ -1,82 +1,82 @@
-//! What requests are: classes, keys, sites, body sizes, and how long clients wait.
+//! Contents of requests: classes, keys, sites, body sizes, and how long clients wait.
 
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::schedule::{Schedule, unit};
+use crate::schedule::{Schedule, random_unit};
 use crate::trace::Entry;
 use crate::{Nanos, SECOND};
 
-/// Most keys of a class.
-const MOST_KEYS: usize = 10_000_000;
+/// Maximum number of keys of a class.
+const MAX_KEYS: usize = 10_000_000;
 
-/// A class of requests. Times in milliseconds, as the file has them.
+/// A class of requests. Times are in milliseconds, as in the file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name; the first part of the path on the platform.
+    /// Name; the first segment of the path with the platform's protocol.
     pub name: String,
-    /// Share of requests, against the other classes'.
+    /// Share of the requests, relative to the shares of the other classes.
     pub share: f64,
     /// Method.
     pub method: String,
     /// Path; `{key}` stands for the key.
     pub path: String,
-    /// An answer later than this is late.
+    /// Target latency; a later response is late.
     pub aim_ms: u64,
-    /// How long a client waits at most.
+    /// Longest time that a client waits for a response.
     pub deadline_ms: u64,
-    /// How many keys there are.
-    #[serde(default = "one")]
+    /// Number of keys.
+    #[serde(default = "default_keys")]
     pub keys: usize,
-    /// How much the popular ones are asked more: the exponent of Zipf's law, 0 for all alike.
+    /// Skew of the popularity of keys: the exponent of Zipf's law; with 0 all keys are equally popular.
     #[serde(default)]
     pub zipf: f64,
-    /// Bytes of the body, least and most.
+    /// Minimum and maximum length of the body, in bytes.
     #[serde(default)]
     pub body: (usize, usize),
-    /// An idempotency key goes with it.
+    /// Whether requests have an idempotency key.
     #[serde(default)]
     pub keyed: bool,
 }
 
-fn one() -> usize {
+fn default_keys() -> usize {
     1
 }
 
-/// What requests are drawn from.
+/// What requests are generated from.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mix {
     /// Classes, at least one.
     pub classes: Vec<Class>,
-    /// Accounts, drawn alike; where there are some, each request names one.
+    /// Accounts, chosen with equal probability. If there are any, each request names one.
     #[serde(default)]
     pub accounts: Vec<String>,
-    /// `Host` of requests, drawn alike.
+    /// Values of `Host`, chosen with equal probability.
     #[serde(default)]
     pub sites: Vec<String>,
-    /// Clients ask once more, under a new id, after a refusal or a failure.
+    /// Whether clients retry once, with a new request id, after a rejection or a failure.
     #[serde(default)]
     pub retry: bool,
-    /// Least and most share of its deadline after which a client gives up.
-    #[serde(default = "patience")]
+    /// Minimum and maximum share of its deadline after which a client gives up.
+    #[serde(default = "default_patience")]
     pub patience: (f64, f64),
 }
 
-fn patience() -> (f64, f64) {
+fn default_patience() -> (f64, f64) {
     (0.7, 1.0)
 }
 
-/// A mix that can't be drawn from.
+/// Why a mix is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("mix: {0}")]
 pub struct MixError(String);
 
 impl Default for Mix {
-    /// Reads and submits as the ranking service has them.
+    /// Reads and submits, as in the ranking service.
     fn default() -> Self {
         let class = |name: &str, share, method: &str, path: &str, aim_ms, deadline_ms, body| Class {
             name: name.into(),
@@ -98,41 +98,43 @@
             accounts: Vec::new(),
             sites: Vec::new(),
             retry: false,
-            patience: patience(),
+            patience: default_patience(),
         }
     }
 }
 
 impl Mix {
-    /// Checks that it can be drawn from.
+    /// Validates the mix.
     ///
     /// # Errors
-    /// The first value that can't be.
+    /// The first invalid value.
     pub fn check(&self) -> Result<(), MixError> {
-        let fault = |text: String| Err(MixError(text));
+        let invalid = |text: String| Err(MixError(text));
         if self.classes.is_empty() {
-            return fault("no classes".into());
+            return invalid("no classes are configured".into());
         }
-        let (least, most) = self.patience;
-        if !(0.0 < least && least <= most && most <= 1.0) {
-            return fault("`patience` is two shares, the least first, over 0 and up to 1".into());
+        let (min, max) = self.patience;
+        if !(0.0 < min && min <= max && max <= 1.0) {
+            return invalid(
+                "`patience` must be two shares above 0 and at most 1, the lower one first".into(),
+            );
         }
         for class in &self.classes {
             let name = &class.name;
             if !(class.share.is_finite() && class.share > 0.0) {
-                return fault(format!("{name}: `share` is not over 0"));
+                return invalid(format!("{name}: `share` must be above 0"));
             }
             if class.aim_ms == 0 || class.deadline_ms == 0 {
-                return fault(format!("{name}: an aim or a deadline of 0"));
+                return invalid(format!("{name}: `aim_ms` and `deadline_ms` must be above 0"));
             }
-            if class.keys == 0 || class.keys > MOST_KEYS || !(0.0..=10.0).contains(&class.zipf) {
-                return fault(format!("{name}: `keys` is 1 to {MOST_KEYS}, `zipf` 0 to 10"));
+            if class.keys == 0 || class.keys > MAX_KEYS || !(0.0..=10.0).contains(&class.zipf) {
+                return invalid(format!("{name}: `keys` must be 1 to {MAX_KEYS}, and `zipf` 0 to 10"));
             }
             if class.body.0 > class.body.1 || class.body.1 > 64 << 20 {
-                return fault(format!("{name}: `body` is least and most, at most 64 MiB"));
+                return invalid(format!("{name}: `body` must be a minimum and a maximum of at most 64 MiB"));
             }
             if class.method.parse::<hyper::Method>().is_err() || !class.path.starts_with('/') {
-                return fault(format!("{name}: no method, or a path without `/`"));
+                return invalid(format!("{name}: `method` is invalid, or `path` does not start with `/`"));
             }
         }
         Ok(())
@@ -141,123 +143,126 @@
 
 /// A request to be sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Planned {
-    /// Its number in the schedule.
+pub struct PlannedRequest {
+    /// Number in the schedule.
     pub number: u64,
-    /// Its intended time.
+    /// Intended time.
     pub at: Nanos,
-    /// Its class.
+    /// Index of the class.
     pub class: usize,
-    /// Its target.
+    /// Request target.
     pub path: String,
-    /// Its method, where the trace has one of its own.
+    /// Method, if it comes from a trace; otherwise the class has it.
     pub method: Option<String>,
-    /// Its account, among the mix's.
+    /// Index of the account in the mix.
     pub account: Option<usize>,
-    /// Its site, among the mix's.
+    /// Index of the site in the mix.
     pub site: Option<usize>,
-    /// Bytes of its body.
+    /// Length of the body, in bytes.
     pub body: usize,
-    /// How long its client waits from the intended time.
-    pub patience: Nanos,
+    /// How long the client waits, from the intended time.
+    pub client_timeout: Nanos,
 }
 
-/// Where requests come from.
+/// Source of the requests of a run.
 #[derive(Clone)]
 pub enum Plan {
-    /// Drawn.
-    Drawn {
-        /// When.
+    /// Requests that are generated.
+    Generated {
+        /// Intended times.
         schedule: Schedule,
-        /// What.
+        /// Contents.
         mix: Mix,
-        /// For the draws.
+        /// Source of the random choices.
         rng: Pcg64Mcg,
-        /// Zipf's law summed up, by class.
+        /// Cumulative probabilities of the keys, by class.
         popularity: Vec<Vec<f64>>,
-        /// Requests so far.
+        /// Number of requests so far.
         number: u64,
     },
-    /// Recorded: what of it is left, first last.
+    /// Requests of a trace.
     Recorded {
-        /// Entries in reverse.
+        /// Remaining entries in reverse order.
         entries: Vec<Entry>,
-        /// Classes.
+        /// Mix with the classes.
         mix: Mix,
-        /// Requests so far.
+        /// Number of requests so far.
         number: u64,
     },
 }
 
 impl Plan {
-    /// Draws requests of a mix at the times of a schedule.
+    /// Creates a plan that generates requests of a mix at the times of a schedule.
     #[must_use]
-    pub fn drawn(schedule: Schedule, mix: Mix, seed: u64) -> Self {
-        let popularity = mix.classes.iter().map(|class| zipf(class.keys, class.zipf)).collect();
-        // Apart from the schedule's draws: another mix comes at the same times.
+    pub fn generated(schedule: Schedule, mix: Mix, seed: u64) -> Self {
+        let popularity = mix.classes.iter().map(|class| zipf_cumulative(class.keys, class.zipf)).collect();
+        // Independent of the schedule's random numbers, so that another mix has the same arrival times.
         let rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6d69_7865_645f_7365);
-        Self::Drawn { schedule, mix, rng, popularity, number: 0 }
+        Self::Generated { schedule, mix, rng, popularity, number: 0 }
     }
 
-    /// Plays recorded requests; each is of the first class with its method and the start of its path, or of the
-    /// first class.
+    /// Creates a plan that replays recorded requests. Each belongs to the first class whose method and path prefix
+    /// match it, or to the first class of the mix if there is none.
     #[must_use]
     pub fn recorded(mut entries: Vec<Entry>, mix: Mix) -> Self {
         entries.reverse();
         Self::Recorded { entries, mix, number: 0 }
     }
 
-    /// The mix.
+    /// Returns the mix.
     #[must_use]
     pub fn mix(&self) -> &Mix {
         match self {
-            Self::Drawn { mix, .. } | Self::Recorded { mix, .. } => mix,
+            Self::Generated { mix, .. } | Self::Recorded { mix, .. } => mix,
         }
     }
 }
 
 impl Iterator for Plan {
-    type Item = Planned;
+    type Item = PlannedRequest;
 
-    fn next(&mut self) -> Option<Planned> {
+    fn next(&mut self) -> Option<PlannedRequest> {
         match self {
-            Self::Drawn { schedule, mix, rng, popularity, number } => {
+            Self::Generated { schedule, mix, rng, popularity, number } => {
                 let at = schedule.next()?;
-                let all: f64 = mix.classes.iter().map(|class| class.share).sum();
-                let mut drawn = unit(rng) * all;
+                let total_share: f64 = mix.classes.iter().map(|class| class.share).sum();
+                let mut sampled = random_unit(rng) * total_share;
                 let class = mix.classes.iter().position(|class| {
-                    drawn -= class.share;
-                    drawn < 0.0
+                    sampled -= class.share;
+                    sampled < 0.0
                 });
                 let class = class.unwrap_or(mix.classes.len() - 1);
-                let told = &mix.classes[class];
-                let key = rank(&popularity[class], unit(rng));
-                let mut one_of = |count: usize| (count > 0).then(|| (unit(rng) * count as f64) as usize);
+                let settings = &mix.classes[class];
+                let key = sample_rank(&popularity[class], random_unit(rng));
+                let mut one_of =
+                    |count: usize| (count > 0).then(|| (random_unit(rng) * count as f64) as usize);
                 let (account, site) = (one_of(mix.accounts.len()), one_of(mix.sites.len()));
-                let body = told.body.0 + (unit(rng) * (told.body.1 - told.body.0 + 1) as f64) as usize;
-                let (least, most) = mix.patience;
-                let share = least + (most - least) * unit(rng);
+                let body = settings.body.0
+                    + (random_unit(rng) * (settings.body.1 - settings.body.0 + 1) as f64) as usize;
+                let (min, max) = mix.patience;
+                let share = min + (max - min) * random_unit(rng);
                 *number += 1;
-                Some(Planned {
+                Some(PlannedRequest {
                     number: *number - 1,
                     at,
                     class,
-                    path: told.path.replace("{key}", &key.to_string()),
+                    path: settings.path.replace("{key}", &key.to_string()),
                     method: None,
                     account,
                     site,
                     body,
-                    patience: (told.deadline_ms as f64 * 1e6 * share) as Nanos,
+                    client_timeout: (settings.deadline_ms as f64 * 1e6 * share) as Nanos,
                 })
             }
             Self::Recorded { entries, mix, number } => {
                 let entry = entries.pop()?;
-                let start = |class: &Class| class.path.split('{').next().unwrap_or_default().to_owned();
-                let fits =
-                    |class: &Class| class.method == entry.method && entry.path.starts_with(&start(class));
-                let class = mix.classes.iter().position(fits).unwrap_or(0);
+                let path_prefix = |class: &Class| class.path.split('{').next().unwrap_or_default().to_owned();
+                let matches = |class: &Class| {
+                    class.method == entry.method && entry.path.starts_with(&path_prefix(class))
+                };
+                let class = mix.classes.iter().position(matches).unwrap_or(0);
                 *number += 1;
-                Some(Planned {
+                Some(PlannedRequest {
                     number: *number - 1,
                     at: entry.at,
                     class,
@@ -266,15 +271,15 @@
                     account: None,
                     site: None,
                     body: entry.body,
-                    patience: mix.classes[class].deadline_ms * (SECOND / 1_000),
+                    client_timeout: mix.classes[class].deadline_ms * (SECOND / 1_000),
                 })
             }
         }
     }
 }
 
-/// Sums of Zipf's law, up to 1.
-fn zipf(keys: usize, exponent: f64) -> Vec<f64> {
+/// Returns the cumulative probabilities of keys by rank according to Zipf's law.
+fn zipf_cumulative(keys: usize, exponent: f64) -> Vec<f64> {
     let mut sum = 0.0;
     let mut sums: Vec<f64> = (1..=keys)
         .map(|rank| {
@@ -286,6 +291,6 @@
     sums
 }
 
-fn rank(sums: &[f64], drawn: f64) -> usize {
-    sums.partition_point(|sum| *sum <= drawn).min(sums.len().saturating_sub(1))
+fn sample_rank(cumulative: &[f64], sampled: f64) -> usize {
+    cumulative.partition_point(|sum| *sum <= sampled).min(cumulative.len().saturating_sub(1))
 }
