--- a/crates/load-generator/src/model.rs
+++ b/crates/load-generator/src/model.rs
@@ -1,4 +1,4 @@
-//! Servers whose latency can be computed: what a generator must find.
+//! Models of servers whose latency can be computed, to check what the generator measures.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,35 +7,35 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::Nanos;
-use crate::schedule::unit;
+use crate::schedule::random_unit;
 
-/// How long a request is worked on.
+/// Distribution of the service time of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Service {
-    /// Always the same.
+    /// Constant.
     Fixed(Nanos),
-    /// Exponential around a mean.
+    /// Exponential with this mean.
     Exponential(Nanos),
-    /// One or the other.
+    /// One of two values.
     Bimodal {
-        /// Mostly.
+        /// The usual service time.
         short: Nanos,
-        /// Sometimes.
+        /// The occasional long service time.
         long: Nanos,
-        /// Share of the long ones.
+        /// Share of requests with the long service time.
         share: f64,
     },
 }
 
 impl Service {
-    /// Draws one.
-    pub fn draw(&self, rng: &mut Pcg64Mcg) -> Nanos {
-        let drawn = unit(rng);
+    /// Samples a service time.
+    pub fn sample(&self, rng: &mut Pcg64Mcg) -> Nanos {
+        let sampled = random_unit(rng);
         match *self {
             Self::Fixed(span) => span,
-            Self::Exponential(mean) => (-(1.0 - drawn).ln() * mean as f64) as Nanos,
+            Self::Exponential(mean) => (-(1.0 - sampled).ln() * mean as f64) as Nanos,
             Self::Bimodal { short, long, share } => {
-                if drawn < share {
+                if sampled < share {
                     long
                 } else {
                     short
@@ -44,14 +44,14 @@
         }
     }
 
-    /// The service time that a share of requests stays within.
+    /// Returns the quantile of the service time at `share`.
     #[must_use]
     pub fn quantile(&self, share: f64) -> Nanos {
         match *self {
             Self::Fixed(span) => span,
             Self::Exponential(mean) => (-(1.0 - share).ln() * mean as f64) as Nanos,
-            Self::Bimodal { short, long, share: longs } => {
-                if share > 1.0 - longs {
+            Self::Bimodal { short, long, share: long_share } => {
+                if share > 1.0 - long_share {
                     long
                 } else {
                     short
@@ -61,14 +61,14 @@
     }
 }
 
-/// Times in which a server answers nothing: what would be answered then is, at the end of the stall.
+/// Intervals (start and end) in which a server sends no responses; they are sent at the end of the stall instead.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stalls(pub Vec<(Nanos, Nanos)>);
 
 impl Stalls {
-    /// When something that is ready at a time comes out.
+    /// Returns when a response that is ready at `ready` is sent.
     #[must_use]
-    pub fn out(&self, ready: Nanos) -> Nanos {
+    pub fn release_time(&self, ready: Nanos) -> Nanos {
         // Stalls may overlap.
         let mut at = ready;
         while let Some((_, end)) = self.0.iter().find(|(start, end)| (*start..*end).contains(&at)) {
@@ -78,63 +78,66 @@
     }
 }
 
-/// A server.
+/// Model of a server.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Model {
-    /// How long it works on each.
+pub struct ServerModel {
+    /// Service time of requests.
     pub service: Service,
-    /// On the way there and back, together.
+    /// Network delay in both directions together.
     pub delay: Nanos,
-    /// When it stands still.
+    /// When the server stalls.
     pub stalls: Stalls,
-    /// Requests that it works on at once; others wait in order.
-    pub limit: usize,
-    /// For the draws.
+    /// Maximum number of requests in service; others wait in order of arrival.
+    pub max_in_service: usize,
+    /// Seed of the random service times.
     pub seed: u64,
 }
 
-/// A server at work.
+/// State of a running server model.
 #[derive(Clone, Debug)]
-pub struct Running<'a> {
-    model: &'a Model,
+pub struct RunningServer<'a> {
+    model: &'a ServerModel,
     rng: Pcg64Mcg,
-    free: BinaryHeap<Reverse<Nanos>>,
+    busy_until: BinaryHeap<Reverse<Nanos>>,
 }
 
-impl Running<'_> {
-    /// When a request is answered; they come in order.
-    pub fn answer(&mut self, arrival: Nanos) -> Nanos {
-        let mut begins = arrival;
-        if self.free.len() >= self.model.limit
-            && let Some(Reverse(earliest)) = self.free.pop()
+impl RunningServer<'_> {
+    /// Returns when the response to a request that arrives at `arrival` is received. Requests must be passed in order
+    /// of arrival.
+    pub fn response_at(&mut self, arrival: Nanos) -> Nanos {
+        let mut start = arrival;
+        if self.busy_until.len() >= self.model.max_in_service
+            && let Some(Reverse(earliest)) = self.busy_until.pop()
         {
-            begins = begins.max(earliest);
+            start = start.max(earliest);
         }
-        let ready = self.model.stalls.out(begins + self.model.service.draw(&mut self.rng));
-        self.free.push(Reverse(ready));
+        let ready = self.model.stalls.release_time(start + self.model.service.sample(&mut self.rng));
+        self.busy_until.push(Reverse(ready));
         ready + self.model.delay
     }
 }
 
-impl Model {
-    /// Begins its work.
+impl ServerModel {
+    /// Returns the initial state.
     #[must_use]
-    pub fn start(&self) -> Running<'_> {
-        Running { model: self, rng: Pcg64Mcg::seed_from_u64(self.seed), free: BinaryHeap::new() }
+    pub fn start(&self) -> RunningServer<'_> {
+        RunningServer { model: self, rng: Pcg64Mcg::seed_from_u64(self.seed), busy_until: BinaryHeap::new() }
     }
 
-    /// The latency that a share of requests stays within, where they come evenly over a span, none waits for another
-    /// and service is fixed: a stall of length `s` holds those that would be ready in it for between 0 and `s`, evenly.
+    /// Returns the quantile of the latency at `share` for requests that arrive evenly over `span`, if no request waits
+    /// for another and the service time is fixed. A stall of length `s` delays the responses that would be ready during
+    /// it by between 0 and `s`, uniformly distributed.
     #[must_use]
     pub fn stalled_quantile(&self, share: f64, span: Nanos) -> Nanos {
         let base = self.service.quantile(share) + self.delay;
         let stalled: Nanos = self.stalls.0.iter().map(|(start, end)| end - start).sum();
-        let calm = 1.0 - stalled as f64 / span as f64;
-        if share <= calm {
+        let unstalled = 1.0 - stalled as f64 / span as f64;
+        if share <= unstalled {
             return base;
         }
-        // Over equal stalls the waits fill 0 to the stall's length evenly; over unequal ones the longest count last.
+        // With stalls of equal length the delays are uniformly distributed between 0 and that length. With unequal ones
+        // this is an upper bound, which the longest delays reach.
         let longest = self.stalls.0.iter().map(|(start, end)| end - start).max().unwrap_or(0);
-        base + ((share - calm) / (1.0 - calm) * longest as f64) as Nanos
+        base + ((share - unstalled) / (1.0 - unstalled) * longest as f64) as Nanos
     }
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,13 +1,14 @@
 //! Matches requests to routes. Free of I/O.
 //!
-//! The first route in the order of the file that matches a request is taken. [`Matcher`] finds it without checking
-//! every route: hosts are looked up by name, paths in a trie of segments, and only routes with the same host and
-//! path are checked one by one. The matcher stores the routes completely: [`Matcher::route`] restores one.
-//! [`Route::mismatch`] checks a single route without compiled tables; tests compare the matcher with it.
+//! The first route in the order of the file that matches a request is taken. [`Matcher`] finds it without
+//! checking every route: hosts are looked up by name, paths in a trie of segments, and only routes with the
+//! same host and path are checked one by one. The matcher stores the routes completely: [`Matcher::route`]
+//! restores one. [`Route::mismatch`] checks a single route without compiled tables; tests compare the matcher
+//! with it.
 //!
-//! Paths are compared segment by segment as RFC 3986 section 3.3 divides them. Each segment is percent-decoded
-//! separately, so `%2F` is never a separator. [`RequestPath::parse`] rejects paths that a backend might read
-//! differently from the matcher, such as `..` in any encoding.
+//! Paths are compared segment by segment as RFC 3986 section 3.3 divides them. Each segment is
+//! percent-decoded separately, so `%2F` is never a separator. [`RequestPath::parse`] rejects paths that a
+//! backend might read differently from the matcher, such as `..` in any encoding.
 
 mod host;
 mod matcher;
@@ -129,7 +130,7 @@
 
 /// The parts of a request that routes match.
 #[derive(Clone, Copy, Debug)]
-pub struct Query<'a> {
+pub struct RouteQuery<'a> {
     /// The host, as [`request_host`] returns it; empty if the request has none.
     pub host: &'a str,
     /// The path.
@@ -143,7 +144,7 @@
 impl Route {
     /// The first condition that a request does not meet; `None` if the route matches.
     #[must_use]
-    pub fn mismatch(&self, query: &Query<'_>) -> Option<Mismatch> {
+    pub fn mismatch(&self, query: &RouteQuery<'_>) -> Option<Mismatch> {
         if !self.host.matches(query.host) {
             return Some(Mismatch::Host);
         }
--- a/crates/route/tests/unit/reference.rs
+++ b/crates/route/tests/unit/reference.rs
@@ -1,10 +1,10 @@
-//! The reference matcher, which the compact one replaced: a trie of maps for each host. Only the differential test
-//! uses it, to compare its results with those of the compact matcher.
+//! The reference matcher, which the compact one replaced: a trie of maps for each host. Only the differential
+//! test uses it, to compare its results with those of the compact matcher.
 
 use rustc_hash::FxHashMap;
 
 use crate::path::Segment;
-use crate::{HeaderRule, HostPattern, MatchResult, Methods, Mismatch, Query, Route, header_values};
+use crate::{HeaderRule, HostPattern, MatchResult, Methods, Mismatch, Route, RouteQuery, header_values};
 
 /// No route; larger than every index.
 const NONE: u32 = u32::MAX;
@@ -16,8 +16,8 @@
 #[derive(Debug)]
 struct Leaf {
     first_route: u32,
-    /// Routes without header conditions, in order. Those hidden by earlier ones of the leaf are left out, so there
-    /// are no more of them than methods.
+    /// Routes without header conditions, in order. Those hidden by earlier ones of the leaf are left out, so
+    /// there are no more of them than methods.
     unconditional: Vec<u32>,
     unconditional_methods: Methods,
     /// Routes with header conditions, by name and value of the first condition.
@@ -69,8 +69,9 @@
     }
 }
 
-/// Compiled routes. A lookup takes a step for each label of the host and each segment of the path, independent of
-/// the number of routes; only routes with the same host, path and first header condition are checked one by one.
+/// Compiled routes. A lookup takes a step for each label of the host and each segment of the path,
+/// independent of the number of routes; only routes with the same host, path and first header condition are
+/// checked one by one.
 #[derive(Debug, Default)]
 pub struct Matcher {
     routes: Vec<Route>,
@@ -98,7 +99,7 @@
 
     /// Finds the first route that matches a request.
     #[must_use]
-    pub fn find(&self, query: &Query<'_>) -> MatchResult {
+    pub fn find(&self, query: &RouteQuery<'_>) -> MatchResult {
         let mut best = NONE;
         self.for_each_trie(query.host, |trie| trie.find(0, 0, query, &self.routes, &mut best));
         if best != NONE {
@@ -131,8 +132,8 @@
         }
     }
 
-    /// The earlier routes that together match every request that this one matches, in order; empty if this route
-    /// can be taken.
+    /// The earlier routes that together match every request that this one matches, in order; empty if this
+    /// route can be taken.
     #[must_use]
     pub fn hidden_by(&self, index: usize) -> Vec<usize> {
         let route = &self.routes[index];
@@ -221,7 +222,7 @@
         leaf.insert(index, route);
     }
 
-    fn find(&self, at: usize, depth: usize, query: &Query<'_>, routes: &[Route], best: &mut u32) {
+    fn find(&self, at: usize, depth: usize, query: &RouteQuery<'_>, routes: &[Route], best: &mut u32) {
         let node = &self.nodes[at];
         // Skips subtrees without an earlier route than the best so far: otherwise `*` next to literals would
         // double the search at every segment.
@@ -289,7 +290,7 @@
         self.by_header[known].1.entry(first.value.clone()).or_default().push(index);
     }
 
-    fn find(&self, query: &Query<'_>, routes: &[Route], best: &mut u32) {
+    fn find(&self, query: &RouteQuery<'_>, routes: &[Route], best: &mut u32) {
         if self.first_route >= *best {
             return;
         }
