--- a/crates/testbed/src/barrier.rs
+++ b/crates/testbed/src/barrier.rs
@@ -1,15 +1,15 @@
-//! A barrier that scripts wait at.
+//! A gate that scripts of backends wait at.
 
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 
 use crate::program::LIMIT;
 
-/// Blocks those who wait at it until it is opened; it stays open from then on. Clones are the same barrier.
+/// Blocks all waiting threads until it is opened; it stays open from then on. Clones share one state.
 #[derive(Clone, Default)]
 pub struct Barrier(Arc<(Mutex<bool>, Condvar)>);
 
 impl Barrier {
-    /// Opens it and wakes all who wait.
+    /// Opens it and wakes all waiting threads.
     pub fn open(&self) {
         let (open, opened) = &*self.0;
         *open.lock().unwrap_or_else(PoisonError::into_inner) = true;
--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -11,7 +11,7 @@
 use crate::standin::{ServiceModel, StandIn};
 use clap::{Parser, Subcommand, ValueEnum};
 
-/// Measurements and stand-ins, all on loopback.
+/// Measurements and stand-in servers, all on loopback.
 #[derive(Parser)]
 #[command(name = "pumicehead-testbed", bin_name = "pumicehead-testbed", version)]
 struct Arguments {
@@ -21,55 +21,55 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serves stand-ins of the backend servers until it is stopped.
+    /// Runs stand-ins for backend servers until the process is stopped.
     StandIn {
-        /// Where, on loopback.
+        /// Loopback addresses to listen on.
         #[arg(required = true)]
         addresses: Vec<SocketAddr>,
-        /// Time that each request takes, in milliseconds.
+        /// Processing time of a request, in milliseconds.
         #[arg(long, default_value_t = 5)]
         takes_ms: u64,
     },
-    /// Capacity of a node and a fleet: slopes by each factor, and all factors at once, beside the budgets.
+    /// Capacity of a node and of a fleet, compared with the budgets: cost by each factor alone, and with all factors at once.
     Capacity {
         #[command(flatten)]
         options: Options,
-        /// At the target's size; takes some minutes.
+        /// Measure at the size of the target; takes some minutes.
         #[arg(long)]
         full: bool,
-        /// Another build of the node, played in turn with this one.
+        /// Another build of the node, measured in turn with this one.
         #[arg(long)]
         beside: Option<PathBuf>,
-        /// What is measured.
+        /// The part to measure.
         #[arg(long, value_enum, default_value_t = CapacityPart::All)]
         part: CapacityPart,
     },
-    /// The configuration: checks, matches, reloads.
+    /// Configuration: time of checks and route matches, requests lost by reloads.
     Config(Options),
-    /// The node's cost beside a bare relay, and how it grows.
+    /// Processor time of a request compared with a plain TCP relay, and its growth with servers and connections.
     Cost(Options),
-    /// FastCGI beside HTTP: the parity table, costs, memory.
+    /// FastCGI compared with HTTP: results of the parity scenarios, processor time, memory.
     Fastcgi(Options),
-    /// Many nodes and servers in virtual time.
+    /// Many nodes and servers in virtual time, with and without planners.
     Fleet(Options),
-    /// Membership: crash detection, false positives, convergence and traffic, beside heartbeats to all.
+    /// Membership: crash detection, false positives, convergence and traffic, compared with all-to-all heartbeats.
     #[command(alias = "view")]
     Membership(Options),
-    /// What the flight recorder costs, and whether a recording names a fault that was injected.
+    /// Processor time of the flight recorder, and whether a recording identifies injected faults.
     #[command(alias = "eyes")]
     Recorder(Options),
-    /// Fleets of processes under crashes, stalls and bad links.
+    /// Fleets of processes under crashes, stalls and link faults.
     #[command(alias = "storm")]
     Chaos {
         #[command(flatten)]
         options: Options,
-        /// Another build of the node, played in turn with this one.
+        /// Another build of the node, measured in turn with this one.
         #[arg(long)]
         beside: Option<PathBuf>,
     },
 }
 
-/// Parts of `capacity`.
+/// Parts of the `capacity` measurement.
 #[derive(Clone, Copy, ValueEnum)]
 enum CapacityPart {
     /// One node and the fleet.
@@ -92,13 +92,13 @@
 
 #[derive(clap::Args)]
 struct Options {
-    /// For random numbers.
+    /// Seed of random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// More of everything.
+    /// Longer run with more sizes and rounds.
     #[arg(long)]
     long: bool,
-    /// One JSON object in place of the table.
+    /// Print one JSON object in place of the table.
     #[arg(long)]
     json: bool,
 }
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,4 +1,4 @@
-//! A plain HTTP/1.1 client that keeps its connection.
+//! An HTTP/1.1 client with one persistent connection.
 
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
     _driver: JoinSet<hyper::Result<()>>,
 }
 
-/// A client of one address.
+/// A client of one server address.
 pub struct Client {
     address: SocketAddr,
     open: Option<OpenConnection>,
--- a/crates/testbed/src/client_disconnect.rs
+++ b/crates/testbed/src/client_disconnect.rs
@@ -1,4 +1,4 @@
-//! Clients of the platform's protocol that disconnect before they have a response.
+//! Clients of the platform's protocol that disconnect before they receive a response.
 
 use std::net::{Shutdown, SocketAddr};
 use std::time::Duration;
@@ -12,9 +12,9 @@
 const LONG_BODY_WRITTEN: usize = 100_000;
 /// `Content-Length` of [`Disconnect::MidLongBody`], in bytes.
 const LONG_BODY: usize = 200_000;
-/// Requests behind the first of [`Disconnect::Pipelined`].
+/// Requests pipelined after the first with [`Disconnect::Pipelined`].
 const PIPELINED: usize = 3;
-/// Requests behind the first of [`Disconnect::PipelinedBurst`].
+/// Requests pipelined after the first with [`Disconnect::PipelinedBurst`].
 const PIPELINED_BURST: usize = 400;
 
 /// How a client disconnects.
@@ -26,10 +26,10 @@
     Reset,
     /// It shuts down its sending side and keeps the socket open.
     HalfClose,
-    /// It closes the connection with some further requests behind the first.
+    /// It closes the connection with some further requests pipelined after the first.
     Pipelined,
-    /// It closes the connection with more requests behind the first than a read buffer holds, the HTTP library's or the
-    /// kernel's.
+    /// It closes the connection with more requests pipelined after the first than the read buffers of the HTTP library and of
+    /// the kernel hold.
     PipelinedBurst,
     /// It closes the connection in the middle of a short body.
     MidBody,
@@ -38,7 +38,7 @@
 }
 
 impl Disconnect {
-    /// All ways.
+    /// All kinds of disconnect.
     pub const ALL: [Self; 7] = [
         Self::Fin,
         Self::Reset,
@@ -49,11 +49,11 @@
         Self::MidLongBody,
     ];
 
-    /// Those with a complete request at the time of the disconnect.
+    /// The kinds whose first request is complete at the time of the disconnect.
     pub const WITH_COMPLETE_REQUEST: [Self; 5] =
         [Self::Fin, Self::Reset, Self::HalfClose, Self::Pipelined, Self::PipelinedBurst];
 
-    /// Sends requests of a class on a new connection, which is to disconnect later.
+    /// Opens a connection and sends requests of a class on it, to be followed by [`DisconnectingClient::disconnect`].
     #[must_use]
     pub fn send_requests(self, node: SocketAddr, class: &str) -> DisconnectingClient {
         let (mut client, first) = (Client::connect(node), request(class, body_of(class)));
@@ -82,7 +82,7 @@
     if class == "read" { "" } else { "x" }
 }
 
-/// A client that has sent its requests and is to disconnect.
+/// A client that has sent its requests and has not disconnected yet.
 pub struct DisconnectingClient {
     /// How it disconnects.
     pub disconnect: Disconnect,
@@ -97,7 +97,7 @@
     pub disconnect: Disconnect,
     /// Ids of its requests, in order.
     pub ids: Vec<String>,
-    /// The socket of a client that is half closed.
+    /// Keeps the socket of a half-closed connection open.
     _open: Option<Client>,
 }
 
@@ -105,7 +105,7 @@
     /// Disconnects.
     ///
     /// # Panics
-    /// Where the socket refuses it.
+    /// Where the socket operation fails.
     #[must_use]
     pub fn disconnect(self) -> DisconnectedClient {
         let Self { disconnect, client, ids } = self;
@@ -113,11 +113,11 @@
             Disconnect::Reset => {
                 SockRef::from(client.stream())
                     .set_linger(Some(Duration::ZERO))
-                    .expect("an open socket takes the option");
+                    .expect("SO_LINGER could not be set");
                 None
             }
             Disconnect::HalfClose => {
-                client.stream().shutdown(Shutdown::Write).expect("the connection is open");
+                client.stream().shutdown(Shutdown::Write).expect("sending side could not be shut down");
                 Some(client)
             }
             _ => None,
@@ -133,7 +133,7 @@
 #[must_use]
 pub fn id_of(text: &str) -> String {
     let line = text.lines().find_map(|line| line.strip_prefix("X-Correlation-Id: "));
-    line.expect("an id").to_owned()
+    line.expect("no X-Correlation-Id in the request").to_owned()
 }
 
 /// Returns the ids of requests as a backend received them.
@@ -148,13 +148,13 @@
 /// Where its script has panicked.
 #[must_use]
 pub fn ids_at(backend: &Backend) -> Vec<String> {
-    ids_of(&backend.seen.lock().expect("the script does not panic"))
+    ids_of(&backend.seen.lock().expect("the backend's script panicked"))
 }
 
 /// Returns once the node has processed what its sockets had received before this call.
 ///
-/// A connection made now is accepted after what was pending, and answered after that is processed. An attempt that starts
-/// later therefore starts when the node could know of each client that disconnected before this call.
+/// A connection opened now is accepted after the events that were pending, and answered after those are processed. An attempt
+/// that starts later therefore starts when the node could know of each client that disconnected before this call.
 ///
 /// # Panics
 /// Where the node does not answer.
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,4 @@
-//! Stand-in servers, scripted peers, faults and measurements. Everything stays on loopback, and the node never
-//! depends on it.
+//! Stand-in servers, scripted peers, faults and measurements, all on loopback. The node must not depend on this crate.
 
 pub mod barrier;
 pub mod cli;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins, simulations and benchmarks from the command line.
+//! Command line of the stand-ins, simulations and measurements.
 
 fn main() -> std::process::ExitCode {
     pumicehead_testbed::cli::main()
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports of measurements: a table, then a line with the figures and whether all claims hold.
+//! Reports of measurements: a table, the claims that do not hold, and a last line with the verdict and the figures.
 
 use std::fmt::Write;
 
@@ -13,7 +13,7 @@
 }
 
 impl Report {
-    /// A report without rows; `columns` are the heads of its table.
+    /// A report without rows; `columns` are the column headings of its table.
     #[must_use]
     pub fn new(name: &'static str, columns: &[&str]) -> Self {
         let head = columns.iter().map(|column| (*column).to_owned()).collect();
@@ -30,7 +30,7 @@
         self.figures.push((name, value.to_string()));
     }
 
-    /// Checks a claim; one that does not hold is listed in the report.
+    /// Records the result of a claim; `what` is listed in the report where it does not hold.
     pub fn claim(&mut self, holds: bool, what: impl Into<String>) {
         if !holds {
             self.failed_claims.push(what.into());
--- a/crates/testbed/src/slow_connect.rs
+++ b/crates/testbed/src/slow_connect.rs
@@ -9,7 +9,7 @@
 
 use crate::scripted::{Message, answer};
 
-/// More connections than an accept queue of length 0 takes.
+/// More connections than the accept queue of a listener with backlog 0 holds.
 const FILLER_CONNECTIONS: usize = 4;
 
 /// A listener with a full accept queue: the kernel drops the SYN of each further connection until
@@ -41,7 +41,7 @@
         Self { listener, fillers: (0..FILLER_CONNECTIONS).map(filler).collect() }
     }
 
-    /// Accepts connections from now on and answers their requests with 200. Returns the requests, which are added as they
+    /// Starts to accept connections and to answer their requests with 200. Returns the list of requests, which grows as they
     /// are received.
     ///
     /// # Panics
--- a/crates/testbed/src/standin.rs
+++ b/crates/testbed/src/standin.rs
@@ -19,7 +19,7 @@
 use tokio::runtime::Builder;
 use tokio::task::{LocalSet, spawn_local};
 
-/// The header by which clients of the testbed name a unit of work, whose effect may happen once.
+/// The header that identifies a unit of work, which may take effect at most once.
 pub const UNIT: &str = "x-unit";
 
 /// What a stand-in has processed.
@@ -27,7 +27,7 @@
 pub struct Record {
     /// Complete requests.
     pub requests: u64,
-    /// How often each unit of work that changes something took effect.
+    /// Number of times that each unit of work took effect; requests with a safe method are not counted.
     pub effects: HashMap<String, u32>,
 }
 
@@ -96,7 +96,7 @@
         let record = record.clone();
         spawn_local(async move {
             let service = service_fn(move |request| answer(request, work, record.clone()));
-            // Errors of a connection are the client's to notice; the record is complete without them.
+            // Connection errors are ignored: the client sees them, and the record does not depend on them.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
