--- a/crates/testbed/src/measure/capacity/claims.rs
+++ b/crates/testbed/src/measure/capacity/claims.rs
@@ -1,4 +1,4 @@
-//! The budgets of the operators, and whether a node keeps them.
+//! The budgets of the operators, and the claims that a node keeps them.
 
 use std::time::Duration;
 
@@ -13,33 +13,33 @@
 
 /// Changes of configuration a day ("2,100 changes of configuration a day").
 const CHANGES_A_DAY: f64 = 2_100.0;
-/// Until a change is in force everywhere, in milliseconds ("within 12 s"); at one node it must be less.
+/// Limit of the time until a change is in force on all nodes, in milliseconds ("within 12 s"); one node must take less.
 const IN_FORCE_MS: f64 = 12_000.0;
-/// What the node may add for 99 in 100 requests ("at most 2.4 ms added").
+/// Limit of the p99 latency that the node adds ("at most 2.4 ms added").
 const ADDED_P99: Duration = Duration::from_micros(2_400);
-/// The longest turn of the loop at the target, in milliseconds ("longest turn under 2 ms").
+/// Limit of the longest turn of the event loop at the target, in milliseconds ("longest turn under 2 ms").
 const TURN_MS: f64 = 2.0;
-/// Peak memory over changes, as a multiple of that at rest ("within 1.2 of steady").
+/// Limit of the peak memory over changes, as a multiple of that at rest ("within 1.2 of steady").
 const PEAK_RATIO: f64 = 1.2;
-/// p99 with changes, as a multiple of that without ("within 1.1").
+/// Limit of the p99 with changes, as a multiple of that without ("within 1.1").
 const CHANGING_P99_RATIO: f64 = 1.1;
-/// Processor time on the loop for a change of one value, in milliseconds ("under 5 ms").
+/// Limit of the event loop's processor time for a change of one value, in milliseconds ("under 5 ms").
 const CHANGE_LOOP_MS: f64 = 5.0;
 const SECONDS_A_DAY: f64 = 86_400.0;
 
-/// What is judged of one program.
+/// The measurements of one build that are compared with the budgets.
 pub struct Measured<'a> {
     /// The size of the corner.
     pub corner: Size,
-    /// Its samples, one a round.
+    /// Samples at that size, one per round.
     pub samples: &'a [Sample],
-    /// Samples of the smallest node: memory that is no state.
+    /// Samples of the smallest size, whose memory is not control state.
     pub smallest: &'a [Sample],
     /// Latencies without changes.
     pub quiet: &'a LoadResult,
-    /// While one value changes.
+    /// Latencies while one value changes.
     pub values: &'a LoadResult,
-    /// While a tenant comes and goes.
+    /// Latencies while a tenant is added and removed.
     pub tenants: &'a LoadResult,
 }
 
@@ -65,7 +65,7 @@
     report.figure("refused_tenant", tenants.through.refused);
 }
 
-/// Judges memory, processor time and the loop.
+/// Adds the claims on memory, processor time and the event loop.
 pub fn judge_samples(report: &mut Report, measured: &Measured<'_>) {
     let samples = measured.samples;
     let share = measured.corner.share_of_target();
@@ -105,13 +105,13 @@
     );
 }
 
-/// Judges latencies.
+/// Adds the claims on latencies.
 pub fn judge_load(report: &mut Report, measured: &Measured<'_>) {
     let Measured { quiet, values, tenants, .. } = measured;
     for (result, name) in [(quiet, "without changes"), (values, "value changes"), (tenants, "tenant changes")]
     {
         let kept = result.through.valid && result.direct.valid;
-        report.claim(kept, format!("{name}: the generator kept its times"));
+        report.claim(kept, format!("{name}: the load generator kept its schedule"));
         let (refused, failed) = (result.through.refused, result.through.failed);
         report.claim(
             refused + failed == 0,
@@ -132,7 +132,7 @@
     }
 }
 
-/// Memory beyond that of the smallest node, in bytes.
+/// Memory in excess of the smallest size's, in bytes.
 fn state_bytes(measured: &Measured<'_>) -> f64 {
     (RESIDENT.median(measured.samples) - RESIDENT.median(measured.smallest)) * MEGABYTE
 }
@@ -141,7 +141,7 @@
     PEAK.median(samples) / RESIDENT.median(samples).max(f64::EPSILON)
 }
 
-/// Processor at rest and for a day's changes, as a share of a core.
+/// Processor time at rest and for the changes of a day, as a share of a core.
 fn control_cpu(samples: &[Sample]) -> f64 {
     let changes = CHANGE_CPU.median(samples) / 1e3 * CHANGES_A_DAY / SECONDS_A_DAY;
     REST_CPU.median(samples) / 1e3 + changes
--- a/crates/testbed/src/measure/capacity/file.rs
+++ b/crates/testbed/src/measure/capacity/file.rs
@@ -1,4 +1,4 @@
-//! Writes the configuration of a size, and the variants of it that a change goes over to.
+//! Generates the configuration of a size, and the variants that a configuration change switches between.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -11,31 +11,31 @@
 const ZONES: usize = 8;
 /// The header by which a request names its tenant; the load generator writes it.
 pub const TENANT_HEADER: &str = "x-account";
-/// A host that all routes match.
+/// The host of the requests; all routes match it.
 pub const HOST: &str = "site.example.org";
-/// Percent of the service that all tenants have together.
+/// Sum of the shares of all tenants, in percent.
 const TENANTS_SHARE: f64 = 90.0;
 
-/// One of the texts of a size: which values differ from the first.
+/// A variant of the configuration of a size: the values that differ from the default one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Variant {
-    /// Whether the first backend has twice the weight: a change of one value.
+    /// Whether the first backend has weight 2: a change of one value.
     pub heavy: bool,
     /// Whether there is one more tenant.
     pub more_tenants: bool,
 }
 
-/// What a change is.
+/// Kinds of configuration changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     /// One value of one backend.
     Value,
-    /// A tenant comes, or goes again.
+    /// A tenant is added, or removed again.
     Tenant,
 }
 
 impl Change {
-    /// The variant that the change of a number goes over to; changes alternate between two texts.
+    /// The variant after the change with this number; changes alternate between two variants.
     #[must_use]
     pub fn variant(self, number: usize) -> Variant {
         let changed = number.is_multiple_of(2);
@@ -46,7 +46,7 @@
     }
 }
 
-/// The text of a size. The backends are the first of those that are given.
+/// The text of the configuration of a size; it uses the first `size.backends` of the addresses.
 #[must_use]
 pub fn text(size: Size, backends: &[SocketAddr], variant: Variant) -> String {
     let mut out = String::new();
@@ -78,7 +78,7 @@
 }
 
 fn write_tenants(out: &mut String, size: Size, variant: Variant) {
-    // The same shares with one more: only that one is the change.
+    // Shares don't depend on the extra tenant, so that it is the only change.
     let share = TENANTS_SHARE / (size.tenants + 1) as f64;
     for tenant in 0..size.tenants + usize::from(variant.more_tenants) {
         let _ = writeln!(out, "tenant {} {{ share {share:.6}%; rate 1000/s }}", tenant_name(tenant));
@@ -104,7 +104,7 @@
     format!("tenant-{number}")
 }
 
-/// Reads that a configuration of a size serves: all routes and all tenants alike.
+/// Read requests for the configuration of a size, spread evenly over all routes and tenants.
 #[must_use]
 pub fn mix(size: Size) -> Mix {
     let class = Class {
--- a/crates/testbed/src/measure/capacity/fit.rs
+++ b/crates/testbed/src/measure/capacity/fit.rs
@@ -3,25 +3,25 @@
 /// A measured point.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// How many there are of what grows.
+    /// Count of the factor.
     pub x: f64,
-    /// What was measured.
+    /// The measured value.
     pub y: f64,
 }
 
-/// The line of least squares.
+/// A line fitted by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
-    /// What one more adds.
+    /// Increase per unit of `x`.
     pub slope: f64,
-    /// What there is without any.
+    /// Value at `x` = 0.
     pub intercept: f64,
-    /// The largest distance of a point from the line, as a share of the largest measured value.
+    /// The largest residual, as a share of the largest measured value.
     pub error: f64,
 }
 
 impl Line {
-    /// Through at least two points that don't all have one `x`; `None` for others.
+    /// Fits a line through points; `None` for fewer than two points, or where all have the same `x`.
     #[must_use]
     pub fn fit(points: &[Point]) -> Option<Self> {
         let count = points.len() as f64;
@@ -42,7 +42,7 @@
     }
 }
 
-/// The middle one of some values, and 0 of none; the upper one where two are in the middle.
+/// The median, and 0 without values; of an even number of values, the upper one of the two in the middle.
 #[must_use]
 pub fn median(values: impl IntoIterator<Item = f64>) -> f64 {
     let mut values: Vec<_> = values.into_iter().collect();
--- a/crates/testbed/src/measure/capacity/fleet.rs
+++ b/crates/testbed/src/measure/capacity/fleet.rs
@@ -1,8 +1,9 @@
 //! The membership of a fleet by its size: real processes and hollow nodes on loopback, and larger fleets in virtual time.
 //!
-//! The order is that of trust: first a small fleet in which hollow nodes are counted beside real ones, then one fleet that
-//! grows to its full size, in which a process is killed and many nodes restart, then what sockets can't show: a zone gone, two
-//! regions that lose each other, three times the size. Each row says whether its nodes are real, hollow or virtual.
+//! Each step relies on the one before: first a small fleet, in which the messages of hollow nodes are compared with those of
+//! real ones; then one fleet that grows to its full size, in which a process is killed and many nodes restart; then what
+//! sockets can't show: the loss of a zone, a partition between two regions, three times the size. Each row states whether its
+//! nodes are real, hollow or virtual.
 
 mod growth;
 mod parity;
@@ -17,17 +18,17 @@
 pub use parity::{Parity, Rate};
 pub use virtual_time::{Cut, VirtualJoin, VirtualSize, ZoneGone};
 
-/// Share of a core that a node may spend for control.
+/// Budget of a node for control, as a share of a core.
 pub const CPU_BUDGET: f64 = 0.034;
-/// Memory that a node may spend for control, in bytes.
+/// Memory budget of a node for control, in bytes.
 pub const MEMORY_BUDGET: f64 = 64e6;
-/// Bytes a second that a node may spend for control.
+/// Traffic budget of a node for control, in bytes per second.
 pub const BYTES_BUDGET: f64 = 9_000.0;
-/// A killed process is known to all within this.
+/// Limit of the time until all nodes consider a killed process dead.
 const DETECTION_LIMIT: Duration = Duration::from_secs(10);
-/// The time over which a burst is held against the budget.
+/// Time over which a burst is averaged for the comparison with the budget.
 const BURST_SPAN_SECONDS: f64 = 60.0;
-/// What the table's columns are.
+/// Columns of the table.
 const COLUMNS: [&str; 12] = [
     "members",
     "nodes are",
@@ -43,10 +44,10 @@
     "most of one",
 ];
 
-/// All figures.
+/// All results.
 #[derive(Debug)]
 pub struct FleetFigures {
-    /// Hollow nodes beside real ones.
+    /// Hollow nodes compared with real ones.
     pub parity: Parity,
     /// One fleet that grows.
     pub growth: Growth,
@@ -54,25 +55,26 @@
     pub virtual_sizes: Vec<VirtualSize>,
     /// Fleets in virtual time whose nodes all start at once.
     pub joins: Vec<VirtualJoin>,
-    /// A zone of nodes gone at once.
+    /// All nodes of a zone lost at once.
     pub zone: ZoneGone,
-    /// Two regions that lose each other for a minute.
+    /// Two regions partitioned from each other for a minute.
     pub cut: Cut,
 }
 
-/// Measures all of it: some half a minute, or with `full` some minutes. The node has to be built beside this program.
+/// Runs all measurements, in about half a minute, or some minutes with `full`. The node has to be built beside this program.
 ///
 /// # Errors
-/// Processes or sockets that can't be had.
+/// Processes or sockets that can't be created.
 pub fn measure(seed: u64, full: bool) -> io::Result<FleetFigures> {
-    // Virtual time needs a core and no sockets; the fleets on sockets wait most of the time, and their loops' time is counted apart.
+    // Virtual time needs a core and no sockets; the fleets on sockets are idle most of the time, and the processor time of their
+    // loops is counted separately.
     let (parity, growth, simulated) = thread::scope(|scope| {
         let parity = scope.spawn(|| parity::measure(seed, full));
         let simulated = scope.spawn(|| simulate(seed, full));
         let growth = growth::measure(seed, full);
         (parity.join(), growth, simulated.join())
     });
-    let failed = || io::Error::other("a thread failed");
+    let failed = || io::Error::other("measurement thread panicked");
     let (parity, growth) = (parity.map_err(|_| failed())??, growth?);
     let (virtual_sizes, joins, zone, cut) = simulated.map_err(|_| failed())?;
     Ok(FleetFigures { parity, growth, virtual_sizes, joins, zone, cut })
--- a/crates/testbed/src/measure/capacity/mod.rs
+++ b/crates/testbed/src/measure/capacity/mod.rs
@@ -1,5 +1,5 @@
-//! What the design carries at the size that operators need: one node by its configuration, and a fleet by its size, beside
-//! the operators' budgets.
+//! Capacity at the size that operators need, compared with their budgets: one node by the size of its configuration, and a
+//! fleet by its number of nodes.
 
 pub mod claims;
 pub mod file;
@@ -23,7 +23,7 @@
 use fleet::FleetFigures;
 use node::NodeFigures;
 
-/// What is measured.
+/// The parts of the measurement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Part {
     /// One node and the fleet.
@@ -35,16 +35,17 @@
     Fleet,
 }
 
-/// How it is measured.
+/// Options of the measurement.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// For random numbers.
+    /// Seed of random numbers.
     pub seed: u64,
-    /// At the target's size, and in turn; or else at a part of it, and side by side where that does no harm.
+    /// Measures at the size of the target, one part after another; otherwise at a fraction of it, with parts in parallel where
+    /// they don't disturb each other.
     pub full: bool,
-    /// Another build of the node, played in turn with this one.
+    /// Another build of the node, measured in turn with this one.
     pub beside: Option<PathBuf>,
-    /// What is measured.
+    /// The part to measure.
     pub part: Part,
 }
 
@@ -72,15 +73,16 @@
     Ok(report)
 }
 
-/// What may run at the same time: the node's costs, which are processor time and memory for the most part, and the fleet,
-/// which waits most of the time. The full run leaves the fleet for later where both are measured.
+/// Measures the parts that may run at the same time: the node's costs, which are mostly processor time and memory, and the
+/// fleet, which is idle most of the time. The full run measures the fleet later where both are measured.
 fn measure_side_by_side(options: &Options) -> io::Result<(Option<NodeFigures>, Option<FleetFigures>)> {
     let with_node = options.part != Part::Fleet;
     let with_fleet = options.part == Part::Fleet || (options.part == Part::All && !options.full);
     thread::scope(|scope| {
         let fleet = with_fleet.then(|| scope.spawn(|| fleet::measure(options.seed, options.full)));
         let node = with_node.then(|| node::measure_costs(options)).transpose();
-        let fleet = fleet.map(|fleet| fleet.join().map_err(|_| io::Error::other("a thread failed")));
+        let fleet =
+            fleet.map(|fleet| fleet.join().map_err(|_| io::Error::other("fleet measurement panicked")));
         Ok((node?, fleet.transpose()?.transpose()?))
     })
 }
--- a/crates/testbed/src/measure/capacity/node.rs
+++ b/crates/testbed/src/measure/capacity/node.rs
@@ -1,4 +1,5 @@
-//! One node: what each factor of its configuration costs, the corner where all of them are large at once, and latencies.
+//! One node: the cost of each factor of its configuration, the cost where all factors are large at once (the corner), and
+//! latencies.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,36 +17,36 @@
 use crate::program::{Tool, built};
 use crate::report::Report;
 
-/// How long a backend takes over a request.
+/// Service time of a backend.
 const SERVICE: &str = "1ms";
-/// Backends on one loopback address; further ones have the next.
+/// Backends per loopback address; further ones use the next address.
 const BACKENDS_AN_ADDRESS: usize = 2_000;
-/// Rounds of samples at the target; the short run makes one.
+/// Rounds of the full run; the short run has one.
 const FULL_ROUNDS: usize = 3;
-/// Changes in a row whose costs make a line: in the full run, and in the short one.
+/// Numbers of consecutive changes through whose costs a line is fitted: in the full run, and in the short one.
 const FULL_CHANGES_IN_A_ROW: [usize; 4] = [1, 2, 4, 8];
 const CHANGES_IN_A_ROW: [usize; 4] = [1, 2, 3, 4];
-/// What is changed while a node is asked.
+/// Loads, by what changes in the configuration meanwhile.
 const LOADS: [(&str, Option<Change>); 3] = [
     ("no changes", None),
     ("values change", Some(Change::Value)),
     ("a tenant comes and goes", Some(Change::Tenant)),
 ];
 
-/// A program that is measured.
+/// A build of the node that is measured.
 struct Build {
     name: &'static str,
     program: PathBuf,
 }
 
-/// What was measured of a build in the corner.
+/// Measurements of a build at the corner.
 struct Corner {
     samples: Vec<Sample>,
     smallest: Vec<Sample>,
     loads: Vec<LoadResult>,
 }
 
-/// Builds of a node, the backends before which they run, and what has been measured of them.
+/// The measured builds, the backends that they forward to, and the measurements.
 pub struct NodeFigures {
     builds: Vec<Build>,
     backends: Tool,
@@ -55,8 +56,8 @@
     corners: Vec<Corner>,
 }
 
-/// Measures memory, processor time and the loop. Other work of the machine disturbs these little, if it leaves some
-/// processor free.
+/// Measures memory, processor time and the event loop. Other load of the machine has little effect on these as long as some
+/// processor time is free.
 ///
 /// # Errors
 /// Programs that do not start or answer.
@@ -84,7 +85,7 @@
         table::change_rows(report, &self.changes);
     }
 
-    /// Measures latencies of each build under each kind of change, all in turn, and adds their rows. Nothing else may run.
+    /// Measures latencies of each build under each kind of change, in turn, and adds their rows. Nothing else may run meanwhile.
     ///
     /// # Errors
     /// Nodes that do not start or answer.
@@ -123,7 +124,7 @@
     }
 }
 
-/// Stand-in backends in a process of their own.
+/// Starts a process with the stand-in backends.
 fn start_backends(count: usize) -> io::Result<Tool> {
     let mut arguments = vec!["stand-in".to_owned(), "--service".into(), SERVICE.into()];
     arguments.extend((0..count).map(|number| format!("127.0.{}.1:0", 1 + number / BACKENDS_AN_ADDRESS)));
@@ -158,7 +159,7 @@
     Ok(growths)
 }
 
-/// Each build at the smallest size and in the corner, in turn.
+/// Measures each build at the smallest size and at the corner, in turn.
 fn measure_corners(
     builds: &[Build],
     corner: Size,
@@ -198,10 +199,11 @@
     report.figure("rss_mb_by_slopes", table::short(predicted_memory(growths, corner)));
 }
 
-/// Memory of the corner by the slopes alone, in megabytes: what they miss is what grows with two factors at once.
+/// Memory at the corner as predicted by the slopes, in megabytes. The difference to the measured memory is what grows with two
+/// factors at once.
 fn predicted_memory(growths: &[Growth], corner: Size) -> f64 {
     let Some(base) = growths.first() else { return 0.0 };
-    // The first factor's line, at what the other ones began with; then what each of those adds.
+    // The first factor's line includes the other factors at their base counts; their further units are added.
     let line = |growth: &Growth| growth.line(&RESIDENT).map(|(line, _)| line);
     let start = line(base).map_or(0.0, |line| line.intercept + line.slope * corner.backends as f64);
     let more = growths[1..].iter().map(|growth| {
@@ -211,18 +213,18 @@
     start + more.sum::<f64>()
 }
 
-/// How many of a factor are in the line of another one already.
+/// Count of a factor that the first factor's line already includes.
 fn begun_with(factor: Factor, corner: Size) -> f64 {
     match factor {
         Factor::Backends | Factor::Tenants => 0.0,
         Factor::Pools => 1.0,
         Factor::Routes => corner.pools as f64,
-        // A tenant's slope has it in one pool.
+        // The slope of tenants includes one pool for each tenant.
         Factor::TenantPools => corner.tenants as f64,
     }
 }
 
-/// Costs of changes of one value, one after another, in the corner.
+/// Measures the cost of consecutive changes of one value at the corner.
 fn changes_in_a_row(
     build: &Build,
     corner: Size,
--- a/crates/testbed/src/measure/capacity/process.rs
+++ b/crates/testbed/src/measure/capacity/process.rs
@@ -1,4 +1,4 @@
-//! A real node process: started with a text, changed by SIGHUP, ended when dropped.
+//! A real node process: started with the text of a configuration, reloaded with SIGHUP, killed on drop.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -12,13 +12,13 @@
 use super::procfs::CpuTimes;
 use crate::program::temporary;
 
-/// A node that is not ready, or has not taken a change, within this has failed.
+/// Timeout of a start and of a configuration change.
 const LIMIT: Duration = Duration::from_secs(60);
-/// What the log says when a change is in force.
+/// Log text of a change that is in force.
 const IN_FORCE: &str = "reload: done";
-/// What it says when a change is refused.
+/// Log text of a rejected change.
 const REFUSED: &str = "the old configuration stays";
-/// What it logs when its event loop or its process stalled, in any version that is compared.
+/// Log texts of a stall of the event loop or the process, in all versions that are compared.
 const STALL_LINES: [&str; 3] = ["event loop stalled", "membership loop stalled", "stood still for"];
 
 struct LogLine {
@@ -38,7 +38,7 @@
     file: PathBuf,
     log: Receiver<LogLine>,
     stalls: usize,
-    /// Where it serves.
+    /// Address of its listener.
     pub address: SocketAddr,
     /// From its start until its first answer.
     pub ready_after: Duration,
@@ -47,7 +47,7 @@
 }
 
 impl NodeProcess {
-    /// Starts a program with a text, and waits for its first answer.
+    /// Starts a build of the node with the text of a configuration, and waits for its first response.
     ///
     /// # Errors
     /// A program that can't be started, or does not answer.
@@ -77,16 +77,16 @@
         Ok(node)
     }
 
-    /// Its process.
+    /// Process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Replaces its file, has it read, and waits until that is in force; from the signal on.
+    /// Replaces the configuration file, sends SIGHUP and waits until the change is in force. Returns the time since the signal.
     ///
     /// # Errors
-    /// A change that is refused, or takes too long.
+    /// A change that is rejected, or takes too long.
     pub fn change_to(&mut self, text: &str) -> io::Result<Duration> {
         let fresh = temporary(".conf");
         fs::write(&fresh, text)?;
@@ -103,7 +103,7 @@
         Ok(done.at.saturating_duration_since(start))
     }
 
-    /// How often its log has told of a loop that was late.
+    /// Number of stalls logged so far.
     pub fn stalls(&mut self) -> usize {
         let lines: Vec<_> = self.log.try_iter().collect();
         self.stalls += lines.iter().filter(|line| line.is_stall()).count();
@@ -114,9 +114,10 @@
         let end = Instant::now() + LIMIT;
         loop {
             let left = end.saturating_duration_since(Instant::now());
-            let line = self.log.recv_timeout(left).map_err(|_| {
-                io::Error::other("the node ended, or its log did not tell what was waited for")
-            })?;
+            let line = self
+                .log
+                .recv_timeout(left)
+                .map_err(|_| io::Error::other("the node exited, or did not log the expected line in time"))?;
             self.stalls += usize::from(line.is_stall());
             if wanted(&line.text) {
                 return Ok(line);
--- a/crates/testbed/src/measure/capacity/procfs.rs
+++ b/crates/testbed/src/measure/capacity/procfs.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use std::{fs, io};
 
-/// Written to `clear_refs` this sets the peak of a process back to what it holds now.
+/// Written to `clear_refs`, resets the peak memory of a process to its current memory.
 const RESET_PEAK: &str = "5";
 
 /// Processor time of the threads of a process, by thread.
@@ -15,10 +15,10 @@
 }
 
 impl CpuTimes {
-    /// What all threads that run now have used so far.
+    /// Reads the processor time of all current threads of a process.
     ///
     /// # Errors
-    /// A process that is gone, or a system without `schedstat`.
+    /// A process that has exited, or a system without `schedstat`.
     pub fn read(process: u32) -> io::Result<Self> {
         let mut threads = HashMap::new();
         for entry in fs::read_dir(format!("/proc/{process}/task"))? {
@@ -35,13 +35,13 @@
         Ok(Self { process, threads })
     }
 
-    /// What all threads have used.
+    /// Processor time of all threads.
     #[must_use]
     pub fn all(&self) -> Duration {
         self.threads.values().sum()
     }
 
-    /// What all threads that still run have used since an earlier reading.
+    /// Processor time of the threads of this reading since an earlier one.
     #[must_use]
     pub fn all_since(&self, before: &Self) -> Duration {
         self.threads.iter().map(|(thread, used)| used.saturating_sub(before.thread(*thread))).sum()
@@ -58,7 +58,7 @@
     }
 }
 
-/// Processor time of one thread. Exact while it sleeps; up to a tick of the scheduler behind while it runs.
+/// Processor time of one thread. Exact while it sleeps; lags by up to a scheduler tick while it runs.
 ///
 /// # Errors
 /// A thread that is gone, or a system that does not tell.
@@ -68,7 +68,7 @@
     nanoseconds.map(Duration::from_nanos).ok_or_else(|| io::Error::other("schedstat is malformed"))
 }
 
-/// How often a thread went to sleep by itself.
+/// Number of voluntary context switches of a thread: the times that it went to sleep by itself.
 ///
 /// # Errors
 /// A thread that is gone, or a system that does not tell.
@@ -76,7 +76,7 @@
     status(&format!("/proc/{process}/task/{thread}/status"), "voluntary_ctxt_switches:")
 }
 
-/// Memory that a process holds now, in bytes.
+/// Resident memory of a process, in bytes.
 ///
 /// # Errors
 /// A process that is gone, or a system that does not tell.
@@ -84,7 +84,7 @@
     Ok(status(&format!("/proc/{process}/status"), "VmRSS:")? * 1_024)
 }
 
-/// Most memory that a process has held, in bytes, since its start or since [`reset_peak`].
+/// Peak resident memory of a process, in bytes, since its start or since [`reset_peak`].
 ///
 /// # Errors
 /// A process that is gone, or a system that does not tell.
@@ -92,15 +92,15 @@
     Ok(status(&format!("/proc/{process}/status"), "VmHWM:")? * 1_024)
 }
 
-/// Lets [`peak`] begin anew.
+/// Resets the peak that [`peak`] returns.
 ///
 /// # Errors
-/// A process that is gone or another user's.
+/// A process that has exited, or belongs to another user.
 pub fn reset_peak(process: u32) -> io::Result<()> {
     fs::write(format!("/proc/{process}/clear_refs"), RESET_PEAK)
 }
 
-/// A number from a file of lines with a name and a value.
+/// Reads a number from a file of lines with a name and a value.
 fn status(file: &str, name: &str) -> io::Result<u64> {
     let text = fs::read_to_string(file)?;
     let value = text.lines().find_map(|line| line.strip_prefix(name));
--- a/crates/testbed/src/measure/capacity/sample.rs
+++ b/crates/testbed/src/measure/capacity/sample.rs
@@ -1,4 +1,4 @@
-//! What one node of a size costs: at its start, at rest, a request, a change.
+//! Cost of one node of a size: of its start, at rest, of a request, of a configuration change.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,25 +14,25 @@
 use super::procfs::{self, CpuTimes};
 use super::size::Size;
 
-/// How long nodes are left alone to see what they use at rest.
+/// Time over which the processor time at rest is measured.
 const REST: Duration = Duration::from_secs(1);
-/// How long the loop is watched without a change.
+/// Time over which the event loop is watched without a change.
 const QUIET: Duration = Duration::from_millis(300);
-/// After a change, for what is done once it is in force: the old state is given back.
+/// Pause after each change for the work that follows it: the old state is freed.
 const SETTLE: Duration = Duration::from_millis(50);
-/// Requests before those that count.
+/// Warm-up requests, which are not measured.
 const WARM_REQUESTS: usize = 10;
-/// Requests whose mean processor time counts.
+/// Number of requests over which processor time is averaged.
 const REQUESTS: usize = 120;
-/// Changes whose mean processor time counts; nothing else is asked meanwhile.
+/// Number of changes over which processor time is averaged; no requests are sent meanwhile.
 const CHANGES: usize = 2;
-/// Changes under which the loop is watched.
+/// Number of changes during which the event loop is watched.
 const WATCHED_CHANGES: usize = 2;
 
-/// What was measured of one node.
+/// Measurements of one node.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// Bytes of its file.
+    /// Size of its configuration file, in bytes.
     pub file_bytes: usize,
     /// From the start of the process until its first answer.
     pub ready_after: Duration,
@@ -40,43 +40,44 @@
     pub start_cpu: Duration,
     /// Memory at rest after the start, in bytes.
     pub resident: u64,
-    /// Most memory from then on over changes of one value, in bytes.
+    /// Peak memory over changes of one value, in bytes.
     pub change_peak: u64,
     /// From SIGHUP until a change of one value is in force.
     pub in_force_after: Duration,
     /// Processor time of a change of one value: all threads.
     pub change_cpu: Duration,
-    /// The part of it on the loop's thread.
+    /// The part of [`Self::change_cpu`] on the event loop's thread.
     pub change_loop_cpu: Duration,
-    /// Processor time of a second at rest.
+    /// Processor time per second at rest.
     pub rest_cpu: Duration,
     /// Processor time of a request.
     pub request_cpu: Duration,
-    /// The loop while nothing changes.
+    /// The event loop while nothing changes.
     pub quiet: LoopTimes,
-    /// The loop while one value changes.
+    /// The event loop while one value changes.
     pub changing: LoopTimes,
 }
 
-/// Processor time and memory of some changes in a row.
+/// Processor time and memory of consecutive changes.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangeCost {
-    /// How many.
+    /// Number of changes.
     pub changes: usize,
     /// Processor time of all threads.
     pub cpu: Duration,
-    /// The part of it on the loop's thread.
+    /// The part of [`Self::cpu`] on the event loop's thread.
     pub loop_cpu: Duration,
-    /// The middle time from a signal until its change was in force.
+    /// Median of the times from a signal until its change was in force.
     pub in_force_after: Duration,
-    /// Most memory over all of them, in bytes.
+    /// Peak memory over all changes, in bytes.
     pub peak: u64,
 }
 
-/// Samples of nodes of some sizes. All run at once, so that they are at rest together; the rest is measured one by one.
+/// Measures a node of each size. All run at once, so that their time at rest is measured in parallel; everything else is
+/// measured one node after another.
 ///
 /// # Errors
-/// A node that can't be started or asked.
+/// A node that can't be started, or does not answer.
 pub fn sample_all(program: &Path, sizes: &[Size], backends: &[SocketAddr]) -> io::Result<Vec<Sample>> {
     let start = |size: &Size| NodeProcess::start(program, &text(*size, backends, Variant::default()));
     let mut nodes = sizes.iter().map(start).collect::<io::Result<Vec<_>>>()?;
@@ -146,10 +147,10 @@
     Ok(CpuTimes::read(node.id())?.all_since(&before) / REQUESTS as u32)
 }
 
-/// Asks routes in turn, for tenants in turn.
+/// Sends requests for evenly spaced routes and tenants.
 fn ask_routes(client: &mut ProbeClient, size: Size, count: usize) -> io::Result<()> {
     for number in 0..count {
-        // Far apart from each other in the file.
+        // Spread over the whole configuration file.
         let route = number * size.routes / count;
         let tenant = (number * size.tenants).checked_div(count).filter(|_| size.tenants > 0);
         let field = tenant.map_or(String::new(), |tenant| format!("{TENANT_HEADER}: tenant-{tenant}\r\n"));
@@ -161,11 +162,11 @@
     Ok(())
 }
 
-/// Some changes of one value in a row, with nothing asked meanwhile. Their numbers go on from those of earlier ones, so
-/// that each differs from what is in force.
+/// Measures consecutive changes of one value, without requests meanwhile. `numbers` continue those of earlier changes, so
+/// that each change differs from what is in force.
 ///
 /// # Errors
-/// A node that does not take them.
+/// A node that rejects a change.
 pub fn cost_of_changes(
     node: &mut NodeProcess,
     size: Size,
--- a/crates/testbed/src/measure/capacity/size.rs
+++ b/crates/testbed/src/measure/capacity/size.rs
@@ -3,27 +3,27 @@
 /// How many of each resource a configuration has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// Backends, dealt out over all pools.
+    /// Backends, distributed round-robin over all pools.
     pub backends: usize,
     /// Pools: one for each service.
     pub pools: usize,
-    /// Routes, dealt out over all pools.
+    /// Routes, distributed round-robin over all pools.
     pub routes: usize,
     /// Tenants.
     pub tenants: usize,
 }
 
-/// What the operators run within two years.
+/// The size that operators expect within two years.
 pub const TARGET: Size = Size { backends: 8_000, pools: 140, routes: 15_000, tenants: 16_000 };
-/// A configuration in which the node itself is most of what is measured.
+/// A configuration whose cost is mostly that of the node itself.
 pub const SMALLEST: Size = Size { backends: 10, pools: 1, routes: 10, tenants: 0 };
-/// Divides the target where the short run is made.
+/// The short run measures the target divided by this.
 const SHORT_DIVISOR: usize = 4;
-/// The largest size of a factor is divided by these: each factor grows alone by four sizes.
+/// Divisors of the largest size of a factor, which give the four sizes in which it grows alone.
 const STEP_DIVISORS: [usize; 4] = [8, 4, 2, 1];
 
 impl Size {
-    /// The size at which the claims are judged: the target, or a part of it.
+    /// The size at which the claims are checked, where all factors are large at once: the target, or a fraction of it.
     #[must_use]
     pub fn corner(full: bool) -> Self {
         if full { TARGET } else { TARGET.divided(SHORT_DIVISOR) }
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Its part of the target, from 0 to 1. All counts are the same part of it.
+    /// Its share of the target, from 0 to 1, by the number of routes; at the corner all counts have the same share.
     #[must_use]
     pub fn share_of_target(self) -> f64 {
         self.routes as f64 / TARGET.routes as f64
     }
 
-    /// Its counts, for people.
+    /// Its counts as readable text.
     #[must_use]
     pub fn describe(self) -> String {
         let Self { backends, pools, routes, tenants } = self;
@@ -54,7 +54,7 @@
     }
 }
 
-/// What grows alone.
+/// Factors that grow alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Factor {
     /// Backends in one pool.
@@ -63,9 +63,9 @@
     Pools,
     /// Routes to one pool.
     Routes,
-    /// Tenants before one pool.
+    /// Tenants of one pool.
     Tenants,
-    /// The same tenants before more pools: pairs of a tenant and a pool.
+    /// The same tenants with more pools: pairs of a tenant and a pool.
     TenantPools,
 }
 
@@ -74,7 +74,7 @@
     [Factor::Backends, Factor::Pools, Factor::Routes, Factor::Tenants, Factor::TenantPools];
 
 impl Factor {
-    /// What one more of it is.
+    /// Name of one unit of the factor.
     #[must_use]
     pub fn one(self) -> &'static str {
         match self {
@@ -98,10 +98,10 @@
         }
     }
 
-    /// Four sizes in which nothing else grows, up to what the corner has of it.
+    /// Four sizes in which only this factor grows, up to its count at the corner.
     #[must_use]
     pub fn sizes(self, corner: Size) -> [Size; 4] {
-        // As many backends and routes as the most pools need.
+        // Enough backends and routes for the largest number of pools.
         let base = Size { backends: corner.pools, pools: 1, routes: corner.pools, tenants: 0 };
         STEP_DIVISORS.map(|divisor| match self {
             Self::Backends => Size { backends: corner.backends / divisor, ..base },
@@ -114,7 +114,7 @@
         })
     }
 
-    /// How many of it a configuration has.
+    /// Count of the factor in a configuration.
     #[must_use]
     pub fn count(self, size: Size) -> usize {
         match self {
