--- a/crates/testbed/src/measure/capacity/fleet/growth.rs
+++ b/crates/testbed/src/measure/capacity/fleet/growth.rs
@@ -1,4 +1,4 @@
-//! One fleet that grows: what joining takes, what a node spends at rest, a process killed, a burst of restarts.
+//! One fleet that grows: time to join, cost of a node at rest, detection of a killed process, a burst of restarts.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -7,7 +7,7 @@
 use crate::hollow::mixed::{Convergence, Detection, MixedFleet, NotDetected};
 use crate::hollow::process::RealNode;
 
-/// What is grown.
+/// Sizes and durations of a run.
 struct Scale {
     /// Nodes by step.
     sizes: [usize; 4],
@@ -15,30 +15,30 @@
     real: usize,
     /// Nodes that restart at once.
     restarts: usize,
-    /// A node's spending at rest is measured for so long.
+    /// Time over which the cost at rest is measured.
     span: Duration,
 }
 
-/// What fits into half a minute.
+/// Scale of the short run, which takes half a minute.
 const SHORT: Scale = Scale { sizes: [14, 29, 43, 58], real: 6, restarts: 32, span: Duration::from_secs(2) };
 /// The size that operators need.
 const FULL: Scale =
     Scale { sizes: [58, 145, 290, 580], real: 36, restarts: 320, span: Duration::from_secs(10) };
-/// From a node's end to its next start.
+/// Time between a node's stop and its next start.
 const RESTART_PAUSE: Duration = Duration::from_secs(1);
-/// Views that are not one by then are taken not to settle.
+/// Timeout of waits for convergence, for the end of gossip and for the detection of a killed process.
 const SETTLE_LIMIT: Duration = Duration::from_secs(120);
 
-/// What a node spends at rest.
+/// Cost of a node at rest.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rest {
-    /// Messages a second, datagrams and frames.
+    /// Datagrams and frames per second.
     pub messages: f64,
-    /// Bytes a second, with heads of UDP and IPv4.
+    /// Bytes per second, with UDP and IPv4 headers.
     pub bytes: f64,
     /// Share of a core.
     pub cpu: f64,
-    /// Bytes: the most of the real nodes' resident memory, or what a hollow node's view takes, counted.
+    /// Memory in bytes: the highest resident memory of a real node, or the mean size of a hollow node's member table.
     pub memory: f64,
 }
 
@@ -49,44 +49,44 @@
     pub nodes: usize,
     /// Real ones among them.
     pub real: usize,
-    /// Until all saw all, after the last was started.
+    /// Time until all member tables were equal, after the last node was started.
     pub joined: Convergence,
-    /// From then until nothing was left to pass on; figures at rest are of the time after.
+    /// Time from then until no updates were left to gossip; the cost at rest is measured after that.
     pub quiet: Option<Duration>,
     /// The mean of the hollow nodes.
     pub hollow_rest: Rest,
-    /// The mean of the real nodes; memory is the most of them.
+    /// The mean of the real nodes; memory is their maximum.
     pub real_rest: Rest,
 }
 
-/// Many restarts at once.
+/// Many nodes restarted at once.
 #[derive(Clone, Copy, Debug)]
 pub struct Burst {
     /// Nodes that restarted.
     pub restarted: usize,
-    /// Hollow nodes, which were counted.
+    /// Hollow nodes, whose messages were counted.
     pub counted: usize,
-    /// What came of it; times from the moment at which they went.
+    /// Convergence and traffic, measured from the moment at which the nodes left.
     pub settled: Convergence,
-    /// Processor time that a hollow node took until views were one.
+    /// Mean processor time of a hollow node until the member tables were equal.
     pub cpu_seconds_a_node: f64,
 }
 
 impl Burst {
-    /// Bytes that a node sent in the worst second, on the mean.
+    /// Mean bytes per node in the second with the most traffic.
     #[must_use]
     pub fn peak_bytes_a_node(&self) -> f64 {
         self.settled.peak_bytes as f64 / self.counted.max(1) as f64
     }
 
-    /// Bytes that a node sent in all, on the mean.
+    /// Mean bytes per node over the whole burst.
     #[must_use]
     pub fn bytes_a_node(&self) -> f64 {
         self.settled.sent.bytes as f64 / self.counted.max(1) as f64
     }
 }
 
-/// The fleet that grew.
+/// Results of the growing fleet.
 #[derive(Clone, Debug)]
 pub struct Growth {
     /// By size.
@@ -95,9 +95,9 @@
     pub detection: Result<Detection, NotDetected>,
     /// Restarts.
     pub burst: Burst,
-    /// Processes at the most: nodes, their guards and this one.
+    /// Peak number of processes: nodes, their guards and this one.
     pub processes: usize,
-    /// Times that hollow nodes noticed that this process had stood still: the machine was too busy for the figures.
+    /// Stalls of this process that hollow nodes detected; any means that the machine was too busy for valid figures.
     pub stalls: u64,
 }
 
@@ -109,7 +109,7 @@
     }
 }
 
-/// Measures it.
+/// Runs the measurement.
 pub(super) fn measure(seed: u64, full: bool) -> io::Result<Growth> {
     let Scale { sizes, real, restarts, span } = if full { FULL } else { SHORT };
     let mut fleet = MixedFleet::start(real, sizes[0] - real, seed)?;
@@ -126,7 +126,7 @@
     Ok(Growth { sizes: measured, detection, burst, processes: 2 * real + 1, stalls: fleet.stalls() })
 }
 
-/// What nodes spend at rest; the real ones' messages are counted by their hollow peers.
+/// Measures the cost of hollow and of real nodes at rest; messages of real nodes are counted by their hollow peers.
 fn rest(fleet: &MixedFleet, span: Duration) -> (Rest, Rest) {
     let (sent, cpu) = (fleet.sent(), fleet.hollow_cpu_seconds());
     let real_cpu = || fleet.real().iter().map(RealNode::cpu_seconds).sum::<f64>();
@@ -144,7 +144,7 @@
     };
     let received: Vec<Received> =
         fleet.real().iter().filter_map(|node| counted.get(node.name()).copied()).collect();
-    // Only hollow peers count; the others receive as much.
+    // Only hollow peers count what they receive; the scale assumes that real peers receive as much.
     let scale = (fleet.len() as f64 - 1.0) / hollow / real / seconds;
     let sum = |figure: fn(&Received) -> u64| received.iter().map(figure).sum::<u64>() as f64;
     let real_rest = Rest {
@@ -156,7 +156,7 @@
     (hollow_rest, real_rest)
 }
 
-/// Bytes as they are on the link.
+/// Bytes with UDP and IPv4 headers and length prefixes.
 fn bytes(from: &Received) -> u64 {
     let heads = DATAGRAM_HEADER_BYTES * from.all_datagrams() + FRAME_LENGTH_BYTES * from.all_frames();
     from.datagram_bytes + from.frame_bytes + heads
--- a/crates/testbed/src/measure/capacity/fleet/parity.rs
+++ b/crates/testbed/src/measure/capacity/fleet/parity.rs
@@ -1,4 +1,4 @@
-//! Whether a hollow node sends what a real one does.
+//! Compares the messages that hollow nodes and real nodes send.
 
 use std::collections::HashMap;
 use std::io;
@@ -10,26 +10,27 @@
 use crate::hollow::mixed::MixedFleet;
 use crate::program::LIMIT;
 
-/// Hollow and real figures differ by no more than this part. Whom a node probes is drawn: only over many rounds do all get as many.
+/// Tolerated relative difference between hollow and real nodes. Targets of probes are drawn at random, so that all nodes receive
+/// equally many only over many rounds.
 const TOLERANCE: f64 = 0.15;
 /// The same over the longer span of a full measurement.
 const TOLERANCE_FULL: f64 = 0.05;
 
-/// What a node sends in a second, of one kind.
+/// Messages or bytes of one kind that a node sends per second.
 #[derive(Clone, Debug)]
 pub struct Rate {
-    /// Of what.
+    /// What is counted.
     pub what: &'static str,
     /// The mean of the real nodes.
     pub real: f64,
     /// The mean of the hollow nodes.
     pub hollow: f64,
-    /// Whether the claim is about it: comparisons of views are few in a short span.
+    /// Whether a claim depends on it; push-pull exchanges, for one, are too few in a short span.
     pub is_judged: bool,
 }
 
 impl Rate {
-    /// Hollow to real; `None` where the real ones sent nothing.
+    /// Ratio of hollow to real; `None` where the real nodes sent nothing.
     #[must_use]
     pub fn ratio(&self) -> Option<f64> {
         (self.real > 0.0).then(|| self.hollow / self.real)
@@ -43,36 +44,39 @@
     pub real: usize,
     /// Hollow nodes.
     pub hollow: usize,
-    /// Counted for so long.
+    /// Time over which messages were counted.
     pub span: Duration,
-    /// The part by which judged figures may differ.
+    /// Tolerated relative difference of the rates that a claim depends on.
     pub tolerance: f64,
-    /// What they sent.
+    /// Rates by kind.
     pub rates: Vec<Rate>,
 }
 
-/// Counts a small fleet at rest.
+/// Measures a small fleet at rest.
 pub(super) fn measure(seed: u64, full: bool) -> io::Result<Parity> {
     let (real, hollow) = (4, 16);
     let (seconds, tolerance) = if full { (57, TOLERANCE_FULL) } else { (10, TOLERANCE) };
     let span = Duration::from_secs(seconds);
     let fleet = MixedFleet::start(real, hollow, seed)?;
     if fleet.wait_until_converged(LIMIT).after.is_none() {
-        return Err(io::Error::new(io::ErrorKind::TimedOut, "a fleet of 20 does not settle"));
+        return Err(io::Error::new(
+            io::ErrorKind::TimedOut,
+            "the member tables of a fleet of 20 did not converge",
+        ));
     }
     let _ = fleet.wait_for_broadcasts(LIMIT);
     let counted = fleet.count_received(span);
     Ok(Parity { real, hollow, span, tolerance, rates: rates(&fleet, &counted, span) })
 }
 
-/// A figure of what was received from a node.
+/// Extracts a figure from what was received from a node.
 type Figure = Box<dyn Fn(&Received) -> u64>;
 
 fn figures() -> Vec<(&'static str, bool, Figure)> {
     let mut figures: Vec<(_, _, Figure)> = vec![
         ("datagrams", true, Box::new(Received::all_datagrams)),
         (
-            "bytes of datagrams, with heads",
+            "bytes of datagrams, with headers",
             true,
             Box::new(|from| from.datagram_bytes + DATAGRAM_HEADER_BYTES * from.all_datagrams()),
         ),
@@ -80,7 +84,7 @@
     for (place, (_, name)) in DATAGRAM_KINDS.iter().enumerate() {
         figures.push((*name, false, Box::new(move |from| from.datagrams[place])));
     }
-    for (step, name) in [(FrameKind::Digest, "digests"), (FrameKind::InSync, "answers to digests: same")] {
+    for (step, name) in [(FrameKind::Digest, "digests"), (FrameKind::InSync, "answers to digests: in sync")] {
         figures.push((name, false, Box::new(move |from| from.frames[step as usize])));
     }
     figures.push(("bytes of frames", false, Box::new(|from| from.frame_bytes)));
@@ -102,10 +106,10 @@
     figures().into_iter().map(rate).collect()
 }
 
-/// Nodes of one sort.
+/// The nodes, hollow or real, whose mean is computed.
 struct Mean {
     names: Vec<String>,
-    /// Only hollow peers count what they receive: by how much that is to be raised for all peers.
+    /// Factor from what hollow peers receive, which alone is counted, to what all peers receive.
     scale: f64,
 }
 
--- a/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
+++ b/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
@@ -1,4 +1,4 @@
-//! What loopback sockets can't show: more nodes than the machine has room for, zones that go, regions that are cut.
+//! Fleets that loopback sockets can't represent: more nodes than fit on the machine, lost zones, partitioned regions.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 
 use crate::hollow::counts::DATAGRAM_HEADER_BYTES;
 
-/// Regions, as operators have them.
+/// Number of regions in the operators' deployment.
 const REGIONS: usize = 3;
-/// Zones of all regions.
+/// Number of zones of all regions together.
 const ZONES: usize = 24;
-/// Between two looks at all views.
+/// Interval at which member tables are checked.
 const STEP: Nanos = 100 * MS;
-/// Nothing takes longer.
+/// Timeout of all waits.
 const LIMIT: Nanos = 120 * SECOND;
-/// What was begun at the start is over.
+/// Time after which the exchanges of the start have finished.
 const SETTLE: Nanos = 3 * SECOND;
-/// Bytes at rest are counted for so long: each node compares its view once on the mean.
+/// Time over which traffic at rest is counted, in which each node starts one push-pull exchange on average.
 const REST: Nanos = 10 * SECOND;
-/// Two regions do not reach each other for so long.
+/// Duration of the partition between two regions.
 const CUT: Nanos = 60 * SECOND;
 
 /// A fleet of one size in virtual time.
@@ -27,13 +27,13 @@
 pub struct VirtualSize {
     /// Nodes.
     pub nodes: usize,
-    /// Datagrams that a node sends a second at rest.
+    /// Datagrams per second and node at rest.
     pub datagrams: f64,
-    /// Bytes that a node sends a second at rest, with heads of datagrams.
+    /// Bytes per second and node at rest, with headers of datagrams.
     pub bytes: f64,
-    /// Until the first held a crashed node dead.
+    /// Time until the first node considered a crashed one dead.
     pub first: Option<Duration>,
-    /// Until the last did.
+    /// Time until the last node did.
     pub last: Option<Duration>,
 }
 
@@ -42,41 +42,42 @@
 pub struct VirtualJoin {
     /// Nodes.
     pub nodes: usize,
-    /// Until all held the same, with all nodes in it.
+    /// Time until all member tables were equal and had all nodes alive.
     pub settled: Option<Duration>,
-    /// Bytes a second that a node sent until then, on the mean.
+    /// Mean bytes per second and node until then.
     pub bytes: f64,
-    /// Times that a node changed what it says of itself until then, on the mean: one is its number, the others are contests for it.
+    /// Mean incarnation of the nodes' records at that time: one increment is for a node's number, further ones are conflicts
+    /// over it.
     pub changes: f64,
 }
 
-/// A zone of nodes gone at once.
+/// All nodes of a zone lost at once.
 #[derive(Clone, Copy, Debug)]
 pub struct ZoneGone {
     /// Nodes before.
     pub nodes: usize,
     /// Nodes of the zone.
     pub gone: usize,
-    /// Until some node held one of them dead.
+    /// Time until some node considered one of them dead.
     pub first: Option<Duration>,
-    /// Until all held all of them dead.
+    /// Time until all nodes considered all of them dead.
     pub last: Option<Duration>,
-    /// Bytes a second that a node sent in the worst second, on the mean.
+    /// Mean bytes per node in the second with the most traffic.
     pub peak_bytes: f64,
 }
 
-/// Two regions that lose each other; the third one reaches both.
+/// Two regions partitioned from each other; the third one reaches both.
 #[derive(Clone, Copy, Debug)]
 pub struct Cut {
     /// Nodes.
     pub nodes: usize,
-    /// Nodes that were held dead at the end of any second of the cut, the most of them.
+    /// Largest number of nodes that were considered dead at the end of a second of the partition; all of them were alive.
     pub wronged: usize,
-    /// Bytes a second that a node sent during the cut, on the mean.
+    /// Mean bytes per second and node during the partition.
     pub bytes: f64,
-    /// The same in the worst second of the cut and after it.
+    /// Mean bytes per node in the second with the most traffic, during the partition or after it.
     pub peak_bytes: f64,
-    /// From the heal until all held the same, with all alive.
+    /// Time from the end of the partition until all member tables were equal and had all nodes alive.
     pub healed: Option<Duration>,
 }
 
@@ -92,18 +93,18 @@
     sim
 }
 
-/// Bytes sent by all, with heads of datagrams.
+/// Bytes sent by all nodes, with headers of datagrams.
 fn bytes(sim: &Simulation) -> f64 {
     let SentTotals { bytes, datagrams } = sim.sent();
     (bytes + DATAGRAM_HEADER_BYTES * datagrams) as f64
 }
 
-/// Whether one that runs holds another dead.
+/// Whether node `by` is running and considers node `of` dead.
 fn holds_dead(sim: &Simulation, by: usize, of: usize) -> bool {
     sim.is_up(by) && sim.state_of(by, of) == Some(MemberState::Dead)
 }
 
-/// A fleet of one size.
+/// Measures a fleet of one size.
 pub(super) fn size(nodes: usize, seed: u64) -> VirtualSize {
     let mut sim = known(nodes, seed);
     let (bytes_before, datagrams_before) = (bytes(&sim), sim.sent().datagrams);
@@ -118,7 +119,7 @@
     VirtualSize { nodes, datagrams, bytes, first, last }
 }
 
-/// Until the first holds one of some dead, and until all hold all of them dead.
+/// Time until some node considers one of the `gone` nodes dead, and until all nodes consider all of them dead.
 fn until_dead(sim: &mut Simulation, nodes: usize, gone: &[usize]) -> (Option<Duration>, Option<Duration>) {
     let any = |sim: &Simulation| (0..nodes).any(|by| gone.iter().any(|of| holds_dead(sim, by, *of)));
     let all = |sim: &Simulation| {
@@ -130,7 +131,7 @@
     (span(first), span(last))
 }
 
-/// All start at once, with three seeds.
+/// Measures a fleet whose nodes all start at once, with three seeds.
 pub(super) fn join(nodes: usize, seed: u64) -> VirtualJoin {
     let mut sim =
         Simulation::new(SimulationConfig { zones: ZONES, ..SimulationConfig::without_faults(nodes, seed) });
@@ -147,14 +148,14 @@
     VirtualJoin { nodes, settled: span(settled), bytes: bytes(&sim) / a_second, changes }
 }
 
-/// A zone is gone at once.
+/// Measures the loss of a zone.
 pub(super) fn zone_gone(nodes: usize, seed: u64) -> ZoneGone {
     let gone: Vec<_> = (0..nodes).filter(|node| node % ZONES == 1).collect();
     let left = (nodes - gone.len()) as f64;
     let mut sim = known(nodes, seed);
     gone.iter().for_each(|node| sim.kill(*node));
     let (first, last) = until_dead(&mut sim, nodes, &gone);
-    // The same once more, by seconds.
+    // Repeats the run in steps of a second, for the peak.
     let mut sim = known(nodes, seed);
     gone.iter().for_each(|node| sim.kill(*node));
     let seconds = last.map_or(10, |last| last.as_secs() + 1);
@@ -162,7 +163,7 @@
     ZoneGone { nodes, gone: gone.len(), first, last, peak_bytes: peak / left }
 }
 
-/// Bytes of all in the worst of the next seconds.
+/// Bytes of all nodes in the one of the next `seconds` with the most traffic.
 fn peak(sim: &mut Simulation, seconds: u64) -> f64 {
     let mut most = 0.0f64;
     for _ in 0..seconds {
@@ -177,7 +178,7 @@
     node % ZONES * REGIONS / ZONES
 }
 
-/// Two regions lose each other for a minute.
+/// Measures a partition of two regions for a minute.
 pub(super) fn regions_cut(nodes: usize, seed: u64) -> Cut {
     let mut sim = known(nodes, seed);
     sim.block_links(|from, to| region(from) != region(to) && region(from) < 2 && region(to) < 2);
@@ -195,7 +196,8 @@
     Cut { nodes, wronged, bytes, peak_bytes, healed: span(healed) }
 }
 
-/// Until all hold the same again with all alive, and the bytes of all in the worst second until then.
+/// Time until all member tables are equal again and have all nodes alive, and the bytes of all nodes in the second with the
+/// most traffic until then.
 fn heal(sim: &mut Simulation, nodes: usize) -> (Option<Nanos>, f64) {
     let is_healed = |sim: &Simulation| {
         sim.has_converged()
--- a/crates/testbed/src/measure/capacity/load.rs
+++ b/crates/testbed/src/measure/capacity/load.rs
@@ -1,4 +1,5 @@
-//! Latencies at a node's part of the target's traffic, with and without changes, beside the backends asked directly.
+//! Latencies at a node's share of the target's traffic, with and without configuration changes, compared with those of
+//! requests sent to the backends directly.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,78 +20,78 @@
 use super::process::NodeProcess;
 use super::size::Size;
 
-/// A node's part of 57,000 requests a second before 580 nodes.
+/// A node's share of 57,000 requests per second over 580 nodes.
 pub const RATE: f64 = 98.0;
-/// Connections of the generator at most.
+/// Connection limit of the load generator.
 const CONNECTIONS: usize = 1_000;
-/// Backends that are asked directly.
+/// Number of backends that receive direct requests.
 const DIRECT_BACKENDS: usize = 50;
 
 /// How nodes are loaded.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadPlan {
-    /// For the draws of requests.
+    /// Seed of the random requests.
     pub seed: u64,
-    /// Requests before those that count.
+    /// Length of the warm-up, which is not measured.
     pub warm_up: Duration,
-    /// How long each node is asked in a round.
+    /// Length of the load on each node in a round.
     pub span: Duration,
-    /// Rounds, in which all nodes take turns.
+    /// Rounds, in each of which all nodes are loaded in turn.
     pub rounds: usize,
-    /// From one change to the next.
+    /// Interval between changes.
     pub change_every: Duration,
 }
 
-/// A node that takes changes of one kind, or none, while it is asked.
+/// A node that is loaded, with configuration changes of one kind or none.
 pub struct LoadedNode {
-    /// What it is in the table.
+    /// Its name in the table.
     pub name: String,
-    /// What changes.
+    /// Kind of the changes.
     pub change: Option<Change>,
     node: NodeProcess,
-    /// What its clients saw.
+    /// Results through the node, by round.
     through: Vec<Tally>,
-    /// What clients of the backends saw at the same times.
+    /// Results of direct requests to the backends at the same time, by round.
     direct: Vec<Tally>,
-    /// The longest turn of its loop.
+    /// The longest turn of its event loop.
     longest_turn: Duration,
     /// Changes that were in force by the end.
     changes: usize,
 }
 
-/// What clients saw over all rounds.
+/// Results over all rounds.
 #[derive(Clone, Debug)]
 pub struct LoadResult {
     /// Through the node.
     pub through: Latencies,
-    /// The least and the most p99 of a round through the node.
+    /// The lowest and the highest p99 of a round through the node.
     pub p99_of_rounds: (Duration, Duration),
-    /// Asking the backends directly at the same times.
+    /// Direct requests to the backends at the same time.
     pub direct: Latencies,
-    /// The longest turn of the node's loop meanwhile: processor time between two sleeps, at least this.
+    /// Lower bound of the longest turn of the node's event loop: its processor time between two sleeps.
     pub longest_turn: Duration,
     /// Changes that were in force by the end.
     pub changes: usize,
-    /// How often the node's log told of a loop that was late.
+    /// Stalls in the node's log.
     pub stalls: usize,
 }
 
 /// Requests and their latencies.
 #[derive(Clone, Copy, Debug)]
 pub struct Latencies {
-    /// All.
+    /// Number of requests.
     pub requests: u64,
     /// Answered with 429 or 503.
     pub refused: u64,
     /// Neither served nor refused.
     pub failed: u64,
-    /// Half of those served took at most this.
+    /// Median latency of served requests.
     pub p50: Duration,
-    /// 99 in 100 of them.
+    /// 99th percentile of the latency of served requests.
     pub p99: Duration,
-    /// All of them.
+    /// Longest latency of a served request.
     pub longest: Duration,
-    /// Whether the generator kept its times.
+    /// Whether the load generator kept its schedule.
     pub valid: bool,
 }
 
@@ -118,8 +119,14 @@
         })
     }
 
-    /// One round: asked at the rate, while changes come.
-    fn play(&mut self, plan: &LoadPlan, round: usize, size: Size, backends: &[SocketAddr]) -> io::Result<()> {
+    /// Runs a round: loads the node and the backends, and makes the changes of the round.
+    fn run_round(
+        &mut self,
+        plan: &LoadPlan,
+        round: usize,
+        size: Size,
+        backends: &[SocketAddr],
+    ) -> io::Result<()> {
         let seed = plan.seed.wrapping_add(round as u64);
         let (address, span) = (vec![self.node.address], plan.span);
         let direct = backends[..DIRECT_BACKENDS.min(backends.len())].to_vec();
@@ -127,14 +134,14 @@
         let through = thread::spawn(move || ask(address, size, span, seed));
         let beside = thread::spawn(move || ask(direct, size, span, seed));
         self.make_changes(plan, size, backends)?;
-        let failed = |_| io::Error::other("a thread failed");
+        let failed = |_| io::Error::other("load thread panicked");
         self.through.push(through.join().map_err(failed)??);
         self.direct.push(beside.join().map_err(failed)??);
         self.longest_turn = self.longest_turn.max(turns.stop()?);
         Ok(())
     }
 
-    /// Makes the changes of a round, the first after half of the time between two.
+    /// Makes the changes of a round, the first after half an interval.
     fn make_changes(&mut self, plan: &LoadPlan, size: Size, backends: &[SocketAddr]) -> io::Result<()> {
         let Some(change) = self.change else { return Ok(()) };
         let start = Instant::now();
@@ -160,10 +167,10 @@
     }
 }
 
-/// All nodes in turn, round after round.
+/// Loads all nodes in turn, round after round.
 ///
 /// # Errors
-/// A node that can't be asked, or does not take a change.
+/// A node that does not answer, or rejects a change.
 pub fn take_turns(
     nodes: &mut [LoadedNode],
     plan: &LoadPlan,
@@ -175,13 +182,13 @@
     }
     for round in 0..plan.rounds {
         for loaded in &mut *nodes {
-            loaded.play(plan, round, size, backends)?;
+            loaded.run_round(plan, round, size, backends)?;
         }
     }
     Ok(nodes.iter_mut().map(|loaded| loaded.result(plan)).collect())
 }
 
-/// Asks at the rate: arrivals as of independent clients, drawn ahead, which never wait for answers.
+/// Loads targets at [`RATE`] in an open loop: Poisson arrivals, drawn in advance, which don't depend on responses.
 fn ask(targets: Vec<SocketAddr>, size: Size, span: Duration, seed: u64) -> io::Result<Tally> {
     let span = span.as_nanos() as u64;
     let schedule = Schedule::new(Shape::Constant(RATE), Arrivals::Poisson, span, seed);
@@ -223,7 +230,7 @@
 }
 
 impl Latencies {
-    /// Of no requests.
+    /// The value without any request.
     const NONE: Self = Self {
         requests: 0,
         refused: 0,
--- a/crates/testbed/src/measure/capacity/table.rs
+++ b/crates/testbed/src/measure/capacity/table.rs
@@ -1,4 +1,4 @@
-//! Rows of the table: what each node cost, what one more of each factor costs, and latencies.
+//! Rows of the table: costs of each node, costs per unit of each factor, and latencies.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::size::{Factor, Size};
 use crate::report::Report;
 
-/// Bytes of a megabyte, as the table and the budgets count it.
+/// Bytes of a megabyte in the table and the budgets.
 pub const MEGABYTE: f64 = 1e6;
 const MILLI: f64 = 1e3;
 const MICRO: f64 = 1e6;
@@ -20,7 +20,7 @@
     pub head: &'static str,
     /// Its value in that unit.
     pub value: fn(&Sample) -> f64,
-    /// The unit of a slope, and how many of it the column's unit has.
+    /// The unit of a slope, and the factor from the column's unit to it.
     slope_unit: (&'static str, f64),
 }
 
@@ -51,7 +51,7 @@
 /// Processor time of a change.
 pub const CHANGE_CPU: Metric =
     Metric { head: "change cpu ms", value: |sample| millis(sample.change_cpu), slope_unit: ("us", MILLI) };
-/// Its part on the loop.
+/// The part of [`CHANGE_CPU`] on the event loop's thread.
 pub const CHANGE_LOOP_CPU: Metric =
     Metric { head: "on loop ms", value: |sample| millis(sample.change_loop_cpu), slope_unit: ("us", MILLI) };
 /// Processor time at rest.
@@ -107,14 +107,14 @@
 ];
 
 impl Metric {
-    /// The middle value over rounds.
+    /// The median over rounds.
     #[must_use]
     pub fn median(&self, rounds: &[Sample]) -> f64 {
         median(rounds.iter().map(self.value))
     }
 }
 
-/// Samples of one factor that grows alone: for each size, one a round.
+/// Samples of one factor that grows alone: one per size and round.
 pub struct Growth {
     /// What grows.
     pub factor: Factor,
@@ -125,7 +125,7 @@
 }
 
 impl Growth {
-    /// The line through the middle values, and the slopes of the lines of each round, least and most.
+    /// The line through the medians, and the lowest and highest slope of the lines of single rounds.
     #[must_use]
     pub fn line(&self, metric: &Metric) -> Option<(Line, (f64, f64))> {
         let rounds = self.samples.iter().map(Vec::len).min().unwrap_or_default();
@@ -149,7 +149,7 @@
     span.as_secs_f64() * MILLI
 }
 
-/// A number with about three digits that count.
+/// Formats a number with about three significant digits.
 #[must_use]
 pub fn short(value: f64) -> String {
     match value.abs() {
@@ -165,21 +165,21 @@
     std::iter::once("node").chain(METRICS.iter().map(|metric| metric.head)).collect()
 }
 
-/// A node's row: middle values over rounds.
+/// Adds a node's row: medians over rounds.
 pub fn sample_row(report: &mut Report, name: String, rounds: &[Sample]) {
     let mut cells = vec![name];
     cells.extend(METRICS.iter().map(|metric| short(metric.median(rounds))));
     report.row(&cells);
 }
 
-/// The head of the rows of slopes: units of what one more costs.
+/// Adds the heading of the rows of slopes, with the unit of each column.
 pub fn slope_head(report: &mut Report) {
     let mut cells = vec!["one more costs (range over rounds; largest residual)".to_owned()];
     cells.extend(METRICS.iter().map(|metric| metric.slope_unit.0.to_owned()));
     report.row(&cells);
 }
 
-/// A factor's slopes.
+/// Adds a row with a factor's slopes.
 pub fn slope_row(report: &mut Report, growth: &Growth) {
     let several = growth.samples[0].len() > 1;
     let cell = |metric: &&Metric| {
@@ -194,7 +194,7 @@
     report.row(&cells);
 }
 
-/// Rows of changes in a row, and what one costs.
+/// Adds rows for consecutive changes, and one with the cost per change.
 pub fn change_rows(report: &mut Report, costs: &[ChangeCost]) {
     let head = ["changes of one value in a row", "peak MB", "in force ms", "cpu ms", "on loop ms"];
     report.row(&head.map(str::to_owned));
@@ -222,7 +222,7 @@
     ]);
 }
 
-/// The head of the rows of latencies.
+/// Adds the heading of the rows of latencies.
 pub fn load_head(report: &mut Report, span: Duration, rounds: usize) {
     let name = format!("constant {RATE}/s, Poisson, {rounds} x {} s", span.as_secs_f64());
     let head = [
@@ -245,7 +245,7 @@
     report.row(&head.map(str::to_owned));
 }
 
-/// A loaded node's row, beside what clients of the backends saw at the same times.
+/// Adds a loaded node's row, with the latencies of direct requests to the backends at the same time.
 pub fn load_row(report: &mut Report, node: &LoadedNode, result: &LoadResult) {
     let LoadResult { through, p99_of_rounds: (least, most), direct, longest_turn, changes, stalls } = result;
     let kept = if through.valid && direct.valid { "in time" } else { "late" };
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -1,4 +1,5 @@
-//! The capacity measurement by counts: sizes, files, fits and claims. A real node is measured in the tests of the node.
+//! Tests of the capacity measurement without a node: sizes, configuration files, fits and claims. Tests of the node's crate
+//! measure a real one.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -18,14 +19,14 @@
 
 const MILLISECOND: Duration = Duration::from_millis(1);
 
-/// Addresses that nobody has to listen on.
+/// Addresses without listeners.
 fn addresses(count: usize) -> Vec<SocketAddr> {
     (0..count)
         .map(|number| SocketAddr::from(([127, 0, 1, (number / 50_000) as u8], 1 + number as u16)))
         .collect()
 }
 
-/// The checked configuration of a size; it must be without any diagnostic.
+/// Returns the checked configuration of a size, and asserts that it has no diagnostics.
 fn config(size: Size, variant: Variant) -> Config {
     let file = temporary(".conf");
     fs::write(&file, text(size, &addresses(size.backends), variant)).unwrap();
@@ -49,7 +50,7 @@
     }
 }
 
-/// Guards that a file has what its size says, at each size that is measured, the target among them.
+/// The configuration file of each measured size, including the target, has the counts of that size.
 #[test]
 fn files_have_the_counts_of_their_sizes() {
     let corner = Size::corner(false);
@@ -59,7 +60,7 @@
     }
 }
 
-/// Guards the full run: the corner is the target, and the short one a quarter of all its counts.
+/// The full run measures the target, and the short run a quarter of each of its counts.
 #[test]
 fn the_corner_is_the_target_or_a_quarter_of_it() {
     assert_eq!(Size::corner(true), TARGET);
@@ -68,14 +69,14 @@
     assert_eq!(Size::corner(false), Size { backends: 2_000, pools: 35, routes: 3_750, tenants: 4_000 });
 }
 
-/// Guards slopes: over the four sizes of a factor nothing else grows.
+/// Only the factor itself grows over its four sizes; otherwise its slope would include the cost of another factor.
 #[test]
 fn each_factor_grows_alone() {
     for factor in FACTORS {
         let sizes = factor.sizes(TARGET);
         assert!(sizes.is_sorted_by(|a, b| factor.count(*a) < factor.count(*b)), "{factor:?}");
         for other in FACTORS.into_iter().filter(|other| *other != factor) {
-            // More pools before the same tenants are more pairs of the two, and the reverse.
+            // More pools with the same tenants are more pairs of the two, and the reverse.
             let paired = factor == Factor::TenantPools || other == Factor::TenantPools;
             let alike = sizes.iter().all(|size| other.count(*size) == other.count(sizes[0]));
             assert!(alike || paired, "{other:?} grows with {factor:?}");
@@ -85,16 +86,16 @@
     }
 }
 
-/// Guards what a change is: one value of one backend, or one tenant, and nothing else.
+/// A change affects one value of one backend, or one tenant, and nothing else.
 #[test]
-fn a_change_differs_in_one_thing() {
+fn a_change_affects_one_resource() {
     let size = Size { backends: 20, pools: 4, routes: 20, tenants: 10 };
     for change in [Change::Value, Change::Tenant] {
         let (first, second) = (config(size, change.variant(0)), config(size, change.variant(1)));
         assert_eq!(
             second,
             config(size, Variant::default()),
-            "{change:?}: every second text is the first one"
+            "{change:?}: every second change restores the default configuration"
         );
         assert_eq!(diff::diff(&second, &first).len(), 1, "{change:?}");
     }
@@ -102,9 +103,9 @@
     assert_eq!(more, Size { tenants: 11, ..size });
 }
 
-/// Guards that the load asks for routes and tenants that the file has.
+/// The load has requests for exactly the routes and tenants of the configuration file.
 #[test]
-fn the_mix_asks_for_what_the_file_has() {
+fn the_load_matches_the_routes_and_tenants_of_the_file() {
     let size = Size { backends: 8, pools: 2, routes: 30, tenants: 3 };
     let mix = mix(size);
     mix.check().unwrap();
@@ -113,13 +114,13 @@
     assert_eq!((mix.classes[0].keys, mix.accounts), (30, names));
 }
 
-/// Guards the fit: exact on a line, with the largest residual beside it otherwise.
+/// The fit is exact for points on a line, and has the largest residual as its error otherwise.
 #[test]
 fn a_fit_is_exact_on_a_line() {
     let points = [1.0, 2.0, 4.0, 8.0].map(|x| Point { x, y: 7.0 + 3.0 * x });
     let line = Line::fit(&points).unwrap();
     assert!((line.slope - 3.0).abs() < 1e-12 && (line.intercept - 7.0).abs() < 1e-12 && line.error < 1e-12);
-    // By hand: slope 1, intercept 1/3, residuals 1/3, 2/3 and 1/3, largest value 3.
+    // Computed by hand: slope 1, intercept 1/3, residuals 1/3, 2/3 and 1/3, largest value 2.
     let bent = [(0.0, 0.0), (1.0, 2.0), (2.0, 2.0)].map(|(x, y)| Point { x, y });
     let line = Line::fit(&bent).unwrap();
     assert!((line.slope - 1.0).abs() < 1e-12 && (line.intercept - 1.0 / 3.0).abs() < 1e-12);
@@ -135,13 +136,13 @@
     assert_eq!(median([]), 0.0);
 }
 
-/// Guards the longest turn: processor time between two sleeps, never more than the true one.
+/// The longest turn, the processor time between two sleeps, is never overestimated.
 #[test]
-fn turns_are_told_apart_by_sleeps() {
+fn longest_turn_is_a_lower_bound() {
     let reading = |sleeps, ms| TurnReading { sleeps, used: ms * MILLISECOND };
     let mut turns = TurnTracker::new(reading(10, 100));
     assert_eq!(turns.longest(), Duration::ZERO);
-    // Still awake: nothing is known yet.
+    // No sleep since the first reading: the turn is not over.
     turns.add(reading(10, 103));
     assert_eq!(turns.longest(), Duration::ZERO);
     turns.add(reading(11, 105));
@@ -197,7 +198,7 @@
     }
 }
 
-/// Whether a node at the target with such figures keeps all claims.
+/// Whether all claims hold for a node at the target with these measurements.
 fn is_ok(sample: Sample, [quiet, values, tenants]: &[LoadResult; 3]) -> bool {
     let smallest = Sample { resident: 7 * MEGABYTE, ..sound_sample() };
     let measured =
@@ -208,9 +209,9 @@
     report.is_ok()
 }
 
-/// Guards the budgets of memory, processor and turns: just over each of them is short.
+/// A sample just over any budget of memory, processor time or turns fails its claim.
 #[test]
-fn samples_over_a_budget_are_short() {
+fn samples_over_a_budget_fail_a_claim() {
     let loads = [sound_load(), sound_load(), sound_load()];
     let sound = sound_sample();
     assert!(is_ok(sound, &loads));
@@ -229,9 +230,9 @@
     }
 }
 
-/// Guards the budgets of latencies, and that a run whose generator was late proves nothing.
+/// A load over any budget of latencies fails its claim, and so does one whose load generator was late.
 #[test]
-fn loads_over_a_budget_are_short() {
+fn loads_over_a_budget_fail_a_claim() {
     let (sound, spoilt) = (sound_load(), |spoil: &dyn Fn(&mut LoadResult)| {
         let mut load = sound_load();
         spoil(&mut load);
--- a/crates/testbed/tests/hollow_fleet.rs
+++ b/crates/testbed/tests/hollow_fleet.rs
@@ -1,6 +1,6 @@
-//! Hollow nodes beside a real process: one view, the same kinds of messages, and the end of all that was started.
+//! Hollow nodes and real processes in one fleet: equal member tables, the same kinds of messages, and no process left behind.
 //!
-//! Counts are compared, never times: the verdict is the same on a busy machine.
+//! Counts are compared, not times, so that the result does not depend on the load of the machine.
 
 use std::path::Path;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 const HOLLOW: usize = 20;
 /// Probes of the real node after which counts are compared.
 const PROBES: u64 = 12;
-/// Place of probes, and of their answers, in [`DATAGRAM_KINDS`].
+/// Indexes of probes and of their acks in [`DATAGRAM_KINDS`].
 const PING: usize = 1;
 const ACK: usize = 3;
-/// Shares of kinds differ by no more than this: rumours of a busy machine's stalls come on top of probes.
+/// Tolerated difference of the shares of a kind: on a busy machine, gossip about stalled members adds to the probes.
 const SHARE: f64 = 0.3;
 
 fn share(received: &Received, kind: usize) -> f64 {
@@ -26,10 +26,10 @@
     received.datagram_bytes as f64 / received.all_datagrams().max(1) as f64
 }
 
-/// Guards the hollow node against drifting from the real one: they find each other, hold one view, and send the same kinds of
-/// messages of the same size in the same proportion.
+/// Fails when the hollow node's driver no longer matches the real one: both join one fleet, have equal member tables, and send
+/// the same kinds of messages in about the same proportion and size.
 #[test]
-fn hollow_nodes_are_members_as_a_real_process_is() {
+fn hollow_nodes_send_the_same_messages_as_a_real_process() {
     let fleet = MixedFleet::start(1, HOLLOW, 7).unwrap();
     assert_eq!(fleet.len(), HOLLOW + 1);
     wait_for("equal member tables", || fleet.has_converged());
@@ -56,18 +56,17 @@
     assert!(real < 2.0 * hollow && hollow < 2.0 * real, "{real:.0} and {hollow:.0} bytes a datagram");
 }
 
-/// Guards detection and restarts across both sorts: a killed process is held dead by all, and hollow nodes that restart are
-/// members again.
+/// Hollow nodes that restart become members again, and all hollow and real nodes detect a killed process.
 #[test]
-fn a_killed_process_is_found_and_restarts_settle() {
+fn killed_process_is_detected_and_restarted_nodes_converge() {
     let mut fleet = MixedFleet::start(2, HOLLOW, 8).unwrap();
     wait_for("equal member tables", || fleet.has_converged());
     let settled = fleet.restart_hollow(HOLLOW / 2, Duration::from_millis(200), LIMIT).unwrap();
     assert!(settled.after.is_some(), "{settled:?}");
     assert!(settled.sent.datagrams > 0 && settled.peak_node_bytes <= settled.peak_bytes, "{settled:?}");
     let pid = fleet.real()[1].pid();
-    let detection = fleet.kill_real(LIMIT).expect("all hold it dead");
+    let detection = fleet.kill_real(LIMIT).expect("killed process not detected by all nodes");
     assert!(detection.first <= detection.last && detection.last_real <= detection.last, "{detection:?}");
-    assert!(!Path::new(&format!("/proc/{pid}")).exists(), "process {pid} is still there");
+    assert!(!Path::new(&format!("/proc/{pid}")).exists(), "process {pid} is still running");
     wait_for("equal member tables without the killed process", || fleet.has_converged());
 }
--- a/crates/testbed/tests/simulation.rs
+++ b/crates/testbed/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Nodes with real decision modules, servers and planners in virtual time: no invariant breaks under faults of either.
+//! Nodes with real decision modules, servers and planners in virtual time: invariants hold under faults of servers and planners.
 //!
 //! A failing seed is printed; `SEED=n cargo test -p pumicehead-testbed --test simulation` runs it alone.
 
@@ -31,11 +31,11 @@
     assert_eq!(
         broken,
         (0, 0, 0, 0),
-        "seed {seed}: unanswered, ran twice, sent past a drain, overloaded while cold"
+        "seed {seed}: (unanswered, ran twice, sent past a drain, overloaded while cold)"
     );
 }
 
-/// Breaks or repairs one thing at random.
+/// Injects or repairs a random fault.
 fn fault(simulation: &mut Simulation, rng: &mut Pcg64Mcg) {
     let server = (rng.next_u64() % 30) as usize;
     match rng.next_u64() % 7 {
@@ -52,7 +52,7 @@
 /// Each request gets one final answer, none that is not idempotent runs twice, drains are respected, and no cold server is
 /// overloaded, whatever fails in whatever order.
 #[test]
-fn no_invariant_breaks_under_faults_of_servers_and_planners() {
+fn invariants_hold_under_faults_of_servers_and_planners() {
     for seed in seeds() {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut simulation = Simulation::new(config(seed, if seed % 4 == 3 { 0 } else { 3 }));
@@ -86,9 +86,9 @@
     assert_eq!(play(), play());
 }
 
-/// The loss of all planners under traffic, and their return as new processes, leave the served share as it was.
+/// The loss of all planners under load, and their restart as new processes, do not reduce the served share.
 #[test]
-fn losing_all_planners_costs_no_service() {
+fn losing_all_planners_does_not_reduce_the_served_share() {
     let mut simulation = Simulation::new(SimulationConfig { nodes: 60, ..config(1, 3) });
     simulation.run(6 * SECOND);
     let mut shares = Vec::new();
@@ -107,7 +107,7 @@
     assert!(shares.iter().all(|share| *share > 0.98), "{shares:?}");
 }
 
-/// A server whose failures each of many nodes sees only now and then is avoided by all sooner with planners.
+/// With planners, all nodes sooner avoid a failing server of which each node alone sees only a few failures.
 #[test]
 fn planners_spread_failures_that_each_node_sees_rarely() {
     let sends = |planners| {
@@ -125,7 +125,7 @@
     assert!(guided * 2 < alone, "{guided} attempts with planners, {alone} without");
 }
 
-/// Servers that start at the same instant are used by leases on their warm-up capacity: some nodes are granted more than they
+/// The warm-up capacity of servers that start at the same instant is shared by leases: some nodes are granted more than they
 /// lend, and no server is overloaded.
 #[test]
 fn servers_that_start_together_are_not_overloaded() {
@@ -156,5 +156,5 @@
     let number = server.admit(job);
     assert!(server.start(number));
     server.restart(at + SECOND);
-    assert_eq!(server.finish(number), None, "the process is gone");
+    assert_eq!(server.finish(number), None, "a restart must drop the jobs of the former process");
 }
