--- a/crates/node/tests/capacity.rs
+++ b/crates/node/tests/capacity.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pumicehead_testbed::measure::capacity::file::{Change, Variant, text};
-use pumicehead_testbed::measure::capacity::load::{LoadPlan, LoadedNode, take_turns};
+use pumicehead_testbed::measure::capacity::load::{LoadPlan, LoadedNode, run_rounds};
 use pumicehead_testbed::measure::capacity::process::NodeProcess;
 use pumicehead_testbed::measure::capacity::sample::sample_all;
 use pumicehead_testbed::measure::capacity::size::Size;
@@ -75,7 +75,7 @@
     let program = built("pumicehead").unwrap();
     let start = |change| LoadedNode::start("node".into(), &program, change, SIZE, &addresses).unwrap();
     let mut nodes = [start(None), start(Some(Change::Value)), start(Some(Change::Tenant))];
-    let results = take_turns(&mut nodes, &plan, SIZE, &addresses).unwrap();
+    let results = run_rounds(&mut nodes, &plan, SIZE, &addresses).unwrap();
     let changes: Vec<_> = results.iter().map(|result| result.changes).collect();
     assert_eq!(changes, [0, 4, 4]);
     // All nodes have the same schedule, whatever the responses are.
--- a/crates/testbed/src/measure/capacity/fleet.rs
+++ b/crates/testbed/src/measure/capacity/fleet.rs
@@ -259,8 +259,8 @@
         );
         report
             .claim(cut.healed.is_some(), "two regions that were cut off from each other hold the same again");
-        report.claim(cut.wronged == 0, "nobody is held dead whom a third region reaches");
-        report.figure("fleet_cut_wronged", cut.wronged);
+        report.claim(cut.false_positives == 0, "nobody is held dead whom a third region reaches");
+        report.figure("fleet_cut_wronged", cut.false_positives);
         report.figure("fleet_cut_bytes", format!("{:.0}", cut.bytes));
     }
 
--- a/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
+++ b/crates/testbed/src/measure/capacity/fleet/virtual_time.rs
@@ -72,7 +72,7 @@
     /// Nodes.
     pub nodes: usize,
     /// Largest number of nodes that were considered dead at the end of a second of the partition; all of them were alive.
-    pub wronged: usize,
+    pub false_positives: usize,
     /// Mean bytes per second and node during the partition.
     pub bytes: f64,
     /// Mean bytes per node in the second with the most traffic, during the partition or after it.
@@ -85,7 +85,7 @@
     nanos.map(Duration::from_nanos)
 }
 
-fn known(nodes: usize, seed: u64) -> Simulation {
+fn joined_simulation(nodes: usize, seed: u64) -> Simulation {
     let mut sim =
         Simulation::new(SimulationConfig { zones: ZONES, ..SimulationConfig::without_faults(nodes, seed) });
     sim.start_all_joined();
@@ -106,7 +106,7 @@
 
 /// Measures a fleet of one size.
 pub(super) fn size(nodes: usize, seed: u64) -> VirtualSize {
-    let mut sim = known(nodes, seed);
+    let mut sim = joined_simulation(nodes, seed);
     let (bytes_before, datagrams_before) = (bytes(&sim), sim.sent().datagrams);
     sim.run_for(REST);
     let a_second = nodes as f64 * REST as f64 / SECOND as f64;
@@ -152,11 +152,11 @@
 pub(super) fn zone_gone(nodes: usize, seed: u64) -> ZoneGone {
     let gone: Vec<_> = (0..nodes).filter(|node| node % ZONES == 1).collect();
     let left = (nodes - gone.len()) as f64;
-    let mut sim = known(nodes, seed);
+    let mut sim = joined_simulation(nodes, seed);
     gone.iter().for_each(|node| sim.kill(*node));
     let (first, last) = until_dead(&mut sim, nodes, &gone);
     // Repeats the run in steps of a second, for the peak.
-    let mut sim = known(nodes, seed);
+    let mut sim = joined_simulation(nodes, seed);
     gone.iter().for_each(|node| sim.kill(*node));
     let seconds = last.map_or(10, |last| last.as_secs() + 1);
     let peak = peak(&mut sim, seconds);
@@ -180,33 +180,33 @@
 
 /// Measures a partition of two regions for a minute.
 pub(super) fn regions_cut(nodes: usize, seed: u64) -> Cut {
-    let mut sim = known(nodes, seed);
+    let mut sim = joined_simulation(nodes, seed);
     sim.block_links(|from, to| region(from) != region(to) && region(from) < 2 && region(to) < 2);
     let before = bytes(&sim);
-    let (mut in_cut, mut wronged) = (0.0f64, 0);
+    let (mut in_cut, mut false_positives) = (0.0f64, 0);
     for _ in 0..CUT / SECOND {
         in_cut = in_cut.max(peak(&mut sim, 1));
-        let is_wronged = |of: &usize| (0..nodes).any(|by| holds_dead(&sim, by, *of));
-        wronged = wronged.max((0..nodes).filter(is_wronged).count());
+        let is_false_positive = |of: &usize| (0..nodes).any(|by| holds_dead(&sim, by, *of));
+        false_positives = false_positives.max((0..nodes).filter(is_false_positive).count());
     }
     let bytes = (bytes(&sim) - before) / nodes as f64 / (CUT / SECOND) as f64;
     sim.block_links(|_, _| false);
     let (healed, after) = heal(&mut sim, nodes);
     let peak_bytes = in_cut.max(after) / nodes as f64;
-    Cut { nodes, wronged, bytes, peak_bytes, healed: span(healed) }
+    Cut { nodes, false_positives, bytes, peak_bytes, healed: span(healed) }
 }
 
 /// Time until all member tables are equal again and have all nodes alive, and the bytes of all nodes in the second with the
 /// most traffic until then.
 fn heal(sim: &mut Simulation, nodes: usize) -> (Option<Nanos>, f64) {
-    let is_healed = |sim: &Simulation| {
+    let has_healed = |sim: &Simulation| {
         sim.has_converged()
             && sim.member(0).is_some_and(|member| member.table().count_in_state(MemberState::Alive) == nodes)
     };
     let mut most = 0.0f64;
     for second in 0..LIMIT / SECOND {
         let before = bytes(sim);
-        let healed = sim.run_until(STEP, SECOND, is_healed);
+        let healed = sim.run_until(STEP, SECOND, has_healed);
         most = most.max(bytes(sim) - before);
         if let Some(part) = healed {
             return (Some(second * SECOND + part), most);
--- a/crates/testbed/src/measure/capacity/load.rs
+++ b/crates/testbed/src/measure/capacity/load.rs
@@ -131,8 +131,8 @@
         let (address, span) = (vec![self.node.address], plan.span);
         let direct = backends[..DIRECT_BACKENDS.min(backends.len())].to_vec();
         let turns = TurnWatch::start(self.node.id())?;
-        let through = thread::spawn(move || ask(address, size, span, seed));
-        let beside = thread::spawn(move || ask(direct, size, span, seed));
+        let through = thread::spawn(move || run_load(address, size, span, seed));
+        let beside = thread::spawn(move || run_load(direct, size, span, seed));
         self.make_changes(plan, size, backends)?;
         let failed = |_| io::Error::other("load thread panicked");
         self.through.push(through.join().map_err(failed)??);
@@ -171,14 +171,14 @@
 ///
 /// # Errors
 /// A node that does not answer, or rejects a change.
-pub fn take_turns(
+pub fn run_rounds(
     nodes: &mut [LoadedNode],
     plan: &LoadPlan,
     size: Size,
     backends: &[SocketAddr],
 ) -> io::Result<Vec<LoadResult>> {
     for loaded in &*nodes {
-        ask(vec![loaded.node.address], size, plan.warm_up, plan.seed)?;
+        run_load(vec![loaded.node.address], size, plan.warm_up, plan.seed)?;
     }
     for round in 0..plan.rounds {
         for loaded in &mut *nodes {
@@ -189,7 +189,7 @@
 }
 
 /// Loads targets at [`RATE`] in an open loop: Poisson arrivals, drawn in advance, which don't depend on responses.
-fn ask(targets: Vec<SocketAddr>, size: Size, span: Duration, seed: u64) -> io::Result<Tally> {
+fn run_load(targets: Vec<SocketAddr>, size: Size, span: Duration, seed: u64) -> io::Result<Tally> {
     let span = span.as_nanos() as u64;
     let schedule = Schedule::new(Shape::Constant(RATE), Arrivals::Poisson, span, seed);
     let requests = Requests::generated(schedule, mix(size), seed);
--- a/crates/testbed/src/measure/capacity/node.rs
+++ b/crates/testbed/src/measure/capacity/node.rs
@@ -9,12 +9,12 @@
 use super::Options;
 use super::claims::{self, Measured};
 use super::file::{Change, Variant, text};
-use super::load::{LoadPlan, LoadResult, LoadedNode, take_turns};
+use super::load::{LoadPlan, LoadResult, LoadedNode, run_rounds};
 use super::process::NodeProcess;
 use super::sample::{ChangeCost, Sample, cost_of_changes, sample_all};
 use super::size::{FACTORS, Factor, SMALLEST, Size};
 use super::table::{self, Growth, RESIDENT};
-use crate::program::{Tool, built};
+use crate::program::{ListeningProgram, built};
 use crate::report::Report;
 
 /// Service time of a backend.
@@ -49,7 +49,7 @@
 /// The measured builds, the backends that they forward to, and the measurements.
 pub struct NodeFigures {
     builds: Vec<Build>,
-    backends: Tool,
+    backends: ListeningProgram,
     corner: Size,
     growths: Vec<Growth>,
     changes: Vec<ChangeCost>,
@@ -98,7 +98,7 @@
                 nodes.push(LoadedNode::start(name, &build.program, change, self.corner, backends)?);
             }
         }
-        let results = take_turns(&mut nodes, &plan, self.corner, backends)?;
+        let results = run_rounds(&mut nodes, &plan, self.corner, backends)?;
         table::load_head(report, plan.span, plan.rounds);
         for (place, (node, result)) in nodes.iter().zip(results).enumerate() {
             table::load_row(report, node, &result);
@@ -125,10 +125,10 @@
 }
 
 /// Starts a process with the stand-in backends.
-fn start_backends(count: usize) -> io::Result<Tool> {
+fn start_backends(count: usize) -> io::Result<ListeningProgram> {
     let mut arguments = vec!["stand-in".to_owned(), "--service".into(), SERVICE.into()];
     arguments.extend((0..count).map(|number| format!("127.0.{}.1:0", 1 + number / BACKENDS_AN_ADDRESS)));
-    Tool::start("pumicehead-load", &arguments, None, count)
+    ListeningProgram::start("pumicehead-load", &arguments, None, count)
 }
 
 fn load_plan(options: &Options) -> LoadPlan {
@@ -208,13 +208,13 @@
     let start = line(base).map_or(0.0, |line| line.intercept + line.slope * corner.backends as f64);
     let more = growths[1..].iter().map(|growth| {
         let slope = line(growth).map_or(0.0, |line| line.slope);
-        slope * (growth.factor.count(corner) as f64 - begun_with(growth.factor, corner))
+        slope * (growth.factor.count(corner) as f64 - base_count(growth.factor, corner))
     });
     start + more.sum::<f64>()
 }
 
 /// Count of a factor that the first factor's line already includes.
-fn begun_with(factor: Factor, corner: Size) -> f64 {
+fn base_count(factor: Factor, corner: Size) -> f64 {
     match factor {
         Factor::Backends | Factor::Tenants => 0.0,
         Factor::Pools => 1.0,
--- a/crates/testbed/src/measure/capacity/probe.rs
+++ b/crates/testbed/src/measure/capacity/probe.rs
@@ -122,7 +122,7 @@
         let turns = TurnWatch::start(process)?;
         let over = Arc::new(AtomicBool::new(false));
         let client_over = over.clone();
-        let client = thread::spawn(move || ask_until(&client_over, &mut probe));
+        let client = thread::spawn(move || probe_until(&client_over, &mut probe));
         Ok(Self { over, client, turns })
     }
 
@@ -140,7 +140,7 @@
 }
 
 /// Sends requests in a closed loop. Returns the longest latency and the number of responses.
-fn ask_until(over: &AtomicBool, probe: &mut ProbeClient) -> io::Result<(Duration, u64)> {
+fn probe_until(over: &AtomicBool, probe: &mut ProbeClient) -> io::Result<(Duration, u64)> {
     let (mut longest, mut answers) = (Duration::ZERO, 0);
     loop {
         longest = longest.max(probe.time_own_answer()?);
--- a/crates/testbed/src/measure/capacity/sample.rs
+++ b/crates/testbed/src/measure/capacity/sample.rs
@@ -141,14 +141,14 @@
 /// Processor time of all threads over requests of one client, one after another.
 fn cost_of_a_request(node: &NodeProcess, size: Size) -> io::Result<Duration> {
     let mut client = ProbeClient::connect(node.address)?;
-    ask_routes(&mut client, size, WARM_REQUESTS)?;
+    request_routes(&mut client, size, WARM_REQUESTS)?;
     let before = CpuTimes::read(node.id())?;
-    ask_routes(&mut client, size, REQUESTS)?;
+    request_routes(&mut client, size, REQUESTS)?;
     Ok(CpuTimes::read(node.id())?.all_since(&before) / REQUESTS as u32)
 }
 
 /// Sends requests for evenly spaced routes and tenants.
-fn ask_routes(client: &mut ProbeClient, size: Size, count: usize) -> io::Result<()> {
+fn request_routes(client: &mut ProbeClient, size: Size, count: usize) -> io::Result<()> {
     for number in 0..count {
         // Spread over the whole configuration file.
         let route = number * size.routes / count;
--- a/crates/testbed/src/measure/config.rs
+++ b/crates/testbed/src/measure/config.rs
@@ -32,9 +32,9 @@
 const SIZES: [usize; 3] = [10, 1_000, 10_000];
 /// Limit of the time of a match among 10,000 routes, as a multiple of one among 10: the trie has the same depth, but does not
 /// fit in the cache.
-const MOST_RATIO: f64 = 6.0;
+const MAX_MATCH_RATIO: f64 = 6.0;
 /// Limit of the time of a check, which editors run as the user types.
-const MOST_CHECK: Duration = Duration::from_secs(2);
+const MAX_CHECK_TIME: Duration = Duration::from_secs(2);
 /// Number of different queries.
 const QUERIES: usize = 512;
 /// Rounds of each measurement; the minimum counts, as noise of the machine only adds time.
@@ -82,19 +82,19 @@
         fs::write(folder.join(format!("routes/{file:03}.conf")), text)?;
     }
     let mut best = Duration::MAX;
-    let mut sound = true;
+    let mut is_valid = true;
     for _ in 0..ROUNDS {
         let start = Instant::now();
         let checked = check(&Disk, &folder.join("main.conf"));
         best = best.min(start.elapsed());
-        sound &= checked.config.is_some_and(|config| config.routes.len() == ROUTES);
+        is_valid &= checked.config.is_some_and(|config| config.routes.len() == ROUTES);
     }
     fs::remove_dir_all(&folder)?;
     let beside = format!("{INCLUDES} includes");
     row(report, "check", ROUTES, format!("{:.1}", best.as_secs_f64() * 1e3), "ms", &beside);
     report.figure("check_ms", format!("{:.1}", best.as_secs_f64() * 1e3));
-    report.claim(sound, "the large configuration is valid");
-    report.claim(best <= MOST_CHECK, format!("a check takes at most {MOST_CHECK:?}"));
+    report.claim(is_valid, "the large configuration is valid");
+    report.claim(best <= MAX_CHECK_TIME, format!("a check takes at most {MAX_CHECK_TIME:?}"));
     Ok(())
 }
 
@@ -123,12 +123,12 @@
     list
 }
 
-struct Asked {
+struct MatchQuery {
     host: String,
     path: String,
 }
 
-fn queries(count: usize, rng: &mut Pcg64Mcg) -> Vec<Asked> {
+fn queries(count: usize, rng: &mut Pcg64Mcg) -> Vec<MatchQuery> {
     let drawn = (0..QUERIES).map(|_| {
         let n = rng.next_u64() as usize % count;
         let (host, path) = match n % 4 {
@@ -137,7 +137,7 @@
             2 => ("rankings.example.net".into(), format!("/category/{}/runner/{n}", n % 7)),
             _ => (format!("x.league-{}.org", n / 40), format!("/api/v1/{n}")),
         };
-        Asked { host, path }
+        MatchQuery { host, path }
     });
     drawn.collect()
 }
@@ -160,7 +160,7 @@
                 let start = Instant::now();
                 let mut sum = 0;
                 for _ in 0..times {
-                    for Asked { host, path } in asked {
+                    for MatchQuery { host, path } in asked {
                         let Ok(path) = RequestPath::parse(path) else { continue };
                         let query = RouteQuery { host, path: &path, method: &Method::GET, headers: &headers };
                         sum += black_box(find(&query)).unwrap_or_default();
@@ -192,8 +192,8 @@
     report.figure("match_ratio", format!("{ratio:.2}"));
     report.claim(same, "the matcher finds the same routes as a linear search");
     report.claim(
-        ratio <= MOST_RATIO,
-        format!("a match among 10,000 routes costs at most {MOST_RATIO} times one among 10"),
+        ratio <= MAX_MATCH_RATIO,
+        format!("a match among 10,000 routes costs at most {MAX_MATCH_RATIO} times one among 10"),
     );
 }
 
@@ -223,12 +223,12 @@
 
 #[derive(Default)]
 struct Tally {
-    asked: Cell<u64>,
-    refused: Cell<u64>,
+    requests: Cell<u64>,
+    rejected: Cell<u64>,
     lost: RefCell<Vec<String>>,
     /// Units of submits that were served.
     served: RefCell<Vec<String>>,
-    over: Cell<bool>,
+    stopped: Cell<bool>,
 }
 
 fn reloads(plan: Plan, report: &mut Report) -> io::Result<()> {
@@ -244,7 +244,7 @@
     let runtime = Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let clients: Vec<_> = (0..CLIENTS)
-            .map(|client| spawn_local(ask_on(address, client, plan.seed, tally.clone())))
+            .map(|client| spawn_local(run_client(address, client, plan.seed, tally.clone())))
             .collect();
         for reload in 0..count {
             node.replace(&text(&servers, reload % 2 == 0));
@@ -255,7 +255,7 @@
             }
             tokio::time::sleep(PAUSE).await;
         }
-        tally.over.set(true);
+        tally.stopped.set(true);
         for client in clients {
             let _ = client.await;
         }
@@ -270,34 +270,37 @@
         }
     }
     let twice = effects.values().filter(|&&times| times > 1).count();
-    let unfounded = tally.served.borrow().iter().filter(|unit| !effects.contains_key(*unit)).count();
-    let (lost, refused) = (tally.lost.borrow().len(), tally.refused.get());
-    let beside = format!("{} requests, {refused} refused, in {:.1} s", tally.asked.get(), took.as_secs_f64());
+    let without_effect = tally.served.borrow().iter().filter(|unit| !effects.contains_key(*unit)).count();
+    let (lost, refused) = (tally.lost.borrow().len(), tally.rejected.get());
+    let beside =
+        format!("{} requests, {refused} refused, in {:.1} s", tally.requests.get(), took.as_secs_f64());
     row(report, &format!("lost over {done} reloads"), 3, lost.to_string(), "requests", &beside);
     report.figure("reloads", done);
-    report.figure("requests", tally.asked.get());
+    report.figure("requests", tally.requests.get());
     report.figure("lost", lost);
     report.figure("refused", refused);
     report.figure("effects_twice", twice);
     let first = tally.lost.borrow().first().cloned().unwrap_or_default();
     report.claim(lost == 0, format!("no request is lost; the first that was: {first}"));
     report.claim(
-        twice == 0 && unfounded == 0,
+        twice == 0 && without_effect == 0,
         "each submit that was served took effect once, and no other twice",
     );
     report.claim(done == count, format!("{count} reloads are done"));
-    report
-        .claim(tally.asked.get() > count as u64 * CLIENTS as u64, "clients send requests during all reloads");
+    report.claim(
+        tally.requests.get() > count as u64 * CLIENTS as u64,
+        "clients send requests during all reloads",
+    );
     report.claim(node.is_running(), "the node still runs");
     Ok(())
 }
 
 /// Runs a client that sends one request at a time until the reloads are over.
-async fn ask_on(address: std::net::SocketAddr, number: usize, seed: u64, tally: Rc<Tally>) {
+async fn run_client(address: std::net::SocketAddr, number: usize, seed: u64, tally: Rc<Tally>) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed.wrapping_add(number as u64));
     let mut client = Client::new(address);
     let mut n = 0u64;
-    while !tally.over.get() {
+    while !tally.stopped.get() {
         n += 1;
         let unit = format!("{number}-{n}");
         let (method, path) = match rng.next_u64() % 3 {
@@ -308,7 +311,7 @@
         let submit = method == Method::POST;
         let request = Request::builder().method(method).uri(path).header("host", "a").header(UNIT, &unit);
         let Ok(request) = request.body(Full::new(Bytes::from_static(b"time=1:02"))) else { return };
-        tally.asked.set(tally.asked.get() + 1);
+        tally.requests.set(tally.requests.get() + 1);
         match client.request(request).await {
             Ok(response) if response.status().is_success() => {
                 // A stand-in's response has the unit of its request.
@@ -319,7 +322,7 @@
                     tally.served.borrow_mut().push(unit);
                 }
             }
-            Ok(response) if response.status() == 503 => tally.refused.set(tally.refused.get() + 1),
+            Ok(response) if response.status() == 503 => tally.rejected.set(tally.rejected.get() + 1),
             Ok(response) => tally.lost.borrow_mut().push(format!("{unit}: {}", response.status())),
             Err(error) => tally.lost.borrow_mut().push(format!("{unit}: {error}")),
         }
--- a/crates/testbed/src/measure/cost.rs
+++ b/crates/testbed/src/measure/cost.rs
@@ -17,7 +17,7 @@
 use pumicehead_load_generator::{Nanos, SECOND};
 
 use super::Plan as Run;
-use crate::program::{StandaloneNode, Tool, build, build_node, cpu_seconds, memory, temporary};
+use crate::program::{ListeningProgram, StandaloneNode, build, build_node, cpu_seconds, memory, temporary};
 use crate::report::Report;
 
 /// Load at which costs are compared, in requests per second; one core has capacity for much more.
@@ -28,18 +28,18 @@
 /// second by more than the differences that are measured.
 const ROUNDS: usize = 3;
 /// The highest rate of the search, in requests per second.
-const TOP_RATE: f64 = 64_000.0;
+const MAX_RATE: f64 = 64_000.0;
 /// The search ends where the lowest rate that fails is within this ratio of the highest that does not.
-const NEAR: f64 = 1.2;
+const SEARCH_RATIO: f64 = 1.2;
 /// Numbers of servers and of connections.
 const SERVERS: [usize; 4] = [10, 50, 250, 1_000];
 const CONNECTIONS: [usize; 3] = [10, 1_000, 5_000];
 /// Limit of the processor time of a request in the node, as a multiple of the relay's.
-const MOST_COST: f64 = 2.0;
+const MAX_COST_RATIO: f64 = 2.0;
 /// Limit of the growth of that time from the fewest servers to the most, as a ratio.
-const MOST_GROWTH: f64 = 1.1;
+const MAX_GROWTH: f64 = 1.1;
 /// Limit of the p99 latency in microseconds: the latency objective of the quicker class.
-const AIM_US: u64 = 600_000;
+const LATENCY_OBJECTIVE_US: u64 = 600_000;
 /// The core that the measured process is pinned to; the load generator has the others.
 const CORE: usize = 0;
 
@@ -60,9 +60,9 @@
 }
 
 /// A target of a comparison, with its results.
-struct Turns {
+struct LoadTarget {
     name: String,
-    target: SocketAddr,
+    address: SocketAddr,
     pid: Option<u32>,
     /// Length of its warm-up, in multiples of [`SPAN`].
     warm: u64,
@@ -72,9 +72,9 @@
     last: Option<Summary>,
 }
 
-impl Turns {
-    fn new(name: String, target: SocketAddr, pid: Option<u32>) -> Self {
-        Self { name, target, pid, warm: 1, costs: Vec::new(), last: None }
+impl LoadTarget {
+    fn new(name: String, address: SocketAddr, pid: Option<u32>) -> Self {
+        Self { name, address, pid, warm: 1, costs: Vec::new(), last: None }
     }
 
     fn cost(&self) -> f64 {
@@ -85,37 +85,37 @@
 }
 
 /// Loads the targets in turn, round after round, and adds a row for each.
-fn take_turns(plan: Run, rounds: usize, all: &mut [Turns], report: &mut Report) -> io::Result<()> {
-    for turns in &*all {
+fn run_rounds(plan: Run, rounds: usize, all: &mut [LoadTarget], report: &mut Report) -> io::Result<()> {
+    for target in &*all {
         // Warm-up: limits settle and connections are opened, more of them with a thousand servers.
-        ask(plan, turns.target, RATE, SPAN * turns.warm, None)?;
+        run_load(plan, target.address, RATE, SPAN * target.warm, None)?;
     }
     for _ in 0..rounds {
-        for turns in &mut *all {
-            let (summary, cost) = ask(plan, turns.target, RATE, SPAN, turns.pid)?;
-            turns.costs.push(cost);
-            turns.last = Some(summary);
+        for target in &mut *all {
+            let (summary, cost) = run_load(plan, target.address, RATE, SPAN, target.pid)?;
+            target.costs.push(cost);
+            target.last = Some(summary);
         }
     }
-    for turns in &*all {
-        if let Some(summary) = &turns.last {
-            row(report, &turns.name, summary, turns.pid.map(|_| turns.cost()));
+    for target in &*all {
+        if let Some(summary) = &target.last {
+            row(report, &target.name, summary, target.pid.map(|_| target.cost()));
         }
     }
     Ok(())
 }
 
 /// Starts a process with `count` stand-in servers.
-fn servers(count: usize) -> io::Result<Tool> {
+fn servers(count: usize) -> io::Result<ListeningProgram> {
     let mut arguments = vec!["stand-in".to_owned(), "--service".into(), "1ms".into()];
     arguments.extend((0..count).map(|_| "127.0.0.1:0".to_owned()));
-    Tool::start("pumicehead-load", &arguments, None, count)
+    ListeningProgram::start("pumicehead-load", &arguments, None, count)
 }
 
-fn relay(targets: &[SocketAddr]) -> io::Result<Tool> {
+fn relay(targets: &[SocketAddr]) -> io::Result<ListeningProgram> {
     let mut arguments = vec!["relay".to_owned(), "127.0.0.1:0".into()];
     arguments.extend(targets.iter().map(ToString::to_string));
-    Tool::start("pumicehead-load", &arguments, Some(CORE), 1)
+    ListeningProgram::start("pumicehead-load", &arguments, Some(CORE), 1)
 }
 
 fn node(servers: &[SocketAddr]) -> io::Result<(StandaloneNode, std::path::PathBuf)> {
@@ -136,7 +136,7 @@
 }
 
 /// Loads a target at a rate. Returns the results, and the processor time of a request in the process `pid`, in microseconds.
-fn ask(
+fn run_load(
     plan: Run,
     target: SocketAddr,
     rate: f64,
@@ -171,16 +171,16 @@
     report.row(&[name.into(), cost, us(0.5), us(0.99), us(0.999), format!("{:.2}", served(summary))]);
 }
 
-fn compare(plan: Run, servers: &Tool, report: &mut Report) -> io::Result<()> {
+fn compare(plan: Run, servers: &ListeningProgram, report: &mut Report) -> io::Result<()> {
     let targets = &servers.addresses;
     let relay = relay(targets)?;
     let (node, file) = node(targets)?;
     let mut all = [
-        Turns::new(format!("direct, {RATE:.0}/s"), targets[0], None),
-        Turns::new(format!("relay, {RATE:.0}/s"), relay.addresses[0], Some(relay.pid())),
-        Turns::new(format!("node, {RATE:.0}/s"), node.address(), Some(node.pid())),
+        LoadTarget::new(format!("direct, {RATE:.0}/s"), targets[0], None),
+        LoadTarget::new(format!("relay, {RATE:.0}/s"), relay.addresses[0], Some(relay.pid())),
+        LoadTarget::new(format!("node, {RATE:.0}/s"), node.address(), Some(node.pid())),
     ];
-    take_turns(plan, if plan.long { 5 * ROUNDS } else { ROUNDS }, &mut all, report)?;
+    run_rounds(plan, if plan.long { 5 * ROUNDS } else { ROUNDS }, &mut all, report)?;
     let [direct, relayed, through] = &all;
     let (relay_cost, node_cost) = (relayed.cost(), through.cost());
     report.figure("relay_us", format!("{relay_cost:.1}"));
@@ -192,25 +192,26 @@
         }
     }
     report.claim(
-        node_cost <= MOST_COST * relay_cost,
-        format!("the node costs at most {MOST_COST} times the relay"),
+        node_cost <= MAX_COST_RATIO * relay_cost,
+        format!("the node costs at most {MAX_COST_RATIO} times the relay"),
     );
-    for (turns, figure) in all.iter().zip(["direct_held", "relay_held", "node_held"]) {
-        let held = highest(plan, turns, report)?;
+    for (target, figure) in all.iter().zip(["direct_held", "relay_held", "node_held"]) {
+        let held = max_sustained_rate(plan, target, report)?;
         report.figure(figure, format!("{held:.0}"));
     }
     let _ = fs::remove_file(file);
     Ok(())
 }
 
-/// Returns the highest rate at which a target's p99 is within [`AIM_US`], by doubling and then bisection down to [`NEAR`].
-fn highest(plan: Run, turns: &Turns, report: &mut Report) -> io::Result<f64> {
+/// Returns the highest rate at which a target's p99 is within [`LATENCY_OBJECTIVE_US`], by doubling and then bisection down to
+/// [`SEARCH_RATIO`].
+fn max_sustained_rate(plan: Run, target: &LoadTarget, report: &mut Report) -> io::Result<f64> {
     let (mut held, mut broken) = (RATE, f64::INFINITY);
     let mut breaks = None;
-    while held < TOP_RATE && broken > NEAR * held {
-        let rate = if broken.is_finite() { (held * broken).sqrt() } else { (2.0 * held).min(TOP_RATE) };
-        let (summary, _) = ask(plan, turns.target, rate, SPAN / 2, None)?;
-        if summary.valid && served(&summary) >= 99.0 && summary.served_us(0.99) <= AIM_US {
+    while held < MAX_RATE && broken > SEARCH_RATIO * held {
+        let rate = if broken.is_finite() { (held * broken).sqrt() } else { (2.0 * held).min(MAX_RATE) };
+        let (summary, _) = run_load(plan, target.address, rate, SPAN / 2, None)?;
+        if summary.valid && served(&summary) >= 99.0 && summary.served_us(0.99) <= LATENCY_OBJECTIVE_US {
             held = rate;
         } else {
             broken = rate;
@@ -219,7 +220,7 @@
         // Lets requests in flight finish, which would otherwise count for the next rate.
         thread::sleep(Duration::from_millis(50));
     }
-    let what = turns.name.split(',').next().unwrap_or_default();
+    let what = target.name.split(',').next().unwrap_or_default();
     if let Some(summary) = breaks {
         let why = if summary.valid { "" } else { " (limited by the load generator)" };
         row(report, &format!("{what} fails at {broken:.0}/s{why}"), &summary, None);
@@ -230,12 +231,12 @@
 fn growth(plan: Run, report: &mut Report) -> io::Result<()> {
     let servers = SERVERS.iter().map(|&count| servers(count)).collect::<io::Result<Vec<_>>>()?;
     let nodes = servers.iter().map(|servers| node(&servers.addresses)).collect::<io::Result<Vec<_>>>()?;
-    let mut all: Vec<Turns> = nodes
+    let mut all: Vec<LoadTarget> = nodes
         .iter()
         .zip(SERVERS)
         .map(|((node, _), count)| {
-            let turns = Turns::new(format!("node, {count} servers"), node.address(), Some(node.pid()));
-            Turns { warm: 1 + count as u64 / 300, ..turns }
+            let target = LoadTarget::new(format!("node, {count} servers"), node.address(), Some(node.pid()));
+            LoadTarget { warm: 1 + count as u64 / 300, ..target }
         })
         .collect();
     // For the cost of more sockets alone: a relay to the fewest servers and one to the most.
@@ -244,9 +245,9 @@
     for (relay, servers) in relays.iter().zip(ends) {
         let Ok(relay) = relay else { continue };
         let name = format!("relay, {} servers", servers.addresses.len());
-        all.push(Turns::new(name, relay.addresses[0], Some(relay.pid())));
+        all.push(LoadTarget::new(name, relay.addresses[0], Some(relay.pid())));
     }
-    take_turns(plan, if plan.long { 5 * ROUNDS } else { ROUNDS }, &mut all, report)?;
+    run_rounds(plan, if plan.long { 5 * ROUNDS } else { ROUNDS }, &mut all, report)?;
     for (_, file) in &nodes {
         let _ = fs::remove_file(file);
     }
@@ -257,9 +258,9 @@
         report.figure("relay_growth_servers", format!("{:.2}", grown(SERVERS.len(), SERVERS.len() + 1)));
     }
     report.claim(
-        growth <= MOST_GROWTH,
+        growth <= MAX_GROWTH,
         format!(
-            "processor time grows at most {MOST_GROWTH} times from {} to {} servers",
+            "processor time grows at most {MAX_GROWTH} times from {} to {} servers",
             SERVERS[0], SERVERS[3]
         ),
     );
@@ -267,7 +268,7 @@
 }
 
 /// Measures processor time and memory with idle client connections.
-fn connections(plan: Run, servers: &Tool, report: &mut Report) -> io::Result<()> {
+fn connections(plan: Run, servers: &ListeningProgram, report: &mut Report) -> io::Result<()> {
     let nodes = CONNECTIONS.iter().map(|_| node(&servers.addresses)).collect::<io::Result<Vec<_>>>()?;
     let (mut all, mut open, mut lines) = (Vec::new(), Vec::new(), Vec::new());
     for (&count, (node, _)) in CONNECTIONS.iter().zip(&nodes) {
@@ -285,9 +286,13 @@
         if count == CONNECTIONS[CONNECTIONS.len() - 1] {
             report.figure("bytes_a_connection", each);
         }
-        all.push(Turns::new(format!("node, {count} connections beside"), node.address(), Some(node.pid())));
+        all.push(LoadTarget::new(
+            format!("node, {count} connections beside"),
+            node.address(),
+            Some(node.pid()),
+        ));
     }
-    take_turns(plan, if plan.long { 5 * ROUNDS } else { ROUNDS }, &mut all, report)?;
+    run_rounds(plan, if plan.long { 5 * ROUNDS } else { ROUNDS }, &mut all, report)?;
     for line in lines {
         report.row(&[line]);
     }
--- a/crates/testbed/src/measure/fastcgi.rs
+++ b/crates/testbed/src/measure/fastcgi.rs
@@ -23,11 +23,11 @@
 /// Rounds in which the pairs are loaded in turn, so that noise of the machine affects all alike.
 const ROUNDS: usize = 3;
 /// Limit of the processor time of a request with FastCGI on both sides, as a multiple of that with HTTP.
-const MOST_COST: f64 = 1.2;
+const MAX_COST_RATIO: f64 = 1.2;
 /// Open requests on one connection.
 const MULTIPLEXED: u16 = 1_000;
 /// Limit of the memory of the [`MULTIPLEXED`] requests, in bytes.
-const MOST_MEMORY: u64 = 32 << 20;
+const MAX_MEMORY: u64 = 32 << 20;
 
 /// Runs the measurement.
 ///
@@ -112,7 +112,10 @@
     report.figure("cpu_us_http", format!("{http:.1}"));
     report.figure("cpu_us_fastcgi", format!("{both:.1}"));
     report.figure("cpu_ratio", format!("{ratio:.2}"));
-    report.claim(ratio <= MOST_COST, format!("FastCGI on both sides costs at most {MOST_COST} times HTTP"));
+    report.claim(
+        ratio <= MAX_COST_RATIO,
+        format!("FastCGI on both sides costs at most {MAX_COST_RATIO} times HTTP"),
+    );
     let not_served: usize = costs.iter().map(|cost| cost.not_served).sum();
     report.claim(not_served == 0, format!("every request is served; {not_served} were not"));
     Ok(())
@@ -197,6 +200,6 @@
     ]);
     report.figure("multiplexed_mib", mib(more));
     report.claim(ends == usize::from(MULTIPLEXED), "each of the multiplexed requests ends");
-    report.claim(more <= MOST_MEMORY, "the memory of the multiplexed requests keeps its limit");
+    report.claim(more <= MAX_MEMORY, "the memory of the multiplexed requests keeps its limit");
     Ok(())
 }
--- a/crates/testbed/src/program/listening.rs
+++ b/crates/testbed/src/program/listening.rs
@@ -7,13 +7,13 @@
 use super::{built, pinned};
 
 /// A running program that prints the addresses of its listeners; it is killed on drop.
-pub struct Tool {
+pub struct ListeningProgram {
     child: Child,
     /// Addresses of its listeners, in the order of its output.
     pub addresses: Vec<SocketAddr>,
 }
 
-impl Tool {
+impl ListeningProgram {
     /// Starts a built program, pinned to `core` where one is given, and waits for its listeners.
     ///
     /// # Errors
@@ -43,7 +43,7 @@
     }
 }
 
-impl Drop for Tool {
+impl Drop for ListeningProgram {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/testbed/src/program/mod.rs
+++ b/crates/testbed/src/program/mod.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use std::{env, io, thread};
 
-pub use listening::Tool;
+pub use listening::ListeningProgram;
 pub use process_stats::{cpu_seconds, memory};
 pub use standalone::StandaloneNode;
 
