--- a/crates/testbed/src/measure/capacity/fleet.rs
+++ b/crates/testbed/src/measure/capacity/fleet.rs
@@ -32,16 +32,16 @@
 const COLUMNS: [&str; 12] = [
     "members",
     "nodes are",
-    "all see all, s",
-    "passed on, s",
+    "converged, s",
+    "gossip done, s",
     "messages/s",
     "bytes/s",
     "core, %",
     "MB",
-    "dead: first, s",
+    "detected: first, s",
     "last, s",
     "peak bytes/s",
-    "most of one",
+    "peak of one node",
 ];
 
 /// All results.
@@ -157,7 +157,7 @@
             let percent = self.parity.tolerance * 100.0;
             report.claim(
                 within,
-                format!("hollow nodes send as real ones, within {percent:.0}%: {}", rate.what),
+                format!("hollow nodes send as much as real ones, within {percent:.0}%: {}", rate.what),
             );
         }
     }
@@ -167,36 +167,36 @@
             let joined = seconds(size.joined.after);
             report.row(
                 &Row::new(size.nodes, &format!("{} hollow", size.nodes - size.real))
-                    .set("all see all, s", joined)
-                    .set("passed on, s", seconds(size.quiet))
+                    .set("converged, s", joined)
+                    .set("gossip done, s", seconds(size.quiet))
                     .set("peak bytes/s", size.joined.peak_bytes / (size.nodes - size.real) as u64)
-                    .set("most of one", size.joined.peak_node_bytes)
+                    .set("peak of one node", size.joined.peak_node_bytes)
                     .rest(&size.hollow_rest)
                     .0,
             );
             report.row(&Row::new(size.nodes, &format!("{} real", size.real)).rest(&size.real_rest).0);
             let rests = size.joined.after.is_some() && size.quiet.is_some();
-            report.claim(rests, format!("{} nodes: all see all, and come to rest", size.nodes));
+            report.claim(rests, format!("{} nodes: member tables converge, and gossip ends", size.nodes));
         }
         let most = self.growth.nodes();
         let detection = self.growth.detection.ok();
         report.row(
             &Row::new(format!("{most}, a process killed"), "hollow, real")
-                .set("dead: first, s", seconds(detection.map(|found| found.first)))
+                .set("detected: first, s", seconds(detection.map(|found| found.first)))
                 .set("last, s", seconds(detection.map(|found| found.last)))
                 .0,
         );
         let in_time = detection.is_some_and(|found| found.last <= DETECTION_LIMIT);
-        report.claim(in_time, format!("a killed process is known to all {most} in {DETECTION_LIMIT:?}"));
+        report.claim(in_time, format!("all {most} nodes detect a killed process within {DETECTION_LIMIT:?}"));
         let burst = &self.growth.burst;
         report.row(
             &Row::new(format!("{most}, {} restart at once", burst.restarted), "hollow")
-                .set("all see all, s", seconds(burst.settled.after))
+                .set("converged, s", seconds(burst.settled.after))
                 .set("peak bytes/s", format!("{:.0}", burst.peak_bytes_a_node()))
-                .set("most of one", burst.settled.peak_node_bytes)
+                .set("peak of one node", burst.settled.peak_node_bytes)
                 .0,
         );
-        report.claim(burst.settled.after.is_some(), "after a burst of restarts all see all");
+        report.claim(burst.settled.after.is_some(), "member tables converge after a burst of restarts");
         report.figure("fleet_nodes", most);
         report.figure("fleet_processes", self.growth.processes);
         report.figure("fleet_burst_peak_bytes", format!("{:.0}", burst.peak_bytes_a_node()));
@@ -213,14 +213,14 @@
                 &Row::new(size.nodes, "virtual")
                     .set("messages/s", format!("{:.2}", size.datagrams))
                     .set("bytes/s", format!("{:.0}", size.bytes))
-                    .set("dead: first, s", seconds(size.first))
+                    .set("detected: first, s", seconds(size.first))
                     .set("last, s", seconds(size.last))
                     .0,
             );
             let known = size.last.is_some_and(|last| last <= DETECTION_LIMIT);
             report.claim(
                 known,
-                format!("{} in virtual time: a crash is known in {DETECTION_LIMIT:?}", size.nodes),
+                format!("{} in virtual time: all detect a crash within {DETECTION_LIMIT:?}", size.nodes),
             );
             let within = size.bytes <= BYTES_BUDGET;
             report.claim(within, format!("{} in virtual time: bytes a second within the budget", size.nodes));
@@ -228,13 +228,13 @@
         for join in &self.joins {
             report.row(
                 &Row::new(format!("{}, all start at once", join.nodes), "virtual")
-                    .set("all see all, s", seconds(join.settled))
+                    .set("converged, s", seconds(join.settled))
                     .set("bytes/s", format!("{:.0}", join.bytes))
                     .0,
             );
             report.claim(
                 join.settled.is_some(),
-                format!("{} start at once in virtual time: all see all", join.nodes),
+                format!("{} start at once in virtual time: member tables converge", join.nodes),
             );
         }
         if let Some(join) = self.joins.last() {
@@ -242,24 +242,23 @@
         }
         let zone = &self.zone;
         report.row(
-            &Row::new(format!("{}, a zone of {} gone", zone.nodes, zone.gone), "virtual")
-                .set("dead: first, s", seconds(zone.first))
+            &Row::new(format!("{}, a zone of {} lost", zone.nodes, zone.gone), "virtual")
+                .set("detected: first, s", seconds(zone.first))
                 .set("last, s", seconds(zone.last))
                 .set("peak bytes/s", format!("{:.0}", zone.peak_bytes))
                 .0,
         );
-        report.claim(zone.last.is_some(), "a zone that is gone is known to all");
+        report.claim(zone.last.is_some(), "all nodes detect the loss of a zone");
         let cut = &self.cut;
         report.row(
-            &Row::new(format!("{}, two of three regions cut for a minute, healed", cut.nodes), "virtual")
-                .set("all see all, s", seconds(cut.healed))
+            &Row::new(format!("{}, two of three regions partitioned for a minute", cut.nodes), "virtual")
+                .set("converged, s", seconds(cut.healed))
                 .set("bytes/s", format!("{:.0}", cut.bytes))
                 .set("peak bytes/s", format!("{:.0}", cut.peak_bytes))
                 .0,
         );
-        report
-            .claim(cut.healed.is_some(), "two regions that were cut off from each other hold the same again");
-        report.claim(cut.false_positives == 0, "nobody is held dead whom a third region reaches");
+        report.claim(cut.healed.is_some(), "the member tables of two partitioned regions are equal again");
+        report.claim(cut.false_positives == 0, "no member that a third region reaches is considered dead");
         report.figure("fleet_cut_wronged", cut.false_positives);
         report.figure("fleet_cut_bytes", format!("{:.0}", cut.bytes));
     }
--- a/crates/testbed/src/measure/membership/mod.rs
+++ b/crates/testbed/src/measure/membership/mod.rs
@@ -18,8 +18,15 @@
 const DATAGRAM_HEADERS: f64 = 28.0;
 
 /// Columns of the table.
-const COLUMNS: [&str; 7] =
-    ["fleet", "dead: first, s", "last, s", "back: all equal, s", "healed, s", "wronged", "bytes/s a node"];
+const COLUMNS: [&str; 7] = [
+    "fleet",
+    "detected: first, s",
+    "last, s",
+    "rejoined: converged, s",
+    "healed, s",
+    "wronged",
+    "bytes/s a node",
+];
 
 /// Runs the measurement.
 ///
