--- a/crates/chaos/src/cli/mod.rs
+++ b/crates/chaos/src/cli/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::stand_ins::EndpointArgs;
 
-/// Injects faults into a fleet of real processes on loopback, and checks what clients saw
+/// Injects faults into a fleet of real processes on loopback, and checks the history of each run
 #[derive(Parser)]
 #[command(
     name = "pumicehead-chaos",
@@ -45,9 +45,9 @@
         #[arg(value_name = "FOLDER")]
         directory: PathBuf,
     },
-    /// Generates scenarios and runs them; keeps those that violate a rule, and the one that served least
+    /// Generates scenarios and runs them; keeps those that violate a rule, and the one with the lowest service
     Hunt(HuntArgs),
-    /// Drops and weakens the faults of a scenario while it still violates a rule, and prints what is left
+    /// Removes and weakens faults of a scenario while it still violates a rule, and prints the smallest one
     Shrink(ShrinkArgs),
     /// Writes a kept run as an HTML page
     Report {
--- a/crates/chaos/src/fault_effects.rs
+++ b/crates/chaos/src/fault_effects.rs
@@ -56,9 +56,12 @@
 
 /// Returns the state of a link under the active faults: conditions combine, the strictest connect policy applies.
 #[must_use]
-pub fn link_state(usual: &LinkConditions, active_faults: &[&Fault], path: LinkPath) -> LinkState {
-    let mut state =
-        LinkState { connect_policy: ConnectPolicy::Accept, forward: usual.clone(), reverse: usual.clone() };
+pub fn link_state(fault_free: &LinkConditions, active_faults: &[&Fault], path: LinkPath) -> LinkState {
+    let mut state = LinkState {
+        connect_policy: ConnectPolicy::Accept,
+        forward: fault_free.clone(),
+        reverse: fault_free.clone(),
+    };
     for fault in active_faults {
         match &fault.kind {
             FaultKind::Partition { groups } if is_partitioned(groups, path) => {
--- a/crates/chaos/src/link/mod.rs
+++ b/crates/chaos/src/link/mod.rs
@@ -1,6 +1,6 @@
 //! Link emulation: latency, jitter, loss, bandwidth and partitions between clients, nodes, endpoints and discovery.
 //!
-//! [`LinkDirection`] decides when bytes arrive and does no I/O; [`tcp`] and [`udp`] carry bytes over loopback at these times.
+//! [`LinkDirection`] decides when bytes arrive and does no I/O; [`tcp`] and [`udp`] relay bytes over loopback at these times.
 
 mod direction;
 mod lateness;
@@ -136,7 +136,7 @@
     pub target: Rc<RefCell<SocketAddr>>,
     /// Initial state of the link.
     pub state: LinkState,
-    /// Seed of the link's random numbers.
+    /// Seed of the link's random numbers; for TCP, of those from the opening end to the accepting one only.
     pub seed: u64,
     /// Where the link records its own lateness.
     pub lateness: LatenessGauge,
--- a/crates/chaos/src/link/pump.rs
+++ b/crates/chaos/src/link/pump.rs
@@ -1,4 +1,4 @@
-//! Carries the bytes of one direction of a connection and delivers them at the times that [`LinkDirection`] computes.
+//! Relays the bytes of one direction of a connection and delivers them at the times that [`LinkDirection`] computes.
 
 use std::collections::VecDeque;
 use std::io;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Carries bytes until the end of the stream has arrived, or the link is closed.
+    /// Relays bytes until the end of the stream has arrived, or the link is closed.
     pub async fn run(mut self) -> io::Result<()> {
         let mut buffer = vec![0; READ_BYTES];
         loop {
--- a/crates/chaos/src/link/tcp.rs
+++ b/crates/chaos/src/link/tcp.rs
@@ -78,7 +78,7 @@
             connection = open_listener.accept() => match connection {
                 Ok((stream, _)) => {
                     accepted += 1;
-                    connections.spawn_local(carry(stream, Connection::new(&options, &settings, accepted)));
+                    connections.spawn_local(relay_connection(stream, Connection::new(&options, &settings, accepted)));
                 }
                 Err(_) => sleep(ACCEPT_RETRY).await,
             },
@@ -106,8 +106,8 @@
     }
 }
 
-/// Carries one connection until it ends or the link resets it.
-async fn carry(near: TcpStream, connection: Connection) {
+/// Relays one connection until it ends or the link resets it.
+async fn relay_connection(near: TcpStream, connection: Connection) {
     let Connection { target, mut settings, rng, lateness } = connection;
     let resets_before = settings.borrow_and_update().reset_count;
     let is_reset = |settings: &LinkSettings| {
--- a/crates/chaos/src/link/udp.rs
+++ b/crates/chaos/src/link/udp.rs
@@ -125,12 +125,12 @@
     let address = near.local_addr()?;
     let settings = LinkSettings { state: options.state.clone(), reset_count: 0 };
     let (sender, receiver) = watch::channel(settings);
-    let task = spawn_local(carry(near, options, receiver));
+    let task = spawn_local(relay_datagrams(near, options, receiver));
     Ok(Link { address, settings: sender, _task: AbortOnDrop::new(task) })
 }
 
-/// Carries datagrams until the link is closed.
-async fn carry(near: Rc<UdpSocket>, options: LinkOptions, settings: watch::Receiver<LinkSettings>) {
+/// Relays datagrams until the link is closed.
+async fn relay_datagrams(near: Rc<UdpSocket>, options: LinkOptions, settings: watch::Receiver<LinkSettings>) {
     let forward = DatagramDirection::new(options.seed, options.lateness.clone());
     let reverse = Rc::new(DatagramDirection::new(options.seed.wrapping_add(1), options.lateness));
     let mut far_sockets: HashMap<SocketAddr, Rc<UdpSocket>> = HashMap::new();
@@ -154,7 +154,7 @@
             let socket = Rc::new(socket);
             far_sockets.insert(sender, socket.clone());
             let back = Route { socket: near.clone(), destination: sender };
-            replies.spawn_local(carry_replies(socket, back, reverse.clone(), settings.clone()));
+            replies.spawn_local(relay_replies(socket, back, reverse.clone(), settings.clone()));
         }
         let state = settings.borrow().state.clone();
         let route = Route { socket: far_sockets[&sender].clone(), destination: *options.target.borrow() };
@@ -162,8 +162,8 @@
     }
 }
 
-/// Carries replies to one sender.
-async fn carry_replies(
+/// Relays replies to one sender.
+async fn relay_replies(
     socket: Rc<UdpSocket>,
     back: Route,
     reverse: Rc<DatagramDirection>,
--- a/crates/chaos/src/run/fleet_links.rs
+++ b/crates/chaos/src/run/fleet_links.rs
@@ -92,10 +92,10 @@
         let fault = &scenario.faults[index];
         let resets = matches!(fault.kind, FaultKind::Link { reset_at_end: true, .. }) && !begins;
         let active: Vec<_> = self.active_faults.iter().map(|index| &scenario.faults[*index]).collect();
-        let usual = &scenario.fleet.links;
+        let fault_free = &scenario.fleet.links;
         for (&path, fleet_link) in &self.links {
-            let state = link_state(usual, &active, path);
-            let is_affected = link_state(usual, &[fault], path) != link_state(usual, &[], path);
+            let state = link_state(fault_free, &active, path);
+            let is_affected = link_state(fault_free, &[fault], path) != link_state(fault_free, &[], path);
             for link in &fleet_link.links {
                 let reset_count = link.reset_count() + u32::from(resets && is_affected);
                 link.update(LinkSettings { state: state.clone(), reset_count });
--- a/crates/chaos/src/scenario/mod.rs
+++ b/crates/chaos/src/scenario/mod.rs
@@ -21,7 +21,7 @@
 pub struct Scenario {
     /// Name, for reports.
     pub name: String,
-    /// Seed of all random numbers of the run.
+    /// Seed of the requests, of damage to files and of the links, except for replies over TCP links.
     #[serde(default = "default_seed")]
     pub seed: u64,
     /// The processes.
--- a/crates/chaos/src/scenario_generator.rs
+++ b/crates/chaos/src/scenario_generator.rs
@@ -18,7 +18,7 @@
     [ConnectPolicy::Accept, ConnectPolicy::Refuse, ConnectPolicy::Blackhole];
 
 impl Scenario {
-    /// Generates a scenario with two to five faults that overlap, over a fleet of the given size.
+    /// Generates a scenario with two to five faults, which may overlap, for a fleet of the given size.
     #[must_use]
     pub fn generate(seed: u64, nodes: usize, endpoints: usize) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
--- a/crates/chaos/tests/fault_effects.rs
+++ b/crates/chaos/tests/fault_effects.rs
@@ -19,7 +19,7 @@
     })
 }
 
-fn usual() -> LinkConditions {
+fn fault_free() -> LinkConditions {
     LinkConditions { latency_ms: 1.0, ..LinkConditions::default() }
 }
 
@@ -46,13 +46,13 @@
     let first = link_fault(LinkSide::Nodes(vec![0, 1]), LinkSide::Endpoints(vec![2]), slow.clone());
     let second = link_fault(LinkSide::Nodes(vec![1]), LinkSide::Endpoints(vec![2]), slow);
     let third = link_fault(LinkSide::Nodes(vec![0]), LinkSide::Discovery, partitioned());
-    let state = |from, to| link_state(&usual(), &[&first, &second, &third], LinkPath { from, to });
+    let state = |from, to| link_state(&fault_free(), &[&first, &second, &third], LinkPath { from, to });
     let both = state(LinkEnd::Node(1), LinkEnd::Endpoint(2));
     assert_eq!((both.forward.latency_ms, both.forward.loss, both.reverse.latency_ms), (61.0, 0.75, 1.0));
     assert_eq!(state(LinkEnd::Node(0), LinkEnd::Endpoint(2)).forward.latency_ms, 31.0);
     assert_eq!(
         state(LinkEnd::Node(0), LinkEnd::Endpoint(1)),
-        LinkState { forward: usual(), reverse: usual(), ..LinkState::default() }
+        LinkState { forward: fault_free(), reverse: fault_free(), ..LinkState::default() }
     );
     let policy = |node| state(LinkEnd::Node(node), LinkEnd::Discovery).connect_policy;
     assert_eq!(policy(0), ConnectPolicy::Blackhole);
@@ -64,7 +64,7 @@
     let partition = fault(FaultKind::Partition { groups: vec![vec![0, 1], vec![2]] });
     let policy = |from, to| {
         let path = LinkPath { from: LinkEnd::Node(from), to: LinkEnd::Node(to) };
-        link_state(&usual(), &[&partition], path).connect_policy
+        link_state(&fault_free(), &[&partition], path).connect_policy
     };
     assert_eq!(
         [policy(0, 1), policy(0, 2), policy(2, 1), policy(3, 2)],
--- a/crates/chaos/tests/scenario_runs.rs
+++ b/crates/chaos/tests/scenario_runs.rs
@@ -138,7 +138,7 @@
 /// void.
 #[test]
 fn a_run_that_was_paused_itself_is_void() {
-    let work_dir = temporary(".storm");
+    let work_dir = temporary(".chaos");
     let child = start_run(&work_dir);
     // The load begins soon after the nodes have their files.
     wait_for("load", || fs::read_dir(&work_dir).is_ok_and(|files| files.count() >= 8));
@@ -157,7 +157,7 @@
 /// After an interrupt from the terminal a run must report it, print no result and leave no process.
 #[test]
 fn an_interrupted_run_ends_its_processes() {
-    let work_dir = temporary(".storm");
+    let work_dir = temporary(".chaos");
     let child = start_run(&work_dir);
     send_signal(&child, "INT");
     let done = child.wait_with_output().unwrap();
@@ -173,7 +173,7 @@
 /// Even if the run itself is killed by SIGKILL, all its processes must end.
 #[test]
 fn a_killed_run_leaves_no_process() {
-    let work_dir = temporary(".storm");
+    let work_dir = temporary(".chaos");
     let mut child = start_run(&work_dir);
     child.kill().unwrap();
     child.wait().unwrap();
