--- a/crates/testbed/src/measure/config.rs
+++ b/crates/testbed/src/measure/config.rs
@@ -21,9 +21,9 @@
 
 use super::Plan;
 use crate::client::Client;
-use crate::program::{Standalone, build_node, temporary};
+use crate::program::{StandaloneNode, build_node, temporary};
 use crate::report::Report;
-use crate::standin::{StandIn, UNIT, Work};
+use crate::standin::{ServiceModel, StandIn, UNIT};
 
 /// Routes and included files of the large configuration.
 const ROUTES: usize = 10_000;
@@ -234,9 +234,10 @@
 fn reloads(plan: Plan, report: &mut Report) -> io::Result<()> {
     build_node()?;
     let local = "127.0.0.1:0".parse().map_err(io::Error::other)?;
-    let servers = (0..4).map(|_| StandIn::start(local, Work::default())).collect::<io::Result<Vec<_>>>()?;
+    let servers =
+        (0..4).map(|_| StandIn::start(local, ServiceModel::default())).collect::<io::Result<Vec<_>>>()?;
     let count = if plan.long { 500 } else { 50 };
-    let mut node = Standalone::start(&text(&servers, false), 1);
+    let mut node = StandaloneNode::start(&text(&servers, false), 1);
     let address = node.address();
     let tally = Rc::new(Tally::default());
     let start = Instant::now();
@@ -249,7 +250,7 @@
             node.replace(&text(&servers, reload % 2 == 0));
             node.signal("HUP");
             let until = Instant::now() + Duration::from_secs(20);
-            while node.said("reload: done") <= reload && Instant::now() < until {
+            while node.count_log_lines("reload: done") <= reload && Instant::now() < until {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
             tokio::time::sleep(PAUSE).await;
@@ -260,7 +261,7 @@
         }
     });
     let took = start.elapsed();
-    let done = node.said("reload: done");
+    let done = node.count_log_lines("reload: done");
     let mut effects: HashMap<String, u32> = HashMap::new();
     for server in &servers {
         let record = server.record.lock().map_err(|_| io::Error::other("a stand-in failed"))?;
@@ -307,7 +308,7 @@
         let request = Request::builder().method(method).uri(path).header("host", "a").header(UNIT, &unit);
         let Ok(request) = request.body(Full::new(Bytes::from_static(b"time=1:02"))) else { return };
         tally.asked.set(tally.asked.get() + 1);
-        match client.ask(request).await {
+        match client.request(request).await {
             Ok(response) if response.status().is_success() => {
                 // A stand-in's response has the unit of its request.
                 if !String::from_utf8_lossy(response.body()).contains(&unit) {
--- a/crates/testbed/src/scripted/node_config.rs
+++ b/crates/testbed/src/scripted/node_config.rs
@@ -17,17 +17,17 @@
 /// How a node is configured and started.
 pub struct Setup {
     /// The endpoint list that the node starts with.
-    pub known: String,
+    pub endpoint_list: String,
     /// Address of the discovery service.
     pub discovery: SocketAddr,
     /// Discovery mode: `subscribe` or another value of `membership_mode`.
     pub mode: &'static str,
     /// Latency objective of all classes, in milliseconds.
-    pub aim_ms: u64,
+    pub latency_objective_ms: u64,
     /// More members of the `ceilings` object, each with a leading comma.
     pub ceilings: &'static str,
-    /// The node may take a minute and more before it polls discovery.
-    pub slow_to_ask: bool,
+    /// Sets a discovery poll interval of 10 minutes in place of 200 ms.
+    pub slow_polling: bool,
     /// Memory limit in MB.
     pub memory_mb: usize,
     /// Folder for the files of the admin listener; `None`: the node has no admin listener.
@@ -35,31 +35,31 @@
     /// A listening socket that is handed over to the node, in place of one that it opens.
     pub socket: Option<TcpListener>,
     /// A shell command line that ends in an `exec` of the node, which is its `$0`.
-    pub line: Option<String>,
+    pub shell_line: Option<String>,
     /// Position of the node where several nodes share the endpoints.
     pub position: Option<FleetPosition>,
-    /// Other changes of the configuration: texts, each with its replacement.
-    pub changes: &'static [(&'static str, &'static str)],
+    /// Replacements made in the text of the configuration, as pairs of old and new text.
+    pub replacements: &'static [(&'static str, &'static str)],
 }
 
 impl Setup {
-    /// A node that knows these backends, with a discovery address that refuses connections.
+    /// A node whose endpoint list has these backends, with a discovery address that refuses connections.
     pub fn of(backends: &[&Backend]) -> Self {
         let hosts: Vec<_> =
             backends.iter().enumerate().map(|(n, b)| host(&format!("s-{n}"), b.address, "active")).collect();
         Self {
-            known: list(1, true, &hosts),
+            endpoint_list: list(1, true, &hosts),
             discovery: refusing(),
             mode: "subscribe",
-            aim_ms: 10_000,
+            latency_objective_ms: 10_000,
             ceilings: "",
-            slow_to_ask: false,
+            slow_polling: false,
             memory_mb: 192,
             folder: None,
             socket: None,
-            line: None,
+            shell_line: None,
             position: None,
-            changes: &[],
+            replacements: &[],
         }
     }
 
@@ -75,13 +75,13 @@
 
     /// The text of the configuration.
     pub fn text(&self) -> String {
-        self.changes.iter().fold(self.positioned_text(), |text, (from, to)| {
-            assert!(text.contains(from), "no {from} in {text}");
+        self.replacements.iter().fold(self.positioned_text(), |text, (from, to)| {
+            assert!(text.contains(from), "replacement text `{from}` not found in {text}");
             text.replace(from, to)
         })
     }
 
-    /// With the index of the node, and a seed of its own, where it is one of several.
+    /// Returns the text with the node's index, the number of nodes and a seed of its own where [`Self::position`] is set.
     fn positioned_text(&self) -> String {
         let text = self.plain_text();
         let Some(FleetPosition { number, nodes }) = self.position else { return text };
@@ -90,15 +90,15 @@
     }
 
     fn plain_text(&self) -> String {
-        let ask_every = if self.slow_to_ask { 600_000_000_000u64 } else { 200_000_000 };
+        let ask_every = if self.slow_polling { 600_000_000_000u64 } else { 200_000_000 };
         format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0"{},"discovery":"{}","seed":"8c1f30d27a5be964",
             "limits":{{"cores":1.0,"memory_mb":{},"sockets":256}},"known":{},"settings":{}}}"#,
             if self.folder.is_some() { ",\"admin\":\"127.0.0.1:0\"" } else { "" },
             self.discovery,
             self.memory_mb,
-            self.known,
-            settings(self.mode, self.aim_ms, self.ceilings)
+            self.endpoint_list,
+            settings(self.mode, self.latency_objective_ms, self.ceilings)
                 .replace("\"ask_every_ns\":200000000", &format!("\"ask_every_ns\":{ask_every}"))
         )
     }
