--- a/crates/fastcgi/tests/properties.rs
+++ b/crates/fastcgi/tests/properties.rs
@@ -131,8 +131,8 @@
         let mut events = Vec::new();
         out.chunks(size).for_each(|part| server.receive(part, &mut events).unwrap());
         let params: Vec<_> = list.iter().map(|(name, value)| (Bytes::from(name.clone()), Bytes::from(value.clone()))).collect();
-        let whole = Event::Request { id: 1, params, body: Bytes::from(body.clone()) };
-        prop_assert_eq!(events, vec![Event::Started(1), whole]);
+        let complete = Event::Request { id: 1, params, body: Bytes::from(body.clone()) };
+        prop_assert_eq!(events, vec![Event::Started(1), complete]);
         server.end(1, [Bytes::from(body.clone())], 0);
         let mut back = BytesMut::new();
         server.output(&mut back, usize::MAX);
--- a/crates/fastcgi/tests/wire.rs
+++ b/crates/fastcgi/tests/wire.rs
@@ -80,12 +80,12 @@
 fn request_is_decoded_and_answered() {
     let mut server = Server::new(LIMITS);
     let events = serve(&mut server, &request(1, 0, b"time=1:02")).unwrap();
-    let whole = Event::Request {
+    let complete = Event::Request {
         id: 1,
         params: vec![pair("SERVER_PORT", "80")],
         body: Bytes::from_static(b"time=1:02"),
     };
-    assert_eq!(events, [Event::Started(1), whole]);
+    assert_eq!(events, [Event::Started(1), complete]);
     server.end(1, [Bytes::from_static(b"Content-Type: text/html\r\n\r\n<html>\n<head> ...")], 0);
     let expected = concat(&[
         record(STDOUT, 1, b"Content-Type: text/html\r\n\r\n<html>\n<head> ...", 4),
@@ -361,12 +361,12 @@
 
 #[test]
 fn truncated_records_and_pairs_are_detected() {
-    let whole = record(STDOUT, 1, b"abc", 5);
-    for cut in 1..whole.len() {
+    let complete = record(STDOUT, 1, b"abc", 5);
+    for cut in 1..complete.len() {
         let mut decoder = RecordDecoder::default();
-        assert_eq!(decoder.next(&mut &whole[..cut]), Ok(None), "{cut}");
+        assert_eq!(decoder.next(&mut &complete[..cut]), Ok(None), "{cut}");
         assert!(!decoder.is_at_record_boundary(), "{cut}");
-        assert!(decoder.next(&mut &whole[cut..]).unwrap().is_some() && decoder.is_at_record_boundary());
+        assert!(decoder.next(&mut &complete[cut..]).unwrap().is_some() && decoder.is_at_record_boundary());
     }
     let mut pairs = PairDecoder::new(100, 10);
     pairs.feed(b"\x80").unwrap();
--- a/crates/load-generator/src/trace.rs
+++ b/crates/load-generator/src/trace.rs
@@ -15,7 +15,7 @@
 
 /// Maximum length of a line, in bytes.
 const MAX_LINE_BYTES: usize = 64 << 10;
-/// Maximum number of requests of a trace, which take about 10 GB of memory.
+/// Maximum number of requests of a trace, counting copies; they take about 10 GB of memory.
 const MAX_ENTRIES: usize = 50_000_000;
 /// How far times may go backwards, in seconds: logs are written when requests end. Entries are sorted by time.
 const MAX_BACKWARD_S: f64 = 60.0;
--- a/crates/load-generator/tests/exact.rs
+++ b/crates/load-generator/tests/exact.rs
@@ -72,8 +72,8 @@
     let many = times("constant:1000000/s", Arrivals::Even, SECOND, 1);
     assert_eq!(many.len(), 1_000_000);
     assert!(many.windows(2).all(|pair| pair[0] <= pair[1]) && many[999_999] < SECOND);
-    let drawn = times("constant:1000000/s", Arrivals::Poisson, SECOND, 1).len() as f64;
-    assert!((drawn - 1e6).abs() < 5.0 * 1e3, "{drawn}");
+    let count = times("constant:1000000/s", Arrivals::Poisson, SECOND, 1).len() as f64;
+    assert!((count - 1e6).abs() < 5.0 * 1e3, "{count}");
 }
 
 #[test]
