--- a/crates/testbed/src/hollow/counts.rs
+++ b/crates/testbed/src/hollow/counts.rs
@@ -1,4 +1,4 @@
-//! Counts the messages of members at their receivers, so that real processes and hollow nodes are counted alike.
+//! Counts membership messages at the receiver, so that those of real processes and of hollow nodes are counted the same way.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -8,8 +8,8 @@
 use pumicehead_membership::MemberId;
 use pumicehead_membership::wire::{DatagramKind, FrameKind};
 
-/// Kinds of datagrams that are counted, with their names.
-pub const KINDS: [(DatagramKind, &str); 5] = [
+/// Kinds of datagrams, indexed as on the wire, with their names.
+pub const DATAGRAM_KINDS: [(DatagramKind, &str); 5] = [
     (DatagramKind::Gossip, "gossip"),
     (DatagramKind::Ping, "ping"),
     (DatagramKind::IndirectPing, "indirect ping"),
@@ -17,15 +17,15 @@
     (DatagramKind::Nack, "nack"),
 ];
 /// Bytes of the UDP and IPv4 headers of a datagram.
-pub const DATAGRAM_HEADS: u64 = 28;
-/// Bytes of the length before a frame.
-pub const FRAME_HEAD: u64 = 4;
-/// Steps of an exchange over a stream.
-const STEPS: usize = FrameKind::Reject as usize + 1;
+pub const DATAGRAM_HEADER_BYTES: u64 = 28;
+/// Bytes of the length prefix of a frame.
+pub const FRAME_LENGTH_BYTES: u64 = 4;
+/// Number of kinds of frames.
+const FRAME_KINDS: usize = FrameKind::Reject as usize + 1;
 
-/// The fields that datagrams and frames have in common.
+/// The fields that datagrams and frames share.
 #[derive(Clone, PartialEq, Message)]
-struct Head {
+struct MessageHeader {
     #[prost(fixed64, tag = "4")]
     from: u64,
     #[prost(int32, tag = "6")]
@@ -35,24 +35,24 @@
 /// Messages received from one member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Received {
-    /// Datagrams, in the order of [`KINDS`].
-    pub datagrams: [u64; KINDS.len()],
-    /// Their bytes, without headers.
+    /// Datagrams, in the order of [`DATAGRAM_KINDS`].
+    pub datagrams: [u64; DATAGRAM_KINDS.len()],
+    /// Bytes of datagrams, without UDP and IPv4 headers.
     pub datagram_bytes: u64,
     /// Frames of streams, by [`FrameKind`].
-    pub frames: [u64; STEPS],
-    /// Their bytes, without lengths.
+    pub frames: [u64; FRAME_KINDS],
+    /// Bytes of frames, without length prefixes.
     pub frame_bytes: u64,
 }
 
 impl Received {
-    /// Datagrams of all kinds.
+    /// Number of datagrams of all kinds.
     #[must_use]
     pub fn all_datagrams(&self) -> u64 {
         self.datagrams.iter().sum()
     }
 
-    /// Frames of all steps.
+    /// Number of frames of all kinds.
     #[must_use]
     pub fn all_frames(&self) -> u64 {
         self.frames.iter().sum()
@@ -61,19 +61,19 @@
 
 /// Counts the messages that all hollow nodes of a process receive, by sender.
 #[derive(Debug, Default)]
-pub struct PeerCounts {
+pub struct ReceiveCounters {
     on: AtomicBool,
     by_sender: Mutex<HashMap<u64, Received>>,
 }
 
-impl PeerCounts {
-    /// Starts to count from zero.
+impl ReceiveCounters {
+    /// Resets the counters and starts to count.
     pub fn start(&self) {
         self.lock().clear();
         self.on.store(true, Ordering::Relaxed);
     }
 
-    /// Stops, and returns the counts by the sender's id.
+    /// Stops counting and returns the counts by the sender's id.
     pub fn stop(&self) -> HashMap<u64, Received> {
         self.on.store(false, Ordering::Relaxed);
         std::mem::take(&mut *self.lock())
@@ -81,8 +81,8 @@
 
     /// The counts of a member so far.
     #[must_use]
-    pub fn of(&self, name: &str) -> Received {
-        self.lock().get(&sender(name)).copied().unwrap_or_default()
+    pub fn received_from(&self, name: &str) -> Received {
+        self.lock().get(&sender_id(name)).copied().unwrap_or_default()
     }
 
     /// Counts a received datagram.
@@ -109,8 +109,8 @@
         if !self.on.load(Ordering::Relaxed) {
             return;
         }
-        // Bytes that are no message are not counted.
-        let Ok(head) = Head::decode(bytes) else { return };
+        // Undecodable messages are not counted.
+        let Ok(head) = MessageHeader::decode(bytes) else { return };
         let kind = usize::try_from(head.kind).unwrap_or(usize::MAX);
         add(self.lock().entry(head.from).or_default(), kind);
     }
@@ -121,31 +121,31 @@
 }
 
 /// The id of a member in messages.
-pub(super) fn sender(name: &str) -> u64 {
+pub(super) fn sender_id(name: &str) -> u64 {
     MemberId::from_name(name).0
 }
 
-/// What one node has sent since its start.
+/// Counts what a node has sent since its start.
 #[derive(Debug, Default)]
-pub struct Traffic {
+pub struct SendCounters {
     datagrams: AtomicU64,
     datagram_bytes: AtomicU64,
     frames: AtomicU64,
     frame_bytes: AtomicU64,
 }
 
-/// A snapshot of [`Traffic`].
+/// A snapshot of [`SendCounters`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sent {
+pub struct SentCounts {
     /// Datagrams.
     pub datagrams: u64,
     /// Frames over streams.
     pub frames: u64,
-    /// Bytes of both, with UDP and IPv4 headers and frame lengths, without TCP headers.
+    /// Bytes of datagrams and frames, with UDP and IPv4 headers and length prefixes, without TCP headers.
     pub bytes: u64,
 }
 
-impl Sent {
+impl SentCounts {
     /// Datagrams and frames.
     #[must_use]
     pub fn messages(&self) -> u64 {
@@ -153,7 +153,7 @@
     }
 
     /// Adds another snapshot.
-    pub fn add(&mut self, other: Sent) {
+    pub fn add(&mut self, other: SentCounts) {
         self.datagrams += other.datagrams;
         self.frames += other.frames;
         self.bytes += other.bytes;
@@ -161,8 +161,8 @@
 
     /// The difference to an earlier snapshot.
     #[must_use]
-    pub fn since(&self, earlier: Sent) -> Sent {
-        Sent {
+    pub fn since(&self, earlier: SentCounts) -> SentCounts {
+        SentCounts {
             datagrams: self.datagrams.saturating_sub(earlier.datagrams),
             frames: self.frames.saturating_sub(earlier.frames),
             bytes: self.bytes.saturating_sub(earlier.bytes),
@@ -170,7 +170,7 @@
     }
 }
 
-impl Traffic {
+impl SendCounters {
     /// Counts a sent datagram.
     pub fn datagram(&self, bytes: usize) {
         self.datagrams.fetch_add(1, Ordering::Relaxed);
@@ -185,10 +185,14 @@
 
     /// The current snapshot.
     #[must_use]
-    pub fn sent(&self) -> Sent {
+    pub fn sent(&self) -> SentCounts {
         let (datagrams, frames) =
             (self.datagrams.load(Ordering::Relaxed), self.frames.load(Ordering::Relaxed));
         let bytes = self.datagram_bytes.load(Ordering::Relaxed) + self.frame_bytes.load(Ordering::Relaxed);
-        Sent { datagrams, frames, bytes: bytes + datagrams * DATAGRAM_HEADS + frames * FRAME_HEAD }
+        SentCounts {
+            datagrams,
+            frames,
+            bytes: bytes + datagrams * DATAGRAM_HEADER_BYTES + frames * FRAME_LENGTH_BYTES,
+        }
     }
 }
--- a/crates/testbed/src/parity/mod.rs
+++ b/crates/testbed/src/parity/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios that must have the same result over HTTP and FastCGI, on either side of a node: the same final response, the same
-//! number of attempts and of effects.
+//! Scenarios that must have the same result over HTTP and FastCGI, for clients and for servers: the same final response, the
+//! same number of attempts and of effects.
 
 mod scenarios;
 
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::program::Standalone;
+use crate::program::StandaloneNode;
 use crate::scripted::refusing;
 use crate::scripted_backend::{Act, Protocol, ProtocolClient, Script, ScriptedBackends, ScriptedRequest};
 use scenarios::RequestTemplate;
@@ -18,21 +18,21 @@
 
 /// Scenarios that run at the same time; most of their time is spent waiting.
 const CONCURRENT_SCENARIOS: usize = 4;
-/// Time for the last message to a server, such as an abort, to arrive.
+/// Time allowed for the last message to a server, such as an abort, to arrive before the record is read.
 const ARRIVAL_TIME: Duration = Duration::from_millis(20);
 
 /// The result of a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct ObservedResult {
     /// Status code of the final response.
     pub status: u16,
     /// Body of the final response.
     pub body: Vec<u8>,
-    /// The header line that the scenario demands, where it is there.
+    /// The header line that the scenario requires, where the response has it.
     pub fields: Vec<String>,
     /// Complete requests that reached servers.
     pub attempts: u32,
-    /// Those of them with an effect.
+    /// Complete requests with an effect.
     pub effects: u32,
 }
 
@@ -40,15 +40,15 @@
 pub struct ScenarioResults {
     /// The scenario's name.
     pub name: &'static str,
-    /// One for each of [`pairings`], in their order.
-    pub seen: Vec<Seen>,
-    /// Results that are not as they must be, with scenario and protocols.
+    /// One for each of [`protocol_pairs`], in their order.
+    pub observed: Vec<ObservedResult>,
+    /// Deviations from the expected result or from the first pair's result, with scenario and protocols.
     pub differences: Vec<String>,
 }
 
 /// A node's configuration with the protocols of clients and servers; `more` is appended.
 #[must_use]
-pub fn text(front: Protocol, back: Protocol, servers: &[SocketAddr], more: &str) -> String {
+pub fn node_config_text(front: Protocol, back: Protocol, servers: &[SocketAddr], more: &str) -> String {
     let one = |(n, address): (usize, &SocketAddr)| format!("server s{n} {{ address {address} }}\n");
     let servers: String = servers.iter().enumerate().map(one).collect();
     format!(
@@ -66,7 +66,7 @@
     )
 }
 
-/// A script that goes by the number of the request; its last act is repeated.
+/// A script that indexes `acts` by the number of the request; the last one is repeated.
 #[must_use]
 pub fn script(acts: Vec<Act>) -> Script {
     Arc::new(move |request: &ScriptedRequest| {
@@ -75,8 +75,8 @@
     })
 }
 
-/// All pairs of the protocol of clients and that of servers.
-pub fn pairings() -> impl Iterator<Item = (Protocol, Protocol)> {
+/// All pairs of a client protocol and a server protocol.
+pub fn protocol_pairs() -> impl Iterator<Item = (Protocol, Protocol)> {
     Protocol::ALL.into_iter().flat_map(|front| Protocol::ALL.map(|back| (front, back)))
 }
 
@@ -85,12 +85,12 @@
 /// # Panics
 /// Where no node starts.
 #[must_use]
-pub fn play(scenario: &Scenario, front: Protocol, back: Protocol) -> Seen {
+pub fn run_scenario(scenario: &Scenario, front: Protocol, back: Protocol) -> ObservedResult {
     let backends = ScriptedBackends::new(script(scenario.acts.clone()));
     let listening = scenario.servers - scenario.refusing.min(scenario.servers);
     let mut servers: Vec<_> = (0..listening).map(|_| backends.start(back)).collect();
     servers.extend((0..scenario.refusing).map(|_| refusing()));
-    let node = Standalone::start(&text(front, back, &servers, ""), 1);
+    let node = StandaloneNode::start(&node_config_text(front, back, &servers, ""), 1);
     let mut client = ProtocolClient::connect(node.address(), front).unwrap();
     let RequestTemplate { method, target, fields, body } = scenario.request;
     let answer = client.ask(method, target, &format!("X-Unit: 1\r\n{fields}"), body);
@@ -98,7 +98,7 @@
     thread::sleep(ARRIVAL_TIME);
     let record = backends.seen();
     let header = scenario.header.and_then(|start| answer.fields.iter().find(|line| line.starts_with(start)));
-    Seen {
+    ObservedResult {
         status: answer.status,
         fields: header.into_iter().cloned().collect(),
         body: answer.body,
@@ -110,9 +110,9 @@
 /// Runs a scenario over all pairs of protocols.
 #[must_use]
 pub fn compare(scenario: &Scenario) -> ScenarioResults {
-    let mut results = ScenarioResults { name: scenario.name, seen: Vec::new(), differences: Vec::new() };
-    for (front, back) in pairings() {
-        let seen = play(scenario, front, back);
+    let mut results = ScenarioResults { name: scenario.name, observed: Vec::new(), differences: Vec::new() };
+    for (front, back) in protocol_pairs() {
+        let seen = run_scenario(scenario, front, back);
         let pairing = format!("{} ({front:?} to {back:?})", scenario.name);
         let expected = (scenario.status, scenario.body.as_bytes());
         if (seen.status, &seen.body[..]) != expected || scenario.header.is_some() != (seen.fields.len() == 1)
@@ -121,11 +121,11 @@
         } else if scenario.attempts.is_some_and(|attempts| attempts != seen.attempts) {
             results.differences.push(format!("{pairing}: {} attempts", seen.attempts));
         }
-        let first = results.seen.first().filter(|first| scenario.attempts.is_some() && **first != seen);
+        let first = results.observed.first().filter(|first| scenario.attempts.is_some() && **first != seen);
         if let Some(first) = first {
             results.differences.push(format!("{pairing}: {seen:?}, but {first:?} before"));
         }
-        results.seen.push(seen);
+        results.observed.push(seen);
     }
     results
 }
@@ -148,7 +148,7 @@
             }
         };
         let workers: Vec<_> = (0..CONCURRENT_SCENARIOS).map(|_| scope.spawn(worker)).collect();
-        workers.into_iter().flat_map(|worker| worker.join().expect("a node starts")).collect()
+        workers.into_iter().flat_map(|worker| worker.join().expect("scenario thread panicked")).collect()
     });
     results.sort_by_key(|(index, _)| *index);
     results.into_iter().map(|(_, results)| results).collect()
