--- a/crates/testbed/src/parity/scenarios.rs
+++ b/crates/testbed/src/parity/scenarios.rs
@@ -219,7 +219,7 @@
 fn broken_responses() -> Vec<Scenario> {
     let mut list = Vec::new();
     let broken = [
-        ("closes the connection", Act::Close),
+        ("closes", Act::Close),
         ("truncates the body", Act::CutBody),
         ("truncates the head", Act::CutHead),
         ("sends a malformed head", Act::Garbage),
--- a/crates/testbed/src/program/standalone.rs
+++ b/crates/testbed/src/program/standalone.rs
@@ -73,7 +73,7 @@
             }
         });
         let node = Self { child, file: file.into(), log, own_file: false, reader: Some(reader) };
-        wait_for("the node's listeners", || node.addresses().len() >= listeners);
+        wait_for("listeners", || node.addresses().len() >= listeners);
         node
     }
 
