--- a/crates/config/src/check/class.rs
+++ b/crates/config/src/check/class.rs
@@ -35,7 +35,8 @@
         let priority_weight = self.parsed(block, "worth", 1.0, within(parse_number, "0", "1000000"));
         let late_weight = self.parsed(block, "late-worth", 0.0, parse_share);
         let idempotency = self.idempotency(block);
-        let ordered_by_key = self.choice_or(block, "order", "is not an order", &ORDER_VALUES, false);
+        let ordered_by_key =
+            self.choice_or(block, "order", "is not a value of `order`", &ORDER_VALUES, false);
         let settings = ClassSettings {
             latency_objective: latency_objective?,
             deadline: deadline?,
--- a/crates/node/tests/operations.rs
+++ b/crates/node/tests/operations.rs
@@ -256,7 +256,7 @@
     let files = std::fs::read_dir(&shared_folder).unwrap().map(|entry| entry.unwrap().path());
     let state_file = files.into_iter().find(|path| path.extension().is_some_and(|end| end == "out")).unwrap();
     std::fs::write(&state_file, "{\"v\":1,").unwrap();
-    // The running process keeps what it has read before; a new process starts without.
+    // The running process keeps the state that it had before the file was damaged; a new process starts without that state.
     std::thread::sleep(Duration::from_millis(500));
     assert_eq!(first.info_value("node.members_unavailable"), Some(1));
     let second = Setup { folder: Some(shared_folder.clone()), ..Setup::of(&[&backend]) }.start();
--- a/crates/testbed/src/measure/capacity/claims.rs
+++ b/crates/testbed/src/measure/capacity/claims.rs
@@ -29,7 +29,7 @@
 
 /// The measurements of one build that are compared with the budgets.
 pub struct Measured<'a> {
-    /// The size of the corner.
+    /// The size of the corner, at which all factors are large at once.
     pub corner: Size,
     /// Samples at that size, one per round.
     pub samples: &'a [Sample],
@@ -43,7 +43,7 @@
     pub tenants: &'a LoadResult,
 }
 
-/// Adds the figures of the corner to the last line.
+/// Adds the figures measured at the corner to the last line.
 pub fn add_figures(report: &mut Report, measured: &Measured<'_>) {
     let Measured { samples, quiet, values, tenants, .. } = measured;
     report.figure("share_of_target", format!("{:.3}", measured.corner.share_of_target()));
@@ -81,17 +81,17 @@
     let ratio = peak_ratio(samples);
     report.claim(
         ratio <= PEAK_RATIO,
-        format!("peak memory over a change within {PEAK_RATIO} of steady: {ratio:.2}"),
+        format!("peak memory over changes at most {PEAK_RATIO} times the memory at rest: {ratio:.2}"),
     );
     let turn = TURN_CHANGING.median(samples);
     report.claim(
         turn <= TURN_MS,
-        format!("longest turn of the loop over a change within {TURN_MS} ms: {turn:.1} ms"),
+        format!("longest turn of the event loop over changes at most {TURN_MS} ms: {turn:.1} ms"),
     );
     let on_loop = CHANGE_LOOP_CPU.median(samples);
     report.claim(
         on_loop <= CHANGE_LOOP_MS,
-        format!("a change of one value takes at most {CHANGE_LOOP_MS} ms on the loop: {on_loop:.1} ms"),
+        format!("a change of one value takes at most {CHANGE_LOOP_MS} ms on the event loop: {on_loop:.1} ms"),
     );
     let share = control_cpu(samples);
     report.claim(
@@ -121,13 +121,16 @@
     let added = quiet.through.p99.saturating_sub(quiet.direct.p99);
     report.claim(
         added <= ADDED_P99,
-        format!("p99 added without changes within {ADDED_P99:?}: {} ms", milliseconds(added)),
+        format!(
+            "without changes: the node adds at most {ADDED_P99:?} to the p99 latency of the backends: {} ms",
+            milliseconds(added)
+        ),
     );
     for (result, name) in [(values, "value changes"), (tenants, "tenant changes")] {
         let ratio = result.through.p99.as_secs_f64() / quiet.through.p99.as_secs_f64().max(f64::EPSILON);
         report.claim(
             ratio <= CHANGING_P99_RATIO,
-            format!("{name}: p99 within {CHANGING_P99_RATIO} of that without: {ratio:.2}"),
+            format!("{name}: p99 at most {CHANGING_P99_RATIO} times the p99 without changes: {ratio:.2}"),
         );
     }
 }
--- a/crates/testbed/src/measure/capacity/fleet.rs
+++ b/crates/testbed/src/measure/capacity/fleet.rs
@@ -181,7 +181,7 @@
         let most = self.growth.nodes();
         let detection = self.growth.detection.ok();
         report.row(
-            &Row::new(format!("{most}, a process killed"), "hollow, real")
+            &Row::new(format!("{most} nodes, a process killed"), "hollow, real")
                 .set("detected: first, s", seconds(detection.map(|found| found.first)))
                 .set("last, s", seconds(detection.map(|found| found.last)))
                 .0,
@@ -190,7 +190,7 @@
         report.claim(in_time, format!("all {most} nodes detect a killed process within {DETECTION_LIMIT:?}"));
         let burst = &self.growth.burst;
         report.row(
-            &Row::new(format!("{most}, {} restart at once", burst.restarted), "hollow")
+            &Row::new(format!("{most} nodes, {} restart at once", burst.restarted), "hollow")
                 .set("converged, s", seconds(burst.settled.after))
                 .set("peak bytes/s", format!("{:.0}", burst.peak_bytes_a_node()))
                 .set("peak of one node", burst.settled.peak_node_bytes)
@@ -220,21 +220,27 @@
             let known = size.last.is_some_and(|last| last <= DETECTION_LIMIT);
             report.claim(
                 known,
-                format!("{} in virtual time: all detect a crash within {DETECTION_LIMIT:?}", size.nodes),
+                format!(
+                    "{} nodes in virtual time: all detect a crash within {DETECTION_LIMIT:?}",
+                    size.nodes
+                ),
             );
             let within = size.bytes <= BYTES_BUDGET;
-            report.claim(within, format!("{} in virtual time: bytes a second within the budget", size.nodes));
+            report.claim(
+                within,
+                format!("{} nodes in virtual time: bytes a second within the budget", size.nodes),
+            );
         }
         for join in &self.joins {
             report.row(
-                &Row::new(format!("{}, all start at once", join.nodes), "virtual")
+                &Row::new(format!("{} nodes, all start at once", join.nodes), "virtual")
                     .set("converged, s", seconds(join.settled))
                     .set("bytes/s", format!("{:.0}", join.bytes))
                     .0,
             );
             report.claim(
                 join.settled.is_some(),
-                format!("{} start at once in virtual time: member tables converge", join.nodes),
+                format!("{} nodes start at once in virtual time: member tables converge", join.nodes),
             );
         }
         if let Some(join) = self.joins.last() {
@@ -242,20 +248,23 @@
         }
         let zone = &self.zone;
         report.row(
-            &Row::new(format!("{}, a zone of {} lost", zone.nodes, zone.gone), "virtual")
+            &Row::new(format!("{} nodes, all {} nodes of one zone killed", zone.nodes, zone.gone), "virtual")
                 .set("detected: first, s", seconds(zone.first))
                 .set("last, s", seconds(zone.last))
                 .set("peak bytes/s", format!("{:.0}", zone.peak_bytes))
                 .0,
         );
-        report.claim(zone.last.is_some(), "all nodes detect the loss of a zone");
+        report.claim(zone.last.is_some(), "all running nodes detect the killed nodes of a zone");
         let cut = &self.cut;
         report.row(
-            &Row::new(format!("{}, two of three regions partitioned for a minute", cut.nodes), "virtual")
-                .set("converged, s", seconds(cut.healed))
-                .set("bytes/s", format!("{:.0}", cut.bytes))
-                .set("peak bytes/s", format!("{:.0}", cut.peak_bytes))
-                .0,
+            &Row::new(
+                format!("{} nodes, two of three regions partitioned for a minute", cut.nodes),
+                "virtual",
+            )
+            .set("converged, s", seconds(cut.healed))
+            .set("bytes/s", format!("{:.0}", cut.bytes))
+            .set("peak bytes/s", format!("{:.0}", cut.peak_bytes))
+            .0,
         );
         report.claim(cut.healed.is_some(), "the member tables of two partitioned regions are equal again");
         report.claim(cut.false_positives == 0, "no member that a third region reaches is considered dead");
--- a/crates/testbed/src/measure/capacity/node.rs
+++ b/crates/testbed/src/measure/capacity/node.rs
@@ -1,5 +1,7 @@
-//! One node: the cost of each factor of its configuration, the cost where all factors are large at once (the corner), and
-//! latencies.
+//! One node: the cost of each factor of its configuration, the cost with all factors large at once, and latencies.
+//!
+//! The corner is the size at which all factors are large at once. The slope of a figure is the increase of the figure for each
+//! unit of a factor.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,7 +28,7 @@
 /// Numbers of consecutive changes through whose costs a line is fitted: in the full run, and in the short one.
 const FULL_CHANGES_IN_A_ROW: [usize; 4] = [1, 2, 4, 8];
 const CHANGES_IN_A_ROW: [usize; 4] = [1, 2, 3, 4];
-/// Loads, by what changes in the configuration meanwhile.
+/// The loads: the name of each load, and the change that the configuration gets during the load.
 const LOADS: [(&str, Option<Change>); 3] = [
     ("no changes", None),
     ("values change", Some(Change::Value)),
@@ -39,7 +41,7 @@
     program: PathBuf,
 }
 
-/// Measurements of a build at the corner.
+/// Measurements of a build at the corner, and samples of the build at the smallest size.
 struct Corner {
     samples: Vec<Sample>,
     smallest: Vec<Sample>,
@@ -199,8 +201,8 @@
     report.figure("rss_mb_by_slopes", table::short(predicted_memory(growths, corner)));
 }
 
-/// Memory at the corner as predicted by the slopes, in megabytes. The difference to the measured memory is what grows with two
-/// factors at once.
+/// Memory at the corner as predicted by the slopes of memory, in megabytes. The difference to the measured memory is the memory
+/// that grows with two factors at once.
 fn predicted_memory(growths: &[Growth], corner: Size) -> f64 {
     let Some(base) = growths.first() else { return 0.0 };
     // The first factor's line includes the other factors at their base counts; their further units are added.
@@ -219,7 +221,7 @@
         Factor::Backends | Factor::Tenants => 0.0,
         Factor::Pools => 1.0,
         Factor::Routes => corner.pools as f64,
-        // The slope of tenants includes one pool for each tenant.
+        // The slope for tenants includes one pool for each tenant.
         Factor::TenantPools => corner.tenants as f64,
     }
 }
--- a/crates/testbed/src/measure/capacity/table.rs
+++ b/crates/testbed/src/measure/capacity/table.rs
@@ -14,7 +14,7 @@
 const MICRO: f64 = 1e6;
 const NANO: f64 = 1e9;
 
-/// A column of a node's row, and how its slope is shown.
+/// A column of a node's row, and how its slope (its increase for each unit of a factor) is shown.
 pub struct Metric {
     /// Its name and unit.
     pub head: &'static str,
@@ -39,21 +39,27 @@
     value: |sample| sample.change_peak as f64 / MEGABYTE,
     slope_unit: ("B", MEGABYTE),
 };
-/// Start until ready.
+/// Time from the start of the process until it is ready.
 pub const READY: Metric =
     Metric { head: "ready ms", value: |sample| millis(sample.ready_after), slope_unit: ("us", MILLI) };
 /// Processor time of a start.
 pub const START_CPU: Metric =
     Metric { head: "start cpu ms", value: |sample| millis(sample.start_cpu), slope_unit: ("us", MILLI) };
-/// SIGHUP until in force.
-pub const IN_FORCE: Metric =
-    Metric { head: "in force ms", value: |sample| millis(sample.in_force_after), slope_unit: ("us", MILLI) };
+/// Time from SIGHUP until the change is in force.
+pub const IN_FORCE: Metric = Metric {
+    head: "SIGHUP to in force ms",
+    value: |sample| millis(sample.in_force_after),
+    slope_unit: ("us", MILLI),
+};
 /// Processor time of a change.
 pub const CHANGE_CPU: Metric =
     Metric { head: "change cpu ms", value: |sample| millis(sample.change_cpu), slope_unit: ("us", MILLI) };
 /// The part of [`CHANGE_CPU`] on the event loop's thread.
-pub const CHANGE_LOOP_CPU: Metric =
-    Metric { head: "on loop ms", value: |sample| millis(sample.change_loop_cpu), slope_unit: ("us", MILLI) };
+pub const CHANGE_LOOP_CPU: Metric = Metric {
+    head: "change cpu on loop ms",
+    value: |sample| millis(sample.change_loop_cpu),
+    slope_unit: ("us", MILLI),
+};
 /// Processor time at rest.
 pub const REST_CPU: Metric =
     Metric { head: "rest ms/s", value: |sample| millis(sample.rest_cpu), slope_unit: ("us/s", MILLI) };
@@ -63,25 +69,25 @@
     value: |sample| sample.request_cpu.as_secs_f64() * MICRO,
     slope_unit: ("ns", NANO / MICRO),
 };
-/// The longest turn without changes.
+/// The longest turn of the event loop, without changes.
 pub const TURN_QUIET: Metric = Metric {
     head: "turn, quiet ms",
     value: |sample| millis(sample.quiet.longest_turn),
     slope_unit: ("us", MILLI),
 };
-/// The longest turn with changes.
+/// The longest turn of the event loop, with changes.
 pub const TURN_CHANGING: Metric = Metric {
     head: "turn, change ms",
     value: |sample| millis(sample.changing.longest_turn),
     slope_unit: ("us", MILLI),
 };
-/// The longest answer without changes.
+/// The longest time until an answer, without changes.
 pub const ANSWER_QUIET: Metric = Metric {
     head: "answer, quiet ms",
     value: |sample| millis(sample.quiet.longest_answer),
     slope_unit: ("us", MILLI),
 };
-/// The longest answer with changes.
+/// The longest time until an answer, with changes.
 pub const ANSWER_CHANGING: Metric = Metric {
     head: "answer, change ms",
     value: |sample| millis(sample.changing.longest_answer),
@@ -196,7 +202,8 @@
 
 /// Adds rows for consecutive changes, and one with the cost per change.
 pub fn change_rows(report: &mut Report, costs: &[ChangeCost]) {
-    let head = ["changes of one value in a row", "peak MB", "in force ms", "cpu ms", "on loop ms"];
+    let head =
+        ["changes of one value in a row", "peak MB", "SIGHUP to in force ms", "cpu ms", "cpu on loop ms"];
     report.row(&head.map(str::to_owned));
     for cost in costs {
         report.row(&[
--- a/crates/testbed/src/measure/config.rs
+++ b/crates/testbed/src/measure/config.rs
@@ -280,11 +280,11 @@
     report.figure("lost", lost);
     report.figure("refused", refused);
     report.figure("effects_twice", twice);
-    let first = tally.lost.borrow().first().cloned().unwrap_or_default();
-    report.claim(lost == 0, format!("no request is lost; the first that was: {first}"));
+    let first = tally.lost.borrow().first().cloned().unwrap_or_else(|| "none".into());
+    report.claim(lost == 0, format!("no request is lost; first lost request: {first}"));
     report.claim(
         twice == 0 && without_effect == 0,
-        "each submit that was served took effect once, and no other twice",
+        "each served submit took effect once, and no request took effect twice",
     );
     report.claim(done == count, format!("{count} reloads are done"));
     report.claim(
--- a/crates/testbed/src/measure/cost.rs
+++ b/crates/testbed/src/measure/cost.rs
@@ -239,7 +239,7 @@
             LoadTarget { warm: 1 + count as u64 / 300, ..target }
         })
         .collect();
-    // For the cost of more sockets alone: a relay to the fewest servers and one to the most.
+    // Two relays show the cost of more sockets alone: one relay forwards to the fewest servers, the other to the most servers.
     let ends = [&servers[0], &servers[SERVERS.len() - 1]];
     let relays = ends.map(|servers| relay(&servers.addresses));
     for (relay, servers) in relays.iter().zip(ends) {
--- a/crates/testbed/src/measure/fastcgi.rs
+++ b/crates/testbed/src/measure/fastcgi.rs
@@ -54,10 +54,10 @@
     let differences: Vec<_> = results.iter().flat_map(|scenario| &scenario.differences).collect();
     report.figure("scenarios", results.len());
     report.figure("differences", differences.len());
-    let first = differences.first().map_or("", |first| first.as_str());
+    let first = differences.first().map_or("none", |first| first.as_str());
     report.claim(
         differences.is_empty(),
-        format!("all scenarios have the same result over all pairs; the first that has not: {first}"),
+        format!("each scenario has the same result over all pairs of protocols; first difference: {first}"),
     );
 }
 
@@ -117,7 +117,7 @@
         format!("FastCGI on both sides costs at most {MAX_COST_RATIO} times HTTP"),
     );
     let not_served: usize = costs.iter().map(|cost| cost.not_served).sum();
-    report.claim(not_served == 0, format!("every request is served; {not_served} were not"));
+    report.claim(not_served == 0, format!("every request is served; requests not served: {not_served}"));
     Ok(())
 }
 
--- a/crates/testbed/src/measure/recorder/faults.rs
+++ b/crates/testbed/src/measure/recorder/faults.rs
@@ -150,7 +150,10 @@
     load(node.address(), CLIENTS + fault.more_clients);
     let start = Instant::now();
     let recording = admin.recording()?;
-    let ledger = recording.ledger.as_ref().ok_or_else(|| io::Error::other("the recording has no ledger"))?;
+    let ledger = recording
+        .ledger
+        .as_ref()
+        .ok_or_else(|| io::Error::other("the recording has no readable totals of lost weight"))?;
     let findings = find(&recording.header, ledger, 0, u64::MAX);
     let seconds = start.elapsed().as_secs_f64();
     let first = findings.first();
