--- a/crates/testbed/src/client_disconnect.rs
+++ b/crates/testbed/src/client_disconnect.rs
@@ -1,11 +1,13 @@
 //! Clients of the platform's protocol that disconnect before they have a response.
 
-use std::net::{Shutdown, SocketAddr};
+use std::net::{Shutdown, SocketAddr, SocketAddrV4};
 use std::time::Duration;
 
 use socket2::SockRef;
 
+use crate::program::wait_for;
 use crate::scripted::{Backend, Client, Message, Node, request};
+use crate::tcp_state::is_open;
 
 /// Bytes written of [`Disconnect::MidLongBody`]: more than a node reads before it admits the request, and less than the
 /// body has.
@@ -57,6 +59,7 @@
     #[must_use]
     pub fn send_requests(self, node: SocketAddr, class: &str) -> DisconnectingClient {
         let (mut client, first) = (Client::connect(node), request(class, body_of(class)));
+        let own_end = ipv4(client.stream().local_addr().expect("a connected socket has an address"));
         let mut ids = vec![id_of(&first)];
         match self {
             Self::MidBody => client.write(&first.replace("Content-Length: 1", "Content-Length: 9")),
@@ -72,7 +75,14 @@
             }
             Self::Fin | Self::Reset | Self::HalfClose => client.write(&first),
         }
-        DisconnectingClient { disconnect: self, client, ids }
+        DisconnectingClient { disconnect: self, client, own_end, node_end: ipv4(node), ids }
+    }
+
+    /// Whether the node may not receive the disconnect before it reads on: its receive buffer is full, and the FIN waits
+    /// at the client behind input that does not fit. The node may be waiting for an earlier request meanwhile, and its end
+    /// of the connection stays established until that has ended.
+    fn may_wait_behind_unread_input(self) -> bool {
+        self == Self::PipelinedBurst
     }
 }
 
@@ -87,6 +97,8 @@
     /// How it disconnects.
     pub disconnect: Disconnect,
     client: Client,
+    own_end: SocketAddrV4,
+    node_end: SocketAddrV4,
     /// Ids of its requests, in order.
     pub ids: Vec<String>,
 }
@@ -102,30 +114,48 @@
 }
 
 impl DisconnectingClient {
-    /// Disconnects.
+    /// Disconnects. Returns once the node's end of the connection has received it, other than for
+    /// [`Disconnect::PipelinedBurst`].
+    ///
+    /// Closing a socket does not suffice: while another thread of the test starts a program, the child has copies of all
+    /// descriptors until it executes the program. The kernel sends FIN or RST when the last copy is closed, hundreds of
+    /// milliseconds later on a busy machine. (It half-closes a connection at once, copies or not.)
     ///
     /// # Panics
-    /// Where the socket refuses it.
+    /// Where the socket refuses it, or an end of the connection stays open for [`LIMIT`](crate::program::LIMIT).
     #[must_use]
     pub fn disconnect(self) -> DisconnectedClient {
-        let Self { disconnect, client, ids } = self;
+        let Self { disconnect, client, own_end, node_end, ids } = self;
         let open = match disconnect {
             Disconnect::Reset => {
                 SockRef::from(client.stream())
                     .set_linger(Some(Duration::ZERO))
                     .expect("an open socket takes the option");
+                drop(client);
                 None
             }
             Disconnect::HalfClose => {
                 client.stream().shutdown(Shutdown::Write).expect("the connection is open");
                 Some(client)
             }
-            _ => None,
+            _ => {
+                drop(client);
+                None
+            }
         };
+        wait_for(&format!("the client's end, {disconnect:?}"), || !is_open(own_end, node_end));
+        if !disconnect.may_wait_behind_unread_input() {
+            wait_for(&format!("the node's end, {disconnect:?}"), || !is_open(node_end, own_end));
+        }
         DisconnectedClient { disconnect, ids, _open: open }
     }
 }
 
+fn ipv4(address: SocketAddr) -> SocketAddrV4 {
+    let SocketAddr::V4(address) = address else { panic!("{address} is not an IPv4 address") };
+    address
+}
+
 /// Returns the id in a request's text.
 ///
 /// # Panics
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -15,3 +15,4 @@
 pub mod simulation;
 pub mod slow_connect;
 pub mod standin;
+mod tcp_state;
